--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -6,15 +6,15 @@
 	"fmt"
 	"os"
 
-	"cobaltpier/benchwire"
-	"cobaltpier/brain"
-	"cobaltpier/contact"
-	"cobaltpier/host"
+	"cobaltpier/internal/gateway/simadapter"
+	"cobaltpier/internal/protocol/endpointset"
+	"cobaltpier/internal/router"
+	"cobaltpier/internal/routing"
 )
 
 func main() {
-	err := benchwire.Serve(os.Stdin, os.Stdout, func(s *contact.Settings, h contact.Host) host.Module {
-		return brain.New(s, h)
+	err := simadapter.Serve(os.Stdin, os.Stdout, func(s *routing.Settings, h routing.Host) endpointset.Module {
+		return router.New(s, h)
 	})
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "benchlink:", err)
--- a/cmd/cobalt-edge/main.go
+++ b/cmd/cobalt-edge/main.go
@@ -6,11 +6,11 @@
 	"fmt"
 	"os"
 
-	"cobaltpier/edgecmd"
+	"cobaltpier/internal/cli/edgecli"
 )
 
 func main() {
-	if err := edgecmd.New().ExecuteContext(context.Background()); err != nil {
+	if err := edgecli.New().ExecuteContext(context.Background()); err != nil {
 		fmt.Fprintln(os.Stderr, "cobalt-edge:", err)
 		os.Exit(1)
 	}
--- a/cmd/cobalt-lab/main.go
+++ b/cmd/cobalt-lab/main.go
@@ -6,13 +6,13 @@
 	"fmt"
 	"os"
 
-	"cobaltpier/labcmd"
+	"cobaltpier/internal/cli/labcli"
 )
 
 func main() {
-	err := labcmd.New().ExecuteContext(context.Background())
+	err := labcli.New().ExecuteContext(context.Background())
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "cobalt-lab:", err)
 	}
-	os.Exit(labcmd.Status(err))
+	os.Exit(labcli.Status(err))
 }
--- a/edgecmd/edgecmd.go
+++ b/internal/cli/edgecli/edgecmd.go
@@ -1,5 +1,5 @@
-// Package edgecmd is the command line of cobalt-edge, which the laboratory starts too.
-package edgecmd
+// Package edgecli is the command line of cobalt-edge, which the laboratory starts too.
+package edgecli
 
 import (
 	"errors"
@@ -16,13 +16,13 @@
 	"github.com/rs/zerolog/diode"
 	"github.com/spf13/cobra"
 
-	"cobaltpier/brain"
-	"cobaltpier/contact"
-	"cobaltpier/gateway"
-	"cobaltpier/host"
-	"cobaltpier/lab/baseline"
-	"cobaltpier/numbercmd"
-	"cobaltpier/settings"
+	"cobaltpier/internal/cli/numbercli"
+	"cobaltpier/internal/emulator/baseline"
+	"cobaltpier/internal/gateway/gatewayconfig"
+	"cobaltpier/internal/gateway/sipserver"
+	"cobaltpier/internal/protocol/endpointset"
+	"cobaltpier/internal/router"
+	"cobaltpier/internal/routing"
 )
 
 // ErrForced says that a second signal ended the gateway with contacts still held.
@@ -36,7 +36,7 @@
 
 Signals: SIGTERM or SIGINT drains (no new contact, all held ones answered, status 0); a second one ends it at once
 (status 1).`, SilenceUsage: true, SilenceErrors: true}
-	root.AddCommand(run(), check(), onPlatform(), numbercmd.New())
+	root.AddCommand(run(), check(), onPlatform(), numbercli.New())
 	return root
 }
 
@@ -45,11 +45,11 @@
 	c := &cobra.Command{Use: "run", Short: "Run a gateway until it is told to drain", Args: cobra.NoArgs,
 		Example: "  cobalt-edge run --config edge.hcl",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			set, err := settings.Load(config)
+			set, err := gatewayconfig.Load(config)
 			if err != nil {
 				return err
 			}
-			mk := func(s *contact.Settings, h contact.Host) host.Module { return brain.New(s, h) }
+			mk := func(s *routing.Settings, h routing.Host) endpointset.Module { return router.New(s, h) }
 			if module != "brain" {
 				if mk = baseline.ByName(module); mk == nil {
 					return fmt.Errorf("module %q: want brain, lottery or random", module)
@@ -86,8 +86,8 @@
 					stop <- struct{}{}
 				}
 			}()
-			out, err := gateway.Run(cmd.Context(), set, mk, log, stop)
-			if err == nil && out == gateway.Forced {
+			out, err := sipserver.Run(cmd.Context(), set, mk, log, stop)
+			if err == nil && out == sipserver.Forced {
 				err = ErrForced
 			}
 			return err
@@ -109,7 +109,7 @@
 	var config string
 	c := &cobra.Command{Use: "check", Short: "Check a settings file and say what is wrong with it, with file and line", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			s, err := settings.Load(config)
+			s, err := gatewayconfig.Load(config)
 			if err == nil {
 				fmt.Fprintf(cmd.OutOrStdout(), "%s: gateway %s on %s, %d groups, %d skills: fine\n", config, s.Name, s.Self, len(s.Groups), len(s.Set.Skills))
 			}
--- a/edgecmd/edgecmd_test.go
+++ b/internal/cli/edgecli/edgecmd_test.go
@@ -1,4 +1,4 @@
-package edgecmd
+package edgecli
 
 import (
 	"bytes"
--- a/edgecmd/platform.go
+++ b/internal/cli/edgecli/platform.go
@@ -1,4 +1,4 @@
-package edgecmd
+package edgecli
 
 import (
 	"errors"
@@ -14,11 +14,11 @@
 	"github.com/rs/zerolog/diode"
 	"github.com/spf13/cobra"
 
-	"cobaltpier/brain"
-	"cobaltpier/contact"
-	"cobaltpier/host"
-	"cobaltpier/platform/config"
-	"cobaltpier/platform/serve"
+	"cobaltpier/internal/gateway/binaryconfig"
+	"cobaltpier/internal/gateway/binaryserver"
+	"cobaltpier/internal/protocol/endpointset"
+	"cobaltpier/internal/router"
+	"cobaltpier/internal/routing"
 )
 
 // configVar names the file that the platform hands a gateway.
@@ -38,7 +38,7 @@
 			if file == "" {
 				return errors.New(configVar + ": want the name of the configuration's file, got none")
 			}
-			cfg, err := config.Load(file)
+			cfg, err := binaryconfig.Load(file)
 			if err != nil {
 				return err
 			}
@@ -47,7 +47,7 @@
 				return fmt.Errorf("log-level: want trace, debug, info, warn or error, got %q", level)
 			}
 			runtime.GOMAXPROCS(1)
-			if n := serve.Limit(cfg.Limits); n > 0 {
+			if n := binaryserver.Limit(cfg.Limits); n > 0 {
 				debug.SetMemoryLimit(n)
 			}
 			lines := 256 // that may wait for a slow reader of the log; more are lost
@@ -57,19 +57,19 @@
 			d := diode.NewWriter(open{cmd.ErrOrStderr()}, lines, 10*time.Millisecond, nil)
 			defer d.Close()
 			log := zerolog.New(d).Level(l).With().Timestamp().Str("gateway", cfg.Name).Logger()
-			signals, told := make(chan os.Signal, 8), make(chan serve.Signal, 8)
+			signals, told := make(chan os.Signal, 8), make(chan binaryserver.Signal, 8)
 			signal.Notify(signals, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT)
 			defer signal.Stop(signals)
 			go func() {
 				for s := range signals {
 					if s == syscall.SIGHUP {
-						told <- serve.Reload
+						told <- binaryserver.Reload
 					} else {
-						told <- serve.Leave
+						told <- binaryserver.Leave
 					}
 				}
 			}()
-			return serve.Run(cmd.Context(), file, cfg, func(s *contact.Settings, h contact.Host) host.Module { return brain.New(s, h) }, log, told)
+			return binaryserver.Run(cmd.Context(), file, cfg, func(s *routing.Settings, h routing.Host) endpointset.Module { return router.New(s, h) }, log, told)
 		}}
 	c.Flags().StringVar(&level, "log-level", "info", "trace (each message), debug, info, warn or error")
 	return c
--- a/labcmd/design.go
+++ b/internal/cli/labcli/design.go
@@ -1,4 +1,4 @@
-package labcmd
+package labcli
 
 import (
 	"fmt"
@@ -6,10 +6,10 @@
 	"github.com/spf13/cobra"
 
 	"cobaltpier/api"
-	"cobaltpier/brain"
-	"cobaltpier/contact"
-	"cobaltpier/host"
-	"cobaltpier/lab/stage"
+	"cobaltpier/internal/emulator/scenario"
+	"cobaltpier/internal/protocol/endpointset"
+	"cobaltpier/internal/router"
+	"cobaltpier/internal/routing"
 )
 
 func design() *cobra.Command {
@@ -21,22 +21,22 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			for seed := 1; seed <= seeds; seed++ {
 				for _, away := range []int{-1, 1} {
-					s, err := stage.Day("quiet")
+					s, err := scenario.Day("quiet")
 					if err != nil {
 						return err
 					}
 					s.Seed = uint64(seed)
-					var shares *stage.Shares
-					st := stage.New(s, 5060, func(r *api.Record) {
+					var shares *scenario.Shares
+					st := scenario.New(s, 5060, func(r *api.Record) {
 						if shares != nil {
 							shares.Add(r)
 						}
 					})
-					shares = stage.NewShares(st, away)
+					shares = scenario.NewShares(st, away)
 					if away >= 0 {
 						st.Drain(away)
 					}
-					stage.NewVirtual(st, func(set *contact.Settings, h contact.Host) host.Module { return brain.New(set, h) })
+					scenario.NewVirtual(st, func(set *routing.Settings, h routing.Host) endpointset.Module { return router.New(set, h) })
 					st.World.Run(s.Length + 10000)
 					fmt.Fprintf(cmd.OutOrStdout(), "seed %d, pool that drains: %d (-1: none)\n%s\n", seed, away, shares)
 				}
--- a/labcmd/digits.go
+++ b/internal/cli/labcli/digits.go
@@ -1,4 +1,4 @@
-package labcmd
+package labcli
 
 import (
 	"fmt"
@@ -7,10 +7,10 @@
 
 	"github.com/spf13/cobra"
 
-	"cobaltpier/chance"
-	"cobaltpier/digits"
-	"cobaltpier/lab/prefixes"
-	"cobaltpier/lab/stats"
+	"cobaltpier/internal/decision/prefixtrie"
+	"cobaltpier/internal/detrand"
+	"cobaltpier/internal/emulator/prefixbaseline"
+	"cobaltpier/internal/emulator/stats"
 )
 
 // digitsCmd measures the trie beside plain ways, in turns on the same numbers.
@@ -49,10 +49,10 @@
 }
 
 func measureDigits(out interface{ Write([]byte) (int, error) }, n, rounds int) error {
-	of := prefixes.Draw(n)
+	of := prefixbaseline.Draw(n)
 	var numbers []string
 	for i := range uint64(1 << 16) {
-		numbers = append(numbers, of[int(chance.Of(3, i)*float64(n))].Digits+"5550123")
+		numbers = append(numbers, of[int(detrand.Of(3, i)*float64(n))].Digits+"5550123")
 	}
 	type way struct {
 		name   string
@@ -64,9 +64,9 @@
 		allocs float64
 	}
 	ways := []*way{
-		{name: "trie", make: func() (finder, error) { return digits.New(append([]digits.Prefix{}, of...)) }},
-		{name: "map", make: func() (finder, error) { return prefixes.NewMap(of), nil }},
-		{name: "sorted", make: func() (finder, error) { return prefixes.NewSorted(of), nil }},
+		{name: "trie", make: func() (finder, error) { return prefixtrie.New(append([]prefixtrie.Prefix{}, of...)) }},
+		{name: "map", make: func() (finder, error) { return prefixbaseline.NewMap(of), nil }},
+		{name: "sorted", make: func() (finder, error) { return prefixbaseline.NewSorted(of), nil }},
 	}
 	for _, w := range ways {
 		before, _ := heap()
@@ -79,7 +79,7 @@
 		w.find = f
 		after, _ := heap()
 		w.size = float64(int64(after)-int64(before)) / float64(n)
-		if t, ok := f.(*digits.Trie); ok {
+		if t, ok := f.(*prefixtrie.Trie); ok {
 			w.size = float64(t.Bytes()) / float64(n)
 		}
 	}
--- a/labcmd/fleet.go
+++ b/internal/cli/labcli/fleet.go
@@ -1,4 +1,4 @@
-package labcmd
+package labcli
 
 import (
 	"context"
@@ -15,13 +15,13 @@
 
 	"github.com/spf13/cobra"
 
-	"cobaltpier/lab/day"
-	"cobaltpier/lab/fleet"
-	"cobaltpier/lab/hunt"
-	"cobaltpier/lab/report"
-	"cobaltpier/lab/script"
-	"cobaltpier/lab/stage"
-	"cobaltpier/lab/stats"
+	"cobaltpier/internal/emulator/processrun"
+	"cobaltpier/internal/emulator/report"
+	"cobaltpier/internal/emulator/scenario"
+	"cobaltpier/internal/emulator/scenariofile"
+	"cobaltpier/internal/emulator/search"
+	"cobaltpier/internal/emulator/stats"
+	"cobaltpier/internal/emulator/virtualrun"
 )
 
 // figures are what days are compared by, higher being better but for waits and cold use.
@@ -40,7 +40,7 @@
 	return []float64{f.Whole, f.Worst10s, f.Skill, f.Customer, f.Late, f.Cut, f.Unserved, f.P50, f.P99, f.Cold}
 }
 
-func figuresOf(seed uint64, r *fleet.Result) *figures {
+func figuresOf(seed uint64, r *virtualrun.Result) *figures {
 	s := r.Service
 	return &figures{Seed: seed, Whole: s.Whole, Worst10s: s.Worst10s, Skill: s.SkillShare, Customer: s.CustomerShare, Late: float64(s.Late), Cut: float64(s.Cut),
 		Unserved: float64(s.Unserved), P50: at(s.Waits, 0.5), P99: at(s.Waits, 0.99), Cold: r.Totals.ColdUse, Broken: len(r.Findings), Sum: fmt.Sprintf("%016x", r.Sum)}
@@ -63,11 +63,11 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			ctx, cancel := interrupted(cmd)
 			defer cancel()
-			s, err := stage.Load(args[0], set...)
+			s, err := scenario.Load(args[0], set...)
 			if err != nil {
 				return err
 			}
-			mk := fleet.Module(module)
+			mk := virtualrun.Module(module)
 			if mk == nil {
 				return fmt.Errorf("module %q: want brain, lottery or random", module)
 			}
@@ -78,12 +78,12 @@
 				return err
 			}
 			out := cmd.OutOrStdout()
-			res := make([]*fleet.Result, seeds)
+			res := make([]*virtualrun.Result, seeds)
 			begin := time.Now()
-			fleet.Each(ctx, seeds, func(i int) {
+			virtualrun.Each(ctx, seeds, func(i int) {
 				d := *s
 				d.Seed = s.Seed + uint64(i)
-				res[i] = fleet.Play(&d, mk, fleet.Options{Series: page != "" || pictures != "", Sum: true})
+				res[i] = virtualrun.Play(&d, mk, virtualrun.Options{Series: page != "" || pictures != "", Sum: true})
 			})
 			spent := time.Since(begin)
 			if !asJSON {
@@ -104,7 +104,7 @@
 					}
 					continue
 				}
-				row := line(&day.Result{Service: r.Service, Findings: r.Findings, Totals: r.Totals})
+				row := line(&processrun.Result{Service: r.Service, Findings: r.Findings, Totals: r.Totals})
 				fmt.Fprintf(out, "%5d  %s  %016x  %s\n", seed, row, r.Sum, r.Spent.Round(10*time.Millisecond))
 				d := report.Day{Name: fmt.Sprintf("%s, seed %d", s.Name, seed), Lines: []string{serviceHead, row}, Plots: report.Plots(r.Series)}
 				for k, f := range r.Findings {
@@ -122,7 +122,7 @@
 				return err
 			}
 			if broken {
-				return day.ErrBroken
+				return processrun.ErrBroken
 			}
 			return ctx.Err()
 		}}
@@ -137,7 +137,7 @@
 	return c
 }
 
-func describe(s *script.Script) string {
+func describe(s *scenariofile.Script) string {
 	return fmt.Sprintf("%d gateways, %d switches, %g contacts a second for %s.", s.Gateways.Count, s.Pools.Count, s.Load.Rate, time.Duration(s.Length*1e6))
 }
 
@@ -291,19 +291,19 @@
 		}
 		return of, nil
 	}
-	s, err := stage.Load(name, set...)
+	s, err := scenario.Load(name, set...)
 	if err != nil {
 		return nil, err
 	}
-	mk := fleet.Module(x.module)
+	mk := virtualrun.Module(x.module)
 	if mk == nil {
 		return nil, fmt.Errorf("module %q: want brain, lottery or random", x.module)
 	}
 	of := make([]*figures, seeds)
-	if !fleet.Each(ctx, seeds, func(i int) {
+	if !virtualrun.Each(ctx, seeds, func(i int) {
 		d := *s
 		d.Seed = first + uint64(i)
-		of[i] = figuresOf(d.Seed, fleet.Play(&d, mk, fleet.Options{}))
+		of[i] = figuresOf(d.Seed, virtualrun.Play(&d, mk, virtualrun.Options{}))
 	}) {
 		return nil, ctx.Err()
 	}
@@ -316,7 +316,7 @@
 }
 
 func huntCmd() *cobra.Command {
-	var o hunt.Options
+	var o search.Options
 	var dir, module string
 	var shrink int
 	c := &cobra.Command{Use: "hunt", Short: "Look for days that break a rule or serve callers worst, and cut them down", Args: cobra.NoArgs,
@@ -327,23 +327,23 @@
 			ctx, cancel := interrupted(cmd)
 			defer cancel()
 			out := cmd.OutOrStdout()
-			mk := fleet.Module(module)
+			mk := virtualrun.Module(module)
 			if mk == nil {
 				return fmt.Errorf("module %q: want brain, lottery or random", module)
 			}
 			if err := os.MkdirAll(dir, 0o755); err != nil {
 				return fmt.Errorf("hunt: %w", err)
 			}
-			o.Play = func(s *script.Script) *fleet.Result { return fleet.Play(s, mk, fleet.Options{}) }
+			o.Play = func(s *scenariofile.Script) *virtualrun.Result { return virtualrun.Play(s, mk, virtualrun.Options{}) }
 			o.Say = func(done int, worst float64) { fmt.Fprintf(out, "%d days, worst service %.3f\n", done, 1-worst) }
 			var fault error
-			o.Found = func(f hunt.Find) {
+			o.Found = func(f search.Find) {
 				fmt.Fprintf(out, "found: %s\n", f.What)
 				if err := save(filepath.Join(dir, fmt.Sprintf("rule%d-%x.json", f.Rule, f.Script.Seed)), f.Script); err != nil {
 					fault = err
 				}
 			}
-			res := hunt.Run(ctx, o)
+			res := search.Run(ctx, o)
 			fmt.Fprintf(out, "%d days played, %d broke a rule, cold budgets used to %.0f %% at most\n", res.Days, len(res.Broken), 100*res.Cold)
 			if res.At != nil {
 				if err := save(filepath.Join(dir, "cold.json"), res.At); err != nil {
@@ -356,10 +356,10 @@
 					continue
 				}
 				seen[f.Rule] = true
-				small := hunt.Shrink(f.Script, func(s *script.Script) bool { return hunt.Judge(s, o.Play(s)).Rule == f.Rule }, shrink)
+				small := search.Shrink(f.Script, func(s *scenariofile.Script) bool { return search.Judge(s, o.Play(s)).Rule == f.Rule }, shrink)
 				r := o.Play(small)
 				fmt.Fprintf(out, "rule %d, cut down: %d gateways, %d switches, %.1f s, %d troubles: %v\n", f.Rule, small.Gateways.Count, small.Pools.Count,
-					small.Length/1000, len(small.Troubles), hunt.Judge(small, r).What)
+					small.Length/1000, len(small.Troubles), search.Judge(small, r).What)
 				if err := save(filepath.Join(dir, fmt.Sprintf("rule%d-small.json", f.Rule)), small); err != nil {
 					return err
 				}
@@ -376,7 +376,7 @@
 				return fault
 			}
 			if len(res.Broken) > 0 && module == "brain" {
-				return day.ErrBroken
+				return processrun.ErrBroken
 			}
 			return nil
 		}}
@@ -389,7 +389,7 @@
 	return c
 }
 
-func names(s *script.Script) []string {
+func names(s *scenariofile.Script) []string {
 	var of []string
 	for _, t := range s.Troubles {
 		of = append(of, t.Kind)
@@ -397,7 +397,7 @@
 	return of
 }
 
-func save(file string, s *script.Script) error {
+func save(file string, s *scenariofile.Script) error {
 	b, err := json.MarshalIndent(s, "", " ")
 	if err == nil {
 		err = os.WriteFile(file, append(b, '\n'), 0o644)
--- a/labcmd/labcmd.go
+++ b/internal/cli/labcli/labcmd.go
@@ -1,5 +1,5 @@
-// Package labcmd is the command line of cobalt-lab, the laboratory: stand-ins, days of trouble, captures and verdicts.
-package labcmd
+// Package labcli is the command line of cobalt-lab, the laboratory: stand-ins, days of trouble, captures and verdicts.
+package labcli
 
 import (
 	"context"
@@ -16,15 +16,15 @@
 	"github.com/spf13/cobra"
 
 	"cobaltpier/api"
-	"cobaltpier/capture"
-	"cobaltpier/check"
-	"cobaltpier/edgecmd"
-	"cobaltpier/host"
-	"cobaltpier/lab/day"
-	"cobaltpier/lab/fleet"
-	"cobaltpier/lab/script"
-	"cobaltpier/lab/stage"
-	"cobaltpier/numbercmd"
+	"cobaltpier/internal/cli/edgecli"
+	"cobaltpier/internal/cli/numbercli"
+	"cobaltpier/internal/conformance"
+	"cobaltpier/internal/conformance/capture"
+	"cobaltpier/internal/emulator/processrun"
+	"cobaltpier/internal/emulator/scenario"
+	"cobaltpier/internal/emulator/scenariofile"
+	"cobaltpier/internal/emulator/virtualrun"
+	"cobaltpier/internal/protocol/endpointset"
 )
 
 // New is the command.
@@ -35,9 +35,9 @@
 are of simulated servers.
 
 Start with "cobalt-lab try". Status 0: all went well; 1: something failed; 3: a rule was broken.`, SilenceUsage: true, SilenceErrors: true}
-	edge := edgecmd.New()
+	edge := edgecli.New()
 	edge.Use, edge.Hidden = "edge", true
-	root.AddCommand(try(), dayCmd(), show(), judge(), throughput(), design(), echo(), fleetCmd(), compare(), huntCmd(), loadCmd(), traceCmd(), numbercmd.New(), digitsCmd(), swap(), lookups(), edge)
+	root.AddCommand(try(), dayCmd(), show(), judge(), throughput(), design(), echo(), fleetCmd(), compare(), huntCmd(), loadCmd(), traceCmd(), numbercli.New(), digitsCmd(), swap(), lookups(), edge)
 	return root
 }
 
@@ -46,7 +46,7 @@
 	switch {
 	case err == nil:
 		return 0
-	case errors.Is(err, day.ErrBroken):
+	case errors.Is(err, processrun.ErrBroken):
 		return 3
 	}
 	return 1
@@ -82,7 +82,7 @@
 	var f dayFlags
 	c := &cobra.Command{Use: "try", Short: "Put on a short day that comes with the program, with real sockets and processes", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			s, err := stage.Day("try", f.set...)
+			s, err := scenario.Day("try", f.set...)
 			if err != nil {
 				return err
 			}
@@ -98,7 +98,7 @@
 		Example: "  cobalt-lab day trouble --seeds 10\n  cobalt-lab day my.hcl --virtual --module brain,lottery,random",
 		Long:    "Puts on a day from a script, prints how callers were served and the verdict on the five rules.\n\nTroubles that a script may name:\n" + kinds(),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			s, err := stage.Load(args[0], f.set...)
+			s, err := scenario.Load(args[0], f.set...)
 			if err != nil {
 				return err
 			}
@@ -110,13 +110,13 @@
 
 func kinds() string {
 	var b strings.Builder
-	for _, k := range script.KindNames() {
-		fmt.Fprintf(&b, "  %-13s %s\n", k, script.Kinds[k])
+	for _, k := range scenariofile.KindNames() {
+		fmt.Fprintf(&b, "  %-13s %s\n", k, scenariofile.Kinds[k])
 	}
 	return b.String()
 }
 
-func (f *dayFlags) run(cmd *cobra.Command, s *script.Script) error {
+func (f *dayFlags) run(cmd *cobra.Command, s *scenariofile.Script) error {
 	ctx, cancel := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 	defer cancel()
 	out := cmd.OutOrStdout()
@@ -155,13 +155,13 @@
 		}
 	}
 	if broken {
-		return day.ErrBroken
+		return processrun.ErrBroken
 	}
 	return nil
 }
 
-func (f *dayFlags) one(ctx context.Context, out io.Writer, s *script.Script, module string) (*day.Result, error) {
-	mk := fleet.Module(module)
+func (f *dayFlags) one(ctx context.Context, out io.Writer, s *scenariofile.Script, module string) (*processrun.Result, error) {
+	mk := virtualrun.Module(module)
 	if mk == nil {
 		return nil, fmt.Errorf("module %q: want brain, lottery or random", module)
 	}
@@ -172,18 +172,18 @@
 	if err != nil {
 		return nil, fmt.Errorf("own program: %w", err)
 	}
-	o := day.Options{Port: f.port, Capture: f.capture, Dir: f.dir, Edge: []string{self, "edge", "run"}, Module: module, Level: f.level}
+	o := processrun.Options{Port: f.port, Capture: f.capture, Dir: f.dir, Edge: []string{self, "edge", "run"}, Module: module, Level: f.level}
 	if f.seeds == 1 {
 		o.Say = func(s string) { fmt.Fprintln(out, s) }
 		fmt.Fprintf(out, "day %q, seed %d: %d gateways, %d switches, %g contacts a second for %s\n", s.Name, s.Seed, s.Gateways.Count, s.Pools.Count,
 			s.Load.Rate, time.Duration(s.Length*1e6))
 	}
-	return day.Run(ctx, s, o)
+	return processrun.Run(ctx, s, o)
 }
 
 // Virtual puts a day on in virtual time.
-func Virtual(s *script.Script, mk host.Maker, file string) (*day.Result, error) {
-	o := fleet.Options{}
+func Virtual(s *scenariofile.Script, mk endpointset.Maker, file string) (*processrun.Result, error) {
+	o := virtualrun.Options{}
 	var keep *capture.Writer
 	if file != "" {
 		f, err := os.Create(file)
@@ -194,18 +194,18 @@
 		keep = capture.NewWriter(f)
 		o.Record = keep.Add
 	}
-	r := fleet.Play(s, mk, o)
+	r := virtualrun.Play(s, mk, o)
 	if keep != nil {
 		if err := keep.Flush(); err != nil {
 			return nil, err
 		}
 	}
-	return &day.Result{Service: r.Service, Findings: r.Findings, Totals: r.Totals, Tables: r.Tables, Kiosks: r.Kiosks}, nil
+	return &processrun.Result{Service: r.Service, Findings: r.Findings, Totals: r.Totals, Tables: r.Tables, Kiosks: r.Kiosks}, nil
 }
 
 const serviceHead = "whole  worst10s  worst skill            worst customer         offered   late    cut  unserved  p50 ms  p99 ms  cold  behind  rules"
 
-func line(r *day.Result) string {
+func line(r *processrun.Result) string {
 	s := r.Service
 	rules := "kept"
 	if r.Broken() {
@@ -222,7 +222,7 @@
 	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
 }
 
-func verdicts(r *day.Result) string {
+func verdicts(r *processrun.Result) string {
 	var n [6]int
 	for _, f := range r.Findings {
 		n[f.Rule]++
@@ -245,7 +245,7 @@
 var ruleNames = [...]string{"", "one final answer for each contact, in time, nothing after", "never two rings out", "drains are kept",
 	"no cold switch is pushed over", "the release is awaited"}
 
-func tell(out io.Writer, r *day.Result) {
+func tell(out io.Writer, r *processrun.Result) {
 	s := r.Service
 	fmt.Fprintf(out, "\nService, of simulated switches (value that stood in time and was not cut, over value offered):\n")
 	fmt.Fprintf(out, "  whole day        %.3f\n  worst 10 s       %.3f\n  worst skill      %.3f  %s\n  worst customer   %.3f  %s\n", s.Whole, s.Worst10s,
@@ -338,7 +338,7 @@
 				return fmt.Errorf("judge: %w", err)
 			}
 			defer f.Close()
-			k := check.New()
+			k := conformance.New()
 			if err := capture.Read(f, k.Add); err != nil {
 				return err
 			}
@@ -348,7 +348,7 @@
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%d contacts, %d rings, %d findings\n", k.Totals.Contacts, k.Totals.Rings, len(k.Findings))
 			if len(k.Findings) > 0 {
-				return day.ErrBroken
+				return processrun.ErrBroken
 			}
 			return nil
 		}}
--- a/labcmd/load.go
+++ b/internal/cli/labcli/load.go
@@ -1,4 +1,4 @@
-package labcmd
+package labcli
 
 import (
 	"bytes"
@@ -17,10 +17,10 @@
 	"github.com/spf13/cobra"
 
 	"cobaltpier/api"
-	"cobaltpier/conf"
-	"cobaltpier/lab/load"
-	"cobaltpier/lab/plan"
-	"cobaltpier/trace"
+	"cobaltpier/internal/emulator/calltrace"
+	"cobaltpier/internal/emulator/loadgen"
+	"cobaltpier/internal/emulator/workload"
+	"cobaltpier/internal/gateway/hclfile"
 )
 
 type loadFlags struct {
@@ -88,7 +88,7 @@
 			return nil, fmt.Errorf("load: %w", err)
 		}
 		defer in.Close()
-		if of, err = trace.All(in); err != nil {
+		if of, err = calltrace.All(in); err != nil {
 			return nil, fmt.Errorf("%w; %d calls before that can be had with cobalt-lab trace", err, len(of))
 		}
 		for _, c := range of {
@@ -97,25 +97,25 @@
 			}
 		}
 	case f.planFile != "":
-		b, err := conf.Load(f.planFile)
+		b, err := hclfile.Load(f.planFile)
 		if err != nil {
 			return nil, err
 		}
-		p, err := plan.Read(b)
+		p, err := workload.Read(b)
 		if err != nil {
 			return nil, err
 		}
 		of = p.Calls()
 	default:
-		p := &plan.Plan{Seed: 1, Rate: f.rate, Length: float64(f.span) / 1e6, Shape: "steady", Gateways: max(1, len(f.targets)), Drift: 15000, Groups: []string{"TG-0"},
-			Numbers: 100000, Skills: []plan.Skill{{Name: "shift-lookup", Share: 1, Hold: 500, Patience: 9000}}, Customers: []plan.Share{{Name: "load.example", Share: 1}}}
+		p := &workload.Plan{Seed: 1, Rate: f.rate, Length: float64(f.span) / 1e6, Shape: "steady", Gateways: max(1, len(f.targets)), Drift: 15000, Groups: []string{"TG-0"},
+			Numbers: 100000, Skills: []workload.Skill{{Name: "shift-lookup", Share: 1, Hold: 500, Patience: 9000}}, Customers: []workload.Share{{Name: "load.example", Share: 1}}}
 		of = p.Calls()
 	}
 	if f.speed <= 0 {
 		return nil, fmt.Errorf("load: speed: want more than 0, got %v", f.speed)
 	}
 	if f.speed != 1 || f.all {
-		of = trace.Speed(of, f.speed, f.all)
+		of = calltrace.Speed(of, f.speed, f.all)
 	}
 	return of, nil
 }
@@ -147,9 +147,9 @@
 	if f.start != 0 {
 		start = time.Now().Add(time.Until(time.Unix(0, f.start)))
 	}
-	var still *load.Still
+	var still *loadgen.Still
 	if f.check && f.shard < 0 {
-		still = &load.Still{Delay: 40 * time.Millisecond, Pauses: []load.Pause{{From: f.span / 4, For: f.span / 20}, {From: f.span * 2 / 3, For: f.span / 60}}}
+		still = &loadgen.Still{Delay: 40 * time.Millisecond, Pauses: []loadgen.Pause{{From: f.span / 4, For: f.span / 20}, {From: f.span * 2 / 3, For: f.span / 60}}}
 		at := netip.MustParseAddrPort("127.61.1.1:5060")
 		if err := still.Serve(at, start); err != nil {
 			return err
@@ -161,13 +161,13 @@
 		return fmt.Errorf("load: want --to with the gateways' addresses")
 	}
 	if !f.raw {
-		fmt.Fprintf(out, "plan: %s\n", trace.Summary(calls))
+		fmt.Fprintf(out, "plan: %s\n", calltrace.Summary(calls))
 		if f.speed != 1 {
 			fmt.Fprintf(out, "speed %g: times of coming divided by %g; holds and patience %s; targets stay what they are\n", f.speed, f.speed,
 				map[bool]string{true: "divided too", false: "as recorded"}[f.all])
 		}
 	}
-	var res *load.Result
+	var res *loadgen.Result
 	if f.processes > 1 && f.shard < 0 {
 		res, err = f.spread(ctx, start)
 	} else {
@@ -183,7 +183,7 @@
 			a[3] += byte(f.shard)
 			self = netip.AddrPortFrom(netip.AddrFrom4(a), self.Port())
 		}
-		res, err = load.Run(ctx, calls, load.Options{Self: self, Targets: targets, Context: f.context, Start: start})
+		res, err = loadgen.Run(ctx, calls, loadgen.Options{Self: self, Targets: targets, Context: f.context, Start: start})
 	}
 	if err != nil {
 		return err
@@ -215,7 +215,7 @@
 }
 
 // compare sets what was reported beside the true waits of the stand-in's schedule.
-func (f *loadFlags) compare(out io.Writer, s *load.Still, calls []*api.Call, res *load.Result) error {
+func (f *loadFlags) compare(out io.Writer, s *loadgen.Still, calls []*api.Call, res *loadgen.Result) error {
 	var true_ []float64
 	for _, c := range calls {
 		true_ = append(true_, float64(s.True(time.Duration(c.AtMs*1e6)))/1e6)
@@ -241,7 +241,7 @@
 	Planned, Stood, Refused, Unanswered, Repeats, Past int64
 }
 
-func writeRaw(out io.Writer, r *load.Result) error {
+func writeRaw(out io.Writer, r *loadgen.Result) error {
 	x := raw{Planned: r.Planned, Stood: r.Stood, Refused: r.Refused, Unanswered: r.Unanswered, Repeats: r.Repeats, Past: r.Past}
 	for _, h := range []struct {
 		from *hdrhistogram.Histogram
@@ -256,12 +256,12 @@
 	return json.NewEncoder(out).Encode(x)
 }
 
-func readRaw(text []byte) (*load.Result, error) {
+func readRaw(text []byte) (*loadgen.Result, error) {
 	var x raw
 	if err := json.Unmarshal(text, &x); err != nil {
 		return nil, fmt.Errorf("load: a part's result: %w", err)
 	}
-	r := load.NewResult()
+	r := loadgen.NewResult()
 	r.Planned, r.Stood, r.Refused, r.Unanswered, r.Repeats, r.Past = x.Planned, x.Stood, x.Refused, x.Unanswered, x.Repeats, x.Past
 	for _, h := range []struct {
 		from []byte
@@ -279,7 +279,7 @@
 }
 
 // spread runs the load in several processes and merges what they measured.
-func (f *loadFlags) spread(ctx context.Context, start time.Time) (*load.Result, error) {
+func (f *loadFlags) spread(ctx context.Context, start time.Time) (*loadgen.Result, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, fmt.Errorf("own program: %w", err)
@@ -303,7 +303,7 @@
 			return nil, fmt.Errorf("load: process %d: %w", i, err)
 		}
 	}
-	res := load.NewResult()
+	res := loadgen.NewResult()
 	var fault error
 	for i, c := range cmds {
 		if err := c.Wait(); err != nil {
@@ -325,7 +325,7 @@
 	if err != nil {
 		return fmt.Errorf("trace: %w", err)
 	}
-	w := trace.NewWriter(f)
+	w := calltrace.NewWriter(f)
 	for _, c := range calls {
 		if err := w.Add(c); err != nil {
 			f.Close()
--- a/labcmd/lookups.go
+++ b/internal/cli/labcli/lookups.go
@@ -1,4 +1,4 @@
-package labcmd
+package labcli
 
 import (
 	"context"
@@ -8,11 +8,11 @@
 
 	"github.com/spf13/cobra"
 
-	"cobaltpier/lab/day"
-	"cobaltpier/lab/fleet"
-	"cobaltpier/lab/script"
-	"cobaltpier/lab/stage"
-	"cobaltpier/lab/stats"
+	"cobaltpier/internal/emulator/processrun"
+	"cobaltpier/internal/emulator/scenario"
+	"cobaltpier/internal/emulator/scenariofile"
+	"cobaltpier/internal/emulator/stats"
+	"cobaltpier/internal/emulator/virtualrun"
 )
 
 // lookups measures what trouble of DNS servers costs callers.
@@ -37,14 +37,14 @@
 
 func lookupTable(ctx context.Context, cmd *cobra.Command, seeds int, set []string) error {
 	out := cmd.OutOrStdout()
-	troubles := []script.Trouble{{}, {Kind: "names_silent", Part: 0.5}, {Kind: "names_silent", Part: 1}, {Kind: "names_slow", Part: 0.5, Size: 0.3},
+	troubles := []scenariofile.Trouble{{}, {Kind: "names_silent", Part: 0.5}, {Kind: "names_silent", Part: 1}, {Kind: "names_slow", Part: 0.5, Size: 0.3},
 		{Kind: "names_slow", Part: 1, Size: 0.3}, {Kind: "names_lossy", Part: 1, Size: 0.5}, {Kind: "names_spoofed", Part: 1, Size: 20},
 		{Kind: "names_cut", Part: 1, Size: 1}, {Kind: "names_lame", Part: 0.5}, {Kind: "names_lame", Part: 1}, {Kind: "names_wrong", Part: 1, Size: 0.5}}
 	modes := []struct {
 		name   string
-		change func(*script.Numbers)
-	}{{"as it is", func(*script.Numbers) {}}, {"no cache", func(n *script.Numbers) { n.Cache = false }},
-		{"no stale", func(n *script.Numbers) { n.Stale = 0 }}, {"not shared", func(n *script.Numbers) { n.Alone = true }}}
+		change func(*scenariofile.Numbers)
+	}{{"as it is", func(*scenariofile.Numbers) {}}, {"no cache", func(n *scenariofile.Numbers) { n.Cache = false }},
+		{"no stale", func(n *scenariofile.Numbers) { n.Stale = 0 }}, {"not shared", func(n *scenariofile.Numbers) { n.Alone = true }}}
 	type figures struct {
 		service, lost, sent, p99 []float64
 	}
@@ -56,23 +56,23 @@
 	broken := make([]int, len(cells)*seeds)
 	base := append([]string{`length="24s"`, "gateways.count=4", "load.rate=300", "load.numbers=6000", "numbers.popular=4", `numbers.silent="refuse"`,
 		`numbers.ttl="3s"`}, set...)
-	if _, err := stage.Day("numbers", base...); err != nil {
+	if _, err := scenario.Day("numbers", base...); err != nil {
 		return err
 	}
-	mk := fleet.Module("brain")
-	all := fleet.Each(ctx, len(broken), func(i int) {
+	mk := virtualrun.Module("brain")
+	all := virtualrun.Each(ctx, len(broken), func(i int) {
 		cell, seed := i/seeds, i%seeds
-		s, err := stage.Day("numbers", base...)
+		s, err := scenario.Day("numbers", base...)
 		if err != nil {
 			return // looked at before
 		}
 		s.Seed = uint64(seed + 1)
 		if t := troubles[cell/len(modes)]; t.Kind != "" {
 			t.At, t.For = 6000, 12000
-			s.Troubles = []script.Trouble{t}
+			s.Troubles = []scenariofile.Trouble{t}
 		}
 		modes[cell%len(modes)].change(&s.Numbers)
-		r := fleet.Play(s, mk, fleet.Options{})
+		r := virtualrun.Play(s, mk, virtualrun.Options{})
 		l := r.LookUps
 		c := &cells[cell]
 		c.service[seed], c.p99[seed] = r.Service.Whole, at(r.Service.Waits, 0.99)
@@ -102,7 +102,7 @@
 	}
 	fmt.Fprintf(out, "broken rules and contacts by a wrong table: %d in %d days\n", wrong, len(broken))
 	if wrong > 0 {
-		return day.ErrBroken
+		return processrun.ErrBroken
 	}
 	return nil
 }
--- a/labcmd/record.go
+++ b/internal/cli/labcli/record.go
@@ -1,4 +1,4 @@
-package labcmd
+package labcli
 
 import (
 	"fmt"
@@ -11,10 +11,10 @@
 	"github.com/spf13/cobra"
 
 	"cobaltpier/api"
-	"cobaltpier/capture"
-	"cobaltpier/lab/script"
-	"cobaltpier/signal"
-	"cobaltpier/trace"
+	"cobaltpier/internal/conformance/capture"
+	"cobaltpier/internal/emulator/calltrace"
+	"cobaltpier/internal/emulator/scenariofile"
+	"cobaltpier/internal/protocol/siptransaction"
 )
 
 // recorder makes a trace of what callers sent and got in a capture.
@@ -39,7 +39,7 @@
 		if from == nil || to == nil || from.Role != "caller" && to.Role != "caller" {
 			return nil
 		}
-		m, err := signal.Parse(v.Datagram.Data)
+		m, err := siptransaction.Parse(v.Datagram.Data)
 		if err != nil {
 			return nil
 		}
@@ -58,11 +58,11 @@
 			if c, from := r.byID[id], r.stood[id]; c != nil && from > 0 {
 				c.HoldMs = at - from
 			}
-		case m.Method == sip.INVITE && r.calls[key] == nil && signal.Tag(m.To().Params) == "":
+		case m.Method == sip.INVITE && r.calls[key] == nil && siptransaction.Tag(m.To().Params) == "":
 			number, params, _ := strings.Cut(m.Recipient.User, ";")
 			c := &api.Call{AtMs: at, Gateway: r.gates[d.To], Number: number, Customer: m.From().Address.Host,
-				PatienceMs: signal.Wait(signal.Field(m, "Expires"))}
-			c.Skill, _ = strings.CutPrefix(signal.Field(m, signal.Service), "urn:urn-7:")
+				PatienceMs: siptransaction.Wait(siptransaction.Field(m, "Expires"))}
+			c.Skill, _ = strings.CutPrefix(siptransaction.Field(m, siptransaction.Service), "urn:urn-7:")
 			for p := range strings.SplitSeq(params, ";") {
 				if g, ok := strings.CutPrefix(p, "tgrp="); ok {
 					c.Group = g
@@ -114,7 +114,7 @@
 				parts = append(parts, strconv.Itoa(int(a))+": "+strconv.Itoa(n))
 			}
 			slices.Sort(parts)
-			fmt.Fprintf(cmd.OutOrStdout(), "%s; answers %s\n", trace.Summary(of), strings.Join(parts, ", "))
+			fmt.Fprintf(cmd.OutOrStdout(), "%s; answers %s\n", calltrace.Summary(of), strings.Join(parts, ", "))
 			if out != "" {
 				return saveTrace(out, of)
 			}
@@ -125,7 +125,7 @@
 }
 
 // replay puts a trace's calls in the place of a script's load.
-func replay(s *script.Script, file string) error {
+func replay(s *scenariofile.Script, file string) error {
 	if file == "" {
 		return nil
 	}
--- a/labcmd/swap.go
+++ b/internal/cli/labcli/swap.go
@@ -1,4 +1,4 @@
-package labcmd
+package labcli
 
 import (
 	"fmt"
@@ -10,10 +10,10 @@
 	"github.com/spf13/cobra"
 
 	"cobaltpier/api"
-	"cobaltpier/digits"
-	"cobaltpier/lab/prefixes"
-	"cobaltpier/number"
-	"cobaltpier/tables"
+	"cobaltpier/internal/decision/numberplan"
+	"cobaltpier/internal/decision/prefixtrie"
+	"cobaltpier/internal/decision/tableversions"
+	"cobaltpier/internal/emulator/prefixbaseline"
 )
 
 // swap measures what a large table costs, and how long a loop is held up while one is checked beside it.
@@ -31,23 +31,23 @@
 			}
 			before, _ := heap()
 			begin := time.Now()
-			t, err := number.Compile(form)
+			t, err := numberplan.Compile(form)
 			if err != nil {
 				return err
 			}
 			took := time.Since(begin)
 			after, _ := heap()
-			packed, err := number.Pack(form)
+			packed, err := numberplan.Pack(form)
 			if err != nil {
 				return err
 			}
 			form = nil
 			fmt.Fprintf(out, "%d prefixes: %.1f MiB compact (%.1f octets each), compiled in %.0f ms, %.1f MiB in memory (%.1f octets each)\n", size, mib(len(packed)),
 				float64(len(packed))/float64(size), float64(took)/1e6, mib(int(after)-int(before)), float64(int64(after)-int64(before))/float64(size))
-			of := prefixes.Draw(min(size, 1<<16))
+			of := prefixbaseline.Draw(min(size, 1<<16))
 			check := func() {
 				for range rounds {
-					if c := tables.Check(packed, t.Names()); c.Err != nil {
+					if c := tableversions.Check(packed, t.Names()); c.Err != nil {
 						panic(c.Err) // it was compiled above
 					}
 				}
@@ -75,12 +75,12 @@
 	const routes = 200
 	form := &api.NumberTable{Name: "large", Version: 1, Entry: "start", Plans: []*api.NumberPlan{{Name: "start"}}}
 	of := make([][]string, routes)
-	for i, p := range prefixes.Draw(size) {
+	for i, p := range prefixbaseline.Draw(size) {
 		of[i%routes] = append(of[i%routes], p.Digits)
 	}
 	for i, p := range of {
 		name := fmt.Sprint("r", i)
-		packed, err := number.PackPrefixes(p)
+		packed, err := numberplan.PackPrefixes(p)
 		if err != nil {
 			return nil, err
 		}
@@ -91,7 +91,7 @@
 }
 
 // lateness runs a loop beside something and returns how late each turn was, ms, sorted.
-func lateness(t *number.Table, of []digits.Prefix, beside func()) []float64 {
+func lateness(t *numberplan.Table, of []prefixtrie.Prefix, beside func()) []float64 {
 	runtime.GC()
 	done := make(chan struct{})
 	go func() {
@@ -105,7 +105,7 @@
 		time.Sleep(time.Until(next))
 		late = append(late, math.Max(0, float64(time.Since(next))/1e6))
 		for range 10 {
-			t.Begin(number.Call{Dialled: "+" + of[i%len(of)].Digits + "55", At: next})
+			t.Begin(numberplan.Call{Dialled: "+" + of[i%len(of)].Digits + "55", At: next})
 			i++
 		}
 		if now := time.Now(); now.Sub(next) > time.Millisecond { // turns that were missed are not made up for
--- a/labcmd/throughput.go
+++ b/internal/cli/labcli/throughput.go
@@ -1,4 +1,4 @@
-package labcmd
+package labcli
 
 import (
 	"bytes"
@@ -19,8 +19,8 @@
 	"google.golang.org/grpc"
 
 	"cobaltpier/api"
-	"cobaltpier/lab/rush"
-	"cobaltpier/reactor"
+	"cobaltpier/internal/emulator/saturation"
+	"cobaltpier/internal/gateway/reactor"
 )
 
 // echo answers every datagram with itself, on the gateway's own reactor: a hidden command, for comparison.
@@ -125,7 +125,7 @@
 		time.Sleep(300 * time.Millisecond)
 		best := 0.0
 		for rate := 20000.0; rate < 1e6; rate *= 1.25 {
-			sent, back, _, err := rush.Echo(at(9), rate, f.step/2)
+			sent, back, _, err := saturation.Echo(at(9), rate, f.step/2)
 			if err != nil {
 				return 0, err
 			}
@@ -164,21 +164,21 @@
 		return err
 	}
 	defer edge.Process.Kill()
-	rig, err := rush.NewRig(at(2), at(3), at(1))
+	rig, err := saturation.NewRig(at(2), at(3), at(1))
 	if err != nil {
 		return err
 	}
 	defer rig.Close()
 	time.Sleep(time.Second)
-	rig.Run(rush.Load{Rate: 200, For: 3 * time.Second}) // the module learns that its pool answers at once
+	rig.Run(saturation.Load{Rate: 200, For: 3 * time.Second}) // the module learns that its pool answers at once
 	best := 0.0
 	fmt.Fprintf(out, "%8s %8s %8s %8s %9s %9s %9s %8s\n", "rate", "sent", "stood", "repeats", "p50 µs", "p99 µs", "p99.9 µs", "late")
-	show := func(rate float64, r *rush.Result) {
+	show := func(rate float64, r *saturation.Result) {
 		fmt.Fprintf(out, "%8.0f %8d %8d %8d %9d %9d %9d %8s\n", rate, r.Sent, r.Stood, r.Repeats, r.Added.ValueAtQuantile(50), r.Added.ValueAtQuantile(99),
 			r.Added.ValueAtQuantile(99.9), r.Late.Round(100*time.Microsecond))
 	}
 	for rate := 500.0; rate <= f.most; rate *= 1.25 {
-		r := rig.Run(rush.Load{Rate: rate, For: f.step})
+		r := rig.Run(saturation.Load{Rate: rate, For: f.step})
 		show(rate, r)
 		if float64(r.Stood) < 0.995*float64(r.Sent) || float64(r.Repeats) > 0.001*float64(r.Sent) {
 			break
@@ -194,7 +194,7 @@
 	fmt.Fprintf(out, "bare echo again: %.0f\n", after)
 	fmt.Fprintf(out, "gateway, one core: %.0f contacts a second, %.0f datagrams a second in and out; echo %.0f in and out; ratio %.2f (aim 0.33)\n",
 		best, 12*best, 2*mean, 12*best/(2*mean))
-	r := rig.Run(rush.Load{Rate: best / 2, For: 2 * f.step})
+	r := rig.Run(saturation.Load{Rate: best / 2, For: 2 * f.step})
 	fmt.Fprintf(out, "at half of that, set-up from caller to switch: p50 %.2f ms, p99 %.2f ms (aim 2), p99.9 %.2f ms; answer back: p50 %.2f, p99 %.2f, p99.9 %.2f\n",
 		ms(r.Added.ValueAtQuantile(50)), ms(r.Added.ValueAtQuantile(99)), ms(r.Added.ValueAtQuantile(99.9)),
 		ms(r.Back.ValueAtQuantile(50)), ms(r.Back.ValueAtQuantile(99)), ms(r.Back.ValueAtQuantile(99.9)))
@@ -204,7 +204,7 @@
 	full := 0.0
 	done := make(chan struct{})
 	go func() {
-		rig.Run(rush.Load{Rate: held, For: f.hold, Hold: f.hold})
+		rig.Run(saturation.Load{Rate: held, For: f.hold, Hold: f.hold})
 		close(done)
 	}()
 	for sampling := true; sampling; {
@@ -220,7 +220,7 @@
 	if f.soak > 0 {
 		fmt.Fprintf(out, "%8s %10s %10s\n", "minute", "memory MiB", "stood")
 		for from := time.Duration(0); from < f.soak; from += time.Minute {
-			r := rig.Run(rush.Load{Rate: best / 2, For: min(time.Minute, f.soak-from)})
+			r := rig.Run(saturation.Load{Rate: best / 2, For: min(time.Minute, f.soak-from)})
 			fmt.Fprintf(out, "%8.0f %10.1f %10d\n", from.Minutes()+1, rss(edge.Process.Pid)/1024, r.Stood)
 		}
 	}
--- a/labcmd/trace.go
+++ b/internal/cli/labcli/trace.go
@@ -1,4 +1,4 @@
-package labcmd
+package labcli
 
 import (
 	"errors"
@@ -11,7 +11,7 @@
 	"github.com/spf13/cobra"
 
 	"cobaltpier/api"
-	"cobaltpier/trace"
+	"cobaltpier/internal/emulator/calltrace"
 )
 
 func traceCmd() *cobra.Command {
@@ -25,7 +25,7 @@
 			var damage []error
 			for _, name := range files {
 				of, err := read(name)
-				if err != nil && !errors.Is(err, trace.ErrDamaged) || len(of) == 0 && err != nil {
+				if err != nil && !errors.Is(err, calltrace.ErrDamaged) || len(of) == 0 && err != nil {
 					return err
 				}
 				if err != nil {
@@ -37,7 +37,7 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprintln(cmd.OutOrStdout(), trace.Summary(of))
+			fmt.Fprintln(cmd.OutOrStdout(), calltrace.Summary(of))
 			if out != "" {
 				if err := saveTrace(out, of); err != nil {
 					return err
@@ -55,14 +55,14 @@
 	work("info FILE", "Say what a trace holds", cobra.ExactArgs(1), func(in [][]*api.Call) ([]*api.Call, error) { return first(in), nil }, nil)
 	work("import FILE", "Read calls from CSV (with a line of column names) or JSON lines, by the file's ending", cobra.ExactArgs(1),
 		func(in [][]*api.Call) ([]*api.Call, error) { return first(in), nil }, nil)
-	work("merge FILE...", "Put traces together by their times", cobra.MinimumNArgs(1), func(in [][]*api.Call) ([]*api.Call, error) { return trace.Merge(in...), nil }, nil)
+	work("merge FILE...", "Put traces together by their times", cobra.MinimumNArgs(1), func(in [][]*api.Call) ([]*api.Call, error) { return calltrace.Merge(in...), nil }, nil)
 	var from, to time.Duration
 	work("cut FILE", "Keep a part", cobra.ExactArgs(1), func(in [][]*api.Call) ([]*api.Call, error) {
 		end := math.Inf(1)
 		if to > 0 {
 			end = float64(to) / 1e6
 		}
-		return trace.Cut(first(in), float64(from)/1e6, end), nil
+		return calltrace.Cut(first(in), float64(from)/1e6, end), nil
 	}, func(k *cobra.Command) {
 		k.Flags().DurationVar(&from, "from", 0, "first time that is kept")
 		k.Flags().DurationVar(&to, "to", 0, "first time that is not; 0: all")
@@ -73,7 +73,7 @@
 		if !(factor > 0) {
 			return nil, fmt.Errorf("scale: want --by above 0, got %v", factor)
 		}
-		return trace.Scale(first(in), factor, jitter, seed), nil
+		return calltrace.Scale(first(in), factor, jitter, seed), nil
 	}, func(k *cobra.Command) {
 		k.Flags().Float64Var(&factor, "by", 1, "factor")
 		k.Flags().Float64Var(&jitter, "jitter", 1000, "copies come within so many ms after their call")
@@ -85,7 +85,7 @@
 		if !(speed > 0) {
 			return nil, fmt.Errorf("speed: want --by above 0, got %v", speed)
 		}
-		return trace.Speed(first(in), speed, all), nil
+		return calltrace.Speed(first(in), speed, all), nil
 	}, func(k *cobra.Command) {
 		k.Flags().Float64Var(&speed, "by", 1, "factor")
 		k.Flags().BoolVar(&all, "all", false, "holds and patience too")
@@ -96,7 +96,7 @@
 		if key == "" {
 			return nil, fmt.Errorf("anonymise: want --key: the same key gives the same digits")
 		}
-		return trace.Anonymise(first(in), key, keep), nil
+		return calltrace.Anonymise(first(in), key, keep), nil
 	}, func(k *cobra.Command) {
 		k.Flags().StringVar(&key, "key", "", "secret")
 		k.Flags().IntVar(&keep, "keep", 5, "characters at the start that stay, which routing goes by")
@@ -113,9 +113,9 @@
 	defer f.Close()
 	switch {
 	case strings.HasSuffix(name, ".csv"):
-		return trace.FromCSV(f)
+		return calltrace.FromCSV(f)
 	case strings.HasSuffix(name, ".json"), strings.HasSuffix(name, ".jsonl"):
-		return trace.FromJSON(f)
+		return calltrace.FromJSON(f)
 	}
-	return trace.All(f)
+	return calltrace.All(f)
 }
--- a/numbercmd/numbercmd.go
+++ b/internal/cli/numbercli/numbercmd.go
@@ -1,5 +1,5 @@
-// Package numbercmd is the command line of number tables, which both programs have.
-package numbercmd
+// Package numbercli is the command line of number tables, which both programs have.
+package numbercli
 
 import (
 	"bufio"
@@ -17,9 +17,9 @@
 	"google.golang.org/grpc/status"
 
 	"cobaltpier/api"
-	"cobaltpier/number"
-	"cobaltpier/settings"
-	"cobaltpier/tablefile"
+	"cobaltpier/internal/decision/numberplan"
+	"cobaltpier/internal/gateway/gatewayconfig"
+	"cobaltpier/internal/gateway/tablestore"
 )
 
 // ErrDiffer says that two tables do different things.
@@ -42,12 +42,12 @@
 	c := &cobra.Command{Use: "check TABLE", Short: "Compile a table and say what is wrong with it, with file and line", Args: cobra.ExactArgs(1),
 		Example: "  cobalt-edge number check staff.hcl --config edge.hcl",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			t, _, err := tablefile.Load(args[0])
+			t, _, err := tablestore.Load(args[0])
 			if err != nil {
 				return err
 			}
 			if config != "" {
-				set, err := settings.Load(config)
+				set, err := gatewayconfig.Load(config)
 				if err != nil {
 					return err
 				}
@@ -91,9 +91,9 @@
 					return err
 				})
 			case to == "" && len(args) == 2:
-				var t *number.Table
-				if t, _, err = tablefile.Load(args[0]); err == nil {
-					steps = t.Explain(number.Call{Dialled: args[1], At: now, Draw: draw}, ported, silent)
+				var t *numberplan.Table
+				if t, _, err = tablestore.Load(args[0]); err == nil {
+					steps = t.Explain(numberplan.Call{Dialled: args[1], At: now, Draw: draw}, ported, silent)
 				}
 			default:
 				err = errors.New("want a table and a number, or a number and --to")
@@ -115,7 +115,7 @@
 	var out string
 	c := &cobra.Command{Use: "compile TABLE.hcl --out FILE", Short: "Check a table and write its compact form", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			_, form, err := tablefile.Load(args[0])
+			_, form, err := tablestore.Load(args[0])
 			if err != nil {
 				return err
 			}
@@ -127,7 +127,7 @@
 }
 
 func write(w io.Writer, file string, form *api.NumberTable) error {
-	b, err := number.Pack(form)
+	b, err := numberplan.Pack(form)
 	if err != nil {
 		return err
 	}
@@ -152,13 +152,13 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var of [2]*api.NumberTable
 			for i, a := range args {
-				_, form, err := tablefile.Load(a)
+				_, form, err := tablestore.Load(a)
 				if err != nil {
 					return err
 				}
 				of[i] = form
 			}
-			changes := number.Diff(of[0], of[1])
+			changes := numberplan.Diff(of[0], of[1])
 			for i, x := range changes {
 				if i == most {
 					fmt.Fprintf(cmd.OutOrStdout(), "and %d more\n", len(changes)-most)
@@ -186,9 +186,9 @@
 				return fmt.Errorf("number table: %w", err)
 			}
 			if strings.HasSuffix(args[0], ".hcl") {
-				_, form, err = number.Parse(args[0], src)
+				_, form, err = numberplan.Parse(args[0], src)
 			} else {
-				form, err = number.Unpack(src)
+				form, err = numberplan.Unpack(src)
 			}
 			if err != nil {
 				return err
@@ -201,7 +201,7 @@
 			if err := addPrefixes(form, plan, args[1], f); err != nil {
 				return err
 			}
-			if _, err := number.Compile(form); err != nil {
+			if _, err := numberplan.Compile(form); err != nil {
 				return err
 			}
 			return write(cmd.OutOrStdout(), out, form)
@@ -244,7 +244,7 @@
 		return fmt.Errorf("%s: %w", name, err)
 	}
 	for _, route := range order {
-		packed, err := number.PackPrefixes(of[route])
+		packed, err := numberplan.PackPrefixes(of[route])
 		if err != nil {
 			return fmt.Errorf("%s: route %s: %w", name, route, err)
 		}
@@ -255,7 +255,7 @@
 }
 
 func dial(ctx context.Context, to string, do func(context.Context, api.NumbersClient) error) error {
-	conn, err := grpc.NewClient(to, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithDefaultCallOptions(grpc.MaxCallSendMsgSize(number.MostOctets)))
+	conn, err := grpc.NewClient(to, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithDefaultCallOptions(grpc.MaxCallSendMsgSize(numberplan.MostOctets)))
 	if err != nil {
 		return fmt.Errorf("gateway at %s: %w", to, err)
 	}
@@ -280,11 +280,11 @@
 		Long: `Sends a table to a gateway that runs. The gateway compiles and checks it beside the running one, keeps it in its store and
 swaps: new contacts get it, those held keep theirs to their end. A bad table changes nothing, and the answer says why.`,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			_, form, err := tablefile.Load(args[0])
+			_, form, err := tablestore.Load(args[0])
 			if err != nil {
 				return err
 			}
-			b, err := number.Pack(form)
+			b, err := numberplan.Pack(form)
 			if err != nil {
 				return err
 			}
--- a/numbercmd/numbercmd_test.go
+++ b/internal/cli/numbercli/numbercmd_test.go
@@ -1,4 +1,4 @@
-package numbercmd
+package numbercli
 
 import (
 	"bytes"
--- a/platform/judge/judge.go
+++ b/internal/conformance/binaryconformance/judge.go
@@ -1,7 +1,7 @@
-// Package judge judges the rules of the platform from what crossed a gateway's sockets alone: messages as they were
+// Package binaryconformance judges the rules of the platform from what crossed a gateway's sockets alone: messages as they were
 // written or read there, connections as they came and went, and the lists that were delivered. It knows nothing of the
 // gateway's state. Rule 4 needs all gateways together and is judged by package check and on the bench.
-package judge
+package binaryconformance
 
 //tally:standin
 
@@ -10,7 +10,7 @@
 	"math"
 	"slices"
 
-	"cobaltpier/platform/message"
+	"cobaltpier/internal/protocol/binarymessage"
 )
 
 // Rules are the figures of the rules, ms.
@@ -91,19 +91,19 @@
 }
 
 // FromCaller is a message that was written whole to a caller's connection. Only usual callers are judged by.
-func (j *Judge) FromCaller(at float64, m message.Message) {
+func (j *Judge) FromCaller(at float64, m binarymessage.Message) {
 	j.now = at
 	c := j.calls[m.Call()]
 	switch m.Type() {
-	case message.SetUp:
+	case binarymessage.SetUp:
 		if c != nil {
 			return
 		}
 		var wait float64
-		fmt.Sscan(m.Text(message.Patience), &wait)
+		fmt.Sscan(m.Text(binarymessage.Patience), &wait)
 		j.calls[m.Call()] = &call{id: m.Call(), until: at + wait, over: math.Inf(1)}
 		j.Totals.SetUps++
-	case message.Release:
+	case binarymessage.Release:
 		if c == nil {
 			return
 		}
@@ -122,21 +122,21 @@
 }
 
 // ToCaller is a message that the gateway wrote to a caller's connection.
-func (j *Judge) ToCaller(at float64, m message.Message) {
+func (j *Judge) ToCaller(at float64, m binarymessage.Message) {
 	j.now = at
 	c := j.calls[m.Call()]
 	if c == nil {
-		if m.Type() == message.Answer {
+		if m.Type() == binarymessage.Answer {
 			j.broke(1, m.Call(), "answered, and nobody asked")
 		}
 		return
 	}
 	switch m.Type() {
-	case message.Answer, message.Release:
+	case binarymessage.Answer, binarymessage.Release:
 	default:
 		return
 	}
-	if m.Type() == message.Release && c.final == message.Answer {
+	if m.Type() == binarymessage.Release && c.final == binarymessage.Answer {
 		if c.freed && !c.left {
 			j.broke(1, c.id, "released twice")
 		}
@@ -151,7 +151,7 @@
 		return
 	}
 	c.final = m.Type()
-	if m.Type() == message.Answer {
+	if m.Type() == binarymessage.Answer {
 		j.Totals.Answers++
 		if !c.stands {
 			j.broke(1, c.id, "served with what no switch said")
@@ -165,11 +165,11 @@
 }
 
 // ToSwitch is a message that left for a switch on one of its lines.
-func (j *Judge) ToSwitch(at float64, who string, line int, m message.Message) {
+func (j *Judge) ToSwitch(at float64, who string, line int, m binarymessage.Message) {
 	j.now = at
 	c := j.calls[m.Call()]
 	switch m.Type() {
-	case message.SetUp:
+	case binarymessage.SetUp:
 		if c == nil {
 			j.broke(1, m.Call(), "a set-up that no caller sent")
 			return
@@ -192,7 +192,7 @@
 		}
 		c.out = &ring{who, line}
 		c.rings = append(c.rings, c.out)
-	case message.Release:
+	case binarymessage.Release:
 		if c == nil {
 			return
 		}
@@ -214,7 +214,7 @@
 }
 
 // FromSwitch is a message of a switch that the gateway read.
-func (j *Judge) FromSwitch(at float64, who string, line int, m message.Message) {
+func (j *Judge) FromSwitch(at float64, who string, line int, m binarymessage.Message) {
 	j.now = at
 	c := j.calls[m.Call()]
 	if c == nil {
@@ -222,17 +222,17 @@
 	}
 	mine := c.out != nil && c.out.to == who && c.out.line == line
 	switch m.Type() {
-	case message.Answer:
-		if _, whole := m.Get(message.Description); mine && whole {
+	case binarymessage.Answer:
+		if _, whole := m.Get(binarymessage.Description); mine && whole {
 			c.out, c.stands = nil, true
 			j.Totals.Stood++
 		}
-	case message.Release:
+	case binarymessage.Release:
 		switch {
 		case mine:
 			c.out = nil
 			switch m.Cause() {
-			case message.NoCircuit, message.UserBusy, message.Fault, message.Moot:
+			case binarymessage.NoCircuit, binarymessage.UserBusy, binarymessage.Fault, binarymessage.Moot:
 			default:
 				c.clear = at + j.Rules.Clear
 			}
@@ -275,7 +275,7 @@
 		if c.final == 0 && !c.left && at > c.until+j.Rules.Slack {
 			j.broke(1, id, "never answered")
 		}
-		if c.final == message.Answer && !c.freed && !c.left && j.present && at > math.Max(c.over, j.since)+j.Rules.Told {
+		if c.final == binarymessage.Answer && !c.freed && !c.left && j.present && at > math.Max(c.over, j.since)+j.Rules.Told {
 			j.broke(6, id, "was over at %.0f ms, and its caller was not told", c.over)
 		}
 	}
--- a/platform/judge/judge_test.go
+++ b/internal/conformance/binaryconformance/judge_test.go
@@ -1,9 +1,9 @@
-package judge
+package binaryconformance
 
 import (
 	"testing"
 
-	"cobaltpier/platform/message"
+	"cobaltpier/internal/protocol/binarymessage"
 )
 
 // tape is traffic made by hand.
@@ -20,31 +20,31 @@
 
 func (t *tape) wait(ms float64) *tape { t.at += ms; return t }
 func (t *tape) setUp() *tape {
-	t.FromCaller(t.at, message.Append(nil, message.SetUp, 7, message.Text(message.Patience, "2000")))
+	t.FromCaller(t.at, binarymessage.Append(nil, binarymessage.SetUp, 7, binarymessage.Text(binarymessage.Patience, "2000")))
 	return t
 }
 func (t *tape) ring(who string, line int) *tape {
-	t.ToSwitch(t.at, who, line, message.Append(nil, message.SetUp, 7))
+	t.ToSwitch(t.at, who, line, binarymessage.Append(nil, binarymessage.SetUp, 7))
 	return t
 }
 func (t *tape) off(who string, line int) *tape {
-	t.ToSwitch(t.at, who, line, message.Append(nil, message.Release, 7, message.Why(message.Normal)))
+	t.ToSwitch(t.at, who, line, binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.Why(binarymessage.Normal)))
 	return t
 }
 func (t *tape) stands(who string, line int) *tape {
-	t.FromSwitch(t.at, who, line, message.Append(nil, message.Answer, 7, message.Text(message.Description, "x")))
+	t.FromSwitch(t.at, who, line, binarymessage.Append(nil, binarymessage.Answer, 7, binarymessage.Text(binarymessage.Description, "x")))
 	return t
 }
 func (t *tape) ends(who string, line int, cause byte) *tape {
-	t.FromSwitch(t.at, who, line, message.Append(nil, message.Release, 7, message.Why(cause)))
+	t.FromSwitch(t.at, who, line, binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.Why(cause)))
 	return t
 }
 func (t *tape) answer() *tape {
-	t.ToCaller(t.at, message.Append(nil, message.Answer, 7))
+	t.ToCaller(t.at, binarymessage.Append(nil, binarymessage.Answer, 7))
 	return t
 }
 func (t *tape) release() *tape {
-	t.ToCaller(t.at, message.Append(nil, message.Release, 7, message.Why(message.Congested)))
+	t.ToCaller(t.at, binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.Why(binarymessage.Congested)))
 	return t
 }
 
@@ -54,21 +54,21 @@
 		of   *tape
 		want int
 	}{
-		"a call":                    {begin().setUp().ring("a", 1).wait(50).stands("a", 1).answer().wait(500).ends("a", 1, message.Normal).release(), 0},
+		"a call":                    {begin().setUp().ring("a", 1).wait(50).stands("a", 1).answer().wait(500).ends("a", 1, binarymessage.Normal).release(), 0},
 		"refused":                   {begin().setUp().release(), 0},
-		"tried twice":               {begin().setUp().ring("a", 1).ends("a", 1, message.NoCircuit).ring("b", 2).stands("b", 2).answer().ends("b", 2, message.Normal).release(), 0},
-		"the clear wait kept":       {begin().setUp().ring("a", 1).off("a", 1).wait(500).ring("b", 2).ends("b", 2, message.Fault).release(), 0},
+		"tried twice":               {begin().setUp().ring("a", 1).ends("a", 1, binarymessage.NoCircuit).ring("b", 2).stands("b", 2).answer().ends("b", 2, binarymessage.Normal).release(), 0},
+		"the clear wait kept":       {begin().setUp().ring("a", 1).off("a", 1).wait(500).ring("b", 2).ends("b", 2, binarymessage.Fault).release(), 0},
 		"never answered":            {begin().setUp().wait(3000), 1},
 		"answered late":             {begin().setUp().wait(2051).release(), 1},
 		"answered twice":            {begin().setUp().release().release(), 1},
 		"served without a switch":   {begin().setUp().answer(), 1},
 		"a set-up after the answer": {begin().setUp().release().ring("a", 1), 1},
-		"released twice":            {begin().setUp().ring("a", 1).stands("a", 1).answer().ends("a", 1, message.Normal).release().release(), 1},
+		"released twice":            {begin().setUp().ring("a", 1).stands("a", 1).answer().ends("a", 1, binarymessage.Normal).release().release(), 1},
 		"a set-up nobody sent":      {begin().ring("a", 1), 1},
 		"two rings":                 {begin().setUp().ring("a", 1).ring("b", 2).off("a", 1).off("b", 2).release(), 2},
-		"the clear wait not kept":   {begin().setUp().ring("a", 1).off("a", 1).wait(499).ring("b", 2).ends("b", 2, message.Fault).release(), 5},
-		"the same after a reset":    {begin().setUp().ring("a", 1).ends("a", 1, message.Failure).wait(499).ring("b", 2).ends("b", 2, message.Fault).release(), 5},
-		"over, and nobody told":     {begin().setUp().ring("a", 1).stands("a", 1).answer().ends("a", 1, message.Normal).wait(2000), 6},
+		"the clear wait not kept":   {begin().setUp().ring("a", 1).off("a", 1).wait(499).ring("b", 2).ends("b", 2, binarymessage.Fault).release(), 5},
+		"the same after a reset":    {begin().setUp().ring("a", 1).ends("a", 1, binarymessage.Failure).wait(499).ring("b", 2).ends("b", 2, binarymessage.Fault).release(), 5},
+		"over, and nobody told":     {begin().setUp().ring("a", 1).stands("a", 1).answer().ends("a", 1, binarymessage.Normal).wait(2000), 6},
 	} {
 		c.of.Finish(c.of.at)
 		if got := c.of.Findings; (c.want == 0) != (len(got) == 0) || c.want > 0 && got[0].Rule != c.want {
@@ -90,7 +90,7 @@
 	}
 	x := begin().setUp().ring("a", 1).stands("a", 1).answer()
 	x.Died(x.at, "a")
-	late := begin().setUp().ring("a", 1).stands("a", 1).answer().ends("a", 1, message.Normal).wait(1100).release()
+	late := begin().setUp().ring("a", 1).stands("a", 1).answer().ends("a", 1, binarymessage.Normal).wait(1100).release()
 	if len(late.Findings) != 1 || late.Findings[0].Rule != 6 {
 		t.Errorf("told late: %v", late.Findings)
 	}
--- a/check/check.go
+++ b/internal/conformance/check.go
@@ -1,7 +1,7 @@
-// Package check judges the five rules from a capture alone: what crossed the gateways' sockets, the lists that were
+// Package conformance judges the five rules from a capture alone: what crossed the gateways' sockets, the lists that were
 // delivered to them, and the starts of the switches. It knows nothing of any program's state. A contact is followed by
 // its Session-ID (RFC 7989) through all its legs.
-package check
+package conformance
 
 //tally:standin
 
@@ -14,7 +14,7 @@
 	"github.com/emiago/sipgo/sip"
 
 	"cobaltpier/api"
-	"cobaltpier/signal"
+	"cobaltpier/internal/protocol/siptransaction"
 )
 
 // Finding is a broken rule.
@@ -111,7 +111,7 @@
 
 // New makes a checker.
 func New() *Checker {
-	return &Checker{Parse: signal.Parse, rules: &api.Rules{}, nodes: map[string]*api.Node{}, contacts: map[string]*contact{},
+	return &Checker{Parse: siptransaction.Parse, rules: &api.Rules{}, nodes: map[string]*api.Node{}, contacts: map[string]*contact{},
 		byTx: map[string]*ring{}, byDialog: map[string]*ring{}, answers: map[string]*contact{},
 		listed: map[string]map[string]*place{}, stopped: map[string]bool{}, killed: map[string]float64{},
 		starts: map[string][]*start{}, looks: map[string]*look{}, named: map[string][]float64{}}
@@ -260,18 +260,18 @@
 func (k *Checker) fromCaller(at float64, edge string, r *sip.Request, branch string) {
 	switch r.Method {
 	case sip.INVITE:
-		if signal.Tag(r.To().Params) != "" {
+		if siptransaction.Tag(r.To().Params) != "" {
 			return
 		}
-		key := edge + signal.Session(r)
+		key := edge + siptransaction.Session(r)
 		if k.contacts[key] != nil {
 			return // a repeat
 		}
-		patience := signal.Wait(signal.Field(r, "Expires"))
+		patience := siptransaction.Wait(siptransaction.Field(r, "Expires"))
 		if patience == 0 {
 			patience = math.Inf(1)
 		}
-		c := &contact{id: signal.Session(r), edge: edge, came: at, until: at + patience}
+		c := &contact{id: siptransaction.Session(r), edge: edge, came: at, until: at + patience}
 		k.contacts[key], k.answers[edge+branch] = c, c
 		k.Totals.Contacts++
 	case sip.CANCEL:
@@ -286,7 +286,7 @@
 	if c == nil || r.CSeq().MethodName != sip.INVITE || r.StatusCode < 200 {
 		return
 	}
-	final := fmt.Sprintf("%d %s", r.StatusCode, signal.Tag(r.To().Params))
+	final := fmt.Sprintf("%d %s", r.StatusCode, siptransaction.Tag(r.To().Params))
 	switch {
 	case c.final == "":
 		c.final, c.at = final, at
@@ -309,13 +309,13 @@
 func (k *Checker) toSwitch(at float64, edge, to string, r *sip.Request, branch, id string) {
 	switch r.Method {
 	case sip.INVITE:
-		if signal.Tag(r.To().Params) != "" {
+		if siptransaction.Tag(r.To().Params) != "" {
 			return
 		}
 		g := k.byTx[edge+branch]
-		c := k.contacts[edge+signal.Session(r)]
+		c := k.contacts[edge+siptransaction.Session(r)]
 		if c == nil {
-			k.broke(1, &contact{edge: edge, id: signal.Session(r)}, "a set-up of a contact that never came")
+			k.broke(1, &contact{edge: edge, id: siptransaction.Session(r)}, "a set-up of a contact that never came")
 			return
 		}
 		repeat := g != nil
@@ -373,7 +373,7 @@
 	case *sip.Request:
 		if g := k.byDialog[edge+id]; g != nil && m.Method == sip.BYE && !g.over {
 			g.over = true
-			if !strings.Contains(signal.Field(m, signal.Reason), "cause=16") {
+			if !strings.Contains(siptransaction.Field(m, siptransaction.Reason), "cause=16") {
 				g.c.clear = math.Max(g.c.clear, at+k.rules.ClearMs)
 			}
 		}
--- a/check/kiosks.go
+++ b/internal/conformance/kiosks.go
@@ -1,4 +1,4 @@
-package check
+package conformance
 
 import (
 	"fmt"
@@ -10,8 +10,8 @@
 	"github.com/miekg/dns"
 
 	"cobaltpier/api"
-	"cobaltpier/lab/kiosk"
-	"cobaltpier/signal"
+	"cobaltpier/internal/emulator/enumclient"
+	"cobaltpier/internal/protocol/siptransaction"
 )
 
 // look is one look-up of a kiosk: a client, an id, a name.
@@ -76,7 +76,7 @@
 		k.broke(1, x.c, "answered %.0f ms after it was asked", at-x.asked)
 	}
 	text := fmt.Sprint(m.Rcode, m.Answer)
-	_, addr, ok := kiosk.Named(m)
+	_, addr, ok := enumclient.Named(m)
 	if x.text != "" && x.text != text && k.ready(at, edge, x.to) {
 		k.broke(1, x.c, "a second answer, %s after %s", text, x.text)
 	}
@@ -117,10 +117,10 @@
 	if err != nil || !ok || r.Method != sip.INVITE {
 		return
 	}
-	if _, repeat := k.byTx[d.From+signal.Session(r)]; repeat {
+	if _, repeat := k.byTx[d.From+siptransaction.Session(r)]; repeat {
 		return
 	}
-	k.byTx[d.From+signal.Session(r)] = &ring{}
+	k.byTx[d.From+siptransaction.Session(r)] = &ring{}
 	k.Totals.KioskCalls++
 	ap, err := netip.ParseAddrPort(d.From)
 	if err != nil {
@@ -141,6 +141,6 @@
 	}
 	k.named[key] = of
 	if at-latest > fresh {
-		k.broke(3, &contact{edge: edge, id: signal.Session(r)}, "%v calls %s, %.0f ms after it was named", ap, k.name(d.To), at-latest)
+		k.broke(3, &contact{edge: edge, id: siptransaction.Session(r)}, "%v calls %s, %.0f ms after it was named", ap, k.name(d.To), at-latest)
 	}
 }
--- a/check/tables.go
+++ b/internal/conformance/tables.go
@@ -1,4 +1,4 @@
-package check
+package conformance
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"github.com/emiago/sipgo/sip"
 
 	"cobaltpier/api"
-	"cobaltpier/signal"
+	"cobaltpier/internal/protocol/siptransaction"
 )
 
 // Tables judges from a capture whether each contact was analysed wholly by one number table, and by one that was in
@@ -51,7 +51,7 @@
 
 // NewTables makes a checker.
 func NewTables(mark func(uint64) string) *Tables {
-	return &Tables{Mark: mark, Parse: signal.Parse, nodes: map[string]*api.Node{}, force: map[string]*force{}, came: map[string]moment{},
+	return &Tables{Mark: mark, Parse: siptransaction.Parse, nodes: map[string]*api.Node{}, force: map[string]*force{}, came: map[string]moment{},
 		marks: map[string]string{}, used: map[uint64]bool{}, byMark: map[string]uint64{}}
 }
 
@@ -164,12 +164,12 @@
 	}
 	m, err := k.Parse(d.Data)
 	req, ok := m.(*sip.Request)
-	if err != nil || !ok || signal.Tag(req.To().Params) != "" {
+	if err != nil || !ok || siptransaction.Tag(req.To().Params) != "" {
 		return
 	}
 	switch {
 	case from.Role == "caller" && to.Role == "edge":
-		id := to.Name + " " + signal.Session(req)
+		id := to.Name + " " + siptransaction.Session(req)
 		if _, known := k.came[id]; !known {
 			k.came[id] = moment{at, at}
 			if f := k.at(to.Name); f.stood {
@@ -177,7 +177,7 @@
 			}
 		}
 	case from.Role == "edge" && to.Role == "switch":
-		id := from.Name + " " + signal.Session(req)
+		id := from.Name + " " + siptransaction.Session(req)
 		came, known := k.came[id]
 		if !known {
 			came = moment{math.Inf(-1), math.Inf(1)}
--- a/check/tables_test.go
+++ b/internal/conformance/tables_test.go
@@ -1,4 +1,4 @@
-package check
+package conformance
 
 import (
 	"fmt"
--- a/number/compile.go
+++ b/internal/decision/numberplan/compile.go
@@ -1,4 +1,4 @@
-package number
+package numberplan
 
 import (
 	"cmp"
@@ -15,7 +15,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"cobaltpier/api"
-	"cobaltpier/digits"
+	"cobaltpier/internal/decision/prefixtrie"
 )
 
 // mostFaults are told of a table; the rest is counted.
@@ -314,7 +314,7 @@
 		return cmp.Or(strings.Compare(a.prefix, b.prefix), cmp.Compare(a.line, b.line))
 	})
 	// prefixes with the same rules share them
-	of := make([]digits.Prefix, 0, len(all))
+	of := make([]prefixtrie.Prefix, 0, len(all))
 	last := map[int]uint32{}
 	for i := 0; i < len(all); {
 		j := i + 1
@@ -336,10 +336,10 @@
 				last[all[i].line] = set
 			}
 		}
-		of = append(of, digits.Prefix{Digits: all[i].prefix, Value: set})
+		of = append(of, prefixtrie.Prefix{Digits: all[i].prefix, Value: set})
 		i = j
 	}
-	trie, err := digits.New(of)
+	trie, err := prefixtrie.New(of)
 	if err != nil {
 		c.fault(x, "", "plan %q: %v", p.name, err)
 		return
@@ -385,7 +385,7 @@
 		of, err := unpackPrefixes(k.Packed)
 		return of, span{}, err
 	case m != nil:
-		of, err := digits.Cover(m[1], m[2])
+		of, err := prefixtrie.Cover(m[1], m[2])
 		if err != nil {
 			return nil, span{}, fmt.Errorf("rule %q: %w", k.Prefix, err)
 		}
--- a/number/form_test.go
+++ b/internal/decision/numberplan/form_test.go
@@ -1,4 +1,4 @@
-package number
+package numberplan
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 
 	"cobaltpier/api"
-	"cobaltpier/enum"
+	"cobaltpier/internal/decision/enum"
 )
 
 func form(t *testing.T) *api.NumberTable {
--- a/number/number.go
+++ b/internal/decision/numberplan/number.go
@@ -1,15 +1,15 @@
-// Package number decides what becomes of a number that was dialled: by the longest prefix, the time of day, portability
+// Package numberplan decides what becomes of a number that was dialled: by the longest prefix, the time of day, portability
 // and weights, through plans that lead on to each other, to a route. A contact carries one table from its first digit to
 // its end, however often the tables change meanwhile. Package number knows no wire, no clock and no look-up: a step that
 // needs one returns a question, and the analysis goes on with the answer, its absence or its time-out.
-package number
+package numberplan
 
 import (
 	"fmt"
 	"strings"
 	"time"
 
-	"cobaltpier/digits"
+	"cobaltpier/internal/decision/prefixtrie"
 )
 
 //tally:decisions
@@ -39,7 +39,7 @@
 
 type plan struct {
 	name string
-	trie *digits.Trie
+	trie *prefixtrie.Trie
 	sets [][]*rule // by the trie's value: the rules of one prefix, in their order
 }
 
--- a/number/packed.go
+++ b/internal/decision/numberplan/packed.go
@@ -1,4 +1,4 @@
-package number
+package numberplan
 
 import (
 	"fmt"
--- a/number/read.go
+++ b/internal/decision/numberplan/read.go
@@ -1,4 +1,4 @@
-package number
+package numberplan
 
 import (
 	"regexp"
@@ -9,21 +9,21 @@
 	"google.golang.org/protobuf/proto"
 
 	"cobaltpier/api"
-	"cobaltpier/conf"
+	"cobaltpier/internal/hclconfig"
 )
 
 // reader makes the compact form of HCL.
 type reader struct {
-	at map[proto.Message]*conf.Block // where each part of it was written
+	at map[proto.Message]*hclconfig.Block // where each part of it was written
 }
 
 // Parse reads and compiles a table of HCL that is at hand; name stands in the errors.
 func Parse(name string, src []byte) (*Table, *api.NumberTable, error) {
-	b, err := conf.Parse(name, src)
+	b, err := hclconfig.Parse(name, src)
 	if err != nil {
 		return nil, nil, err
 	}
-	r := &reader{at: map[proto.Message]*conf.Block{}}
+	r := &reader{at: map[proto.Message]*hclconfig.Block{}}
 	form := &api.NumberTable{Name: b.Text("name", name), Version: uint64(b.Int("version", 0, 0, 1<<40)), Country: b.Text("country", ""),
 		Entry: b.Text("entry", "start")}
 	r.at[form] = b
@@ -79,7 +79,7 @@
 
 var weekdays = []string{"sun", "mon", "tue", "wed", "thu", "fri", "sat"}
 
-func minute(c *conf.Block, key string) int32 {
+func minute(c *hclconfig.Block, key string) int32 {
 	s := c.Text(key, "00:00")
 	if s == "24:00" {
 		return 0
@@ -92,7 +92,7 @@
 }
 
 // action reads what a rule does, or what an end of a question leads to.
-func (r *reader) action(b *conf.Block, mayAsk bool) *api.NumberAction {
+func (r *reader) action(b *hclconfig.Block, mayAsk bool) *api.NumberAction {
 	a := &api.NumberAction{}
 	r.at[a] = b
 	n := 0
--- a/digits/digits.go
+++ b/internal/decision/prefixtrie/digits.go
@@ -1,7 +1,7 @@
-// Package digits finds the longest of many prefixes that a telephone number begins with. The trie is made for that: ten
+// Package prefixtrie finds the longest of many prefixes that a telephone number begins with. The trie is made for that: ten
 // ways a node, children counted by bits, prefixes that nothing follows kept as bare values, single ways run together, and
 // what is left of a prefix that is alone on its way in one node. It is built once and only read after.
-package digits
+package prefixtrie
 
 import (
 	"fmt"
--- a/digits/digits_test.go
+++ b/internal/decision/prefixtrie/digits_test.go
@@ -1,4 +1,4 @@
-package digits
+package prefixtrie
 
 import (
 	"fmt"
--- a/tables/tables.go
+++ b/internal/decision/tableversions/tables.go
@@ -1,14 +1,14 @@
-// Package tables decides how the number table of a running gateway changes: one change at a time, checked and kept before
+// Package tableversions decides how the number table of a running gateway changes: one change at a time, checked and kept before
 // it counts, a bad one changing nothing. It does no work itself: it asks for work, and is told how that went; so it
 // knows no file, no clock and no goroutine. Package tablefile has the files.
-package tables
+package tableversions
 
 import (
 	"errors"
 	"fmt"
 	"slices"
 
-	"cobaltpier/number"
+	"cobaltpier/internal/decision/numberplan"
 )
 
 //tally:decisions
@@ -30,7 +30,7 @@
 
 // Checked is what the check of a source made.
 type Checked struct {
-	Table *number.Table
+	Table *numberplan.Table
 	Form  []byte
 	Err   error
 }
@@ -43,12 +43,12 @@
 	// Serial is 0 for a new one.
 	Keep(c Checked, note string, serial uint64, shelf Shelf)
 	// Swap gives new contacts a table, at once.
-	Swap(*number.Table)
+	Swap(*numberplan.Table)
 }
 
 // Keeper holds what runs and what is on its way.
 type Keeper struct {
-	Running *number.Table // nil: none yet
+	Running *numberplan.Table // nil: none yet
 	Shelf   Shelf
 	work    Work
 	now     *change // checked or kept at present
@@ -81,7 +81,7 @@
 
 // Recover finds what runs after a start: what the shelf says, or, where that can't be read or does not fit the gateway any
 // more, the latest before it that can. problems say what was passed over; nil and no problems: nothing is kept.
-func (s Shelf) Recover(form func(serial uint64) ([]byte, error), has number.Names) (run *number.Table, then Shelf, problems []error) {
+func (s Shelf) Recover(form func(serial uint64) ([]byte, error), has numberplan.Names) (run *numberplan.Table, then Shelf, problems []error) {
 	if s.Running == 0 {
 		return nil, Shelf{}, nil
 	}
@@ -107,7 +107,7 @@
 }
 
 // New makes a keeper for a gateway that runs a table, maybe none, as the shelf says.
-func New(work Work, running *number.Table, shelf Shelf) *Keeper {
+func New(work Work, running *numberplan.Table, shelf Shelf) *Keeper {
 	return &Keeper{work: work, Running: running, Shelf: shelf}
 }
 
@@ -202,12 +202,12 @@
 const MostKept = 16
 
 // Check reads, compiles and checks a form for a gateway that has some names.
-func Check(form []byte, has number.Names) Checked {
-	x, err := number.Unpack(form)
+func Check(form []byte, has numberplan.Names) Checked {
+	x, err := numberplan.Unpack(form)
 	if err != nil {
 		return Checked{Err: err}
 	}
-	t, err := number.Compile(x)
+	t, err := numberplan.Compile(x)
 	if err == nil {
 		err = t.Fits(has)
 	}
--- a/tables/tables_test.go
+++ b/internal/decision/tableversions/tables_test.go
@@ -1,4 +1,4 @@
-package tables
+package tableversions
 
 import (
 	"errors"
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"cobaltpier/number"
+	"cobaltpier/internal/decision/numberplan"
 )
 
 // A shelf beside a plain list of what ran: new ones go on, going back takes off, no more is kept than may be, and what it has
@@ -43,7 +43,7 @@
 			}
 		}
 	})
-	if run, then, problems := (Shelf{3, []uint64{1, 2}}).Recover(func(uint64) ([]byte, error) { return nil, errors.New("gone") }, number.Names{}); run != nil ||
+	if run, then, problems := (Shelf{3, []uint64{1, 2}}).Recover(func(uint64) ([]byte, error) { return nil, errors.New("gone") }, numberplan.Names{}); run != nil ||
 		then.Running != 0 || len(problems) != 3 {
 		t.Errorf("nothing can be read: %v, %v, %v", run, then, problems)
 	}
--- a/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -8,23 +8,23 @@
 	"fmt"
 	"strings"
 
-	"cobaltpier/contact"
+	"cobaltpier/internal/routing"
 )
 
 // setters put a value of a load report in its place.
-var setters = map[string]func(*contact.Report, float64){
-	"free":      func(r *contact.Report, v float64) { r.Free = v },
-	"size":      func(r *contact.Report, v float64) { r.Agents = v },
-	"q":         func(r *contact.Report, v float64) { r.Queue = v },
-	"busy":      func(r *contact.Report, v float64) { r.Util = v },
-	"lat_ms":    func(r *contact.Report, v float64) { r.Wait = v },
-	"can_take":  func(r *contact.Report, v float64) { r.Rate = v },
-	"hold_back": func(r *contact.Report, v float64) { r.Holdback = v },
+var setters = map[string]func(*routing.Report, float64){
+	"free":      func(r *routing.Report, v float64) { r.Free = v },
+	"size":      func(r *routing.Report, v float64) { r.Agents = v },
+	"q":         func(r *routing.Report, v float64) { r.Queue = v },
+	"busy":      func(r *routing.Report, v float64) { r.Util = v },
+	"lat_ms":    func(r *routing.Report, v float64) { r.Wait = v },
+	"can_take":  func(r *routing.Report, v float64) { r.Rate = v },
+	"hold_back": func(r *routing.Report, v float64) { r.Holdback = v },
 }
 
 // Figure puts a value of a load report, by its name in the settings, in its place; a negative one is not known. It tells
 // whether it was one of the processor's.
-func Figure(into *contact.Report, field string, v float64) bool {
+func Figure(into *routing.Report, field string, v float64) bool {
 	set := setters[field]
 	if set == nil || !(v >= 0) {
 		return false
@@ -103,7 +103,7 @@
 }
 
 // Decode turns the object into the module's settings; the second result is the reports' fields.
-func Decode(text []byte, seed uint64) (*contact.Settings, []string, error) {
+func Decode(text []byte, seed uint64) (*routing.Settings, []string, error) {
 	var w object
 	if err := decode(text, &w); err != nil {
 		return nil, nil, err
@@ -111,7 +111,7 @@
 	if err := w.check(); err != nil {
 		return nil, nil, err
 	}
-	s := &contact.Settings{
+	s := &routing.Settings{
 		Gateways: w.Balancers, Me: w.Me, Seed: seed, Tick: w.Tick,
 		MaxRings: w.Allowed.MaxAttempts, MayProbe: w.Allowed.Probes, MayTell: w.Allowed.Peers,
 		MayCancel: w.Allowed.Cancel, MayWait: w.Allowed.RetryAfter, MaxWait: w.Allowed.MaxRetryAfter,
@@ -121,7 +121,7 @@
 		ClearWait: w.FamilyInfo.ClearWait,
 	}
 	for i, c := range w.Lanes {
-		k := &contact.Skill{Name: c.Name, Target: c.Aim, Patience: c.HardLimit, LateValue: c.LateWorth, Value: 1,
+		k := &routing.Skill{Name: c.Name, Target: c.Aim, Patience: c.HardLimit, LateValue: c.LateWorth, Value: 1,
 			Repeat: c.Semantics == "pure" || c.Semantics == ""}
 		if c.Worth != nil {
 			k.Value = *c.Worth
@@ -138,7 +138,7 @@
 		s.Skills = append(s.Skills, k)
 	}
 	for _, c := range w.Realms {
-		s.Customers = append(s.Customers, &contact.Customer{Name: c.Name})
+		s.Customers = append(s.Customers, &routing.Customer{Name: c.Name})
 	}
 	return s, w.Stats.Fields, nil
 }
--- a/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"cobaltpier/contact"
+	"cobaltpier/internal/routing"
 )
 
 const sample = `{"allowed":{"cancel":true,"connIdle":600000.0,"connectTimeout":500.0,"maxAttempts":5,"maxRetryAfter":2000.0,"mostHeld":20000,"peers":true,"retryAfter":true},
@@ -35,7 +35,7 @@
 }
 
 func TestFigure(t *testing.T) {
-	var r contact.Report
+	var r routing.Report
 	if Figure(&r, "free", 3) || Figure(&r, "size", 40) || !Figure(&r, "busy", 0.5) || Figure(&r, "q", -1) || Figure(&r, "nothing", 1) {
 		t.Error("which figures are the processor's")
 	}
--- a/chance/chance.go
+++ b/internal/detrand/chance.go
@@ -1,5 +1,5 @@
-// Package chance draws numbers from a seed and a counter by hash/fnv, so that every draw can be made again.
-package chance
+// Package detrand draws numbers from a seed and a counter by hash/fnv, so that every draw can be made again.
+package detrand
 
 import (
 	"encoding/binary"
--- a/chance/chance_test.go
+++ b/internal/detrand/chance_test.go
@@ -1,4 +1,4 @@
-package chance
+package detrand
 
 import "testing"
 
--- a/lab/baseline/baseline.go
+++ b/internal/emulator/baseline/baseline.go
@@ -7,34 +7,34 @@
 import (
 	"math"
 
-	"cobaltpier/chance"
-	"cobaltpier/contact"
-	"cobaltpier/host"
+	"cobaltpier/internal/detrand"
+	"cobaltpier/internal/protocol/endpointset"
+	"cobaltpier/internal/routing"
 )
 
 // Plain rings the destination while it shows room, or not even that, and gives up after a few rings.
 type Plain struct {
-	set    *contact.Settings
-	host   contact.Host
+	set    *routing.Settings
+	host   routing.Host
 	now    float64
-	pools  []*contact.Pool
+	pools  []*routing.Pool
 	draws  uint64
 	random bool
 }
 
 // ByName makes "lottery" (S2-082110 as written: the destination while it shows a free processor, else a lottery with
 // tickets of total capacity times the square of relative capacity) or "random"; nil otherwise.
-func ByName(name string) host.Maker {
+func ByName(name string) endpointset.Maker {
 	if name != "lottery" && name != "random" {
 		return nil
 	}
-	return func(s *contact.Settings, h contact.Host) host.Module {
+	return func(s *routing.Settings, h routing.Host) endpointset.Module {
 		return &Plain{set: s, host: h, random: name == "random"}
 	}
 }
 
 // Listed implements host.Module.
-func (b *Plain) Listed(now float64, changed []*contact.Pool) {
+func (b *Plain) Listed(now float64, changed []*routing.Pool) {
 	b.now = now
 	for _, p := range changed {
 		known := false
@@ -48,12 +48,12 @@
 }
 
 // Offered implements host.Module.
-func (b *Plain) Offered(now float64, c *contact.Contact) {
+func (b *Plain) Offered(now float64, c *routing.Contact) {
 	b.now = now
 	b.try(c)
 }
 
-func (b *Plain) try(c *contact.Contact) {
+func (b *Plain) try(c *routing.Contact) {
 	if p := b.pick(c); p != nil && c.Rings < b.set.MaxRings && c.Until-b.now > b.set.Tick {
 		c.Rings++
 		b.host.Ring(c, p, c.Until-b.now)
@@ -62,8 +62,8 @@
 	b.host.Defer(c, 0)
 }
 
-func (b *Plain) pick(c *contact.Contact) *contact.Pool {
-	if !b.random && c.Home != nil && c.Home.State == contact.Ready && c.Rings == 0 && b.free(c.Home) > 0 {
+func (b *Plain) pick(c *routing.Contact) *routing.Pool {
+	if !b.random && c.Home != nil && c.Home.State == routing.Ready && c.Rings == 0 && b.free(c.Home) > 0 {
 		return c.Home
 	}
 	total := 0.0
@@ -81,9 +81,9 @@
 	return nil
 }
 
-func (b *Plain) tickets(p *contact.Pool) float64 {
+func (b *Plain) tickets(p *routing.Pool) float64 {
 	switch {
-	case p.State != contact.Ready:
+	case p.State != routing.Ready:
 		return 0
 	case b.random:
 		return 1
@@ -95,7 +95,7 @@
 	return size * b.free(p) * b.free(p)
 }
 
-func (b *Plain) free(p *contact.Pool) float64 {
+func (b *Plain) free(p *routing.Pool) float64 {
 	r := &p.Report
 	f := 1.0
 	switch {
@@ -110,16 +110,16 @@
 }
 
 // Stood implements host.Module.
-func (b *Plain) Stood(now float64, _ *contact.Ring) { b.now = now }
+func (b *Plain) Stood(now float64, _ *routing.Ring) { b.now = now }
 
 // Ended implements host.Module.
-func (b *Plain) Ended(now float64, r *contact.Ring, closed bool) {
+func (b *Plain) Ended(now float64, r *routing.Ring, closed bool) {
 	b.now = now
 	c := r.Contact
 	if closed || c.Over {
 		return
 	}
-	if r.End == contact.TimedOut || r.End == contact.Reset || r.End == contact.Cancelled {
+	if r.End == routing.TimedOut || r.End == routing.Reset || r.End == routing.Cancelled {
 		c.NotTill = now + b.set.ClearWait
 		b.host.Wake(c.NotTill, c)
 		if c.NotTill >= c.Until {
@@ -131,16 +131,16 @@
 }
 
 // Left implements host.Module.
-func (b *Plain) Left(now float64, _ *contact.Contact) { b.now = now }
+func (b *Plain) Left(now float64, _ *routing.Contact) { b.now = now }
 
 // Reported implements host.Module.
-func (b *Plain) Reported(now float64, _ *contact.Pool, _, _ bool) { b.now = now }
+func (b *Plain) Reported(now float64, _ *routing.Pool, _, _ bool) { b.now = now }
 
 // Told implements host.Module.
 func (b *Plain) Told(now float64, _ int, _ []byte) { b.now = now }
 
 // Woken implements host.Module.
-func (b *Plain) Woken(now float64, c *contact.Contact) {
+func (b *Plain) Woken(now float64, c *routing.Contact) {
 	b.now = now
 	if c != nil && !c.Over && c.Out == nil {
 		b.try(c)
@@ -149,5 +149,5 @@
 
 func (b *Plain) chance() float64 {
 	b.draws++
-	return chance.Of(b.set.Seed, b.draws)
+	return detrand.Of(b.set.Seed, b.draws)
 }
--- a/platform/standin/standin.go
+++ b/internal/emulator/binarystandin/standin.go
@@ -1,6 +1,6 @@
-// Package standin has stand-ins of what a gateway on the platform talks to, in virtual time: switches and callers with
+// Package binarystandin has stand-ins of what a gateway on the platform talks to, in virtual time: switches and callers with
 // seeded faults, around the machine itself. What crosses its sockets is handed to a judge.
-package standin
+package binarystandin
 
 //tally:standin
 
@@ -10,14 +10,14 @@
 	"slices"
 	"strconv"
 
-	"cobaltpier/chance"
-	"cobaltpier/clock"
-	"cobaltpier/contact"
-	"cobaltpier/host"
-	"cobaltpier/platform"
-	"cobaltpier/platform/judge"
-	"cobaltpier/platform/message"
-	"cobaltpier/platform/roster"
+	"cobaltpier/internal/conformance/binaryconformance"
+	"cobaltpier/internal/detrand"
+	"cobaltpier/internal/protocol/binarygateway"
+	"cobaltpier/internal/protocol/binarymessage"
+	"cobaltpier/internal/protocol/dnsdiscovery"
+	"cobaltpier/internal/protocol/endpointset"
+	"cobaltpier/internal/routing"
+	"cobaltpier/internal/timerqueue"
 )
 
 // Faults are the shares of what goes wrong, 0 to 1.
@@ -43,8 +43,8 @@
 
 // World is one gateway among its stand-ins.
 type World struct {
-	M      *platform.Machine
-	Judge  *judge.Judge
+	M      *binarygateway.Machine
+	Judge  *binaryconformance.Judge
 	Faults Faults
 	Rate   float64 // set-ups a second
 	Hold   float64 // ms that a call stands
@@ -53,11 +53,11 @@
 
 	seed, draws uint64
 	now         float64
-	q           clock.Queue
+	q           timerqueue.Queue
 	switches    map[netip.AddrPort]*Switch
 	order       []*Switch
 	conns       []*conn // callers'
-	byLink      map[*platform.Link]*conn
+	byLink      map[*binarygateway.Link]*conn
 	lines       int
 	calls       uint64
 	no          uint32
@@ -70,7 +70,7 @@
 	id       string
 	addr     netip.AddrPort
 	cell     int
-	state    contact.State
+	state    routing.State
 	vanished bool
 	dead     bool
 	lines    []*conn
@@ -81,20 +81,20 @@
 // conn is one connection's other end.
 type conn struct {
 	w      *World
-	link   *platform.Link
+	link   *binarygateway.Link
 	number int
 	sw     *Switch // nil: a caller's
-	reader message.Reader
+	reader binarymessage.Reader
 	open   []uint64 // callers': set-ups without an answer
 	closed bool
 	stuck  []byte
 }
 
 // New makes a world of so many switches.
-func New(seed uint64, cfg *platform.Config, mk host.Maker, n int, j *judge.Judge) *World {
-	w := &World{Judge: j, seed: seed, now: 1e6, switches: map[netip.AddrPort]*Switch{}, byLink: map[*platform.Link]*conn{}, Rate: 20, Hold: 800, Work: 30}
+func New(seed uint64, cfg *binarygateway.Config, mk endpointset.Maker, n int, j *binaryconformance.Judge) *World {
+	w := &World{Judge: j, seed: seed, now: 1e6, switches: map[netip.AddrPort]*Switch{}, byLink: map[*binarygateway.Link]*conn{}, Rate: 20, Hold: 800, Work: 30}
 	cfg.Clock = func(unix float64) float64 { return unix }
-	w.M = platform.New(w.now, cfg, mk, w)
+	w.M = binarygateway.New(w.now, cfg, mk, w)
 	for range n {
 		w.birth()
 	}
@@ -105,7 +105,7 @@
 // Chance draws a number from 0 to 1.
 func (w *World) Chance() float64 {
 	w.draws++
-	return chance.Of(w.seed, w.draws)
+	return detrand.Of(w.seed, w.draws)
 }
 
 func (w *World) hits(share float64) bool { return share > 0 && w.Chance() < share }
@@ -117,7 +117,7 @@
 	w.cells++
 	cell := (w.cells - 1) % 4
 	addr := w.free()
-	s := &Switch{w: w, id: "s-" + strconv.Itoa(w.cells), addr: addr, cell: cell, state: contact.Ready,
+	s := &Switch{w: w, id: "s-" + strconv.Itoa(w.cells), addr: addr, cell: cell, state: routing.Ready,
 		standing: map[uint64]bool{}, open: map[uint64]*conn{}}
 	w.switches[s.addr] = s
 	w.order = append(w.order, s)
@@ -128,7 +128,7 @@
 func (w *World) free() netip.AddrPort {
 	for i := byte(1); ; i++ {
 		a := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 1, i}), 5070)
-		if !slices.ContainsFunc(w.order, func(s *Switch) bool { return s.addr == a && s.state != contact.Gone }) {
+		if !slices.ContainsFunc(w.order, func(s *Switch) bool { return s.addr == a && s.state != routing.Gone }) {
 			return a
 		}
 	}
@@ -137,14 +137,14 @@
 // told delivers the list.
 func (w *World) told() {
 	w.no++
-	l := &roster.List{No: w.no, Whole: true}
+	l := &dnsdiscovery.List{No: w.no, Whole: true}
 	for _, s := range w.order {
-		if s.state != contact.Gone {
-			l.Targets = append(l.Targets, roster.Target{ID: s.id, Addr: s.addr, Cell: s.cell, State: s.state})
+		if s.state != routing.Gone {
+			l.Targets = append(l.Targets, dnsdiscovery.Target{ID: s.id, Addr: s.addr, Cell: s.cell, State: s.state})
 		}
-		w.Judge.Listed(w.now, s.id, s.state == contact.Ready)
+		w.Judge.Listed(w.now, s.id, s.state == routing.Ready)
 	}
-	w.order = slices.DeleteFunc(w.order, func(s *Switch) bool { return s.state == contact.Gone })
+	w.order = slices.DeleteFunc(w.order, func(s *Switch) bool { return s.state == routing.Gone })
 	w.M.Listed(w.now, l)
 }
 
@@ -179,22 +179,22 @@
 	}
 	live := 0
 	for _, s := range w.order {
-		if s.state == contact.Ready && !s.dead && !s.vanished {
+		if s.state == routing.Ready && !s.dead && !s.vanished {
 			live++
 		}
 	}
 	for _, s := range slices.Clone(w.order) {
-		if s.state != contact.Ready || s.dead || s.vanished || live < 2 {
+		if s.state != routing.Ready || s.dead || s.vanished || live < 2 {
 			continue
 		}
 		switch {
 		case w.hits(f.Drains / 2):
-			s.state = contact.Draining
+			s.state = routing.Draining
 			w.told()
 			live--
 			w.after(1500, func() {
 				s.die()
-				s.state = contact.Gone
+				s.state = routing.Gone
 				w.birth()
 				w.told()
 			})
@@ -202,7 +202,7 @@
 			live--
 			s.die()
 			w.after(1500, func() {
-				s.state = contact.Gone
+				s.state = routing.Gone
 				w.birth()
 				w.told()
 			})
@@ -212,7 +212,7 @@
 			w.Judge.Died(w.now, s.id)
 			w.after(9000, func() {
 				s.die()
-				s.state = contact.Gone
+				s.state = routing.Gone
 				w.birth()
 				w.told()
 			})
@@ -252,17 +252,17 @@
 	}
 	c := w.conns[int(w.Chance()*float64(len(w.conns)))]
 	w.calls++
-	id := chance.Hash(w.seed, 0xca11, w.calls)
+	id := detrand.Hash(w.seed, 0xca11, w.calls)
 	patience := 1500 + 1500*w.Chance()
-	c.say(message.SetUp, id, message.Text(message.Class, "voice"), message.Text(message.Patience, strconv.Itoa(int(patience))),
-		message.Text(message.Number, "n"+strconv.FormatUint(id%50, 10)), message.Text(message.Figures, "dest:"+strconv.Itoa(int(id%4))+";width:1;via:-1"),
-		message.Text(message.Description, "offer"))
+	c.say(binarymessage.SetUp, id, binarymessage.Text(binarymessage.Class, "voice"), binarymessage.Text(binarymessage.Patience, strconv.Itoa(int(patience))),
+		binarymessage.Text(binarymessage.Number, "n"+strconv.FormatUint(id%50, 10)), binarymessage.Text(binarymessage.Figures, "dest:"+strconv.Itoa(int(id%4))+";width:1;via:-1"),
+		binarymessage.Text(binarymessage.Description, "offer"))
 	c.open = append(c.open, id)
 	if w.hits(w.Faults.Leaves) {
 		w.after(w.Chance()*3*w.Work, func() {
 			if !c.closed && slices.Contains(c.open, id) {
 				c.open = slices.DeleteFunc(c.open, func(o uint64) bool { return o == id })
-				c.say(message.Release, id, message.Why(message.Normal))
+				c.say(binarymessage.Release, id, binarymessage.Why(binarymessage.Normal))
 			}
 		})
 	}
@@ -272,8 +272,8 @@
 }
 
 // say sends a message to the gateway, maybe in pieces.
-func (c *conn) say(kind byte, id uint64, of ...message.Param) {
-	b := message.Append(nil, kind, id, of...)
+func (c *conn) say(kind byte, id uint64, of ...binarymessage.Param) {
+	b := binarymessage.Append(nil, kind, id, of...)
 	if c.sw == nil {
 		c.w.Judge.FromCaller(c.w.now, b)
 	} else {
@@ -301,7 +301,7 @@
 		return
 	}
 	c.gone()
-	c.w.M.Closed(c.w.now, c.link, platform.Reset)
+	c.w.M.Closed(c.w.now, c.link, binarygateway.Reset)
 }
 
 // gone notes that a connection has ended.
@@ -325,7 +325,7 @@
 }
 
 // Write implements platform.Out.
-func (w *World) Write(l *platform.Link, b []byte) bool {
+func (w *World) Write(l *binarygateway.Link, b []byte) bool {
 	c := l.Conn.(*conn)
 	if c.sw != nil && w.hits(w.Faults.Stuck) {
 		c.stuck = b
@@ -343,7 +343,7 @@
 }
 
 func (c *conn) take(b []byte) {
-	if err := c.reader.Feed(b, func(m message.Message) bool {
+	if err := c.reader.Feed(b, func(m binarymessage.Message) bool {
 		m = slices.Clone(m)
 		if c.sw != nil {
 			c.w.Judge.ToSwitch(c.w.now, c.sw.id, c.number, m)
@@ -358,20 +358,20 @@
 	}
 }
 
-func (c *conn) callerHeard(m message.Message) {
+func (c *conn) callerHeard(m binarymessage.Message) {
 	id := m.Call()
 	c.open = slices.DeleteFunc(c.open, func(o uint64) bool { return o == id })
-	if m.Type() == message.Answer && c.w.hits(c.w.Faults.Hangs) {
+	if m.Type() == binarymessage.Answer && c.w.hits(c.w.Faults.Hangs) {
 		c.w.after(c.w.Chance()*c.w.Hold, func() {
 			if !c.closed {
-				c.say(message.Release, id, message.Why(message.Normal))
+				c.say(binarymessage.Release, id, binarymessage.Why(binarymessage.Normal))
 			}
 		})
 	}
 }
 
 // Dial implements platform.Out.
-func (w *World) Dial(l *platform.Link, to netip.AddrPort) {
+func (w *World) Dial(l *binarygateway.Link, to netip.AddrPort) {
 	w.lines++
 	c := &conn{w: w, link: l, number: w.lines}
 	l.Conn = c
@@ -381,40 +381,40 @@
 		case c.closed || s != nil && s.vanished && !s.dead:
 		case s == nil || s.dead:
 			c.closed = true
-			w.M.Closed(w.now, l, platform.Refused)
+			w.M.Closed(w.now, l, binarygateway.Refused)
 		default:
 			c.sw = s
 			s.lines = append(s.lines, c)
 			w.M.Connected(w.now, l)
-			c.say(message.State, 0, message.Text(message.Report, "free:20;size:40;busy:-1;q:-1"))
+			c.say(binarymessage.State, 0, binarymessage.Text(binarymessage.Report, "free:20;size:40;busy:-1;q:-1"))
 		}
 	})
 }
 
 // Shut implements platform.Out.
-func (w *World) Shut(l *platform.Link) {
+func (w *World) Shut(l *binarygateway.Link) {
 	if c := l.Conn.(*conn); !c.closed {
 		c.gone()
 	}
 }
 
 // CloseWrite implements platform.Out.
-func (w *World) CloseWrite(*platform.Link) {}
+func (w *World) CloseWrite(*binarygateway.Link) {}
 
 // Tell implements platform.Out.
 func (w *World) Tell(int, []byte) {}
 
 // heard is what a switch does with a message.
-func (s *Switch) heard(c *conn, m message.Message) {
+func (s *Switch) heard(c *conn, m binarymessage.Message) {
 	w, f, id := c.w, &c.w.Faults, m.Call()
 	if c.closed || s.vanished || s.dead {
 		return
 	}
 	switch m.Type() {
-	case message.Release:
+	case binarymessage.Release:
 		delete(s.open, id)
 		delete(s.standing, id)
-	case message.SetUp:
+	case binarymessage.SetUp:
 		s.open[id] = c
 		wait := w.Work * (0.5 + w.Chance())
 		late := w.hits(f.Late)
@@ -433,7 +433,7 @@
 	if c.closed || s.vanished || s.dead || s.open[id] != c && !late {
 		return
 	}
-	report := message.Text(message.Report, "free:20;size:40;busy:0.4;q:1")
+	report := binarymessage.Text(binarymessage.Report, "free:20;size:40;busy:0.4;q:1")
 	switch {
 	case w.hits(f.Reset):
 		c.reset()
@@ -444,15 +444,15 @@
 		return
 	case w.hits(f.Full):
 		delete(s.open, id)
-		c.say(message.Release, id, message.Why(message.NoCircuit), message.Text(message.Note, "cpu_full"), message.Text(message.Busy, "50"), report)
+		c.say(binarymessage.Release, id, binarymessage.Why(binarymessage.NoCircuit), binarymessage.Text(binarymessage.Note, "cpu_full"), binarymessage.Text(binarymessage.Busy, "50"), report)
 		return
 	case w.hits(f.Bad):
 		delete(s.open, id)
-		c.say(message.Release, id, message.Why(message.Fault), report)
+		c.say(binarymessage.Release, id, binarymessage.Why(binarymessage.Fault), report)
 		return
 	}
 	if w.hits(f.Ahead) {
-		c.say(message.Answer, id^0xffff, message.Text(message.Description, "another's"), report)
+		c.say(binarymessage.Answer, id^0xffff, binarymessage.Text(binarymessage.Description, "another's"), report)
 	}
 	delete(s.open, id)
 	s.standing[id] = true
@@ -461,16 +461,16 @@
 		times = 2
 	}
 	for range times {
-		c.say(message.Answer, id, message.Text(message.Description, "answer"), report)
+		c.say(binarymessage.Answer, id, binarymessage.Text(binarymessage.Description, "answer"), report)
 	}
 	w.after(w.Hold*(0.5+w.Chance()), func() {
 		if !s.standing[id] || s.dead || s.vanished {
 			return
 		}
 		delete(s.standing, id)
-		cause := byte(message.Normal)
+		cause := byte(binarymessage.Normal)
 		if w.hits(f.Cut) {
-			cause = message.Failure
+			cause = binarymessage.Failure
 		}
 		on := c
 		if on.closed {
@@ -479,6 +479,6 @@
 			}
 			on = s.lines[0]
 		}
-		on.say(message.Release, id, message.Why(cause), report)
+		on.say(binarymessage.Release, id, binarymessage.Why(cause), report)
 	})
 }
--- a/lab/caller/caller.go
+++ b/internal/emulator/callers/caller.go
@@ -1,7 +1,7 @@
-// Package caller is a stand-in for the callers of one gateway: SIP user agents that come at planned times, wait as long
+// Package callers is a stand-in for the callers of one gateway: SIP user agents that come at planned times, wait as long
 // as their patience lasts, hang up when they are done, and dial again by themselves. Arrivals are planned ahead and do
 // not wait for answers. No I/O, no clock.
-package caller
+package callers
 
 //tally:standin
 
@@ -12,8 +12,8 @@
 
 	"github.com/emiago/sipgo/sip"
 
-	"cobaltpier/clock"
-	"cobaltpier/signal"
+	"cobaltpier/internal/protocol/siptransaction"
+	"cobaltpier/internal/timerqueue"
 )
 
 // Arrival is a caller's plan; times are milliseconds.
@@ -62,9 +62,9 @@
 	Extra   int // final answers after the final answer
 	edge    netip.AddrPort
 	now     float64
-	names   signal.Names
-	timers  clock.Queue
-	sip     *signal.Layer
+	names   siptransaction.Names
+	timers  timerqueue.Queue
+	sip     *siptransaction.Layer
 	open    map[string]*try // by our tag
 	bySess  map[string]*try
 }
@@ -72,7 +72,7 @@
 type try struct {
 	of      *Callers
 	story   *Story
-	tx      *signal.Client
+	tx      *siptransaction.Client
 	callID  string
 	tag     string
 	session string
@@ -80,14 +80,14 @@
 	ack     []byte
 	stands  bool
 	over    bool
-	timer   *clock.Timer
+	timer   *timerqueue.Timer
 }
 
 // New makes callers that dial an edge.
-func New(m Manners, self, edge netip.AddrPort, times signal.Times, seed uint64, send func(netip.AddrPort, []byte)) *Callers {
+func New(m Manners, self, edge netip.AddrPort, times siptransaction.Times, seed uint64, send func(netip.AddrPort, []byte)) *Callers {
 	c := &Callers{Manners: m, edge: edge, open: map[string]*try{}, bySess: map[string]*try{}}
 	c.names.Seed = seed
-	c.sip = signal.NewLayer(self, times, &c.names, &c.timers, c, send)
+	c.sip = siptransaction.NewLayer(self, times, &c.names, &c.timers, c, send)
 	if m.Parse != nil {
 		c.sip.Parse = m.Parse
 	}
@@ -139,7 +139,7 @@
 	r.AppendHeader(&id)
 	r.AppendHeader(&sip.CSeqHeader{SeqNo: seq, MethodName: method})
 	r.AppendHeader(sip.NewHeader("Max-Forwards", "70"))
-	r.AppendHeader(sip.NewHeader(signal.SessionID, signal.SessionValue(t.session)))
+	r.AppendHeader(sip.NewHeader(siptransaction.SessionID, siptransaction.SessionValue(t.session)))
 	return r
 }
 
@@ -153,12 +153,12 @@
 	}
 	wait := math.Floor(math.Min(left, s.Try)/1000) * 1000 // Expires counts whole seconds
 	s.Tries++
-	t := &try{of: c, story: s, callID: c.names.Next() + "@caller", tag: c.names.Next(), session: signal.NewSession(&c.names)}
+	t := &try{of: c, story: s, callID: c.names.Next() + "@caller", tag: c.names.Next(), session: siptransaction.NewSession(&c.names)}
 	s.Session = t.session
 	c.open[t.tag], c.bySess[t.session] = t, t
 	r := c.request(t, sip.INVITE, 1)
 	r.AppendHeader(&sip.ContactHeader{Address: c.uri()})
-	r.AppendHeader(sip.NewHeader(signal.Service, "urn:urn-7:"+s.Skill))
+	r.AppendHeader(sip.NewHeader(siptransaction.Service, "urn:urn-7:"+s.Skill))
 	r.AppendHeader(sip.NewHeader("Expires", fmt.Sprint(int(wait/1000))))
 	r.AppendHeader(sip.NewHeader("Content-Type", "application/sdp"))
 	r.SetBody([]byte(body))
@@ -219,7 +219,7 @@
 		t.story.Answers = append(t.story.Answers, res.StatusCode)
 		t.done()
 		delete(c.open, t.tag)
-		c.again(t.story, signal.Wait(signal.Field(res, signal.RetryAfter)))
+		c.again(t.story, siptransaction.Wait(siptransaction.Field(res, siptransaction.RetryAfter)))
 	}
 }
 
@@ -230,7 +230,7 @@
 	t.done()
 	delete(c.open, t.tag)
 	r := c.request(t, sip.BYE, 2)
-	r.AppendHeader(sip.NewHeader(signal.Reason, why))
+	r.AppendHeader(sip.NewHeader(siptransaction.Reason, why))
 	c.sip.Ask(r, c.edge, sip.HeaderParams{{K: "rport"}}, func(*sip.Response) {})
 }
 
@@ -269,13 +269,13 @@
 }
 
 // Asked implements signal.User: the other side hangs up.
-func (c *Callers) Asked(s *signal.Server, req *sip.Request) {
-	t := c.open[signal.Tag(req.To().Params)]
+func (c *Callers) Asked(s *siptransaction.Server, req *sip.Request) {
+	t := c.open[siptransaction.Tag(req.To().Params)]
 	if t == nil || req.Method != sip.BYE {
-		s.Respond(signal.Response(req, 481, "Call/Transaction Does Not Exist", c.names.Next()))
+		s.Respond(siptransaction.Response(req, 481, "Call/Transaction Does Not Exist", c.names.Next()))
 		return
 	}
-	s.Respond(signal.Response(req, 200, "OK", ""))
+	s.Respond(siptransaction.Response(req, 200, "OK", ""))
 	if t.stands && !t.over {
 		t.story.Cut = true // whoever hung up, it was not the caller
 		t.done()
@@ -285,7 +285,7 @@
 }
 
 // CalledOff implements signal.User.
-func (c *Callers) CalledOff(*signal.Server, *sip.Request) {}
+func (c *Callers) CalledOff(*siptransaction.Server, *sip.Request) {}
 
 // Acked implements signal.User.
 func (c *Callers) Acked(*sip.Request) {}
--- a/trace/trace_test.go
+++ b/internal/emulator/calltrace/trace_test.go
@@ -1,4 +1,4 @@
-package trace
+package calltrace
 
 import (
 	"bytes"
--- a/lab/core/core.go
+++ b/internal/emulator/coreswitch/core.go
@@ -1,6 +1,6 @@
-// Package core is a stand-in for a core switch: SIP over UDP in front of a processor with one line that is modelled in
+// Package coreswitch is a stand-in for a core switch: SIP over UDP in front of a processor with one line that is modelled in
 // time. It has no I/O and no clock. Its figures are of a model, not of a real switch.
-package core
+package coreswitch
 
 //tally:standin
 
@@ -12,8 +12,8 @@
 
 	"github.com/emiago/sipgo/sip"
 
-	"cobaltpier/clock"
-	"cobaltpier/signal"
+	"cobaltpier/internal/protocol/siptransaction"
+	"cobaltpier/internal/timerqueue"
 )
 
 // Model is how a switch behaves; works and times are milliseconds, works at full speed.
@@ -38,7 +38,7 @@
 	Refresh   float64
 	Delay     float64 // reports are so old
 	Noise     float64
-	Times     signal.Times
+	Times     siptransaction.Times
 	// Parse reads datagrams; nil: signal.Parse.
 	Parse func([]byte) (sip.Message, error) `json:"-"`
 }
@@ -54,9 +54,9 @@
 	SetupsDone int
 	now        float64
 	born       float64 // its start; -Inf: long ago
-	names      signal.Names
-	timers     clock.Queue
-	sip        *signal.Layer
+	names      siptransaction.Names
+	timers     timerqueue.Queue
+	sip        *siptransaction.Layer
 	calls      map[string]*call // by our tag
 	lines      int              // in use
 	lost       int              // lines that are gone
@@ -91,7 +91,7 @@
 
 type call struct {
 	sw      *Switch
-	server  *signal.Server
+	server  *siptransaction.Server
 	req     *sip.Request
 	tag     string
 	session string
@@ -109,7 +109,7 @@
 		s.born = now
 	}
 	s.names.Seed = seed
-	s.sip = signal.NewLayer(self, m.Times, &s.names, &s.timers, s, func(to netip.AddrPort, data []byte) {
+	s.sip = siptransaction.NewLayer(self, m.Times, &s.names, &s.timers, s, func(to netip.AddrPort, data []byte) {
 		if !s.Fell {
 			send(to, data)
 		}
@@ -213,8 +213,8 @@
 	req.AppendHeader(&id)
 	req.AppendHeader(&sip.CSeqHeader{SeqNo: 1, MethodName: sip.BYE})
 	req.AppendHeader(sip.NewHeader("Max-Forwards", "70"))
-	req.AppendHeader(sip.NewHeader(signal.SessionID, signal.SessionValue(c.session)))
-	req.AppendHeader(sip.NewHeader(signal.Reason, `Q.850;cause=41;text="Temporary failure"`))
+	req.AppendHeader(sip.NewHeader(siptransaction.SessionID, siptransaction.SessionValue(c.session)))
+	req.AppendHeader(sip.NewHeader(siptransaction.Reason, `Q.850;cause=41;text="Temporary failure"`))
 	s.sip.Ask(req, c.server.To(), nil, func(*sip.Response) {})
 	delete(s.calls, c.tag)
 }
@@ -236,47 +236,47 @@
 }
 
 // Asked implements signal.User.
-func (s *Switch) Asked(sv *signal.Server, req *sip.Request) {
+func (s *Switch) Asked(sv *siptransaction.Server, req *sip.Request) {
 	switch req.Method {
 	case sip.INVITE:
-		if signal.Tag(req.To().Params) != "" {
-			sv.Respond(s.loaded(signal.Response(req, 488, "Not Acceptable Here", "")))
+		if siptransaction.Tag(req.To().Params) != "" {
+			sv.Respond(s.loaded(siptransaction.Response(req, 488, "Not Acceptable Here", "")))
 			return
 		}
 		s.invited(sv, req)
 	case sip.BYE:
-		c := s.calls[signal.Tag(req.To().Params)]
+		c := s.calls[siptransaction.Tag(req.To().Params)]
 		if c == nil {
-			sv.Respond(signal.Response(req, 481, "Call/Transaction Does Not Exist", ""))
+			sv.Respond(siptransaction.Response(req, 481, "Call/Transaction Does Not Exist", ""))
 			return
 		}
-		sv.Respond(s.loaded(signal.Response(req, 200, "OK", "")))
+		sv.Respond(s.loaded(siptransaction.Response(req, 200, "OK", "")))
 		c.gone = true
 		c.server.Acked() // a BYE may overtake the ACK
 		delete(s.calls, c.tag)
 		s.add(&s.rest, &job{work: s.Release, do: c.free})
 	case sip.OPTIONS:
 		s.add(&s.first, &job{work: s.Probe, do: func() {
-			sv.Respond(s.loaded(signal.Response(req, 200, "OK", s.names.Next())))
+			sv.Respond(s.loaded(siptransaction.Response(req, 200, "OK", s.names.Next())))
 		}})
 	default:
-		sv.Respond(signal.Response(req, 405, "Method Not Allowed", s.names.Next()))
+		sv.Respond(siptransaction.Response(req, 405, "Method Not Allowed", s.names.Next()))
 	}
 }
 
-func (s *Switch) invited(sv *signal.Server, req *sip.Request) {
+func (s *Switch) invited(sv *siptransaction.Server, req *sip.Request) {
 	s.Taken++
 	s.senders[sv.To()] = s.now
 	if s.push(s.Setup) {
 		return
 	}
-	c := &call{sw: s, server: sv, req: req, tag: s.names.Next(), session: signal.Session(req)}
+	c := &call{sw: s, server: sv, req: req, tag: s.names.Next(), session: siptransaction.Session(req)}
 	sv.User = c
 	if w := s.wait(); w > s.WaitLimit {
 		s.add(&s.rest, &job{work: s.Reject, do: func() {
-			res := s.loaded(signal.Response(req, 503, "Service Unavailable", c.tag))
+			res := s.loaded(siptransaction.Response(req, 503, "Service Unavailable", c.tag))
 			if s.NamesWait {
-				res.AppendHeader(sip.NewHeader(signal.RetryAfter, signal.Seconds(w/4)))
+				res.AppendHeader(sip.NewHeader(siptransaction.RetryAfter, siptransaction.Seconds(w/4)))
 			}
 			sv.Respond(res)
 		}})
@@ -294,13 +294,13 @@
 	switch {
 	case sv.Final() != 0: // called off, and still worked on
 	case s.ErrorRate > 0 && s.names.Chance() < s.ErrorRate:
-		sv.Respond(s.loaded(signal.Response(req, 500, "Server Internal Error", c.tag)))
+		sv.Respond(s.loaded(siptransaction.Response(req, 500, "Server Internal Error", c.tag)))
 	case s.lines >= s.Lines-s.lost:
-		sv.Respond(s.loaded(signal.Response(req, 486, "Busy Here", c.tag)))
+		sv.Respond(s.loaded(siptransaction.Response(req, 486, "Busy Here", c.tag)))
 	default:
 		c.line = true
 		s.lines++
-		sv.Respond(s.loaded(signal.Response(req, 180, "Ringing", c.tag)))
+		sv.Respond(s.loaded(siptransaction.Response(req, 180, "Ringing", c.tag)))
 		s.add(&s.rest, &job{work: s.Answer, do: c.answer})
 	}
 }
@@ -311,7 +311,7 @@
 		c.free()
 		return
 	}
-	res := s.loaded(signal.Response(c.req, 200, "OK", c.tag))
+	res := s.loaded(siptransaction.Response(c.req, 200, "OK", c.tag))
 	res.AppendHeader(&sip.ContactHeader{Address: sip.Uri{Scheme: "sip", Host: s.sip.Self.Addr().String(), Port: int(s.sip.Self.Port())}})
 	if b := c.req.Body(); len(b) > 0 {
 		res.AppendHeader(sip.NewHeader("Content-Type", "application/sdp"))
@@ -324,7 +324,7 @@
 }
 
 // CalledOff implements signal.User.
-func (s *Switch) CalledOff(sv *signal.Server, req *sip.Request) {
+func (s *Switch) CalledOff(sv *siptransaction.Server, req *sip.Request) {
 	c, ok := sv.User.(*call)
 	if !ok {
 		return
@@ -335,17 +335,17 @@
 	if c.job == nil && c.line {
 		s.add(&s.rest, &job{work: s.Release, do: c.free})
 	}
-	sv.Respond(s.loaded(signal.Response(c.req, 487, "Request Terminated", c.tag)))
+	sv.Respond(s.loaded(siptransaction.Response(c.req, 487, "Request Terminated", c.tag)))
 }
 
 // Acked implements signal.User.
 func (s *Switch) Acked(req *sip.Request) {
-	if c := s.calls[signal.Tag(req.To().Params)]; c != nil {
+	if c := s.calls[siptransaction.Tag(req.To().Params)]; c != nil {
 		c.server.Acked()
 	}
 }
 
-func (s *Switch) repeated(sv *signal.Server) {
+func (s *Switch) repeated(sv *siptransaction.Server) {
 	if c, ok := sv.User.(*call); ok && c.job != nil && sv.Final() == 0 {
 		if !s.push(s.Repeat) {
 			s.add(&s.first, &job{work: s.Repeat, do: func() {}})
@@ -457,7 +457,7 @@
 			}
 		}
 	}
-	res.AppendHeader(sip.NewHeader(signal.Load, v))
+	res.AppendHeader(sip.NewHeader(siptransaction.Load, v))
 	return res
 }
 
--- a/lab/core/sort.go
+++ b/internal/emulator/coreswitch/sort.go
@@ -1,4 +1,4 @@
-package core
+package coreswitch
 
 import (
 	"cmp"
--- a/lab/names/names.go
+++ b/internal/emulator/dnsserver/names.go
@@ -1,7 +1,7 @@
-// Package names is a stand-in for authoritative ENUM and portability servers, without I/O: a question comes in, answers
+// Package dnsserver is a stand-in for authoritative ENUM and portability servers, without I/O: a question comes in, answers
 // and when they leave come out. A zone is made by chance from a seed, so that a million numbers need no memory, and a
 // server can be made to fail in the ways that servers and those between do.
-package names
+package dnsserver
 
 //tally:standin
 
@@ -10,8 +10,8 @@
 
 	"github.com/miekg/dns"
 
-	"cobaltpier/chance"
-	"cobaltpier/enum"
+	"cobaltpier/internal/decision/enum"
+	"cobaltpier/internal/detrand"
 )
 
 // Zone is what all servers of an apex agree on.
@@ -43,7 +43,7 @@
 	for i := range len(number) {
 		h = h*31 + uint64(number[i])
 	}
-	return chance.Of(h, what)
+	return detrand.Of(h, what)
 }
 
 // rules are those of a domain; false: there is no such name.
@@ -108,7 +108,7 @@
 
 func (s *Server) draw() float64 {
 	s.drawn++
-	return chance.Of(s.Seed, s.drawn)
+	return detrand.Of(s.Seed, s.drawn)
 }
 
 // Datagram answers a datagram.
--- a/lab/names/serve.go
+++ b/internal/emulator/dnsserver/serve.go
@@ -1,4 +1,4 @@
-package names
+package dnsserver
 
 import (
 	"fmt"
--- a/lab/kiosk/kiosk.go
+++ b/internal/emulator/enumclient/kiosk.go
@@ -1,6 +1,6 @@
-// Package kiosk is a stand-in for the kiosks of one gateway: each contact asks by ENUM which pool to call, repeats the
+// Package enumclient is a stand-in for the kiosks of one gateway: each contact asks by ENUM which pool to call, repeats the
 // question while no answer comes, and calls the pool that is named. Contacts are planned ahead. No I/O, no clock.
-package kiosk
+package enumclient
 
 //tally:standin
 
@@ -11,9 +11,9 @@
 
 	"github.com/miekg/dns"
 
-	"cobaltpier/clock"
-	"cobaltpier/enum"
-	"cobaltpier/signal"
+	"cobaltpier/internal/decision/enum"
+	"cobaltpier/internal/protocol/siptransaction"
+	"cobaltpier/internal/timerqueue"
 )
 
 // Visit is one contact's plan and what became of it.
@@ -45,8 +45,8 @@
 	send   func(data []byte)
 	stream func(data []byte)
 	now    float64
-	names  signal.Names
-	timers clock.Queue
+	names  siptransaction.Names
+	timers timerqueue.Queue
 	open   map[uint16]*ask
 }
 
@@ -55,12 +55,12 @@
 	id    uint16
 	data  []byte
 	left  int
-	timer *clock.Timer
+	timer *timerqueue.Timer
 }
 
 // New makes kiosks that send questions by datagram, and by stream where an answer was truncated.
 func New(m Manners, seed uint64, send, stream func([]byte)) *Kiosks {
-	return &Kiosks{Manners: m, send: send, stream: stream, names: signal.Names{Seed: seed}, open: map[uint16]*ask{}}
+	return &Kiosks{Manners: m, send: send, stream: stream, names: siptransaction.Names{Seed: seed}, open: map[uint16]*ask{}}
 }
 
 // Plan adds a visit.
--- a/lab/load/load.go
+++ b/internal/emulator/loadgen/load.go
@@ -1,7 +1,7 @@
-// Package load sends planned calls to gateways at the times they were planned for, whatever becomes of those before, and
+// Package loadgen sends planned calls to gateways at the times they were planned for, whatever becomes of those before, and
 // measures waits from the intended times: a gateway that stands still does not slow the load, and what would have come
 // meanwhile is counted with its whole wait. It watches its own lateness, and says when it was itself the bottleneck.
-package load
+package loadgen
 
 //tally:standin
 
--- a/lab/load/still.go
+++ b/internal/emulator/loadgen/still.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"bytes"
--- a/lab/prefixes/prefixes.go
+++ b/internal/emulator/prefixbaseline/prefixes.go
@@ -1,6 +1,6 @@
-// Package prefixes has plain ways to find the longest prefix of a number, to measure the trie beside, and draws prefixes
+// Package prefixbaseline has plain ways to find the longest prefix of a number, to measure the trie beside, and draws prefixes
 // as number plans have them.
-package prefixes
+package prefixbaseline
 
 //tally:standin
 
@@ -9,8 +9,8 @@
 	"sort"
 	"strings"
 
-	"cobaltpier/chance"
-	"cobaltpier/digits"
+	"cobaltpier/internal/decision/prefixtrie"
+	"cobaltpier/internal/detrand"
 )
 
 // Map tries each length, the longest first.
@@ -31,7 +31,7 @@
 }
 
 // NewMap makes a map.
-func NewMap(of []digits.Prefix) Map {
+func NewMap(of []prefixtrie.Prefix) Map {
 	m := Map{}
 	for _, p := range of {
 		m[p.Digits] = p.Value
@@ -40,10 +40,10 @@
 }
 
 // Sorted searches prefixes in their order, and goes on with what they begin with.
-type Sorted []digits.Prefix
+type Sorted []prefixtrie.Prefix
 
 // NewSorted puts prefixes in order.
-func NewSorted(of []digits.Prefix) Sorted {
+func NewSorted(of []prefixtrie.Prefix) Sorted {
 	s := append(Sorted{}, of...)
 	sort.Slice(s, func(i, j int) bool { return s[i].Digits < s[j].Digits })
 	return s
@@ -73,15 +73,15 @@
 }
 
 // Draw draws prefixes as number plans have them: areas, exchanges, and ported numbers of full length.
-func Draw(n int) []digits.Prefix {
+func Draw(n int) []prefixtrie.Prefix {
 	seen := map[string]bool{}
-	var of []digits.Prefix
+	var of []prefixtrie.Prefix
 	for i := uint64(0); len(of) < n; i++ {
-		length := []int{4, 7, 7, 10, 11, 11, 11, 11}[int(chance.Of(1, i)*8)]
-		d := fmt.Sprintf("1%010d", uint64(chance.Of(2, i)*1e10))[:length]
+		length := []int{4, 7, 7, 10, 11, 11, 11, 11}[int(detrand.Of(1, i)*8)]
+		d := fmt.Sprintf("1%010d", uint64(detrand.Of(2, i)*1e10))[:length]
 		if !seen[d] {
 			seen[d] = true
-			of = append(of, digits.Prefix{Digits: d, Value: uint32(len(of))})
+			of = append(of, prefixtrie.Prefix{Digits: d, Value: uint32(len(of))})
 		}
 	}
 	return of
--- a/lab/prefixes/prefixes_test.go
+++ b/internal/emulator/prefixbaseline/prefixes_test.go
@@ -1,24 +1,24 @@
-package prefixes
+package prefixbaseline
 
 import (
 	"testing"
 
-	"cobaltpier/chance"
-	"cobaltpier/digits"
+	"cobaltpier/internal/decision/prefixtrie"
+	"cobaltpier/internal/detrand"
 )
 
 // All three ways find the same.
 func TestSame(t *testing.T) {
 	of := Draw(5000)
 	m, s := NewMap(of), NewSorted(of)
-	trie, err := digits.New(of)
+	trie, err := prefixtrie.New(of)
 	if err != nil {
 		t.Fatal(err)
 	}
 	found := 0
 	for i := range uint64(20000) {
-		n := of[int(chance.Of(1, i)*5000)].Digits
-		n = n[:1+int(chance.Of(2, i)*float64(len(n)))] + "5550123"
+		n := of[int(detrand.Of(1, i)*5000)].Digits
+		n = n[:1+int(detrand.Of(2, i)*float64(len(n)))] + "5550123"
 		v, l, ok := trie.Find(n)
 		mv, ml, mok := m.Find(n)
 		sv, sl, sok := s.Find(n)
--- a/lab/day/day.go
+++ b/internal/emulator/processrun/day.go
@@ -1,6 +1,6 @@
-// Package day puts a script's day on with gateways that are processes of their own: real sockets, a real pool list
+// Package processrun puts a script's day on with gateways that are processes of their own: real sockets, a real pool list
 // stream, signals. Switches, callers and the wire are the stage's, by the wall clock.
-package day
+package processrun
 
 //tally:standin
 
@@ -22,12 +22,12 @@
 	"google.golang.org/grpc"
 
 	"cobaltpier/api"
-	"cobaltpier/capture"
-	"cobaltpier/check"
-	"cobaltpier/lab/names"
-	"cobaltpier/lab/script"
-	"cobaltpier/lab/stage"
-	"cobaltpier/reactor"
+	"cobaltpier/internal/conformance"
+	"cobaltpier/internal/conformance/capture"
+	"cobaltpier/internal/emulator/dnsserver"
+	"cobaltpier/internal/emulator/scenario"
+	"cobaltpier/internal/emulator/scenariofile"
+	"cobaltpier/internal/gateway/reactor"
 )
 
 // Options are how a day is put on.
@@ -43,11 +43,11 @@
 
 // Result is what a day came to.
 type Result struct {
-	Service  stage.Service
-	Findings []check.Finding
-	Totals   check.Totals
-	Tables   *check.Tables // nil: no number tables
-	Kiosks   stage.KioskService
+	Service  scenario.Service
+	Findings []conformance.Finding
+	Totals   conformance.Totals
+	Tables   *conformance.Tables // nil: no number tables
+	Kiosks   scenario.KioskService
 	Exits    []string // gateways that did not end as they should
 	Lost     uint64   // datagrams that sockets did not take
 	Late     float64  // ms: the most that the stand-ins ran behind the clock
@@ -62,7 +62,7 @@
 type runner struct {
 	api.UnimplementedPoolListServer
 	o       Options
-	st      *stage.Stage
+	st      *scenario.Stage
 	sockets *reactor.Sockets
 	list    net.Listener
 	server  *grpc.Server
@@ -72,7 +72,7 @@
 	joined  chan string
 	running bool
 	relays  map[netip.AddrPort]int // where messages for a gateway come in
-	names   []*names.Served
+	names   []*dnsserver.Served
 	admins  []*grpc.ClientConn // of the gateways, for number tables
 }
 
@@ -88,7 +88,7 @@
 const blur = 10
 
 // Run puts a day on; it ends early when ctx does.
-func Run(ctx context.Context, s *script.Script, o Options) (res *Result, err error) {
+func Run(ctx context.Context, s *scenariofile.Script, o Options) (res *Result, err error) {
 	r := &runner{o: o, follow: map[string]chan *api.Update{}, joined: make(chan string, 4096), relays: map[netip.AddrPort]int{}}
 	temp := o.Dir == ""
 	if temp {
@@ -96,10 +96,10 @@
 			return nil, fmt.Errorf("day: %w", err)
 		}
 	}
-	k := check.New()
-	var tables *check.Tables
+	k := conformance.New()
+	var tables *conformance.Tables
 	if s.Analyses() {
-		tables = check.NewTables(stage.Mark4)
+		tables = conformance.NewTables(scenario.Mark4)
 		tables.Blur = 250 // the gateway's sockets and its service are read by turns
 	}
 	var keep *capture.Writer
@@ -130,7 +130,7 @@
 			checked <- nil
 		}
 	}()
-	r.st = stage.NewReal(s, o.Port, blur, func(rec *api.Record) { records <- rec })
+	r.st = scenario.NewReal(s, o.Port, blur, func(rec *api.Record) { records <- rec })
 	r.st.Fleet = r
 	r.st.Say = func(at float64, what string) {
 		if o.Say != nil {
--- a/lab/day/numbers.go
+++ b/internal/emulator/processrun/numbers.go
@@ -1,4 +1,4 @@
-package day
+package processrun
 
 import (
 	"context"
@@ -13,8 +13,8 @@
 	"google.golang.org/grpc/credentials/insecure"
 
 	"cobaltpier/api"
-	"cobaltpier/lab/names"
-	"cobaltpier/lab/stage"
+	"cobaltpier/internal/emulator/dnsserver"
+	"cobaltpier/internal/emulator/scenario"
 )
 
 // openNames puts the DNS servers behind sockets and writes the first table.
@@ -24,13 +24,13 @@
 		return nil
 	}
 	for i, s := range n.Servers {
-		v, err := names.Serve(s, n.Addrs[i])
+		v, err := dnsserver.Serve(s, n.Addrs[i])
 		if err != nil {
 			return fmt.Errorf("day: %w", err)
 		}
 		r.names = append(r.names, v)
 	}
-	n.Alter = func(i int, do func(*names.Server)) { r.names[i].Change(do) }
+	n.Alter = func(i int, do func(*dnsserver.Server)) { r.names[i].Change(do) }
 	if err := os.WriteFile(r.tableFile(), r.st.Table(n.Version).Form, 0o644); err != nil {
 		return fmt.Errorf("day: %w", err)
 	}
@@ -79,12 +79,12 @@
   stale = %q
   fail = %q
 }
-`, r.tableFile(), filepath.Join(r.o.Dir, r.st.Gateways[i].Name+".tables"), r.admin(i), s.Share, stage.Apex, strings.Join(servers, ", "),
+`, r.tableFile(), filepath.Join(r.o.Dir, r.st.Gateways[i].Name+".tables"), r.admin(i), s.Share, scenario.Apex, strings.Join(servers, ", "),
 		c.Most, c.Tries, ms(c.StaleAfter), c.Cache.Most, ms(c.Cache.Least), ms(c.Cache.Longest), ms(c.Cache.Negative), ms(c.Cache.Stale), ms(c.Cache.Fail))
 }
 
 // Table implements stage.Fleet: a gateway that is down or stands still gets the next one.
-func (r *runner) Table(i int, t *stage.Table) {
+func (r *runner) Table(i int, t *scenario.Table) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
--- a/lab/report/report.go
+++ b/internal/emulator/report/report.go
@@ -19,8 +19,8 @@
 	"gonum.org/v1/plot/vg/vgimg"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"cobaltpier/lab/fleet"
-	"cobaltpier/lab/stats"
+	"cobaltpier/internal/emulator/stats"
+	"cobaltpier/internal/emulator/virtualrun"
 )
 
 // Page is a report.
@@ -84,7 +84,7 @@
 var colours = []color.RGBA{{0x1f, 0x77, 0xb4, 255}, {0xd6, 0x27, 0x28, 255}, {0x2c, 0xa0, 0x2c, 255}, {0xff, 0x7f, 0x0e, 255}, {0x94, 0x67, 0xbd, 255},
 	{0x8c, 0x56, 0x4b, 255}, {0xe3, 0x77, 0xc2, 255}, {0x55, 0x55, 0x55, 255}, {0xbc, 0xbd, 0x22, 255}, {0x17, 0xbe, 0xcf, 255}}
 
-func base(title, y string, s *fleet.Series, top float64) *plot.Plot {
+func base(title, y string, s *virtualrun.Series, top float64) *plot.Plot {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", y
 	p.Legend.Top, p.Legend.Left = true, false
@@ -153,7 +153,7 @@
 }
 
 // Plots are the pictures of a day.
-func Plots(s *fleet.Series) []Plot {
+func Plots(s *virtualrun.Series) []Plot {
 	if s == nil || s.Seconds == 0 {
 		return nil
 	}
--- a/lab/report/report_test.go
+++ b/internal/emulator/report/report_test.go
@@ -8,23 +8,23 @@
 	"strings"
 	"testing"
 
-	"cobaltpier/lab/fleet"
-	"cobaltpier/lab/stage"
-	"cobaltpier/lab/stats"
+	"cobaltpier/internal/emulator/scenario"
+	"cobaltpier/internal/emulator/stats"
+	"cobaltpier/internal/emulator/virtualrun"
 )
 
 // The same seeds give the same captures on one core and on several; the page of those days stands by itself.
 func TestDaysAndPage(t *testing.T) {
-	play := func(cores int) (sums [3]uint64, last *fleet.Result) {
+	play := func(cores int) (sums [3]uint64, last *virtualrun.Result) {
 		defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(cores))
-		var res [3]*fleet.Result
-		fleet.Each(context.Background(), 3, func(i int) {
-			s, err := stage.Day("plain", "length=\"4s\"", "gateways.count=2")
+		var res [3]*virtualrun.Result
+		virtualrun.Each(context.Background(), 3, func(i int) {
+			s, err := scenario.Day("plain", "length=\"4s\"", "gateways.count=2")
 			if err != nil {
 				panic(err)
 			}
 			s.Seed = uint64(i) + 1
-			res[i] = fleet.Play(s, fleet.Module("brain"), fleet.Options{Sum: true, Series: true})
+			res[i] = virtualrun.Play(s, virtualrun.Module("brain"), virtualrun.Options{Sum: true, Series: true})
 		})
 		for i, r := range res {
 			sums[i] = r.Sum
@@ -59,14 +59,14 @@
 	if err := Write(&b, Page{Title: "t"}); err != nil || !strings.Contains(b.String(), "Nothing was run.") {
 		t.Errorf("%v: %s", err, b.String())
 	}
-	if Plots(nil) != nil || len(Plots(&fleet.Series{})) != 0 {
+	if Plots(nil) != nil || len(Plots(&virtualrun.Series{})) != 0 {
 		t.Error("plots of nothing")
 	}
-	s, err := stage.Day("plain", "load.rate=0", "length=\"2s\"")
+	s, err := scenario.Day("plain", "load.rate=0", "length=\"2s\"")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := fleet.Play(s, fleet.Module("brain"), fleet.Options{Series: true})
+	r := virtualrun.Play(s, virtualrun.Module("brain"), virtualrun.Options{Series: true})
 	b.Reset()
 	if err := Write(&b, Page{Title: "t", Days: []Day{{Name: "none came", Plots: Plots(r.Series)}}}); err != nil {
 		t.Error(err)
--- a/lab/rush/rush.go
+++ b/internal/emulator/saturation/rush.go
@@ -1,7 +1,7 @@
-// Package rush drives one gateway as hard as it goes: callers and a switch that do next to nothing for each message, so
+// Package saturation drives one gateway as hard as it goes: callers and a switch that do next to nothing for each message, so
 // that the gateway is what is measured. Arrivals are sent by the clock and do not wait for answers. Beside it a bare
 // echo on the same reactor tells what the machine's sockets give.
-package rush
+package saturation
 
 //tally:standin
 
--- a/lab/stage/days.go
+++ b/internal/emulator/scenario/days.go
@@ -1,4 +1,4 @@
-package stage
+package scenario
 
 import (
 	"embed"
@@ -7,20 +7,21 @@
 	"os"
 	"strings"
 
-	"cobaltpier/conf"
-	"cobaltpier/lab/script"
+	"cobaltpier/internal/emulator/scenariofile"
+	"cobaltpier/internal/gateway/hclfile"
+	"cobaltpier/internal/hclconfig"
 )
 
 //go:embed days/*.hcl
 var days embed.FS
 
 // Day is one of the days that come with the program, with some values changed ("pools.count=6").
-func Day(name string, set ...string) (*script.Script, error) {
+func Day(name string, set ...string) (*scenariofile.Script, error) {
 	src, err := days.ReadFile("days/" + name + ".hcl")
 	if err != nil {
 		return nil, fmt.Errorf("day %q: not among those that come with the program: %s", name, strings.Join(Days(), ", "))
 	}
-	b, err := conf.Parse(name+".hcl", src)
+	b, err := hclconfig.Parse(name+".hcl", src)
 	if err != nil {
 		return nil, err
 	}
@@ -41,7 +42,7 @@
 }
 
 // Load reads a day: a file of HCL, one of JSON as hunts write them, or the name of one that comes with the program.
-func Load(name string, set ...string) (*script.Script, error) {
+func Load(name string, set ...string) (*scenariofile.Script, error) {
 	switch {
 	case strings.HasSuffix(name, ".json"):
 		src, err := os.ReadFile(name)
@@ -50,16 +51,16 @@
 		}
 		var head struct{ V int }
 		if json.Unmarshal(src, &head); head.V > 0 { // a day of the bench
-			s, _, err := script.FromBench(src)
+			s, _, err := scenariofile.FromBench(src)
 			return s, err
 		}
-		s := &script.Script{}
+		s := &scenariofile.Script{}
 		if err := json.Unmarshal(src, s); err != nil {
 			return nil, fmt.Errorf("day %s: %w", name, err)
 		}
 		return s, nil
 	case strings.HasSuffix(name, ".hcl"):
-		b, err := conf.Load(name)
+		b, err := hclfile.Load(name)
 		if err != nil {
 			return nil, err
 		}
@@ -68,7 +69,7 @@
 	return Day(name, set...)
 }
 
-func read(b *conf.Block, set []string) (*script.Script, error) {
+func read(b *hclconfig.Block, set []string) (*scenariofile.Script, error) {
 	for _, x := range set {
 		name, value, ok := strings.Cut(x, "=")
 		if !ok {
@@ -78,5 +79,5 @@
 			return nil, err
 		}
 	}
-	return script.Read(b)
+	return scenariofile.Read(b)
 }
--- a/lab/stage/design.go
+++ b/internal/emulator/scenario/design.go
@@ -1,4 +1,4 @@
-package stage
+package scenario
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"github.com/emiago/sipgo/sip"
 
 	"cobaltpier/api"
-	"cobaltpier/signal"
+	"cobaltpier/internal/protocol/siptransaction"
 )
 
 // Shares compares what the wire shows with the design (S2-082110): first rings go to the destination; of contacts whose
@@ -55,14 +55,14 @@
 	if d == nil {
 		return
 	}
-	m, err := signal.Parse(d.Data)
+	m, err := siptransaction.Parse(d.Data)
 	if err != nil {
 		return
 	}
 	switch m := m.(type) {
 	case *sip.Response:
 		if n, ok := s.pools[d.From]; ok {
-			for f := range strings.SplitSeq(signal.Field(m, signal.Load), ";") {
+			for f := range strings.SplitSeq(siptransaction.Field(m, siptransaction.Load), ";") {
 				if v, is := strings.CutPrefix(f, "util="); is {
 					if s.util[d.To] == nil {
 						s.util[d.To] = map[int]float64{}
@@ -76,7 +76,7 @@
 			return
 		}
 		to, trunk := s.pools[d.To]
-		id := signal.Session(m)
+		id := siptransaction.Session(m)
 		if !trunk {
 			_, group, _ := strings.Cut(m.Recipient.User, "tgrp=TG-")
 			n, _, _ := strings.Cut(group, ";")
--- a/lab/stage/guards_test.go
+++ b/internal/emulator/scenario/guards_test.go
@@ -1,27 +1,27 @@
-package stage
+package scenario
 
 import (
 	"testing"
 
 	"cobaltpier/api"
-	"cobaltpier/brain"
-	"cobaltpier/check"
-	"cobaltpier/contact"
-	"cobaltpier/host"
-	"cobaltpier/lab/script"
+	"cobaltpier/internal/conformance"
+	"cobaltpier/internal/emulator/scenariofile"
+	"cobaltpier/internal/protocol/endpointset"
+	"cobaltpier/internal/router"
+	"cobaltpier/internal/routing"
 )
 
 // rogue is a module that breaks one rule and leaves the rest to the real one.
 type rogue struct {
-	host.Module
-	h     contact.Host
+	endpointset.Module
+	h     routing.Host
 	rule  int
 	n     int
-	pools []*contact.Pool
-	set   *contact.Settings
+	pools []*routing.Pool
+	set   *routing.Settings
 }
 
-func (r *rogue) Listed(now float64, changed []*contact.Pool) {
+func (r *rogue) Listed(now float64, changed []*routing.Pool) {
 	for _, p := range changed {
 		known := false
 		for _, q := range r.pools {
@@ -34,7 +34,7 @@
 	r.Module.Listed(now, changed)
 }
 
-func (r *rogue) Offered(now float64, c *contact.Contact) {
+func (r *rogue) Offered(now float64, c *routing.Contact) {
 	r.n++
 	switch {
 	case r.rule == 1 && r.n%10 == 0: // a ring after the answer
@@ -54,7 +54,7 @@
 	}
 }
 
-func (r *rogue) Woken(now float64, c *contact.Contact) {
+func (r *rogue) Woken(now float64, c *routing.Contact) {
 	if r.rule == 5 && c != nil && c.Out != nil && !c.Stands {
 		r.h.Cancel(c.Out)
 		r.h.Wake(now+8, c)
@@ -63,19 +63,19 @@
 	r.Module.Woken(now, c)
 }
 
-func (r *rogue) Stood(now float64, ring *contact.Ring) {
+func (r *rogue) Stood(now float64, ring *routing.Ring) {
 	if r.rule == 4 || r.rule == 0 {
 		r.Module.Stood(now, ring)
 	}
 }
 
-func (r *rogue) Ended(now float64, ring *contact.Ring, closed bool) {
+func (r *rogue) Ended(now float64, ring *routing.Ring, closed bool) {
 	c := ring.Contact
 	switch {
 	case r.rule == 4 || r.rule == 0:
 		r.Module.Ended(now, ring, closed)
 	case c.Over || c.Stands || c.Out != nil:
-	case r.rule == 5 && ring.End == contact.Cancelled && c.Rings < 5:
+	case r.rule == 5 && ring.End == routing.Cancelled && c.Rings < 5:
 		c.Rings++
 		r.h.Ring(c, r.pools[0], c.Until-now)
 	default:
@@ -83,7 +83,7 @@
 	}
 }
 
-func short(t *testing.T) *script.Script {
+func short(t *testing.T) *scenariofile.Script {
 	t.Helper()
 	s, err := Day("try")
 	if err != nil {
@@ -92,13 +92,13 @@
 	s.Length = 16000
 	s.Net.Double = 0.01
 	s.Gateways.Count, s.Pools.Count, s.Load.Rate = 3, 2, 60
-	s.Troubles = []script.Trouble{{Kind: "deploy", At: 2000, For: 100, Part: 0.4}}
+	s.Troubles = []scenariofile.Trouble{{Kind: "deploy", At: 2000, For: 100, Part: 0.4}}
 	return s
 }
 
 // judged plays a day and returns what the checker finds; build makes the module, change may alter each gateway.
-func judged(s *script.Script, build host.Maker, off int) *check.Checker {
-	k := check.New()
+func judged(s *scenariofile.Script, build endpointset.Maker, off int) *conformance.Checker {
+	k := conformance.New()
 	st := New(s, 5060, func(r *api.Record) { k.Add(r) })
 	st.Off = off
 	NewVirtual(st, build)
@@ -111,8 +111,8 @@
 // switched off the checker sees the rule broken in the traffic.
 func TestGuardsAndChecker(t *testing.T) {
 	for _, rule := range []int{1, 2, 3, 5} {
-		mk := func(set *contact.Settings, h contact.Host) host.Module {
-			return &rogue{Module: brain.New(set, h), h: h, rule: rule, set: set}
+		mk := func(set *routing.Settings, h routing.Host) endpointset.Module {
+			return &rogue{Module: router.New(set, h), h: h, rule: rule, set: set}
 		}
 		if k := judged(short(t), mk, 0); len(k.Findings) > 0 {
 			t.Errorf("rule %d, guard on: %v", rule, k.Findings[0])
@@ -130,13 +130,13 @@
 		s := short(t)
 		s.Length, s.Load.Rate, s.Rules.ColdShare, s.Rules.TipTimes = 20000, 95, 0.2, 1.2
 		s.Pools.Model.ColdShare, s.Pools.Model.TipTimes, s.Pools.Model.Warm = 0.2, 0, 14000
-		s.Troubles = []script.Trouble{{Kind: "silent", At: 4000, For: 5000, Part: 0.5}}
-		k := judged(s, func(set *contact.Settings, h contact.Host) host.Module {
+		s.Troubles = []scenariofile.Trouble{{Kind: "silent", At: 4000, For: 5000, Part: 0.5}}
+		k := judged(s, func(set *routing.Settings, h routing.Host) endpointset.Module {
 			if !guarded {
 				set.TipMultiple = 0
-				return &pusher{rogue{Module: brain.New(set, h), h: h, set: set}}
+				return &pusher{rogue{Module: router.New(set, h), h: h, set: set}}
 			}
-			return brain.New(set, h)
+			return router.New(set, h)
 		}, 0)
 		if broken := k.Verdicts()[4] > 0; broken == guarded {
 			t.Errorf("guarded %v: rule 4 broken %v, budget used to %.2f", guarded, broken, k.Totals.ColdUse)
@@ -147,9 +147,9 @@
 // pusher sends all it has to a pool that starts.
 type pusher struct{ rogue }
 
-func (p *pusher) Offered(now float64, c *contact.Contact) {
+func (p *pusher) Offered(now float64, c *routing.Contact) {
 	for _, q := range p.pools {
-		if q.Since > 0 && q.State == contact.Ready {
+		if q.Since > 0 && q.State == routing.Ready {
 			p.h.Ring(c, q, c.Until-now)
 			return
 		}
--- a/lab/stage/kiosks.go
+++ b/internal/emulator/scenario/kiosks.go
@@ -1,4 +1,4 @@
-package stage
+package scenario
 
 import (
 	"math"
@@ -6,11 +6,11 @@
 	"strings"
 
 	"cobaltpier/api"
-	"cobaltpier/front"
-	"cobaltpier/lab/caller"
-	"cobaltpier/lab/kiosk"
-	"cobaltpier/lab/plan"
-	"cobaltpier/lab/world"
+	"cobaltpier/internal/emulator/callers"
+	"cobaltpier/internal/emulator/enumclient"
+	"cobaltpier/internal/emulator/simulation"
+	"cobaltpier/internal/emulator/workload"
+	"cobaltpier/internal/protocol/enumserver"
 )
 
 // KioskApex is the domain that kiosks ask under.
@@ -18,8 +18,8 @@
 
 // phone is a kiosk's own calls to one switch.
 type phone struct {
-	*caller.Callers
-	node *world.Node
+	*callers.Callers
+	node *simulation.Node
 }
 
 // openKiosks plans the visits and puts the kiosks' nodes in.
@@ -33,13 +33,15 @@
 	for i, g := range st.Gateways {
 		g.Front, g.phones = addr(1, i, port+40), map[netip.AddrPort]*phone{}
 		at := addr(9, i, port)
-		g.FrontAt = w.Add(&world.Node{Addr: g.Front, Name: g.Name, Region: g.Region, Tapped: true})
+		g.FrontAt = w.Add(&simulation.Node{Addr: g.Front, Name: g.Name, Region: g.Region, Tapped: true})
 		st.node(g.Front, "front", g.Name)
 		send := func(data []byte) { w.Send(at, g.Front, data) }
-		g.Kiosks = kiosk.New(kiosk.Manners{Apex: KioskApex, Wait: s.Kiosks.Wait, Repeats: s.Kiosks.Repeats, Asks: s.Kiosks.Asks, Pause: 900},
+		g.Kiosks = enumclient.New(enumclient.Manners{Apex: KioskApex, Wait: s.Kiosks.Wait, Repeats: s.Kiosks.Repeats, Asks: s.Kiosks.Asks, Pause: 900},
 			s.Seed*37+uint64(i), send, send)
-		g.Kiosks.Call = func(now float64, v *kiosk.Visit, user string, to netip.AddrPort) { st.kioskCalls(g, now, v, user, to) }
-		g.kiosks = w.Add(&world.Node{Addr: at, Name: g.Name, Region: g.Region, Machine: g.Kiosks})
+		g.Kiosks.Call = func(now float64, v *enumclient.Visit, user string, to netip.AddrPort) {
+			st.kioskCalls(g, now, v, user, to)
+		}
+		g.kiosks = w.Add(&simulation.Node{Addr: at, Name: g.Name, Region: g.Region, Machine: g.Kiosks})
 		st.node(at, "kiosk", g.Name)
 	}
 	for t := 0.0; ; {
@@ -47,13 +49,13 @@
 		if t >= s.Length-1000 {
 			break
 		}
-		home := plan.Pick(n.Chance(), len(st.places), func(i int) float64 { return 1 / st.places[i].model.Setup })
+		home := workload.Pick(n.Chance(), len(st.places), func(i int) float64 { return 1 / st.places[i].model.Setup })
 		number := "1418"
 		if st.Names != nil {
 			number = strings.TrimPrefix(st.dialled(home, n.Chance()), "+")
 		}
 		g := st.Gateways[int(n.Chance()*float64(len(st.Gateways)))]
-		g.Kiosks.Plan(&kiosk.Visit{At: t, Number: number, Hold: -math.Log(1-n.Chance()) * s.Kiosks.Hold})
+		g.Kiosks.Plan(&enumclient.Visit{At: t, Number: number, Hold: -math.Log(1-n.Chance()) * s.Kiosks.Hold})
 	}
 	for _, g := range st.Gateways {
 		g.kiosks.Due()
@@ -61,31 +63,31 @@
 }
 
 // kioskCalls lets a kiosk call the switch that was named.
-func (st *Stage) kioskCalls(g *Gateway, now float64, v *kiosk.Visit, user string, to netip.AddrPort) {
+func (st *Stage) kioskCalls(g *Gateway, now float64, v *enumclient.Visit, user string, to netip.AddrPort) {
 	w := st.World
 	p := g.phones[to]
 	if p == nil {
 		at := netip.AddrPortFrom(g.kiosks.Addr.Addr(), g.kiosks.Addr.Port()+uint16(100+len(g.phones)))
-		c := caller.New(caller.Manners{Context: Context, Parse: st.Parse, Silence: st.Script.Callers.Silence}, at, to, st.Script.Pools.Model.Times,
+		c := callers.New(callers.Manners{Context: Context, Parse: st.Parse, Silence: st.Script.Callers.Silence}, at, to, st.Script.Pools.Model.Times,
 			st.Script.Seed*41+uint64(at.Port())+uint64(g.Number)<<20, func(dst netip.AddrPort, data []byte) {
 				st.record(&api.Record_Datagram{Datagram: &api.Datagram{From: at.String(), To: dst.String(), Data: data}})
 				w.Send(at, dst, data)
 			})
-		p = &phone{c, w.Add(&world.Node{Addr: at, Name: g.Name, Region: g.Region, Machine: c})}
+		p = &phone{c, w.Add(&simulation.Node{Addr: at, Name: g.Name, Region: g.Region, Machine: c})}
 		g.phones[to] = p
 		st.node(at, "kiosk-phone", g.Name)
 	}
 	number, rest, _ := strings.Cut(user, ";")
 	skill := st.Script.Skills[0]
-	p.Plan(&caller.Arrival{At: now, Number: number + ";" + rest, Skill: skill.Name, Customer: st.Script.Payers[0].Name, Hold: v.Hold, Target: skill.Target,
+	p.Plan(&callers.Arrival{At: now, Number: number + ";" + rest, Skill: skill.Name, Customer: st.Script.Payers[0].Name, Hold: v.Hold, Target: skill.Target,
 		Patience: skill.Patience, Try: skill.Try, Value: 1})
 	p.node.Due()
 }
 
 // FrontConfig is how the gateways answer look-ups.
-func (st *Stage) FrontConfig() front.Config {
-	return front.Config{Apex: KioskApex, Skill: st.Script.Skills[0].Name, Negative: 30, Patience: 3000, Repeat: 5000, Gain: 8, Most: 2000, Keep: 10000, Context: Context,
-		Limits: front.Limits{Rate: 50, Burst: 100, Clients: 10000, Nets: []front.Net{{Prefix: netip.MustParsePrefix("127.90.0.0/16"), Rate: 5000}}}}
+func (st *Stage) FrontConfig() enumserver.Config {
+	return enumserver.Config{Apex: KioskApex, Skill: st.Script.Skills[0].Name, Negative: 30, Patience: 3000, Repeat: 5000, Gain: 8, Most: 2000, Keep: 10000, Context: Context,
+		Limits: enumserver.Limits{Rate: 50, Burst: 100, Clients: 10000, Nets: []enumserver.Net{{Prefix: netip.MustParsePrefix("127.90.0.0/16"), Rate: 5000}}}}
 }
 
 // KioskService is what became of the kiosks' contacts.
--- a/lab/stage/numbers.go
+++ b/internal/emulator/scenario/numbers.go
@@ -1,4 +1,4 @@
-package stage
+package scenario
 
 import (
 	"fmt"
@@ -7,11 +7,11 @@
 	"strconv"
 
 	"cobaltpier/api"
-	"cobaltpier/lab/names"
-	"cobaltpier/lab/script"
-	"cobaltpier/number"
-	"cobaltpier/ported"
-	"cobaltpier/resolve"
+	"cobaltpier/internal/decision/numberplan"
+	"cobaltpier/internal/emulator/dnsserver"
+	"cobaltpier/internal/emulator/scenariofile"
+	"cobaltpier/internal/protocol/dnsclient"
+	"cobaltpier/internal/protocol/portability"
 )
 
 // Apex is the domain under which a day's portability stands.
@@ -19,17 +19,17 @@
 
 // Names are a day's stand-ins for DNS servers and its number tables.
 type Names struct {
-	Servers []*names.Server
+	Servers []*dnsserver.Server
 	Addrs   []netip.AddrPort
-	Alter   func(i int, do func(*names.Server)) // changes a server; one behind a socket needs a lock
-	Version uint64                              // of the table that is in force
+	Alter   func(i int, do func(*dnsserver.Server)) // changes a server; one behind a socket needs a lock
+	Version uint64                                  // of the table that is in force
 	tables  map[uint64]*Table
 	Dialled int // contacts' numbers, drawn
 }
 
 // Table is a table in both forms.
 type Table struct {
-	*number.Table
+	*numberplan.Table
 	Form []byte
 }
 
@@ -39,15 +39,15 @@
 	if !st.Script.Analyses() {
 		return
 	}
-	zone := &names.Zone{Apex: Apex, Seed: st.Script.Seed*31 + 7, Ported: s.Ported, None: s.None, Leads: s.Leads, TTL: uint32(s.TTL / 1000)}
+	zone := &dnsserver.Zone{Apex: Apex, Seed: st.Script.Seed*31 + 7, Ported: s.Ported, None: s.None, Leads: s.Leads, TTL: uint32(s.TTL / 1000)}
 	for i := range st.Script.Pools.Count {
 		zone.Routes = append(zone.Routes, fmt.Sprintf("+1999%03d0000", i))
 	}
 	st.Names = &Names{Version: 1, tables: map[uint64]*Table{}}
 	n := st.Names
-	n.Alter = func(i int, do func(*names.Server)) { do(n.Servers[i]) }
+	n.Alter = func(i int, do func(*dnsserver.Server)) { do(n.Servers[i]) }
 	for i := range s.Servers {
-		n.Servers = append(n.Servers, &names.Server{Zone: zone, Seed: st.Script.Seed + uint64(i)*13, Faults: names.Faults{Delay: s.Delay, Jitter: s.Jitter}})
+		n.Servers = append(n.Servers, &dnsserver.Server{Zone: zone, Seed: st.Script.Seed + uint64(i)*13, Faults: dnsserver.Faults{Delay: s.Delay, Jitter: s.Jitter}})
 		n.Addrs = append(n.Addrs, addr(8, i, int(st.Gateways[0].Addr.Port())))
 	}
 	if s.Change > 0 {
@@ -100,11 +100,11 @@
 				Then: &api.NumberAction{Do: &api.NumberAction_Route{Route: name}}})
 		}
 	}
-	t, err := number.Compile(form)
+	t, err := numberplan.Compile(form)
 	if err != nil {
 		panic(err) // the text above is wrong
 	}
-	b, err := number.Pack(form)
+	b, err := numberplan.Pack(form)
 	if err != nil {
 		panic(err)
 	}
@@ -119,61 +119,61 @@
 }
 
 // Resolve is how the gateways look up.
-func (st *Stage) Resolve(seed uint64) resolve.Config {
+func (st *Stage) Resolve(seed uint64) dnsclient.Config {
 	s := st.Script.Numbers
-	c := resolve.Config{Servers: st.Names.Addrs, Ports: 2, Seed: seed, Most: 1000, Tries: 4, StaleAfter: 100, Alone: s.Alone,
-		Cache: resolve.CacheTimes{Most: 100000, Least: 1000, Longest: 3600e3, Negative: 60e3, Stale: s.Stale, Fail: s.Fail}}
+	c := dnsclient.Config{Servers: st.Names.Addrs, Ports: 2, Seed: seed, Most: 1000, Tries: 4, StaleAfter: 100, Alone: s.Alone,
+		Cache: dnsclient.CacheTimes{Most: 100000, Least: 1000, Longest: 3600e3, Negative: 60e3, Stale: s.Stale, Fail: s.Fail}}
 	if !s.Cache {
-		c.Cache = resolve.CacheTimes{Most: 1, Fail: s.Fail}
+		c.Cache = dnsclient.CacheTimes{Most: 1, Fail: s.Fail}
 	}
 	return c
 }
 
 // namesTrouble puts a trouble of the DNS servers on.
-func (st *Stage) namesTrouble(t script.Trouble, during func(begin, stop func())) {
+func (st *Stage) namesTrouble(t scenariofile.Trouble, during func(begin, stop func())) {
 	if st.Names == nil {
 		return
 	}
 	n := st.Names
 	some := max(1, int(math.Round(t.Part*float64(len(n.Servers)))))
-	set := func(do func(*names.Faults)) {
+	set := func(do func(*dnsserver.Faults)) {
 		for i := range min(some, len(n.Servers)) {
-			n.Alter(i, func(s *names.Server) { do(&s.Faults) })
+			n.Alter(i, func(s *dnsserver.Server) { do(&s.Faults) })
 		}
 	}
-	var begin func(f *names.Faults)
+	var begin func(f *dnsserver.Faults)
 	switch t.Kind {
 	case "names_silent":
-		begin = func(f *names.Faults) { f.Silent = true }
+		begin = func(f *dnsserver.Faults) { f.Silent = true }
 	case "names_slow":
-		begin = func(f *names.Faults) { f.Delay = t.Size * 1000 }
+		begin = func(f *dnsserver.Faults) { f.Delay = t.Size * 1000 }
 	case "names_lossy":
-		begin = func(f *names.Faults) { f.Loss = t.Size }
+		begin = func(f *dnsserver.Faults) { f.Loss = t.Size }
 	case "names_spoofed":
-		begin = func(f *names.Faults) { f.Spoof, f.Guesses = 1, int(t.Size) }
+		begin = func(f *dnsserver.Faults) { f.Spoof, f.Guesses = 1, int(t.Size) }
 	case "names_cut":
-		begin = func(f *names.Faults) { f.Cut = t.Size }
+		begin = func(f *dnsserver.Faults) { f.Cut = t.Size }
 	case "names_lame":
-		begin = func(f *names.Faults) { f.Lame = true }
+		begin = func(f *dnsserver.Faults) { f.Lame = true }
 	case "names_wrong":
-		begin = func(f *names.Faults) { f.WrongID = t.Size }
+		begin = func(f *dnsserver.Faults) { f.WrongID = t.Size }
 	}
-	plain := names.Faults{Delay: st.Script.Numbers.Delay, Jitter: st.Script.Numbers.Jitter}
-	during(func() { set(begin) }, func() { set(func(f *names.Faults) { *f = plain }) })
+	plain := dnsserver.Faults{Delay: st.Script.Numbers.Delay, Jitter: st.Script.Numbers.Jitter}
+	during(func() { set(begin) }, func() { set(func(f *dnsserver.Faults) { *f = plain }) })
 }
 
 // lookUps are a gateway's resolver in virtual time: its ports and the servers are reached over the world's wire.
 type lookUps struct {
 	box    *Box
-	client *resolve.Client
-	*ported.Finder
+	client *dnsclient.Client
+	*portability.Finder
 }
 
 func (b *Box) lookUps() *lookUps {
 	st := b.v.Stage
 	l := &lookUps{box: b}
-	l.client = resolve.New(st.Resolve(st.Script.Seed*97+uint64(b.g.Number)+b.births<<32), l)
-	l.Finder = &ported.Finder{Asker: l.client, Apex: Apex, Services: []string{"pstn:tel"}}
+	l.client = dnsclient.New(st.Resolve(st.Script.Seed*97+uint64(b.g.Number)+b.births<<32), l)
+	l.Finder = &portability.Finder{Asker: l.client, Apex: Apex, Services: []string{"pstn:tel"}}
 	return l
 }
 
@@ -240,8 +240,8 @@
 }
 
 // LookUps adds up what the gateways' resolvers have seen, those of processes that were killed left out.
-func (v *Virtual) LookUps() resolve.Counts {
-	var sum resolve.Counts
+func (v *Virtual) LookUps() dnsclient.Counts {
+	var sum dnsclient.Counts
 	for _, b := range v.Edges {
 		if b.look != nil {
 			sum.Add(&b.look.client.Counts)
--- a/lab/stage/numbers_test.go
+++ b/internal/emulator/scenario/numbers_test.go
@@ -1,16 +1,16 @@
-package stage
+package scenario
 
 import (
 	"testing"
 
 	"cobaltpier/api"
-	"cobaltpier/check"
-	"cobaltpier/edge"
-	"cobaltpier/lab/script"
+	"cobaltpier/internal/conformance"
+	"cobaltpier/internal/emulator/scenariofile"
+	"cobaltpier/internal/protocol/b2bua"
 )
 
 // numbersDay plays a short day on which numbers are analysed and tables change every second.
-func numbersDay(t *testing.T, change func(*script.Script)) (*Stage, *Virtual, *check.Checker, *check.Tables) {
+func numbersDay(t *testing.T, change func(*scenariofile.Script)) (*Stage, *Virtual, *conformance.Checker, *conformance.Tables) {
 	t.Helper()
 	s, err := Day("numbers", `length="14s"`, "load.rate=200", "gateways.count=4", "pools.count=3")
 	if err != nil {
@@ -19,10 +19,10 @@
 	if change != nil {
 		change(s)
 	}
-	k, tables := check.New(), check.NewTables(Mark4)
+	k, tables := conformance.New(), conformance.NewTables(Mark4)
 	st := New(s, 5060, func(r *api.Record) { k.Add(r); tables.Add(r) })
 	k.Parse, tables.Parse = st.Parse, st.Parse
-	st.Fate = func(gateway int, f edge.Fate) { tables.Record(st.Gateways[gateway].Name, f.Session, f.Table) }
+	st.Fate = func(gateway int, f b2bua.Fate) { tables.Record(st.Gateways[gateway].Name, f.Session, f.Table) }
 	v := NewVirtual(st, mind)
 	st.World.Run(s.Length + 12000)
 	k.Finish()
@@ -37,8 +37,8 @@
 // Tables change every second, gateways are killed and stand still, DNS servers fail: each contact is analysed wholly by a
 // table that was in force when it came, all rules are kept, and nobody keeps an old table when the day is over.
 func TestTablesChange(t *testing.T) {
-	st, v, _, tables := numbersDay(t, func(s *script.Script) {
-		s.Troubles = []script.Trouble{{Kind: "restart", At: 4000, For: 1000, Part: 0.25}, {Kind: "stall", At: 6000, For: 3000, Part: 0.5, Size: 0.8},
+	st, v, _, tables := numbersDay(t, func(s *scenariofile.Script) {
+		s.Troubles = []scenariofile.Trouble{{Kind: "restart", At: 4000, For: 1000, Part: 0.25}, {Kind: "stall", At: 6000, For: 3000, Part: 0.5, Size: 0.8},
 			{Kind: "names_silent", At: 8000, For: 3000, Part: 1}, {Kind: "deploy", At: 3000, For: 2000, Part: 0.3}}
 	})
 	for i, f := range tables.Findings {
@@ -62,11 +62,11 @@
 // Each trouble of the DNS servers, all of them at once: callers are served, the rules kept, and what the resolver holds
 // is bounded and let go.
 func TestNamesTroubles(t *testing.T) {
-	for _, c := range []script.Trouble{{Kind: "names_silent"}, {Kind: "names_slow", Size: 2}, {Kind: "names_lossy", Size: 0.6}, {Kind: "names_spoofed", Size: 20},
+	for _, c := range []scenariofile.Trouble{{Kind: "names_silent"}, {Kind: "names_slow", Size: 2}, {Kind: "names_lossy", Size: 0.6}, {Kind: "names_spoofed", Size: 20},
 		{Kind: "names_cut", Size: 1}, {Kind: "names_lame"}, {Kind: "names_wrong", Size: 1}} {
 		t.Run(c.Kind, func(t *testing.T) {
 			c.At, c.For, c.Part = 3000, 7000, 1
-			st, v, _, tables := numbersDay(t, func(s *script.Script) { s.Troubles = []script.Trouble{c}; s.Numbers.Change = 3000 })
+			st, v, _, tables := numbersDay(t, func(s *scenariofile.Script) { s.Troubles = []scenariofile.Trouble{c}; s.Numbers.Change = 3000 })
 			if len(tables.Findings) > 0 {
 				t.Error(tables.Findings[0])
 			}
@@ -91,9 +91,9 @@
 // are lost: one answer a look-up, none that names a switch known to drain, no call to one that was not just named, and cold
 // switches are not pushed over by callers and kiosks together.
 func TestKiosks(t *testing.T) {
-	st, v, k, _ := numbersDay(t, func(s *script.Script) {
-		s.Kiosks = script.Kiosks{Rate: 120, Hold: 4000, Loss: 0.05, Wait: 800, Repeats: 2, Asks: 2}
-		s.Troubles = []script.Trouble{{Kind: "deploy", At: 3000, For: 3000, Part: 0.67}, {Kind: "silent", At: 7000, For: 2000, Part: 0.3},
+	st, v, k, _ := numbersDay(t, func(s *scenariofile.Script) {
+		s.Kiosks = scenariofile.Kiosks{Rate: 120, Hold: 4000, Loss: 0.05, Wait: 800, Repeats: 2, Asks: 2}
+		s.Troubles = []scenariofile.Trouble{{Kind: "deploy", At: 3000, For: 3000, Part: 0.67}, {Kind: "silent", At: 7000, For: 2000, Part: 0.3},
 			{Kind: "restart", At: 5000, For: 1000, Part: 0.25}, {Kind: "stall", At: 9000, For: 2000, Part: 0.5, Size: 0.8}}
 	})
 	sv := st.KioskService()
--- a/lab/stage/service.go
+++ b/internal/emulator/scenario/service.go
@@ -1,4 +1,4 @@
-package stage
+package scenario
 
 import (
 	"math"
--- a/lab/stage/stage.go
+++ b/internal/emulator/scenario/stage.go
@@ -1,6 +1,6 @@
-// Package stage puts a script's day on: switches, callers, the pool list and the wire between them and the gateways.
+// Package scenario puts a script's day on: switches, callers, the pool list and the wire between them and the gateways.
 // The gateways themselves are the very edge machines in virtual time, or processes of their own behind real sockets.
-package stage
+package scenario
 
 //tally:standin
 
@@ -14,16 +14,16 @@
 	"github.com/emiago/sipgo/sip"
 
 	"cobaltpier/api"
-	"cobaltpier/contact"
-	"cobaltpier/edge"
-	"cobaltpier/intake"
-	"cobaltpier/lab/caller"
-	"cobaltpier/lab/core"
-	"cobaltpier/lab/kiosk"
-	"cobaltpier/lab/plan"
-	"cobaltpier/lab/script"
-	"cobaltpier/lab/world"
-	"cobaltpier/signal"
+	"cobaltpier/internal/decision/intake"
+	"cobaltpier/internal/emulator/callers"
+	"cobaltpier/internal/emulator/coreswitch"
+	"cobaltpier/internal/emulator/enumclient"
+	"cobaltpier/internal/emulator/scenariofile"
+	"cobaltpier/internal/emulator/simulation"
+	"cobaltpier/internal/emulator/workload"
+	"cobaltpier/internal/protocol/b2bua"
+	"cobaltpier/internal/protocol/siptransaction"
+	"cobaltpier/internal/routing"
 )
 
 // Context is the trunk-context of a day's groups.
@@ -46,14 +46,14 @@
 	Addr    netip.AddrPort // SIP
 	Peer    netip.AddrPort // other gateways' messages
 	Region  string
-	Callers *caller.Callers
-	callers *world.Node
-	Kiosks  *kiosk.Kiosks  // nil: none
-	Front   netip.AddrPort // where look-ups are answered
-	FrontAt *world.Node    // nil: nowhere
-	kiosks  *world.Node
+	Callers *callers.Callers
+	callers *simulation.Node
+	Kiosks  *enumclient.Kiosks // nil: none
+	Front   netip.AddrPort     // where look-ups are answered
+	FrontAt *simulation.Node   // nil: nowhere
+	kiosks  *simulation.Node
 	phones  map[netip.AddrPort]*phone
-	Node    *world.Node
+	Node    *simulation.Node
 	have    uint64
 	deaf    bool // no list reaches it
 }
@@ -62,29 +62,29 @@
 type place struct {
 	number int
 	region string
-	model  core.Model
+	model  coreswitch.Model
 	addr   netip.AddrPort
 	id     string
 	state  api.State
 	start  float64 // -1: long ago
-	sw     *core.Switch
-	node   *world.Node
+	sw     *coreswitch.Switch
+	node   *simulation.Node
 	birth  int
 }
 
 // Stage is a day that goes on.
 type Stage struct {
-	Script   *script.Script
-	World    *world.World
+	Script   *scenariofile.Script
+	World    *simulation.World
 	Gateways []*Gateway
 	Fleet    Fleet
 	Record   func(*api.Record)                 // what the capture gets; may be nil
 	Say      func(at float64, what string)     // troubles as they begin and end; may be nil
 	Parse    func([]byte) (sip.Message, error) // what all machines of the stage read with
-	Fate     func(gateway int, f edge.Fate)    // gets the record of each contact, in virtual time; may be nil
+	Fate     func(gateway int, f b2bua.Fate)   // gets the record of each contact, in virtual time; may be nil
 	Names    *Names                            // nil: callers name their trunk groups
 	Off      int                               // a guard of the edges that is switched off, to show that the checker sees it
-	names    signal.Names
+	names    siptransaction.Names
 	places   []*place
 	machines []*api.Member // of the list as its keeper knows it, with start times in AgeMs
 	version  uint64
@@ -96,17 +96,17 @@
 
 // New builds the stage of a script; base numbers the addresses' last but one byte so that stages don't meet. The
 // gateways are added by whoever runs them.
-func New(s *script.Script, port int, record func(*api.Record)) *Stage {
+func New(s *scenariofile.Script, port int, record func(*api.Record)) *Stage {
 	return build(s, port, 0, record)
 }
 
 // NewReal builds a stage whose gateways are behind sockets; records of different sockets may stand out of order by blur ms.
-func NewReal(s *script.Script, port int, blur float64, record func(*api.Record)) *Stage {
+func NewReal(s *scenariofile.Script, port int, blur float64, record func(*api.Record)) *Stage {
 	return build(s, port, blur, record)
 }
 
-func build(s *script.Script, port int, blur float64, record func(*api.Record)) *Stage {
-	st := &Stage{Script: s, World: world.New(s.Seed), Record: record, Parse: remember()}
+func build(s *scenariofile.Script, port int, blur float64, record func(*api.Record)) *Stage {
+	st := &Stage{Script: s, World: simulation.New(s.Seed), Record: record, Parse: remember()}
 	st.names.Seed = s.Seed*2654435761 + 17
 	w := st.World
 	w.Link = st.link
@@ -120,13 +120,13 @@
 	for i := 0; i < s.Gateways.Count; i++ {
 		region := s.Regions[i%len(s.Regions)]
 		g := &Gateway{Number: i, Name: fmt.Sprintf("edge-%d", i), Region: region, Addr: addr(1, i, port), Peer: addr(1, i, port+10)}
-		g.Node = w.Add(&world.Node{Addr: g.Addr, Name: g.Name, Region: region, Tick: s.Gateways.Tick, Tapped: true})
+		g.Node = w.Add(&simulation.Node{Addr: g.Addr, Name: g.Name, Region: region, Tick: s.Gateways.Tick, Tapped: true})
 		from := addr(2, i, port)
 		c := s.Callers
-		g.Callers = caller.New(caller.Manners{Redials: c.Redials, Pause: c.Pause, Grows: c.Grows, Honour: c.Honour, MaxWait: c.MaxWait,
+		g.Callers = callers.New(callers.Manners{Redials: c.Redials, Pause: c.Pause, Grows: c.Grows, Honour: c.Honour, MaxWait: c.MaxWait,
 			Context: Context, Silence: c.Silence, Parse: st.Parse}, from, g.Addr, s.Pools.Model.Times, s.Seed+uint64(i)*7919+1,
 			func(to netip.AddrPort, data []byte) { w.Send(from, to, data) })
-		g.callers = w.Add(&world.Node{Addr: from, Name: fmt.Sprintf("callers-%d", i), Region: region, Machine: g.Callers})
+		g.callers = w.Add(&simulation.Node{Addr: from, Name: fmt.Sprintf("callers-%d", i), Region: region, Machine: g.Callers})
 		st.Gateways = append(st.Gateways, g)
 		st.node(g.Addr, "edge", g.Name)
 		st.node(from, "caller", g.callers.Name)
@@ -226,9 +226,9 @@
 }
 
 // link is the wire between two nodes.
-func (st *Stage) link(a, b *world.Node) world.Link {
+func (st *Stage) link(a, b *simulation.Node) simulation.Link {
 	n := st.Script.Net
-	l := world.Link{Delay: n.Cross, Jitter: n.Jitter, Loss: n.Loss + st.loss, Double: n.Double}
+	l := simulation.Link{Delay: n.Cross, Jitter: n.Jitter, Loss: n.Loss + st.loss, Double: n.Double}
 	if a.Region == b.Region {
 		l.Delay = n.Same
 	}
@@ -237,22 +237,25 @@
 		return l
 	}
 	if (st.isCaller(a) || st.isCaller(b)) && !st.isSwitch(a) && !st.isSwitch(b) {
-		return world.Link{Delay: n.Caller}
+		return simulation.Link{Delay: n.Caller}
 	}
 	return l
 }
 
-func (st *Stage) isSwitch(n *world.Node) bool { _, ok := n.Machine.(*core.Switch); return ok }
+func (st *Stage) isSwitch(n *simulation.Node) bool {
+	_, ok := n.Machine.(*coreswitch.Switch)
+	return ok
+}
 
-func (st *Stage) isKiosk(n *world.Node) bool { _, ok := n.Machine.(*kiosk.Kiosks); return ok }
+func (st *Stage) isKiosk(n *simulation.Node) bool { _, ok := n.Machine.(*enumclient.Kiosks); return ok }
 
-func (st *Stage) isCaller(n *world.Node) bool { _, ok := n.Machine.(*caller.Callers); return ok }
+func (st *Stage) isCaller(n *simulation.Node) bool { _, ok := n.Machine.(*callers.Callers); return ok }
 
 // boot starts a switch process at a place.
 func (st *Stage) boot(p *place, cold bool) {
 	w := st.World
 	self := p.addr
-	p.sw = core.New(p.model, self, st.Script.Seed+uint64(p.number)*104729+uint64(p.birth)*31+5, w.Now, cold,
+	p.sw = coreswitch.New(p.model, self, st.Script.Seed+uint64(p.number)*104729+uint64(p.birth)*31+5, w.Now, cold,
 		func(to netip.AddrPort, data []byte) { w.Send(self, to, data) })
 	if n := w.Node(self); n != nil {
 		n.Live(p.sw)
@@ -262,7 +265,7 @@
 		if p.birth > 0 {
 			name = fmt.Sprintf("%s.%d", name, p.birth)
 		}
-		p.node = w.Add(&world.Node{Addr: self, Name: name, Region: p.region, Machine: p.sw})
+		p.node = w.Add(&simulation.Node{Addr: self, Name: name, Region: p.region, Machine: p.sw})
 		st.node(self, "switch", name)
 	}
 	p.node.Due()
@@ -430,15 +433,15 @@
 				weights = append(weights, (1+s.Load.Skew*(2*n.Chance()-1))/p.model.Setup)
 			}
 		}
-		k := plan.Pick(n.Chance(), len(s.Skills), func(i int) float64 { return s.Skills[i].Share })
-		c := plan.Pick(n.Chance(), len(s.Payers), func(i int) float64 { return s.Payers[i].Share })
-		home := plan.Pick(n.Chance(), len(weights), func(i int) float64 { return weights[i] })
+		k := workload.Pick(n.Chance(), len(s.Skills), func(i int) float64 { return s.Skills[i].Share })
+		c := workload.Pick(n.Chance(), len(s.Payers), func(i int) float64 { return s.Payers[i].Share })
+		home := workload.Pick(n.Chance(), len(weights), func(i int) float64 { return weights[i] })
 		skill := s.Skills[k]
 		number, group := fmt.Sprintf("+1418%07d", int(n.Chance()*float64(s.Load.Numbers))), Group(home)
 		if st.Names != nil {
 			number, group = st.dialled(home, n.Chance()), ""
 		}
-		st.Gateways[g].Callers.Plan(&caller.Arrival{At: at, Number: number,
+		st.Gateways[g].Callers.Plan(&callers.Arrival{At: at, Number: number,
 			Skill: skill.Name, Customer: s.Payers[c].Name, Group: group, Hold: -math.Log(1-n.Chance()) * skill.Hold,
 			Target: skill.Target, Patience: skill.Patience, Try: skill.Try, Value: skill.Value, Late: skill.Late})
 	}
@@ -454,7 +457,7 @@
 
 // replay plans the calls of a trace in place of drawn ones.
 func (st *Stage) replay() {
-	skills := map[string]script.Skill{}
+	skills := map[string]scenariofile.Skill{}
 	for _, k := range st.Script.Skills {
 		skills[k.Name] = k
 	}
@@ -471,7 +474,7 @@
 			hold = k.Hold
 		}
 		g := st.Gateways[int(c.Gateway)%len(st.Gateways)]
-		g.Callers.Plan(&caller.Arrival{At: c.AtMs, Number: c.Number, Skill: k.Name, Customer: c.Customer, Group: c.Group, Hold: hold, Target: k.Target,
+		g.Callers.Plan(&callers.Arrival{At: c.AtMs, Number: c.Number, Skill: k.Name, Customer: c.Customer, Group: c.Group, Hold: hold, Target: k.Target,
 			Patience: patience, Try: math.Min(k.Try, patience), Value: k.Value, Late: k.Late})
 	}
 	for _, g := range st.Gateways {
@@ -480,7 +483,7 @@
 }
 
 // flood sends one gateway many contacts of the least value.
-func (st *Stage) flood(t script.Trouble) {
+func (st *Stage) flood(t scenariofile.Trouble) {
 	s, n := st.Script, &st.names
 	least := s.Skills[0]
 	for _, k := range s.Skills {
@@ -493,7 +496,7 @@
 		if st.Names != nil {
 			number, group = st.dialled(int(n.Chance()*float64(len(st.places))), n.Chance()), ""
 		}
-		st.Gateways[0].Callers.Plan(&caller.Arrival{At: at, Number: number, Skill: least.Name,
+		st.Gateways[0].Callers.Plan(&callers.Arrival{At: at, Number: number, Skill: least.Name,
 			Customer: s.Payers[0].Name, Group: group, Hold: least.Hold, Target: least.Target, Patience: least.Patience,
 			Try: least.Try, Value: least.Value, Late: least.Late, Over: true})
 	}
@@ -503,33 +506,33 @@
 func Group(pool int) string { return fmt.Sprintf("TG-%d", pool) }
 
 // Settings are what the decision module of a gateway is told.
-func (st *Stage) Settings(g *Gateway) *contact.Settings {
+func (st *Stage) Settings(g *Gateway) *routing.Settings {
 	s := st.Script
-	set := &contact.Settings{Gateways: s.Gateways.Count, Me: g.Number, Seed: s.Seed*1000003 + uint64(g.Number), Tick: s.Gateways.Tick,
+	set := &routing.Settings{Gateways: s.Gateways.Count, Me: g.Number, Seed: s.Seed*1000003 + uint64(g.Number), Tick: s.Gateways.Tick,
 		MaxRings: s.Gateways.MaxRings, MayProbe: s.Gateways.Probe, MayTell: s.Gateways.Tell, MayCancel: s.Gateways.Cancel,
 		MayWait: s.Gateways.NameWait, MaxWait: float64(s.Gateways.MaxWait), Retransmit: s.Pools.Model.Times.T1,
 		Slack: s.Rules.Slack, ColdShare: s.Rules.ColdShare, WarmWithin: s.Rules.WarmWithin, TipMultiple: s.Rules.TipTimes,
 		TipTime: s.Rules.TipWindow, ClearWait: s.Rules.Clear}
 	for _, k := range s.Skills {
-		set.Skills = append(set.Skills, &contact.Skill{Name: k.Name, Target: k.Target, Patience: k.Patience, Value: k.Value,
+		set.Skills = append(set.Skills, &routing.Skill{Name: k.Name, Target: k.Target, Patience: k.Patience, Value: k.Value,
 			LateValue: k.Late, Hold: k.Hold, Repeat: true})
 	}
 	for _, c := range s.Payers {
-		set.Customers = append(set.Customers, &contact.Customer{Name: c.Name})
+		set.Customers = append(set.Customers, &routing.Customer{Name: c.Name})
 	}
 	return set
 }
 
 // Config is what a gateway's edge is told.
-func (st *Stage) Config(g *Gateway) *edge.Config {
+func (st *Stage) Config(g *Gateway) *b2bua.Config {
 	s := st.Script
-	c := &edge.Config{Name: g.Name, Self: g.Addr, Context: Context, Set: st.Settings(g), Times: s.Pools.Model.Times,
+	c := &b2bua.Config{Name: g.Name, Self: g.Addr, Context: Context, Set: st.Settings(g), Times: s.Pools.Model.Times,
 		Parse: st.Parse, Default: s.Skills[0].Name, Margin: s.Gateways.Margin, Gate: intake.Gate{Most: s.Gateways.Held, Rate: s.Gateways.MostRate}}
 	if st.Off > 0 {
 		c.Off[st.Off] = true
 	}
 	for _, p := range st.places {
-		c.Groups = append(c.Groups, edge.Group{Name: Group(p.number), Pool: p.number, Size: p.model.Lines})
+		c.Groups = append(c.Groups, b2bua.Group{Name: Group(p.number), Pool: p.number, Size: p.model.Lines})
 	}
 	return c
 }
@@ -554,11 +557,11 @@
 	var slots [1 << 12]parsed
 	return func(data []byte) (sip.Message, error) {
 		if len(data) == 0 {
-			return signal.Parse(data)
+			return siptransaction.Parse(data)
 		}
 		p := &slots[(uintptr(unsafe.Pointer(&data[0]))>>4)%uintptr(len(slots))]
 		if p.first != &data[0] || p.n != len(data) {
-			p.m, p.err = signal.Parse(data)
+			p.m, p.err = siptransaction.Parse(data)
 			p.first, p.n = &data[0], len(data) // held, so that nothing else comes to lie there
 		}
 		return p.m, p.err
--- a/lab/stage/stage_test.go
+++ b/internal/emulator/scenario/stage_test.go
@@ -1,4 +1,4 @@
-package stage
+package scenario
 
 import (
 	"testing"
@@ -6,21 +6,21 @@
 	"google.golang.org/protobuf/proto"
 
 	"cobaltpier/api"
-	"cobaltpier/brain"
-	"cobaltpier/check"
-	"cobaltpier/contact"
-	"cobaltpier/host"
-	"cobaltpier/lab/script"
+	"cobaltpier/internal/conformance"
+	"cobaltpier/internal/emulator/scenariofile"
+	"cobaltpier/internal/protocol/endpointset"
+	"cobaltpier/internal/router"
+	"cobaltpier/internal/routing"
 )
 
-func mind(s *contact.Settings, h contact.Host) host.Module { return brain.New(s, h) }
+func mind(s *routing.Settings, h routing.Host) endpointset.Module { return router.New(s, h) }
 
 func TestDayOfTrouble(t *testing.T) {
 	s, err := Day("trouble")
 	if err != nil {
 		t.Fatal(err)
 	}
-	k := check.New()
+	k := conformance.New()
 	st := New(s, 5060, func(r *api.Record) { k.Add(r) })
 	v := NewVirtual(st, mind)
 	st.World.Run(s.Length + 12000)
@@ -94,8 +94,8 @@
 	s.Gateways.Count, s.Gateways.Held, s.Gateways.MostRate = 1, 400, 90
 	s.Load.Rate, s.Length = 40, 8000
 	s.Callers.Redials = 0
-	s.Troubles = []script.Trouble{{Kind: "flood", At: 2000, For: 4000, Size: 20}}
-	k := check.New()
+	s.Troubles = []scenariofile.Trouble{{Kind: "flood", At: 2000, For: 4000, Size: 20}}
+	k := conformance.New()
 	st := New(s, 5060, func(r *api.Record) { k.Add(r) })
 	v := NewVirtual(st, mind)
 	most := 0
@@ -132,7 +132,7 @@
 	s := short(t)
 	s.Length = 70000
 	s.Load.Rate = 30
-	s.Troubles = append(s.Troubles, script.Trouble{Kind: "listless", At: 1000, For: 60000}, script.Trouble{Kind: "stall", At: 5000, For: 3000, Part: 0.4, Size: 2})
+	s.Troubles = append(s.Troubles, scenariofile.Trouble{Kind: "listless", At: 1000, For: 60000}, scenariofile.Trouble{Kind: "stall", At: 5000, For: 3000, Part: 0.4, Size: 2})
 	if k := judged(s, mind, 0); len(k.Findings) > 0 || k.Totals.Rings < 300 {
 		t.Errorf("%d rings, findings %v", k.Totals.Rings, k.Findings)
 	}
--- a/lab/stage/trouble.go
+++ b/internal/emulator/scenario/trouble.go
@@ -1,15 +1,15 @@
-package stage
+package scenario
 
 import (
 	"fmt"
 	"math"
 
 	"cobaltpier/api"
-	"cobaltpier/lab/script"
+	"cobaltpier/internal/emulator/scenariofile"
 )
 
 // trouble plans one thing that goes wrong.
-func (st *Stage) trouble(t script.Trouble) {
+func (st *Stage) trouble(t scenariofile.Trouble) {
 	w := st.World
 	end := t.At + t.For
 	during := func(begin, stop func()) {
@@ -113,7 +113,7 @@
 }
 
 // some draws a part of the places, at least one.
-func (st *Stage) some(t script.Trouble) []*place {
+func (st *Stage) some(t scenariofile.Trouble) []*place {
 	of := st.in(t.Region)
 	n := max(1, int(math.Round(t.Part*float64(len(of)))))
 	of = append([]*place{}, of...)
@@ -124,7 +124,7 @@
 	return of[:min(n, len(of))]
 }
 
-func (st *Stage) gates(t script.Trouble) []*Gateway {
+func (st *Stage) gates(t scenariofile.Trouble) []*Gateway {
 	of := append([]*Gateway{}, st.Gateways...)
 	for i := len(of) - 1; i > 0; i-- {
 		j := int(st.names.Chance() * float64(i+1))
@@ -163,7 +163,7 @@
 }
 
 // age slows a process step by step, then it dies and comes back.
-func (st *Stage) age(of []*place, t script.Trouble, step int) {
+func (st *Stage) age(of []*place, t scenariofile.Trouble, step int) {
 	const steps = 10
 	for _, p := range of {
 		if step == steps {
--- a/lab/stage/virtual.go
+++ b/internal/emulator/scenario/virtual.go
@@ -1,32 +1,32 @@
-package stage
+package scenario
 
 import (
 	"net/netip"
 	"time"
 
 	"cobaltpier/api"
-	"cobaltpier/edge"
-	"cobaltpier/front"
-	"cobaltpier/host"
-	"cobaltpier/listing"
+	"cobaltpier/internal/gateway/grpcdiscovery"
+	"cobaltpier/internal/protocol/b2bua"
+	"cobaltpier/internal/protocol/endpointset"
+	"cobaltpier/internal/protocol/enumserver"
 )
 
 // Virtual runs the gateways as machines in the stage's own world.
 type Virtual struct {
 	Stage *Stage
-	Make  host.Maker
+	Make  endpointset.Maker
 	Edges []*Box
 }
 
 // Box is an edge in virtual time; what is no datagram waits there for its next tick.
 type Box struct {
-	*edge.Edge
+	*b2bua.Edge
 	v       *Virtual
 	g       *Gateway
 	pending []func(now float64)
 	births  uint64
-	front   *front.Front // nil: it answers no look-ups
-	look    *lookUps     // of this process, nil: it looks nothing up
+	front   *enumserver.Front // nil: it answers no look-ups
+	look    *lookUps          // of this process, nil: it looks nothing up
 }
 
 // epoch is when virtual days begin: a Thursday noon, for times of day.
@@ -34,7 +34,7 @@
 
 // NewVirtual puts the gateways on a stage, all with the same kind of module. They start within the first second with
 // the whole list.
-func NewVirtual(st *Stage, mk host.Maker) *Virtual {
+func NewVirtual(st *Stage, mk endpointset.Maker) *Virtual {
 	v := &Virtual{Stage: st, Make: mk}
 	st.Fleet = v
 	for _, g := range st.Gateways {
@@ -58,15 +58,15 @@
 		cfg.Look, cfg.Table, cfg.Share, cfg.Epoch = b.look, st.Table(st.Names.Version).Table, st.Script.Numbers.Share, epoch
 		st.TableIn(b.g.Number, st.Names.Version)
 	}
-	b.Edge = edge.New(cfg, b.v.Make, b)
-	b.Edge.OnFate = func(f edge.Fate) {
+	b.Edge = b2bua.New(cfg, b.v.Make, b)
+	b.Edge.OnFate = func(f b2bua.Fate) {
 		if st := b.v.Stage; st.Fate != nil {
 			st.Fate(b.g.Number, f)
 		}
 	}
 	b.front = nil
 	if b.g.FrontAt != nil {
-		b.front = front.New(b.v.Stage.FrontConfig(), b.Edge)
+		b.front = enumserver.New(b.v.Stage.FrontConfig(), b.Edge)
 		b.g.FrontAt.Machine = &door{b}
 	}
 }
@@ -113,7 +113,7 @@
 func (v *Virtual) List(i int, u *api.Update) {
 	b := v.Edges[i]
 	sent := v.Stage.World.Now
-	b.later(func(now float64) { b.Listed(now, listing.Members(u, sent), u.Whole) })
+	b.later(func(now float64) { b.Listed(now, grpcdiscovery.Members(u, sent), u.Whole) })
 }
 
 // Halt implements Fleet.
--- a/lab/script/bench.go
+++ b/internal/emulator/scenariofile/bench.go
@@ -1,12 +1,12 @@
-package script
+package scenariofile
 
 import (
 	"encoding/json"
 	"fmt"
 	"math"
 
-	"cobaltpier/lab/core"
-	"cobaltpier/signal"
+	"cobaltpier/internal/emulator/coreswitch"
+	"cobaltpier/internal/protocol/siptransaction"
 )
 
 // benchDay is what is read of a day as the bench draws it; times are µs, sizes its own. All other keys are passed over.
@@ -143,10 +143,10 @@
 		retry = 500
 	}
 	s.Pools.Count = len(d.Servers)
-	s.Pools.Model = core.Model{Setup: 0.6 * work, Answer: 0.22 * work, Release: 0.18 * work, Repeat: d.Fam.Repeat * 0.6 * work, Reject: d.Fam.Reject * 0.6 * work,
+	s.Pools.Model = coreswitch.Model{Setup: 0.6 * work, Answer: 0.22 * work, Release: 0.18 * work, Repeat: d.Fam.Repeat * 0.6 * work, Reject: d.Fam.Reject * 0.6 * work,
 		Probe: ms(tier.ProbeWork), Lines: lines, WaitLimit: ms(d.Fam.Queue), NamesWait: d.Fam.TellsWait, WorksOn: !d.Fam.CancelDrops, ErrorRate: kind.ErrorRate,
 		ColdShare: kind.ColdFrom, Warm: ms(kind.Cold), TipTimes: d.FallMultiple, TipWindow: ms(d.FallFor), Refresh: math.Max(1, ms(tier.ReportPeriod)),
-		Delay: ms(tier.ReportDelay), Noise: tier.ReportNoise, Times: signal.Times{T1: retry, T2: 8 * retry, T4: 5000}}
+		Delay: ms(tier.ReportDelay), Noise: tier.ReportNoise, Times: siptransaction.Times{T1: retry, T2: 8 * retry, T4: 5000}}
 	names := map[string]string{"util": "util", "queue": "queue", "latency_ms": "wait", "qps": "rate", "eps": "loss"}
 	for _, f := range tier.ReportFields {
 		if n := names[f]; n != "" {
--- a/lab/script/script.go
+++ b/internal/emulator/scenariofile/script.go
@@ -1,5 +1,5 @@
-// Package script reads a day: how many gateways and switches, what calls come, and what goes wrong when.
-package script
+// Package scenariofile reads a day: how many gateways and switches, what calls come, and what goes wrong when.
+package scenariofile
 
 //tally:standin
 
@@ -9,9 +9,9 @@
 	"strings"
 
 	"cobaltpier/api"
-	"cobaltpier/conf"
-	"cobaltpier/lab/core"
-	"cobaltpier/signal"
+	"cobaltpier/internal/emulator/coreswitch"
+	"cobaltpier/internal/hclconfig"
+	"cobaltpier/internal/protocol/siptransaction"
 )
 
 // Script is a day. Times are milliseconds.
@@ -67,7 +67,7 @@
 	// Sizes, if set, are theirs in place of Spread; Regions the numbers of their regions.
 	Sizes   []float64
 	Regions []int
-	Model   core.Model
+	Model   coreswitch.Model
 }
 
 // Load is what comes.
@@ -157,7 +157,7 @@
 const day = 24 * 3600 * 1000.0
 
 // Read takes a script from settings.
-func Read(b *conf.Block) (*Script, error) {
+func Read(b *hclconfig.Block) (*Script, error) {
 	s := &Script{Name: b.Text("name", "day"), Seed: uint64(b.Int("seed", 1, 0, 1<<31)), Length: b.Ms("length", 60000, 1000, day),
 		Regions: b.Texts("regions")}
 	if len(s.Regions) == 0 {
@@ -193,14 +193,14 @@
 	}
 	p := b.One("pools")
 	retry := p.Ms("retransmit", 400, 10, 60000)
-	s.Pools = Pools{Count: p.Int("count", 4, 1, 1000), Spread: p.Num("spread", 0.15, 0, 0.9), Model: core.Model{
+	s.Pools = Pools{Count: p.Int("count", 4, 1, 1000), Spread: p.Num("spread", 0.15, 0, 0.9), Model: coreswitch.Model{
 		Setup: p.Num("setup_ms", 6.4, 0.001, 1000), Answer: p.Num("answer_ms", 2.4, 0, 1000), Release: p.Num("release_ms", 1.9, 0, 1000),
 		Repeat: p.Num("repeat_ms", 1, 0, 1000), Reject: p.Num("reject_ms", 0.8, 0, 1000), Probe: p.Num("probe_ms", 0.3, 0, 1000),
 		Lines: p.Int("lines", 2000, 1, 1<<20), WaitLimit: p.Ms("wait_limit", 2500, 1, day), NamesWait: p.Flag("names_wait", true),
 		WorksOn: p.Flag("works_on", false), ErrorRate: p.Num("error_rate", 0.0005, 0, 1), ColdShare: s.Rules.ColdShare,
 		Warm: p.Ms("warm", 12000, 0, day), TipTimes: s.Rules.TipTimes, TipWindow: s.Rules.TipWindow,
 		Refresh: p.Ms("refresh", 400, 1, day), Delay: p.Ms("report_delay", 120, 0, day), Noise: p.Num("noise", 0.08, 0, 1),
-		Times: signal.Times{T1: retry, T2: 8 * retry, T4: 5000}}}
+		Times: siptransaction.Times{T1: retry, T2: 8 * retry, T4: 5000}}}
 	s.Pools.Model.Reports = p.Texts("reports")
 	if len(s.Pools.Model.Reports) == 0 {
 		s.Pools.Model.Reports = []string{"util", "queue"}
@@ -232,7 +232,7 @@
 			Repeats: n.Int("repeats", 1, 0, 10), Asks: n.Int("asks", 2, 0, 10)}
 	}
 	for _, t := range b.Blocks("trouble", 1) {
-		x := Trouble{Kind: t.Labels[0], At: t.Ms("at", conf.Required, 0, day), For: t.Ms("for", 10000, 0, day),
+		x := Trouble{Kind: t.Labels[0], At: t.Ms("at", hclconfig.Required, 0, day), For: t.Ms("for", 10000, 0, day),
 			Part: t.Num("part", 0.25, 0, 1), Size: t.Num("size", 2, 0, 1000), Region: t.Text("region", "")}
 		if Kinds[x.Kind] == "" {
 			t.Fault("", "trouble %q is not known", x.Kind)
--- a/lab/script/script_test.go
+++ b/internal/emulator/scenariofile/script_test.go
@@ -1,10 +1,10 @@
-package script
+package scenariofile
 
 import (
 	"strings"
 	"testing"
 
-	"cobaltpier/conf"
+	"cobaltpier/internal/hclconfig"
 )
 
 const benchForm = `{"v":1,"site":"s","noise":7,"length":4000000,"tick":5000,"zones":["a","b"],"net":{"same":5000,"cross":12000,"jitter":0.1},
@@ -49,7 +49,7 @@
 		"pools {\n reports = [\"mood\"]\n}":         `day.hcl:2: reports: want some of util`,
 		"pool {\n}":                                 `day.hcl:1: unknown block "pool"`,
 	} {
-		b, err := conf.Parse("day.hcl", []byte(in))
+		b, err := hclconfig.Parse("day.hcl", []byte(in))
 		if err == nil {
 			_, err = Read(b)
 		}
@@ -61,7 +61,7 @@
 
 // An override puts a value in place, in a block that is there or not; what it names wrongly is refused like any key.
 func TestOverride(t *testing.T) {
-	b, err := conf.Parse("day.hcl", []byte("gateways {\n count = 3\n}\n"))
+	b, err := hclconfig.Parse("day.hcl", []byte("gateways {\n count = 3\n}\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,7 +74,7 @@
 	if err != nil || s.Gateways.Count != 5 || s.Net.Loss != 0.25 || s.Length != 3000 {
 		t.Errorf("%v: %+v", err, s)
 	}
-	b, _ = conf.Parse("day.hcl", nil)
+	b, _ = hclconfig.Parse("day.hcl", nil)
 	b.Override("net.lost", "1")
 	if _, err := Read(b); err == nil || !strings.Contains(err.Error(), `unknown key "lost"`) {
 		t.Errorf("unknown key: %v", err)
--- a/lab/hunt/hunt.go
+++ b/internal/emulator/search/hunt.go
@@ -1,6 +1,6 @@
-// Package hunt looks for days on which a rule breaks or callers are served worst: it draws small days by chance, goes on
+// Package search looks for days on which a rule breaks or callers are served worst: it draws small days by chance, goes on
 // from the worst ones by small changes, and cuts what it finds down to the least that still shows it.
-package hunt
+package search
 
 //tally:standin
 
@@ -10,15 +10,15 @@
 	"math"
 	"sync"
 
-	"cobaltpier/lab/fleet"
-	"cobaltpier/lab/script"
-	"cobaltpier/lab/stage"
-	"cobaltpier/signal"
+	"cobaltpier/internal/emulator/scenario"
+	"cobaltpier/internal/emulator/scenariofile"
+	"cobaltpier/internal/emulator/virtualrun"
+	"cobaltpier/internal/protocol/siptransaction"
 )
 
 // Find is a day that stands out.
 type Find struct {
-	Script *script.Script
+	Script *scenariofile.Script
 	Rule   int     // the broken rule; 0: none, a day of bad service; Tables: a contact by another number table than its own
 	What   string  // the first finding
 	Score  float64 // how bad: 10 and more for a broken rule
@@ -31,9 +31,9 @@
 type Options struct {
 	Days  int
 	Seed  uint64
-	Large bool                               // days of up to 40 gateways
-	Play  func(*script.Script) *fleet.Result // nil: the project's module
-	Found func(Find)                         // told at once, so that a hunt that is stopped loses nothing
+	Large bool                                          // days of up to 40 gateways
+	Play  func(*scenariofile.Script) *virtualrun.Result // nil: the project's module
+	Found func(Find)                                    // told at once, so that a hunt that is stopped loses nothing
 	Say   func(done int, worst float64)
 }
 
@@ -41,9 +41,9 @@
 type Result struct {
 	Days   int
 	Broken []Find
-	Worst  []Find         // of service, the worst first, at most ten
-	Cold   float64        // the most of a cold budget that was used
-	At     *script.Script // on this day
+	Worst  []Find               // of service, the worst first, at most ten
+	Cold   float64              // the most of a cold budget that was used
+	At     *scenariofile.Script // on this day
 }
 
 // kinds of trouble that a hunt draws, with the range of their sizes.
@@ -54,8 +54,8 @@
 	{"ageing", 2, 10}, {"deploy", 1, 1}, {"region", 1, 1}, {"stall", 0.3, 2.5}, {"restart", 1, 1}, {"mute", 1, 1}, {"loss", 0.01, 0.2}, {"listless", 1, 1}}
 
 // Draw makes a small day by chance.
-func Draw(seed uint64, large bool) *script.Script {
-	n := &signal.Names{Seed: seed ^ 0x5bd1e995}
+func Draw(seed uint64, large bool) *scenariofile.Script {
+	n := &siptransaction.Names{Seed: seed ^ 0x5bd1e995}
 	in := func(lo, hi float64) float64 { return lo + (hi-lo)*n.Chance() }
 	whole := func(lo, hi int) int { return lo + int(n.Chance()*float64(hi-lo+1)) }
 	s := Plain()
@@ -96,28 +96,28 @@
 
 // numbers lets a day's gateways analyse numbers, with tables that change and DNS servers that fail, and maybe kiosks that ask
 // in place of a part of the callers.
-func numbers(n *signal.Names, s *script.Script) {
+func numbers(n *siptransaction.Names, s *scenariofile.Script) {
 	in := func(lo, hi float64) float64 { return lo + (hi-lo)*n.Chance() }
 	some := func(of ...float64) float64 { return of[int(n.Chance()*float64(len(of)))] }
-	s.Numbers = script.Numbers{On: true, Change: some(0, 300, 1000, 3000), Ported: in(0, 0.6), None: in(0, 0.3), Leads: in(0, 0.6), TTL: some(0, 1000, 60000),
+	s.Numbers = scenariofile.Numbers{On: true, Change: some(0, 300, 1000, 3000), Ported: in(0, 0.6), None: in(0, 0.3), Leads: in(0, 0.6), TTL: some(0, 1000, 60000),
 		Delay: in(0, 40), Jitter: in(0, 60), Servers: 1 + int(n.Chance()*3), Within: in(50, 2500), Share: in(0.05, 0.9), Popular: some(1, 3, 8), Cache: n.Chance() < 0.8,
 		Refuse: n.Chance() < 0.5, Stale: some(0, 600e3), Fail: some(0, 1000)}
 	for range int(n.Chance() * 3) {
 		k := namesKinds[int(n.Chance()*float64(len(namesKinds)))]
-		s.Troubles = append(s.Troubles, script.Trouble{Kind: k.name, At: 500 + n.Chance()*s.Length*0.6, For: 300 + n.Chance()*s.Length*0.5, Part: 0.1 + 0.9*n.Chance(),
+		s.Troubles = append(s.Troubles, scenariofile.Trouble{Kind: k.name, At: 500 + n.Chance()*s.Length*0.6, For: 300 + n.Chance()*s.Length*0.5, Part: 0.1 + 0.9*n.Chance(),
 			Size: in(k.lo, k.hi)})
 	}
 	if n.Chance() < 0.6 {
 		part := in(0.1, 0.9)
-		s.Kiosks = script.Kiosks{Rate: s.Load.Rate * part, Hold: in(1000, 6000), Loss: some(0, 0.02, 0.2), Wait: in(200, 1500), Repeats: int(n.Chance() * 4),
+		s.Kiosks = scenariofile.Kiosks{Rate: s.Load.Rate * part, Hold: in(1000, 6000), Loss: some(0, 0.02, 0.2), Wait: in(200, 1500), Repeats: int(n.Chance() * 4),
 			Asks: int(n.Chance() * 4)}
 		s.Load.Rate *= 1 - part
 	}
 }
 
-func trouble(n *signal.Names, s *script.Script) script.Trouble {
+func trouble(n *siptransaction.Names, s *scenariofile.Script) scenariofile.Trouble {
 	k := kinds[int(n.Chance()*float64(len(kinds)))]
-	t := script.Trouble{Kind: k.name, At: 500 + n.Chance()*s.Length*0.6, For: 300 + n.Chance()*s.Length*0.5, Part: 0.1 + 0.8*n.Chance(), Size: k.lo + (k.hi-k.lo)*n.Chance()}
+	t := scenariofile.Trouble{Kind: k.name, At: 500 + n.Chance()*s.Length*0.6, For: 300 + n.Chance()*s.Length*0.5, Part: 0.1 + 0.8*n.Chance(), Size: k.lo + (k.hi-k.lo)*n.Chance()}
 	if k.name == "region" || k.name == "lines" {
 		t.Region = s.Regions[int(n.Chance()*float64(len(s.Regions)))]
 	}
@@ -125,8 +125,8 @@
 }
 
 // Plain is the day that others are drawn from: slow switches, so that few contacts make a load.
-func Plain() *script.Script {
-	s, err := stage.Day("plain")
+func Plain() *scenariofile.Script {
+	s, err := scenario.Day("plain")
 	if err != nil {
 		panic(err) // a file of this program's own
 	}
@@ -134,10 +134,10 @@
 }
 
 // change makes a day like another.
-func change(s *script.Script, seed uint64) *script.Script {
-	n := &signal.Names{Seed: seed}
+func change(s *scenariofile.Script, seed uint64) *scenariofile.Script {
+	n := &siptransaction.Names{Seed: seed}
 	c := *s
-	c.Troubles = append([]script.Trouble{}, s.Troubles...)
+	c.Troubles = append([]scenariofile.Trouble{}, s.Troubles...)
 	switch int(n.Chance() * 6) {
 	case 0:
 		c.Seed = seed
@@ -165,7 +165,7 @@
 }
 
 // Judge is how bad a day was. Broken rules come first; then the use of cold budgets and what was not served.
-func Judge(s *script.Script, r *fleet.Result) Find {
+func Judge(s *scenariofile.Script, r *virtualrun.Result) Find {
 	f := Find{Script: s, Score: 1 - r.Service.Whole}
 	if len(r.Findings) > 0 {
 		f.Rule, f.What, f.Score = r.Findings[0].Rule, r.Findings[0].String(), 10+float64(len(r.Findings))
@@ -180,17 +180,19 @@
 // Run hunts until its days are played or ctx ends; what was found until then stands in the result.
 func Run(ctx context.Context, o Options) *Result {
 	if o.Play == nil {
-		o.Play = func(s *script.Script) *fleet.Result { return fleet.Play(s, fleet.Module("brain"), fleet.Options{}) }
+		o.Play = func(s *scenariofile.Script) *virtualrun.Result {
+			return virtualrun.Play(s, virtualrun.Module("brain"), virtualrun.Options{})
+		}
 	}
 	var mu sync.Mutex
 	res := &Result{}
 	var elite []Find // what guides: high use of a cold budget, or bad service
-	hint := func(r *fleet.Result, f Find) float64 { return f.Score + r.Totals.ColdUse }
-	hints := map[*script.Script]float64{}
-	fleet.Each(ctx, o.Days, func(i int) {
+	hint := func(r *virtualrun.Result, f Find) float64 { return f.Score + r.Totals.ColdUse }
+	hints := map[*scenariofile.Script]float64{}
+	virtualrun.Each(ctx, o.Days, func(i int) {
 		seed := o.Seed*1000003 + uint64(i)
-		n := &signal.Names{Seed: seed}
-		var s *script.Script
+		n := &siptransaction.Names{Seed: seed}
+		var s *scenariofile.Script
 		mu.Lock()
 		if len(elite) > 8 && n.Chance() < 0.5 {
 			s = change(elite[int(n.Chance()*float64(len(elite)))].Script, seed)
@@ -238,7 +240,7 @@
 
 // Shrink cuts a day down while it still shows what was found: fewer troubles, gateways and switches, shorter, less load,
 // plainer settings. same tells whether a day still shows it. It plays at most so many days.
-func Shrink(s *script.Script, same func(*script.Script) bool, most int) *script.Script {
+func Shrink(s *scenariofile.Script, same func(*scenariofile.Script) bool, most int) *scenariofile.Script {
 	plain := Plain()
 	for again := true; again && most > 0; {
 		again = false
@@ -256,55 +258,55 @@
 }
 
 // smaller are the days one step smaller than another.
-func smaller(s, plain *script.Script) []*script.Script {
-	var of []*script.Script
-	add := func(do func(c *script.Script)) {
+func smaller(s, plain *scenariofile.Script) []*scenariofile.Script {
+	var of []*scenariofile.Script
+	add := func(do func(c *scenariofile.Script)) {
 		c := *s
-		c.Troubles = append([]script.Trouble{}, s.Troubles...)
+		c.Troubles = append([]scenariofile.Trouble{}, s.Troubles...)
 		do(&c)
 		of = append(of, &c)
 	}
 	for i := range s.Troubles {
-		add(func(c *script.Script) { c.Troubles = append(c.Troubles[:i], c.Troubles[i+1:]...) })
+		add(func(c *scenariofile.Script) { c.Troubles = append(c.Troubles[:i], c.Troubles[i+1:]...) })
 	}
 	if s.Gateways.Count > 1 {
-		add(func(c *script.Script) { c.Gateways.Count = (c.Gateways.Count + 1) / 2; c.Load.Rate *= 1 })
-		add(func(c *script.Script) { c.Gateways.Count-- })
+		add(func(c *scenariofile.Script) { c.Gateways.Count = (c.Gateways.Count + 1) / 2; c.Load.Rate *= 1 })
+		add(func(c *scenariofile.Script) { c.Gateways.Count-- })
 	}
 	if s.Pools.Count > 1 {
-		add(func(c *script.Script) {
+		add(func(c *scenariofile.Script) {
 			c.Pools.Count--
 			c.Load.Rate *= float64(c.Pools.Count) / float64(c.Pools.Count+1)
 		})
 	}
 	if s.Length > 4000 {
-		add(func(c *script.Script) { c.Length = math.Max(4000, c.Length*0.7) })
+		add(func(c *scenariofile.Script) { c.Length = math.Max(4000, c.Length*0.7) })
 	}
 	if s.Load.Rate > 4 {
-		add(func(c *script.Script) { c.Load.Rate /= 2 })
+		add(func(c *scenariofile.Script) { c.Load.Rate /= 2 })
 	}
 	if s.Kiosks.Rate > 0 {
-		add(func(c *script.Script) { c.Kiosks = script.Kiosks{} })
-		add(func(c *script.Script) { c.Kiosks.Rate /= 2 })
+		add(func(c *scenariofile.Script) { c.Kiosks = scenariofile.Kiosks{} })
+		add(func(c *scenariofile.Script) { c.Kiosks.Rate /= 2 })
 	}
 	if s.Numbers.On {
-		add(func(c *script.Script) { c.Numbers = script.Numbers{} })
+		add(func(c *scenariofile.Script) { c.Numbers = scenariofile.Numbers{} })
 	}
 	if s.Numbers.Change > 0 {
-		add(func(c *script.Script) { c.Numbers.Change = 0 })
+		add(func(c *scenariofile.Script) { c.Numbers.Change = 0 })
 	}
 	if s.Net != plain.Net {
-		add(func(c *script.Script) { c.Net = plain.Net })
+		add(func(c *scenariofile.Script) { c.Net = plain.Net })
 	}
 	if s.Pools.Model.ErrorRate > 0 {
-		add(func(c *script.Script) { c.Pools.Model.ErrorRate = 0 })
+		add(func(c *scenariofile.Script) { c.Pools.Model.ErrorRate = 0 })
 	}
 	if s.Gateways.Tell {
-		add(func(c *script.Script) { c.Gateways.Tell = false })
+		add(func(c *scenariofile.Script) { c.Gateways.Tell = false })
 	}
 	for i, t := range s.Troubles {
 		if t.For > 600 {
-			add(func(c *script.Script) { c.Troubles[i].For = math.Round(t.For/2/100) * 100 })
+			add(func(c *scenariofile.Script) { c.Troubles[i].For = math.Round(t.For/2/100) * 100 })
 		}
 	}
 	return of
--- a/lab/hunt/hunt_test.go
+++ b/internal/emulator/search/hunt_test.go
@@ -1,4 +1,4 @@
-package hunt
+package search
 
 import (
 	"context"
@@ -7,9 +7,9 @@
 	"path"
 	"testing"
 
-	"cobaltpier/check"
-	"cobaltpier/lab/fleet"
-	"cobaltpier/lab/script"
+	"cobaltpier/internal/conformance"
+	"cobaltpier/internal/emulator/scenariofile"
+	"cobaltpier/internal/emulator/virtualrun"
 )
 
 //go:embed corpus
@@ -29,11 +29,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := &script.Script{}
+		s := &scenariofile.Script{}
 		if err := json.Unmarshal(src, s); err != nil {
 			t.Fatalf("%s: %v", f.Name(), err)
 		}
-		if found := Judge(s, fleet.Play(s, fleet.Module("brain"), fleet.Options{})); found.Rule > 0 {
+		if found := Judge(s, virtualrun.Play(s, virtualrun.Module("brain"), virtualrun.Options{})); found.Rule > 0 {
 			t.Errorf("%s: %s", f.Name(), found.What)
 		}
 	}
@@ -51,11 +51,11 @@
 }
 
 // faulty breaks a rule on days with a stall and more than one gateway.
-func faulty(s *script.Script) *fleet.Result {
-	r := &fleet.Result{}
+func faulty(s *scenariofile.Script) *virtualrun.Result {
+	r := &virtualrun.Result{}
 	for _, t := range s.Troubles {
 		if t.Kind == "stall" && s.Gateways.Count > 1 {
-			r.Findings = []check.Finding{{Rule: 2, What: "made up"}}
+			r.Findings = []conformance.Finding{{Rule: 2, What: "made up"}}
 		}
 	}
 	return r
@@ -73,7 +73,7 @@
 	if r.Days >= 100000 || len(r.Broken) < 5 || told < 5 {
 		t.Fatalf("%d days, %d finds, %d told", r.Days, len(r.Broken), told)
 	}
-	small := Shrink(r.Broken[0].Script, func(s *script.Script) bool { return Judge(s, faulty(s)).Rule == 2 }, 1000)
+	small := Shrink(r.Broken[0].Script, func(s *scenariofile.Script) bool { return Judge(s, faulty(s)).Rule == 2 }, 1000)
 	if len(small.Troubles) != 1 || small.Troubles[0].Kind != "stall" || small.Gateways.Count != 2 || small.Pools.Count != 1 || small.Length > 5000 {
 		t.Errorf("cut down to %d gateways, %d switches, %v ms, %v", small.Gateways.Count, small.Pools.Count, small.Length, small.Troubles)
 	}
--- a/lab/world/world.go
+++ b/internal/emulator/simulation/world.go
@@ -1,7 +1,7 @@
-// Package world brings machines without I/O together: a scheduler, a lossy and delaying wire between them, and a tap at
+// Package simulation brings machines without I/O together: a scheduler, a lossy and delaying wire between them, and a tap at
 // the gateways' sockets. It runs in virtual time, where a day takes as long as its work and the same seed gives the
 // same run, or by the wall clock with some of the nodes behind real sockets.
-package world
+package simulation
 
 //tally:standin
 
@@ -11,7 +11,7 @@
 	"net/netip"
 	"time"
 
-	"cobaltpier/chance"
+	"cobaltpier/internal/detrand"
 )
 
 // Machine is a node: it takes datagrams and wants to be woken.
@@ -95,7 +95,7 @@
 // Chance draws a number from 0 to 1.
 func (w *World) Chance() float64 {
 	w.draws++
-	return chance.Of(w.Seed, w.draws)
+	return detrand.Of(w.Seed, w.draws)
 }
 
 // Send carries a datagram from a node of ours, or from one behind a socket, over the link.
--- a/lab/world/world_test.go
+++ b/internal/emulator/simulation/world_test.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 import (
 	"fmt"
--- a/lab/fleet/fleet.go
+++ b/internal/emulator/virtualrun/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet plays days in virtual time and measures them: the same edges and switches as on sockets, any number of
+// Package virtualrun plays days in virtual time and measures them: the same edges and switches as on sockets, any number of
 // gateways, the same seed the same day. Days that do not touch run side by side, one a core.
-package fleet
+package virtualrun
 
 //tally:standin
 
@@ -15,25 +15,25 @@
 	"google.golang.org/protobuf/proto"
 
 	"cobaltpier/api"
-	"cobaltpier/brain"
-	"cobaltpier/check"
-	"cobaltpier/contact"
-	"cobaltpier/edge"
-	"cobaltpier/host"
-	"cobaltpier/lab/baseline"
-	"cobaltpier/lab/script"
-	"cobaltpier/lab/stage"
-	"cobaltpier/resolve"
-	"cobaltpier/signal"
+	"cobaltpier/internal/conformance"
+	"cobaltpier/internal/emulator/baseline"
+	"cobaltpier/internal/emulator/scenario"
+	"cobaltpier/internal/emulator/scenariofile"
+	"cobaltpier/internal/protocol/b2bua"
+	"cobaltpier/internal/protocol/dnsclient"
+	"cobaltpier/internal/protocol/endpointset"
+	"cobaltpier/internal/protocol/siptransaction"
+	"cobaltpier/internal/router"
+	"cobaltpier/internal/routing"
 )
 
 // After is how long a day goes on after its last arrival could come, ms: all patience is over by then.
 const After = 12000.0
 
 // Module is the maker of a decision module by its name: brain, or a baseline; nil for any other.
-func Module(name string) host.Maker {
+func Module(name string) endpointset.Maker {
 	if name == "" || name == "brain" {
-		return func(s *contact.Settings, h contact.Host) host.Module { return brain.New(s, h) }
+		return func(s *routing.Settings, h routing.Host) endpointset.Module { return router.New(s, h) }
 	}
 	return baseline.ByName(name)
 }
@@ -47,13 +47,13 @@
 
 // Result is what a day came to.
 type Result struct {
-	Service  stage.Service
-	Findings []check.Finding
-	Totals   check.Totals
+	Service  scenario.Service
+	Findings []conformance.Finding
+	Totals   conformance.Totals
 	Series   *Series
-	Tables   *check.Tables // nil: no number tables
-	LookUps  resolve.Counts
-	Kiosks   stage.KioskService
+	Tables   *conformance.Tables // nil: no number tables
+	LookUps  dnsclient.Counts
+	Kiosks   scenario.KioskService
 	Sum      uint64
 	Spent    time.Duration
 }
@@ -66,25 +66,25 @@
 	P50, P95 []float64            // waits of those that came then and stood, ms; NaN: none
 	Rings    map[string][]float64 // by switch, sent in that second
 	Ends     map[string][]float64 // of rings, by what the switch answered
-	Cold     []check.Cold
-	Troubles []script.Trouble
+	Cold     []conformance.Cold
+	Troubles []scenariofile.Trouble
 }
 
 // Play plays a day.
-func Play(s *script.Script, mk host.Maker, o Options) *Result {
+func Play(s *scenariofile.Script, mk endpointset.Maker, o Options) *Result {
 	begin := time.Now()
-	k := check.New()
+	k := conformance.New()
 	k.Keep = o.Series
-	var tables *check.Tables
+	var tables *conformance.Tables
 	if s.Analyses() {
-		tables = check.NewTables(stage.Mark4)
+		tables = conformance.NewTables(scenario.Mark4)
 	}
 	res := &Result{}
 	var ser *seriesTap
 	if o.Series {
 		ser = newTap(s)
 	}
-	st := stage.New(s, 5060, func(r *api.Record) {
+	st := scenario.New(s, 5060, func(r *api.Record) {
 		k.Add(r)
 		if tables != nil {
 			tables.Add(r)
@@ -109,9 +109,9 @@
 		tables.Parse = st.Parse
 	}
 	if tables != nil {
-		st.Fate = func(gateway int, f edge.Fate) { tables.Record(st.Gateways[gateway].Name, f.Session, f.Table) }
+		st.Fate = func(gateway int, f b2bua.Fate) { tables.Record(st.Gateways[gateway].Name, f.Session, f.Table) }
 	}
-	v := stage.NewVirtual(st, mk)
+	v := scenario.NewVirtual(st, mk)
 	st.World.Run(s.Length + After)
 	k.Finish()
 	res.Service, res.Findings, res.Totals, res.Tables, res.LookUps, res.Kiosks = st.Service(), k.Findings, k.Totals, tables, v.LookUps(), st.KioskService()
@@ -155,7 +155,7 @@
 	names map[string]*api.Node
 }
 
-func newTap(s *script.Script) *seriesTap {
+func newTap(s *scenariofile.Script) *seriesTap {
 	n := int(math.Ceil(s.Length / 1000))
 	return &seriesTap{s: &Series{Seconds: n, Rings: map[string][]float64{}, Ends: map[string][]float64{}, Troubles: s.Troubles},
 		names: map[string]*api.Node{}}
@@ -189,7 +189,7 @@
 		case to.Role == "switch" && strings.HasPrefix(text, "INVITE "):
 			t.count(t.s.Rings, to.Name, r.At)
 		case from.Role == "switch" && strings.HasPrefix(text, "SIP/2.0 ") && len(text) > 11 && text[8] >= '2':
-			if m, err := signal.Parse(v.Datagram.Data); err == nil && m.CSeq().MethodName == "INVITE" {
+			if m, err := siptransaction.Parse(v.Datagram.Data); err == nil && m.CSeq().MethodName == "INVITE" {
 				if name := ends[text[8:11]]; name != "" {
 					t.count(t.s.Ends, name, r.At)
 				}
@@ -198,7 +198,7 @@
 	}
 }
 
-func (t *seriesTap) done(st *stage.Stage, cold []check.Cold) *Series {
+func (t *seriesTap) done(st *scenario.Stage, cold []conformance.Cold) *Series {
 	s := t.s
 	s.Cold = cold
 	got, of := make([]float64, s.Seconds), make([]float64, s.Seconds)
--- a/lab/fleet/quantile.go
+++ b/internal/emulator/virtualrun/quantile.go
@@ -1,4 +1,4 @@
-package fleet
+package virtualrun
 
 import (
 	"math"
--- a/lab/plan/plan.go
+++ b/internal/emulator/workload/plan.go
@@ -1,6 +1,6 @@
-// Package plan draws calls ahead from a seed: when each is meant to come, where and what for. What is planned does not
+// Package workload draws calls ahead from a seed: when each is meant to come, where and what for. What is planned does not
 // depend on any answer.
-package plan
+package workload
 
 //tally:standin
 
@@ -9,8 +9,8 @@
 	"math"
 
 	"cobaltpier/api"
-	"cobaltpier/conf"
-	"cobaltpier/signal"
+	"cobaltpier/internal/hclconfig"
+	"cobaltpier/internal/protocol/siptransaction"
 )
 
 // Plan says what comes. Times are milliseconds.
@@ -47,7 +47,7 @@
 var Shapes = []string{"steady", "ramp", "surge", "day", "bursts"}
 
 // Read takes a plan from settings.
-func Read(b *conf.Block) (*Plan, error) {
+func Read(b *hclconfig.Block) (*Plan, error) {
 	const day = 24 * 3600 * 1000.0
 	p := &Plan{Seed: uint64(b.Int("seed", 1, 0, 1<<31)), Rate: b.Num("rate", 100, 0.001, 1e6), Length: b.Ms("length", 30000, 1, day),
 		Shape: b.Text("shape", "steady", Shapes...), Swing: b.Num("swing", 0.8, 0, 20), Every: b.Ms("every", 5000, 1, day),
@@ -96,7 +96,7 @@
 
 // Calls draws the calls, a Poisson stream of the shape's rate.
 func (p *Plan) Calls() []*api.Call {
-	n := &signal.Names{Seed: p.Seed}
+	n := &siptransaction.Names{Seed: p.Seed}
 	most := 0.0
 	for i := range 1000 {
 		most = math.Max(most, p.At(p.Length*float64(i)/1000))
--- a/platform/config/config.go
+++ b/internal/gateway/binaryconfig/config.go
@@ -1,6 +1,6 @@
-// Package config reads what the platform hands a gateway at its start: one JSON object, checked as a whole. A fault is
+// Package binaryconfig reads what the platform hands a gateway at its start: one JSON object, checked as a whole. A fault is
 // told with the field's name.
-package config
+package binaryconfig
 
 import (
 	"bytes"
@@ -12,9 +12,9 @@
 	"os"
 	"strconv"
 
-	"cobaltpier/contact"
-	"cobaltpier/deployment"
-	"cobaltpier/platform/roster"
+	"cobaltpier/internal/deployment"
+	"cobaltpier/internal/protocol/dnsdiscovery"
+	"cobaltpier/internal/routing"
 )
 
 // Limits are what the gateway's machine allows it.
@@ -32,10 +32,10 @@
 	Peers      []netip.AddrPort // of all gateways, by number
 	Nameserver netip.AddrPort
 	Limits     Limits
-	Set        *contact.Settings
+	Set        *routing.Settings
 	Fields     []string // of load reports
 	Links      deployment.Links
-	Known      []roster.List // the name server's events till now
+	Known      []dnsdiscovery.List // the name server's events till now
 }
 
 // Load reads a file.
@@ -124,7 +124,7 @@
 		return nil, fmt.Errorf("peers: want the addresses of all %d gateways, got %d", c.Set.Gateways, len(c.Peers))
 	}
 	for i, raw := range w.Known.Items {
-		l, err := roster.Event(raw)
+		l, err := dnsdiscovery.Event(raw)
 		if err != nil {
 			return nil, fmt.Errorf("known.items[%d]: %w", i, err)
 		}
--- a/platform/config/config_test.go
+++ b/internal/gateway/binaryconfig/config_test.go
@@ -1,4 +1,4 @@
-package config
+package binaryconfig
 
 import (
 	"os"
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"cobaltpier/contact"
+	"cobaltpier/internal/routing"
 )
 
 // whole is a configuration with all that a gateway is told.
@@ -34,7 +34,7 @@
 		t.Errorf("links %+v, fields %v", c.Links, c.Fields)
 	}
 	k := c.Known
-	if len(k) != 2 || !k[0].Whole || k[1].No != 41 || k[1].Targets[0].State != contact.Draining || k[1].Targets[0].Started != 1700000000000 || k[0].Targets[0].Cell != 2 {
+	if len(k) != 2 || !k[0].Whole || k[1].No != 41 || k[1].Targets[0].State != routing.Draining || k[1].Targets[0].Started != 1700000000000 || k[0].Targets[0].Cell != 2 {
 		t.Errorf("known %+v", k)
 	}
 }
