--- a/platform/serve/leave_test.go
+++ b/internal/gateway/binaryserver/leave_test.go
@@ -1,4 +1,4 @@
-package serve
+package binaryserver
 
 import (
 	"errors"
@@ -11,7 +11,7 @@
 
 	"go.uber.org/goleak"
 
-	"cobaltpier/platform/message"
+	"cobaltpier/internal/protocol/binarymessage"
 )
 
 // clean runs a test in which everything that was started has to have ended.
@@ -41,8 +41,8 @@
 	b := make([]byte, 4096)
 	for {
 		n, err := p.c.Read(b)
-		p.r.Feed(b[:n], func(m message.Message) bool {
-			p.got[m.Call()] = append(p.got[m.Call()], append(message.Message(nil), m...))
+		p.r.Feed(b[:n], func(m binarymessage.Message) bool {
+			p.got[m.Call()] = append(p.got[m.Call()], append(binarymessage.Message(nil), m...))
 			return true
 		})
 		if errors.Is(err, io.EOF) {
@@ -67,12 +67,12 @@
 		late.c.Write(two[:len(two)-1])
 		s.signals <- Leave
 		soon.c.Write(one[11:])
-		if !soon.hear(time.Second, func() bool { return len(soon.got[600]) > 0 }) || soon.got[600][0].Type() != message.Answer {
+		if !soon.hear(time.Second, func() bool { return len(soon.got[600]) > 0 }) || soon.got[600][0].Type() != binarymessage.Answer {
 			t.Errorf("half read, and whole soon after: %x", soon.got[600])
 		}
 		time.Sleep(800 * time.Millisecond)
 		late.c.Write(two[len(two)-1:])
-		if !late.hear(time.Second, func() bool { return len(late.got[602]) > 0 }) || late.got[602][0].Cause() != message.Congested {
+		if !late.hear(time.Second, func() bool { return len(late.got[602]) > 0 }) || late.got[602][0].Cause() != binarymessage.Congested {
 			t.Errorf("whole when nothing is taken any more: %x", late.got[602])
 		}
 		var end sync.WaitGroup
@@ -103,7 +103,7 @@
 		s.signals <- Reload
 		time.Sleep(350 * time.Millisecond)
 		p.c.Write(ask(700)) // its destination is s-0, which the new name server does not name
-		if !p.hear(time.Second, func() bool { return len(p.got[700]) > 0 }) || p.got[700][0].Text(message.Description) != "answer of s-1" {
+		if !p.hear(time.Second, func() bool { return len(p.got[700]) > 0 }) || p.got[700][0].Text(binarymessage.Description) != "answer of s-1" {
 			t.Errorf("%q", p.got[700])
 		}
 		for range 15 { // it does not stay the longer
@@ -140,21 +140,21 @@
 				case <-stop:
 					return
 				default:
-					if _, err := p.c.Write(message.Append(nil, message.Progress, 1)); err != nil {
+					if _, err := p.c.Write(binarymessage.Append(nil, binarymessage.Progress, 1)); err != nil {
 						return
 					}
 					time.Sleep(time.Millisecond)
 				}
 			}
 		}()
-		p.c.Write(message.Append(nil, message.SetUp, 800, message.Text(message.Class, "voice"), message.Text(message.Number, "1"),
-			message.Text(message.Patience, "9000"))) // it waits longer than the gateway may stay
+		p.c.Write(binarymessage.Append(nil, binarymessage.SetUp, 800, binarymessage.Text(binarymessage.Class, "voice"), binarymessage.Text(binarymessage.Number, "1"),
+			binarymessage.Text(binarymessage.Patience, "9000"))) // it waits longer than the gateway may stay
 		s.signals <- Leave
 		err := p.rest(6 * time.Second)
 		close(stop)
 		<-gone
 		p.c.Close()
-		if of := p.got[800]; err != nil || len(of) != 1 || of[0].Type() != message.Release {
+		if of := p.got[800]; err != nil || len(of) != 1 || of[0].Type() != binarymessage.Release {
 			t.Errorf("%x, %v", of, err)
 		}
 		s.over(5 * time.Second)
@@ -205,7 +205,7 @@
 				t.Fatal(err)
 			}
 			defer c.Close()
-			c.Write(message.Append(nil, message.Test, 5000+i, message.Why(0)))
+			c.Write(binarymessage.Append(nil, binarymessage.Test, 5000+i, binarymessage.Why(0)))
 			c.SetReadDeadline(time.Now().Add(2 * time.Second))
 			if _, err := io.ReadFull(c, make([]byte, 11)); err != nil {
 				t.Fatalf("caller %d was shut out: %v", i, err)
@@ -214,7 +214,7 @@
 		p := s.dial()
 		p.ready()
 		p.c.Write(ask(900))
-		if !p.hear(2*time.Second, func() bool { return len(p.got[900]) > 0 }) || p.got[900][0].Type() != message.Answer {
+		if !p.hear(2*time.Second, func() bool { return len(p.got[900]) > 0 }) || p.got[900][0].Type() != binarymessage.Answer {
 			t.Errorf("a usual caller got %x, connection open %v", p.got[900], p.open)
 		}
 	})
--- a/platform/serve/queue.go
+++ b/internal/gateway/binaryserver/queue.go
@@ -1,10 +1,10 @@
-package serve
+package binaryserver
 
 import (
 	"net/netip"
 	"sync"
 
-	"cobaltpier/reactor"
+	"cobaltpier/internal/gateway/reactor"
 )
 
 type kind int
--- a/platform/serve/serve.go
+++ b/internal/gateway/binaryserver/serve.go
@@ -1,6 +1,6 @@
-// Package serve drives the platform's door by the wall clock: one loop owns the machine's state; sockets and signals
+// Package binaryserver drives the platform's door by the wall clock: one loop owns the machine's state; sockets and signals
 // reach it through one bounded queue and never hold it up.
-package serve
+package binaryserver
 
 import (
 	"context"
@@ -13,13 +13,13 @@
 
 	"github.com/rs/zerolog"
 
-	"cobaltpier/host"
-	"cobaltpier/intake"
-	"cobaltpier/platform"
-	"cobaltpier/platform/config"
-	"cobaltpier/platform/message"
-	"cobaltpier/platform/roster"
-	"cobaltpier/reactor"
+	"cobaltpier/internal/decision/intake"
+	"cobaltpier/internal/gateway/binaryconfig"
+	"cobaltpier/internal/gateway/reactor"
+	"cobaltpier/internal/protocol/binarygateway"
+	"cobaltpier/internal/protocol/binarymessage"
+	"cobaltpier/internal/protocol/dnsdiscovery"
+	"cobaltpier/internal/protocol/endpointset"
 )
 
 // Signal is what the gateway's machine tells it.
@@ -43,10 +43,10 @@
 // Gateway is a running door.
 type Gateway struct {
 	file    string
-	cfg     *config.Config
+	cfg     *binaryconfig.Config
 	log     zerolog.Logger
-	m       *platform.Machine
-	list    *roster.Roster
+	m       *binarygateway.Machine
+	list    *dnsdiscovery.Roster
 	streams *reactor.Streams
 	packets *reactor.Sockets
 	asks    netip.AddrPort // where questions for the list leave
@@ -62,7 +62,7 @@
 }
 
 // Run runs a gateway by a configuration until it is told to leave and nothing is held.
-func Run(ctx context.Context, file string, cfg *config.Config, mk host.Maker, log zerolog.Logger, signals <-chan Signal) error {
+func Run(ctx context.Context, file string, cfg *binaryconfig.Config, mk endpointset.Maker, log zerolog.Logger, signals <-chan Signal) error {
 	g := &Gateway{file: file, cfg: cfg, log: log, events: newQueue(), start: time.Now()}
 	bootUnix := float64(g.start.UnixNano()) / 1e6
 	set := cfg.Set
@@ -70,11 +70,11 @@
 	if most <= 0 || most > mostHeld {
 		most = mostHeld
 	}
-	g.m = platform.New(g.now(), &platform.Config{Set: set, Links: cfg.Links, Sockets: cfg.Limits.Sockets, Margin: margin,
+	g.m = binarygateway.New(g.now(), &binarygateway.Config{Set: set, Links: cfg.Links, Sockets: cfg.Limits.Sockets, Margin: margin,
 		Gate: intake.Gate{Most: most}, Clock: func(unix float64) float64 { return origin + unix - bootUnix }}, mk, g)
 	if log.GetLevel() <= zerolog.TraceLevel {
-		g.m.Tap = func(l *platform.Link, out bool, msg message.Message) {
-			log.Trace().Bool("out", out).Str("with", l.With()).Hex("call", msg[3:11]).Uint8("type", msg.Type()).Uint8("cause", msg.Cause()).Str("note", msg.Text(message.Note)).Str("report", msg.Text(message.Report)).Str("number", msg.Text(message.Number)).
+		g.m.Tap = func(l *binarygateway.Link, out bool, msg binarymessage.Message) {
+			log.Trace().Bool("out", out).Str("with", l.With()).Hex("call", msg[3:11]).Uint8("type", msg.Type()).Uint8("cause", msg.Cause()).Str("note", msg.Text(binarymessage.Note)).Str("report", msg.Text(binarymessage.Report)).Str("number", msg.Text(binarymessage.Number)).
 				Float64("ms", g.now()-origin).Send()
 		}
 	}
@@ -82,7 +82,7 @@
 	for i := range cfg.Known {
 		no = cfg.Known[i].No
 	}
-	g.list = roster.New(cfg.Nameserver, no, set.Seed)
+	g.list = dnsdiscovery.New(cfg.Nameserver, no, set.Seed)
 	udp := []netip.AddrPort{netip.AddrPortFrom(cfg.Listen.Addr(), 0)}
 	if cfg.Peer.IsValid() && set.MayTell {
 		udp = append(udp, cfg.Peer)
@@ -239,7 +239,7 @@
 func (g *Gateway) reload() {
 	g.rereads--
 	g.reread = g.now() + rereadEvery
-	cfg, err := config.Load(g.file)
+	cfg, err := binaryconfig.Load(g.file)
 	if err != nil {
 		if g.rereads == 0 {
 			g.log.Error().Err(err).Msg("the new configuration is not used")
@@ -261,25 +261,25 @@
 			st.User = l
 		}
 	case connected:
-		if l, ok := e.stream.User.(*platform.Link); ok {
+		if l, ok := e.stream.User.(*binarygateway.Link); ok {
 			g.m.Connected(now, l)
 		}
 	case data:
-		if l, ok := e.stream.User.(*platform.Link); ok {
+		if l, ok := e.stream.User.(*binarygateway.Link); ok {
 			g.m.Received(now, l, e.data)
 		}
 	case left:
-		if l, ok := e.stream.User.(*platform.Link); ok && e.stream.HasLeft() {
+		if l, ok := e.stream.User.(*binarygateway.Link); ok && e.stream.HasLeft() {
 			g.m.Left(now, l)
 		}
 	case closed:
-		if l, ok := e.stream.User.(*platform.Link); ok {
+		if l, ok := e.stream.User.(*binarygateway.Link); ok {
 			g.log.Debug().AnErr("cause", e.err).Msg("link closed")
-			how := platform.Orderly
+			how := binarygateway.Orderly
 			if reactor.Refused(e.err) {
-				how = platform.Refused
+				how = binarygateway.Refused
 			} else if reactor.Reset(e.err) {
-				how = platform.Reset
+				how = binarygateway.Reset
 			}
 			g.m.Closed(now, l, how)
 		}
@@ -299,7 +299,7 @@
 func (g *Gateway) listed(now float64, e event) {
 	l, err := g.list.Take(e.from, e.data)
 	if err != nil || l == nil {
-		if err != nil && !errors.Is(err, roster.ErrOld) {
+		if err != nil && !errors.Is(err, dnsdiscovery.ErrOld) {
 			g.log.Debug().Err(err).Msg("an answer of the name server does not count")
 		}
 		return
@@ -338,20 +338,22 @@
 }
 
 // Write implements platform.Out.
-func (g *Gateway) Write(l *platform.Link, b []byte) bool { return l.Conn.(*reactor.Stream).Write(b) }
+func (g *Gateway) Write(l *binarygateway.Link, b []byte) bool {
+	return l.Conn.(*reactor.Stream).Write(b)
+}
 
 // Dial implements platform.Out.
-func (g *Gateway) Dial(l *platform.Link, to netip.AddrPort) {
+func (g *Gateway) Dial(l *binarygateway.Link, to netip.AddrPort) {
 	s := &reactor.Stream{User: l}
 	l.Conn = s
 	g.streams.Dial(s, to)
 }
 
 // Shut implements platform.Out.
-func (g *Gateway) Shut(l *platform.Link) { l.Conn.(*reactor.Stream).Shut() }
+func (g *Gateway) Shut(l *binarygateway.Link) { l.Conn.(*reactor.Stream).Shut() }
 
 // CloseWrite implements platform.Out.
-func (g *Gateway) CloseWrite(l *platform.Link) { l.Conn.(*reactor.Stream).CloseWrite() }
+func (g *Gateway) CloseWrite(l *binarygateway.Link) { l.Conn.(*reactor.Stream).CloseWrite() }
 
 // Tell implements platform.Out.
 func (g *Gateway) Tell(to int, b []byte) {
@@ -361,7 +363,7 @@
 }
 
 // Limit sets the process up for what its machine allows: it collects early enough to stay under its memory.
-func Limit(l config.Limits) (bytes int64) {
+func Limit(l binaryconfig.Limits) (bytes int64) {
 	if os.Getenv("GOMEMLIMIT") != "" {
 		return 0
 	}
--- a/platform/serve/serve_test.go
+++ b/internal/gateway/binaryserver/serve_test.go
@@ -1,4 +1,4 @@
-package serve
+package binaryserver
 
 import (
 	"context"
@@ -17,12 +17,12 @@
 	"github.com/rs/zerolog"
 	"go.uber.org/goleak"
 
-	"cobaltpier/brain"
-	"cobaltpier/chance"
-	"cobaltpier/contact"
-	"cobaltpier/host"
-	"cobaltpier/platform/config"
-	"cobaltpier/platform/message"
+	"cobaltpier/internal/detrand"
+	"cobaltpier/internal/gateway/binaryconfig"
+	"cobaltpier/internal/protocol/binarymessage"
+	"cobaltpier/internal/protocol/endpointset"
+	"cobaltpier/internal/router"
+	"cobaltpier/internal/routing"
 )
 
 // core is a stand-in of a core switch on TCP.
@@ -31,7 +31,7 @@
 	id   string
 	l    net.Listener
 	mu   sync.Mutex
-	cons map[net.Conn]func(kind byte, id uint64, of ...message.Param)
+	cons map[net.Conn]func(kind byte, id uint64, of ...binarymessage.Param)
 	owed []uint64 // releases for the next connection
 	open map[uint64]bool
 	got  int
@@ -47,7 +47,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &core{t: t, id: id, l: l, cons: map[net.Conn]func(byte, uint64, ...message.Param){}, open: map[uint64]bool{}, hold: 50 * time.Millisecond}
+	c := &core{t: t, id: id, l: l, cons: map[net.Conn]func(byte, uint64, ...binarymessage.Param){}, open: map[uint64]bool{}, hold: 50 * time.Millisecond}
 	c.all.Add(1)
 	go func() {
 		defer c.all.Done()
@@ -78,42 +78,42 @@
 	defer c.all.Done()
 	defer n.Close()
 	var mu sync.Mutex
-	say := func(kind byte, id uint64, of ...message.Param) {
+	say := func(kind byte, id uint64, of ...binarymessage.Param) {
 		mu.Lock()
 		defer mu.Unlock()
-		n.Write(message.Append(nil, kind, id, of...))
+		n.Write(binarymessage.Append(nil, kind, id, of...))
 	}
-	load := message.Text(message.Report, "free:300;size:400;busy:0.3;q:1")
-	say(message.State, 0, load)
+	load := binarymessage.Text(binarymessage.Report, "free:300;size:400;busy:0.3;q:1")
+	say(binarymessage.State, 0, load)
 	c.mu.Lock()
 	c.cons[n] = say
 	owed := c.owed
 	c.owed = nil
 	c.mu.Unlock()
 	for _, id := range owed {
-		say(message.Release, id, message.Why(message.Normal))
+		say(binarymessage.Release, id, binarymessage.Why(binarymessage.Normal))
 	}
 	defer func() {
 		c.mu.Lock()
 		delete(c.cons, n)
 		c.mu.Unlock()
 	}()
-	var r message.Reader
+	var r binarymessage.Reader
 	b := make([]byte, 4096)
 	for {
 		k, err := n.Read(b)
 		if err != nil {
 			return
 		}
-		if err := r.Feed(b[:k], func(m message.Message) bool {
+		if err := r.Feed(b[:k], func(m binarymessage.Message) bool {
 			id := m.Call()
-			if m.Type() == message.Release {
+			if m.Type() == binarymessage.Release {
 				c.mu.Lock()
 				delete(c.open, id)
 				c.mu.Unlock()
 				return true
 			}
-			if m.Type() != message.SetUp {
+			if m.Type() != binarymessage.SetUp {
 				return true
 			}
 			c.mu.Lock()
@@ -134,14 +134,14 @@
 				mu.Unlock()
 			case "half":
 				mu.Lock()
-				n.Write(message.Append(nil, message.Answer, id, message.Text(message.Description, "answer"))[:9])
+				n.Write(binarymessage.Append(nil, binarymessage.Answer, id, binarymessage.Text(binarymessage.Description, "answer"))[:9])
 				mu.Unlock()
 				n.Close()
 			case "full":
-				say(message.Release, id, message.Why(message.NoCircuit), message.Text(message.Note, "cpu_full"), load)
+				say(binarymessage.Release, id, binarymessage.Why(binarymessage.NoCircuit), binarymessage.Text(binarymessage.Note, "cpu_full"), load)
 			case "never":
 			default:
-				say(message.Answer, id, message.Text(message.Description, "answer of "+c.id), load)
+				say(binarymessage.Answer, id, binarymessage.Text(binarymessage.Description, "answer of "+c.id), load)
 				time.AfterFunc(c.hold, func() {
 					c.mu.Lock()
 					defer c.mu.Unlock()
@@ -158,7 +158,7 @@
 					// as a real one does: also on the next connection, for the gateway may just have closed the one at hand
 					c.owed = append(c.owed, id)
 					if on != nil {
-						on(message.Release, id, message.Why(message.Normal), load)
+						on(binarymessage.Release, id, binarymessage.Why(binarymessage.Normal), load)
 					}
 				})
 			}
@@ -265,10 +265,10 @@
 
 func newStation(t *testing.T, ns *names, of ...*core) *station {
 	t.Helper()
-	return startStation(t, ns, func(set *contact.Settings, h contact.Host) host.Module { return brain.New(set, h) }, func(map[string]any) {}, of...)
+	return startStation(t, ns, func(set *routing.Settings, h routing.Host) endpointset.Module { return router.New(set, h) }, func(map[string]any) {}, of...)
 }
 
-func startStation(t *testing.T, ns *names, mk host.Maker, change func(map[string]any), of ...*core) *station {
+func startStation(t *testing.T, ns *names, mk endpointset.Maker, change func(map[string]any), of ...*core) *station {
 	t.Helper()
 	s := &station{T: t, addr: freePort(t), file: filepath.Join(t.TempDir(), "config.json"), signals: make(chan Signal, 4), ended: make(chan error, 1)}
 	var targets []map[string]any
@@ -281,7 +281,7 @@
 		"settings": json.RawMessage(`{"allowed":{"cancel":true,"retryAfter":true,"maxRetryAfter":2000,"maxAttempts":5,"connectTimeout":300},"balancers":1,"me":0,"familyInfo":{"callLength":[50],"clearWait":100,"retransmit":200},"lanes":[{"name":"voice","aim":1000,"hardLimit":2000,"lateWorth":0.1,"worth":1}],"rules":{"answerSlack":5,"coldShare":0.4,"warmWithin":1000,"tipMultiple":2.5,"fall":1000},"stats":{"fields":["free","size","busy","q"],"how":"inline"}}`)}
 	change(s.doc)
 	s.write()
-	cfg, err := config.Load(s.file)
+	cfg, err := binaryconfig.Load(s.file)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -315,8 +315,8 @@
 type phone struct {
 	t    *testing.T
 	c    net.Conn
-	r    message.Reader
-	got  map[uint64][]message.Message
+	r    binarymessage.Reader
+	got  map[uint64][]binarymessage.Message
 	open bool
 }
 
@@ -326,7 +326,7 @@
 		c, err := net.Dial("tcp", s.addr)
 		if err == nil {
 			s.Cleanup(func() { c.Close() })
-			return &phone{t: s.T, c: c, got: map[uint64][]message.Message{}, open: true}
+			return &phone{t: s.T, c: c, got: map[uint64][]binarymessage.Message{}, open: true}
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -335,10 +335,10 @@
 }
 
 // ask is a caller's set-up.
-func ask(id uint64, of ...message.Param) []byte {
-	return message.Append(nil, message.SetUp, id, append([]message.Param{message.Text(message.Class, "voice"), message.Text(message.Patience, "1500"),
-		message.Text(message.Number, fmt.Sprintf("%x", id)), message.Text(message.Figures, fmt.Sprintf("dest:%d;width:1;via:-1", id%2)),
-		message.Text(message.Description, "offer")}, of...)...)
+func ask(id uint64, of ...binarymessage.Param) []byte {
+	return binarymessage.Append(nil, binarymessage.SetUp, id, append([]binarymessage.Param{binarymessage.Text(binarymessage.Class, "voice"), binarymessage.Text(binarymessage.Patience, "1500"),
+		binarymessage.Text(binarymessage.Number, fmt.Sprintf("%x", id)), binarymessage.Text(binarymessage.Figures, fmt.Sprintf("dest:%d;width:1;via:-1", id%2)),
+		binarymessage.Text(binarymessage.Description, "offer")}, of...)...)
 }
 
 // hear reads until enough says so, or for a time.
@@ -347,8 +347,8 @@
 	for end := time.Now().Add(within); p.open && !enough() && time.Now().Before(end); {
 		p.c.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 		n, err := p.c.Read(b)
-		if ferr := p.r.Feed(b[:n], func(m message.Message) bool {
-			p.got[m.Call()] = append(p.got[m.Call()], append(message.Message(nil), m...))
+		if ferr := p.r.Feed(b[:n], func(m binarymessage.Message) bool {
+			p.got[m.Call()] = append(p.got[m.Call()], append(binarymessage.Message(nil), m...))
 			return true
 		}); ferr != nil {
 			p.t.Errorf("the caller was sent what is no message: %v", ferr)
@@ -363,22 +363,22 @@
 // ready waits for the gateway to pass a test.
 func (p *phone) ready() {
 	p.t.Helper()
-	p.c.Write(message.Append(nil, message.Test, 9, message.Why(0)))
-	if !p.hear(3*time.Second, func() bool { return len(p.got[9]) > 0 }) || p.got[9][0].Type() != message.Tested || p.got[9][0].Cause() != 1 {
+	p.c.Write(binarymessage.Append(nil, binarymessage.Test, 9, binarymessage.Why(0)))
+	if !p.hear(3*time.Second, func() bool { return len(p.got[9]) > 0 }) || p.got[9][0].Type() != binarymessage.Tested || p.got[9][0].Cause() != 1 {
 		p.t.Fatalf("the test was answered with %x", p.got[9])
 	}
 	delete(p.got, 9)
 }
 
 // finals are a call's final answers, and whether it was released after it stood.
-func finals(of []message.Message) (answers, refusals, releases int) {
+func finals(of []binarymessage.Message) (answers, refusals, releases int) {
 	for _, m := range of {
 		switch {
-		case m.Type() == message.Answer:
+		case m.Type() == binarymessage.Answer:
 			answers++
-		case m.Type() == message.Release && answers > 0:
+		case m.Type() == binarymessage.Release && answers > 0:
 			releases++
-		case m.Type() == message.Release:
+		case m.Type() == binarymessage.Release:
 			refusals++
 		}
 	}
@@ -393,7 +393,7 @@
 		faults := []string{"", "reset", "noise", "full", "never", "half"}
 		for i, c := range []*core{a, b} {
 			c.does = func(n int) string {
-				if x := int(chance.Of(uint64(i), uint64(n)) * 40); x < len(faults) {
+				if x := int(detrand.Of(uint64(i), uint64(n)) * 40); x < len(faults) {
 					return faults[x]
 				}
 				return ""
@@ -409,7 +409,7 @@
 		}
 		go func() {
 			for seed := uint64(0); len(wire) > 0; seed++ { // in pieces that end anywhere
-				n := min(len(wire), 1+int(chance.Of(7, seed)*700))
+				n := min(len(wire), 1+int(detrand.Of(7, seed)*700))
 				if _, err := p.c.Write(wire[:n]); err != nil {
 					return
 				}
@@ -451,26 +451,28 @@
 	for i := range big {
 		big[i] = 0x7f
 	}
-	odd := func(id uint64, of ...message.Param) []byte { return message.Append(nil, message.SetUp, id, of...) }
-	class, wait, number := message.Text(message.Class, "voice"), message.Text(message.Patience, "900"), message.Text(message.Number, "1")
+	odd := func(id uint64, of ...binarymessage.Param) []byte {
+		return binarymessage.Append(nil, binarymessage.SetUp, id, of...)
+	}
+	class, wait, number := binarymessage.Text(binarymessage.Class, "voice"), binarymessage.Text(binarymessage.Patience, "900"), binarymessage.Text(binarymessage.Number, "1")
 	for what, wire := range map[string][]byte{
 		"no message":         []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
 		"nothing":            nil,
 		"half a message":     ask(77)[:20],
 		"length nought":      {0, 0, 0, 0},
 		"60 MB":              big,
-		"class unknown":      odd(1<<41+1, message.Text(message.Class, "video"), wait, number),
+		"class unknown":      odd(1<<41+1, binarymessage.Text(binarymessage.Class, "video"), wait, number),
 		"no class":           odd(1<<41+2, wait, number),
-		"patience no figure": odd(1<<41+3, class, message.Text(message.Patience, "soon"), number),
-		"patience below 0":   odd(1<<41+4, class, message.Text(message.Patience, "-5"), number),
-		"patience endless":   odd(1<<41+5, class, message.Text(message.Patience, "1e300"), number),
+		"patience no figure": odd(1<<41+3, class, binarymessage.Text(binarymessage.Patience, "soon"), number),
+		"patience below 0":   odd(1<<41+4, class, binarymessage.Text(binarymessage.Patience, "-5"), number),
+		"patience endless":   odd(1<<41+5, class, binarymessage.Text(binarymessage.Patience, "1e300"), number),
 		"no number":          odd(1<<41+6, class, wait),
-		"figures too large":  odd(1<<41+7, class, wait, number, message.Text(message.Figures, "dest:99999999999999999999")),
-		"figures no number":  odd(1<<41+8, class, wait, number, message.Text(message.Figures, "width:many")),
+		"figures too large":  odd(1<<41+7, class, wait, number, binarymessage.Text(binarymessage.Figures, "dest:99999999999999999999")),
+		"figures no number":  odd(1<<41+8, class, wait, number, binarymessage.Text(binarymessage.Figures, "width:many")),
 		"no id":              odd(0, class, wait, number),
-		"unknown switch":     odd(1<<41+9, class, wait, number, message.Text(message.Figures, "at:s-nowhere")),
-		"one id twice":       append(ask(1<<41+10), ask(1<<41+10, message.Text(message.Note, "x"))...),
-		"odd type":           message.Append(nil, 200, 5),
+		"unknown switch":     odd(1<<41+9, class, wait, number, binarymessage.Text(binarymessage.Figures, "at:s-nowhere")),
+		"one id twice":       append(ask(1<<41+10), ask(1<<41+10, binarymessage.Text(binarymessage.Note, "x"))...),
+		"odd type":           binarymessage.Append(nil, 200, 5),
 	} {
 		t.Run(what, func(t *testing.T) {
 			p := s.dial()
@@ -491,9 +493,9 @@
 				}
 			}
 		})
-		id := uint64(len(what)) + 5000 + chance.Hash(uint64(len(wire)))%1000
+		id := uint64(len(what)) + 5000 + detrand.Hash(uint64(len(wire)))%1000
 		usual.c.Write(ask(id))
-		if !usual.hear(2*time.Second, func() bool { return len(usual.got[id]) > 0 }) || usual.got[id][0].Type() != message.Answer {
+		if !usual.hear(2*time.Second, func() bool { return len(usual.got[id]) > 0 }) || usual.got[id][0].Type() != binarymessage.Answer {
 			t.Errorf("%s: a usual caller got %x", what, usual.got[id])
 		}
 	}
@@ -514,7 +516,7 @@
 		for i := range uint64(many) {
 			wire = append(wire, ask(first+i)...)
 			if back {
-				wire = append(wire, message.Append(nil, message.Release, first+i, message.Why(message.Normal))...)
+				wire = append(wire, binarymessage.Append(nil, binarymessage.Release, first+i, binarymessage.Why(binarymessage.Normal))...)
 			}
 		}
 		go p.c.Write(wire)
@@ -537,7 +539,7 @@
 	p := s.dial()
 	for n := range uint64(200) { // the same again as soon as it is turned away
 		id := uint64(5)<<40 + n
-		p.c.Write(ask(id, message.Text(message.Wait, "0")))
+		p.c.Write(ask(id, binarymessage.Text(binarymessage.Wait, "0")))
 		if !p.hear(2*time.Second, func() bool { return len(p.got[id]) > 0 }) {
 			t.Fatalf("repeat %d has no answer", n)
 		}
@@ -553,8 +555,8 @@
 
 // told is a module that hears other gateways and says something to them.
 type told struct {
-	host.Module
-	h     contact.Host
+	endpointset.Module
+	h     routing.Host
 	heard chan string
 }
 
@@ -579,8 +581,8 @@
 	defer stranger.Close()
 	own := freePort(t)
 	heard := make(chan string, 10)
-	s := startStation(t, newNames(t, 1, a), func(set *contact.Settings, h contact.Host) host.Module {
-		return &told{Module: brain.New(set, h), h: h, heard: heard}
+	s := startStation(t, newNames(t, 1, a), func(set *routing.Settings, h routing.Host) endpointset.Module {
+		return &told{Module: router.New(set, h), h: h, heard: heard}
 	}, func(doc map[string]any) {
 		doc["peer_listen"], doc["peers"] = own, []string{own, peer.LocalAddr().String()}
 		doc["settings"] = json.RawMessage(strings.Replace(string(doc["settings"].(json.RawMessage)), `"balancers":1`, `"balancers":2`, 1))
@@ -624,7 +626,7 @@
 	}
 	p := s.dial()
 	p.c.Write(ask(4242))
-	if !p.hear(2*time.Second, func() bool { return len(p.got[4242]) > 0 }) || p.got[4242][0].Type() != message.Answer {
+	if !p.hear(2*time.Second, func() bool { return len(p.got[4242]) > 0 }) || p.got[4242][0].Type() != binarymessage.Answer {
 		t.Errorf("a usual caller among a silent crowd got %x, connection open %v", p.got[4242], p.open)
 	}
 }
@@ -645,7 +647,7 @@
 		if len(p.got[next]) == 0 {
 			return "nothing"
 		}
-		return p.got[next][0].Text(message.Description)
+		return p.got[next][0].Text(binarymessage.Description)
 	}
 	if got := to(); got != "answer of s-0" {
 		t.Fatalf("before: %q", got)
@@ -682,13 +684,13 @@
 	s.signals <- Leave
 	time.Sleep(300 * time.Millisecond)
 	q := s.dial() // connections keep coming
-	q.c.Write(append(ask(600), message.Append(nil, message.Test, 601, message.Why(0))...))
-	if !q.hear(time.Second, func() bool { return len(q.got[600]) > 0 && len(q.got[601]) > 0 }) || q.got[600][0].Type() != message.Answer || q.got[601][0].Cause() != 0 {
+	q.c.Write(append(ask(600), binarymessage.Append(nil, binarymessage.Test, 601, binarymessage.Why(0))...))
+	if !q.hear(time.Second, func() bool { return len(q.got[600]) > 0 && len(q.got[601]) > 0 }) || q.got[600][0].Type() != binarymessage.Answer || q.got[601][0].Cause() != 0 {
 		t.Errorf("after 0.3 s: %x", q.got)
 	}
 	time.Sleep(550 * time.Millisecond)
 	p.c.Write(ask(602))
-	if !p.hear(time.Second, func() bool { return len(p.got[602]) > 0 }) || p.got[602][0].Type() != message.Release || p.got[602][0].Cause() != message.Congested {
+	if !p.hear(time.Second, func() bool { return len(p.got[602]) > 0 }) || p.got[602][0].Type() != binarymessage.Release || p.got[602][0].Cause() != binarymessage.Congested {
 		t.Errorf("after 0.85 s: %x", p.got[602])
 	}
 	select {
@@ -719,11 +721,11 @@
 	p.hear(time.Second, func() bool { return len(p.got[700]) > 0 })
 	s.signals <- Leave
 	time.Sleep(400 * time.Millisecond)
-	p.c.Write(ask(702, message.Param{Code: message.Note}))
+	p.c.Write(ask(702, binarymessage.Param{Code: binarymessage.Note}))
 	if !p.hear(3*time.Second, func() bool { return len(p.got[700]) > 1 }) {
 		t.Errorf("the release of a call that stood did not pass: %x", p.got[700])
 	}
-	if !p.hear(2*time.Second, func() bool { return !p.open && len(p.got[702]) > 0 }) || p.got[702][0].Type() != message.Release {
+	if !p.hear(2*time.Second, func() bool { return !p.open && len(p.got[702]) > 0 }) || p.got[702][0].Type() != binarymessage.Release {
 		t.Errorf("a call that no switch answers got %x, open %v", p.got[702], p.open)
 	}
 }
@@ -733,11 +735,11 @@
 	a := newCore(t, "s-0")
 	s := newStation(t, newNames(t, 1, a), a)
 	s.dial().ready()
-	cfg, err := config.Load(s.file)
+	cfg, err := binaryconfig.Load(s.file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	err = Run(context.Background(), s.file, cfg, func(set *contact.Settings, h contact.Host) host.Module { return brain.New(set, h) }, zerolog.Nop(), nil)
+	err = Run(context.Background(), s.file, cfg, func(set *routing.Settings, h routing.Host) endpointset.Module { return router.New(set, h) }, zerolog.Nop(), nil)
 	if err == nil || !strings.Contains(err.Error(), s.addr) {
 		t.Errorf("%v", err)
 	}
--- a/settings/settings.go
+++ b/internal/gateway/gatewayconfig/settings.go
@@ -1,22 +1,23 @@
-// Package settings reads an edge's settings: one HCL file, checked as a whole, faults told with file and line.
-package settings
+// Package gatewayconfig reads an edge's settings: one HCL file, checked as a whole, faults told with file and line.
+package gatewayconfig
 
 import (
 	"net/netip"
 
-	"cobaltpier/conf"
-	"cobaltpier/contact"
-	"cobaltpier/edge"
-	"cobaltpier/front"
-	"cobaltpier/intake"
-	"cobaltpier/number"
-	"cobaltpier/resolve"
-	"cobaltpier/signal"
+	"cobaltpier/internal/decision/intake"
+	"cobaltpier/internal/decision/numberplan"
+	"cobaltpier/internal/gateway/hclfile"
+	"cobaltpier/internal/hclconfig"
+	"cobaltpier/internal/protocol/b2bua"
+	"cobaltpier/internal/protocol/dnsclient"
+	"cobaltpier/internal/protocol/enumserver"
+	"cobaltpier/internal/protocol/siptransaction"
+	"cobaltpier/internal/routing"
 )
 
 // Edge is all that cobalt-edge is told. Times are milliseconds.
 type Edge struct {
-	edge.Config
+	b2bua.Config
 	Peer        netip.AddrPort   // where other gateways' messages come in
 	Peers       []netip.AddrPort // of all gateways, by number
 	List        string           // the pool list's address
@@ -34,13 +35,13 @@
 	Table    string // a file; runs where the store has none yet; "" and no store: callers name skill and group themselves
 	Store    string // a file; "": what is put in service lives as long as the process
 	Admin    string // where gRPC puts tables in service; "": nowhere
-	Resolve  resolve.Config
+	Resolve  dnsclient.Config
 	Apex     string // "": nothing is looked up
 	Services []string
 }
 
 // Names are what number tables may name here.
-func (s *Edge) Names() (n number.Names) {
+func (s *Edge) Names() (n numberplan.Names) {
 	for _, k := range s.Set.Skills {
 		n.Skills = append(n.Skills, k.Name)
 	}
@@ -55,7 +56,7 @@
 
 // Front is where the edge answers look-ups, and how.
 type Front struct {
-	front.Config
+	enumserver.Config
 	Listen netip.AddrPort // UDP and TCP; not valid: nowhere
 	Conns  int            // streams open at once; what comes beyond is closed
 	Idle   float64        // ms: a stream on which nothing is asked is closed (RFC 7766 6.2.3)
@@ -68,7 +69,7 @@
 
 // Load reads a file.
 func Load(name string) (*Edge, error) {
-	b, err := conf.Load(name)
+	b, err := hclfile.Load(name)
 	if err != nil {
 		return nil, err
 	}
@@ -77,15 +78,15 @@
 
 // Parse reads settings at hand; name stands in the errors.
 func Parse(name string, src []byte) (*Edge, error) {
-	b, err := conf.Parse(name, src)
+	b, err := hclconfig.Parse(name, src)
 	if err != nil {
 		return nil, err
 	}
 	return read(b)
 }
 
-func read(b *conf.Block) (*Edge, error) {
-	s, set := &Edge{}, &contact.Settings{}
+func read(b *hclconfig.Block) (*Edge, error) {
+	s, set := &Edge{}, &routing.Settings{}
 	s.Set = set
 	g := b.One("gateway")
 	s.Name = g.Must("name")
@@ -127,17 +128,17 @@
 	}
 	t := b.One("timers")
 	t1 := t.Ms("t1", 500, 10, 60000)
-	s.Times = signal.Times{T1: t1, T2: t.Ms("t2", 8*t1, 10, 600000), T4: t.Ms("t4", 5000, 10, 600000)}
+	s.Times = siptransaction.Times{T1: t1, T2: t.Ms("t2", 8*t1, 10, 600000), T4: t.Ms("t4", 5000, 10, 600000)}
 	set.Retransmit = t1
 	r := b.One("rules")
 	set.Slack = r.Ms("slack", 20, 0, 10000)
-	set.ClearWait = r.Ms("clear_wait", conf.Required, 0, 60000)
-	set.ColdShare = r.Num("cold_share", conf.Required, 0.001, 1)
-	set.WarmWithin = r.Ms("warm_within", conf.Required, 0, day)
-	set.TipMultiple = r.Num("tip_multiple", conf.Required, 0, 1000)
-	set.TipTime = r.Ms("tip_time", conf.Required, 1, day)
+	set.ClearWait = r.Ms("clear_wait", hclconfig.Required, 0, 60000)
+	set.ColdShare = r.Num("cold_share", hclconfig.Required, 0.001, 1)
+	set.WarmWithin = r.Ms("warm_within", hclconfig.Required, 0, day)
+	set.TipMultiple = r.Num("tip_multiple", hclconfig.Required, 0, 1000)
+	set.TipTime = r.Ms("tip_time", hclconfig.Required, 1, day)
 	for _, k := range b.Blocks("skill", 1) {
-		x := &contact.Skill{Name: k.Labels[0], Target: k.Ms("target", conf.Required, 1, day), Patience: k.Ms("patience", conf.Required, 1, day),
+		x := &routing.Skill{Name: k.Labels[0], Target: k.Ms("target", hclconfig.Required, 1, day), Patience: k.Ms("patience", hclconfig.Required, 1, day),
 			Value: k.Num("value", 1, 0, 1e9), LateValue: k.Num("late_value", 0, 0, 1), Hold: k.Ms("hold", 0, 0, day), Repeat: k.Flag("repeat", true)}
 		if x.Target > x.Patience {
 			k.Fault("target", "target: want no more than patience")
@@ -157,11 +158,11 @@
 		g.Fault("default_skill", "default_skill: want one of the skills, got %q", s.Default)
 	}
 	for _, c := range b.Blocks("customer", 1) {
-		set.Customers = append(set.Customers, &contact.Customer{Name: c.Labels[0]})
+		set.Customers = append(set.Customers, &routing.Customer{Name: c.Labels[0]})
 	}
 	pools := map[int]string{}
 	for _, x := range b.Blocks("group", 1) {
-		n := edge.Group{Name: x.Labels[0], Pool: x.Int("pool", -1, 0, 1<<30), Size: x.Int("size", -1, 1, 1<<20)}
+		n := b2bua.Group{Name: x.Labels[0], Pool: x.Int("pool", -1, 0, 1<<30), Size: x.Int("size", -1, 1, 1<<20)}
 		if !x.Has("pool") || !x.Has("size") {
 			x.Fault("", "group %q: want pool and size", n.Name)
 		}
@@ -179,7 +180,7 @@
 }
 
 // numbers reads what concerns numbers.
-func (s *Edge) numbers(b *conf.Block) {
+func (s *Edge) numbers(b *hclconfig.Block) {
 	n, e := b.One("numbers"), b.One("enum")
 	s.Numbers = Numbers{Table: n.Text("table", ""), Store: n.Text("store", ""), Admin: n.Text("admin", ""),
 		Apex: e.Text("apex", ""), Services: e.Texts("services")}
@@ -187,9 +188,9 @@
 	if len(s.Numbers.Services) == 0 {
 		s.Numbers.Services = []string{"pstn:tel"}
 	}
-	r := resolve.Config{Ports: e.Int("ports", 8, 1, 64), Most: e.Int("most", 1000, 1, 1<<20), Tries: e.Int("tries", 4, 1, 20),
+	r := dnsclient.Config{Ports: e.Int("ports", 8, 1, 64), Most: e.Int("most", 1000, 1, 1<<20), Tries: e.Int("tries", 4, 1, 20),
 		StaleAfter: e.Ms("stale_after", 200, 0, day)}
-	r.Cache = resolve.CacheTimes{Most: e.Int("keep", 100000, 1, 1<<24), Least: e.Ms("least", 1000, 0, day), Longest: e.Ms("longest", day, 0, 7*day),
+	r.Cache = dnsclient.CacheTimes{Most: e.Int("keep", 100000, 1, 1<<24), Least: e.Ms("least", 1000, 0, day), Longest: e.Ms("longest", day, 0, 7*day),
 		Negative: e.Ms("negative", 900e3, 0, day), Stale: e.Ms("stale", 3600e3, 0, 7*day), Fail: e.Ms("fail", 1000, 0, 300e3)}
 	for _, a := range e.Texts("servers") {
 		x, err := netip.ParseAddrPort(a)
@@ -211,7 +212,7 @@
 }
 
 // front reads how look-ups are answered.
-func (s *Edge) front(f *conf.Block) {
+func (s *Edge) front(f *hclconfig.Block) {
 	c := &s.Front
 	if c.Listen.IsValid() {
 		f.Fault("", "front: stands here twice")
@@ -223,14 +224,14 @@
 	c.Conns, c.Idle = f.Int("streams", 256, 1, 1<<16), f.Ms("stream_idle", 10000, 100, 600000)
 	c.Gain = f.Num("gain", 6, 1, 1000)
 	c.Most, c.Keep = f.Int("most", 2000, 1, 1<<20), f.Int("keep", 10000, 1, 1<<20)
-	c.Limits = front.Limits{Rate: f.Num("rate", 50, 0, 1e6), Burst: f.Num("burst", 100, 1, 1e6), Total: f.Num("total_rate", 0, 0, 1e7),
+	c.Limits = enumserver.Limits{Rate: f.Num("rate", 50, 0, 1e6), Burst: f.Num("burst", 100, 1, 1e6), Total: f.Num("total_rate", 0, 0, 1e7),
 		Clients: f.Int("clients", 100000, 2, 1<<24)}
 	for _, n := range f.Blocks("client", 1) {
 		p, err := netip.ParsePrefix(n.Labels[0])
 		if err != nil {
 			n.Fault("", "client %q: want a network such as \"10.1.0.0/16\"", n.Labels[0])
 		}
-		c.Limits.Nets = append(c.Limits.Nets, front.Net{Prefix: p, Rate: n.Num("rate", conf.Required, 0, 1e6)})
+		c.Limits.Nets = append(c.Limits.Nets, enumserver.Net{Prefix: p, Rate: n.Num("rate", hclconfig.Required, 0, 1e6)})
 	}
 	known := false
 	for _, k := range s.Set.Skills {
--- a/settings/settings_test.go
+++ b/internal/gateway/gatewayconfig/settings_test.go
@@ -1,4 +1,4 @@
-package settings
+package gatewayconfig
 
 import (
 	"strings"
--- a/listing/listing.go
+++ b/internal/gateway/grpcdiscovery/listing.go
@@ -1,6 +1,6 @@
-// Package listing follows the pool list over a gRPC stream (api/list.proto). A stream that breaks is opened again with
+// Package grpcdiscovery follows the pool list over a gRPC stream (api/list.proto). A stream that breaks is opened again with
 // the version that was had; meanwhile whoever follows keeps the old list.
-package listing
+package grpcdiscovery
 
 import (
 	"context"
@@ -15,8 +15,8 @@
 	"google.golang.org/grpc/keepalive"
 
 	"cobaltpier/api"
-	"cobaltpier/contact"
-	"cobaltpier/edge"
+	"cobaltpier/internal/protocol/b2bua"
+	"cobaltpier/internal/routing"
 )
 
 // Waits between two tries to connect, doubling, each shortened by chance by up to half: gateways that lost the same
@@ -78,14 +78,14 @@
 
 // Members turns a list from the wire into an edge's; at is when it came, on the edge's clock. Lines without an id or
 // with an address that is none are passed over.
-func Members(u *api.Update, at float64) []edge.Member {
-	var of []edge.Member
+func Members(u *api.Update, at float64) []b2bua.Member {
+	var of []b2bua.Member
 	for _, m := range u.Members {
 		a, err := netip.ParseAddrPort(m.Addr)
 		if err != nil || m.Id == "" || m.State < api.State_GONE || m.State > api.State_DRAINING {
 			continue
 		}
-		e := edge.Member{ID: m.Id, Number: int(m.Number), State: states[m.State], Addr: a}
+		e := b2bua.Member{ID: m.Id, Number: int(m.Number), State: states[m.State], Addr: a}
 		if m.AgeMs >= 0 && !math.IsInf(m.AgeMs, 1) {
 			e.Since = math.Max(1e-3, at-m.AgeMs)
 		}
@@ -94,4 +94,4 @@
 	return of
 }
 
-var states = map[api.State]contact.State{api.State_GONE: contact.Gone, api.State_READY: contact.Ready, api.State_DRAINING: contact.Draining}
+var states = map[api.State]routing.State{api.State_GONE: routing.Gone, api.State_READY: routing.Ready, api.State_DRAINING: routing.Draining}
--- a/benchwire/benchwire_test.go
+++ b/internal/gateway/simadapter/benchwire_test.go
@@ -1,4 +1,4 @@
-package benchwire
+package simadapter
 
 import (
 	"bytes"
@@ -6,27 +6,27 @@
 	"strings"
 	"testing"
 
-	"cobaltpier/contact"
-	"cobaltpier/host"
+	"cobaltpier/internal/protocol/endpointset"
+	"cobaltpier/internal/routing"
 )
 
 // echo is a module that rings every contact at the first pool and writes down what it hears.
 type echo struct {
-	host  contact.Host
-	set   *contact.Settings
-	pools []*contact.Pool
+	host  routing.Host
+	set   *routing.Settings
+	pools []*routing.Pool
 	heard []string
 }
 
 func (e *echo) note(f string, a ...any) { e.heard = append(e.heard, fmt.Sprintf(f, a...)) }
 
-func (e *echo) Listed(_ float64, ps []*contact.Pool) {
+func (e *echo) Listed(_ float64, ps []*routing.Pool) {
 	for _, p := range ps {
 		e.note("pool %d %d since %v", p.Number, p.State, p.Since)
 	}
 	e.pools = append(e.pools, ps...)
 }
-func (e *echo) Offered(now float64, c *contact.Contact) {
+func (e *echo) Offered(now float64, c *routing.Contact) {
 	if c.Number == "panic" {
 		panic("no such number")
 	}
@@ -34,16 +34,16 @@
 	e.host.Ring(c, e.pools[0], 80)
 	e.host.Wake(now+10, c)
 }
-func (e *echo) Stood(_ float64, r *contact.Ring) { e.note("stood %v", r.Cost) }
-func (e *echo) Ended(_ float64, r *contact.Ring, closed bool) {
+func (e *echo) Stood(_ float64, r *routing.Ring) { e.note("stood %v", r.Cost) }
+func (e *echo) Ended(_ float64, r *routing.Ring, closed bool) {
 	e.note("ended %d %v wait %v util %v", r.End, closed, r.Wait, r.Pool.Report.Util)
 }
-func (e *echo) Left(float64, *contact.Contact) { e.note("left") }
-func (e *echo) Reported(_ float64, p *contact.Pool, ok, full bool) {
+func (e *echo) Left(float64, *routing.Contact) { e.note("left") }
+func (e *echo) Reported(_ float64, p *routing.Pool, ok, full bool) {
 	e.note("report %v %v free %v util %v", ok, full, p.Report.Free, p.Report.Util)
 }
 func (e *echo) Told(_ float64, from int, data []byte) { e.note("told %d %s", from, data) }
-func (e *echo) Woken(now float64, c *contact.Contact) { e.note("woken"); e.host.Tell(1, []byte("hi")) }
+func (e *echo) Woken(now float64, c *routing.Contact) { e.note("woken"); e.host.Tell(1, []byte("hi")) }
 
 const create = `create	gateway-3	18446744073709551615	{"me":2,"balancers":4,"new":[1],"stats":{"fields":` +
 	`["free","busy","odd"],"how":"inline"},"lanes":[{"name":"a","aim":2000.0,"hardLimit":9000.0}]}`
@@ -55,7 +55,7 @@
 	t.Helper()
 	var out bytes.Buffer
 	e := &echo{}
-	err := Serve(strings.NewReader(in), &out, func(s *contact.Settings, h contact.Host) host.Module {
+	err := Serve(strings.NewReader(in), &out, func(s *routing.Settings, h routing.Host) endpointset.Module {
 		e.host, e.set, e.pools = h, s, nil
 		return e
 	})
--- a/benchwire/codec.go
+++ b/internal/gateway/simadapter/codec.go
@@ -1,6 +1,6 @@
-// Package benchwire speaks the bench's wire on one side and the words of package contact on the other. It
+// Package simadapter speaks the bench's wire on one side and the words of package contact on the other. It
 // hosts the instances of the decision module and decides nothing itself.
-package benchwire
+package simadapter
 
 import (
 	"encoding/hex"
@@ -9,8 +9,8 @@
 	"strconv"
 	"strings"
 
-	"cobaltpier/contact"
-	"cobaltpier/deployment"
+	"cobaltpier/internal/deployment"
+	"cobaltpier/internal/routing"
 )
 
 // line is one line of the wire, read part by part. The first fault sticks.
@@ -83,7 +83,7 @@
 	return b
 }
 
-func (l *line) choice(name string, of map[string]contact.End) contact.End {
+func (l *line) choice(name string, of map[string]routing.End) routing.End {
 	s := l.text(name)
 	e, ok := of[s]
 	if !ok {
@@ -99,15 +99,15 @@
 	return l.err
 }
 
-var ends = map[string]contact.End{
-	"done": contact.Done, "err": contact.Failed, "busy": contact.Full, "etimedout": contact.TimedOut,
-	"econnrefused": contact.Refused, "econnreset": contact.Reset, "ecanceled": contact.Cancelled,
-	"skipped": contact.Unsent,
+var ends = map[string]routing.End{
+	"done": routing.Done, "err": routing.Failed, "busy": routing.Full, "etimedout": routing.TimedOut,
+	"econnrefused": routing.Refused, "econnreset": routing.Reset, "ecanceled": routing.Cancelled,
+	"skipped": routing.Unsent,
 }
 
 // report reads a load report over an older one; it tells whether a processor's figures came. Values that
 // are absent or -1 leave the older figure.
-func (l *line) report(fields []string, into *contact.Report) bool {
+func (l *line) report(fields []string, into *routing.Report) bool {
 	s := l.text("telemetry")
 	if s == "" {
 		return false
--- a/benchwire/host.go
+++ b/internal/gateway/simadapter/host.go
@@ -1,4 +1,4 @@
-package benchwire
+package simadapter
 
 import (
 	"bufio"
@@ -11,9 +11,9 @@
 	"strconv"
 	"strings"
 
-	"cobaltpier/contact"
-	"cobaltpier/deployment"
-	"cobaltpier/host"
+	"cobaltpier/internal/deployment"
+	"cobaltpier/internal/protocol/endpointset"
+	"cobaltpier/internal/routing"
 )
 
 // instance is one gateway: its module and the ids at its door.
@@ -21,14 +21,14 @@
 	name     string
 	out      *bufio.Writer
 	now      float64
-	mod      host.Module
+	mod      endpointset.Module
 	fields   []string
-	pools    *host.Pools[int64]
-	contacts map[string]*host.Call
-	timers   map[int64]*contact.Contact
+	pools    *endpointset.Pools[int64]
+	contacts map[string]*endpointset.Call
+	timers   map[int64]*routing.Contact
 	timer    int64
-	skills   map[string]*contact.Skill
-	payers   map[string]*contact.Customer
+	skills   map[string]*routing.Skill
+	payers   map[string]*routing.Customer
 }
 
 func (in *instance) act(kind string, parts ...string) {
@@ -44,33 +44,33 @@
 func num(v int64) string { return strconv.FormatInt(v, 10) }
 
 // Ring implements contact.Host.
-func (in *instance) Ring(c *contact.Contact, p *contact.Pool, limit float64) {
-	k := c.ID.(*host.Call)
+func (in *instance) Ring(c *routing.Contact, p *routing.Pool, limit float64) {
+	k := c.ID.(*endpointset.Call)
 	k.Ring(p, in.now)
 	in.act("try", k.ID, num(in.pools.ID(p)), ms(limit))
 }
 
 // Defer implements contact.Host.
-func (in *instance) Defer(c *contact.Contact, wait float64) {
+func (in *instance) Defer(c *routing.Contact, wait float64) {
 	c.Over = true
-	in.act("decline", c.ID.(*host.Call).ID, ms(wait))
-	in.drop(c.ID.(*host.Call))
+	in.act("decline", c.ID.(*endpointset.Call).ID, ms(wait))
+	in.drop(c.ID.(*endpointset.Call))
 }
 
 // Abandon implements contact.Host.
-func (in *instance) Abandon(c *contact.Contact) {
+func (in *instance) Abandon(c *routing.Contact) {
 	c.Over = true
-	in.act("abort", c.ID.(*host.Call).ID)
-	in.drop(c.ID.(*host.Call))
+	in.act("abort", c.ID.(*endpointset.Call).ID)
+	in.drop(c.ID.(*endpointset.Call))
 }
 
 // Cancel implements contact.Host.
-func (in *instance) Cancel(r *contact.Ring) {
-	in.act("call_off", r.Contact.ID.(*host.Call).ID, num(int64(r.ID.(int))))
+func (in *instance) Cancel(r *routing.Ring) {
+	in.act("call_off", r.Contact.ID.(*endpointset.Call).ID, num(int64(r.ID.(int))))
 }
 
 // Probe implements contact.Host.
-func (in *instance) Probe(p *contact.Pool) { in.act("ask_load", num(in.pools.ID(p))) }
+func (in *instance) Probe(p *routing.Pool) { in.act("ask_load", num(in.pools.ID(p))) }
 
 // Tell implements contact.Host.
 func (in *instance) Tell(to int, data []byte) {
@@ -78,14 +78,14 @@
 }
 
 // Wake implements contact.Host.
-func (in *instance) Wake(at float64, c *contact.Contact) {
+func (in *instance) Wake(at float64, c *routing.Contact) {
 	in.timer++
 	in.timers[in.timer] = c
 	in.act("schedule", ms(at), num(in.timer))
 }
 
 // drop forgets a call that has its answer and no ring out.
-func (in *instance) drop(k *host.Call) {
+func (in *instance) drop(k *endpointset.Call) {
 	if k.Settled() {
 		delete(in.contacts, k.ID)
 	}
@@ -94,14 +94,14 @@
 // process is the process: its instances and its numbered lists.
 type process struct {
 	out   *bufio.Writer
-	mk    host.Maker
+	mk    endpointset.Maker
 	insts map[string]*instance
 	banks map[int64][][]string
 	now   float64
 }
 
 // Serve answers batches until the input ends. An error names the line and what was expected there.
-func Serve(in io.Reader, out io.Writer, mk host.Maker) error {
+func Serve(in io.Reader, out io.Writer, mk endpointset.Maker) error {
 	h := &process{out: bufio.NewWriterSize(out, 1<<16), mk: mk, insts: map[string]*instance{},
 		banks: map[int64][][]string{}}
 	rd := bufio.NewReaderSize(in, 1<<20)
@@ -211,10 +211,10 @@
 	if err != nil {
 		return fmt.Errorf("line %d: create: params: %w", l.n, err)
 	}
-	in := &instance{name: name, out: h.out, fields: fields, pools: host.NewPools[int64](),
-		contacts: map[string]*host.Call{},
-		timers:   map[int64]*contact.Contact{}, skills: map[string]*contact.Skill{},
-		payers: map[string]*contact.Customer{}}
+	in := &instance{name: name, out: h.out, fields: fields, pools: endpointset.NewPools[int64](),
+		contacts: map[string]*endpointset.Call{},
+		timers:   map[int64]*routing.Contact{}, skills: map[string]*routing.Skill{},
+		payers: map[string]*routing.Customer{}}
 	for _, k := range set.Skills {
 		in.skills[k.Name] = k
 	}
@@ -266,7 +266,7 @@
 		if err := l.done(); err != nil {
 			return err
 		}
-		in.mod.Reported(h.now, p, end == contact.Done, full)
+		in.mod.Reported(h.now, p, end == routing.Done, full)
 		return nil
 	},
 	"memo": func(h *process, in *instance, l *line) error {
@@ -289,16 +289,16 @@
 	if !ok {
 		return fmt.Errorf("line %d: peers_known: want the number of a roster sent before, got %v", l.n, bank)
 	}
-	entries := make([]host.Entry[int64], 0, len(list))
+	entries := make([]endpointset.Entry[int64], 0, len(list))
 	for _, e := range list {
 		v := &line{n: l.n, kind: "entry", parts: e}
 		id := v.whole("switch", 0, 1<<32-1)
 		v.text("locality")
 		v.text("kind")
 		number := int(v.whole("nodeNo", -1, 1<<32))
-		state := contact.State(v.whole("lifecycle", 0, 2))
+		state := routing.State(v.whole("lifecycle", 0, 2))
 		v.num("capacityHint", 1)
-		entries = append(entries, host.Entry[int64]{ID: id, Number: number, State: state, Since: v.num("onlineSince", 0)})
+		entries = append(entries, endpointset.Entry[int64]{ID: id, Number: number, State: state, Since: v.num("onlineSince", 0)})
 		if err := v.done(); err != nil {
 			return err
 		}
@@ -308,8 +308,8 @@
 }
 
 func (h *process) knock(in *instance, l *line) error {
-	c := &contact.Contact{Came: h.now}
-	k := &host.Call{Contact: c, ID: l.text("corr")}
+	c := &routing.Contact{Came: h.now}
+	k := &endpointset.Call{Contact: c, ID: l.text("corr")}
 	c.ID = k
 	l.num("cost", 0)
 	left := l.num("left", math.NaN())
@@ -343,7 +343,7 @@
 }
 
 // ring finds the ring that an event speaks of; nil where it ended before.
-func (in *instance) ring(l *line, id string, n int64) (*host.Call, *contact.Ring) {
+func (in *instance) ring(l *line, id string, n int64) (*endpointset.Call, *routing.Ring) {
 	k := in.contacts[id]
 	if k == nil || n >= int64(len(k.Rings)) {
 		return k, nil
@@ -370,7 +370,7 @@
 	n, cost, note := l.whole("sendNo", 0, 1<<20), l.num("costTime", 0), int64(l.num("note", 0))
 	end, closed := l.choice("disposition", ends), l.flag("finished")
 	k, r := in.ring(l, id, n)
-	into := host.Blank()
+	into := endpointset.Blank()
 	if r != nil {
 		into = r.Pool.Report
 	}
@@ -379,8 +379,8 @@
 		return err
 	}
 	r.Pool.Report, r.Reported = into, full
-	r.NoAgent, r.Wait = end == contact.Full && note%16 == 1, float64(note/16)
-	r.Engaged = end == contact.Failed && note%16 == 4
+	r.NoAgent, r.Wait = end == routing.Full && note%16 == 1, float64(note/16)
+	r.Engaged = end == routing.Failed && note%16 == 4
 	k.End(r, end, cost, closed)
 	in.mod.Ended(h.now, r, closed)
 	in.drop(k)
--- a/gateway/front.go
+++ b/internal/gateway/sipserver/front.go
@@ -1,4 +1,4 @@
-package gateway
+package sipserver
 
 import (
 	"bytes"
@@ -10,15 +10,15 @@
 
 	"github.com/miekg/dns"
 
-	"cobaltpier/front"
-	"cobaltpier/reactor"
+	"cobaltpier/internal/gateway/reactor"
+	"cobaltpier/internal/protocol/enumserver"
 )
 
 // door drives the ENUM front: datagrams by the reactor, streams by a goroutine each (RFC 7766). The front itself is the
 // loop's.
 type door struct {
 	g       *Gateway
-	front   *front.Front
+	front   *enumserver.Front
 	sockets *reactor.Sockets
 	tcp     *net.TCPListener
 	mu      sync.Mutex
@@ -32,7 +32,7 @@
 // openDoor listens for look-ups.
 func (g *Gateway) openDoor() (*door, error) {
 	set := &g.set.Front
-	d := &door{g: g, front: front.New(set.Config, g.edge), open: map[*net.TCPConn]struct{}{}}
+	d := &door{g: g, front: enumserver.New(set.Config, g.edge), open: map[*net.TCPConn]struct{}{}}
 	var err error
 	d.sockets, err = reactor.Listen([]netip.AddrPort{set.Listen}, 1, func(local, from netip.AddrPort, data []byte) {
 		select {
--- a/gateway/gateway.go
+++ b/internal/gateway/sipserver/gateway.go
@@ -1,6 +1,6 @@
-// Package gateway drives one edge by the wall clock: one loop owns the edge's state, and all that came since the last
+// Package sipserver drives one edge by the wall clock: one loop owns the edge's state, and all that came since the last
 // tick is one batch. Sockets, the pool list, signals and logs reach it through one bounded queue and never hold it up.
-package gateway
+package sipserver
 
 import (
 	"context"
@@ -13,11 +13,11 @@
 	"github.com/rs/zerolog"
 
 	"cobaltpier/api"
-	"cobaltpier/edge"
-	"cobaltpier/host"
-	"cobaltpier/listing"
-	"cobaltpier/reactor"
-	"cobaltpier/settings"
+	"cobaltpier/internal/gateway/gatewayconfig"
+	"cobaltpier/internal/gateway/grpcdiscovery"
+	"cobaltpier/internal/gateway/reactor"
+	"cobaltpier/internal/protocol/b2bua"
+	"cobaltpier/internal/protocol/endpointset"
 )
 
 // Outcome is how a gateway ended.
@@ -54,9 +54,9 @@
 
 // Gateway is a running edge.
 type Gateway struct {
-	set     *settings.Edge
+	set     *gatewayconfig.Edge
 	log     zerolog.Logger
-	edge    *edge.Edge
+	edge    *b2bua.Edge
 	sockets *reactor.Sockets
 	events  chan event
 	start   time.Time
@@ -68,7 +68,7 @@
 }
 
 // Run runs an edge until ctx's parent says so: the first value on stop lets it drain, the second ends it at once.
-func Run(ctx context.Context, set *settings.Edge, mk host.Maker, log zerolog.Logger, stop <-chan struct{}) (Outcome, error) {
+func Run(ctx context.Context, set *gatewayconfig.Edge, mk endpointset.Maker, log zerolog.Logger, stop <-chan struct{}) (Outcome, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	g := &Gateway{set: set, log: log, events: make(chan event, set.Queue), start: time.Now()}
@@ -97,7 +97,7 @@
 			return Forced, fmt.Errorf("gateway %s: %w", set.Name, err)
 		}
 	}
-	g.edge = edge.New(&set.Config, mk, g)
+	g.edge = b2bua.New(&set.Config, mk, g)
 	if set.Front.Listen.IsValid() {
 		if g.door, err = g.openDoor(); err != nil {
 			return Forced, fmt.Errorf("gateway %s: %w", set.Name, err)
@@ -105,7 +105,7 @@
 		defer g.door.close()
 	}
 	if log.GetLevel() <= zerolog.DebugLevel {
-		g.edge.OnFate = func(f edge.Fate) {
+		g.edge.OnFate = func(f b2bua.Fate) {
 			log.Debug().Str("contact", f.Session).Str("skill", f.Skill).Int("answer", f.Answer).Int("rings", f.Rings).
 				Float64("took_ms", f.Took).Uint64("table", f.Table).Str("route", f.Route).Msg("contact")
 		}
@@ -113,7 +113,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		err := listing.Follow(ctx, set.List, set.Name, func(u *api.Update) {
+		err := grpcdiscovery.Follow(ctx, set.List, set.Name, func(u *api.Update) {
 			select {
 			case g.events <- event{kind: list, list: u, at: time.Now()}:
 			case <-ctx.Done():
@@ -282,6 +282,6 @@
 	case call:
 		e.do(now)
 	case list:
-		g.edge.Listed(now, listing.Members(e.list, origin+float64(e.at.Sub(g.start))/1e6), e.list.Whole)
+		g.edge.Listed(now, grpcdiscovery.Members(e.list, origin+float64(e.at.Sub(g.start))/1e6), e.list.Whole)
 	}
 }
--- a/gateway/gateway_test.go
+++ b/internal/gateway/sipserver/gateway_test.go
@@ -1,4 +1,4 @@
-package gateway
+package sipserver
 
 import (
 	"context"
@@ -15,10 +15,10 @@
 	"google.golang.org/grpc"
 
 	"cobaltpier/api"
-	"cobaltpier/brain"
-	"cobaltpier/contact"
-	"cobaltpier/host"
-	"cobaltpier/settings"
+	"cobaltpier/internal/gateway/gatewayconfig"
+	"cobaltpier/internal/protocol/endpointset"
+	"cobaltpier/internal/router"
+	"cobaltpier/internal/routing"
 )
 
 // keeper is a pool list that a test writes.
@@ -62,9 +62,9 @@
 	return k, l.Addr().String()
 }
 
-func config(t *testing.T, list string, host byte, drain, more string) *settings.Edge {
+func config(t *testing.T, list string, host byte, drain, more string) *gatewayconfig.Edge {
 	t.Helper()
-	s, err := settings.Parse("test", []byte(fmt.Sprintf(`
+	s, err := gatewayconfig.Parse("test", []byte(fmt.Sprintf(`
 gateway {
   name = "e"
   sip = "127.72.0.%[1]d:19062"
@@ -97,7 +97,7 @@
 	return s
 }
 
-func mind(s *contact.Settings, h contact.Host) host.Module { return brain.New(s, h) }
+func mind(s *routing.Settings, h routing.Host) endpointset.Module { return router.New(s, h) }
 
 type end struct {
 	out Outcome
--- a/gateway/numbers.go
+++ b/internal/gateway/sipserver/numbers.go
@@ -1,4 +1,4 @@
-package gateway
+package sipserver
 
 import (
 	"context"
@@ -17,26 +17,26 @@
 	"google.golang.org/grpc/status"
 
 	"cobaltpier/api"
-	"cobaltpier/number"
-	"cobaltpier/ported"
-	"cobaltpier/reactor"
-	"cobaltpier/resolve"
-	"cobaltpier/settings"
-	"cobaltpier/tablefile"
-	"cobaltpier/tables"
+	"cobaltpier/internal/decision/numberplan"
+	"cobaltpier/internal/decision/tableversions"
+	"cobaltpier/internal/gateway/gatewayconfig"
+	"cobaltpier/internal/gateway/reactor"
+	"cobaltpier/internal/gateway/tablestore"
+	"cobaltpier/internal/protocol/dnsclient"
+	"cobaltpier/internal/protocol/portability"
 )
 
 // numbers drives what concerns numbers: the resolver's sockets, the store and the changes of tables. Its state is the
 // loop's; work that takes time runs beside it and comes back as an event.
 type numbers struct {
 	g       *Gateway
-	set     *settings.Numbers
-	has     number.Names
-	store   *tablefile.Store
-	keeper  *tables.Keeper
-	first   *number.Table
-	client  *resolve.Client
-	finder  *ported.Finder
+	set     *gatewayconfig.Numbers
+	has     numberplan.Names
+	store   *tablestore.Store
+	keeper  *tableversions.Keeper
+	first   *numberplan.Table
+	client  *dnsclient.Client
+	finder  *portability.Finder
 	sockets *reactor.Sockets
 	ports   []netip.AddrPort
 }
@@ -45,9 +45,9 @@
 func (g *Gateway) openNumbers() (*numbers, error) {
 	set := &g.set.Numbers
 	n := &numbers{g: g, set: set, has: g.set.Names()}
-	var shelf tables.Shelf
+	var shelf tableversions.Shelf
 	if set.Store != "" {
-		s, err := tablefile.Open(set.Store)
+		s, err := tablestore.Open(set.Store)
 		if err != nil {
 			return nil, err
 		}
@@ -63,15 +63,15 @@
 		}
 	}
 	if n.first == nil && set.Table != "" {
-		t, form, err := tablefile.Load(set.Table)
+		t, form, err := tablestore.Load(set.Table)
 		if err == nil {
 			err = t.Fits(n.has)
 		}
 		if err == nil && n.store != nil {
 			var b []byte
-			if b, err = number.Pack(form); err == nil {
+			if b, err = numberplan.Pack(form); err == nil {
 				var serial uint64
-				serial, err = n.store.Keep(tables.Checked{Table: t, Form: b}, "from "+set.Table, 0, shelf, time.Now())
+				serial, err = n.store.Keep(tableversions.Checked{Table: t, Form: b}, "from "+set.Table, 0, shelf, time.Now())
 				shelf = shelf.Take(serial)
 			}
 		}
@@ -85,7 +85,7 @@
 		n.close()
 		return nil, errors.New("numbers: no table: the store has none that can be used, and settings name none")
 	}
-	n.keeper = tables.New(n, n.first, shelf)
+	n.keeper = tableversions.New(n, n.first, shelf)
 	g.log.Info().Str("table", n.first.Name).Uint64("version", n.first.Version).Str("sum", n.first.Sum[:16]).Int("rules", n.first.Size()).Msg("number table")
 	if set.Apex == "" {
 		return n, nil
@@ -116,8 +116,8 @@
 	}
 	n.ports = n.sockets.Local()
 	close(ready)
-	n.client = resolve.New(cfg, n)
-	n.finder = &ported.Finder{Asker: n.client, Apex: set.Apex, Services: set.Services}
+	n.client = dnsclient.New(cfg, n)
+	n.finder = &portability.Finder{Asker: n.client, Apex: set.Apex, Services: set.Services}
 	return n, nil
 }
 
@@ -133,7 +133,7 @@
 }
 
 // Ask implements edge.Lookup.
-func (n *numbers) Ask(now float64, digits string, within float64, done func(float64, number.Found)) func() {
+func (n *numbers) Ask(now float64, digits string, within float64, done func(float64, numberplan.Found)) func() {
 	return n.finder.Ask(now, digits, within, done)
 }
 
@@ -188,22 +188,22 @@
 }
 
 // Check implements tables.Work: beside the loop, for a large table takes longer than a tick.
-func (n *numbers) Check(s tables.Source) {
+func (n *numbers) Check(s tableversions.Source) {
 	go func() {
-		var c tables.Checked
+		var c tableversions.Checked
 		form := s.Form
 		if form == nil {
 			form, c.Err = n.store.Form(s.Serial)
 		}
 		if c.Err == nil {
-			c = tables.Check(form, n.has)
+			c = tableversions.Check(form, n.has)
 		}
 		n.g.post(event{kind: call, do: func(float64) { n.keeper.Checked(c) }})
 	}()
 }
 
 // Keep implements tables.Work.
-func (n *numbers) Keep(c tables.Checked, note string, serial uint64, shelf tables.Shelf) {
+func (n *numbers) Keep(c tableversions.Checked, note string, serial uint64, shelf tableversions.Shelf) {
 	if n.store == nil {
 		n.keeper.Kept(n.keeper.Shelf.Running+1, nil)
 		return
@@ -215,7 +215,7 @@
 }
 
 // Swap implements tables.Work.
-func (n *numbers) Swap(t *number.Table) {
+func (n *numbers) Swap(t *numberplan.Table) {
 	n.g.edge.Use(t)
 	n.g.log.Info().Str("table", t.Name).Uint64("version", t.Version).Str("sum", t.Sum[:16]).Int("rules", t.Size()).Msg("number table changed")
 }
@@ -301,7 +301,7 @@
 
 // Explain implements the service.
 func (a *admin) Explain(ctx context.Context, req *api.ExplainRequest) (*api.Explained, error) {
-	var t *number.Table
+	var t *numberplan.Table
 	if err := a.in(ctx, func(done func(error)) { t = a.n.keeper.Running; done(nil) }); err != nil {
 		return nil, err
 	}
@@ -309,7 +309,7 @@
 	if req.AtUnix != 0 {
 		at = time.Unix(req.AtUnix, 0)
 	}
-	return &api.Explained{Steps: t.Explain(number.Call{Dialled: req.Number, At: at}, req.Ported, req.Silent), Sum: t.Sum}, nil
+	return &api.Explained{Steps: t.Explain(numberplan.Call{Dialled: req.Number, At: at}, req.Ported, req.Silent), Sum: t.Sum}, nil
 }
 
 // serve offers the service until ctx ends.
@@ -321,7 +321,7 @@
 	if err != nil {
 		return fmt.Errorf("numbers: admin: %w", err)
 	}
-	s := grpc.NewServer(grpc.MaxRecvMsgSize(number.MostOctets))
+	s := grpc.NewServer(grpc.MaxRecvMsgSize(numberplan.MostOctets))
 	api.RegisterNumbersServer(s, &admin{n: n, ctx: ctx})
 	go func() {
 		<-ctx.Done()
--- a/gateway/numbers_test.go
+++ b/internal/gateway/sipserver/numbers_test.go
@@ -1,4 +1,4 @@
-package gateway
+package sipserver
 
 import (
 	"context"
@@ -18,11 +18,11 @@
 	"google.golang.org/grpc/credentials/insecure"
 
 	"cobaltpier/api"
-	"cobaltpier/enum"
-	"cobaltpier/lab/names"
-	"cobaltpier/number"
-	"cobaltpier/settings"
-	"cobaltpier/tablefile"
+	"cobaltpier/internal/decision/enum"
+	"cobaltpier/internal/decision/numberplan"
+	"cobaltpier/internal/emulator/dnsserver"
+	"cobaltpier/internal/gateway/gatewayconfig"
+	"cobaltpier/internal/gateway/tablestore"
 )
 
 const numberTable = `
@@ -69,8 +69,8 @@
 		t.Fatal(err)
 	}
 	defer who.Close()
-	zone := &names.Zone{Apex: "e164.test.", Seed: 1, Ported: 1, TTL: 60, Routes: []string{"+15145550000"}}
-	server, err := names.Serve(&names.Server{Zone: zone, Faults: names.Faults{Cut: 1}}, netip.MustParseAddrPort("127.72.0.20:0"))
+	zone := &dnsserver.Zone{Apex: "e164.test.", Seed: 1, Ported: 1, TTL: 60, Routes: []string{"+15145550000"}}
+	server, err := dnsserver.Serve(&dnsserver.Server{Zone: zone, Faults: dnsserver.Faults{Cut: 1}}, netip.MustParseAddrPort("127.72.0.20:0"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,18 +84,18 @@
 		return f
 	}
 	form := func(file string) []byte {
-		_, x, err := tablefile.Load(file)
+		_, x, err := tablestore.Load(file)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b, err := number.Pack(x)
+		b, err := numberplan.Pack(x)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return b
 	}
 	admin := "127.72.0.11:19092"
-	read := func() *settings.Edge {
+	read := func() *gatewayconfig.Edge {
 		return config(t, list, 11, "0s", fmt.Sprintf(`
 numbers {
   table = %q
@@ -203,7 +203,7 @@
 	if _, err = c.Back(ctx, &api.BackRequest{}); err == nil || !strings.Contains(err.Error(), "no table before") {
 		t.Errorf("back from the first: %v", err)
 	}
-	server.Change(func(s *names.Server) { s.Faults = names.Faults{Silent: true} })
+	server.Change(func(s *dnsserver.Server) { s.Faults = dnsserver.Faults{Silent: true} })
 	who.WriteToUDPAddrPort([]byte(strings.ReplaceAll("INVITE sip:+14189999999@127.72.0.11 SIP/2.0\nVia: SIP/2.0/UDP 127.72.0.18:19062;rport;branch=z9hG4bKlast"+
 		"\nFrom: <sip:a@b>;tag=l\nTo: <sip:c@d>\nCall-ID: last\nCSeq: 1 INVITE\nContact: <sip:127.72.0.18:19062>\nExpires: 9\nContent-Length: 0\n\n", "\n", "\r\n")),
 		netip.MustParseAddrPort("127.72.0.11:19062"))
--- a/tablefile/store.go
+++ b/internal/gateway/tablestore/store.go
@@ -1,5 +1,5 @@
-// Package tablefile has number tables in files: as people write them, and in the store of a gateway.
-package tablefile
+// Package tablestore has number tables in files: as people write them, and in the store of a gateway.
+package tablestore
 
 import (
 	"crypto/sha256"
@@ -16,8 +16,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"cobaltpier/api"
-	"cobaltpier/number"
-	"cobaltpier/tables"
+	"cobaltpier/internal/decision/numberplan"
+	"cobaltpier/internal/decision/tableversions"
 )
 
 // Store keeps the tables that a gateway ran, in one file. A table is in it with its checksum before it runs, and what
@@ -76,7 +76,7 @@
 
 // Keep writes a table as the running one. Serial 0: a new one, which gets the next number; another: one that is kept
 // already and runs again. shelf is what was on it before, which a start may have found less of than the file says.
-func (s *Store) Keep(c tables.Checked, note string, serial uint64, shelf tables.Shelf, at time.Time) (uint64, error) {
+func (s *Store) Keep(c tableversions.Checked, note string, serial uint64, shelf tableversions.Shelf, at time.Time) (uint64, error) {
 	err := s.db.Update(func(tx *bbolt.Tx) error {
 		if serial == 0 {
 			n, err := tx.Bucket(forms).NextSequence()
@@ -115,8 +115,8 @@
 	return serial, nil
 }
 
-func shelfOf(tx *bbolt.Tx) tables.Shelf {
-	shelf := tables.Shelf{Before: serials(tx.Bucket(state).Get(history))}
+func shelfOf(tx *bbolt.Tx) tableversions.Shelf {
+	shelf := tableversions.Shelf{Before: serials(tx.Bucket(state).Get(history))}
 	if r := serials(tx.Bucket(state).Get(running)); len(r) == 1 {
 		shelf.Running = r[0]
 	}
@@ -145,7 +145,7 @@
 }
 
 // Shelf is what the store says to run, and what ran before it.
-func (s *Store) Shelf() (shelf tables.Shelf, err error) {
+func (s *Store) Shelf() (shelf tableversions.Shelf, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		shelf = shelfOf(tx)
 		return nil
@@ -180,19 +180,19 @@
 
 // Load reads and compiles a table of a file, of HCL or of the compact form; every fault is told, with file and line where
 // there are lines.
-func Load(file string) (*number.Table, *api.NumberTable, error) {
+func Load(file string) (*numberplan.Table, *api.NumberTable, error) {
 	src, err := os.ReadFile(file)
 	if err != nil {
 		return nil, nil, fmt.Errorf("number table: %w", err)
 	}
 	if strings.HasSuffix(file, ".hcl") {
-		return number.Parse(file, src)
+		return numberplan.Parse(file, src)
 	}
-	form, err := number.Unpack(src)
+	form, err := numberplan.Unpack(src)
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", file, err)
 	}
-	t, err := number.Compile(form)
+	t, err := numberplan.Compile(form)
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", file, err)
 	}
--- a/tablefile/store_test.go
+++ b/internal/gateway/tablestore/store_test.go
@@ -1,4 +1,4 @@
-package tablefile
+package tablestore
 
 import (
 	"errors"
@@ -12,39 +12,39 @@
 	"go.etcd.io/bbolt"
 	"pgregory.net/rapid"
 
-	"cobaltpier/number"
-	"cobaltpier/tables"
+	"cobaltpier/internal/decision/numberplan"
+	"cobaltpier/internal/decision/tableversions"
 )
 
 type fataler interface{ Fatal(...any) }
 
 func formOf(t fataler, version int, group string) []byte {
-	_, f, err := number.Parse("t.hcl", []byte(fmt.Sprintf("name = \"t\"\nversion = %d\nroute \"r\" {\n group %q {\n }\n}\nplan \"start\" {\n rule \"\" {\n route = \"r\"\n }\n}\n", version, group)))
+	_, f, err := numberplan.Parse("t.hcl", []byte(fmt.Sprintf("name = \"t\"\nversion = %d\nroute \"r\" {\n group %q {\n }\n}\nplan \"start\" {\n rule \"\" {\n route = \"r\"\n }\n}\n", version, group)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := number.Pack(f)
+	b, err := numberplan.Pack(f)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return b
 }
 
-var has = number.Names{Groups: []string{"TG-0", "TG-1"}}
+var has = numberplan.Names{Groups: []string{"TG-0", "TG-1"}}
 
 // bench does a keeper's work by hand, on a real store.
 type bench struct {
 	t       testing.TB
-	k       *tables.Keeper
+	k       *tableversions.Keeper
 	s       *Store
-	check   []tables.Source
+	check   []tableversions.Source
 	keep    []func()
-	swapped []*number.Table
+	swapped []*numberplan.Table
 	full    error // of the store
 }
 
-func (b *bench) Check(s tables.Source) { b.check = append(b.check, s) }
-func (b *bench) Keep(c tables.Checked, note string, serial uint64, shelf tables.Shelf) {
+func (b *bench) Check(s tableversions.Source) { b.check = append(b.check, s) }
+func (b *bench) Keep(c tableversions.Checked, note string, serial uint64, shelf tableversions.Shelf) {
 	b.keep = append(b.keep, func() {
 		if b.full != nil {
 			b.k.Kept(0, b.full)
@@ -53,7 +53,7 @@
 		b.k.Kept(b.s.Keep(c, note, serial, shelf, time.Unix(1.8e9, 0)))
 	})
 }
-func (b *bench) Swap(t *number.Table) { b.swapped = append(b.swapped, t) }
+func (b *bench) Swap(t *numberplan.Table) { b.swapped = append(b.swapped, t) }
 
 func newBench(t testing.TB) *bench {
 	s, err := Open(filepath.Join(t.TempDir(), "tables"))
@@ -62,7 +62,7 @@
 	}
 	t.Cleanup(func() { s.Close() })
 	b := &bench{t: t, s: s}
-	b.k = tables.New(b, nil, tables.Shelf{})
+	b.k = tableversions.New(b, nil, tableversions.Shelf{})
 	return b
 }
 
@@ -79,11 +79,11 @@
 		if s.Form == nil {
 			var err error
 			if s.Form, err = b.s.Form(s.Serial); err != nil {
-				b.k.Checked(tables.Checked{Err: err})
+				b.k.Checked(tableversions.Checked{Err: err})
 				return true
 			}
 		}
-		b.k.Checked(tables.Check(s.Form, has))
+		b.k.Checked(tableversions.Check(s.Form, has))
 	default:
 		return false
 	}
@@ -150,7 +150,7 @@
 	}
 	for b.step() {
 	}
-	if said[1] != nil || !errors.Is(said[2], tables.ErrOvertaken) || !errors.Is(said[3], tables.ErrOvertaken) || said[4] != nil || len(said) != 4 ||
+	if said[1] != nil || !errors.Is(said[2], tableversions.ErrOvertaken) || !errors.Is(said[3], tableversions.ErrOvertaken) || said[4] != nil || len(said) != 4 ||
 		b.k.Running.Version != 4 || len(b.swapped) != 2 {
 		t.Errorf("%v, runs %d", said, b.k.Running.Version)
 	}
@@ -159,7 +159,7 @@
 // Going back goes one further each time, and a new table after it goes on from there.
 func TestBack(t *testing.T) {
 	b := newBench(t)
-	if err := b.back(); !errors.Is(err, tables.ErrNoBefore) {
+	if err := b.back(); !errors.Is(err, tableversions.ErrNoBefore) {
 		t.Errorf("from nothing: %v", err)
 	}
 	for v := 1; v <= 3; v++ {
@@ -173,7 +173,7 @@
 	if err := b.back(); err != nil || b.k.Running.Version != 1 {
 		t.Fatalf("%v, runs %d", err, b.k.Running.Version)
 	}
-	if err := b.back(); !errors.Is(err, tables.ErrNoBefore) {
+	if err := b.back(); !errors.Is(err, tableversions.ErrNoBefore) {
 		t.Fatalf("%v", err)
 	}
 	if err := b.put(formOf(t, 5, "TG-1")); err != nil {
@@ -207,7 +207,7 @@
 	if err != nil || len(list) != 2 || list[0].Fault != "" || list[1].Fault == "" || list[0].Serial != 2 {
 		t.Errorf("%v: %v", err, list)
 	}
-	recovered := func(has number.Names) (*number.Table, tables.Shelf, []error) {
+	recovered := func(has numberplan.Names) (*numberplan.Table, tableversions.Shelf, []error) {
 		shelf, err := b.s.Shelf()
 		if err != nil {
 			t.Fatal(err)
@@ -221,19 +221,19 @@
 	if run, then, problems := recovered(has); run.Version != 3 || then.Running != 3 || !slices.Equal(then.Before, []uint64{1, 2}) || problems != nil {
 		t.Errorf("%v, %v, %v", run, then, problems)
 	}
-	if run, then, problems := recovered(number.Names{Groups: []string{"TG-0"}}); run.Version != 2 || then.Running != 2 || !slices.Equal(then.Before, []uint64{1}) || len(problems) != 1 {
+	if run, then, problems := recovered(numberplan.Names{Groups: []string{"TG-0"}}); run.Version != 2 || then.Running != 2 || !slices.Equal(then.Before, []uint64{1}) || len(problems) != 1 {
 		t.Errorf("%v, %v, %v", run, then, problems)
 	}
 	// going on after a start that passed one over goes on from what was found, also after the next start
-	run, then, _ := recovered(number.Names{Groups: []string{"TG-0"}})
-	b.k = tables.New(b, run, then)
+	run, then, _ := recovered(numberplan.Names{Groups: []string{"TG-0"}})
+	b.k = tableversions.New(b, run, then)
 	if err := b.put(formOf(t, 4, "TG-0")); err != nil {
 		t.Fatal(err)
 	}
 	if shelf, _ := b.s.Shelf(); shelf.Running != 4 || !slices.Equal(shelf.Before, []uint64{1, 2}) {
 		t.Errorf("the store says %v", shelf)
 	}
-	if run, _, problems := recovered(number.Names{}); run != nil || len(problems) != 3 {
+	if run, _, problems := recovered(numberplan.Names{}); run != nil || len(problems) != 3 {
 		t.Errorf("%v, %v", run, problems)
 	}
 }
@@ -252,7 +252,7 @@
 			}
 		}
 	}
-	if list, err := b.s.List(); err != nil || len(list) > 2*tables.MostKept+1 || len(list) < tables.MostKept {
+	if list, err := b.s.List(); err != nil || len(list) > 2*tableversions.MostKept+1 || len(list) < tableversions.MostKept {
 		t.Errorf("%d are kept, %v", len(list), err)
 	}
 }
@@ -276,15 +276,15 @@
 			if err != nil {
 				rt.Fatal(err)
 			}
-			var table *number.Table
+			var table *numberplan.Table
 			if shelf.Running != 0 {
 				f, err := s.Form(shelf.Running)
 				if err != nil {
 					rt.Fatal(err)
 				}
-				table = tables.Check(f, has).Table
+				table = tableversions.Check(f, has).Table
 			}
-			b.k = tables.New(b, table, shelf)
+			b.k = tableversions.New(b, table, shelf)
 		}
 		b := &bench{t: t}
 		open(b)
@@ -305,7 +305,7 @@
 					if err != nil {
 						rt.Fatal(err)
 					}
-				} else if !errors.Is(err, tables.ErrNoBefore) {
+				} else if !errors.Is(err, tableversions.ErrNoBefore) {
 					rt.Fatal(err)
 				}
 			default:
@@ -314,7 +314,7 @@
 				}
 				model = append(model, next)
 				next++
-				if len(model) > tables.MostKept+1 {
+				if len(model) > tableversions.MostKept+1 {
 					model = model[1:]
 				}
 			}
@@ -325,7 +325,7 @@
 				if err != nil {
 					rt.Fatal(err)
 				}
-				got = append(got, tables.Check(f, has).Table.Version)
+				got = append(got, tableversions.Check(f, has).Table.Version)
 			}
 			if b.k.Running != nil {
 				got = append(got, b.k.Running.Version)
--- a/conf/conf.go
+++ b/internal/hclconfig/conf.go
@@ -1,12 +1,11 @@
-// Package conf reads HCL settings so that every fault is told with its file, its line and what was expected there.
+// Package hclconfig reads HCL settings so that every fault is told with its file, its line and what was expected there.
 // Whoever reads a file asks for the values by name; what nobody asked for is refused. The first pass finds all faults.
-package conf
+package hclconfig
 
 import (
 	"fmt"
 	"math"
 	"net/netip"
-	"os"
 	"strings"
 	"time"
 
@@ -35,15 +34,6 @@
 // Required as a default says that a value must be there.
 var Required = math.NaN()
 
-// Load reads a file.
-func Load(name string) (*Block, error) {
-	src, err := os.ReadFile(name)
-	if err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
-	}
-	return Parse(name, src)
-}
-
 // Parse reads settings that are at hand; name stands in the errors.
 func Parse(name string, src []byte) (*Block, error) {
 	file, diags := hclsyntax.ParseConfig(src, name, hcl.InitialPos)
--- a/conf/sort.go
+++ b/internal/hclconfig/sort.go
@@ -1,4 +1,4 @@
-package conf
+package hclconfig
 
 import (
 	"slices"
--- a/edge/analysis.go
+++ b/internal/protocol/b2bua/analysis.go
@@ -1,18 +1,18 @@
-package edge
+package b2bua
 
 import (
 	"strings"
 	"time"
 
-	"cobaltpier/chance"
-	"cobaltpier/enum"
-	"cobaltpier/number"
+	"cobaltpier/internal/decision/enum"
+	"cobaltpier/internal/decision/numberplan"
+	"cobaltpier/internal/detrand"
 )
 
-// routing is what a number's analysis has come to. A contact carries one table from its first digit to its final
+// numberAnalysis is what a number's analysis has come to. A contact carries one table from its first digit to its final
 // answer, whatever table new contacts get meanwhile.
-type routing struct {
-	analysis *number.Analysis
+type numberAnalysis struct {
+	analysis *numberplan.Analysis
 	waits    string // the number to be looked up
 	within   float64
 	stop     func() // takes the look-up back
@@ -22,7 +22,7 @@
 }
 
 // Use gives new contacts another table, nil: none. Contacts that are held keep theirs.
-func (e *Edge) Use(t *number.Table) { e.table = t }
+func (e *Edge) Use(t *numberplan.Table) { e.table = t }
 
 // Tables says how many contacts without a final answer carry each table but the present one.
 func (e *Edge) Tables() (old, contacts int) {
@@ -45,8 +45,8 @@
 		return false
 	}
 	e.drawn++
-	a, o := e.table.Begin(number.Call{Dialled: user, Looked: p.Looked, Routing: p.Routing, Carrier: p.Carrier, At: e.cfg.Epoch.Add(time.Duration(e.Now * float64(time.Millisecond))),
-		Draw: chance.Of(e.names.Seed, e.drawn)})
+	a, o := e.table.Begin(numberplan.Call{Dialled: user, Looked: p.Looked, Routing: p.Routing, Carrier: p.Carrier, At: e.cfg.Epoch.Add(time.Duration(e.Now * float64(time.Millisecond))),
+		Draw: detrand.Of(e.names.Seed, e.drawn)})
 	k.route.analysis, k.route.version = a, a.Table.Version
 	e.tables[a.Table]++
 	if o.Refusal != nil {
@@ -72,7 +72,7 @@
 	e := k.edge
 	within := min(k.route.within, e.cfg.Share*(k.Until-e.Now))
 	over := false
-	done := func(now float64, found number.Found) {
+	done := func(now float64, found numberplan.Found) {
 		over = true
 		k.route.stop = nil
 		if k.Over {
@@ -82,7 +82,7 @@
 		k.goOn(k.route.analysis.Answered(found))
 	}
 	if e.cfg.Look == nil || within <= 0 {
-		done(e.Now, number.Found{Answer: number.Silent})
+		done(e.Now, numberplan.Found{Answer: numberplan.Silent})
 		return
 	}
 	e.Counts.Asked++
@@ -93,7 +93,7 @@
 }
 
 // goOn takes the end of an analysis that had a question: the module gets the contact, or the caller its answer.
-func (k *held) goOn(o number.Outcome) {
+func (k *held) goOn(o numberplan.Outcome) {
 	e := k.edge
 	switch {
 	case o.Refusal != nil:
@@ -108,7 +108,7 @@
 }
 
 // routed puts a route's fields into the contact; false: it names what this edge does not have.
-func (k *held) routed(r *number.Route) bool {
+func (k *held) routed(r *numberplan.Route) bool {
 	e := k.edge
 	g := e.byName[r.Group]
 	if g == nil {
--- a/edge/analysis_test.go
+++ b/internal/protocol/b2bua/analysis_test.go
@@ -1,4 +1,4 @@
-package edge
+package b2bua
 
 import (
 	"fmt"
@@ -9,10 +9,10 @@
 
 	"github.com/emiago/sipgo/sip"
 
-	"cobaltpier/contact"
-	"cobaltpier/control"
-	"cobaltpier/number"
-	"cobaltpier/signal"
+	"cobaltpier/internal/decision/numberplan"
+	"cobaltpier/internal/protocol/callcontrol"
+	"cobaltpier/internal/protocol/siptransaction"
+	"cobaltpier/internal/routing"
 )
 
 const tableText = `
@@ -67,8 +67,8 @@
 }
 `
 
-func numbers(t *testing.T, version int) *number.Table {
-	x, _, err := number.Parse("t.hcl", []byte(fmt.Sprintf(tableText, version, version, 700+version, 700+version)))
+func numbers(t *testing.T, version int) *numberplan.Table {
+	x, _, err := numberplan.Parse("t.hcl", []byte(fmt.Sprintf(tableText, version, version, 700+version, 700+version)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,11 +79,11 @@
 type book struct {
 	asked   []string
 	within  []float64
-	done    []func(now float64, found number.Found)
+	done    []func(now float64, found numberplan.Found)
 	stopped int
 }
 
-func (b *book) Ask(_ float64, digits string, within float64, done func(float64, number.Found)) func() {
+func (b *book) Ask(_ float64, digits string, within float64, done func(float64, numberplan.Found)) func() {
 	b.asked, b.within, b.done = append(b.asked, digits), append(b.within, within), append(b.done, done)
 	return func() { b.stopped++ }
 }
@@ -101,20 +101,20 @@
 // patience holds.
 func TestRouted(t *testing.T) {
 	r, b := numberRig(t)
-	var got *contact.Contact
-	r.m.offered = func(now float64, c *contact.Contact) { got = c; r.m.h.Ring(c, r.m.pools[1], c.Until-now) }
+	var got *routing.Contact
+	r.m.offered = func(now float64, c *routing.Contact) { got = c; r.m.h.Ring(c, r.m.pools[1], c.Until-now) }
 	r.get(caller, callerSays("INVITE", "a1", ""))
 	if len(b.asked) != 1 || b.asked[0] != "14185550123" || b.within[0] != 400 || got != nil {
 		t.Fatalf("asked %v within %v, offered %v", b.asked, b.within, got)
 	}
 	r.pass(200)
 	r.sent(caller, "SIP/2.0 100")
-	b.done[0](r.now, number.Found{Answer: number.Ported, Routing: "+15145550000", Carrier: "+1-6789"})
+	b.done[0](r.now, numberplan.Found{Answer: numberplan.Ported, Routing: "+15145550000", Carrier: "+1-6789"})
 	if got == nil || got.Skill.Name != "claim" || got.HomeNumber != 1 || got.Home != r.m.pools[1] || got.Until != got.Came+6000 {
 		t.Fatalf("offered %+v", got)
 	}
 	req := r.sent(switchB, "INVITE sip:+14185550123;npdi;rn=+70115145550000;cic=+1-6789;tgrp=TG-1;")
-	if signal.Field(req.(*sip.Request), signal.Service) != "urn:urn-7:claim" {
+	if siptransaction.Field(req.(*sip.Request), siptransaction.Service) != "urn:urn-7:claim" {
 		t.Error("the wrong skill")
 	}
 	if n, _ := r.e.Tables(); n != 0 {
@@ -136,7 +136,7 @@
 	r, b := numberRig(t)
 	r.e.cfg.Share = 0
 	home := -1
-	r.m.offered = func(_ float64, c *contact.Contact) { home = c.HomeNumber }
+	r.m.offered = func(_ float64, c *routing.Contact) { home = c.HomeNumber }
 	r.get(caller, callerSays("INVITE", "a1", ""))
 	if len(b.asked) != 0 || home != 0 {
 		t.Errorf("asked %v, offered with destination %d", b.asked, home)
@@ -146,18 +146,18 @@
 // A caller that hangs up takes its question back; an answer that comes then, or after the contact's end, changes nothing.
 func TestAnswerTooLate(t *testing.T) {
 	r, b := numberRig(t)
-	r.m.offered = func(float64, *contact.Contact) { t.Error("offered") }
+	r.m.offered = func(float64, *routing.Contact) { t.Error("offered") }
 	r.get(caller, callerSays("INVITE", "a1", ""))
 	r.get(caller, callerSays("CANCEL", "a1", ""))
 	r.sent(caller, "SIP/2.0 487")
-	b.done[0](r.now, number.Found{Answer: number.NotPorted})
+	b.done[0](r.now, numberplan.Found{Answer: numberplan.NotPorted})
 	if b.stopped != 1 || len(r.m.heard) != 0 {
 		t.Errorf("stopped %d, the module heard %v", b.stopped, r.m.heard)
 	}
 	r.get(caller, callerSays("INVITE", "b1", ""))
 	r.pass(9500) // the look-up never returns
 	r.sent(caller, "SIP/2.0 500")
-	b.done[1](r.now, number.Found{Answer: number.NotPorted})
+	b.done[1](r.now, numberplan.Found{Answer: numberplan.NotPorted})
 	if b.stopped != 2 || r.e.Counts.Overdue != 1 {
 		t.Errorf("stopped %d, overdue %d", b.stopped, r.e.Counts.Overdue)
 	}
@@ -172,8 +172,8 @@
 	r, b := numberRig(t)
 	r.e.Gate.Most = 5000
 	var sent []string
-	r.m.offered = func(now float64, c *contact.Contact) {
-		sent = append(sent, c.Number+c.ID.(*control.Held).Party.(*call).route.params)
+	r.m.offered = func(now float64, c *routing.Contact) {
+		sent = append(sent, c.Number+c.ID.(*callcontrol.Held).Party.(*call).route.params)
 		r.m.h.Defer(c, 0)
 	}
 	for v := 1; v <= 4; v++ {
@@ -188,7 +188,7 @@
 	}
 	r.e.Use(numbers(t, 5))
 	for i := range 1000 {
-		b.done[i](r.now, number.Found{Answer: number.NotPorted})
+		b.done[i](r.now, numberplan.Found{Answer: numberplan.NotPorted})
 	}
 	for i, s := range sent {
 		if want := fmt.Sprintf("+%d14185550123;npdi", 701+i/250); s != want {
@@ -204,8 +204,8 @@
 // need none.
 func TestTableLetGo(t *testing.T) {
 	r, b := numberRig(t)
-	r.m.offered = func(now float64, c *contact.Contact) { r.m.h.Ring(c, r.m.pools[1], c.Until-now) }
-	old := func() weak.Pointer[number.Table] {
+	r.m.offered = func(now float64, c *routing.Contact) { r.m.h.Ring(c, r.m.pools[1], c.Until-now) }
+	old := func() weak.Pointer[numberplan.Table] {
 		x := numbers(t, 2)
 		r.e.Use(x)
 		return weak.Make(x)
@@ -216,7 +216,7 @@
 	if old.Value() == nil {
 		t.Fatal("gone while a contact carries it")
 	}
-	b.done[0](r.now, number.Found{Answer: number.NotPorted})
+	b.done[0](r.now, numberplan.Found{Answer: numberplan.NotPorted})
 	b.done = nil
 	r.answer(switchB, r.sent(switchB, "INVITE"), 200, "s1", "")
 	r.sent(caller, "SIP/2.0 200")
@@ -234,7 +234,7 @@
 // does not have is a fault of its own.
 func TestRefused(t *testing.T) {
 	r, b := numberRig(t)
-	r.m.offered = func(float64, *contact.Contact) { t.Error("offered") }
+	r.m.offered = func(float64, *routing.Contact) { t.Error("offered") }
 	for number, want := range map[string]string{"+19115550123": "SIP/2.0 410 not here", "+15145550123": "SIP/2.0 404", "+1CALLME": "SIP/2.0 484",
 		"+16135550123": "SIP/2.0 500", "+1418555;npdi;npdi": "SIP/2.0 400"} {
 		r.get(caller, strings.Replace(callerSays("INVITE", "z"+want[8:11], ""), "+14185550123", number, 1))
@@ -261,13 +261,13 @@
 // A contact held for its look-up is served when the edge drains meanwhile; to the pool that the list has then.
 func TestListedAndDrainingMeanwhile(t *testing.T) {
 	r, b := numberRig(t)
-	r.m.offered = func(now float64, c *contact.Contact) { r.m.h.Ring(c, r.m.pools[0], c.Until-now) }
+	r.m.offered = func(now float64, c *routing.Contact) { r.m.h.Ring(c, r.m.pools[0], c.Until-now) }
 	r.get(caller, callerSays("INVITE", "a1", ""))
 	r.e.Close()
-	r.list(contact.Draining)
-	b.done[0](r.now, number.Found{Answer: number.Silent})
+	r.list(routing.Draining)
+	b.done[0](r.now, numberplan.Found{Answer: numberplan.Silent})
 	r.pass(1)
-	if len(r.m.heard) != 1 || !strings.HasPrefix(r.m.heard[0], fmt.Sprintf("ended %d", contact.Unsent)) || r.e.Counts.Barred != 1 {
+	if len(r.m.heard) != 1 || !strings.HasPrefix(r.m.heard[0], fmt.Sprintf("ended %d", routing.Unsent)) || r.e.Counts.Barred != 1 {
 		t.Errorf("rule 3: heard %v, barred %d", r.m.heard, r.e.Counts.Barred)
 	}
 	for _, p := range r.out {
@@ -275,7 +275,7 @@
 			t.Error("sent to a pool that drains")
 		}
 	}
-	r.list(contact.Ready)
+	r.list(routing.Ready)
 	r.get(caller, callerSays("INVITE", "b1", ""))
 	r.sent(caller, "SIP/2.0 503")
 }
--- a/edge/caller.go
+++ b/internal/protocol/b2bua/caller.go
@@ -1,4 +1,4 @@
-package edge
+package b2bua
 
 import (
 	"hash/fnv"
@@ -6,8 +6,8 @@
 
 	"github.com/emiago/sipgo/sip"
 
-	"cobaltpier/contact"
-	"cobaltpier/signal"
+	"cobaltpier/internal/protocol/siptransaction"
+	"cobaltpier/internal/routing"
 )
 
 // Reasons of a release (RFC 3326, Q.850).
@@ -32,7 +32,7 @@
 type call struct {
 	*held
 	req    *sip.Request
-	server *signal.Server
+	server *siptransaction.Server
 	tag    string
 	payer  string // host of the caller's address
 	trunk  *leg   // whose ring is out or stands
@@ -40,8 +40,8 @@
 }
 
 // invited takes an INVITE: decoded fields go straight into a contact. It is offered by the next Wake.
-func (e *Edge) invited(s *signal.Server, req *sip.Request) {
-	name, ok := strings.CutPrefix(signal.Field(req, signal.Service), servicePrefix)
+func (e *Edge) invited(s *siptransaction.Server, req *sip.Request) {
+	name, ok := strings.CutPrefix(siptransaction.Field(req, siptransaction.Service), servicePrefix)
 	if !ok {
 		name = e.cfg.Default
 	}
@@ -52,20 +52,20 @@
 		s.Refuse(e.busy(req))
 		return
 	case skill == nil:
-		s.Respond(signal.Response(req, 404, "Not Found", e.names.Next()))
+		s.Respond(siptransaction.Response(req, 404, "Not Found", e.names.Next()))
 		return
 	case user == "":
-		s.Respond(signal.Response(req, 484, "Address Incomplete", e.names.Next()))
+		s.Respond(siptransaction.Response(req, 484, "Address Incomplete", e.names.Next()))
 		return
 	case req.Contact() == nil:
-		s.Respond(signal.Response(req, 400, "Missing Contact", e.names.Next()))
+		s.Respond(siptransaction.Response(req, 400, "Missing Contact", e.names.Next()))
 		return
 	}
-	c := &contact.Contact{Skill: skill, Customer: e.Payers[req.From().Address.Host], Number: user, Came: e.Now, HomeNumber: -1}
+	c := &routing.Contact{Skill: skill, Customer: e.Payers[req.From().Address.Host], Number: user, Came: e.Now, HomeNumber: -1}
 	if g := e.byName[param(params, "tgrp")]; g != nil {
 		c.HomeNumber = g.Pool
 	}
-	k := &call{held: &held{Held: e.Hold(c, signal.Wait(signal.Field(req, "Expires"))), edge: e, session: signal.Session(req)}, req: req, server: s,
+	k := &call{held: &held{Held: e.Hold(c, siptransaction.Wait(siptransaction.Field(req, "Expires"))), edge: e, session: siptransaction.Session(req)}, req: req, server: s,
 		payer: req.From().Address.Host}
 	k.Party, k.refuser, s.User = k, k, k
 	k.Patience()
@@ -100,7 +100,7 @@
 
 // busy is the answer to what is turned away at the door; it needs no state.
 func (e *Edge) busy(req *sip.Request) *sip.Response {
-	return signal.Response(req, 503, "Service Unavailable", "busy")
+	return siptransaction.Response(req, 503, "Service Unavailable", "busy")
 }
 
 // turned implements control.Party.
@@ -113,17 +113,17 @@
 // refuse implements control.Party: of what was not taken nothing is kept.
 func (k *call) refuse(code int, why string) {
 	if k.tag == "" {
-		k.server.Respond(signal.Response(k.req, code, why, k.edge.names.Next()))
+		k.server.Respond(siptransaction.Response(k.req, code, why, k.edge.names.Next()))
 		return
 	}
-	k.answer(signal.Response(k.req, code, why, k.tag))
+	k.answer(siptransaction.Response(k.req, code, why, k.tag))
 }
 
 // defers implements control.Party.
 func (k *call) Defers(wait float64) {
-	res := signal.Response(k.req, 503, "Service Unavailable", k.tag)
+	res := siptransaction.Response(k.req, 503, "Service Unavailable", k.tag)
 	if wait > 0 && k.edge.cfg.Set.MayWait {
-		res.AppendHeader(sip.NewHeader(signal.RetryAfter, signal.Seconds(wait)))
+		res.AppendHeader(sip.NewHeader(siptransaction.RetryAfter, siptransaction.Seconds(wait)))
 	}
 	k.answer(res)
 }
@@ -132,7 +132,7 @@
 func (k *call) IsOut() bool { return k.trunk != nil }
 
 // callOff implements control.Party.
-func (k *call) CallOff(r *contact.Ring) {
+func (k *call) CallOff(r *routing.Ring) {
 	if k.trunk != nil && k.trunk.ring == r && !k.Stands {
 		k.trunk.cancel()
 	}
@@ -147,7 +147,7 @@
 // trying implements control.Party.
 func (k *call) Trying() {
 	if !k.rang {
-		k.server.Respond(signal.Response(k.req, 100, "Trying", ""))
+		k.server.Respond(siptransaction.Response(k.req, 100, "Trying", ""))
 	}
 }
 
@@ -166,14 +166,14 @@
 func (k *call) ringing() {
 	if !k.rang && !k.Over {
 		k.rang = true
-		k.server.Respond(signal.Response(k.req, 180, "Ringing", k.tag))
+		k.server.Respond(siptransaction.Response(k.req, 180, "Ringing", k.tag))
 	}
 }
 
 // stands tells the caller that the call stands.
 func (k *call) stands(from *sip.Response) {
 	e := k.edge
-	res := signal.Response(k.req, 200, "OK", k.tag)
+	res := siptransaction.Response(k.req, 200, "OK", k.tag)
 	res.AppendHeader(&sip.ContactHeader{Address: e.uri("")})
 	copyBody(from, res)
 	k.answer(res)
@@ -181,11 +181,11 @@
 	e.Standing(1)
 	e.Counts.Stood++
 	e.ends[k.tag] = &end{edge: e, call: k, callID: string(*k.req.CallID()), tag: k.tag}
-	k.server.Lost(func() { k.release(contact.Done, plainReason) }) // RFC 3261 13.3.1.4: no ACK ever came
+	k.server.Lost(func() { k.release(routing.Done, plainReason) }) // RFC 3261 13.3.1.4: no ACK ever came
 }
 
 // CalledOff implements signal.User: the caller is gone before its answer.
-func (e *Edge) CalledOff(s *signal.Server, _ *sip.Request) {
+func (e *Edge) CalledOff(s *siptransaction.Server, _ *sip.Request) {
 	e.Now = e.sip.Now
 	k, ok := s.User.(*call)
 	if !ok || k.Over || k.Stands {
@@ -195,10 +195,10 @@
 	if k.tag == "" { // not taken yet
 		k.Over = true
 		k.letGo()
-		s.Respond(signal.Response(k.req, 487, "Request Terminated", e.names.Next()))
+		s.Respond(siptransaction.Response(k.req, 487, "Request Terminated", e.names.Next()))
 		return
 	}
-	k.answer(signal.Response(k.req, 487, "Request Terminated", k.tag))
+	k.answer(siptransaction.Response(k.req, 487, "Request Terminated", k.tag))
 	if k.Offered {
 		e.Mod.Left(e.Now, k.Contact)
 	}
@@ -206,7 +206,7 @@
 
 // Acked implements signal.User.
 func (e *Edge) Acked(req *sip.Request) {
-	if d := e.ends[signal.Tag(req.To().Params)]; d != nil && d.call != nil && d.leg == nil {
+	if d := e.ends[siptransaction.Tag(req.To().Params)]; d != nil && d.call != nil && d.leg == nil {
 		d.call.server.Acked()
 	}
 }
@@ -216,9 +216,9 @@
 	if d.call == nil || !d.call.Stands {
 		return
 	}
-	how, why := contact.Done, plainReason
-	if v := signal.Field(req, signal.Reason); strings.Contains(v, "Q.850") && !strings.Contains(v, "cause=16") {
-		how, why = contact.Reset, v
+	how, why := routing.Done, plainReason
+	if v := siptransaction.Field(req, siptransaction.Reason); strings.Contains(v, "Q.850") && !strings.Contains(v, "cause=16") {
+		how, why = routing.Reset, v
 	}
 	k := d.call
 	if d.leg == nil {
@@ -230,7 +230,7 @@
 }
 
 // release ends a standing call on the sides that do not know of it yet.
-func (k *call) release(how contact.End, why string) {
+func (k *call) release(how routing.End, why string) {
 	if !k.Stands || k.trunk == nil {
 		return
 	}
@@ -257,12 +257,12 @@
 
 // bye gives a BYE its Session-ID and reason.
 func (e *Edge) bye(req *sip.Request, k *call, why string) {
-	req.AppendHeader(sip.NewHeader(signal.SessionID, signal.SessionValue(k.session)))
-	req.AppendHeader(sip.NewHeader(signal.Reason, why))
+	req.AppendHeader(sip.NewHeader(siptransaction.SessionID, siptransaction.SessionValue(k.session)))
+	req.AppendHeader(sip.NewHeader(siptransaction.Reason, why))
 }
 
 // session is an id for a contact whose caller gave none.
-func (e *Edge) session() string { return signal.NewSession(&e.names) }
+func (e *Edge) session() string { return siptransaction.NewSession(&e.names) }
 
 func copyBody(from, to interface {
 	GetHeader(string) sip.Header
--- a/edge/edge.go
+++ b/internal/protocol/b2bua/edge.go
@@ -1,4 +1,4 @@
-// Package edge is one gateway's call control without I/O: a call-stateful back-to-back user agent (RFC 3261 6) that
+// Package b2bua is one gateway's call control without I/O: a call-stateful back-to-back user agent (RFC 3261 6) that
 // takes calls, asks the decision module about each and sets it up over trunk groups. Datagrams, lists, other gateways'
 // messages and the time come in through methods; datagrams go out through Out. It hosts the module (contact.Host) and
 // decides nothing that the module decides.
@@ -6,7 +6,7 @@
 // A contact passes caller leg, intake, module, trunk leg; what comes back runs the other way. What the five rules ask
 // of the wire is kept at one place each: rule 1 in (*control.Held).Settle, rules 2, 3 and 5 in
 // (*control.Control).Ring.
-package edge
+package b2bua
 
 import (
 	"hash/fnv"
@@ -17,12 +17,12 @@
 
 	"github.com/emiago/sipgo/sip"
 
-	"cobaltpier/contact"
-	"cobaltpier/control"
-	"cobaltpier/host"
-	"cobaltpier/intake"
-	"cobaltpier/number"
-	"cobaltpier/signal"
+	"cobaltpier/internal/decision/intake"
+	"cobaltpier/internal/decision/numberplan"
+	"cobaltpier/internal/protocol/callcontrol"
+	"cobaltpier/internal/protocol/endpointset"
+	"cobaltpier/internal/protocol/siptransaction"
+	"cobaltpier/internal/routing"
 )
 
 //tally:decisions
@@ -46,7 +46,7 @@
 // Lookup finds out where numbers were ported to, for tables that ask.
 type Lookup interface {
 	// Ask calls done once within the time given in ms, maybe at once; stop takes the question back.
-	Ask(now float64, digits string, within float64, done func(now float64, found number.Found)) (stop func())
+	Ask(now float64, digits string, within float64, done func(now float64, found numberplan.Found)) (stop func())
 	Wake(now float64)
 	Next() float64
 }
@@ -56,14 +56,14 @@
 	Name    string // unique among the gateways; in tags and call ids
 	Self    netip.AddrPort
 	Context string // trunk-context (RFC 4904)
-	Set     *contact.Settings
-	Times   signal.Times
+	Set     *routing.Settings
+	Times   siptransaction.Times
 	Groups  []Group
 	Default string  // the skill of a call that names none
 	Margin  float64 // ms: final answers leave so long before the caller's patience ends
 	Gate    intake.Gate
 	Parse   func([]byte) (sip.Message, error) // nil: signal.Parse
-	Table   *number.Table                     // what becomes of numbers; nil: callers name skill and trunk group themselves
+	Table   *numberplan.Table                 // what becomes of numbers; nil: callers name skill and trunk group themselves
 	Look    Lookup                            // nil: no question has an answer
 	Share   float64                           // of what is left of a contact's patience: the most that a look-up may use
 	Epoch   time.Time                         // the wall clock when this edge's clock stood at 0, for times of day
@@ -74,13 +74,13 @@
 type Member struct {
 	ID     string
 	Number int
-	State  contact.State
+	State  routing.State
 	Since  float64 // ms on this edge's clock; 0: long ago
 	Addr   netip.AddrPort
 }
 
 // Counts are what an edge has seen since its start.
-type Counts = control.Counts
+type Counts = callcontrol.Counts
 
 // Fate is the end of a contact, for logs.
 type Fate struct {
@@ -95,28 +95,28 @@
 
 // Edge is one gateway.
 type Edge struct {
-	*control.Control
+	*callcontrol.Control
 	OnFate func(Fate) // may be nil
 
 	cfg      *Config
 	out      Out
-	names    signal.Names
-	sip      *signal.Layer
-	addrs    map[*contact.Pool]netip.AddrPort
+	names    siptransaction.Names
+	sip      *siptransaction.Layer
+	addrs    map[*routing.Pool]netip.AddrPort
 	groups   map[int]*Group    // by pool
 	byName   map[string]*Group // by tgrp
 	ends     map[string]*end   // dialogs by our tag
 	refusals intake.Refusals
-	table    *number.Table
-	tables   map[*number.Table]int // contacts without a final answer that carry it
+	table    *numberplan.Table
+	tables   map[*numberplan.Table]int // contacts without a final answer that carry it
 	drawn    uint64
 }
 
 // New makes an edge; its module comes from mk.
-func New(cfg *Config, mk host.Maker, out Out) *Edge {
-	e := &Edge{Control: control.New(&control.Config{Set: cfg.Set, Margin: cfg.Margin, Gate: cfg.Gate, Off: cfg.Off}), cfg: cfg, out: out,
-		addrs: map[*contact.Pool]netip.AddrPort{}, groups: map[int]*Group{}, byName: map[string]*Group{}, ends: map[string]*end{},
-		table: cfg.Table, tables: map[*number.Table]int{}}
+func New(cfg *Config, mk endpointset.Maker, out Out) *Edge {
+	e := &Edge{Control: callcontrol.New(&callcontrol.Config{Set: cfg.Set, Margin: cfg.Margin, Gate: cfg.Gate, Off: cfg.Off}), cfg: cfg, out: out,
+		addrs: map[*routing.Pool]netip.AddrPort{}, groups: map[int]*Group{}, byName: map[string]*Group{}, ends: map[string]*end{},
+		table: cfg.Table, tables: map[*numberplan.Table]int{}}
 	h := fnv.New64a()
 	h.Write([]byte(cfg.Name))
 	e.names.Seed = cfg.Set.Seed ^ h.Sum64()
@@ -125,7 +125,7 @@
 		e.groups[g.Pool], e.byName[g.Name] = g, g
 	}
 	e.refusals.Keep = 64 * cfg.Times.T1
-	e.sip = signal.NewLayer(cfg.Self, cfg.Times, &e.names, &e.Timers, e, out.Send)
+	e.sip = siptransaction.NewLayer(cfg.Self, cfg.Times, &e.names, &e.Timers, e, out.Send)
 	if cfg.Parse != nil {
 		e.sip.Parse = cfg.Parse
 	}
@@ -151,9 +151,9 @@
 // pool that drains or is gone are not repeated any more.
 func (e *Edge) Listed(now float64, list []Member, whole bool) {
 	e.Now, e.sip.Now = now, now
-	entries := make([]host.Entry[string], len(list))
+	entries := make([]endpointset.Entry[string], len(list))
 	for i, m := range list {
-		entries[i] = host.Entry[string]{ID: m.ID, Number: m.Number, State: m.State, Since: m.Since}
+		entries[i] = endpointset.Entry[string]{ID: m.ID, Number: m.Number, State: m.State, Since: m.Since}
 	}
 	changed := e.Pools.Apply(entries, whole)
 	for _, m := range list {
@@ -166,7 +166,7 @@
 		e.addrs[p] = m.Addr
 	}
 	for _, p := range changed {
-		if p.State != contact.Ready {
+		if p.State != routing.Ready {
 			for _, d := range e.ends {
 				if d.leg != nil && d.leg.ring.Pool == p && !d.leg.tx.Heard() {
 					d.leg.tx.Quiet()
@@ -208,7 +208,7 @@
 	slices.Sort(tags)
 	for _, tag := range tags {
 		if d := e.ends[tag]; d != nil {
-			d.call.release(contact.Reset, cutReason)
+			d.call.release(routing.Reset, cutReason)
 		}
 	}
 }
@@ -220,7 +220,7 @@
 }
 
 // Probe implements contact.Host: OPTIONS (RFC 3261 11).
-func (e *Edge) Probe(p *contact.Pool) {
+func (e *Edge) Probe(p *routing.Pool) {
 	to := e.addrs[p]
 	req := sip.NewRequest(sip.OPTIONS, sip.Uri{Scheme: "sip", Host: to.Addr().String(), Port: int(to.Port())})
 	e.common(req, &sip.FromHeader{Address: e.uri(""), Params: sip.HeaderParams{{K: "tag", V: e.names.Next()}}},
@@ -238,14 +238,14 @@
 type moduleHost struct{ *Edge }
 
 // Wake implements contact.Host.
-func (h moduleHost) Wake(at float64, c *contact.Contact) {
+func (h moduleHost) Wake(at float64, c *routing.Contact) {
 	h.Control.Wake(at, c)
 }
 
 // Asked implements signal.User.
-func (e *Edge) Asked(s *signal.Server, req *sip.Request) {
+func (e *Edge) Asked(s *siptransaction.Server, req *sip.Request) {
 	e.Now = e.sip.Now
-	tag := signal.Tag(req.To().Params)
+	tag := siptransaction.Tag(req.To().Params)
 	d := e.ends[tag]
 	if d != nil && d.callID != string(*req.CallID()) {
 		d = nil
@@ -254,18 +254,18 @@
 	case req.Method == sip.INVITE && tag == "":
 		e.invited(s, req)
 	case req.Method == sip.OPTIONS && tag == "":
-		s.Respond(signal.Response(req, 200, "OK", e.names.Next()))
+		s.Respond(siptransaction.Response(req, 200, "OK", e.names.Next()))
 	case tag != "" && d == nil:
-		s.Respond(signal.Response(req, 481, "Call/Transaction Does Not Exist", ""))
+		s.Respond(siptransaction.Response(req, 481, "Call/Transaction Does Not Exist", ""))
 	case req.Method == sip.BYE && d != nil:
-		s.Respond(signal.Response(req, 200, "OK", ""))
+		s.Respond(siptransaction.Response(req, 200, "OK", ""))
 		d.bye(req)
 	case req.Method == sip.INVITE:
-		s.Respond(signal.Response(req, 488, "Not Acceptable Here", "")) // the call goes on as it is
+		s.Respond(siptransaction.Response(req, 488, "Not Acceptable Here", "")) // the call goes on as it is
 	case req.Method == sip.OPTIONS:
-		s.Respond(signal.Response(req, 200, "OK", ""))
+		s.Respond(siptransaction.Response(req, 200, "OK", ""))
 	default:
-		res := signal.Response(req, 405, "Method Not Allowed", e.names.Next())
+		res := siptransaction.Response(req, 405, "Method Not Allowed", e.names.Next())
 		res.AppendHeader(sip.NewHeader("Allow", "INVITE, ACK, CANCEL, BYE, OPTIONS"))
 		s.Respond(res)
 	}
--- a/edge/edge_test.go
+++ b/internal/protocol/b2bua/edge_test.go
@@ -1,4 +1,4 @@
-package edge
+package b2bua
 
 import (
 	"fmt"
@@ -8,10 +8,10 @@
 
 	"github.com/emiago/sipgo/sip"
 
-	"cobaltpier/contact"
-	"cobaltpier/host"
-	"cobaltpier/intake"
-	"cobaltpier/signal"
+	"cobaltpier/internal/decision/intake"
+	"cobaltpier/internal/protocol/endpointset"
+	"cobaltpier/internal/protocol/siptransaction"
+	"cobaltpier/internal/routing"
 )
 
 var (
@@ -23,33 +23,33 @@
 
 // mind is a module that a test plays by hand.
 type mind struct {
-	h       contact.Host
-	pools   []*contact.Pool
-	offered func(now float64, c *contact.Contact)
-	ended   func(now float64, r *contact.Ring)
-	woken   func(now float64, c *contact.Contact)
+	h       routing.Host
+	pools   []*routing.Pool
+	offered func(now float64, c *routing.Contact)
+	ended   func(now float64, r *routing.Ring)
+	woken   func(now float64, c *routing.Contact)
 	heard   []string
 }
 
-func (m *mind) Listed(_ float64, ps []*contact.Pool) {
+func (m *mind) Listed(_ float64, ps []*routing.Pool) {
 	if m.pools == nil {
 		m.pools = ps
 	}
 }
-func (m *mind) Offered(now float64, c *contact.Contact) { m.offered(now, c) }
-func (m *mind) Stood(_ float64, r *contact.Ring)        { m.heard = append(m.heard, "stood") }
-func (m *mind) Ended(now float64, r *contact.Ring, closed bool) {
+func (m *mind) Offered(now float64, c *routing.Contact) { m.offered(now, c) }
+func (m *mind) Stood(_ float64, r *routing.Ring)        { m.heard = append(m.heard, "stood") }
+func (m *mind) Ended(now float64, r *routing.Ring, closed bool) {
 	m.heard = append(m.heard, fmt.Sprintf("ended %d closed %v wait %v", r.End, closed, r.Wait))
 	if m.ended != nil {
 		m.ended(now, r)
 	}
 }
-func (m *mind) Left(float64, *contact.Contact) { m.heard = append(m.heard, "left") }
-func (m *mind) Reported(_ float64, p *contact.Pool, ok, full bool) {
+func (m *mind) Left(float64, *routing.Contact) { m.heard = append(m.heard, "left") }
+func (m *mind) Reported(_ float64, p *routing.Pool, ok, full bool) {
 	m.heard = append(m.heard, fmt.Sprintf("report %v %v", ok, full))
 }
 func (m *mind) Told(float64, int, []byte) {}
-func (m *mind) Woken(now float64, c *contact.Contact) {
+func (m *mind) Woken(now float64, c *routing.Contact) {
 	if m.woken != nil {
 		m.woken(now, c)
 	}
@@ -75,18 +75,18 @@
 
 func newRig(t *testing.T) *rig {
 	r := &rig{T: t, m: &mind{}, now: 1e6}
-	set := &contact.Settings{Gateways: 1, Seed: 3, Tick: 1, MaxRings: 5, MayCancel: true, MayWait: true, ClearWait: 500, Slack: 20,
-		Skills: []*contact.Skill{{Name: "shift-lookup", Target: 2000, Patience: 9000, Value: 1}, {Name: "claim", Target: 1000, Patience: 6000, Value: 5}}}
-	r.e = New(&Config{Name: "e", Self: self, Context: "x.example", Set: set, Times: signal.Times{T1: 400, T2: 3200, T4: 5000}, Default: "shift-lookup",
+	set := &routing.Settings{Gateways: 1, Seed: 3, Tick: 1, MaxRings: 5, MayCancel: true, MayWait: true, ClearWait: 500, Slack: 20,
+		Skills: []*routing.Skill{{Name: "shift-lookup", Target: 2000, Patience: 9000, Value: 1}, {Name: "claim", Target: 1000, Patience: 6000, Value: 5}}}
+	r.e = New(&Config{Name: "e", Self: self, Context: "x.example", Set: set, Times: siptransaction.Times{T1: 400, T2: 3200, T4: 5000}, Default: "shift-lookup",
 		Groups: []Group{{Name: "TG-0", Pool: 0, Size: 10}, {Name: "TG-1", Pool: 1, Size: 10}}, Gate: intake.Gate{Most: 100}},
-		func(_ *contact.Settings, h contact.Host) host.Module { r.m.h = h; return r.m }, r)
-	r.m.offered = func(now float64, c *contact.Contact) { r.m.h.Ring(c, r.m.pools[0], c.Until-now) }
-	r.list(contact.Ready)
+		func(_ *routing.Settings, h routing.Host) endpointset.Module { r.m.h = h; return r.m }, r)
+	r.m.offered = func(now float64, c *routing.Contact) { r.m.h.Ring(c, r.m.pools[0], c.Until-now) }
+	r.list(routing.Ready)
 	return r
 }
 
-func (r *rig) list(a contact.State) {
-	r.e.Listed(r.now, []Member{{ID: "a", Number: 0, State: a, Addr: switchA}, {ID: "b", Number: 1, State: contact.Ready, Addr: switchB}}, true)
+func (r *rig) list(a routing.State) {
+	r.e.Listed(r.now, []Member{{ID: "a", Number: 0, State: a, Addr: switchA}, {ID: "b", Number: 1, State: routing.Ready, Addr: switchB}}, true)
 }
 
 func (r *rig) pass(ms float64) {
@@ -125,7 +125,7 @@
 		p := r.out[r.said]
 		if p.to == to && strings.HasPrefix(p.data, begins) {
 			r.said++
-			m, err := signal.Parse([]byte(p.data))
+			m, err := siptransaction.Parse([]byte(p.data))
 			if err != nil {
 				r.Fatalf("%q: %v", p.data, err)
 			}
@@ -153,7 +153,7 @@
 
 // answer is a switch's answer to a request.
 func (r *rig) answer(from netip.AddrPort, to sip.Message, code int, tag, more string) {
-	res := signal.Response(to.(*sip.Request), code, "X", tag)
+	res := siptransaction.Response(to.(*sip.Request), code, "X", tag)
 	if code == 200 && to.(*sip.Request).Method == sip.INVITE {
 		res.AppendHeader(&sip.ContactHeader{Address: sip.Uri{Scheme: "sip", Host: from.Addr().String(), Port: int(from.Port())}})
 	}
@@ -178,7 +178,7 @@
 	inv := r.sent(switchA, "INVITE sip:+14185550123;tgrp=TG-0;trunk-context=x.example@127.0.0.3")
 	r.pass(151)
 	r.sent(caller, "SIP/2.0 100")
-	if s := signal.Session(inv.(*sip.Request)); s != strings.Repeat("1", 32) {
+	if s := siptransaction.Session(inv.(*sip.Request)); s != strings.Repeat("1", 32) {
 		t.Errorf("Session-ID %q on the trunk", s)
 	}
 	r.answer(switchA, inv, 180, "s1", "Cobalt-Load: util=0.5;queue=3;lines=90;free=80")
@@ -187,7 +187,7 @@
 	r.answer(switchA, inv, 200, "s1", "")
 	r.sent(switchA, "ACK ")
 	ok := r.sent(caller, "SIP/2.0 200")
-	tag := ";tag=" + signal.Tag(ok.To().Params)
+	tag := ";tag=" + siptransaction.Tag(ok.To().Params)
 	if p := r.m.pools[0].Report; p.Util != 0.5 || p.Queue != 3 || p.Agents != 90 || p.Free != 80 {
 		t.Errorf("report %+v", p)
 	}
@@ -221,7 +221,7 @@
 	r := newRig(t)
 	r.get(caller, callerSays("INVITE", "1e", ""))
 	r.answer(switchA, r.sent(switchA, "INVITE"), 200, "s", "")
-	tag := ";tag=" + signal.Tag(r.sent(caller, "SIP/2.0 200").To().Params)
+	tag := ";tag=" + siptransaction.Tag(r.sent(caller, "SIP/2.0 200").To().Params)
 	r.get(caller, callerSays("BYE", "1e", tag))
 	r.get(caller, callerSays("ACK", "1e", tag))
 	r.pass(5000)
@@ -233,8 +233,8 @@
 // CANCEL and 200 cross: the call that stood is acknowledged and released, and nothing rings before the clear wait.
 func TestCancelCrosses200(t *testing.T) {
 	r := newRig(t)
-	r.m.ended = func(now float64, x *contact.Ring) { r.m.h.Wake(now+1, x.Contact) }
-	r.m.woken = func(now float64, c *contact.Contact) {
+	r.m.ended = func(now float64, x *routing.Ring) { r.m.h.Wake(now+1, x.Contact) }
+	r.m.woken = func(now float64, c *routing.Contact) {
 		if !c.Over && c.Out == nil {
 			r.m.h.Ring(c, r.m.pools[1], c.Until-now) // before the clear wait is over: barred
 			r.m.h.Wake(now+100, c)
@@ -243,7 +243,7 @@
 	r.get(caller, callerSays("INVITE", "2a", ""))
 	inv := r.sent(switchA, "INVITE")
 	r.answer(switchA, inv, 180, "s", "")
-	r.m.h.Cancel(r.e.ends[signal.Tag(inv.From().Params)].leg.ring)
+	r.m.h.Cancel(r.e.ends[siptransaction.Tag(inv.From().Params)].leg.ring)
 	r.sent(switchA, "CANCEL")
 	r.pass(10)
 	if r.count(switchB, "INVITE") != 0 {
@@ -252,7 +252,7 @@
 	r.answer(switchA, inv, 200, "s", "")
 	r.sent(switchA, "ACK")
 	bye := r.sent(switchA, "BYE")
-	if tag := signal.Tag(bye.To().Params); tag != "s" {
+	if tag := siptransaction.Tag(bye.To().Params); tag != "s" {
 		t.Errorf("BYE to tag %q", tag)
 	}
 	r.pass(480)
@@ -268,7 +268,7 @@
 // A 200 after the time-out: the caller has its answer, the call that stood is released.
 func TestLate200(t *testing.T) {
 	r := newRig(t)
-	r.m.ended = func(_ float64, x *contact.Ring) {
+	r.m.ended = func(_ float64, x *routing.Ring) {
 		if !x.Contact.Over {
 			r.m.h.Abandon(x.Contact)
 		}
@@ -316,8 +316,8 @@
 // The caller calls off while its contact is in the clear wait.
 func TestCallerLeavesInClearWait(t *testing.T) {
 	r := newRig(t)
-	r.m.ended = func(now float64, x *contact.Ring) { r.m.h.Wake(now+500, x.Contact) }
-	r.m.woken = func(now float64, c *contact.Contact) { r.m.h.Ring(c, r.m.pools[1], 100) }
+	r.m.ended = func(now float64, x *routing.Ring) { r.m.h.Wake(now+500, x.Contact) }
+	r.m.woken = func(now float64, c *routing.Contact) { r.m.h.Ring(c, r.m.pools[1], 100) }
 	r.get(caller, callerSays("INVITE", "5a", ""))
 	inv := r.sent(switchA, "INVITE")
 	r.answer(switchA, inv, 408, "s", "")
@@ -345,13 +345,13 @@
 		{302, "Contact: <sip:127.0.0.9>", "ended 1 closed false wait 0"},
 	} {
 		r := newRig(t)
-		r.m.ended = func(_ float64, x *contact.Ring) { r.m.h.Defer(x.Contact, 300) }
+		r.m.ended = func(_ float64, x *routing.Ring) { r.m.h.Defer(x.Contact, 300) }
 		r.get(caller, callerSays("INVITE", fmt.Sprintf("%da", i+1), ""))
 		r.answer(switchA, r.sent(switchA, "INVITE"), x.code, "s", x.more)
 		r.sent(switchA, "ACK")
 		r.heard(x.want)
-		if res := r.sent(caller, "SIP/2.0 503").(*sip.Response); signal.Wait(signal.Field(res, signal.RetryAfter)) != 300 {
-			t.Errorf("caller told to wait %q", signal.Field(res, signal.RetryAfter))
+		if res := r.sent(caller, "SIP/2.0 503").(*sip.Response); siptransaction.Wait(siptransaction.Field(res, siptransaction.RetryAfter)) != 300 {
+			t.Errorf("caller told to wait %q", siptransaction.Field(res, siptransaction.RetryAfter))
 		}
 	}
 }
@@ -364,7 +364,7 @@
 	if n := r.count(switchA, "INVITE"); n != 2 {
 		t.Fatalf("%d set-ups in 500 ms, want 2", n)
 	}
-	r.list(contact.Draining)
+	r.list(routing.Draining)
 	r.pass(5000)
 	if n := r.count(switchA, "INVITE"); n != 2 {
 		t.Errorf("%d set-ups repeated to a pool that drains", n-2)
@@ -379,7 +379,7 @@
 		r.get(caller, callerSays("INVITE", id, ""))
 		inv = r.sent(switchA, "INVITE")
 		r.answer(switchA, inv, 200, "s"+id, "")
-		tag = ";tag=" + signal.Tag(r.sent(caller, "SIP/2.0 200").To().Params)
+		tag = ";tag=" + siptransaction.Tag(r.sent(caller, "SIP/2.0 200").To().Params)
 		r.get(caller, callerSays("ACK", id, tag))
 		return inv, tag
 	}
@@ -388,9 +388,9 @@
 	r.answer(switchA, r.sent(switchA, "BYE"), 481, "", "")
 	inv, _ := stand("8a")
 	r.get(switchA, "BYE sip:127.0.0.1 SIP/2.0\nVia: SIP/2.0/UDP 127.0.0.3:5060;branch=z9hG4bKx\nFrom: <sip:x@y>;tag=s8a\nTo: <sip:a@b>;tag="+
-		signal.Tag(inv.From().Params)+"\nCall-ID: "+string(*inv.CallID())+"\nCSeq: 1 BYE\nReason: Q.850;cause=41\nContent-Length: 0")
-	if bye := r.sent(caller, "BYE").(*sip.Request); !strings.Contains(signal.Field(bye, signal.Reason), "cause=41") {
-		t.Errorf("reason %q to the caller", signal.Field(bye, signal.Reason))
+		siptransaction.Tag(inv.From().Params)+"\nCall-ID: "+string(*inv.CallID())+"\nCSeq: 1 BYE\nReason: Q.850;cause=41\nContent-Length: 0")
+	if bye := r.sent(caller, "BYE").(*sip.Request); !strings.Contains(siptransaction.Field(bye, siptransaction.Reason), "cause=41") {
+		t.Errorf("reason %q to the caller", siptransaction.Field(bye, siptransaction.Reason))
 	}
 	r.heard("stood", "ended 0 closed true wait 0", "stood", "ended 5 closed true wait 0")
 	r.get(caller, callerSays("BYE", "8a", ";tag=nobody"))
@@ -411,7 +411,7 @@
 // An edge stands still past a repeat and the patience: the answer goes, and no repeat with it.
 func TestStoodStillPastPatience(t *testing.T) {
 	r := newRig(t)
-	r.m.ended = func(_ float64, x *contact.Ring) { r.m.h.Abandon(x.Contact) }
+	r.m.ended = func(_ float64, x *routing.Ring) { r.m.h.Abandon(x.Contact) }
 	r.get(caller, callerSays("INVITE", "1d", ""))
 	r.pass(2000) // the next repeat is due at 2800, the patience ends at 9000
 	n := r.count(switchA, "INVITE")
@@ -427,7 +427,7 @@
 // the earliest. One that was merely idle takes it as new.
 func TestStoodStill(t *testing.T) {
 	r := newRig(t)
-	r.m.ended = func(_ float64, x *contact.Ring) {
+	r.m.ended = func(_ float64, x *routing.Ring) {
 		if !x.Contact.Over {
 			r.m.h.Abandon(x.Contact)
 		}
@@ -471,11 +471,11 @@
 // A module that forgets a contact or answers it twice: rule 1 is kept all the same.
 func TestForgottenContact(t *testing.T) {
 	r := newRig(t)
-	r.m.offered = func(float64, *contact.Contact) {}
+	r.m.offered = func(float64, *routing.Contact) {}
 	r.get(caller, callerSays("INVITE", "1b", ""))
 	r.pass(9011)
 	r.sent(caller, "SIP/2.0 500")
-	r.m.offered = func(_ float64, c *contact.Contact) { r.m.h.Defer(c, 0); r.m.h.Abandon(c) }
+	r.m.offered = func(_ float64, c *routing.Contact) { r.m.h.Defer(c, 0); r.m.h.Abandon(c) }
 	r.get(caller, callerSays("INVITE", "2b", ""))
 	r.sent(caller, "SIP/2.0 503")
 	if n := r.count(caller, "SIP/2.0 500"); n < 1 || r.e.Counts.Overdue != 1 {
--- a/edge/enquiry.go
+++ b/internal/protocol/b2bua/enquiry.go
@@ -1,9 +1,9 @@
-package edge
+package b2bua
 
 import (
 	"net/netip"
 
-	"cobaltpier/contact"
+	"cobaltpier/internal/routing"
 )
 
 // Named is the answer to an enquiry: which pool to call, or why none is named.
@@ -22,7 +22,7 @@
 // enquiry is a contact of somebody who asks which pool to call, and calls it itself.
 type enquiry struct {
 	*held
-	out  *contact.Ring
+	out  *routing.Ring
 	done func(now float64, n Named)
 }
 
@@ -36,7 +36,7 @@
 		done(now, Named{Code: 404, Why: "no such skill"})
 		return func() {}
 	}
-	c := &contact.Contact{Skill: k, Number: number, Came: now, HomeNumber: -1}
+	c := &routing.Contact{Skill: k, Number: number, Came: now, HomeNumber: -1}
 	q := &enquiry{held: &held{Held: e.Hold(c, patience), edge: e, session: e.session()}, done: done}
 	q.Party, q.refuser = q, q
 	q.Patience()
@@ -98,7 +98,7 @@
 
 // Dial implements control.Party: the answer is the ring. Whoever asked calls the pool itself, so it is over for us; the module
 // counts it as one that was sent and taken.
-func (q *enquiry) Dial(r *contact.Ring, _ float64) bool {
+func (q *enquiry) Dial(r *routing.Ring, _ float64) bool {
 	e := q.edge
 	g := e.groups[r.Pool.Number]
 	if g == nil || g.out >= g.Size || !q.settle(200) {
@@ -109,15 +109,15 @@
 	p := r.Pool
 	e.Timers.Set(e.Now, func() {
 		q.out = nil
-		q.Ended(r, contact.Done, true)
+		q.Ended(r, routing.Done, true)
 	})
 	q.done(e.Now, Named{Code: 200, Addr: e.addrs[p], Group: g.Name, Number: q.Number, Params: q.route.params,
-		Still: func() bool { return p.State == contact.Ready }})
+		Still: func() bool { return p.State == routing.Ready }})
 	return true
 }
 
 // callOff implements control.Party: an answer that was given can't be taken back.
-func (*enquiry) CallOff(*contact.Ring) {}
+func (*enquiry) CallOff(*routing.Ring) {}
 
 // trying implements control.Party.
 func (*enquiry) Trying() {}
--- a/edge/enquiry_test.go
+++ b/internal/protocol/b2bua/enquiry_test.go
@@ -1,37 +1,37 @@
-package edge
+package b2bua
 
 import (
 	"fmt"
 	"strings"
 	"testing"
 
-	"cobaltpier/contact"
-	"cobaltpier/number"
+	"cobaltpier/internal/decision/numberplan"
+	"cobaltpier/internal/routing"
 )
 
 // An enquiry's answer names the pool that the module rings, once; the module hears that the ring is over.
 func TestEnquiry(t *testing.T) {
 	r, b := numberRig(t)
-	r.m.offered = func(now float64, c *contact.Contact) { r.m.h.Ring(c, r.m.pools[1], c.Until-now) }
+	r.m.offered = func(now float64, c *routing.Contact) { r.m.h.Ring(c, r.m.pools[1], c.Until-now) }
 	var got []Named
 	r.e.Enquire(r.now, "14185550123", "shift-lookup", 2000, func(_ float64, n Named) { got = append(got, n) })
 	r.pass(1)
 	if len(b.asked) != 1 || len(got) != 0 {
 		t.Fatalf("asked %v, %v", b.asked, got)
 	}
-	b.done[0](r.now, number.Found{Answer: number.Ported, Routing: "+15145550000"})
+	b.done[0](r.now, numberplan.Found{Answer: numberplan.Ported, Routing: "+15145550000"})
 	if len(got) != 1 || got[0].Code != 200 || got[0].Addr != switchB || got[0].Group != "TG-1" || got[0].Number != "+14185550123" ||
 		got[0].Params != ";npdi;rn=+70115145550000" || !got[0].Still() {
 		t.Fatalf("%+v", got)
 	}
 	r.pass(2)
-	if want := fmt.Sprintf("ended %d closed true wait 0", contact.Done); len(r.m.heard) != 1 || r.m.heard[0] != want {
+	if want := fmt.Sprintf("ended %d closed true wait 0", routing.Done); len(r.m.heard) != 1 || r.m.heard[0] != want {
 		t.Errorf("the module heard %v", r.m.heard)
 	}
 	if held, _ := r.e.Held(); held != 0 || r.e.Counts.Named != 1 || len(r.e.tables) != 0 {
 		t.Errorf("%d held, %+v", held, r.e.Counts)
 	}
-	r.e.Listed(r.now, []Member{{ID: "b", Number: 1, State: contact.Draining, Addr: switchB}}, false)
+	r.e.Listed(r.now, []Member{{ID: "b", Number: 1, State: routing.Draining, Addr: switchB}}, false)
 	if got[0].Still() {
 		t.Error("a pool that drains may still be named")
 	}
@@ -42,7 +42,7 @@
 	r := newRig(t)
 	var got []Named
 	done := func(_ float64, n Named) { got = append(got, n) }
-	r.m.offered = func(now float64, c *contact.Contact) {
+	r.m.offered = func(now float64, c *routing.Contact) {
 		r.m.h.Ring(c, r.m.pools[0], 100)
 		r.m.h.Ring(c, r.m.pools[1], 100)
 		r.m.h.Defer(c, 0)
@@ -53,8 +53,8 @@
 		t.Errorf("two rings and a deferral: %+v, barred %d", got, r.e.Counts.Barred)
 	}
 	got = nil
-	r.list(contact.Draining)
-	r.m.offered = func(now float64, c *contact.Contact) { r.m.h.Ring(c, r.m.pools[0], 100) }
+	r.list(routing.Draining)
+	r.m.offered = func(now float64, c *routing.Contact) { r.m.h.Ring(c, r.m.pools[0], 100) }
 	r.e.Enquire(r.now, "1", "shift-lookup", 2000, done)
 	r.pass(1990)
 	if len(got) != 0 {
@@ -65,7 +65,7 @@
 		t.Errorf("forgotten: %+v", got)
 	}
 	got = nil
-	r.m.offered = func(now float64, c *contact.Contact) {}
+	r.m.offered = func(now float64, c *routing.Contact) {}
 	stop := r.e.Enquire(r.now, "1", "shift-lookup", 2000, done)
 	r.pass(1)
 	stop()
@@ -90,7 +90,7 @@
 func TestEnquiryFlood(t *testing.T) {
 	r := newRig(t)
 	r.e.Gate.Most = 10
-	r.m.offered = func(float64, *contact.Contact) {}
+	r.m.offered = func(float64, *routing.Contact) {}
 	n := map[string]int{}
 	for range 100 {
 		r.e.Enquire(r.now, "1", "shift-lookup", 2000, func(_ float64, x Named) { n[strings.Fields(x.Why)[0]]++ })
--- a/edge/held.go
+++ b/internal/protocol/b2bua/held.go
@@ -1,14 +1,14 @@
-package edge
+package b2bua
 
-import "cobaltpier/control"
+import "cobaltpier/internal/protocol/callcontrol"
 
 // held is a contact as the edge holds it: what the call control has, and what became of its number.
 type held struct {
-	*control.Held
+	*callcontrol.Held
 	refuser
 	edge    *Edge
 	session string
-	route   routing
+	route   numberAnalysis
 }
 
 // refuser is a party that takes answers which are none of the module's.
--- a/edge/load.go
+++ b/internal/protocol/b2bua/load.go
@@ -1,4 +1,4 @@
-package edge
+package b2bua
 
 import (
 	"math"
@@ -7,22 +7,22 @@
 
 	"github.com/emiago/sipgo/sip"
 
-	"cobaltpier/contact"
-	"cobaltpier/signal"
+	"cobaltpier/internal/protocol/siptransaction"
+	"cobaltpier/internal/routing"
 )
 
 // fields of our load header and where their values go; times are milliseconds.
-var fields = map[string]func(*contact.Report, float64){
-	"util":  func(r *contact.Report, v float64) { r.Util = v },
-	"queue": func(r *contact.Report, v float64) { r.Queue = v },
-	"wait":  func(r *contact.Report, v float64) { r.Wait = v },
-	"lines": func(r *contact.Report, v float64) { r.Agents = v },
-	"free":  func(r *contact.Report, v float64) { r.Free = v },
+var fields = map[string]func(*routing.Report, float64){
+	"util":  func(r *routing.Report, v float64) { r.Util = v },
+	"queue": func(r *routing.Report, v float64) { r.Queue = v },
+	"wait":  func(r *routing.Report, v float64) { r.Wait = v },
+	"lines": func(r *routing.Report, v float64) { r.Agents = v },
+	"free":  func(r *routing.Report, v float64) { r.Free = v },
 }
 
 // report reads what an answer says of a pool's load: overload control in our own Via (RFC 7339 4, RFC 7415 3) and the
 // load header. It tells whether figures of the processor came. What makes no sense is passed over.
-func (e *Edge) report(p *contact.Pool, res *sip.Response) bool {
+func (e *Edge) report(p *routing.Pool, res *sip.Response) bool {
 	full := false
 	if via := res.Via(); via != nil {
 		v, _ := via.Params.Get("oc")
@@ -37,7 +37,7 @@
 			}
 		}
 	}
-	for f := range strings.SplitSeq(signal.Field(res, signal.Load), ";") {
+	for f := range strings.SplitSeq(siptransaction.Field(res, siptransaction.Load), ";") {
 		k, v, _ := strings.Cut(strings.TrimSpace(f), "=")
 		n, ok := figure(v)
 		if set := fields[k]; set != nil && ok {
--- a/edge/trunk.go
+++ b/internal/protocol/b2bua/trunk.go
@@ -1,13 +1,13 @@
-package edge
+package b2bua
 
 import (
 	"net/netip"
 
 	"github.com/emiago/sipgo/sip"
 
-	"cobaltpier/clock"
-	"cobaltpier/contact"
-	"cobaltpier/signal"
+	"cobaltpier/internal/protocol/siptransaction"
+	"cobaltpier/internal/routing"
+	"cobaltpier/internal/timerqueue"
 )
 
 // oc says in a Via which kinds of overload control this edge heeds (RFC 7339 4.1, RFC 7415).
@@ -16,12 +16,12 @@
 // leg is one ring on the wire. It outlives the ring where the switch may still think that the call goes on.
 type leg struct {
 	call   *call
-	ring   *contact.Ring
+	ring   *routing.Ring
 	group  *Group
 	to     netip.AddrPort
-	tx     *signal.Client
+	tx     *siptransaction.Client
 	end    *end
-	limit  *clock.Timer
+	limit  *timerqueue.Timer
 	req    *sip.Request
 	remote *sip.Response // the 2xx that set the dialog up
 	ack    []byte
@@ -33,7 +33,7 @@
 
 // Dial implements control.Party: it sends a set-up over a trunk group and gives up after limit ms. A group without a free
 // circuit takes none.
-func (k *call) Dial(r *contact.Ring, limit float64) bool {
+func (k *call) Dial(r *routing.Ring, limit float64) bool {
 	e := k.edge
 	g := e.groups[r.Pool.Number]
 	if g == nil || g.out >= g.Size {
@@ -52,8 +52,8 @@
 		Params: sip.HeaderParams{{K: "tag", V: tag}}},
 		&sip.ToHeader{Address: sip.Uri{Scheme: "sip", User: k.Number, Host: to.Addr().String(), Port: int(to.Port())}}, id, 1)
 	l.req.AppendHeader(&sip.ContactHeader{Address: e.uri("")})
-	l.req.AppendHeader(sip.NewHeader(signal.SessionID, signal.SessionValue(k.session)))
-	l.req.AppendHeader(sip.NewHeader(signal.Service, servicePrefix+k.Skill.Name))
+	l.req.AppendHeader(sip.NewHeader(siptransaction.SessionID, siptransaction.SessionValue(k.session)))
+	l.req.AppendHeader(sip.NewHeader(siptransaction.Service, servicePrefix+k.Skill.Name))
 	copyBody(k.req, l.req)
 	l.tx = e.sip.Ask(l.req, to, oc, l.heard)
 	l.limit = e.Timers.Set(e.Now+limit, l.late)
@@ -66,7 +66,7 @@
 	if !l.tx.Heard() {
 		l.tx.Quiet()
 	}
-	l.tell(contact.TimedOut)
+	l.tell(routing.TimedOut)
 }
 
 // cancel calls the set-up off. Where no provisional answer came yet RFC 3261 9.1 forbids the CANCEL: it follows the
@@ -85,9 +85,9 @@
 	e.Now = e.sip.Now
 	if res == nil {
 		if l.wanted || k.Over {
-			l.tell(contact.TimedOut)
+			l.tell(routing.TimedOut)
 		} else {
-			l.tell(contact.Cancelled)
+			l.tell(routing.Cancelled)
 		}
 		l.forget()
 		return
@@ -105,7 +105,7 @@
 			k.ringing()
 		}
 	case code < 300 && l.remote != nil:
-		if signal.Tag(res.To().Params) == signal.Tag(l.remote.To().Params) {
+		if siptransaction.Tag(res.To().Params) == siptransaction.Tag(l.remote.To().Params) {
 			e.out.Send(l.to, l.ack) // a repeat
 		} else {
 			l.shut(res) // another branch's
@@ -118,7 +118,7 @@
 		}
 		if !l.wanted || l.told || k.Over || k.Stands { // it crossed our giving up: nobody is there for it
 			l.bye(plainReason)
-			l.tell(contact.Cancelled)
+			l.tell(routing.Cancelled)
 			l.forget()
 			return
 		}
@@ -129,18 +129,18 @@
 		e.Mod.Stood(e.Now, l.ring)
 	default:
 		l.ring.Wait = 0
-		how := contact.Failed
+		how := routing.Failed
 		switch code {
 		case 503: // the processor is too busy
-			how, l.ring.Wait = contact.Full, signal.Wait(signal.Field(res, signal.RetryAfter))
+			how, l.ring.Wait = routing.Full, siptransaction.Wait(siptransaction.Field(res, siptransaction.RetryAfter))
 		case 486: // no line free at this pool
-			how, l.ring.NoAgent = contact.Full, true
+			how, l.ring.NoAgent = routing.Full, true
 		case 600: // all lines of the number are busy, at any pool
 			l.ring.Engaged = true
 		case 487:
-			how = contact.Cancelled
+			how = routing.Cancelled
 		case 408:
-			how = contact.TimedOut
+			how = routing.TimedOut
 		}
 		l.ring.Reported = full
 		l.tell(how)
@@ -149,7 +149,7 @@
 }
 
 // tell tells the module how the ring ended, once, and frees the circuit where nothing is left of it.
-func (l *leg) tell(how contact.End) {
+func (l *leg) tell(how routing.End) {
 	if l.told {
 		return
 	}
@@ -191,7 +191,7 @@
 func (l *leg) acknowledge(res *sip.Response) []byte {
 	e := l.call.edge
 	req := l.inDialog(sip.ACK, res, 1)
-	req.AppendHeader(sip.NewHeader(signal.SessionID, signal.SessionValue(l.call.session)))
+	req.AppendHeader(sip.NewHeader(siptransaction.SessionID, siptransaction.SessionValue(l.call.session)))
 	return e.sip.Ack(req, l.to)
 }
 
@@ -225,14 +225,14 @@
 	for i, method := range []sip.RequestMethod{sip.ACK, sip.BYE} {
 		req := sip.NewRequest(method, res.Contact().Address)
 		e.common(req, res.From(), res.To(), string(*res.CallID()), uint32(i)+res.CSeq().SeqNo)
-		if s := signal.Session(res); s != "" {
-			req.AppendHeader(sip.NewHeader(signal.SessionID, signal.SessionValue(s)))
+		if s := siptransaction.Session(res); s != "" {
+			req.AppendHeader(sip.NewHeader(siptransaction.SessionID, siptransaction.SessionValue(s)))
 		}
 		if method == sip.ACK {
 			e.sip.Ack(req, from)
 			continue
 		}
-		req.AppendHeader(sip.NewHeader(signal.Reason, plainReason))
+		req.AppendHeader(sip.NewHeader(siptransaction.Reason, plainReason))
 		e.sip.Ask(req, from, nil, func(*sip.Response) {})
 	}
 }
--- a/platform/any_test.go
+++ b/internal/protocol/binarygateway/any_test.go
@@ -1,4 +1,4 @@
-package platform
+package binarygateway
 
 import (
 	"slices"
@@ -6,9 +6,9 @@
 
 	"pgregory.net/rapid"
 
-	"cobaltpier/contact"
-	"cobaltpier/platform/message"
-	"cobaltpier/platform/roster"
+	"cobaltpier/internal/protocol/binarymessage"
+	"cobaltpier/internal/protocol/dnsdiscovery"
+	"cobaltpier/internal/routing"
 )
 
 // Whatever well-formed messages come from either side, in whatever order, with connections that come and go and lists
@@ -21,15 +21,15 @@
 		ids := rapid.Uint64Range(0, 6)
 		text := rapid.SampledFrom([]string{"", "voice", "video", "1500", "-1", "1e300", "NaN", "dest:0;width:1;via:-1", "dest:1;again:1", "at:a", "at:b", "at:nobody",
 			"width:0", "free:3;size:40;busy:0.5;q:2", "free:x;:;;busy:NaN", "cpu_full", "number_busy", "all_trunks_busy"})
-		codes := []byte{message.Class, message.Patience, message.Number, message.Figures, message.Wait, message.Note, message.Busy, message.Report, message.Cause, message.Description}
-		kinds := rapid.SampledFrom([]byte{message.SetUp, message.Progress, message.Answer, message.Release, message.Heard, message.State, message.Test, message.Tested, 99})
-		some := func() (of []message.Param) {
+		codes := []byte{binarymessage.Class, binarymessage.Patience, binarymessage.Number, binarymessage.Figures, binarymessage.Wait, binarymessage.Note, binarymessage.Busy, binarymessage.Report, binarymessage.Cause, binarymessage.Description}
+		kinds := rapid.SampledFrom([]byte{binarymessage.SetUp, binarymessage.Progress, binarymessage.Answer, binarymessage.Release, binarymessage.Heard, binarymessage.State, binarymessage.Test, binarymessage.Tested, 99})
+		some := func() (of []binarymessage.Param) {
 			for _, c := range rapid.SliceOfNDistinct(rapid.SampledFrom(codes), 0, 5, rapid.ID[byte]).Draw(rt, "codes") {
-				if c == message.Cause {
-					of = append(of, message.Why(rapid.SampledFrom([]byte{0, 16, 17, 34, 41, 42, 47, 102}).Draw(rt, "cause")))
+				if c == binarymessage.Cause {
+					of = append(of, binarymessage.Why(rapid.SampledFrom([]byte{0, 16, 17, 34, 41, 42, 47, 102}).Draw(rt, "cause")))
 					continue
 				}
-				of = append(of, message.Text(c, text.Draw(rt, "text")))
+				of = append(of, binarymessage.Text(c, text.Draw(rt, "text")))
 			}
 			return
 		}
@@ -52,8 +52,8 @@
 				r.m.Closed(r.now, rapid.SampledFrom(lines).Draw(rt, "line").link, rapid.SampledFrom([]Ending{Orderly, Refused, Reset}).Draw(rt, "how"))
 			default:
 				b := ready("b", addrB, 1)
-				b.State = rapid.SampledFrom([]contact.State{contact.Ready, contact.Draining}).Draw(rt, "state")
-				l := []roster.Target{b}
+				b.State = rapid.SampledFrom([]routing.State{routing.Ready, routing.Draining}).Draw(rt, "state")
+				l := []dnsdiscovery.Target{b}
 				if rapid.Bool().Draw(rt, "a is there") {
 					l = append(l, ready("a", addrA, 0))
 				}
@@ -78,10 +78,10 @@
 	r := newRig(t)
 	r.mod.to = []int{0}
 	c := r.caller()
-	of := []message.Param{message.Text(message.Class, "voice"), message.Text(message.Patience, "9e5"), message.Text(message.Number, "1")}
-	room := message.Most - 9 - 3 - 3*3 - len("voice9e51")
-	r.says(c, message.SetUp, 7, append(of, message.Param{Code: message.Description, Value: make([]byte, room)})...)
-	r.wants(c.last(7), message.Release, message.Invalid)
-	r.says(c, message.SetUp, 8, append(of, message.Param{Code: message.Description, Value: make([]byte, room-64)})...)
+	of := []binarymessage.Param{binarymessage.Text(binarymessage.Class, "voice"), binarymessage.Text(binarymessage.Patience, "9e5"), binarymessage.Text(binarymessage.Number, "1")}
+	room := binarymessage.Most - 9 - 3 - 3*3 - len("voice9e51")
+	r.says(c, binarymessage.SetUp, 7, append(of, binarymessage.Param{Code: binarymessage.Description, Value: make([]byte, room)})...)
+	r.wants(c.last(7), binarymessage.Release, binarymessage.Invalid)
+	r.says(c, binarymessage.SetUp, 8, append(of, binarymessage.Param{Code: binarymessage.Description, Value: make([]byte, room-64)})...)
 	r.on(8)
 }
--- a/platform/caller.go
+++ b/internal/protocol/binarygateway/caller.go
@@ -1,4 +1,4 @@
-package platform
+package binarygateway
 
 import (
 	"cmp"
@@ -8,9 +8,9 @@
 	"strconv"
 	"strings"
 
-	"cobaltpier/contact"
-	"cobaltpier/control"
-	"cobaltpier/platform/message"
+	"cobaltpier/internal/protocol/binarymessage"
+	"cobaltpier/internal/protocol/callcontrol"
+	"cobaltpier/internal/routing"
 )
 
 // client is all that comes from one address: its calls are bound to none of its connections.
@@ -35,12 +35,12 @@
 	mostNamed   = 64      // digits and letters of a number called
 	longest     = 86400e3 // ms: no caller waits longer
 	// a set-up has to fit when its patience is said again in other figures
-	mostSaid = message.Most - 16
+	mostSaid = binarymessage.Most - 16
 )
 
 // call is a contact of a caller, and the same once it stands. One that a caller told of as standing already has no Held.
 type call struct {
-	*control.Held
+	*callcontrol.Held
 	m      *Machine
 	id     uint64
 	client *client
@@ -48,29 +48,29 @@
 	said   []byte        // its set-up, till it stands
 	leg    *leg          // whose ring is out
 	at     *trunk        // where it stands
-	ring   *contact.Ring // and by which ring
+	ring   *routing.Ring // and by which ring
 	line   *Link         // the line that it stands on, nil once that has closed
 	began  float64
 }
 
 // heard implements side.
-func (c *client) heard(l *Link, msg message.Message) {
+func (c *client) heard(l *Link, msg binarymessage.Message) {
 	m := c.m
 	l.used = m.Now
 	switch msg.Type() {
-	case message.SetUp:
+	case binarymessage.SetUp:
 		l.proven = true
 		c.setUp(l, msg)
-	case message.Release:
+	case binarymessage.Release:
 		l.proven = true
 		c.released(l, msg)
-	case message.Test:
+	case binarymessage.Test:
 		l.proven = true
 		if len(m.tests) < 1000 {
 			m.tests = append(m.tests, test{l, msg.Call()})
 		}
 		m.isReady()
-	case message.Heard, message.Progress, message.Tested, message.State, message.Answer:
+	case binarymessage.Heard, binarymessage.Progress, binarymessage.Tested, binarymessage.State, binarymessage.Answer:
 		// free: they mean nothing here
 	default:
 		m.Wire.Odd++
@@ -79,12 +79,12 @@
 }
 
 // setUp takes a set-up: decoded fields go straight into a contact. It is offered by the next Wake.
-func (c *client) setUp(l *Link, msg message.Message) {
+func (c *client) setUp(l *Link, msg binarymessage.Message) {
 	m, id := c.m, msg.Call()
 	f, ok := figures(msg)
 	if !ok || id == 0 {
 		m.Wire.Odd++
-		l.send(message.Append(nil, message.Release, id, message.Why(message.Invalid)))
+		l.send(binarymessage.Append(nil, binarymessage.Release, id, binarymessage.Why(binarymessage.Invalid)))
 		return
 	}
 	old := m.calls[id]
@@ -99,15 +99,15 @@
 		l.shut()
 		return
 	}
-	skill := m.Skills[msg.Text(message.Class)]
-	wait, ok := figure(msg.Text(message.Patience))
-	number := msg.Text(message.Number)
+	skill := m.Skills[msg.Text(binarymessage.Class)]
+	wait, ok := figure(msg.Text(binarymessage.Patience))
+	number := msg.Text(binarymessage.Number)
 	if skill == nil || !ok || wait <= 0 || wait > longest || number == "" || len(number) > mostNamed || len(msg) > mostSaid {
 		m.Wire.Odd++
-		l.send(message.Append(nil, message.Release, id, message.Why(message.Invalid)))
+		l.send(binarymessage.Append(nil, binarymessage.Release, id, binarymessage.Why(binarymessage.Invalid)))
 		return
 	}
-	of := &contact.Contact{Skill: skill, Number: number, Came: m.Now, HomeNumber: f.dest, Again: f.again}
+	of := &routing.Contact{Skill: skill, Number: number, Came: m.Now, HomeNumber: f.dest, Again: f.again}
 	k := &call{Held: m.Hold(of, wait), m: m, id: id, client: c, link: l, said: slices.Clone(msg), began: m.Now}
 	k.Party = k
 	k.Until = k.From + wait - m.cfg.Margin
@@ -125,9 +125,9 @@
 }
 
 // figures reads a set-up's figures; false: they are out of range or no numbers.
-func figures(msg message.Message) (a asked, ok bool) {
+func figures(msg binarymessage.Message) (a asked, ok bool) {
 	a.dest = -1
-	v, _ := msg.Get(message.Figures)
+	v, _ := msg.Get(binarymessage.Figures)
 	for f := range fieldsOf(string(v)) {
 		switch f.name {
 		case "at":
@@ -181,12 +181,12 @@
 	}
 	t := m.trunks[m.Pools.Pool(at)]
 	if t == nil || m.resumed >= mostResumed {
-		l.send(message.Append(nil, message.Release, id, message.Why(message.Failure)))
+		l.send(binarymessage.Append(nil, binarymessage.Release, id, binarymessage.Why(binarymessage.Failure)))
 		return
 	}
 	if cause, over := t.ends[id]; over {
 		delete(t.ends, id)
-		l.send(message.Append(nil, message.Release, id, message.Why(cause.cause)))
+		l.send(binarymessage.Append(nil, binarymessage.Release, id, binarymessage.Why(cause.cause)))
 		return
 	}
 	m.Wire.Resumed++
@@ -213,12 +213,12 @@
 }
 
 // released takes a caller's release: of a set-up, which is given up, or of a call that stands.
-func (c *client) released(l *Link, msg message.Message) {
+func (c *client) released(l *Link, msg binarymessage.Message) {
 	k := c.m.calls[msg.Call()]
 	switch {
 	case k == nil:
 	case k.at != nil:
-		k.release(contact.Done, msg.Cause(), true)
+		k.release(routing.Done, msg.Cause(), true)
 	case k.client == c:
 		k.giveUp()
 	}
@@ -270,7 +270,7 @@
 	}
 	k.drop()
 	if k.leg != nil {
-		k.leg.giveUp(contact.Cancelled)
+		k.leg.giveUp(routing.Cancelled)
 	}
 }
 
@@ -287,35 +287,35 @@
 }
 
 // refuse is the final answer that it does not stand.
-func (k *call) refuse(params ...message.Param) {
+func (k *call) refuse(params ...binarymessage.Param) {
 	if !k.Settle(true) {
 		return
 	}
 	if k.link != nil {
-		k.link.send(message.Append(nil, message.Release, k.id, params...))
+		k.link.send(binarymessage.Append(nil, binarymessage.Release, k.id, params...))
 	}
 	k.drop()
 	if k.leg != nil {
-		k.leg.giveUp(contact.Cancelled)
+		k.leg.giveUp(routing.Cancelled)
 	}
 }
 
 // Abandons implements control.Party.
-func (k *call) Abandons() { k.refuse(message.Why(message.Failure)) }
+func (k *call) Abandons() { k.refuse(binarymessage.Why(binarymessage.Failure)) }
 
 // Defers implements control.Party.
 func (k *call) Defers(wait float64) {
 	if wait > 0 && k.m.cfg.Set.MayWait {
-		k.refuse(message.Why(message.Congested), message.Text(message.Wait, strconv.Itoa(int(math.Ceil(wait)))))
+		k.refuse(binarymessage.Why(binarymessage.Congested), binarymessage.Text(binarymessage.Wait, strconv.Itoa(int(math.Ceil(wait)))))
 		return
 	}
-	k.refuse(message.Why(message.Congested))
+	k.refuse(binarymessage.Why(binarymessage.Congested))
 }
 
 // Turned implements control.Party.
 func (k *call) Turned() {
 	if k.link != nil {
-		k.link.send(message.Append(nil, message.Release, k.id, message.Why(message.Congested)))
+		k.link.send(binarymessage.Append(nil, binarymessage.Release, k.id, binarymessage.Why(binarymessage.Congested)))
 	}
 	k.drop()
 }
@@ -333,7 +333,7 @@
 func (k *call) Trying() {}
 
 // stands passes the switch's answer on, its description unchanged.
-func (k *call) stands(t *trunk, line *Link, r *contact.Ring, description []byte) {
+func (k *call) stands(t *trunk, line *Link, r *routing.Ring, description []byte) {
 	if !k.Settle(false) {
 		return
 	}
@@ -347,14 +347,14 @@
 	if k.link != nil {
 		k.link.open--
 		k.link.standing++
-		k.link.put(entry{data: message.Append(nil, message.Answer, k.id, message.Param{Code: message.Description, Value: description}),
+		k.link.put(entry{data: binarymessage.Append(nil, binarymessage.Answer, k.id, binarymessage.Param{Code: binarymessage.Description, Value: description}),
 			// its caller has closed and never heard of it: it has given the set-up up
-			lost: func() { k.release(contact.Done, message.Normal, true) }})
+			lost: func() { k.release(routing.Done, binarymessage.Normal, true) }})
 	}
 }
 
 // release ends a standing call on the sides that do not know of it yet; byCaller: its caller does.
-func (k *call) release(how contact.End, cause byte, byCaller bool) {
+func (k *call) release(how routing.End, cause byte, byCaller bool) {
 	m, t := k.m, k.at
 	if t == nil {
 		return
@@ -402,7 +402,7 @@
 		}
 		return
 	}
-	l.put(entry{data: message.Append(nil, message.Release, o.call, message.Why(o.cause)), lost: func() { c.tell(nil, o) }})
+	l.put(entry{data: binarymessage.Append(nil, binarymessage.Release, o.call, binarymessage.Why(o.cause)), lost: func() { c.tell(nil, o) }})
 }
 
 // pay sends the releases that are owed.
--- a/platform/link.go
+++ b/internal/protocol/binarygateway/link.go
@@ -1,11 +1,11 @@
-package platform
+package binarygateway
 
 import (
 	"net/netip"
 	"slices"
 
-	"cobaltpier/intake"
-	"cobaltpier/platform/message"
+	"cobaltpier/internal/decision/intake"
+	"cobaltpier/internal/protocol/binarymessage"
 )
 
 // Link is one connection, a caller's or a line to a switch.
@@ -14,7 +14,7 @@
 
 	m       *Machine
 	side    side
-	reader  message.Reader
+	reader  binarymessage.Reader
 	queue   []entry // what was made and has not been handed to the socket
 	size    int
 	handed  []entry // what the socket has been handed and has not left, without its bytes
@@ -42,7 +42,7 @@
 
 // side is who is at the other end.
 type side interface {
-	heard(l *Link, m message.Message)
+	heard(l *Link, m binarymessage.Message)
 	lost(l *Link, how Ending)
 }
 
@@ -256,7 +256,7 @@
 	if !l.reader.Partial() {
 		l.begun = now
 	}
-	err := l.reader.Feed(b, func(msg message.Message) bool {
+	err := l.reader.Feed(b, func(msg binarymessage.Message) bool {
 		l.begun = now // of whatever follows
 		if m.Tap != nil {
 			m.Tap(l, false, msg)
--- a/platform/machine.go
+++ b/internal/protocol/binarygateway/machine.go
@@ -1,22 +1,22 @@
-// Package platform is the platform's door of a gateway, without I/O or clock: callers' connections, lines to core
+// Package binarygateway is the platform's door of a gateway, without I/O or clock: callers' connections, lines to core
 // switches, calls and standing calls. Bytes and times come in through methods; bytes, connects and closes go out through
 // Out. The call control is the one that the edge has (package control), and so are the guards of the rules.
 //
 // A contact passes caller link, intake, module, line; what comes back runs the other way.
-package platform
+package binarygateway
 
 import (
 	"net/netip"
 	"slices"
 
-	"cobaltpier/chance"
-	"cobaltpier/contact"
-	"cobaltpier/control"
-	"cobaltpier/deployment"
-	"cobaltpier/host"
-	"cobaltpier/intake"
-	"cobaltpier/platform/message"
-	"cobaltpier/platform/roster"
+	"cobaltpier/internal/decision/intake"
+	"cobaltpier/internal/deployment"
+	"cobaltpier/internal/detrand"
+	"cobaltpier/internal/protocol/binarymessage"
+	"cobaltpier/internal/protocol/callcontrol"
+	"cobaltpier/internal/protocol/dnsdiscovery"
+	"cobaltpier/internal/protocol/endpointset"
+	"cobaltpier/internal/routing"
 )
 
 //tally:decisions
@@ -37,7 +37,7 @@
 
 // Config is what a machine is told at start.
 type Config struct {
-	Set     *contact.Settings
+	Set     *routing.Settings
 	Links   deployment.Links
 	Sockets int     // descriptors
 	Margin  float64 // ms: final answers leave so long before the caller's patience ends
@@ -49,15 +49,15 @@
 
 // Machine is one gateway's door to the platform.
 type Machine struct {
-	*control.Control
+	*callcontrol.Control
 	Wire Wire
 	// Tap, where it is set, sees each message as it comes or is handed to a socket.
-	Tap func(l *Link, out bool, msg message.Message)
+	Tap func(l *Link, out bool, msg binarymessage.Message)
 
 	cfg     *Config
 	out     Out
 	calls   map[uint64]*call // by id: open and standing
-	trunks  map[*contact.Pool]*trunk
+	trunks  map[*routing.Pool]*trunk
 	clients map[netip.Addr]*client
 	callers []*Link // callers' connections
 	tests   []test  // that wait for the gateway to be ready
@@ -89,9 +89,9 @@
 )
 
 // New makes a machine; its module comes from mk.
-func New(now float64, cfg *Config, mk host.Maker, out Out) *Machine {
-	m := &Machine{Control: control.New(&control.Config{Set: cfg.Set, Margin: cfg.Margin, Gate: cfg.Gate, Off: cfg.Off}), cfg: cfg, out: out,
-		calls: map[uint64]*call{}, trunks: map[*contact.Pool]*trunk{}, clients: map[netip.Addr]*client{}, started: now}
+func New(now float64, cfg *Config, mk endpointset.Maker, out Out) *Machine {
+	m := &Machine{Control: callcontrol.New(&callcontrol.Config{Set: cfg.Set, Margin: cfg.Margin, Gate: cfg.Gate, Off: cfg.Off}), cfg: cfg, out: out,
+		calls: map[uint64]*call{}, trunks: map[*routing.Pool]*trunk{}, clients: map[netip.Addr]*client{}, started: now}
 	m.Now = now
 	m.Mod = mk(cfg.Set, m)
 	m.Timers.Set(now+tidy, m.tidy)
@@ -99,7 +99,7 @@
 }
 
 // Probe implements contact.Host: a test shows no load, so there is nothing to ask.
-func (m *Machine) Probe(p *contact.Pool) {
+func (m *Machine) Probe(p *routing.Pool) {
 	m.Timers.Set(m.Now, func() { m.Mod.Reported(m.Now, p, m.trunks[p] != nil && m.trunks[p].up() > 0, false) })
 }
 
@@ -155,24 +155,24 @@
 // Listed takes a list. What it says of a pool counts from now on (rule 3): set-ups to a pool that drains or is gone that
 // wait here are withdrawn. The lines to a switch that is gone are closed, and calls there have ended with it; one with a
 // new id is another switch, whatever its address.
-func (m *Machine) Listed(now float64, l *roster.List) {
+func (m *Machine) Listed(now float64, l *dnsdiscovery.List) {
 	m.Now = now
-	entries := make([]host.Entry[string], len(l.Targets))
+	entries := make([]endpointset.Entry[string], len(l.Targets))
 	for i, t := range l.Targets {
-		entries[i] = host.Entry[string]{ID: t.ID, Number: t.Cell, State: t.State}
+		entries[i] = endpointset.Entry[string]{ID: t.ID, Number: t.Cell, State: t.State}
 		if t.Started > 0 {
 			entries[i].Since = m.cfg.Clock(t.Started)
 		}
-		if p := m.Pools.Pool(t.ID); p != nil && t.State == contact.Gone && entries[i].Number < 0 {
+		if p := m.Pools.Pool(t.ID); p != nil && t.State == routing.Gone && entries[i].Number < 0 {
 			entries[i].Number = p.Number
 		}
 	}
 	changed := m.Pools.Apply(entries, l.Whole)
 	for _, t := range l.Targets {
 		p := m.Pools.Pool(t.ID)
-		if k := m.trunks[p]; k == nil && p.State != contact.Gone {
+		if k := m.trunks[p]; k == nil && p.State != routing.Gone {
 			m.trunks[p] = newTrunk(m, p, t.Addr)
-		} else if k != nil && t.Addr.IsValid() && k.to != t.Addr && p.State != contact.Gone {
+		} else if k != nil && t.Addr.IsValid() && k.to != t.Addr && p.State != routing.Gone {
 			k.move(t.Addr)
 		}
 	}
@@ -181,10 +181,10 @@
 		if t == nil {
 			continue
 		}
-		if p.State != contact.Ready {
+		if p.State != routing.Ready {
 			t.withdraw()
 		}
-		if p.State == contact.Gone {
+		if p.State == routing.Gone {
 			t.over()
 			delete(m.trunks, p)
 		} else if p.Since > t.since {
@@ -246,12 +246,12 @@
 }
 
 // inOrder is the pools that have a trunk, in the order of their ids.
-func (m *Machine) inOrder() []*contact.Pool {
-	of := make([]*contact.Pool, 0, len(m.trunks))
+func (m *Machine) inOrder() []*routing.Pool {
+	of := make([]*routing.Pool, 0, len(m.trunks))
 	for p := range m.trunks {
 		of = append(of, p)
 	}
-	slices.SortFunc(of, func(a, b *contact.Pool) int {
+	slices.SortFunc(of, func(a, b *routing.Pool) int {
 		if m.Pools.ID(a) < m.Pools.ID(b) {
 			return -1
 		}
@@ -272,7 +272,7 @@
 			passed = 0
 		}
 		for _, t := range m.tests {
-			t.link.send(message.Append(nil, message.Tested, t.call, message.Why(passed)))
+			t.link.send(binarymessage.Append(nil, binarymessage.Tested, t.call, binarymessage.Why(passed)))
 		}
 		m.tests = nil
 	}
@@ -282,7 +282,7 @@
 // chance draws a number from 0 to 1.
 func (m *Machine) chance() float64 {
 	m.draws++
-	return chance.Of(m.cfg.Set.Seed, 0x6c696e6b, m.draws)
+	return detrand.Of(m.cfg.Set.Seed, 0x6c696e6b, m.draws)
 }
 
 // Open is how much the machine holds: for tests of what is left after churn.
@@ -307,8 +307,8 @@
 
 // report reads a load report (`a:1;b:2`) over the pool's older one. It tells whether figures of the processor came. What
 // makes no sense is passed over.
-func (m *Machine) report(p *contact.Pool, msg message.Message) (any, full bool) {
-	v, ok := msg.Get(message.Report)
+func (m *Machine) report(p *routing.Pool, msg binarymessage.Message) (any, full bool) {
+	v, ok := msg.Get(binarymessage.Report)
 	if !ok {
 		return false, false
 	}
--- a/platform/platform_test.go
+++ b/internal/protocol/binarygateway/platform_test.go
@@ -1,14 +1,14 @@
-package platform
+package binarygateway
 
 import (
 	"net/netip"
 	"slices"
 	"testing"
 
-	"cobaltpier/contact"
-	"cobaltpier/intake"
-	"cobaltpier/platform/message"
-	"cobaltpier/platform/roster"
+	"cobaltpier/internal/decision/intake"
+	"cobaltpier/internal/protocol/binarymessage"
+	"cobaltpier/internal/protocol/dnsdiscovery"
+	"cobaltpier/internal/routing"
 )
 
 // A call passes both ways, its description unchanged, and is released towards its caller when its switch ends it.
@@ -19,22 +19,22 @@
 	r.setUp(c, 7)
 	w := r.on(7)
 	m := w.last(7)
-	if w.to != addrA || m.Text(message.Class) != "voice" || m.Text(message.Number) != "7f3a9c21e0b4d655" || m.Text(message.Description) != "v=0" {
+	if w.to != addrA || m.Text(binarymessage.Class) != "voice" || m.Text(binarymessage.Number) != "7f3a9c21e0b4d655" || m.Text(binarymessage.Description) != "v=0" {
 		t.Errorf("to %v: %q", w.to, m)
 	}
-	if _, there := m.Get(message.Figures); there {
+	if _, there := m.Get(binarymessage.Figures); there {
 		t.Error("the caller's figures went to the switch")
 	}
-	if left, _ := figure(m.Text(message.Patience)); left < 2990 || left > 3000 {
+	if left, _ := figure(m.Text(binarymessage.Patience)); left < 2990 || left > 3000 {
 		t.Errorf("the gateway waits %v ms", left)
 	}
-	r.says(w, message.Answer, 7, said, message.Text(message.Report, "free:3;size:40;busy:0.5;q:2"))
-	r.wants(c.last(7), message.Answer, 0)
-	if d := c.last(7).Text(message.Description); d != "v=0 answer" {
+	r.says(w, binarymessage.Answer, 7, said, binarymessage.Text(binarymessage.Report, "free:3;size:40;busy:0.5;q:2"))
+	r.wants(c.last(7), binarymessage.Answer, 0)
+	if d := c.last(7).Text(binarymessage.Description); d != "v=0 answer" {
 		t.Errorf("the caller got %q", d)
 	}
-	r.says(w, message.Release, 7, message.Why(message.Normal))
-	r.wants(c.last(7), message.Release, message.Normal)
+	r.says(w, binarymessage.Release, 7, binarymessage.Why(binarymessage.Normal))
+	r.wants(c.last(7), binarymessage.Release, binarymessage.Normal)
 	if want := []string{"offered", "report 0 free 3 of 40", "stood", "ended 0 closed true agent false engaged false wait 0"}; !slices.Equal(r.mod.heard, want) {
 		t.Errorf("the module heard %q", r.mod.heard)
 	}
@@ -51,22 +51,22 @@
 		wait  string
 		want  string
 	}{
-		{message.NoCircuit, "all_trunks_busy", "", "ended 2 closed false agent true engaged false wait 0"},
-		{message.NoCircuit, "cpu_full", "320", "ended 2 closed false agent false engaged false wait 320"},
-		{message.UserBusy, "number_busy", "", "ended 1 closed false agent false engaged true wait 0"},
-		{message.Fault, "", "", "ended 1 closed false agent false engaged false wait 0"},
-		{message.Moot, "", "", "ended 7 closed false agent false engaged false wait 0"},
-		{message.Failure, "", "", "ended 5 closed false agent false engaged false wait 0"},
+		{binarymessage.NoCircuit, "all_trunks_busy", "", "ended 2 closed false agent true engaged false wait 0"},
+		{binarymessage.NoCircuit, "cpu_full", "320", "ended 2 closed false agent false engaged false wait 320"},
+		{binarymessage.UserBusy, "number_busy", "", "ended 1 closed false agent false engaged true wait 0"},
+		{binarymessage.Fault, "", "", "ended 1 closed false agent false engaged false wait 0"},
+		{binarymessage.Moot, "", "", "ended 7 closed false agent false engaged false wait 0"},
+		{binarymessage.Failure, "", "", "ended 5 closed false agent false engaged false wait 0"},
 		{99, "", "", "ended 5 closed false agent false engaged false wait 0"},
 	} {
 		r := newRig(t)
 		r.mod.to = []int{0}
 		r.setUp(r.caller(), 7)
-		of := []message.Param{message.Why(x.cause), message.Text(message.Note, x.note)}
+		of := []binarymessage.Param{binarymessage.Why(x.cause), binarymessage.Text(binarymessage.Note, x.note)}
 		if x.wait != "" {
-			of = append(of, message.Text(message.Busy, x.wait))
+			of = append(of, binarymessage.Text(binarymessage.Busy, x.wait))
 		}
-		r.says(r.on(7), message.Release, 7, of...)
+		r.says(r.on(7), binarymessage.Release, 7, of...)
 		if got := r.mod.heard[len(r.mod.heard)-1]; got != x.want {
 			t.Errorf("cause %d note %q: the module heard %q, want %q", x.cause, x.note, got, x.want)
 		}
@@ -84,17 +84,17 @@
 		first := r.on(7)
 		r.mod.h.Cancel(r.mod.last.Out)
 		r.turn()
-		r.wants(first.last(7), message.Release, message.Normal)
+		r.wants(first.last(7), binarymessage.Release, binarymessage.Normal)
 		r.pass(600)
 		w := r.on(7)
-		r.says(w, message.Answer, 7, said)
-		r.wants(c.last(7), message.Answer, 0)
-		before := first.count(7, message.Release)
-		r.says(first, message.Answer, 7, said)
-		if got := first.count(7, message.Release) - before; got != second {
+		r.says(w, binarymessage.Answer, 7, said)
+		r.wants(c.last(7), binarymessage.Answer, 0)
+		before := first.count(7, binarymessage.Release)
+		r.says(first, binarymessage.Answer, 7, said)
+		if got := first.count(7, binarymessage.Release) - before; got != second {
 			t.Errorf("the second ring stands at %d: the late answer was released %d times", second, got)
 		}
-		if c.count(7, message.Answer) != 1 || c.count(7, message.Release) != 0 {
+		if c.count(7, binarymessage.Answer) != 1 || c.count(7, binarymessage.Release) != 0 {
 			t.Error("the caller heard of it")
 		}
 	}
@@ -114,13 +114,13 @@
 	if w == first {
 		t.Fatal("both rings went out on one line")
 	}
-	before := first.count(7, message.Release)
-	r.says(first, message.Answer, 7, said)
-	if first.count(7, message.Release) != before || w.count(7, message.Release) != 0 {
+	before := first.count(7, binarymessage.Release)
+	r.says(first, binarymessage.Answer, 7, said)
+	if first.count(7, binarymessage.Release) != before || w.count(7, binarymessage.Release) != 0 {
 		t.Error("the ring that is out was released")
 	}
-	r.says(w, message.Release, 7, message.Why(message.NoCircuit))
-	r.wants(w.last(7), message.Release, message.Normal)
+	r.says(w, binarymessage.Release, 7, binarymessage.Why(binarymessage.NoCircuit))
+	r.wants(w.last(7), binarymessage.Release, binarymessage.Normal)
 }
 
 // A set-up that waits in our buffer when its pool drains is withdrawn, and known not to have run.
@@ -131,16 +131,16 @@
 		w.stuck = w.to == addrA
 	}
 	r.mute = true
-	r.says(r.wires[0], message.State, 0) // nothing is under way: lines take what comes
-	for _, w := range r.wires {          // something is before the set-up, and does not leave
+	r.says(r.wires[0], binarymessage.State, 0) // nothing is under way: lines take what comes
+	for _, w := range r.wires {                // something is before the set-up, and does not leave
 		if w.to == addrA {
-			w.link.send(message.Append(nil, message.Heard, 1))
+			w.link.send(binarymessage.Append(nil, binarymessage.Heard, 1))
 		}
 	}
 	r.turn()
 	c := r.caller()
 	r.setUp(c, 7)
-	r.list(2, roster.Target{ID: "a", Addr: addrA, Cell: 0, State: contact.Draining}, ready("b", addrB, 1))
+	r.list(2, dnsdiscovery.Target{ID: "a", Addr: addrA, Cell: 0, State: routing.Draining}, ready("b", addrB, 1))
 	r.turn()
 	for _, w := range r.wires {
 		w.stuck = false
@@ -149,7 +149,7 @@
 	r.mute = false
 	r.turn()
 	for _, w := range r.wires {
-		if w.count(7, message.SetUp) != 0 {
+		if w.count(7, binarymessage.SetUp) != 0 {
 			t.Error("the set-up went to a switch that drains")
 		}
 	}
@@ -165,7 +165,7 @@
 	r.setUp(c, 101)
 	r.setUp(c, 102)
 	for _, id := range []uint64{101, 102} {
-		r.says(r.on(id), message.Release, id, message.Why(message.NoCircuit))
+		r.says(r.on(id), binarymessage.Release, id, binarymessage.Why(binarymessage.NoCircuit))
 	}
 	if n := len(r.linesTo(addrA)); n != 2 {
 		r.Fatalf("%d lines are up", n)
@@ -178,8 +178,8 @@
 	r.mod.to = []int{0}
 	r.setUp(c, id)
 	w := r.on(id)
-	r.says(w, message.Answer, id, said)
-	r.wants(c.last(id), message.Answer, 0)
+	r.says(w, binarymessage.Answer, id, said)
+	r.wants(c.last(id), binarymessage.Answer, 0)
 	return w
 }
 
@@ -217,9 +217,9 @@
 		r.m.Closed(r.now, w.link, Reset)
 	}
 	r.turn()
-	r.wants(c.last(7), message.Answer, 0) // a reset alone proves nothing
+	r.wants(c.last(7), binarymessage.Answer, 0) // a reset alone proves nothing
 	r.refuse(addrA, 50)
-	r.wants(c.last(7), message.Release, message.Failure)
+	r.wants(c.last(7), binarymessage.Release, binarymessage.Failure)
 }
 
 // One that drains takes no more lines and says little: while a line is up its calls go on, and their ends come there.
@@ -229,7 +229,7 @@
 		c := r.caller()
 		w := r.stood(c, 7)
 		if told {
-			r.list(2, roster.Target{ID: "a", Addr: addrA, Cell: 0, State: contact.Draining}, ready("b", addrB, 1))
+			r.list(2, dnsdiscovery.Target{ID: "a", Addr: addrA, Cell: 0, State: routing.Draining}, ready("b", addrB, 1))
 		}
 		r.mute = true
 		for _, o := range r.linesTo(addrA) {
@@ -239,12 +239,12 @@
 		}
 		before := len(r.wires)
 		r.refuse(addrA, 12000)
-		r.wants(c.last(7), message.Answer, 0)
+		r.wants(c.last(7), binarymessage.Answer, 0)
 		if n := len(r.wires) - before; n > 14 {
 			t.Errorf("told %v: %d lines were tried in 12 s", told, n)
 		}
-		r.says(w, message.Release, 7, message.Why(message.Normal))
-		r.wants(c.last(7), message.Release, message.Normal)
+		r.says(w, binarymessage.Release, 7, binarymessage.Why(binarymessage.Normal))
+		r.wants(c.last(7), binarymessage.Release, binarymessage.Normal)
 	}
 }
 
@@ -259,9 +259,9 @@
 		r.m.Closed(r.now, w.link, Orderly)
 	}
 	r.refuse(addrA, 6000)
-	r.wants(c.last(7), message.Answer, 0)
+	r.wants(c.last(7), binarymessage.Answer, 0)
 	r.refuse(addrA, 1500)
-	r.wants(c.last(7), message.Release, message.Failure)
+	r.wants(c.last(7), binarymessage.Release, binarymessage.Failure)
 }
 
 // A switch that accepts and then resets, again and again, is dialled ever more seldom, and its calls are over in time.
@@ -283,7 +283,7 @@
 	if n := len(r.wires) - before; n > 20 {
 		t.Errorf("%d lines were tried in 5.5 s", n)
 	}
-	r.wants(c.last(7), message.Release, message.Failure)
+	r.wants(c.last(7), binarymessage.Release, binarymessage.Failure)
 }
 
 // A machine that has vanished says nothing and takes no line: its calls are over soon, and not before.
@@ -293,9 +293,9 @@
 	r.stood(c, 7)
 	r.mute = true
 	r.pass(3000)
-	r.wants(c.last(7), message.Answer, 0)
+	r.wants(c.last(7), binarymessage.Answer, 0)
 	r.pass(4000)
-	r.wants(c.last(7), message.Release, message.Failure)
+	r.wants(c.last(7), binarymessage.Release, binarymessage.Failure)
 }
 
 // One that is only quiet takes a new line and says its state: its calls go on.
@@ -304,7 +304,7 @@
 	c := r.caller()
 	r.stood(c, 7)
 	r.pass(12000)
-	r.wants(c.last(7), message.Answer, 0)
+	r.wants(c.last(7), binarymessage.Answer, 0)
 	n := 0
 	for _, w := range r.wires {
 		if w.to == addrA && !w.link.closed {
@@ -318,8 +318,8 @@
 
 // A switch that the list calls started anew, or gone, has cut the calls from before.
 func TestListCuts(t *testing.T) {
-	for _, next := range [][]roster.Target{
-		{{ID: "a", Addr: addrA, Cell: 0, State: contact.Ready, Started: 1e6 + 5000}, ready("b", addrB, 1)},
+	for _, next := range [][]dnsdiscovery.Target{
+		{{ID: "a", Addr: addrA, Cell: 0, State: routing.Ready, Started: 1e6 + 5000}, ready("b", addrB, 1)},
 		{ready("b", addrB, 1)},
 		{ready("c", addrA, 0), ready("b", addrB, 1)}, // another has its address now
 	} {
@@ -327,15 +327,15 @@
 		c := r.caller()
 		old := r.stood(c, 7)
 		r.pass(5100)
-		r.wants(c.last(7), message.Answer, 0)
+		r.wants(c.last(7), binarymessage.Answer, 0)
 		r.list(2, next...)
 		r.turn()
-		r.wants(c.last(7), message.Release, message.Failure)
+		r.wants(c.last(7), binarymessage.Release, binarymessage.Failure)
 		if gone := next[0].ID != "a"; old.shut != gone {
 			t.Errorf("gone %v, its line is shut %v", gone, old.shut)
 		}
-		r.says(old, message.Answer, 7, said) // a late word of the old one reaches nobody
-		r.wants(c.last(7), message.Release, message.Failure)
+		r.says(old, binarymessage.Answer, 7, said) // a late word of the old one reaches nobody
+		r.wants(c.last(7), binarymessage.Release, binarymessage.Failure)
 	}
 }
 
@@ -345,15 +345,15 @@
 	c, d := r.caller(), r.caller()
 	w := r.stood(c, 7)
 	r.m.Closed(r.now, c.link, Orderly)
-	r.says(w, message.Release, 7, message.Why(message.Normal))
-	r.wants(d.last(7), message.Release, message.Normal)
+	r.says(w, binarymessage.Release, 7, binarymessage.Why(binarymessage.Normal))
+	r.wants(d.last(7), binarymessage.Release, binarymessage.Normal)
 	w = r.stood(d, 8)
 	r.m.Closed(r.now, d.link, Orderly)
-	r.says(w, message.Release, 8, message.Why(message.Normal))
+	r.says(w, binarymessage.Release, 8, binarymessage.Why(binarymessage.Normal))
 	r.pass(500)
 	e := r.caller()
 	r.turn()
-	r.wants(e.last(8), message.Release, message.Normal)
+	r.wants(e.last(8), binarymessage.Release, binarymessage.Normal)
 }
 
 // A caller releases what stands on any of its connections; the switch hears on the line of the set-up, else on another.
@@ -361,15 +361,15 @@
 	r := newRig(t)
 	c, d := r.caller(), r.caller()
 	w := r.stood(c, 7)
-	r.says(d, message.Release, 7, message.Why(message.Normal))
-	r.wants(w.last(7), message.Release, message.Normal)
+	r.says(d, binarymessage.Release, 7, binarymessage.Why(binarymessage.Normal))
+	r.wants(w.last(7), binarymessage.Release, binarymessage.Normal)
 	w = r.stood(c, 8)
 	r.m.Closed(r.now, w.link, Orderly)
-	r.says(c, message.Release, 8, message.Why(message.Normal))
+	r.says(c, binarymessage.Release, 8, binarymessage.Why(binarymessage.Normal))
 	n := 0
 	for _, o := range r.wires {
 		if o.to == addrA {
-			n += o.count(8, message.Release)
+			n += o.count(8, binarymessage.Release)
 		}
 	}
 	if n != 1 {
@@ -384,10 +384,10 @@
 	c := r.caller()
 	r.setUp(c, 7)
 	w := r.on(7)
-	r.says(c, message.Release, 7, message.Why(message.Normal))
-	r.wants(w.last(7), message.Release, message.Normal)
-	r.says(w, message.Answer, 7, said)
-	if n := w.count(7, message.Release); n != 2 {
+	r.says(c, binarymessage.Release, 7, binarymessage.Why(binarymessage.Normal))
+	r.wants(w.last(7), binarymessage.Release, binarymessage.Normal)
+	r.says(w, binarymessage.Answer, 7, said)
+	if n := w.count(7, binarymessage.Release); n != 2 {
 		t.Errorf("%d releases went to the switch", n)
 	}
 	if c.last(7) != nil {
@@ -403,7 +403,7 @@
 	r := newRig(t)
 	c := r.caller()
 	at := func(id uint64, who string) {
-		r.says(c, message.SetUp, id, message.Text(message.Class, "voice"), message.Text(message.Figures, "at:"+who))
+		r.says(c, binarymessage.SetUp, id, binarymessage.Text(binarymessage.Class, "voice"), binarymessage.Text(binarymessage.Figures, "at:"+who))
 	}
 	var line *wire
 	for _, w := range r.wires {
@@ -416,22 +416,22 @@
 	if c.last(7) != nil {
 		t.Errorf("answered with %x", c.last(7))
 	}
-	r.says(line, message.Release, 7, message.Why(message.Normal))
-	r.wants(c.last(7), message.Release, message.Normal)
+	r.says(line, binarymessage.Release, 7, binarymessage.Why(binarymessage.Normal))
+	r.wants(c.last(7), binarymessage.Release, binarymessage.Normal)
 	at(8, "a")
-	r.says(c, message.Release, 8, message.Why(message.Normal))
+	r.says(c, binarymessage.Release, 8, binarymessage.Why(binarymessage.Normal))
 	n := 0
 	for _, w := range r.wires {
-		n += w.count(8, message.Release)
+		n += w.count(8, binarymessage.Release)
 	}
 	if n != 1 || c.last(8) != nil {
 		t.Errorf("the switch heard %d releases, the caller got %x", n, c.last(8))
 	}
-	r.says(line, message.Release, 9, message.Why(message.Failure)) // it ended before its caller told of it
+	r.says(line, binarymessage.Release, 9, binarymessage.Why(binarymessage.Failure)) // it ended before its caller told of it
 	at(9, "a")
-	r.wants(c.last(9), message.Release, message.Failure)
+	r.wants(c.last(9), binarymessage.Release, binarymessage.Failure)
 	at(10, "nobody")
-	r.wants(c.last(10), message.Release, message.Failure)
+	r.wants(c.last(10), binarymessage.Release, binarymessage.Failure)
 	if len(r.mod.heard) > 0 && slices.Contains(r.mod.heard, "offered") {
 		t.Errorf("the module was offered a call that stands: %q", r.mod.heard)
 	}
@@ -451,15 +451,15 @@
 	if !d.shut || c.shut {
 		t.Errorf("closed: the newcomer's %v, the first one's %v", d.shut, c.shut)
 	}
-	r.says(w, message.Answer, 7, said)
-	r.wants(c.last(7), message.Answer, 0)
+	r.says(w, binarymessage.Answer, 7, said)
+	r.wants(c.last(7), binarymessage.Answer, 0)
 	r.setUp(c, 8)
 	w = r.on(8)
 	r.setUp(c, 8)
 	if !c.shut {
 		t.Error("two set-ups under one id, and the connection stays")
 	}
-	r.wants(w.last(8), message.Release, message.Normal)
+	r.wants(w.last(8), binarymessage.Release, binarymessage.Normal)
 }
 
 // A deferred contact hears at once, with the time to come back.
@@ -467,8 +467,8 @@
 	r := newRig(t)
 	c := r.caller()
 	r.setUp(c, 7)
-	r.wants(c.last(7), message.Release, message.Congested)
-	if w := c.last(7).Text(message.Wait); w != "300" {
+	r.wants(c.last(7), binarymessage.Release, binarymessage.Congested)
+	if w := c.last(7).Text(binarymessage.Wait); w != "300" {
 		t.Errorf("told to stay away %q ms", w)
 	}
 }
@@ -493,8 +493,8 @@
 	if got := r.mod.heard[len(r.mod.heard)-1]; got != "ended 5 closed false agent false engaged false wait 0" {
 		t.Errorf("the module heard %q", r.mod.heard)
 	}
-	r.says(other, message.Answer, 8, said)
-	r.wants(c.last(8), message.Answer, 0)
+	r.says(other, binarymessage.Answer, 8, said)
+	r.wants(c.last(8), binarymessage.Answer, 0)
 }
 
 // A good answer after another's under an unknown id, and once more: one answer goes to the caller, nothing is released.
@@ -504,10 +504,10 @@
 	c := r.caller()
 	r.setUp(c, 7)
 	w := r.on(7)
-	r.says(w, message.Answer, 99, said)
-	r.says(w, message.Answer, 7, said)
-	r.says(w, message.Answer, 7, said)
-	if c.count(7, message.Answer) != 1 || w.count(7, message.Release) != 0 || c.last(99) != nil {
+	r.says(w, binarymessage.Answer, 99, said)
+	r.says(w, binarymessage.Answer, 7, said)
+	r.says(w, binarymessage.Answer, 7, said)
+	if c.count(7, binarymessage.Answer) != 1 || w.count(7, binarymessage.Release) != 0 || c.last(99) != nil {
 		t.Errorf("the caller got %x, the switch %x", c.got, w.got)
 	}
 }
@@ -547,7 +547,7 @@
 	c, d := r.caller(), r.caller()
 	c.stuck = true
 	for i := range uint64(20000) {
-		r.m.Received(r.now, c.link, message.Append(nil, message.Test, i+1, message.Why(0)))
+		r.m.Received(r.now, c.link, binarymessage.Append(nil, binarymessage.Test, i+1, binarymessage.Why(0)))
 		if r.m.Turn(r.now); c.shut {
 			break
 		}
@@ -557,8 +557,8 @@
 	}
 	r.mod.to = []int{0}
 	r.setUp(d, 7)
-	r.says(r.on(7), message.Answer, 7, said)
-	r.wants(d.last(7), message.Answer, 0)
+	r.says(r.on(7), binarymessage.Answer, 7, said)
+	r.wants(d.last(7), binarymessage.Answer, 0)
 }
 
 // A gateway that stood still counts a caller's patience from when it last looked.
@@ -578,11 +578,11 @@
 func TestReady(t *testing.T) {
 	r := newRig(t)
 	c := r.caller()
-	r.says(c, message.Test, 5, message.Why(0))
-	r.wants(c.last(5), message.Tested, 1)
+	r.says(c, binarymessage.Test, 5, binarymessage.Why(0))
+	r.wants(c.last(5), binarymessage.Tested, 1)
 	r.m.Leave()
-	r.says(c, message.Test, 6, message.Why(0))
-	r.wants(c.last(6), message.Tested, 0)
+	r.says(c, binarymessage.Test, 6, binarymessage.Why(0))
+	r.wants(c.last(6), binarymessage.Tested, 0)
 }
 
 // An answer without a description is none that a caller could be told: the call is released and has failed.
@@ -592,9 +592,9 @@
 	c := r.caller()
 	r.setUp(c, 7)
 	w := r.on(7)
-	r.says(w, message.Answer, 7)
-	r.wants(w.last(7), message.Release, message.Normal)
-	if c.count(7, message.Answer) > 0 {
+	r.says(w, binarymessage.Answer, 7)
+	r.wants(w.last(7), binarymessage.Release, binarymessage.Normal)
+	if c.count(7, binarymessage.Answer) > 0 {
 		t.Error("the caller was told that it stands")
 	}
 }
@@ -604,10 +604,10 @@
 	r := newRig(t)
 	r.mod.to = []int{0}
 	c := r.caller()
-	r.says(c, message.Test, 5, message.Why(0))
+	r.says(c, binarymessage.Test, 5, binarymessage.Why(0))
 	r.pass(6000)
-	b := message.Append(nil, message.SetUp, 7, message.Text(message.Class, "voice"), message.Text(message.Patience, "3000"),
-		message.Text(message.Number, "1"), message.Text(message.Description, "v=0"))
+	b := binarymessage.Append(nil, binarymessage.SetUp, 7, binarymessage.Text(binarymessage.Class, "voice"), binarymessage.Text(binarymessage.Patience, "3000"),
+		binarymessage.Text(binarymessage.Number, "1"), binarymessage.Text(binarymessage.Description, "v=0"))
 	r.m.Received(r.now, c.link, b[:10])
 	r.pass(900)
 	r.m.Received(r.now, c.link, b[10:20])
@@ -617,14 +617,14 @@
 	}
 	r.m.Received(r.now, c.link, b[20:])
 	r.turn()
-	r.says(r.on(7), message.Answer, 7, said)
-	r.wants(c.last(7), message.Answer, 0)
+	r.says(r.on(7), binarymessage.Answer, 7, said)
+	r.wants(c.last(7), binarymessage.Answer, 0)
 }
 
 // full opens callers' connections, each used once, till one has to go.
 func (r *rig) full() {
 	for i := range uint64(intake.Callers(256)) {
-		r.says(r.caller(), message.Test, 1000+i, message.Why(0))
+		r.says(r.caller(), binarymessage.Test, 1000+i, binarymessage.Why(0))
 	}
 }
 
@@ -635,9 +635,9 @@
 	c := r.caller()
 	r.setUp(c, 7)
 	c.stuck = true
-	r.says(c, message.Test, 5, message.Why(0)) // the socket has this, and does not take it
-	r.says(r.on(7), message.Answer, 7, said)
-	r.says(r.on(7), message.Release, 7, message.Why(message.Normal))
+	r.says(c, binarymessage.Test, 5, binarymessage.Why(0)) // the socket has this, and does not take it
+	r.says(r.on(7), binarymessage.Answer, 7, said)
+	r.says(r.on(7), binarymessage.Release, 7, binarymessage.Why(binarymessage.Normal))
 	r.full()
 	r.pass(3000)
 	if c.shut {
@@ -646,7 +646,7 @@
 	c.stuck = false
 	r.m.Left(r.now, c.link)
 	r.turn()
-	if c.count(7, message.Answer) != 1 || c.count(7, message.Release) != 1 {
+	if c.count(7, binarymessage.Answer) != 1 || c.count(7, binarymessage.Release) != 1 {
 		t.Errorf("the caller got %x", c.got)
 	}
 }
@@ -658,29 +658,29 @@
 	c := r.caller()
 	w := r.stood(c, 7)
 	c.stuck = true
-	r.says(c, message.Test, 5, message.Why(0))
-	r.says(w, message.Release, 7, message.Why(message.Normal)) // its release waits in the queue
+	r.says(c, binarymessage.Test, 5, binarymessage.Why(0))
+	r.says(w, binarymessage.Release, 7, binarymessage.Why(binarymessage.Normal)) // its release waits in the queue
 	r.mod.to = []int{0}
 	r.setUp(c, 8)
 	w = r.on(8)
-	r.says(w, message.Answer, 8, said) // and so does the answer to another
+	r.says(w, binarymessage.Answer, 8, said) // and so does the answer to another
 	d := r.caller()
 	r.m.Closed(r.now, c.link, Reset)
 	r.turn()
-	r.wants(d.last(7), message.Release, message.Normal)
-	r.wants(w.last(8), message.Release, message.Normal)
+	r.wants(d.last(7), binarymessage.Release, binarymessage.Normal)
+	r.wants(w.last(8), binarymessage.Release, binarymessage.Normal)
 	if d.last(8) != nil {
 		t.Errorf("a call that its caller gave up with its connection: %x", d.last(8))
 	}
 	d.stuck = true
-	r.says(d, message.Test, 6, message.Why(0))
+	r.says(d, binarymessage.Test, 6, binarymessage.Why(0))
 	w = r.stoodAs(d, 9)
-	r.says(w, message.Release, 9, message.Why(message.Normal))
+	r.says(w, binarymessage.Release, 9, binarymessage.Why(binarymessage.Normal))
 	r.m.Closed(r.now, d.link, Reset)
 	r.pass(300)
 	e := r.caller()
 	r.turn()
-	if e.count(9, message.Answer) != 0 {
+	if e.count(9, binarymessage.Answer) != 0 {
 		t.Errorf("the caller got %x", e.got)
 	}
 	if calls, _, _, _, _ := r.m.Open(); calls != 0 {
@@ -693,7 +693,7 @@
 	r.mod.to = []int{0}
 	r.setUp(c, id)
 	w := r.on(id)
-	r.says(w, message.Answer, id, said)
+	r.says(w, binarymessage.Answer, id, said)
 	return w
 }
 
@@ -712,24 +712,24 @@
 				}
 			case "waits in a line":
 				for _, w := range r.linesTo(addrA) {
-					r.m.Received(r.now, w.link, message.Append(nil, message.State, 0))
+					r.m.Received(r.now, w.link, binarymessage.Append(nil, binarymessage.State, 0))
 					w.link.busy = true // under a batch that has not left
 				}
 				r.mute = true
 			}
 			r.setUp(c, 7)
 			if state == "waits after a ring" {
-				r.says(r.on(7), message.Release, 7, message.Why(message.Failure))
+				r.says(r.on(7), binarymessage.Release, 7, binarymessage.Why(binarymessage.Failure))
 				r.pass(100)
 			}
 			rings := 0
 			for _, w := range r.wires {
-				rings += w.count(7, message.SetUp)
+				rings += w.count(7, binarymessage.SetUp)
 			}
 			if closes {
 				r.m.Closed(r.now, c.link, Orderly)
 			} else {
-				r.m.Received(r.now, c.link, message.Append(nil, message.Release, 7, message.Why(message.Normal)))
+				r.m.Received(r.now, c.link, binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.Why(binarymessage.Normal)))
 			}
 			r.mute = false
 			for _, w := range r.wires {
@@ -738,7 +738,7 @@
 			r.pass(3000)
 			after := 0
 			for _, w := range r.wires {
-				after += w.count(7, message.SetUp)
+				after += w.count(7, binarymessage.SetUp)
 			}
 			if after != rings {
 				t.Errorf("closes %v, %s: %d rings before, %d after", closes, state, rings, after)
@@ -755,10 +755,10 @@
 	r := newRig(t)
 	r.mod.to = []int{0}
 	c := r.caller()
-	r.m.Received(r.now, c.link, message.Append(nil, message.SetUp, 7, message.Text(message.Class, "voice"),
-		message.Text(message.Patience, "3000"), message.Text(message.Number, "1")))
+	r.m.Received(r.now, c.link, binarymessage.Append(nil, binarymessage.SetUp, 7, binarymessage.Text(binarymessage.Class, "voice"),
+		binarymessage.Text(binarymessage.Patience, "3000"), binarymessage.Text(binarymessage.Number, "1")))
 	r.m.Batch(r.now, nil) // it has been rung, and is in its line's queue
-	r.m.Received(r.now, c.link, message.Append(nil, message.Release, 7, message.Why(message.Normal)))
+	r.m.Received(r.now, c.link, binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.Why(binarymessage.Normal)))
 	r.pass(100)
 	for _, w := range r.wires {
 		if w.last(7) != nil {
@@ -782,8 +782,8 @@
 		}
 		r.mod.to = []int{0}
 		r.setUp(c, 7+i)
-		r.says(r.on(7+i), message.Answer, 7+i, said)
-		r.wants(c.last(7+i), message.Answer, 0)
+		r.says(r.on(7+i), binarymessage.Answer, 7+i, said)
+		r.wants(c.last(7+i), binarymessage.Answer, 0)
 	}
 }
 
@@ -795,17 +795,17 @@
 	c, slow := r.caller(), r.caller()
 	r.setUp(c, 7)
 	slow.stuck = true
-	r.says(slow, message.Test, 5, message.Why(0))
+	r.says(slow, binarymessage.Test, 5, binarymessage.Why(0))
 	r.setUp(slow, 8)
 	r.m.DeferAll(r.now)
-	r.wants(c.last(7), message.Release, message.Congested)
+	r.wants(c.last(7), binarymessage.Release, binarymessage.Congested)
 	if unsent, open := r.m.Callers(); unsent != 1 || open != 2 {
 		t.Errorf("%d of %d have something that has not left", unsent, open)
 	}
 	slow.stuck = false
 	r.m.Left(r.now, slow.link)
 	r.m.Turn(r.now)
-	r.wants(slow.last(8), message.Release, message.Congested)
+	r.wants(slow.last(8), binarymessage.Release, binarymessage.Congested)
 	if unsent, _ := r.m.Callers(); unsent != 0 {
 		t.Errorf("%d have something that has not left", unsent)
 	}
@@ -826,17 +826,17 @@
 	r := newRig(t)
 	c, d := r.caller(), r.caller()
 	w := r.stood(c, 7)
-	r.m.Received(r.now, c.link, message.Append(nil, message.Release, 7, message.Why(message.Normal)))
-	r.m.Received(r.now, w.link, message.Append(nil, message.Release, 7, message.Why(message.Normal)))
+	r.m.Received(r.now, c.link, binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.Why(binarymessage.Normal)))
+	r.m.Received(r.now, w.link, binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.Why(binarymessage.Normal)))
 	r.turn()
-	if c.count(7, message.Release) != 0 || w.count(7, message.Release) != 1 {
+	if c.count(7, binarymessage.Release) != 0 || w.count(7, binarymessage.Release) != 1 {
 		t.Errorf("the caller's release first: the caller got %x, the switch %x", c.got, w.got)
 	}
 	w = r.stood(c, 8)
-	r.m.Received(r.now, w.link, message.Append(nil, message.Release, 8, message.Why(message.Normal)))
-	r.m.Received(r.now, c.link, message.Append(nil, message.Release, 8, message.Why(message.Normal)))
+	r.m.Received(r.now, w.link, binarymessage.Append(nil, binarymessage.Release, 8, binarymessage.Why(binarymessage.Normal)))
+	r.m.Received(r.now, c.link, binarymessage.Append(nil, binarymessage.Release, 8, binarymessage.Why(binarymessage.Normal)))
 	r.turn()
-	if c.count(8, message.Release) != 1 || w.count(8, message.Release) != 0 {
+	if c.count(8, binarymessage.Release) != 1 || w.count(8, binarymessage.Release) != 0 {
 		t.Errorf("the switch's release first: the caller got %x, the switch %x", c.got, w.got)
 	}
 	for id, closesFirst := range map[uint64]bool{9: true, 10: false} {
@@ -844,7 +844,7 @@
 		r.mod.to = []int{0}
 		r.setUp(e, id)
 		w = r.on(id)
-		answer := message.Append(nil, message.Answer, id, said)
+		answer := binarymessage.Append(nil, binarymessage.Answer, id, said)
 		if closesFirst {
 			r.m.Closed(r.now, e.link, Reset)
 			r.m.Received(r.now, w.link, answer)
@@ -853,7 +853,7 @@
 			r.m.Closed(r.now, e.link, Reset)
 		}
 		r.pass(100)
-		if w.count(id, message.Release) == 0 || c.last(id) != nil || d.last(id) != nil || e.last(id) != nil {
+		if w.count(id, binarymessage.Release) == 0 || c.last(id) != nil || d.last(id) != nil || e.last(id) != nil {
 			t.Errorf("close first %v: the switch got %x", closesFirst, w.got)
 		}
 	}
@@ -878,7 +878,7 @@
 	for _, o := range r.linesTo(addrA) {
 		o.stuck = true
 	}
-	r.m.Received(r.now, c.link, message.Append(nil, message.Release, 9, message.Why(message.Normal))) // its give-up is in the socket
+	r.m.Received(r.now, c.link, binarymessage.Append(nil, binarymessage.Release, 9, binarymessage.Why(binarymessage.Normal))) // its give-up is in the socket
 	r.turn()
 	r.mute = true
 	r.mod.heard = nil
@@ -886,7 +886,7 @@
 		r.m.Closed(r.now, o.link, Reset)
 	}
 	r.refuse(addrA, 100)
-	r.wants(c.last(7), message.Release, message.Failure)
+	r.wants(c.last(7), binarymessage.Release, binarymessage.Failure)
 	for _, want := range []string{"ended 5 closed false agent false engaged false wait 0", "ended 6 closed true agent false engaged false wait 0"} {
 		if !slices.Contains(r.mod.heard, want) {
 			t.Errorf("the module heard %q, not %q", r.mod.heard, want)
--- a/platform/rig_test.go
+++ b/internal/protocol/binarygateway/rig_test.go
@@ -1,16 +1,16 @@
-package platform
+package binarygateway
 
 import (
 	"fmt"
 	"net/netip"
 	"testing"
 
-	"cobaltpier/contact"
-	"cobaltpier/deployment"
-	"cobaltpier/host"
-	"cobaltpier/intake"
-	"cobaltpier/platform/message"
-	"cobaltpier/platform/roster"
+	"cobaltpier/internal/decision/intake"
+	"cobaltpier/internal/deployment"
+	"cobaltpier/internal/protocol/binarymessage"
+	"cobaltpier/internal/protocol/dnsdiscovery"
+	"cobaltpier/internal/protocol/endpointset"
+	"cobaltpier/internal/routing"
 )
 
 var (
@@ -21,27 +21,27 @@
 
 // mind is a module that a test plays by hand: it rings the pools of to in turn and gives up when there is none left.
 type mind struct {
-	h     contact.Host
-	pools map[int]*contact.Pool
+	h     routing.Host
+	pools map[int]*routing.Pool
 	to    []int
 	heard []string
 	again bool // it rings the next pool after an end, once the clear wait is over
-	last  *contact.Contact
+	last  *routing.Contact
 }
 
-func (m *mind) Listed(_ float64, ps []*contact.Pool) {
+func (m *mind) Listed(_ float64, ps []*routing.Pool) {
 	for _, p := range ps {
-		if p.State != contact.Gone || m.pools[p.Number] == p {
+		if p.State != routing.Gone || m.pools[p.Number] == p {
 			m.pools[p.Number] = p
 		}
 	}
 }
-func (m *mind) Offered(now float64, c *contact.Contact) {
+func (m *mind) Offered(now float64, c *routing.Contact) {
 	m.heard = append(m.heard, "offered")
 	m.last = c
 	m.next(c)
 }
-func (m *mind) next(c *contact.Contact) {
+func (m *mind) next(c *routing.Contact) {
 	if len(m.to) == 0 {
 		m.h.Defer(c, 300)
 		return
@@ -50,21 +50,21 @@
 	m.to = m.to[1:]
 	m.h.Ring(c, p, 1e9)
 }
-func (m *mind) Stood(float64, *contact.Ring) { m.heard = append(m.heard, "stood") }
-func (m *mind) Ended(now float64, r *contact.Ring, closed bool) {
+func (m *mind) Stood(float64, *routing.Ring) { m.heard = append(m.heard, "stood") }
+func (m *mind) Ended(now float64, r *routing.Ring, closed bool) {
 	m.heard = append(m.heard, fmt.Sprintf("ended %d closed %v agent %v engaged %v wait %v", r.End, closed, r.NoAgent, r.Engaged, r.Wait))
 	if m.again && !closed && !r.Contact.Over {
 		m.h.Wake(now+500, r.Contact)
 	}
 }
-func (m *mind) Left(float64, *contact.Contact) { m.heard = append(m.heard, "left") }
-func (m *mind) Reported(_ float64, p *contact.Pool, ok, full bool) {
+func (m *mind) Left(float64, *routing.Contact) { m.heard = append(m.heard, "left") }
+func (m *mind) Reported(_ float64, p *routing.Pool, ok, full bool) {
 	m.heard = append(m.heard, fmt.Sprintf("report %d free %v of %v", p.Number, p.Report.Free, p.Report.Agents))
 }
 func (m *mind) Told(_ float64, from int, b []byte) {
 	m.heard = append(m.heard, fmt.Sprintf("told %d %s", from, b))
 }
-func (m *mind) Woken(_ float64, c *contact.Contact) {
+func (m *mind) Woken(_ float64, c *routing.Contact) {
 	if c != nil && !c.Over {
 		m.next(c)
 	}
@@ -74,8 +74,8 @@
 type wire struct {
 	link   *Link
 	to     netip.AddrPort // a line's
-	got    []message.Message
-	reader message.Reader
+	got    []binarymessage.Message
+	reader binarymessage.Reader
 	stuck  bool // takes nothing
 	shut   bool
 	ended  bool
@@ -96,8 +96,8 @@
 	if w.stuck {
 		return false
 	}
-	if err := w.reader.Feed(b, func(m message.Message) bool {
-		w.got = append(w.got, append(message.Message(nil), m...))
+	if err := w.reader.Feed(b, func(m binarymessage.Message) bool {
+		w.got = append(w.got, append(binarymessage.Message(nil), m...))
 		return true
 	}); err != nil {
 		r.Errorf("what was written is no message: %v", err)
@@ -118,11 +118,11 @@
 func (r *rig) Tell(int, []byte) {}
 
 func newRig(t *testing.T) *rig {
-	r := &rig{T: t, mod: &mind{pools: map[int]*contact.Pool{}}, now: 1e6}
-	set := &contact.Settings{Gateways: 2, Me: 0, Seed: 3, Tick: 1, MaxRings: 5, MayCancel: true, MayWait: true, ClearWait: 500, Slack: 20,
-		Skills: []*contact.Skill{{Name: "voice", Target: 2000, Patience: 9000, Value: 1, Repeat: true}}}
+	r := &rig{T: t, mod: &mind{pools: map[int]*routing.Pool{}}, now: 1e6}
+	set := &routing.Settings{Gateways: 2, Me: 0, Seed: 3, Tick: 1, MaxRings: 5, MayCancel: true, MayWait: true, ClearWait: 500, Slack: 20,
+		Skills: []*routing.Skill{{Name: "voice", Target: 2000, Patience: 9000, Value: 1, Repeat: true}}}
 	r.m = New(r.now, &Config{Set: set, Links: deployment.Links{ConnectTimeout: 500}, Sockets: 256,
-		Margin: 5, Gate: intake.Gate{Most: 1000}, Clock: func(unix float64) float64 { return unix }}, func(_ *contact.Settings, h contact.Host) host.Module {
+		Margin: 5, Gate: intake.Gate{Most: 1000}, Clock: func(unix float64) float64 { return unix }}, func(_ *routing.Settings, h routing.Host) endpointset.Module {
 		r.mod.h = h
 		return r.mod
 	}, r)
@@ -131,12 +131,12 @@
 	return r
 }
 
-func ready(id string, a netip.AddrPort, cell int) roster.Target {
-	return roster.Target{ID: id, Addr: a, Cell: cell, State: contact.Ready}
+func ready(id string, a netip.AddrPort, cell int) dnsdiscovery.Target {
+	return dnsdiscovery.Target{ID: id, Addr: a, Cell: cell, State: routing.Ready}
 }
 
-func (r *rig) list(no uint32, of ...roster.Target) {
-	r.m.Listed(r.now, &roster.List{No: no, Whole: true, Targets: of})
+func (r *rig) list(no uint32, of ...dnsdiscovery.Target) {
+	r.m.Listed(r.now, &dnsdiscovery.List{No: no, Whole: true, Targets: of})
 }
 
 // turn ends a batch; lines that were dialled come up, and their switches speak first.
@@ -146,7 +146,7 @@
 			for _, w := range r.wires {
 				if !w.link.isUp && !w.link.closed {
 					r.m.Connected(r.now, w.link)
-					r.m.Received(r.now, w.link, message.Append(nil, message.State, 0))
+					r.m.Received(r.now, w.link, binarymessage.Append(nil, binarymessage.State, 0))
 				}
 			}
 		}
@@ -169,20 +169,20 @@
 }
 
 // says brings a message of the other side of a link.
-func (r *rig) says(w *wire, kind byte, call uint64, of ...message.Param) {
-	r.m.Received(r.now, w.link, message.Append(nil, kind, call, of...))
+func (r *rig) says(w *wire, kind byte, call uint64, of ...binarymessage.Param) {
+	r.m.Received(r.now, w.link, binarymessage.Append(nil, kind, call, of...))
 	r.turn()
 }
 
 // setUp brings a caller's set-up.
-func (r *rig) setUp(w *wire, call uint64, of ...message.Param) {
-	r.says(w, message.SetUp, call, append([]message.Param{message.Text(message.Class, "voice"), message.Text(message.Patience, "3000"),
-		message.Text(message.Number, "7f3a9c21e0b4d655"), message.Text(message.Figures, "dest:0;width:1;via:-1"),
-		message.Text(message.Description, "v=0")}, of...)...)
+func (r *rig) setUp(w *wire, call uint64, of ...binarymessage.Param) {
+	r.says(w, binarymessage.SetUp, call, append([]binarymessage.Param{binarymessage.Text(binarymessage.Class, "voice"), binarymessage.Text(binarymessage.Patience, "3000"),
+		binarymessage.Text(binarymessage.Number, "7f3a9c21e0b4d655"), binarymessage.Text(binarymessage.Figures, "dest:0;width:1;via:-1"),
+		binarymessage.Text(binarymessage.Description, "v=0")}, of...)...)
 }
 
 // last is the latest message that a link was sent for a call, nil: none.
-func (w *wire) last(call uint64) message.Message {
+func (w *wire) last(call uint64) binarymessage.Message {
 	for i := len(w.got) - 1; i >= 0; i-- {
 		if w.got[i].Call() == call {
 			return w.got[i]
@@ -205,7 +205,7 @@
 func (r *rig) on(call uint64) *wire {
 	r.Helper()
 	for i := len(r.wires) - 1; i >= 0; i-- {
-		if m := r.wires[i].last(call); m != nil && m.Type() == message.SetUp {
+		if m := r.wires[i].last(call); m != nil && m.Type() == binarymessage.SetUp {
 			return r.wires[i]
 		}
 	}
@@ -213,11 +213,11 @@
 	return nil
 }
 
-func (r *rig) wants(m message.Message, kind, cause byte) {
+func (r *rig) wants(m binarymessage.Message, kind, cause byte) {
 	r.Helper()
 	if m == nil || m.Type() != kind || m.Cause() != cause {
 		r.Errorf("got %x, want type %d cause %d", []byte(m), kind, cause)
 	}
 }
 
-var said = message.Text(message.Description, "v=0 answer")
+var said = binarymessage.Text(binarymessage.Description, "v=0 answer")
--- a/platform/trunk.go
+++ b/internal/protocol/binarygateway/trunk.go
@@ -1,4 +1,4 @@
-package platform
+package binarygateway
 
 import (
 	"math"
@@ -6,10 +6,10 @@
 	"slices"
 	"strconv"
 
-	"cobaltpier/clock"
-	"cobaltpier/contact"
-	"cobaltpier/intake"
-	"cobaltpier/platform/message"
+	"cobaltpier/internal/decision/intake"
+	"cobaltpier/internal/protocol/binarymessage"
+	"cobaltpier/internal/routing"
+	"cobaltpier/internal/timerqueue"
 )
 
 const (
@@ -25,7 +25,7 @@
 // trunk is all lines to one switch.
 type trunk struct {
 	m          *Machine
-	pool       *contact.Pool
+	pool       *routing.Pool
 	to         netip.AddrPort
 	since      float64 // its latest start, as told
 	lines      []*Link
@@ -39,7 +39,7 @@
 	retryAt    float64 // no line is tried before this unless a set-up needs it
 	reset      bool    // the latest line to end was reset, and none has come up since
 	lostAt     float64 // when the latest line ended on which it had spoken
-	pause      *clock.Timer
+	pause      *timerqueue.Timer
 	turn       uint64
 }
 
@@ -52,17 +52,17 @@
 // leg is one ring on the wire.
 type leg struct {
 	call  *call
-	ring  *contact.Ring
+	ring  *routing.Ring
 	trunk *trunk
 	line  *Link // nil: it waits for one
-	limit *clock.Timer
+	limit *timerqueue.Timer
 	left  bool // its set-up was handed to the socket
 	over  bool // the module knows of its end, or is about to
 	// crossed: an answer to an earlier ring of the call here came after that was given up
 	crossed bool
 }
 
-func newTrunk(m *Machine, p *contact.Pool, to netip.AddrPort) *trunk {
+func newTrunk(m *Machine, p *routing.Pool, to netip.AddrPort) *trunk {
 	return &trunk{m: m, pool: p, to: to, since: p.Since, standing: map[uint64]*call{}, late: map[uint64]float64{}, ends: map[uint64]ended{}, heardAt: m.Now, lostAt: m.Now}
 }
 
@@ -80,7 +80,7 @@
 // line only for what stands there.
 func (t *trunk) warm() {
 	keep := min(keepUp, t.m.lines())
-	if t.pool.State != contact.Ready {
+	if t.pool.State != routing.Ready {
 		keep = min(1, len(t.standing))
 	}
 	for len(t.lines) < keep && t.pause == nil && t.mayRetry() && (t.failed == 0 || len(t.lines) == 0) {
@@ -123,14 +123,14 @@
 }
 
 // Dial implements control.Party: it sends a set-up and gives up after limit ms.
-func (k *call) Dial(r *contact.Ring, limit float64) bool {
+func (k *call) Dial(r *routing.Ring, limit float64) bool {
 	t := k.m.trunks[r.Pool]
 	if t == nil || k.said == nil {
 		return false
 	}
 	g := &leg{call: k, ring: r, trunk: t}
 	k.leg = g
-	g.limit = k.m.Timers.Set(k.m.Now+limit, func() { g.giveUp(contact.TimedOut) })
+	g.limit = k.m.Timers.Set(k.m.Now+limit, func() { g.giveUp(routing.TimedOut) })
 	t.place(g)
 	return true
 }
@@ -159,8 +159,8 @@
 	g.line = best
 	best.legs = append(best.legs, g)
 	left := math.Max(1, k.Until+t.m.cfg.Margin-now)
-	msg := message.Message(k.said)
-	b := message.Append(nil, message.SetUp, k.id, forwarded(msg, left)...)
+	msg := binarymessage.Message(k.said)
+	b := binarymessage.Append(nil, binarymessage.SetUp, k.id, forwarded(msg, left)...)
 	best.put(entry{data: b, leg: g})
 }
 
@@ -170,7 +170,7 @@
 	if i := slices.Index(t.waits, g); i >= 0 && !g.over {
 		t.waits = slices.Delete(t.waits, i, i+1)
 		g.over = true
-		g.finish(contact.Refused)
+		g.finish(routing.Refused)
 	}
 }
 
@@ -184,13 +184,13 @@
 
 // forwarded is what of a caller's set-up goes to a switch: class, number and description as they are, and for how many ms
 // this gateway waits.
-func forwarded(msg message.Message, left float64) []message.Param {
-	var of []message.Param
-	for _, code := range []byte{message.Class, message.Patience, message.Number, message.Description} {
-		if code == message.Patience {
-			of = append(of, message.Text(code, strconv.Itoa(int(left))))
+func forwarded(msg binarymessage.Message, left float64) []binarymessage.Param {
+	var of []binarymessage.Param
+	for _, code := range []byte{binarymessage.Class, binarymessage.Patience, binarymessage.Number, binarymessage.Description} {
+		if code == binarymessage.Patience {
+			of = append(of, binarymessage.Text(code, strconv.Itoa(int(left))))
 		} else if v, ok := msg.Get(code); ok {
-			of = append(of, message.Param{Code: code, Value: v})
+			of = append(of, binarymessage.Param{Code: code, Value: v})
 		}
 	}
 	return of
@@ -198,7 +198,7 @@
 
 // giveUp ends a ring from here. What has not left is withdrawn and has not run; else its end counts from when the
 // give-up has left.
-func (g *leg) giveUp(how contact.End) {
+func (g *leg) giveUp(how routing.End) {
 	if g.over {
 		return
 	}
@@ -208,23 +208,23 @@
 	if g.line == nil {
 		g.trunk.waits = slices.DeleteFunc(g.trunk.waits, func(o *leg) bool { return o == g })
 		m.Wire.Withdrawn++
-		m.Timers.Set(m.Now, func() { g.finish(contact.Unsent) })
+		m.Timers.Set(m.Now, func() { g.finish(routing.Unsent) })
 		return
 	}
 	if g.line.take(g) {
 		m.Wire.Withdrawn++
-		m.Timers.Set(m.Now, func() { g.finish(contact.Unsent) })
+		m.Timers.Set(m.Now, func() { g.finish(routing.Unsent) })
 		return
 	}
 	g.trunk.late[g.call.id] = m.Now + lateFor
 	l := g.line
-	l.put(entry{data: message.Append(nil, message.Release, g.call.id, message.Why(message.Normal)), left: func() {
+	l.put(entry{data: binarymessage.Append(nil, binarymessage.Release, g.call.id, binarymessage.Why(binarymessage.Normal)), left: func() {
 		m.Timers.Set(m.Now, func() { g.finish(how) })
 	}})
 }
 
 // finish tells how a ring ended, once.
-func (g *leg) finish(how contact.End) {
+func (g *leg) finish(how routing.End) {
 	if g.ring == nil {
 		return
 	}
@@ -240,7 +240,7 @@
 	if g.crossed {
 		m := g.trunk.m
 		m.Wire.Crossed++
-		g.trunk.say(k.id, message.Normal, g.line)
+		g.trunk.say(k.id, binarymessage.Normal, g.line)
 	}
 	k.Ended(r, how, k.Over)
 }
@@ -256,9 +256,9 @@
 }
 
 // CallOff implements control.Party.
-func (k *call) CallOff(r *contact.Ring) {
+func (k *call) CallOff(r *routing.Ring) {
 	if k.leg != nil && k.leg.ring == r {
-		k.leg.giveUp(contact.Cancelled)
+		k.leg.giveUp(routing.Cancelled)
 	}
 }
 
@@ -273,7 +273,7 @@
 }
 
 // heard implements side.
-func (t *trunk) heard(l *Link, msg message.Message) {
+func (t *trunk) heard(l *Link, msg binarymessage.Message) {
 	m := t.m
 	t.heardAt, t.unanswered = m.Now, 0
 	if !l.spoke {
@@ -281,13 +281,13 @@
 	}
 	id := msg.Call()
 	switch msg.Type() {
-	case message.State:
+	case binarymessage.State:
 		if any, full := m.report(t.pool, msg); any {
 			m.Mod.Reported(m.Now, t.pool, true, full)
 		}
-	case message.Answer:
+	case binarymessage.Answer:
 		g := l.find(id)
-		description, ok := msg.Get(message.Description)
+		description, ok := msg.Get(binarymessage.Description)
 		switch {
 		case t.standing[id] != nil:
 			// the answer of a ring that was given up before the one that stands here: to release it would cut the call
@@ -297,14 +297,14 @@
 		case g == nil || g.over || !g.left:
 			if _, late := t.late[id]; late || g != nil && g.over { // it crossed our giving up
 				m.Wire.Crossed++
-				l.send(message.Append(nil, message.Release, id, message.Why(message.Normal)))
+				l.send(binarymessage.Append(nil, binarymessage.Release, id, binarymessage.Why(binarymessage.Normal)))
 			} else {
 				m.Wire.Stray++
 			}
 		case !ok: // it stands there, but its caller can't be told what the switch said
 			m.Wire.Broken++
-			l.send(message.Append(nil, message.Release, id, message.Why(message.Normal)))
-			g.finish(contact.Failed)
+			l.send(binarymessage.Append(nil, binarymessage.Release, id, binarymessage.Why(binarymessage.Normal)))
+			g.finish(routing.Failed)
 		default:
 			m.Timers.Stop(g.limit)
 			g.over = true
@@ -319,9 +319,9 @@
 			}
 			m.Mod.Stood(m.Now, r)
 		}
-	case message.Release:
+	case binarymessage.Release:
 		t.released(l, msg)
-	case message.Progress, message.Heard, message.Tested, message.Test, message.SetUp:
+	case binarymessage.Progress, binarymessage.Heard, binarymessage.Tested, binarymessage.Test, binarymessage.SetUp:
 		// free: they mean nothing here
 	default:
 		m.Wire.Broken++
@@ -330,26 +330,26 @@
 }
 
 // released takes a switch's release: the end of a ring, or of a call that stands.
-func (t *trunk) released(l *Link, msg message.Message) {
+func (t *trunk) released(l *Link, msg binarymessage.Message) {
 	m, id, cause := t.m, msg.Call(), msg.Cause()
 	any, full := m.report(t.pool, msg)
 	if g := l.find(id); g != nil && g.ring != nil && g.left {
 		r := g.ring
 		r.Reported = full
-		note := msg.Text(message.Note)
-		how := contact.Reset
+		note := msg.Text(binarymessage.Note)
+		how := routing.Reset
 		switch cause {
-		case message.NoCircuit:
-			how = contact.Full
+		case binarymessage.NoCircuit:
+			how = routing.Full
 			r.NoAgent = note == "all_trunks_busy"
-			if w, ok := figure(msg.Text(message.Busy)); ok {
+			if w, ok := figure(msg.Text(binarymessage.Busy)); ok {
 				r.Wait = w
 			}
-		case message.UserBusy, message.Fault:
-			how = contact.Failed
+		case binarymessage.UserBusy, binarymessage.Fault:
+			how = routing.Failed
 			r.Engaged = note == "number_busy"
-		case message.Moot:
-			how = contact.Unsent
+		case binarymessage.Moot:
+			how = routing.Unsent
 		}
 		if !g.over { // else our giving up crossed it, and counts
 			g.over = true
@@ -358,9 +358,9 @@
 		return
 	}
 	if k := t.standing[id]; k != nil {
-		how := contact.Reset
-		if cause == message.Normal {
-			how = contact.Done
+		how := routing.Reset
+		if cause == binarymessage.Normal {
+			how = routing.Done
 		} else {
 			m.Wire.Cut++
 		}
@@ -381,7 +381,7 @@
 // release releases a call at its switch: on the line of its set-up, else on any, else on the next.
 func (t *trunk) release(k *call, cause byte) {
 	if cause == 0 {
-		cause = message.Normal
+		cause = binarymessage.Normal
 	}
 	t.late[k.id] = t.m.Now + lateFor
 	t.say(k.id, cause, k.line)
@@ -400,7 +400,7 @@
 	if l == nil {
 		l = t.dial()
 	}
-	l.put(entry{data: message.Append(nil, message.Release, id, message.Why(cause))})
+	l.put(entry{data: binarymessage.Append(nil, binarymessage.Release, id, binarymessage.Why(cause))})
 }
 
 // lost implements side: set-ups that have left on a line may have run, others have not.
@@ -419,11 +419,11 @@
 		case g.ring == nil, g.over: // ended, or about to: its give-up, gone with the line, settles it
 		case !g.left:
 			g.over = true
-			m.Timers.Set(m.Now, func() { g.finish(contact.Unsent) })
+			m.Timers.Set(m.Now, func() { g.finish(routing.Unsent) })
 		default:
 			g.over = true
 			t.late[g.call.id] = m.Now + lateFor
-			m.Timers.Set(m.Now, func() { g.finish(contact.Reset) })
+			m.Timers.Set(m.Now, func() { g.finish(routing.Reset) })
 		}
 	}
 	if m.trunks[t.pool] != t {
@@ -470,12 +470,12 @@
 
 // again tries to connect once more, after a rest if the last try failed.
 func (t *trunk) again() {
-	if t.pause != nil || t.pool.State == contact.Gone {
+	if t.pause != nil || t.pool.State == routing.Gone {
 		return
 	}
 	t.pause = t.m.Timers.Set(math.Max(t.m.Now, t.retryAt), func() {
 		t.pause = nil
-		if t.m.trunks[t.pool] == t && len(t.lines) == 0 && (t.pool.State == contact.Ready || len(t.standing) > 0) {
+		if t.m.trunks[t.pool] == t && len(t.lines) == 0 && (t.pool.State == routing.Ready || len(t.standing) > 0) {
 			t.dial()
 		}
 	})
@@ -552,7 +552,7 @@
 	slices.SortFunc(of, byID)
 	for _, k := range of {
 		t.m.Wire.Cut++
-		k.release(contact.Reset, message.Failure, false)
+		k.release(routing.Reset, binarymessage.Failure, false)
 	}
 }
 
@@ -565,12 +565,12 @@
 // withdraw takes back the set-ups that have not left (rule 3).
 func (t *trunk) withdraw() {
 	for _, g := range slices.Clone(t.waits) {
-		g.giveUp(contact.Unsent)
+		g.giveUp(routing.Unsent)
 	}
 	for _, l := range t.lines {
 		for _, g := range slices.Clone(l.legs) {
 			if !g.left {
-				g.giveUp(contact.Unsent)
+				g.giveUp(routing.Unsent)
 			}
 		}
 	}
