--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -13,7 +13,7 @@
 )
 
 func main() {
-	err := simadapter.Serve(os.Stdin, os.Stdout, func(s *routing.Settings, h routing.Host) endpointset.Module {
+	err := simadapter.Serve(os.Stdin, os.Stdout, func(s *routing.Settings, h routing.Host) endpointset.Policy {
 		return router.New(s, h)
 	})
 	if err != nil {
--- a/internal/cli/edgecli/edgecmd.go
+++ b/internal/cli/edgecli/edgecmd.go
@@ -49,7 +49,7 @@
 			if err != nil {
 				return err
 			}
-			mk := func(s *routing.Settings, h routing.Host) endpointset.Module { return router.New(s, h) }
+			mk := func(s *routing.Settings, h routing.Host) endpointset.Policy { return router.New(s, h) }
 			if module != "brain" {
 				if mk = baseline.ByName(module); mk == nil {
 					return fmt.Errorf("module %q: want brain, lottery or random", module)
@@ -111,7 +111,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			s, err := gatewayconfig.Load(config)
 			if err == nil {
-				fmt.Fprintf(cmd.OutOrStdout(), "%s: gateway %s on %s, %d groups, %d skills: fine\n", config, s.Name, s.Self, len(s.Groups), len(s.Set.Skills))
+				fmt.Fprintf(cmd.OutOrStdout(), "%s: gateway %s on %s, %d groups, %d skills: fine\n", config, s.Name, s.Self, len(s.Groups), len(s.Set.Classes))
 			}
 			return err
 		}}
--- a/internal/cli/edgecli/platform.go
+++ b/internal/cli/edgecli/platform.go
@@ -47,7 +47,7 @@
 				return fmt.Errorf("log-level: want trace, debug, info, warn or error, got %q", level)
 			}
 			runtime.GOMAXPROCS(1)
-			if n := binaryserver.Limit(cfg.Limits); n > 0 {
+			if n := binaryserver.MemoryLimit(cfg.Limits); n > 0 {
 				debug.SetMemoryLimit(n)
 			}
 			lines := 256 // that may wait for a slow reader of the log; more are lost
@@ -65,11 +65,11 @@
 					if s == syscall.SIGHUP {
 						told <- binaryserver.Reload
 					} else {
-						told <- binaryserver.Leave
+						told <- binaryserver.Shutdown
 					}
 				}
 			}()
-			return binaryserver.Run(cmd.Context(), file, cfg, func(s *routing.Settings, h routing.Host) endpointset.Module { return router.New(s, h) }, log, told)
+			return binaryserver.Run(cmd.Context(), file, cfg, func(s *routing.Settings, h routing.Host) endpointset.Policy { return router.New(s, h) }, log, told)
 		}}
 	c.Flags().StringVar(&level, "log-level", "info", "trace (each message), debug, info, warn or error")
 	return c
--- a/internal/cli/labcli/digits.go
+++ b/internal/cli/labcli/digits.go
@@ -52,7 +52,7 @@
 	of := prefixbaseline.Draw(n)
 	var numbers []string
 	for i := range uint64(1 << 16) {
-		numbers = append(numbers, of[int(detrand.Of(3, i)*float64(n))].Digits+"5550123")
+		numbers = append(numbers, of[int(detrand.Float64(3, i)*float64(n))].Digits+"5550123")
 	}
 	type way struct {
 		name   string
--- a/internal/cli/labcli/labcmd.go
+++ b/internal/cli/labcli/labcmd.go
@@ -182,7 +182,7 @@
 }
 
 // Virtual puts a day on in virtual time.
-func Virtual(s *scenariofile.Script, mk endpointset.Maker, file string) (*processrun.Result, error) {
+func Virtual(s *scenariofile.Script, mk endpointset.PolicyFactory, file string) (*processrun.Result, error) {
 	o := virtualrun.Options{}
 	var keep *capture.Writer
 	if file != "" {
--- a/internal/cli/labcli/throughput.go
+++ b/internal/cli/labcli/throughput.go
@@ -31,7 +31,7 @@
 		if err != nil {
 			return fmt.Errorf("echo: %w", err)
 		}
-		var s *reactor.Sockets
+		var s *reactor.UDPSockets
 		ready := make(chan struct{})
 		s, err = reactor.Listen([]netip.AddrPort{addr}, 1, func(local, from netip.AddrPort, data []byte) {
 			<-ready
--- a/internal/conformance/binaryconformance/judge.go
+++ b/internal/conformance/binaryconformance/judge.go
@@ -95,7 +95,7 @@
 	j.now = at
 	c := j.calls[m.Call()]
 	switch m.Type() {
-	case binarymessage.SetUp:
+	case binarymessage.Setup:
 		if c != nil {
 			return
 		}
@@ -169,7 +169,7 @@
 	j.now = at
 	c := j.calls[m.Call()]
 	switch m.Type() {
-	case binarymessage.SetUp:
+	case binarymessage.Setup:
 		if c == nil {
 			j.broke(1, m.Call(), "a set-up that no caller sent")
 			return
--- a/internal/conformance/binaryconformance/judge_test.go
+++ b/internal/conformance/binaryconformance/judge_test.go
@@ -20,23 +20,23 @@
 
 func (t *tape) wait(ms float64) *tape { t.at += ms; return t }
 func (t *tape) setUp() *tape {
-	t.FromCaller(t.at, binarymessage.Append(nil, binarymessage.SetUp, 7, binarymessage.Text(binarymessage.Patience, "2000")))
+	t.FromCaller(t.at, binarymessage.Append(nil, binarymessage.Setup, 7, binarymessage.TextParam(binarymessage.Patience, "2000")))
 	return t
 }
 func (t *tape) ring(who string, line int) *tape {
-	t.ToSwitch(t.at, who, line, binarymessage.Append(nil, binarymessage.SetUp, 7))
+	t.ToSwitch(t.at, who, line, binarymessage.Append(nil, binarymessage.Setup, 7))
 	return t
 }
 func (t *tape) off(who string, line int) *tape {
-	t.ToSwitch(t.at, who, line, binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.Why(binarymessage.Normal)))
+	t.ToSwitch(t.at, who, line, binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal)))
 	return t
 }
 func (t *tape) stands(who string, line int) *tape {
-	t.FromSwitch(t.at, who, line, binarymessage.Append(nil, binarymessage.Answer, 7, binarymessage.Text(binarymessage.Description, "x")))
+	t.FromSwitch(t.at, who, line, binarymessage.Append(nil, binarymessage.Answer, 7, binarymessage.TextParam(binarymessage.Description, "x")))
 	return t
 }
 func (t *tape) ends(who string, line int, cause byte) *tape {
-	t.FromSwitch(t.at, who, line, binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.Why(cause)))
+	t.FromSwitch(t.at, who, line, binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.CauseParam(cause)))
 	return t
 }
 func (t *tape) answer() *tape {
@@ -44,7 +44,7 @@
 	return t
 }
 func (t *tape) release() *tape {
-	t.ToCaller(t.at, binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.Why(binarymessage.Congested)))
+	t.ToCaller(t.at, binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Congested)))
 	return t
 }
 
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -11,30 +11,30 @@
 	"cobaltpier/internal/routing"
 )
 
-// setters put a value of a load report in its place.
-var setters = map[string]func(*routing.Report, float64){
-	"free":      func(r *routing.Report, v float64) { r.Free = v },
-	"size":      func(r *routing.Report, v float64) { r.Agents = v },
-	"q":         func(r *routing.Report, v float64) { r.Queue = v },
-	"busy":      func(r *routing.Report, v float64) { r.Util = v },
-	"lat_ms":    func(r *routing.Report, v float64) { r.Wait = v },
-	"can_take":  func(r *routing.Report, v float64) { r.Rate = v },
-	"hold_back": func(r *routing.Report, v float64) { r.Holdback = v },
+// loadReportFields put a value of a load report in its place.
+var loadReportFields = map[string]func(*routing.LoadReport, float64){
+	"free":      func(r *routing.LoadReport, v float64) { r.Free = v },
+	"size":      func(r *routing.LoadReport, v float64) { r.Capacity = v },
+	"q":         func(r *routing.LoadReport, v float64) { r.QueueLength = v },
+	"busy":      func(r *routing.LoadReport, v float64) { r.Utilization = v },
+	"lat_ms":    func(r *routing.LoadReport, v float64) { r.QueueDelay = v },
+	"can_take":  func(r *routing.LoadReport, v float64) { r.RateLimit = v },
+	"hold_back": func(r *routing.LoadReport, v float64) { r.LossFraction = v },
 }
 
-// Figure puts a value of a load report, by its name in the settings, in its place; a negative one is not known. It tells
+// SetLoadReportField puts a value of a load report, by its name in the settings, in its place; a negative one is not known. It tells
 // whether it was one of the processor's.
-func Figure(into *routing.Report, field string, v float64) bool {
-	set := setters[field]
-	if set == nil || !(v >= 0) {
+func SetLoadReportField(report *routing.LoadReport, field string, value float64) bool {
+	set := loadReportFields[field]
+	if set == nil || !(value >= 0) {
 		return false
 	}
-	set(into, v)
+	set(report, value)
 	return field != "free" && field != "size"
 }
 
-// object is the keys of the settings that anybody reads; all others are passed over.
-type object struct {
+// settingsObject is the keys of the settings that anybody reads; all others are passed over.
+type settingsObject struct {
 	Allowed struct {
 		Cancel, Peers, Probes, RetryAfter, MayDuplicate bool
 		MaxAttempts                                     int
@@ -62,8 +62,8 @@
 	}
 }
 
-// decode reads JSON; a fault is told with the field's name as its writer spells it.
-func decode(text []byte, into any) error {
+// unmarshal reads JSON; a fault is told with the field's name as its writer spells it.
+func unmarshal(text []byte, into any) error {
 	err := json.Unmarshal(text, into)
 	var t *json.UnmarshalTypeError
 	if errors.As(err, &t) {
@@ -79,7 +79,7 @@
 }
 
 // check finds what no deployment can mean. Other figures below 0 switch off what they bound.
-func (w *object) check() error {
+func (w *settingsObject) check() error {
 	named := map[string]int{}
 	for i, c := range w.Lanes {
 		if c.Name == "" {
@@ -104,62 +104,62 @@
 
 // Decode turns the object into the module's settings; the second result is the reports' fields.
 func Decode(text []byte, seed uint64) (*routing.Settings, []string, error) {
-	var w object
-	if err := decode(text, &w); err != nil {
+	var object settingsObject
+	if err := unmarshal(text, &object); err != nil {
 		return nil, nil, err
 	}
-	if err := w.check(); err != nil {
+	if err := object.check(); err != nil {
 		return nil, nil, err
 	}
-	s := &routing.Settings{
-		Gateways: w.Balancers, Me: w.Me, Seed: seed, Tick: w.Tick,
-		MaxRings: w.Allowed.MaxAttempts, MayProbe: w.Allowed.Probes, MayTell: w.Allowed.Peers,
-		MayCancel: w.Allowed.Cancel, MayWait: w.Allowed.RetryAfter, MaxWait: w.Allowed.MaxRetryAfter,
-		ByProbe: w.Stats.How == "on_probe", Retransmit: w.FamilyInfo.Retransmit,
-		Slack: w.Rules.AnswerSlack, ColdShare: w.Rules.ColdShare,
-		WarmWithin: w.Rules.WarmWithin, TipMultiple: w.Rules.TipMultiple, TipTime: w.Rules.Fall,
-		ClearWait: w.FamilyInfo.ClearWait,
-	}
-	for i, c := range w.Lanes {
-		k := &routing.Skill{Name: c.Name, Target: c.Aim, Patience: c.HardLimit, LateValue: c.LateWorth, Value: 1,
-			Repeat: c.Semantics == "pure" || c.Semantics == ""}
-		if c.Worth != nil {
-			k.Value = *c.Worth
+	settings := &routing.Settings{
+		Gateways: object.Balancers, GatewayIndex: object.Me, Seed: seed, TickInterval: object.Tick,
+		MaxAttempts: object.Allowed.MaxAttempts, ProbeEnabled: object.Allowed.Probes, GossipEnabled: object.Allowed.Peers,
+		CancelEnabled: object.Allowed.Cancel, RetryAfterEnabled: object.Allowed.RetryAfter, MaxRetryAfter: object.Allowed.MaxRetryAfter,
+		LoadReportsByProbe: object.Stats.How == "on_probe", RetransmitInterval: object.FamilyInfo.Retransmit,
+		AnswerGrace: object.Rules.AnswerSlack, SlowStartFraction: object.Rules.ColdShare,
+		SlowStartDuration: object.Rules.WarmWithin, OverloadFactor: object.Rules.TipMultiple, OverloadWindow: object.Rules.Fall,
+		RetryHoldOff: object.FamilyInfo.ClearWait,
+	}
+	for i, lane := range object.Lanes {
+		class := &routing.Class{Name: lane.Name, LatencyObjective: lane.Aim, Timeout: lane.HardLimit, LateWeightFraction: lane.LateWorth, Weight: 1,
+			Idempotent: lane.Semantics == "pure" || lane.Semantics == ""}
+		if lane.Worth != nil {
+			class.Weight = *lane.Worth
 		}
-		if i < len(w.FamilyInfo.CallLength) {
-			k.Hold = w.FamilyInfo.CallLength[i]
+		if i < len(object.FamilyInfo.CallLength) {
+			class.MeanHoldingTime = object.FamilyInfo.CallLength[i]
 		}
-		if i < len(w.FamilyInfo.SkilledPools) {
-			k.Pools = map[int]bool{}
-			for _, n := range w.FamilyInfo.SkilledPools[i] {
-				k.Pools[n] = true
+		if i < len(object.FamilyInfo.SkilledPools) {
+			class.AllowedDestinations = map[int]bool{}
+			for _, n := range object.FamilyInfo.SkilledPools[i] {
+				class.AllowedDestinations[n] = true
 			}
 		}
-		s.Skills = append(s.Skills, k)
+		settings.Classes = append(settings.Classes, class)
 	}
-	for _, c := range w.Realms {
-		s.Customers = append(s.Customers, &routing.Customer{Name: c.Name})
+	for _, lane := range object.Realms {
+		settings.Tenants = append(settings.Tenants, &routing.Tenant{Name: lane.Name})
 	}
-	return s, w.Stats.Fields, nil
+	return settings, object.Stats.Fields, nil
 }
 
-// Links is what the settings say of connections. Times are milliseconds.
-type Links struct {
-	ConnectTimeout float64 // one that is not up by then is refused
-	Idle           float64 // idle ones are closed after this
-	MostHeld       int     // open contacts of one gateway
+// Connections is what the settings say of connections. Times are milliseconds.
+type Connections struct {
+	ConnectTimeout  float64 // one that is not up by then is refused
+	IdleTimeout     float64 // idle ones are closed after this
+	MaxPendingCalls int     // open contacts of one gateway
 }
 
-// DecodeLinks reads what the object says of connections.
-func DecodeLinks(text []byte) (Links, error) {
-	var w struct {
+// DecodeConnections reads what the object says of connections.
+func DecodeConnections(text []byte) (Connections, error) {
+	var object struct {
 		Allowed struct {
 			ConnectTimeout, ConnIdle float64
 			MostHeld                 int
 		}
 	}
-	if err := decode(text, &w); err != nil {
-		return Links{}, err
+	if err := unmarshal(text, &object); err != nil {
+		return Connections{}, err
 	}
-	return Links{ConnectTimeout: w.Allowed.ConnectTimeout, Idle: w.Allowed.ConnIdle, MostHeld: w.Allowed.MostHeld}, nil
+	return Connections{ConnectTimeout: object.Allowed.ConnectTimeout, IdleTimeout: object.Allowed.ConnIdle, MaxPendingCalls: object.Allowed.MostHeld}, nil
 }
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -17,16 +17,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Gateways != 4 || s.Me != 2 || s.Seed != 7 || s.MaxRings != 5 || !s.MayCancel || !s.MayTell || s.MayProbe || !s.MayWait || !s.ByProbe ||
-		s.ClearWait != 500 || s.Retransmit != 400 || s.TipTime != 1000 || s.Slack != 20 || len(fields) != 2 || len(s.Customers) != 1 {
+	if s.Gateways != 4 || s.GatewayIndex != 2 || s.Seed != 7 || s.MaxAttempts != 5 || !s.CancelEnabled || !s.GossipEnabled || s.ProbeEnabled || !s.RetryAfterEnabled || !s.LoadReportsByProbe ||
+		s.RetryHoldOff != 500 || s.RetransmitInterval != 400 || s.OverloadWindow != 1000 || s.AnswerGrace != 20 || len(fields) != 2 || len(s.Tenants) != 1 {
 		t.Errorf("%+v %v", s, fields)
 	}
-	a, b := s.Skills[0], s.Skills[1]
-	if a.Value != 1 || !a.Repeat || a.Hold != 9800 || !a.Pools[1] || a.Pools[2] || b.Value != 8 || b.Repeat || b.Pools != nil {
+	a, b := s.Classes[0], s.Classes[1]
+	if a.Weight != 1 || !a.Idempotent || a.MeanHoldingTime != 9800 || !a.AllowedDestinations[1] || a.AllowedDestinations[2] || b.Weight != 8 || b.Idempotent || b.AllowedDestinations != nil {
 		t.Errorf("%+v %+v", a, b)
 	}
-	l, err := DecodeLinks([]byte(sample))
-	if err != nil || l != (Links{ConnectTimeout: 500, Idle: 600000, MostHeld: 20000}) {
+	l, err := DecodeConnections([]byte(sample))
+	if err != nil || l != (Connections{ConnectTimeout: 500, IdleTimeout: 600000, MaxPendingCalls: 20000}) {
 		t.Errorf("%+v %v", l, err)
 	}
 	if _, _, err := Decode([]byte(`{"balancers":"many"}`), 1); err == nil {
@@ -35,11 +35,11 @@
 }
 
 func TestFigure(t *testing.T) {
-	var r routing.Report
-	if Figure(&r, "free", 3) || Figure(&r, "size", 40) || !Figure(&r, "busy", 0.5) || Figure(&r, "q", -1) || Figure(&r, "nothing", 1) {
+	var r routing.LoadReport
+	if SetLoadReportField(&r, "free", 3) || SetLoadReportField(&r, "size", 40) || !SetLoadReportField(&r, "busy", 0.5) || SetLoadReportField(&r, "q", -1) || SetLoadReportField(&r, "nothing", 1) {
 		t.Error("which figures are the processor's")
 	}
-	if r.Free != 3 || r.Agents != 40 || r.Util != 0.5 || r.Queue != 0 {
+	if r.Free != 3 || r.Capacity != 40 || r.Utilization != 0.5 || r.QueueLength != 0 {
 		t.Errorf("%+v", r)
 	}
 }
--- a/internal/detrand/chance.go
+++ b/internal/detrand/chance.go
@@ -7,10 +7,10 @@
 )
 
 // Hash is the draw as 64 bits: the hash of the numbers in their order.
-func Hash(of ...uint64) uint64 {
+func Hash(values ...uint64) uint64 {
 	h := fnv.New64a()
 	var x [8]byte
-	for _, v := range of {
+	for _, v := range values {
 		binary.LittleEndian.PutUint64(x[:], v)
 		h.Write(x[:])
 	}
@@ -19,5 +19,5 @@
 	return v ^ v>>33
 }
 
-// Of is the draw as a number from 0 to 1.
-func Of(of ...uint64) float64 { return float64(Hash(of...)>>11) / (1 << 53) }
+// Float64 is the draw as a number from 0 to 1.
+func Float64(values ...uint64) float64 { return float64(Hash(values...)>>11) / (1 << 53) }
--- a/internal/detrand/chance_test.go
+++ b/internal/detrand/chance_test.go
@@ -6,8 +6,8 @@
 func TestEven(t *testing.T) {
 	var bins [10]int
 	for i := range uint64(20000) {
-		v := Of(7, i)
-		if v != Of(7, i) || v < 0 || v >= 1 {
+		v := Float64(7, i)
+		if v != Float64(7, i) || v < 0 || v >= 1 {
 			t.Fatalf("draw %d: %v", i, v)
 		}
 		bins[int(v*10)]++
@@ -17,7 +17,7 @@
 			t.Errorf("%d of 20000 draws from %d tenths", n, i)
 		}
 	}
-	if Of(1, 2) == Of(2, 1) {
+	if Float64(1, 2) == Float64(2, 1) {
 		t.Error("the order does not matter")
 	}
 }
--- a/internal/emulator/baseline/baseline.go
+++ b/internal/emulator/baseline/baseline.go
@@ -17,24 +17,24 @@
 	set    *routing.Settings
 	host   routing.Host
 	now    float64
-	pools  []*routing.Pool
+	pools  []*routing.Endpoint
 	draws  uint64
 	random bool
 }
 
 // ByName makes "lottery" (S2-082110 as written: the destination while it shows a free processor, else a lottery with
 // tickets of total capacity times the square of relative capacity) or "random"; nil otherwise.
-func ByName(name string) endpointset.Maker {
+func ByName(name string) endpointset.PolicyFactory {
 	if name != "lottery" && name != "random" {
 		return nil
 	}
-	return func(s *routing.Settings, h routing.Host) endpointset.Module {
+	return func(s *routing.Settings, h routing.Host) endpointset.Policy {
 		return &Plain{set: s, host: h, random: name == "random"}
 	}
 }
 
-// Listed implements host.Module.
-func (b *Plain) Listed(now float64, changed []*routing.Pool) {
+// OnEndpoints implements host.Module.
+func (b *Plain) OnEndpoints(now float64, changed []*routing.Endpoint) {
 	b.now = now
 	for _, p := range changed {
 		known := false
@@ -47,24 +47,24 @@
 	}
 }
 
-// Offered implements host.Module.
-func (b *Plain) Offered(now float64, c *routing.Contact) {
+// OnCall implements host.Module.
+func (b *Plain) OnCall(now float64, c *routing.Call) {
 	b.now = now
 	b.try(c)
 }
 
-func (b *Plain) try(c *routing.Contact) {
-	if p := b.pick(c); p != nil && c.Rings < b.set.MaxRings && c.Until-b.now > b.set.Tick {
-		c.Rings++
-		b.host.Ring(c, p, c.Until-b.now)
+func (b *Plain) try(c *routing.Call) {
+	if p := b.pick(c); p != nil && c.Attempts < b.set.MaxAttempts && c.Deadline-b.now > b.set.TickInterval {
+		c.Attempts++
+		b.host.StartAttempt(c, p, c.Deadline-b.now)
 		return
 	}
-	b.host.Defer(c, 0)
+	b.host.Reject(c, 0)
 }
 
-func (b *Plain) pick(c *routing.Contact) *routing.Pool {
-	if !b.random && c.Home != nil && c.Home.State == routing.Ready && c.Rings == 0 && b.free(c.Home) > 0 {
-		return c.Home
+func (b *Plain) pick(c *routing.Call) *routing.Endpoint {
+	if !b.random && c.Destination != nil && c.Destination.State == routing.Ready && c.Attempts == 0 && b.free(c.Destination) > 0 {
+		return c.Destination
 	}
 	total := 0.0
 	for _, p := range b.pools {
@@ -81,7 +81,7 @@
 	return nil
 }
 
-func (b *Plain) tickets(p *routing.Pool) float64 {
+func (b *Plain) tickets(p *routing.Endpoint) float64 {
 	switch {
 	case p.State != routing.Ready:
 		return 0
@@ -89,65 +89,65 @@
 		return 1
 	}
 	size := 1.0
-	if p.Report.Rate >= 0 {
-		size = p.Report.Rate
+	if p.LoadReport.RateLimit >= 0 {
+		size = p.LoadReport.RateLimit
 	}
 	return size * b.free(p) * b.free(p)
 }
 
-func (b *Plain) free(p *routing.Pool) float64 {
-	r := &p.Report
+func (b *Plain) free(p *routing.Endpoint) float64 {
+	r := &p.LoadReport
 	f := 1.0
 	switch {
-	case !math.IsNaN(r.Util):
-		f = 1 - r.Util
-	case !math.IsNaN(r.Wait):
-		f = 1 - r.Wait/3000
-	case !math.IsNaN(r.Holdback):
-		f = 1 - r.Holdback
+	case !math.IsNaN(r.Utilization):
+		f = 1 - r.Utilization
+	case !math.IsNaN(r.QueueDelay):
+		f = 1 - r.QueueDelay/3000
+	case !math.IsNaN(r.LossFraction):
+		f = 1 - r.LossFraction
 	}
 	return math.Max(0, f)
 }
 
-// Stood implements host.Module.
-func (b *Plain) Stood(now float64, _ *routing.Ring) { b.now = now }
+// OnAnswer implements host.Module.
+func (b *Plain) OnAnswer(now float64, _ *routing.Attempt) { b.now = now }
 
-// Ended implements host.Module.
-func (b *Plain) Ended(now float64, r *routing.Ring, closed bool) {
+// OnAttemptEnd implements host.Module.
+func (b *Plain) OnAttemptEnd(now float64, r *routing.Attempt, closed bool) {
 	b.now = now
-	c := r.Contact
-	if closed || c.Over {
+	c := r.Call
+	if closed || c.Finished {
 		return
 	}
-	if r.End == routing.TimedOut || r.End == routing.Reset || r.End == routing.Cancelled {
-		c.NotTill = now + b.set.ClearWait
-		b.host.Wake(c.NotTill, c)
-		if c.NotTill >= c.Until {
-			b.host.Abandon(c)
+	if r.Outcome == routing.TimedOut || r.Outcome == routing.Reset || r.Outcome == routing.Canceled {
+		c.RetryNotBefore = now + b.set.RetryHoldOff
+		b.host.ScheduleWakeup(c.RetryNotBefore, c)
+		if c.RetryNotBefore >= c.Deadline {
+			b.host.Fail(c)
 		}
 		return
 	}
 	b.try(c)
 }
 
-// Left implements host.Module.
-func (b *Plain) Left(now float64, _ *routing.Contact) { b.now = now }
+// OnHangup implements host.Module.
+func (b *Plain) OnHangup(now float64, _ *routing.Call) { b.now = now }
 
-// Reported implements host.Module.
-func (b *Plain) Reported(now float64, _ *routing.Pool, _, _ bool) { b.now = now }
+// OnLoadReport implements host.Module.
+func (b *Plain) OnLoadReport(now float64, _ *routing.Endpoint, _, _ bool) { b.now = now }
 
-// Told implements host.Module.
-func (b *Plain) Told(now float64, _ int, _ []byte) { b.now = now }
+// OnGossip implements host.Module.
+func (b *Plain) OnGossip(now float64, _ int, _ []byte) { b.now = now }
 
-// Woken implements host.Module.
-func (b *Plain) Woken(now float64, c *routing.Contact) {
+// OnWakeup implements host.Module.
+func (b *Plain) OnWakeup(now float64, c *routing.Call) {
 	b.now = now
-	if c != nil && !c.Over && c.Out == nil {
+	if c != nil && !c.Finished && c.InFlight == nil {
 		b.try(c)
 	}
 }
 
 func (b *Plain) chance() float64 {
 	b.draws++
-	return detrand.Of(b.set.Seed, b.draws)
+	return detrand.Float64(b.set.Seed, b.draws)
 }
--- a/internal/emulator/binarystandin/standin.go
+++ b/internal/emulator/binarystandin/standin.go
@@ -43,7 +43,7 @@
 
 // World is one gateway among its stand-ins.
 type World struct {
-	M      *binarygateway.Machine
+	M      *binarygateway.Gateway
 	Judge  *binaryconformance.Judge
 	Faults Faults
 	Rate   float64 // set-ups a second
@@ -57,7 +57,7 @@
 	switches    map[netip.AddrPort]*Switch
 	order       []*Switch
 	conns       []*conn // callers'
-	byLink      map[*binarygateway.Link]*conn
+	byLink      map[*binarygateway.Conn]*conn
 	lines       int
 	calls       uint64
 	no          uint32
@@ -81,7 +81,7 @@
 // conn is one connection's other end.
 type conn struct {
 	w      *World
-	link   *binarygateway.Link
+	link   *binarygateway.Conn
 	number int
 	sw     *Switch // nil: a caller's
 	reader binarymessage.Reader
@@ -91,9 +91,9 @@
 }
 
 // New makes a world of so many switches.
-func New(seed uint64, cfg *binarygateway.Config, mk endpointset.Maker, n int, j *binaryconformance.Judge) *World {
-	w := &World{Judge: j, seed: seed, now: 1e6, switches: map[netip.AddrPort]*Switch{}, byLink: map[*binarygateway.Link]*conn{}, Rate: 20, Hold: 800, Work: 30}
-	cfg.Clock = func(unix float64) float64 { return unix }
+func New(seed uint64, cfg *binarygateway.Config, mk endpointset.PolicyFactory, n int, j *binaryconformance.Judge) *World {
+	w := &World{Judge: j, seed: seed, now: 1e6, switches: map[netip.AddrPort]*Switch{}, byLink: map[*binarygateway.Conn]*conn{}, Rate: 20, Hold: 800, Work: 30}
+	cfg.FromUnixMillis = func(unix float64) float64 { return unix }
 	w.M = binarygateway.New(w.now, cfg, mk, w)
 	for range n {
 		w.birth()
@@ -105,12 +105,12 @@
 // Chance draws a number from 0 to 1.
 func (w *World) Chance() float64 {
 	w.draws++
-	return detrand.Of(w.seed, w.draws)
+	return detrand.Float64(w.seed, w.draws)
 }
 
 func (w *World) hits(share float64) bool { return share > 0 && w.Chance() < share }
 
-func (w *World) after(ms float64, do func()) { w.q.Set(w.now+ms, do) }
+func (w *World) after(ms float64, do func()) { w.q.Schedule(w.now+ms, do) }
 
 // birth puts a new switch up; it may take the address of one that has gone.
 func (w *World) birth() *Switch {
@@ -137,15 +137,15 @@
 // told delivers the list.
 func (w *World) told() {
 	w.no++
-	l := &dnsdiscovery.List{No: w.no, Whole: true}
+	l := &dnsdiscovery.List{Serial: w.no, Complete: true}
 	for _, s := range w.order {
 		if s.state != routing.Gone {
-			l.Targets = append(l.Targets, dnsdiscovery.Target{ID: s.id, Addr: s.addr, Cell: s.cell, State: s.state})
+			l.Targets = append(l.Targets, dnsdiscovery.Target{ID: s.id, Addr: s.addr, DestinationID: s.cell, State: s.state})
 		}
 		w.Judge.Listed(w.now, s.id, s.state == routing.Ready)
 	}
 	w.order = slices.DeleteFunc(w.order, func(s *Switch) bool { return s.state == routing.Gone })
-	w.M.Listed(w.now, l)
+	w.M.OnEndpointList(w.now, l)
 }
 
 // Run plays till a time on from the start, ms.
@@ -159,8 +159,8 @@
 	w.after(50, w.arrive)
 	w.after(500, w.trouble)
 	for w.now < end {
-		w.M.Turn(w.now)
-		next := math.Min(math.Min(w.q.Next(), w.M.Next()), end)
+		w.M.Step(w.now)
+		next := math.Min(math.Min(w.q.Next(), w.M.NextWakeup()), end)
 		w.now = math.Max(w.now+0.01, next)
 		w.q.Run(w.now)
 	}
@@ -243,7 +243,7 @@
 	w.conns = slices.DeleteFunc(w.conns, func(c *conn) bool { return c.closed })
 	if len(w.conns) < 3 {
 		c := &conn{w: w}
-		c.link = w.M.Accepted(w.now, c, netip.MustParseAddr("127.0.0.9"))
+		c.link = w.M.OnAccepted(w.now, c, netip.MustParseAddr("127.0.0.9"))
 		if c.link == nil {
 			return
 		}
@@ -254,15 +254,15 @@
 	w.calls++
 	id := detrand.Hash(w.seed, 0xca11, w.calls)
 	patience := 1500 + 1500*w.Chance()
-	c.say(binarymessage.SetUp, id, binarymessage.Text(binarymessage.Class, "voice"), binarymessage.Text(binarymessage.Patience, strconv.Itoa(int(patience))),
-		binarymessage.Text(binarymessage.Number, "n"+strconv.FormatUint(id%50, 10)), binarymessage.Text(binarymessage.Figures, "dest:"+strconv.Itoa(int(id%4))+";width:1;via:-1"),
-		binarymessage.Text(binarymessage.Description, "offer"))
+	c.say(binarymessage.Setup, id, binarymessage.TextParam(binarymessage.Class, "voice"), binarymessage.TextParam(binarymessage.Patience, strconv.Itoa(int(patience))),
+		binarymessage.TextParam(binarymessage.Number, "n"+strconv.FormatUint(id%50, 10)), binarymessage.TextParam(binarymessage.Figures, "dest:"+strconv.Itoa(int(id%4))+";width:1;via:-1"),
+		binarymessage.TextParam(binarymessage.Description, "offer"))
 	c.open = append(c.open, id)
 	if w.hits(w.Faults.Leaves) {
 		w.after(w.Chance()*3*w.Work, func() {
 			if !c.closed && slices.Contains(c.open, id) {
 				c.open = slices.DeleteFunc(c.open, func(o uint64) bool { return o == id })
-				c.say(binarymessage.Release, id, binarymessage.Why(binarymessage.Normal))
+				c.say(binarymessage.Release, id, binarymessage.CauseParam(binarymessage.Normal))
 			}
 		})
 	}
@@ -290,7 +290,7 @@
 			n = 1 + int(w.Chance()*float64(len(b)))
 		}
 		n = min(n, len(b))
-		w.M.Received(w.now, c.link, slices.Clone(b[:n]))
+		w.M.OnData(w.now, c.link, slices.Clone(b[:n]))
 		b = b[n:]
 	}
 }
@@ -301,7 +301,7 @@
 		return
 	}
 	c.gone()
-	c.w.M.Closed(c.w.now, c.link, binarygateway.Reset)
+	c.w.M.OnClosed(c.w.now, c.link, binarygateway.ClosedReset)
 }
 
 // gone notes that a connection has ended.
@@ -325,15 +325,15 @@
 }
 
 // Write implements platform.Out.
-func (w *World) Write(l *binarygateway.Link, b []byte) bool {
-	c := l.Conn.(*conn)
+func (w *World) Write(l *binarygateway.Conn, b []byte) bool {
+	c := l.Socket.(*conn)
 	if c.sw != nil && w.hits(w.Faults.Stuck) {
 		c.stuck = b
 		w.after(20+200*w.Chance(), func() {
 			if !c.closed {
 				c.stuck = nil
 				c.take(b)
-				w.M.Left(w.now, l)
+				w.M.OnFlushed(w.now, l)
 			}
 		})
 		return false
@@ -364,45 +364,45 @@
 	if m.Type() == binarymessage.Answer && c.w.hits(c.w.Faults.Hangs) {
 		c.w.after(c.w.Chance()*c.w.Hold, func() {
 			if !c.closed {
-				c.say(binarymessage.Release, id, binarymessage.Why(binarymessage.Normal))
+				c.say(binarymessage.Release, id, binarymessage.CauseParam(binarymessage.Normal))
 			}
 		})
 	}
 }
 
 // Dial implements platform.Out.
-func (w *World) Dial(l *binarygateway.Link, to netip.AddrPort) {
+func (w *World) Dial(l *binarygateway.Conn, to netip.AddrPort) {
 	w.lines++
 	c := &conn{w: w, link: l, number: w.lines}
-	l.Conn = c
+	l.Socket = c
 	s := w.switches[to]
 	w.after(0.3+w.Chance(), func() {
 		switch {
 		case c.closed || s != nil && s.vanished && !s.dead:
 		case s == nil || s.dead:
 			c.closed = true
-			w.M.Closed(w.now, l, binarygateway.Refused)
+			w.M.OnClosed(w.now, l, binarygateway.ClosedRefused)
 		default:
 			c.sw = s
 			s.lines = append(s.lines, c)
-			w.M.Connected(w.now, l)
-			c.say(binarymessage.State, 0, binarymessage.Text(binarymessage.Report, "free:20;size:40;busy:-1;q:-1"))
+			w.M.OnConnected(w.now, l)
+			c.say(binarymessage.LoadState, 0, binarymessage.TextParam(binarymessage.Report, "free:20;size:40;busy:-1;q:-1"))
 		}
 	})
 }
 
-// Shut implements platform.Out.
-func (w *World) Shut(l *binarygateway.Link) {
-	if c := l.Conn.(*conn); !c.closed {
+// Close implements platform.Out.
+func (w *World) Close(l *binarygateway.Conn) {
+	if c := l.Socket.(*conn); !c.closed {
 		c.gone()
 	}
 }
 
 // CloseWrite implements platform.Out.
-func (w *World) CloseWrite(*binarygateway.Link) {}
+func (w *World) CloseWrite(*binarygateway.Conn) {}
 
-// Tell implements platform.Out.
-func (w *World) Tell(int, []byte) {}
+// SendGossip implements platform.Out.
+func (w *World) SendGossip(int, []byte) {}
 
 // heard is what a switch does with a message.
 func (s *Switch) heard(c *conn, m binarymessage.Message) {
@@ -414,7 +414,7 @@
 	case binarymessage.Release:
 		delete(s.open, id)
 		delete(s.standing, id)
-	case binarymessage.SetUp:
+	case binarymessage.Setup:
 		s.open[id] = c
 		wait := w.Work * (0.5 + w.Chance())
 		late := w.hits(f.Late)
@@ -433,7 +433,7 @@
 	if c.closed || s.vanished || s.dead || s.open[id] != c && !late {
 		return
 	}
-	report := binarymessage.Text(binarymessage.Report, "free:20;size:40;busy:0.4;q:1")
+	report := binarymessage.TextParam(binarymessage.Report, "free:20;size:40;busy:0.4;q:1")
 	switch {
 	case w.hits(f.Reset):
 		c.reset()
@@ -444,15 +444,15 @@
 		return
 	case w.hits(f.Full):
 		delete(s.open, id)
-		c.say(binarymessage.Release, id, binarymessage.Why(binarymessage.NoCircuit), binarymessage.Text(binarymessage.Note, "cpu_full"), binarymessage.Text(binarymessage.Busy, "50"), report)
+		c.say(binarymessage.Release, id, binarymessage.CauseParam(binarymessage.NoCircuit), binarymessage.TextParam(binarymessage.Note, "cpu_full"), binarymessage.TextParam(binarymessage.Busy, "50"), report)
 		return
 	case w.hits(f.Bad):
 		delete(s.open, id)
-		c.say(binarymessage.Release, id, binarymessage.Why(binarymessage.Fault), report)
+		c.say(binarymessage.Release, id, binarymessage.CauseParam(binarymessage.Fault), report)
 		return
 	}
 	if w.hits(f.Ahead) {
-		c.say(binarymessage.Answer, id^0xffff, binarymessage.Text(binarymessage.Description, "another's"), report)
+		c.say(binarymessage.Answer, id^0xffff, binarymessage.TextParam(binarymessage.Description, "another's"), report)
 	}
 	delete(s.open, id)
 	s.standing[id] = true
@@ -461,7 +461,7 @@
 		times = 2
 	}
 	for range times {
-		c.say(binarymessage.Answer, id, binarymessage.Text(binarymessage.Description, "answer"), report)
+		c.say(binarymessage.Answer, id, binarymessage.TextParam(binarymessage.Description, "answer"), report)
 	}
 	w.after(w.Hold*(0.5+w.Chance()), func() {
 		if !s.standing[id] || s.dead || s.vanished {
@@ -479,6 +479,6 @@
 			}
 			on = s.lines[0]
 		}
-		on.say(binarymessage.Release, id, binarymessage.Why(cause), report)
+		on.say(binarymessage.Release, id, binarymessage.CauseParam(cause), report)
 	})
 }
--- a/internal/emulator/callers/caller.go
+++ b/internal/emulator/callers/caller.go
@@ -98,7 +98,7 @@
 func (c *Callers) Plan(a *Arrival) {
 	s := &Story{Arrival: a, StoodAt: math.NaN()}
 	c.Stories = append(c.Stories, s)
-	c.timers.Set(a.At, func() { c.dial(s) })
+	c.timers.Schedule(a.At, func() { c.dial(s) })
 }
 
 // Receive takes a datagram.
@@ -162,7 +162,7 @@
 	r.AppendHeader(sip.NewHeader("Expires", fmt.Sprint(int(wait/1000))))
 	r.AppendHeader(sip.NewHeader("Content-Type", "application/sdp"))
 	r.SetBody([]byte(body))
-	t.timer = c.timers.Set(c.now+wait, t.giveUp)
+	t.timer = c.timers.Schedule(c.now+wait, t.giveUp)
 	t.tx = c.sip.Ask(r, c.edge, sip.HeaderParams{{K: "rport"}}, t.heard)
 }
 
@@ -179,7 +179,7 @@
 
 func (t *try) done() {
 	t.over = true
-	t.of.timers.Stop(t.timer)
+	t.of.timers.Cancel(t.timer)
 	delete(t.of.bySess, t.session)
 }
 
@@ -204,10 +204,10 @@
 			return
 		}
 		t.stands = true
-		c.timers.Stop(t.timer)
+		c.timers.Cancel(t.timer)
 		t.story.Answers = append(t.story.Answers, res.StatusCode)
 		t.story.StoodAt = c.now
-		t.timer = c.timers.Set(c.now+t.story.Hold, func() {
+		t.timer = c.timers.Schedule(c.now+t.story.Hold, func() {
 			t.bye(`Q.850;cause=16`)
 			c.end(t.story)
 		})
@@ -248,7 +248,7 @@
 	if told > 0 && c.names.Chance() < c.Honour {
 		pause = math.Min(told, c.MaxWait)
 	}
-	c.timers.Set(c.now+pause, func() { c.dial(s) })
+	c.timers.Schedule(c.now+pause, func() { c.dial(s) })
 }
 
 func (c *Callers) end(s *Story) { s.Ended = true }
@@ -260,7 +260,7 @@
 		return
 	}
 	t.story.Cut = true
-	c.timers.Set(now+c.Silence, func() {
+	c.timers.Schedule(now+c.Silence, func() {
 		if !t.over {
 			t.bye(`Q.850;cause=41;text="Temporary failure"`)
 			c.end(t.story)
--- a/internal/emulator/calltrace/trace.go
+++ b/internal/emulator/calltrace/trace.go
@@ -323,13 +323,13 @@
 	var out []*api.Call
 	for i, c := range of {
 		n := int(factor)
-		if detrand.Of(seed, uint64(i), 0) < factor-math.Floor(factor) {
+		if detrand.Float64(seed, uint64(i), 0) < factor-math.Floor(factor) {
 			n++
 		}
 		for k := range n {
 			d := proto.CloneOf(c)
 			if k > 0 {
-				d.AtMs += jitter * detrand.Of(seed, uint64(i), uint64(k))
+				d.AtMs += jitter * detrand.Float64(seed, uint64(i), uint64(k))
 			}
 			out = append(out, d)
 		}
--- a/internal/emulator/coreswitch/core.go
+++ b/internal/emulator/coreswitch/core.go
@@ -119,7 +119,7 @@
 	}
 	s.sip.Now = now
 	s.sip.OnRepeat = s.repeated
-	s.timers.Set(now+s.names.Chance()*m.Refresh, s.refresh)
+	s.timers.Schedule(now+s.names.Chance()*m.Refresh, s.refresh)
 	return s
 }
 
@@ -398,7 +398,7 @@
 		}
 	}
 	s.busy, s.busySince = true, s.now
-	s.timers.Set(s.now+j.work/math.Max(1e-6, s.speed()), func() {
+	s.timers.Schedule(s.now+j.work/math.Max(1e-6, s.speed()), func() {
 		s.busy = false
 		s.busySum += s.now - math.Max(s.since, s.busySince)
 		j.do()
@@ -420,7 +420,7 @@
 	r.loss = math.Max(0, math.Min(100, 100*noisy(s.wait()/s.WaitLimit)))
 	s.shown = append(s.shown, r)
 	s.busySum, s.since = 0, s.now
-	s.timers.Set(s.now+s.Refresh, s.refresh)
+	s.timers.Schedule(s.now+s.Refresh, s.refresh)
 }
 
 // loaded puts the report into an answer.
--- a/internal/emulator/dnsserver/names.go
+++ b/internal/emulator/dnsserver/names.go
@@ -43,7 +43,7 @@
 	for i := range len(number) {
 		h = h*31 + uint64(number[i])
 	}
-	return detrand.Of(h, what)
+	return detrand.Float64(h, what)
 }
 
 // rules are those of a domain; false: there is no such name.
@@ -108,7 +108,7 @@
 
 func (s *Server) draw() float64 {
 	s.drawn++
-	return detrand.Of(s.Seed, s.drawn)
+	return detrand.Float64(s.Seed, s.drawn)
 }
 
 // Datagram answers a datagram.
--- a/internal/emulator/enumclient/kiosk.go
+++ b/internal/emulator/enumclient/kiosk.go
@@ -67,7 +67,7 @@
 func (k *Kiosks) Plan(v *Visit) {
 	v.Named = math.NaN()
 	k.Visits = append(k.Visits, v)
-	k.timers.Set(v.At, func() { k.ask(v) })
+	k.timers.Schedule(v.At, func() { k.ask(v) })
 }
 
 // Wake runs what is due.
@@ -105,7 +105,7 @@
 
 func (k *Kiosks) put(a *ask) {
 	k.send(a.data)
-	a.timer = k.timers.Set(k.now+k.Wait, func() {
+	a.timer = k.timers.Schedule(k.now+k.Wait, func() {
 		if a.left == 0 {
 			delete(k.open, a.id)
 			k.Silent++
@@ -119,7 +119,7 @@
 
 func (k *Kiosks) again(v *Visit) {
 	if v.Asks <= k.Asks {
-		k.timers.Set(k.now+k.Pause*(0.5+k.names.Chance()), func() { k.ask(v) })
+		k.timers.Schedule(k.now+k.Pause*(0.5+k.names.Chance()), func() { k.ask(v) })
 	}
 }
 
@@ -140,7 +140,7 @@
 	}
 	a.visit.Answers++
 	delete(k.open, a.id)
-	k.timers.Stop(a.timer)
+	k.timers.Cancel(a.timer)
 	user, to, ok := Named(m)
 	switch {
 	case ok:
--- a/internal/emulator/prefixbaseline/prefixes.go
+++ b/internal/emulator/prefixbaseline/prefixes.go
@@ -77,8 +77,8 @@
 	seen := map[string]bool{}
 	var of []prefixtrie.Prefix
 	for i := uint64(0); len(of) < n; i++ {
-		length := []int{4, 7, 7, 10, 11, 11, 11, 11}[int(detrand.Of(1, i)*8)]
-		d := fmt.Sprintf("1%010d", uint64(detrand.Of(2, i)*1e10))[:length]
+		length := []int{4, 7, 7, 10, 11, 11, 11, 11}[int(detrand.Float64(1, i)*8)]
+		d := fmt.Sprintf("1%010d", uint64(detrand.Float64(2, i)*1e10))[:length]
 		if !seen[d] {
 			seen[d] = true
 			of = append(of, prefixtrie.Prefix{Digits: d, Value: uint32(len(of))})
--- a/internal/emulator/prefixbaseline/prefixes_test.go
+++ b/internal/emulator/prefixbaseline/prefixes_test.go
@@ -17,8 +17,8 @@
 	}
 	found := 0
 	for i := range uint64(20000) {
-		n := of[int(detrand.Of(1, i)*5000)].Digits
-		n = n[:1+int(detrand.Of(2, i)*float64(len(n)))] + "5550123"
+		n := of[int(detrand.Float64(1, i)*5000)].Digits
+		n = n[:1+int(detrand.Float64(2, i)*float64(len(n)))] + "5550123"
 		v, l, ok := trie.Find(n)
 		mv, ml, mok := m.Find(n)
 		sv, sl, sok := s.Find(n)
--- a/internal/emulator/processrun/day.go
+++ b/internal/emulator/processrun/day.go
@@ -63,7 +63,7 @@
 	api.UnimplementedPoolListServer
 	o       Options
 	st      *scenario.Stage
-	sockets *reactor.Sockets
+	sockets *reactor.UDPSockets
 	list    net.Listener
 	server  *grpc.Server
 	mu      sync.Mutex
@@ -340,15 +340,15 @@
 		p("    %q,", netip.AddrPortFrom(o.Addr.Addr(), uint16(r.o.Port+20)))
 	}
 	p("  ]\n}\nlist {\n  addr = %q\n}\nlog {\n  level = %q\n}", r.list.Addr(), r.o.Level)
-	p("allow {\n  max_rings = %d\n  probe = %t\n  tell = %t\n  cancel = %t\n  name_wait = %t\n  max_wait = %q\n}", c.Set.MaxRings, c.Set.MayProbe,
-		c.Set.MayTell, c.Set.MayCancel, c.Set.MayWait, ms(c.Set.MaxWait))
+	p("allow {\n  max_rings = %d\n  probe = %t\n  tell = %t\n  cancel = %t\n  name_wait = %t\n  max_wait = %q\n}", c.Set.MaxAttempts, c.Set.ProbeEnabled,
+		c.Set.GossipEnabled, c.Set.CancelEnabled, c.Set.RetryAfterEnabled, ms(c.Set.MaxRetryAfter))
 	p("timers {\n  t1 = %q\n  t2 = %q\n  t4 = %q\n}", ms(c.Times.T1), ms(c.Times.T2), ms(c.Times.T4))
-	p("rules {\n  slack = %q\n  clear_wait = %q\n  cold_share = %g\n  warm_within = %q\n  tip_multiple = %g\n  tip_time = %q\n}", ms(c.Set.Slack),
-		ms(c.Set.ClearWait), c.Set.ColdShare, ms(c.Set.WarmWithin), c.Set.TipMultiple, ms(c.Set.TipTime))
-	for _, k := range c.Set.Skills {
-		p("skill %q {\n  target = %q\n  patience = %q\n  value = %g\n  late_value = %g\n  hold = %q\n}", k.Name, ms(k.Target), ms(k.Patience), k.Value, k.LateValue, ms(k.Hold))
+	p("rules {\n  slack = %q\n  clear_wait = %q\n  cold_share = %g\n  warm_within = %q\n  tip_multiple = %g\n  tip_time = %q\n}", ms(c.Set.AnswerGrace),
+		ms(c.Set.RetryHoldOff), c.Set.SlowStartFraction, ms(c.Set.SlowStartDuration), c.Set.OverloadFactor, ms(c.Set.OverloadWindow))
+	for _, k := range c.Set.Classes {
+		p("skill %q {\n  target = %q\n  patience = %q\n  value = %g\n  late_value = %g\n  hold = %q\n}", k.Name, ms(k.LatencyObjective), ms(k.Timeout), k.Weight, k.LateWeightFraction, ms(k.MeanHoldingTime))
 	}
-	for _, k := range c.Set.Customers {
+	for _, k := range c.Set.Tenants {
 		p("customer %q {\n}", k.Name)
 	}
 	for _, t := range c.Groups {
--- a/internal/emulator/scenario/guards_test.go
+++ b/internal/emulator/scenario/guards_test.go
@@ -13,15 +13,15 @@
 
 // rogue is a module that breaks one rule and leaves the rest to the real one.
 type rogue struct {
-	endpointset.Module
+	endpointset.Policy
 	h     routing.Host
 	rule  int
 	n     int
-	pools []*routing.Pool
+	pools []*routing.Endpoint
 	set   *routing.Settings
 }
 
-func (r *rogue) Listed(now float64, changed []*routing.Pool) {
+func (r *rogue) OnEndpoints(now float64, changed []*routing.Endpoint) {
 	for _, p := range changed {
 		known := false
 		for _, q := range r.pools {
@@ -31,55 +31,55 @@
 			r.pools = append(r.pools, p)
 		}
 	}
-	r.Module.Listed(now, changed)
+	r.Policy.OnEndpoints(now, changed)
 }
 
-func (r *rogue) Offered(now float64, c *routing.Contact) {
+func (r *rogue) OnCall(now float64, c *routing.Call) {
 	r.n++
 	switch {
 	case r.rule == 1 && r.n%10 == 0: // a ring after the answer
-		r.h.Defer(c, 0)
-		r.h.Ring(c, r.pools[0], 1000)
+		r.h.Reject(c, 0)
+		r.h.StartAttempt(c, r.pools[0], 1000)
 	case r.rule == 1 && r.n%10 == 5: // forgotten
 	case r.rule == 2 && r.n%10 == 0: // two at once
-		r.h.Ring(c, r.pools[0], 1000)
-		r.h.Ring(c, r.pools[1], 1000)
+		r.h.StartAttempt(c, r.pools[0], 1000)
+		r.h.StartAttempt(c, r.pools[1], 1000)
 	case r.rule == 3: // to pools that drain as to any
-		r.h.Ring(c, r.pools[r.n%len(r.pools)], c.Until-now)
+		r.h.StartAttempt(c, r.pools[r.n%len(r.pools)], c.Deadline-now)
 	case r.rule == 5 && r.n%3 == 0: // called off at once, and sent again as soon as that is over
-		r.h.Ring(c, r.pools[0], c.Until-now)
-		r.h.Wake(now+8, c)
+		r.h.StartAttempt(c, r.pools[0], c.Deadline-now)
+		r.h.ScheduleWakeup(now+8, c)
 	default:
-		r.Module.Offered(now, c)
+		r.Policy.OnCall(now, c)
 	}
 }
 
-func (r *rogue) Woken(now float64, c *routing.Contact) {
-	if r.rule == 5 && c != nil && c.Out != nil && !c.Stands {
-		r.h.Cancel(c.Out)
-		r.h.Wake(now+8, c)
+func (r *rogue) OnWakeup(now float64, c *routing.Call) {
+	if r.rule == 5 && c != nil && c.InFlight != nil && !c.Established {
+		r.h.CancelAttempt(c.InFlight)
+		r.h.ScheduleWakeup(now+8, c)
 		return
 	}
-	r.Module.Woken(now, c)
+	r.Policy.OnWakeup(now, c)
 }
 
-func (r *rogue) Stood(now float64, ring *routing.Ring) {
+func (r *rogue) OnAnswer(now float64, ring *routing.Attempt) {
 	if r.rule == 4 || r.rule == 0 {
-		r.Module.Stood(now, ring)
+		r.Policy.OnAnswer(now, ring)
 	}
 }
 
-func (r *rogue) Ended(now float64, ring *routing.Ring, closed bool) {
-	c := ring.Contact
+func (r *rogue) OnAttemptEnd(now float64, ring *routing.Attempt, closed bool) {
+	c := ring.Call
 	switch {
 	case r.rule == 4 || r.rule == 0:
-		r.Module.Ended(now, ring, closed)
-	case c.Over || c.Stands || c.Out != nil:
-	case r.rule == 5 && ring.End == routing.Cancelled && c.Rings < 5:
-		c.Rings++
-		r.h.Ring(c, r.pools[0], c.Until-now)
+		r.Policy.OnAttemptEnd(now, ring, closed)
+	case c.Finished || c.Established || c.InFlight != nil:
+	case r.rule == 5 && ring.Outcome == routing.Canceled && c.Attempts < 5:
+		c.Attempts++
+		r.h.StartAttempt(c, r.pools[0], c.Deadline-now)
 	default:
-		r.h.Defer(c, 0)
+		r.h.Reject(c, 0)
 	}
 }
 
@@ -97,7 +97,7 @@
 }
 
 // judged plays a day and returns what the checker finds; build makes the module, change may alter each gateway.
-func judged(s *scenariofile.Script, build endpointset.Maker, off int) *conformance.Checker {
+func judged(s *scenariofile.Script, build endpointset.PolicyFactory, off int) *conformance.Checker {
 	k := conformance.New()
 	st := New(s, 5060, func(r *api.Record) { k.Add(r) })
 	st.Off = off
@@ -111,8 +111,8 @@
 // switched off the checker sees the rule broken in the traffic.
 func TestGuardsAndChecker(t *testing.T) {
 	for _, rule := range []int{1, 2, 3, 5} {
-		mk := func(set *routing.Settings, h routing.Host) endpointset.Module {
-			return &rogue{Module: router.New(set, h), h: h, rule: rule, set: set}
+		mk := func(set *routing.Settings, h routing.Host) endpointset.Policy {
+			return &rogue{Policy: router.New(set, h), h: h, rule: rule, set: set}
 		}
 		if k := judged(short(t), mk, 0); len(k.Findings) > 0 {
 			t.Errorf("rule %d, guard on: %v", rule, k.Findings[0])
@@ -131,10 +131,10 @@
 		s.Length, s.Load.Rate, s.Rules.ColdShare, s.Rules.TipTimes = 20000, 95, 0.2, 1.2
 		s.Pools.Model.ColdShare, s.Pools.Model.TipTimes, s.Pools.Model.Warm = 0.2, 0, 14000
 		s.Troubles = []scenariofile.Trouble{{Kind: "silent", At: 4000, For: 5000, Part: 0.5}}
-		k := judged(s, func(set *routing.Settings, h routing.Host) endpointset.Module {
+		k := judged(s, func(set *routing.Settings, h routing.Host) endpointset.Policy {
 			if !guarded {
-				set.TipMultiple = 0
-				return &pusher{rogue{Module: router.New(set, h), h: h, set: set}}
+				set.OverloadFactor = 0
+				return &pusher{rogue{Policy: router.New(set, h), h: h, set: set}}
 			}
 			return router.New(set, h)
 		}, 0)
@@ -147,12 +147,12 @@
 // pusher sends all it has to a pool that starts.
 type pusher struct{ rogue }
 
-func (p *pusher) Offered(now float64, c *routing.Contact) {
+func (p *pusher) OnCall(now float64, c *routing.Call) {
 	for _, q := range p.pools {
-		if q.Since > 0 && q.State == routing.Ready {
-			p.h.Ring(c, q, c.Until-now)
+		if q.StartedAt > 0 && q.State == routing.Ready {
+			p.h.StartAttempt(c, q, c.Deadline-now)
 			return
 		}
 	}
-	p.rogue.Offered(now, c)
+	p.rogue.OnCall(now, c)
 }
--- a/internal/emulator/scenario/stage.go
+++ b/internal/emulator/scenario/stage.go
@@ -508,17 +508,17 @@
 // Settings are what the decision module of a gateway is told.
 func (st *Stage) Settings(g *Gateway) *routing.Settings {
 	s := st.Script
-	set := &routing.Settings{Gateways: s.Gateways.Count, Me: g.Number, Seed: s.Seed*1000003 + uint64(g.Number), Tick: s.Gateways.Tick,
-		MaxRings: s.Gateways.MaxRings, MayProbe: s.Gateways.Probe, MayTell: s.Gateways.Tell, MayCancel: s.Gateways.Cancel,
-		MayWait: s.Gateways.NameWait, MaxWait: float64(s.Gateways.MaxWait), Retransmit: s.Pools.Model.Times.T1,
-		Slack: s.Rules.Slack, ColdShare: s.Rules.ColdShare, WarmWithin: s.Rules.WarmWithin, TipMultiple: s.Rules.TipTimes,
-		TipTime: s.Rules.TipWindow, ClearWait: s.Rules.Clear}
+	set := &routing.Settings{Gateways: s.Gateways.Count, GatewayIndex: g.Number, Seed: s.Seed*1000003 + uint64(g.Number), TickInterval: s.Gateways.Tick,
+		MaxAttempts: s.Gateways.MaxRings, ProbeEnabled: s.Gateways.Probe, GossipEnabled: s.Gateways.Tell, CancelEnabled: s.Gateways.Cancel,
+		RetryAfterEnabled: s.Gateways.NameWait, MaxRetryAfter: float64(s.Gateways.MaxWait), RetransmitInterval: s.Pools.Model.Times.T1,
+		AnswerGrace: s.Rules.Slack, SlowStartFraction: s.Rules.ColdShare, SlowStartDuration: s.Rules.WarmWithin, OverloadFactor: s.Rules.TipTimes,
+		OverloadWindow: s.Rules.TipWindow, RetryHoldOff: s.Rules.Clear}
 	for _, k := range s.Skills {
-		set.Skills = append(set.Skills, &routing.Skill{Name: k.Name, Target: k.Target, Patience: k.Patience, Value: k.Value,
-			LateValue: k.Late, Hold: k.Hold, Repeat: true})
+		set.Classes = append(set.Classes, &routing.Class{Name: k.Name, LatencyObjective: k.Target, Timeout: k.Patience, Weight: k.Value,
+			LateWeightFraction: k.Late, MeanHoldingTime: k.Hold, Idempotent: true})
 	}
 	for _, c := range s.Payers {
-		set.Customers = append(set.Customers, &routing.Customer{Name: c.Name})
+		set.Tenants = append(set.Tenants, &routing.Tenant{Name: c.Name})
 	}
 	return set
 }
--- a/internal/emulator/scenario/stage_test.go
+++ b/internal/emulator/scenario/stage_test.go
@@ -13,7 +13,7 @@
 	"cobaltpier/internal/routing"
 )
 
-func mind(s *routing.Settings, h routing.Host) endpointset.Module { return router.New(s, h) }
+func mind(s *routing.Settings, h routing.Host) endpointset.Policy { return router.New(s, h) }
 
 func TestDayOfTrouble(t *testing.T) {
 	s, err := Day("trouble")
@@ -101,15 +101,15 @@
 	most := 0
 	for at := 0.0; at < s.Length+10000; at += 50 {
 		st.World.Run(at)
-		waiting, _ := v.Edges[0].Held()
+		waiting, _ := v.Edges[0].InProgress()
 		most = max(most, waiting)
 	}
 	k.Finish()
 	if len(k.Findings) > 0 {
 		t.Error(k.Findings[0])
 	}
-	if c := v.Edges[0].Counts; most > 400+20 || c.Turned == 0 {
-		t.Errorf("%d held at most, %d turned away", most, c.Turned)
+	if c := v.Edges[0].Counts; most > 400+20 || c.Shed == 0 {
+		t.Errorf("%d held at most, %d turned away", most, c.Shed)
 	}
 	stood, all := 0, 0
 	for _, x := range st.Gateways[0].Callers.Stories {
--- a/internal/emulator/simulation/world.go
+++ b/internal/emulator/simulation/world.go
@@ -95,7 +95,7 @@
 // Chance draws a number from 0 to 1.
 func (w *World) Chance() float64 {
 	w.draws++
-	return detrand.Of(w.Seed, w.draws)
+	return detrand.Float64(w.Seed, w.draws)
 }
 
 // Send carries a datagram from a node of ours, or from one behind a socket, over the link.
--- a/internal/emulator/virtualrun/fleet.go
+++ b/internal/emulator/virtualrun/fleet.go
@@ -31,9 +31,9 @@
 const After = 12000.0
 
 // Module is the maker of a decision module by its name: brain, or a baseline; nil for any other.
-func Module(name string) endpointset.Maker {
+func Module(name string) endpointset.PolicyFactory {
 	if name == "" || name == "brain" {
-		return func(s *routing.Settings, h routing.Host) endpointset.Module { return router.New(s, h) }
+		return func(s *routing.Settings, h routing.Host) endpointset.Policy { return router.New(s, h) }
 	}
 	return baseline.ByName(name)
 }
@@ -71,7 +71,7 @@
 }
 
 // Play plays a day.
-func Play(s *scenariofile.Script, mk endpointset.Maker, o Options) *Result {
+func Play(s *scenariofile.Script, mk endpointset.PolicyFactory, o Options) *Result {
 	begin := time.Now()
 	k := conformance.New()
 	k.Keep = o.Series
--- a/internal/gateway/binaryconfig/config.go
+++ b/internal/gateway/binaryconfig/config.go
@@ -19,23 +19,23 @@
 
 // Limits are what the gateway's machine allows it.
 type Limits struct {
-	Cores    float64 `json:"cores"`
-	MemoryMB float64 `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
+	Cores       float64 `json:"cores"`
+	MemoryMB    float64 `json:"memory_mb"`
+	Descriptors int     `json:"sockets"`
 }
 
 // Config is one gateway's.
 type Config struct {
-	Name       string
-	Listen     netip.AddrPort
-	Peer       netip.AddrPort   // not valid: no messages between gateways
-	Peers      []netip.AddrPort // of all gateways, by number
-	Nameserver netip.AddrPort
-	Limits     Limits
-	Set        *routing.Settings
-	Fields     []string // of load reports
-	Links      deployment.Links
-	Known      []dnsdiscovery.List // the name server's events till now
+	Name        string
+	Listen      netip.AddrPort
+	PeerListen  netip.AddrPort   // not valid: no messages between gateways
+	Peers       []netip.AddrPort // of all gateways, by number
+	Nameserver  netip.AddrPort
+	Limits      Limits
+	Settings    *routing.Settings
+	Fields      []string // of load reports
+	Connections deployment.Connections
+	Known       []dnsdiscovery.List // the name server's events till now
 }
 
 // Load reads a file.
@@ -76,19 +76,19 @@
 	}
 	c := &Config{Name: w.Name}
 	var err error
-	if c.Listen, err = addr("listen", w.Listen); err != nil {
+	if c.Listen, err = parseAddr("listen", w.Listen); err != nil {
 		return nil, err
 	}
-	if c.Nameserver, err = addr("nameserver", w.Nameserver); err != nil {
+	if c.Nameserver, err = parseAddr("nameserver", w.Nameserver); err != nil {
 		return nil, err
 	}
 	if w.PeerListen != "" {
-		if c.Peer, err = addr("peer_listen", w.PeerListen); err != nil {
+		if c.PeerListen, err = parseAddr("peer_listen", w.PeerListen); err != nil {
 			return nil, err
 		}
 	}
 	for i, p := range w.Peers {
-		a, err := addr(fmt.Sprintf("peers[%d]", i), p)
+		a, err := parseAddr(fmt.Sprintf("peers[%d]", i), p)
 		if err != nil {
 			return nil, err
 		}
@@ -105,41 +105,41 @@
 	if !(c.Limits.MemoryMB > 0) || math.IsInf(c.Limits.MemoryMB, 0) {
 		return nil, fmt.Errorf("limits.memory_mb: want a number above 0, got %v", c.Limits.MemoryMB)
 	}
-	if c.Limits.Sockets < leastSockets {
-		return nil, fmt.Errorf("limits.sockets: want %d or more, got %d", leastSockets, c.Limits.Sockets)
+	if c.Limits.Descriptors < minDescriptors {
+		return nil, fmt.Errorf("limits.sockets: want %d or more, got %d", minDescriptors, c.Limits.Descriptors)
 	}
 	if len(w.Settings) == 0 || bytes.Equal(w.Settings, []byte("null")) {
 		return nil, errors.New("settings: missing")
 	}
-	if c.Set, c.Fields, err = deployment.Decode(w.Settings, seed); err != nil {
+	if c.Settings, c.Fields, err = deployment.Decode(w.Settings, seed); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if len(c.Set.Skills) == 0 {
+	if len(c.Settings.Classes) == 0 {
 		return nil, errors.New("settings.lanes: want at least one class")
 	}
-	if c.Links, err = deployment.DecodeLinks(w.Settings); err != nil {
+	if c.Connections, err = deployment.DecodeConnections(w.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if c.Set.MayTell && c.Peer.IsValid() && (len(c.Peers) != c.Set.Gateways || c.Set.Me < 0 || c.Set.Me >= len(c.Peers)) {
-		return nil, fmt.Errorf("peers: want the addresses of all %d gateways, got %d", c.Set.Gateways, len(c.Peers))
+	if c.Settings.GossipEnabled && c.PeerListen.IsValid() && (len(c.Peers) != c.Settings.Gateways || c.Settings.GatewayIndex < 0 || c.Settings.GatewayIndex >= len(c.Peers)) {
+		return nil, fmt.Errorf("peers: want the addresses of all %d gateways, got %d", c.Settings.Gateways, len(c.Peers))
 	}
 	for i, raw := range w.Known.Items {
-		l, err := dnsdiscovery.Event(raw)
+		l, err := dnsdiscovery.ParseEvent(raw)
 		if err != nil {
 			return nil, fmt.Errorf("known.items[%d]: %w", i, err)
 		}
 		c.Known = append(c.Known, l)
 	}
-	if n := len(c.Known); n > 0 && c.Known[n-1].No < w.Known.No {
-		c.Known[n-1].No = w.Known.No
+	if n := len(c.Known); n > 0 && c.Known[n-1].Serial < w.Known.No {
+		c.Known[n-1].Serial = w.Known.No
 	}
 	return c, nil
 }
 
-// leastSockets is what a gateway needs to run at all.
-const leastSockets = 32
+// minDescriptors is what a gateway needs to run at all.
+const minDescriptors = 32
 
-func addr(field, s string) (netip.AddrPort, error) {
+func parseAddr(field, s string) (netip.AddrPort, error) {
 	a, err := netip.ParseAddrPort(s)
 	if err != nil {
 		return a, fmt.Errorf("%s: want an address such as \"10.0.0.4:5070\", got %q", field, s)
--- a/internal/gateway/binaryconfig/config_test.go
+++ b/internal/gateway/binaryconfig/config_test.go
@@ -26,15 +26,15 @@
 	if c.Name != "n3" || c.Listen.String() != "127.0.0.4:5070" || c.Limits != (Limits{0.5, 32, 256}) || len(c.Peers) != 2 || c.Nameserver.Port() != 5353 {
 		t.Errorf("%+v", c)
 	}
-	s := c.Set
-	if s.Seed != 0x8c1f30d27a5be964 || s.Me != 1 || s.ClearWait != 250 || s.Skills[0].Name != "voice" || s.Skills[0].Hold != 100 || !s.MayTell {
+	s := c.Settings
+	if s.Seed != 0x8c1f30d27a5be964 || s.GatewayIndex != 1 || s.RetryHoldOff != 250 || s.Classes[0].Name != "voice" || s.Classes[0].MeanHoldingTime != 100 || !s.GossipEnabled {
 		t.Errorf("settings %+v", s)
 	}
-	if c.Links.ConnectTimeout != 400 || len(c.Fields) != 2 {
-		t.Errorf("links %+v, fields %v", c.Links, c.Fields)
+	if c.Connections.ConnectTimeout != 400 || len(c.Fields) != 2 {
+		t.Errorf("links %+v, fields %v", c.Connections, c.Fields)
 	}
 	k := c.Known
-	if len(k) != 2 || !k[0].Whole || k[1].No != 41 || k[1].Targets[0].State != routing.Draining || k[1].Targets[0].Started != 1700000000000 || k[0].Targets[0].Cell != 2 {
+	if len(k) != 2 || !k[0].Complete || k[1].Serial != 41 || k[1].Targets[0].State != routing.Draining || k[1].Targets[0].StartedAt != 1700000000000 || k[0].Targets[0].DestinationID != 2 {
 		t.Errorf("known %+v", k)
 	}
 }
--- a/internal/gateway/binaryserver/leave_test.go
+++ b/internal/gateway/binaryserver/leave_test.go
@@ -65,7 +65,7 @@
 		one, two := ask(600), ask(602)
 		soon.c.Write(one[:11])
 		late.c.Write(two[:len(two)-1])
-		s.signals <- Leave
+		s.signals <- Shutdown
 		soon.c.Write(one[11:])
 		if !soon.hear(time.Second, func() bool { return len(soon.got[600]) > 0 }) || soon.got[600][0].Type() != binarymessage.Answer {
 			t.Errorf("half read, and whole soon after: %x", soon.got[600])
@@ -97,7 +97,7 @@
 		s := newStation(t, ns, a, b)
 		p := s.dial()
 		p.ready()
-		s.signals <- Leave
+		s.signals <- Shutdown
 		s.doc["nameserver"] = other.addr()
 		s.write()
 		s.signals <- Reload
@@ -109,7 +109,7 @@
 		for range 15 { // it does not stay the longer
 			time.Sleep(200 * time.Millisecond)
 			select {
-			case s.signals <- Leave:
+			case s.signals <- Shutdown:
 			default:
 			}
 		}
@@ -118,7 +118,7 @@
 	clean(t, func(t *testing.T) {
 		a := newCore(t, "s-0")
 		s := newStation(t, newNames(t, 1, a), a)
-		s.signals <- Leave
+		s.signals <- Shutdown
 		s.over(5 * time.Second)
 	})
 }
@@ -147,9 +147,9 @@
 				}
 			}
 		}()
-		p.c.Write(binarymessage.Append(nil, binarymessage.SetUp, 800, binarymessage.Text(binarymessage.Class, "voice"), binarymessage.Text(binarymessage.Number, "1"),
-			binarymessage.Text(binarymessage.Patience, "9000"))) // it waits longer than the gateway may stay
-		s.signals <- Leave
+		p.c.Write(binarymessage.Append(nil, binarymessage.Setup, 800, binarymessage.TextParam(binarymessage.Class, "voice"), binarymessage.TextParam(binarymessage.Number, "1"),
+			binarymessage.TextParam(binarymessage.Patience, "9000"))) // it waits longer than the gateway may stay
+		s.signals <- Shutdown
 		err := p.rest(6 * time.Second)
 		close(stop)
 		<-gone
@@ -205,7 +205,7 @@
 				t.Fatal(err)
 			}
 			defer c.Close()
-			c.Write(binarymessage.Append(nil, binarymessage.Test, 5000+i, binarymessage.Why(0)))
+			c.Write(binarymessage.Append(nil, binarymessage.HealthCheck, 5000+i, binarymessage.CauseParam(0)))
 			c.SetReadDeadline(time.Now().Add(2 * time.Second))
 			if _, err := io.ReadFull(c, make([]byte, 11)); err != nil {
 				t.Fatalf("caller %d was shut out: %v", i, err)
--- a/internal/gateway/binaryserver/queue.go
+++ b/internal/gateway/binaryserver/queue.go
@@ -7,19 +7,19 @@
 	"cobaltpier/internal/gateway/reactor"
 )
 
-type kind int
+type eventKind int
 
 const (
-	accepted kind = iota
+	accepted eventKind = iota
 	connected
-	data
-	left
+	received
+	flushed
 	closed
-	packet
+	datagram
 )
 
 type event struct {
-	kind   kind
+	kind   eventKind
 	stream *reactor.Stream
 	from   netip.AddrPort
 	local  netip.AddrPort
@@ -27,54 +27,54 @@
 	err    error
 }
 
-// mostBytes is how much may wait for the loop: beyond it whoever brings bytes waits, and with them the senders.
-const mostBytes = 512 << 10
+// maxQueuedBytes is how much may wait for the loop: beyond it whoever brings bytes waits, and with them the senders.
+const maxQueuedBytes = 512 << 10
 
-// queue is the way to the loop. Bytes of sockets wait where there are too many; what only says that something happened
+// eventQueue is the way to the loop. Bytes of sockets wait where there are too many; what only says that something happened
 // never waits.
-type queue struct {
-	some  chan struct{}
-	mu    sync.Mutex
-	room  *sync.Cond
-	of    []event
-	bytes int
-	ended bool
+type eventQueue struct {
+	ready   chan struct{}
+	mu      sync.Mutex
+	notFull *sync.Cond
+	events  []event
+	bytes   int
+	closed  bool
 }
 
-func newQueue() *queue {
-	q := &queue{some: make(chan struct{}, 1)}
-	q.room = sync.NewCond(&q.mu)
+func newEventQueue() *eventQueue {
+	q := &eventQueue{ready: make(chan struct{}, 1)}
+	q.notFull = sync.NewCond(&q.mu)
 	return q
 }
 
-func (q *queue) put(e event) {
+func (q *eventQueue) push(e event) {
 	q.mu.Lock()
-	for len(e.data) > 0 && q.bytes > mostBytes && !q.ended {
-		q.room.Wait()
+	for len(e.data) > 0 && q.bytes > maxQueuedBytes && !q.closed {
+		q.notFull.Wait()
 	}
-	q.of = append(q.of, e)
+	q.events = append(q.events, e)
 	q.bytes += len(e.data)
 	q.mu.Unlock()
 	select {
-	case q.some <- struct{}{}:
+	case q.ready <- struct{}{}:
 	default:
 	}
 }
 
-// take is all that has come.
-func (q *queue) take() []event {
+// drain is all that has come.
+func (q *eventQueue) drain() []event {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	of := q.of
-	q.of, q.bytes = nil, 0
-	q.room.Broadcast()
+	of := q.events
+	q.events, q.bytes = nil, 0
+	q.notFull.Broadcast()
 	return of
 }
 
-// end lets whoever waits go: nobody takes any more.
-func (q *queue) end() {
+// close lets whoever waits go: nobody takes any more.
+func (q *eventQueue) close() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.ended = true
-	q.room.Broadcast()
+	q.closed = true
+	q.notFull.Broadcast()
 }
--- a/internal/gateway/binaryserver/serve.go
+++ b/internal/gateway/binaryserver/serve.go
@@ -27,136 +27,136 @@
 
 // The signals.
 const (
-	Reload Signal = iota // the configuration was replaced
-	Leave                // a planned restart
+	Reload   Signal = iota // the configuration was replaced
+	Shutdown               // a planned restart
 )
 
-// origin is the clock's value at the start, in ms: starts of switches before that still lie after nought.
-const origin = 1e9
+// clockOrigin is the clock's value at the start, in ms: starts of switches before that still lie after nought.
+const clockOrigin = 1e9
 
 const (
-	margin   = 5.0     // ms: final answers leave so long before the caller's patience ends
-	report   = 10000.0 // ms between two lines of figures in the log
-	mostHeld = 2000    // where settings say nothing
+	answerMargin      = 5.0     // ms: final answers leave so long before the caller's patience ends
+	metricsInterval   = 10000.0 // ms between two lines of figures in the log
+	defaultMaxPending = 2000    // where settings say nothing
 )
 
-// Gateway is a running door.
-type Gateway struct {
-	file    string
-	cfg     *binaryconfig.Config
-	log     zerolog.Logger
-	m       *binarygateway.Machine
-	list    *dnsdiscovery.Roster
-	streams *reactor.Streams
-	packets *reactor.Sockets
-	asks    netip.AddrPort // where questions for the list leave
-	events  *queue
-	start   time.Time
-	said    float64
-	stage   intake.Stage
-	told    float64 // when it was told to go
-	since   float64 // when the stage began
-	looked  float64 // when the latest batch ended, 0: none yet
-	rereads int     // tries left to read a configuration that could not be used
-	reread  float64 // when the next is due
+// Server is a running door.
+type Server struct {
+	configPath      string
+	config          *binaryconfig.Config
+	log             zerolog.Logger
+	gateway         *binarygateway.Gateway
+	discovery       *dnsdiscovery.Client
+	streams         *reactor.Streams
+	datagrams       *reactor.UDPSockets
+	queryAddr       netip.AddrPort // where questions for the list leave
+	events          *eventQueue
+	startedAt       time.Time
+	metricsLoggedAt float64
+	stage           intake.Stage
+	shutdownAt      float64 // when it was told to go
+	stageSince      float64 // when the stage began
+	lastBatchAt     float64 // when the latest batch ended, 0: none yet
+	reloadsLeft     int     // tries left to read a configuration that could not be used
+	nextReloadAt    float64 // when the next is due
 }
 
 // Run runs a gateway by a configuration until it is told to leave and nothing is held.
-func Run(ctx context.Context, file string, cfg *binaryconfig.Config, mk endpointset.Maker, log zerolog.Logger, signals <-chan Signal) error {
-	g := &Gateway{file: file, cfg: cfg, log: log, events: newQueue(), start: time.Now()}
-	bootUnix := float64(g.start.UnixNano()) / 1e6
-	set := cfg.Set
-	most := cfg.Links.MostHeld
-	if most <= 0 || most > mostHeld {
-		most = mostHeld
+func Run(ctx context.Context, file string, cfg *binaryconfig.Config, mk endpointset.PolicyFactory, log zerolog.Logger, signals <-chan Signal) error {
+	s := &Server{configPath: file, config: cfg, log: log, events: newEventQueue(), startedAt: time.Now()}
+	bootUnix := float64(s.startedAt.UnixNano()) / 1e6
+	set := cfg.Settings
+	most := cfg.Connections.MaxPendingCalls
+	if most <= 0 || most > defaultMaxPending {
+		most = defaultMaxPending
 	}
-	g.m = binarygateway.New(g.now(), &binarygateway.Config{Set: set, Links: cfg.Links, Sockets: cfg.Limits.Sockets, Margin: margin,
-		Gate: intake.Gate{Most: most}, Clock: func(unix float64) float64 { return origin + unix - bootUnix }}, mk, g)
+	s.gateway = binarygateway.New(s.now(), &binarygateway.Config{Settings: set, Connections: cfg.Connections, MaxDescriptors: cfg.Limits.Descriptors, AnswerMargin: answerMargin,
+		LoadShedding: intake.Gate{Most: most}, FromUnixMillis: func(unix float64) float64 { return clockOrigin + unix - bootUnix }}, mk, s)
 	if log.GetLevel() <= zerolog.TraceLevel {
-		g.m.Tap = func(l *binarygateway.Link, out bool, msg binarymessage.Message) {
-			log.Trace().Bool("out", out).Str("with", l.With()).Hex("call", msg[3:11]).Uint8("type", msg.Type()).Uint8("cause", msg.Cause()).Str("note", msg.Text(binarymessage.Note)).Str("report", msg.Text(binarymessage.Report)).Str("number", msg.Text(binarymessage.Number)).
-				Float64("ms", g.now()-origin).Send()
+		s.gateway.OnMessage = func(l *binarygateway.Conn, out bool, msg binarymessage.Message) {
+			log.Trace().Bool("out", out).Str("with", l.PeerName()).Hex("call", msg[3:11]).Uint8("type", msg.Type()).Uint8("cause", msg.Cause()).Str("note", msg.Text(binarymessage.Note)).Str("report", msg.Text(binarymessage.Report)).Str("number", msg.Text(binarymessage.Number)).
+				Float64("ms", s.now()-clockOrigin).Send()
 		}
 	}
 	no := uint32(0)
 	for i := range cfg.Known {
-		no = cfg.Known[i].No
+		no = cfg.Known[i].Serial
 	}
-	g.list = dnsdiscovery.New(cfg.Nameserver, no, set.Seed)
+	s.discovery = dnsdiscovery.New(cfg.Nameserver, no, set.Seed)
 	udp := []netip.AddrPort{netip.AddrPortFrom(cfg.Listen.Addr(), 0)}
-	if cfg.Peer.IsValid() && set.MayTell {
-		udp = append(udp, cfg.Peer)
+	if cfg.PeerListen.IsValid() && set.GossipEnabled {
+		udp = append(udp, cfg.PeerListen)
 	}
 	var err error
 	// one over what the machine keeps, so that it may choose which to close
-	if g.streams, err = reactor.ServeStreams(cfg.Listen, intake.Callers(cfg.Limits.Sockets)+spare, cfg.Links.ConnectTimeout, g); err != nil {
-		if reactor.Taken(err) {
+	if s.streams, err = reactor.ServeStreams(cfg.Listen, intake.Callers(cfg.Limits.Descriptors)+spareConns, cfg.Connections.ConnectTimeout, s); err != nil {
+		if reactor.AddressInUse(err) {
 			return fmt.Errorf("gateway %s: listen: another program has %s: %w", cfg.Name, cfg.Listen, err)
 		}
 		return fmt.Errorf("gateway %s: %w", cfg.Name, err)
 	}
-	defer g.streams.Close()
-	if g.packets, err = reactor.Listen(udp, 1, func(local, from netip.AddrPort, b []byte) {
-		g.events.put(event{kind: packet, local: local, from: from, data: b})
+	defer s.streams.Close()
+	if s.datagrams, err = reactor.Listen(udp, 1, func(local, from netip.AddrPort, b []byte) {
+		s.events.push(event{kind: datagram, local: local, from: from, data: b})
 	}); err != nil {
 		return fmt.Errorf("gateway %s: %w", cfg.Name, err)
 	}
-	defer g.packets.Close()
-	for _, a := range g.packets.Local() {
-		if a != cfg.Peer {
-			g.asks = a
+	defer s.datagrams.Close()
+	for _, a := range s.datagrams.Local() {
+		if a != cfg.PeerListen {
+			s.queryAddr = a
 		}
 	}
-	defer g.events.end()
+	defer s.events.close()
 	for i := range cfg.Known {
-		g.m.Listed(g.now(), &cfg.Known[i])
+		s.gateway.OnEndpointList(s.now(), &cfg.Known[i])
 	}
-	log.Info().Str("listen", cfg.Listen.String()).Int("number", set.Me).Int("gateways", set.Gateways).Uint32("list", no).
-		Float64("memory_mb", cfg.Limits.MemoryMB).Int("sockets", cfg.Limits.Sockets).Msg("gateway runs")
-	g.loop(ctx, signals)
-	g.figures("gateway ends")
+	log.Info().Str("listen", cfg.Listen.String()).Int("number", set.GatewayIndex).Int("gateways", set.Gateways).Uint32("list", no).
+		Float64("memory_mb", cfg.Limits.MemoryMB).Int("sockets", cfg.Limits.Descriptors).Msg("gateway runs")
+	s.loop(ctx, signals)
+	s.logMetrics("gateway ends")
 	return nil
 }
 
-// spare is how many connections may be accepted beyond those that are kept, while it is decided which go.
-const spare = 4
+// spareConns is how many connections may be accepted beyond those that are kept, while it is decided which go.
+const spareConns = 4
 
-func (g *Gateway) now() float64 { return origin + float64(time.Since(g.start))/1e6 }
+func (s *Server) now() float64 { return clockOrigin + float64(time.Since(s.startedAt))/1e6 }
 
 // loop is the one owner of the machine.
-func (g *Gateway) loop(ctx context.Context, signals <-chan Signal) {
+func (s *Server) loop(ctx context.Context, signals <-chan Signal) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	for g.stage != intake.Over {
-		now := g.now()
-		for _, e := range g.events.take() {
-			g.take(now, e)
+	for s.stage != intake.Over {
+		now := s.now()
+		for _, e := range s.events.drain() {
+			s.handleEvent(now, e)
 		}
-		if g.behind(now) {
-			time.Sleep(catchUp)
+		if s.stalled(now) {
+			time.Sleep(stallCatchUp)
 			continue
 		}
-		if q := g.list.Ask(now); q != nil {
-			g.packets.Send(g.asks, g.list.Server, q)
+		if q := s.discovery.Query(now); q != nil {
+			s.datagrams.Send(s.queryAddr, s.discovery.Server, q)
 		}
-		if g.rereads > 0 && now >= g.reread {
-			g.reload()
+		if s.reloadsLeft > 0 && now >= s.nextReloadAt {
+			s.reload()
 		}
-		g.leave(now)
-		g.m.Turn(now)
-		g.looked = g.now()
-		if now-g.said > report {
-			g.said = now
-			g.figures("figures")
+		s.advanceShutdown(now)
+		s.gateway.Step(now)
+		s.lastBatchAt = s.now()
+		if now-s.metricsLoggedAt > metricsInterval {
+			s.metricsLoggedAt = now
+			s.logMetrics("figures")
 		}
-		wait := math.Min(math.Min(g.m.Next(), g.list.Next())-g.now(), 100)
-		if g.stage != intake.Serving {
+		wait := math.Min(math.Min(s.gateway.NextWakeup(), s.discovery.NextQuery())-s.now(), 100)
+		if s.stage != intake.Serving {
 			wait = math.Min(wait, 10)
 		}
 		if wait <= 0 {
 			select {
-			case s := <-signals:
-				g.signal(s)
+			case signal := <-signals:
+				s.handleSignal(signal)
 			case <-ctx.Done():
 				return
 			default:
@@ -165,10 +165,10 @@
 		}
 		timer.Reset(time.Duration(wait * 1e6))
 		select {
-		case <-g.events.some:
+		case <-s.events.ready:
 		case <-timer.C:
-		case s := <-signals:
-			g.signal(s)
+		case signal := <-signals:
+			s.handleSignal(signal)
 		case <-ctx.Done():
 			return
 		}
@@ -176,200 +176,202 @@
 }
 
 const (
-	stood   = 150.0                // ms without a batch, of which there is one every 100: the process stood still
-	catchUp = 5 * time.Millisecond // for the poller to bring what came meanwhile
+	stallThreshold = 150.0                // ms without a batch, of which there is one every 100: the process stood still
+	stallCatchUp   = 5 * time.Millisecond // for the poller to bring what came meanwhile
 )
 
-// behind tells, once after the process stood still, that what its sockets brought meanwhile may not have come here yet: a
+// stalled tells, once after the process stood still, that what its sockets brought meanwhile may not have come here yet: a
 // caller may have gone, and no timer may ring for it before that is known.
-func (g *Gateway) behind(now float64) bool {
-	late := g.looked > 0 && now-g.looked > stood
-	g.looked = 0
+func (s *Server) stalled(now float64) bool {
+	late := s.lastBatchAt > 0 && now-s.lastBatchAt > stallThreshold
+	s.lastBatchAt = 0
 	return late
 }
 
-// leave goes on to the next stage of going, where it is due.
-func (g *Gateway) leave(now float64) {
-	if g.stage == intake.Serving {
+// advanceShutdown goes on to the next stage of going, where it is due.
+func (s *Server) advanceShutdown(now float64) {
+	if s.stage == intake.Serving {
 		return
 	}
-	waiting, _ := g.m.Held()
-	unsent, open := g.m.Callers()
-	t := intake.Told{Since: now - g.told, In: now - g.since, Waiting: waiting, Standing: g.m.Stood(),
-		Accepting: g.streams.Accepting(), Unsent: unsent, Open: open}
-	for _, k := range g.cfg.Set.Skills {
-		t.Patience = math.Max(t.Patience, k.Patience)
+	waiting, _ := s.gateway.InProgress()
+	unsent, open := s.gateway.ClientConns()
+	t := intake.Told{Since: now - s.shutdownAt, In: now - s.stageSince, Waiting: waiting, Standing: s.gateway.EstablishedCalls(),
+		Accepting: s.streams.Accepting(), Unsent: unsent, Open: open}
+	for _, k := range s.config.Settings.Classes {
+		t.Patience = math.Max(t.Patience, k.Timeout)
 	}
-	next := g.stage.Next(t)
-	if next == g.stage {
+	next := s.stage.Next(t)
+	if next == s.stage {
 		return
 	}
-	g.log.Debug().Int("stage", int(next)).Interface("told", t).Msg("leaving")
-	g.stage, g.since = next, now
+	s.log.Debug().Int("stage", int(next)).Interface("told", t).Msg("leaving")
+	s.stage, s.stageSince = next, now
 	switch next {
 	case intake.Deferring:
-		g.m.Close()
+		s.gateway.StopAdmitting()
 	case intake.Flushing:
-		g.streams.StopAccept()
-		g.m.DeferAll(now)
+		s.streams.StopAccept()
+		s.gateway.RejectAll(now)
 	case intake.HalfClosing:
-		g.m.CloseWrite()
+		s.gateway.CloseClientWrites()
 	}
 }
 
-func (g *Gateway) signal(s Signal) {
+func (s *Server) handleSignal(signal Signal) {
 	switch {
-	case s == Reload:
-		g.rereads = rereads
-		g.reload()
-	case g.stage == intake.Serving:
-		g.log.Info().Msg("leaving: new contacts are taken for a while, then what is held is answered")
-		g.m.Leave()
-		g.stage, g.told, g.since = intake.Taking, g.now(), g.now()
+	case signal == Reload:
+		s.reloadsLeft = maxReloads
+		s.reload()
+	case s.stage == intake.Serving:
+		s.log.Info().Msg("leaving: new contacts are taken for a while, then what is held is answered")
+		s.gateway.BeginDrain()
+		s.stage, s.shutdownAt, s.stageSince = intake.Taking, s.now(), s.now()
 	}
 }
 
 const (
-	rereads     = 20   // tries to read a configuration that can't be used: it may be replaced under way
-	rereadEvery = 50.0 // ms between two
+	maxReloads     = 20   // tries to read a configuration that can't be used: it may be replaced under way
+	reloadInterval = 50.0 // ms between two
 )
 
 // reload follows the name server that the new file names. A file that can't be used changes nothing; whoever replaces it
 // may not be done, so it is read again soon.
-func (g *Gateway) reload() {
-	g.rereads--
-	g.reread = g.now() + rereadEvery
-	cfg, err := binaryconfig.Load(g.file)
+func (s *Server) reload() {
+	s.reloadsLeft--
+	s.nextReloadAt = s.now() + reloadInterval
+	cfg, err := binaryconfig.Load(s.configPath)
 	if err != nil {
-		if g.rereads == 0 {
-			g.log.Error().Err(err).Msg("the new configuration is not used")
+		if s.reloadsLeft == 0 {
+			s.log.Error().Err(err).Msg("the new configuration is not used")
 		}
 		return
 	}
-	g.rereads = 0
-	if cfg.Nameserver != g.list.Server {
-		g.list.Turn(cfg.Nameserver)
+	s.reloadsLeft = 0
+	if cfg.Nameserver != s.discovery.Server {
+		s.discovery.SetServer(cfg.Nameserver)
 	}
-	g.log.Info().Str("nameserver", cfg.Nameserver.String()).Msg("new configuration")
+	s.log.Info().Str("nameserver", cfg.Nameserver.String()).Msg("new configuration")
 }
 
-func (g *Gateway) take(now float64, e event) {
+func (s *Server) handleEvent(now float64, e event) {
 	switch e.kind {
 	case accepted:
 		st := e.stream
-		if l := g.m.Accepted(now, st, e.from.Addr()); l != nil {
+		if l := s.gateway.OnAccepted(now, st, e.from.Addr()); l != nil {
 			st.User = l
 		}
 	case connected:
-		if l, ok := e.stream.User.(*binarygateway.Link); ok {
-			g.m.Connected(now, l)
+		if l, ok := e.stream.User.(*binarygateway.Conn); ok {
+			s.gateway.OnConnected(now, l)
 		}
-	case data:
-		if l, ok := e.stream.User.(*binarygateway.Link); ok {
-			g.m.Received(now, l, e.data)
+	case received:
+		if l, ok := e.stream.User.(*binarygateway.Conn); ok {
+			s.gateway.OnData(now, l, e.data)
 		}
-	case left:
-		if l, ok := e.stream.User.(*binarygateway.Link); ok && e.stream.HasLeft() {
-			g.m.Left(now, l)
+	case flushed:
+		if l, ok := e.stream.User.(*binarygateway.Conn); ok && e.stream.IsFlushed() {
+			s.gateway.OnFlushed(now, l)
 		}
 	case closed:
-		if l, ok := e.stream.User.(*binarygateway.Link); ok {
-			g.log.Debug().AnErr("cause", e.err).Msg("link closed")
-			how := binarygateway.Orderly
-			if reactor.Refused(e.err) {
-				how = binarygateway.Refused
-			} else if reactor.Reset(e.err) {
-				how = binarygateway.Reset
+		if l, ok := e.stream.User.(*binarygateway.Conn); ok {
+			s.log.Debug().AnErr("cause", e.err).Msg("link closed")
+			how := binarygateway.ClosedNormally
+			if reactor.IsRefused(e.err) {
+				how = binarygateway.ClosedRefused
+			} else if reactor.IsReset(e.err) {
+				how = binarygateway.ClosedReset
 			}
-			g.m.Closed(now, l, how)
+			s.gateway.OnClosed(now, l, how)
 		}
-	case packet:
-		if e.local == g.asks {
-			g.listed(now, e)
+	case datagram:
+		if e.local == s.queryAddr {
+			s.onDiscoveryResponse(now, e)
 			return
 		}
-		for i, p := range g.cfg.Peers {
+		for i, p := range s.config.Peers {
 			if p == e.from {
-				g.m.Peer(now, i, e.data)
+				s.gateway.OnPeerMessage(now, i, e.data)
 			}
 		}
 	}
 }
 
-func (g *Gateway) listed(now float64, e event) {
-	l, err := g.list.Take(e.from, e.data)
+func (s *Server) onDiscoveryResponse(now float64, e event) {
+	l, err := s.discovery.HandleResponse(e.from, e.data)
 	if err != nil || l == nil {
-		if err != nil && !errors.Is(err, dnsdiscovery.ErrOld) {
-			g.log.Debug().Err(err).Msg("an answer of the name server does not count")
+		if err != nil && !errors.Is(err, dnsdiscovery.ErrOutdated) {
+			s.log.Debug().Err(err).Msg("an answer of the name server does not count")
 		}
 		return
 	}
-	g.log.Debug().Uint32("no", l.No).Int("targets", len(l.Targets)).Msg("list")
-	g.m.Listed(now, l)
+	s.log.Debug().Uint32("no", l.Serial).Int("targets", len(l.Targets)).Msg("list")
+	s.gateway.OnEndpointList(now, l)
 }
 
-// figures writes what was seen to the log.
-func (g *Gateway) figures(what string) {
-	waiting, standing := g.m.Held()
-	calls, trunks, clients, links, timers := g.m.Open()
-	g.log.Info().Int("waiting", waiting).Int("standing", standing).Ints("open", []int{calls, trunks, clients, links, timers}).
-		Interface("contacts", g.m.Counts).Interface("wire", g.m.Wire).Interface("list", g.list.Counts).Msg(what)
+// logMetrics writes what was seen to the log.
+func (s *Server) logMetrics(what string) {
+	waiting, standing := s.gateway.InProgress()
+	calls, trunks, clients, links, timers := s.gateway.OpenCounts()
+	s.log.Info().Int("waiting", waiting).Int("standing", standing).Ints("open", []int{calls, trunks, clients, links, timers}).
+		Interface("contacts", s.gateway.Counts).Interface("wire", s.gateway.Metrics).Interface("list", s.discovery.Queries).Msg(what)
 }
 
 // Accepted implements reactor.Handler.
-func (g *Gateway) Accepted(s *reactor.Stream, from netip.Addr) {
-	g.events.put(event{kind: accepted, stream: s, from: netip.AddrPortFrom(from, 0)})
+func (s *Server) Accepted(stream *reactor.Stream, from netip.Addr) {
+	s.events.push(event{kind: accepted, stream: stream, from: netip.AddrPortFrom(from, 0)})
 }
 
 // Connected implements reactor.Handler.
-func (g *Gateway) Connected(s *reactor.Stream) { g.events.put(event{kind: connected, stream: s}) }
+func (s *Server) Connected(stream *reactor.Stream) {
+	s.events.push(event{kind: connected, stream: stream})
+}
 
 // Data implements reactor.Handler.
-func (g *Gateway) Data(s *reactor.Stream, b []byte) {
-	g.events.put(event{kind: data, stream: s, data: append([]byte(nil), b...)})
+func (s *Server) Data(stream *reactor.Stream, b []byte) {
+	s.events.push(event{kind: received, stream: stream, data: append([]byte(nil), b...)})
 }
 
-// Left implements reactor.Handler.
-func (g *Gateway) Left(s *reactor.Stream) { g.events.put(event{kind: left, stream: s}) }
+// Flushed implements reactor.Handler.
+func (s *Server) Flushed(stream *reactor.Stream) { s.events.push(event{kind: flushed, stream: stream}) }
 
 // Closed implements reactor.Handler.
-func (g *Gateway) Closed(s *reactor.Stream, err error) {
-	g.events.put(event{kind: closed, stream: s, err: err})
+func (s *Server) Closed(stream *reactor.Stream, err error) {
+	s.events.push(event{kind: closed, stream: stream, err: err})
 }
 
 // Write implements platform.Out.
-func (g *Gateway) Write(l *binarygateway.Link, b []byte) bool {
-	return l.Conn.(*reactor.Stream).Write(b)
+func (s *Server) Write(l *binarygateway.Conn, b []byte) bool {
+	return l.Socket.(*reactor.Stream).Write(b)
 }
 
 // Dial implements platform.Out.
-func (g *Gateway) Dial(l *binarygateway.Link, to netip.AddrPort) {
-	s := &reactor.Stream{User: l}
-	l.Conn = s
-	g.streams.Dial(s, to)
+func (s *Server) Dial(l *binarygateway.Conn, to netip.AddrPort) {
+	stream := &reactor.Stream{User: l}
+	l.Socket = stream
+	s.streams.Dial(stream, to)
 }
 
-// Shut implements platform.Out.
-func (g *Gateway) Shut(l *binarygateway.Link) { l.Conn.(*reactor.Stream).Shut() }
+// Close implements platform.Out.
+func (s *Server) Close(l *binarygateway.Conn) { l.Socket.(*reactor.Stream).Close() }
 
 // CloseWrite implements platform.Out.
-func (g *Gateway) CloseWrite(l *binarygateway.Link) { l.Conn.(*reactor.Stream).CloseWrite() }
+func (s *Server) CloseWrite(l *binarygateway.Conn) { l.Socket.(*reactor.Stream).CloseWrite() }
 
-// Tell implements platform.Out.
-func (g *Gateway) Tell(to int, b []byte) {
-	if to < len(g.cfg.Peers) && len(b) <= 256 && g.cfg.Peer.IsValid() {
-		g.packets.Send(g.cfg.Peer, g.cfg.Peers[to], b)
+// SendGossip implements platform.Out.
+func (s *Server) SendGossip(to int, b []byte) {
+	if to < len(s.config.Peers) && len(b) <= 256 && s.config.PeerListen.IsValid() {
+		s.datagrams.Send(s.config.PeerListen, s.config.Peers[to], b)
 	}
 }
 
-// Limit sets the process up for what its machine allows: it collects early enough to stay under its memory.
-func Limit(l binaryconfig.Limits) (bytes int64) {
+// MemoryLimit sets the process up for what its machine allows: it collects early enough to stay under its memory.
+func MemoryLimit(l binaryconfig.Limits) (bytes int64) {
 	if os.Getenv("GOMEMLIMIT") != "" {
 		return 0
 	}
-	return int64(l.MemoryMB * memoryShare * (1 << 20))
+	return int64(l.MemoryMB * memoryFraction * (1 << 20))
 }
 
-// memoryShare is the part of the allowed memory that the collector aims at: the rest is the program itself, stacks and
+// memoryFraction is the part of the allowed memory that the collector aims at: the rest is the program itself, stacks and
 // what the kernel counts.
-const memoryShare = 0.55
+const memoryFraction = 0.55
--- a/internal/gateway/binaryserver/serve_test.go
+++ b/internal/gateway/binaryserver/serve_test.go
@@ -83,15 +83,15 @@
 		defer mu.Unlock()
 		n.Write(binarymessage.Append(nil, kind, id, of...))
 	}
-	load := binarymessage.Text(binarymessage.Report, "free:300;size:400;busy:0.3;q:1")
-	say(binarymessage.State, 0, load)
+	load := binarymessage.TextParam(binarymessage.Report, "free:300;size:400;busy:0.3;q:1")
+	say(binarymessage.LoadState, 0, load)
 	c.mu.Lock()
 	c.cons[n] = say
 	owed := c.owed
 	c.owed = nil
 	c.mu.Unlock()
 	for _, id := range owed {
-		say(binarymessage.Release, id, binarymessage.Why(binarymessage.Normal))
+		say(binarymessage.Release, id, binarymessage.CauseParam(binarymessage.Normal))
 	}
 	defer func() {
 		c.mu.Lock()
@@ -113,7 +113,7 @@
 				c.mu.Unlock()
 				return true
 			}
-			if m.Type() != binarymessage.SetUp {
+			if m.Type() != binarymessage.Setup {
 				return true
 			}
 			c.mu.Lock()
@@ -134,14 +134,14 @@
 				mu.Unlock()
 			case "half":
 				mu.Lock()
-				n.Write(binarymessage.Append(nil, binarymessage.Answer, id, binarymessage.Text(binarymessage.Description, "answer"))[:9])
+				n.Write(binarymessage.Append(nil, binarymessage.Answer, id, binarymessage.TextParam(binarymessage.Description, "answer"))[:9])
 				mu.Unlock()
 				n.Close()
 			case "full":
-				say(binarymessage.Release, id, binarymessage.Why(binarymessage.NoCircuit), binarymessage.Text(binarymessage.Note, "cpu_full"), load)
+				say(binarymessage.Release, id, binarymessage.CauseParam(binarymessage.NoCircuit), binarymessage.TextParam(binarymessage.Note, "cpu_full"), load)
 			case "never":
 			default:
-				say(binarymessage.Answer, id, binarymessage.Text(binarymessage.Description, "answer of "+c.id), load)
+				say(binarymessage.Answer, id, binarymessage.TextParam(binarymessage.Description, "answer of "+c.id), load)
 				time.AfterFunc(c.hold, func() {
 					c.mu.Lock()
 					defer c.mu.Unlock()
@@ -158,7 +158,7 @@
 					// as a real one does: also on the next connection, for the gateway may just have closed the one at hand
 					c.owed = append(c.owed, id)
 					if on != nil {
-						on(binarymessage.Release, id, binarymessage.Why(binarymessage.Normal), load)
+						on(binarymessage.Release, id, binarymessage.CauseParam(binarymessage.Normal), load)
 					}
 				})
 			}
@@ -265,10 +265,10 @@
 
 func newStation(t *testing.T, ns *names, of ...*core) *station {
 	t.Helper()
-	return startStation(t, ns, func(set *routing.Settings, h routing.Host) endpointset.Module { return router.New(set, h) }, func(map[string]any) {}, of...)
+	return startStation(t, ns, func(set *routing.Settings, h routing.Host) endpointset.Policy { return router.New(set, h) }, func(map[string]any) {}, of...)
 }
 
-func startStation(t *testing.T, ns *names, mk endpointset.Maker, change func(map[string]any), of ...*core) *station {
+func startStation(t *testing.T, ns *names, mk endpointset.PolicyFactory, change func(map[string]any), of ...*core) *station {
 	t.Helper()
 	s := &station{T: t, addr: freePort(t), file: filepath.Join(t.TempDir(), "config.json"), signals: make(chan Signal, 4), ended: make(chan error, 1)}
 	var targets []map[string]any
@@ -336,9 +336,9 @@
 
 // ask is a caller's set-up.
 func ask(id uint64, of ...binarymessage.Param) []byte {
-	return binarymessage.Append(nil, binarymessage.SetUp, id, append([]binarymessage.Param{binarymessage.Text(binarymessage.Class, "voice"), binarymessage.Text(binarymessage.Patience, "1500"),
-		binarymessage.Text(binarymessage.Number, fmt.Sprintf("%x", id)), binarymessage.Text(binarymessage.Figures, fmt.Sprintf("dest:%d;width:1;via:-1", id%2)),
-		binarymessage.Text(binarymessage.Description, "offer")}, of...)...)
+	return binarymessage.Append(nil, binarymessage.Setup, id, append([]binarymessage.Param{binarymessage.TextParam(binarymessage.Class, "voice"), binarymessage.TextParam(binarymessage.Patience, "1500"),
+		binarymessage.TextParam(binarymessage.Number, fmt.Sprintf("%x", id)), binarymessage.TextParam(binarymessage.Figures, fmt.Sprintf("dest:%d;width:1;via:-1", id%2)),
+		binarymessage.TextParam(binarymessage.Description, "offer")}, of...)...)
 }
 
 // hear reads until enough says so, or for a time.
@@ -363,8 +363,8 @@
 // ready waits for the gateway to pass a test.
 func (p *phone) ready() {
 	p.t.Helper()
-	p.c.Write(binarymessage.Append(nil, binarymessage.Test, 9, binarymessage.Why(0)))
-	if !p.hear(3*time.Second, func() bool { return len(p.got[9]) > 0 }) || p.got[9][0].Type() != binarymessage.Tested || p.got[9][0].Cause() != 1 {
+	p.c.Write(binarymessage.Append(nil, binarymessage.HealthCheck, 9, binarymessage.CauseParam(0)))
+	if !p.hear(3*time.Second, func() bool { return len(p.got[9]) > 0 }) || p.got[9][0].Type() != binarymessage.HealthResult || p.got[9][0].Cause() != 1 {
 		p.t.Fatalf("the test was answered with %x", p.got[9])
 	}
 	delete(p.got, 9)
@@ -393,7 +393,7 @@
 		faults := []string{"", "reset", "noise", "full", "never", "half"}
 		for i, c := range []*core{a, b} {
 			c.does = func(n int) string {
-				if x := int(detrand.Of(uint64(i), uint64(n)) * 40); x < len(faults) {
+				if x := int(detrand.Float64(uint64(i), uint64(n)) * 40); x < len(faults) {
 					return faults[x]
 				}
 				return ""
@@ -409,7 +409,7 @@
 		}
 		go func() {
 			for seed := uint64(0); len(wire) > 0; seed++ { // in pieces that end anywhere
-				n := min(len(wire), 1+int(detrand.Of(7, seed)*700))
+				n := min(len(wire), 1+int(detrand.Float64(7, seed)*700))
 				if _, err := p.c.Write(wire[:n]); err != nil {
 					return
 				}
@@ -452,26 +452,26 @@
 		big[i] = 0x7f
 	}
 	odd := func(id uint64, of ...binarymessage.Param) []byte {
-		return binarymessage.Append(nil, binarymessage.SetUp, id, of...)
+		return binarymessage.Append(nil, binarymessage.Setup, id, of...)
 	}
-	class, wait, number := binarymessage.Text(binarymessage.Class, "voice"), binarymessage.Text(binarymessage.Patience, "900"), binarymessage.Text(binarymessage.Number, "1")
+	class, wait, number := binarymessage.TextParam(binarymessage.Class, "voice"), binarymessage.TextParam(binarymessage.Patience, "900"), binarymessage.TextParam(binarymessage.Number, "1")
 	for what, wire := range map[string][]byte{
 		"no message":         []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
 		"nothing":            nil,
 		"half a message":     ask(77)[:20],
 		"length nought":      {0, 0, 0, 0},
 		"60 MB":              big,
-		"class unknown":      odd(1<<41+1, binarymessage.Text(binarymessage.Class, "video"), wait, number),
+		"class unknown":      odd(1<<41+1, binarymessage.TextParam(binarymessage.Class, "video"), wait, number),
 		"no class":           odd(1<<41+2, wait, number),
-		"patience no figure": odd(1<<41+3, class, binarymessage.Text(binarymessage.Patience, "soon"), number),
-		"patience below 0":   odd(1<<41+4, class, binarymessage.Text(binarymessage.Patience, "-5"), number),
-		"patience endless":   odd(1<<41+5, class, binarymessage.Text(binarymessage.Patience, "1e300"), number),
+		"patience no figure": odd(1<<41+3, class, binarymessage.TextParam(binarymessage.Patience, "soon"), number),
+		"patience below 0":   odd(1<<41+4, class, binarymessage.TextParam(binarymessage.Patience, "-5"), number),
+		"patience endless":   odd(1<<41+5, class, binarymessage.TextParam(binarymessage.Patience, "1e300"), number),
 		"no number":          odd(1<<41+6, class, wait),
-		"figures too large":  odd(1<<41+7, class, wait, number, binarymessage.Text(binarymessage.Figures, "dest:99999999999999999999")),
-		"figures no number":  odd(1<<41+8, class, wait, number, binarymessage.Text(binarymessage.Figures, "width:many")),
+		"figures too large":  odd(1<<41+7, class, wait, number, binarymessage.TextParam(binarymessage.Figures, "dest:99999999999999999999")),
+		"figures no number":  odd(1<<41+8, class, wait, number, binarymessage.TextParam(binarymessage.Figures, "width:many")),
 		"no id":              odd(0, class, wait, number),
-		"unknown switch":     odd(1<<41+9, class, wait, number, binarymessage.Text(binarymessage.Figures, "at:s-nowhere")),
-		"one id twice":       append(ask(1<<41+10), ask(1<<41+10, binarymessage.Text(binarymessage.Note, "x"))...),
+		"unknown switch":     odd(1<<41+9, class, wait, number, binarymessage.TextParam(binarymessage.Figures, "at:s-nowhere")),
+		"one id twice":       append(ask(1<<41+10), ask(1<<41+10, binarymessage.TextParam(binarymessage.Note, "x"))...),
 		"odd type":           binarymessage.Append(nil, 200, 5),
 	} {
 		t.Run(what, func(t *testing.T) {
@@ -516,7 +516,7 @@
 		for i := range uint64(many) {
 			wire = append(wire, ask(first+i)...)
 			if back {
-				wire = append(wire, binarymessage.Append(nil, binarymessage.Release, first+i, binarymessage.Why(binarymessage.Normal))...)
+				wire = append(wire, binarymessage.Append(nil, binarymessage.Release, first+i, binarymessage.CauseParam(binarymessage.Normal))...)
 			}
 		}
 		go p.c.Write(wire)
@@ -539,7 +539,7 @@
 	p := s.dial()
 	for n := range uint64(200) { // the same again as soon as it is turned away
 		id := uint64(5)<<40 + n
-		p.c.Write(ask(id, binarymessage.Text(binarymessage.Wait, "0")))
+		p.c.Write(ask(id, binarymessage.TextParam(binarymessage.Wait, "0")))
 		if !p.hear(2*time.Second, func() bool { return len(p.got[id]) > 0 }) {
 			t.Fatalf("repeat %d has no answer", n)
 		}
@@ -555,15 +555,15 @@
 
 // told is a module that hears other gateways and says something to them.
 type told struct {
-	endpointset.Module
+	endpointset.Policy
 	h     routing.Host
 	heard chan string
 }
 
-func (m *told) Told(_ float64, from int, b []byte) {
+func (m *told) OnGossip(_ float64, from int, b []byte) {
 	m.heard <- fmt.Sprintf("%d %s", from, b)
-	m.h.Tell(from, append([]byte("re "), b...))
-	m.h.Tell(from, make([]byte, 257))
+	m.h.SendGossip(from, append([]byte("re "), b...))
+	m.h.SendGossip(from, make([]byte, 257))
 }
 
 // Other gateways are known by the addresses that their messages come from; what comes from elsewhere counts for nothing.
@@ -581,8 +581,8 @@
 	defer stranger.Close()
 	own := freePort(t)
 	heard := make(chan string, 10)
-	s := startStation(t, newNames(t, 1, a), func(set *routing.Settings, h routing.Host) endpointset.Module {
-		return &told{Module: router.New(set, h), h: h, heard: heard}
+	s := startStation(t, newNames(t, 1, a), func(set *routing.Settings, h routing.Host) endpointset.Policy {
+		return &told{Policy: router.New(set, h), h: h, heard: heard}
 	}, func(doc map[string]any) {
 		doc["peer_listen"], doc["peers"] = own, []string{own, peer.LocalAddr().String()}
 		doc["settings"] = json.RawMessage(strings.Replace(string(doc["settings"].(json.RawMessage)), `"balancers":1`, `"balancers":2`, 1))
@@ -681,10 +681,10 @@
 	s := newStation(t, newNames(t, 1, a, b), a, b)
 	p := s.dial()
 	p.ready()
-	s.signals <- Leave
+	s.signals <- Shutdown
 	time.Sleep(300 * time.Millisecond)
 	q := s.dial() // connections keep coming
-	q.c.Write(append(ask(600), binarymessage.Append(nil, binarymessage.Test, 601, binarymessage.Why(0))...))
+	q.c.Write(append(ask(600), binarymessage.Append(nil, binarymessage.HealthCheck, 601, binarymessage.CauseParam(0))...))
 	if !q.hear(time.Second, func() bool { return len(q.got[600]) > 0 && len(q.got[601]) > 0 }) || q.got[600][0].Type() != binarymessage.Answer || q.got[601][0].Cause() != 0 {
 		t.Errorf("after 0.3 s: %x", q.got)
 	}
@@ -719,7 +719,7 @@
 	p.ready()
 	p.c.Write(ask(700))
 	p.hear(time.Second, func() bool { return len(p.got[700]) > 0 })
-	s.signals <- Leave
+	s.signals <- Shutdown
 	time.Sleep(400 * time.Millisecond)
 	p.c.Write(ask(702, binarymessage.Param{Code: binarymessage.Note}))
 	if !p.hear(3*time.Second, func() bool { return len(p.got[700]) > 1 }) {
@@ -739,7 +739,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	err = Run(context.Background(), s.file, cfg, func(set *routing.Settings, h routing.Host) endpointset.Module { return router.New(set, h) }, zerolog.Nop(), nil)
+	err = Run(context.Background(), s.file, cfg, func(set *routing.Settings, h routing.Host) endpointset.Policy { return router.New(set, h) }, zerolog.Nop(), nil)
 	if err == nil || !strings.Contains(err.Error(), s.addr) {
 		t.Errorf("%v", err)
 	}
@@ -747,15 +747,15 @@
 
 // After a standstill the sockets are read once more before any timer runs; else nothing waits.
 func TestBehind(t *testing.T) {
-	g := &Gateway{}
+	s := &Server{}
 	for i, c := range []struct {
 		looked, now float64
 		want        bool
 	}{{0, 5000, false}, {1000, 1100, false}, {1000, 1151, true}, {0, 1160, false}} {
 		if c.looked > 0 {
-			g.looked = c.looked
+			s.lastBatchAt = c.looked
 		}
-		if got := g.behind(c.now); got != c.want {
+		if got := s.stalled(c.now); got != c.want {
 			t.Errorf("%d: %v", i, got)
 		}
 	}
--- a/internal/gateway/gatewayconfig/settings.go
+++ b/internal/gateway/gatewayconfig/settings.go
@@ -42,10 +42,10 @@
 
 // Names are what number tables may name here.
 func (s *Edge) Names() (n numberplan.Names) {
-	for _, k := range s.Set.Skills {
+	for _, k := range s.Set.Classes {
 		n.Skills = append(n.Skills, k.Name)
 	}
-	for _, c := range s.Set.Customers {
+	for _, c := range s.Set.Tenants {
 		n.Customers = append(n.Customers, c.Name)
 	}
 	for _, g := range s.Groups {
@@ -93,17 +93,17 @@
 	s.Self, s.Peer = g.Addr("sip"), g.Addr("peer")
 	s.Context = g.Must("trunk_context")
 	set.Gateways = g.Int("gateways", 1, 1, 100000)
-	set.Me = g.Int("number", 0, 0, 99999)
+	set.GatewayIndex = g.Int("number", 0, 0, 99999)
 	set.Seed = uint64(g.Num("seed", 1, 0, 1<<53))
 	s.Tick = g.Ms("tick", 0, 0, 1000)
-	set.Tick = s.Tick
+	set.TickInterval = s.Tick
 	s.Margin = g.Ms("margin", 30, 0, 60000)
 	s.Gate = intake.Gate{Most: g.Int("most_held", 20000, 1, 1<<24), Rate: g.Num("most_rate", 0, 0, 1e6)}
 	s.Queue = g.Int("queue", 8192, 16, 1<<20)
 	s.DrainWithin = g.Ms("drain_within", 30000, 0, day)
 	s.Default = g.Text("default_skill", "")
-	if set.Me >= set.Gateways {
-		g.Fault("number", "number: want one below gateways = %d, got %d", set.Gateways, set.Me)
+	if set.GatewayIndex >= set.Gateways {
+		g.Fault("number", "number: want one below gateways = %d, got %d", set.Gateways, set.GatewayIndex)
 	}
 	for _, p := range g.Texts("peers") {
 		a, err := netip.ParseAddrPort(p)
@@ -118,47 +118,47 @@
 	s.Level = o.Text("level", "info", "debug", "info", "warn", "error")
 	s.Console = o.Text("form", "json", "json", "console") == "console"
 	m := b.One("allow")
-	set.MaxRings = m.Int("max_rings", 5, 1, 1000)
-	set.MayProbe, set.MayTell = m.Flag("probe", false), m.Flag("tell", len(s.Peers) > 0)
-	set.MayCancel, set.MayWait = m.Flag("cancel", true), m.Flag("name_wait", true)
-	set.MaxWait = m.Ms("max_wait", 2000, 0, day)
-	set.ByProbe = m.Flag("reports_by_probe", false)
-	if set.MayTell && len(s.Peers) != set.Gateways {
+	set.MaxAttempts = m.Int("max_rings", 5, 1, 1000)
+	set.ProbeEnabled, set.GossipEnabled = m.Flag("probe", false), m.Flag("tell", len(s.Peers) > 0)
+	set.CancelEnabled, set.RetryAfterEnabled = m.Flag("cancel", true), m.Flag("name_wait", true)
+	set.MaxRetryAfter = m.Ms("max_wait", 2000, 0, day)
+	set.LoadReportsByProbe = m.Flag("reports_by_probe", false)
+	if set.GossipEnabled && len(s.Peers) != set.Gateways {
 		g.Fault("peers", "peers: want the addresses of all %d gateways where allow.tell is set, got %d", set.Gateways, len(s.Peers))
 	}
 	t := b.One("timers")
 	t1 := t.Ms("t1", 500, 10, 60000)
 	s.Times = siptransaction.Times{T1: t1, T2: t.Ms("t2", 8*t1, 10, 600000), T4: t.Ms("t4", 5000, 10, 600000)}
-	set.Retransmit = t1
+	set.RetransmitInterval = t1
 	r := b.One("rules")
-	set.Slack = r.Ms("slack", 20, 0, 10000)
-	set.ClearWait = r.Ms("clear_wait", hclconfig.Required, 0, 60000)
-	set.ColdShare = r.Num("cold_share", hclconfig.Required, 0.001, 1)
-	set.WarmWithin = r.Ms("warm_within", hclconfig.Required, 0, day)
-	set.TipMultiple = r.Num("tip_multiple", hclconfig.Required, 0, 1000)
-	set.TipTime = r.Ms("tip_time", hclconfig.Required, 1, day)
+	set.AnswerGrace = r.Ms("slack", 20, 0, 10000)
+	set.RetryHoldOff = r.Ms("clear_wait", hclconfig.Required, 0, 60000)
+	set.SlowStartFraction = r.Num("cold_share", hclconfig.Required, 0.001, 1)
+	set.SlowStartDuration = r.Ms("warm_within", hclconfig.Required, 0, day)
+	set.OverloadFactor = r.Num("tip_multiple", hclconfig.Required, 0, 1000)
+	set.OverloadWindow = r.Ms("tip_time", hclconfig.Required, 1, day)
 	for _, k := range b.Blocks("skill", 1) {
-		x := &routing.Skill{Name: k.Labels[0], Target: k.Ms("target", hclconfig.Required, 1, day), Patience: k.Ms("patience", hclconfig.Required, 1, day),
-			Value: k.Num("value", 1, 0, 1e9), LateValue: k.Num("late_value", 0, 0, 1), Hold: k.Ms("hold", 0, 0, day), Repeat: k.Flag("repeat", true)}
-		if x.Target > x.Patience {
+		x := &routing.Class{Name: k.Labels[0], LatencyObjective: k.Ms("target", hclconfig.Required, 1, day), Timeout: k.Ms("patience", hclconfig.Required, 1, day),
+			Weight: k.Num("value", 1, 0, 1e9), LateWeightFraction: k.Num("late_value", 0, 0, 1), MeanHoldingTime: k.Ms("hold", 0, 0, day), Idempotent: k.Flag("repeat", true)}
+		if x.LatencyObjective > x.Timeout {
 			k.Fault("target", "target: want no more than patience")
 		}
-		set.Skills = append(set.Skills, x)
+		set.Classes = append(set.Classes, x)
 	}
-	if len(set.Skills) == 0 {
+	if len(set.Classes) == 0 {
 		b.Fault("", "want at least one skill \"NAME\" { ... }")
 	} else if s.Default == "" {
-		s.Default = set.Skills[0].Name
+		s.Default = set.Classes[0].Name
 	}
 	names := map[string]bool{}
-	for _, k := range set.Skills {
+	for _, k := range set.Classes {
 		names[k.Name] = true
 	}
-	if len(set.Skills) > 0 && !names[s.Default] {
+	if len(set.Classes) > 0 && !names[s.Default] {
 		g.Fault("default_skill", "default_skill: want one of the skills, got %q", s.Default)
 	}
 	for _, c := range b.Blocks("customer", 1) {
-		set.Customers = append(set.Customers, &routing.Customer{Name: c.Labels[0]})
+		set.Tenants = append(set.Tenants, &routing.Tenant{Name: c.Labels[0]})
 	}
 	pools := map[int]string{}
 	for _, x := range b.Blocks("group", 1) {
@@ -234,7 +234,7 @@
 		c.Limits.Nets = append(c.Limits.Nets, enumserver.Net{Prefix: p, Rate: n.Num("rate", hclconfig.Required, 0, 1e6)})
 	}
 	known := false
-	for _, k := range s.Set.Skills {
+	for _, k := range s.Set.Classes {
 		known = known || k.Name == c.Skill
 	}
 	if !known {
--- a/internal/gateway/gatewayconfig/settings_test.go
+++ b/internal/gateway/gatewayconfig/settings_test.go
@@ -39,8 +39,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Set.Gateways != 2 || s.Set.Me != 1 || s.Set.ClearWait != 500 || s.Set.WarmWithin != 14000 || s.Default != "shift-lookup" ||
-		s.Set.Skills[0].Patience != 9000 || s.Groups[0].Size != 100 || !s.Set.MayTell || s.Set.Retransmit != 500 {
+	if s.Set.Gateways != 2 || s.Set.GatewayIndex != 1 || s.Set.RetryHoldOff != 500 || s.Set.SlowStartDuration != 14000 || s.Default != "shift-lookup" ||
+		s.Set.Classes[0].Timeout != 9000 || s.Groups[0].Size != 100 || !s.Set.GossipEnabled || s.Set.RetransmitInterval != 500 {
 		t.Errorf("settings %+v of %+v", s, s.Set)
 	}
 }
--- a/internal/gateway/reactor/reactor.go
+++ b/internal/gateway/reactor/reactor.go
@@ -18,24 +18,24 @@
 	"golang.org/x/net/ipv4"
 )
 
-// Sockets are open UDP sockets.
-type Sockets struct {
-	engine *nbio.Engine
-	mu     sync.Mutex
-	out    map[netip.AddrPort]*net.UDPConn
-	batch  map[netip.AddrPort]*ipv4.PacketConn // of those, the IPv4 ones
-	Lost   atomic.Uint64                       // datagrams that the kernel did not take
+// UDPSockets are open UDP sockets.
+type UDPSockets struct {
+	engine     *nbio.Engine
+	mu         sync.Mutex
+	conns      map[netip.AddrPort]*net.UDPConn
+	batchConns map[netip.AddrPort]*ipv4.PacketConn // of those, the IPv4 ones
+	Lost       atomic.Uint64                       // datagrams that the kernel did not take
 }
 
 // readBuffer is what a socket may hold for us while the loop is busy; the kernel may allow less.
 const readBuffer = 4 << 20
 
-var quiet = sync.OnceFunc(func() { logging.SetLevel(logging.LevelNone) })
+var silenceLibraryLog = sync.OnceFunc(func() { logging.SetLevel(logging.LevelNone) })
 
 // Local is the addresses that are listened on, with the ports that the system chose for port 0.
-func (s *Sockets) Local() []netip.AddrPort {
+func (s *UDPSockets) Local() []netip.AddrPort {
 	var of []netip.AddrPort
-	for a := range s.out {
+	for a := range s.conns {
 		of = append(of, a)
 	}
 	slices.SortFunc(of, netip.AddrPort.Compare)
@@ -44,9 +44,9 @@
 
 // Listen opens the addresses. got is called from the pollers, for one address always from the same one; the data is
 // its own. An address that can't be had is an error that names it.
-func Listen(addrs []netip.AddrPort, pollers int, got func(local, from netip.AddrPort, data []byte)) (*Sockets, error) {
-	quiet()
-	s := &Sockets{out: map[netip.AddrPort]*net.UDPConn{}, batch: map[netip.AddrPort]*ipv4.PacketConn{}}
+func Listen(addrs []netip.AddrPort, pollers int, got func(local, from netip.AddrPort, data []byte)) (*UDPSockets, error) {
+	silenceLibraryLog()
+	s := &UDPSockets{conns: map[netip.AddrPort]*net.UDPConn{}, batchConns: map[netip.AddrPort]*ipv4.PacketConn{}}
 	var names []string
 	for _, a := range addrs {
 		names = append(names, a.String())
@@ -57,20 +57,20 @@
 		from, ok := c.RemoteAddr().(*net.UDPAddr)
 		local, ok2 := c.LocalAddr().(*net.UDPAddr)
 		if ok && ok2 {
-			got(plain(local.AddrPort()), plain(from.AddrPort()), append([]byte(nil), data...))
+			got(unmapped(local.AddrPort()), unmapped(from.AddrPort()), append([]byte(nil), data...))
 		}
 	})
 	if err := s.engine.Start(); err != nil {
-		s.closeOut()
+		s.closeConns()
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	return s, nil
 }
 
-func plain(a netip.AddrPort) netip.AddrPort { return netip.AddrPortFrom(a.Addr().Unmap(), a.Port()) }
+func unmapped(a netip.AddrPort) netip.AddrPort { return netip.AddrPortFrom(a.Addr().Unmap(), a.Port()) }
 
 // listen opens a socket and keeps a second handle of it for sending: the library's own can only answer.
-func (s *Sockets) listen(network string, addr *net.UDPAddr) (*net.UDPConn, error) {
+func (s *UDPSockets) listen(network string, addr *net.UDPAddr) (*net.UDPConn, error) {
 	c, err := net.ListenUDP(network, addr)
 	if err != nil {
 		return nil, err
@@ -88,10 +88,10 @@
 		return nil, fmt.Errorf("%s: second handle: %w", addr, err)
 	}
 	s.mu.Lock()
-	local := plain(c.LocalAddr().(*net.UDPAddr).AddrPort())
-	s.out[local] = p.(*net.UDPConn)
+	local := unmapped(c.LocalAddr().(*net.UDPAddr).AddrPort())
+	s.conns[local] = p.(*net.UDPConn)
 	if local.Addr().Is4() {
-		s.batch[local] = ipv4.NewPacketConn(p)
+		s.batchConns[local] = ipv4.NewPacketConn(p)
 	}
 	s.mu.Unlock()
 	return c, nil
@@ -99,8 +99,8 @@
 
 // Send sends a datagram from an address that is listened on. What the kernel does not take is counted in Lost, as the
 // network may lose any datagram.
-func (s *Sockets) Send(from, to netip.AddrPort, data []byte) {
-	c := s.out[from]
+func (s *UDPSockets) Send(from, to netip.AddrPort, data []byte) {
+	c := s.conns[from]
 	if c == nil {
 		s.Lost.Add(1)
 		return
@@ -110,15 +110,15 @@
 	}
 }
 
-// Packet is a datagram to be sent.
-type Packet struct {
+// Datagram is a datagram to be sent.
+type Datagram struct {
 	To   netip.AddrPort
 	Data []byte
 }
 
 // SendAll sends datagrams from one address with as few calls of the kernel as it can, in order.
-func (s *Sockets) SendAll(from netip.AddrPort, of []Packet) {
-	if len(of) < 2 || s.batch[from] == nil {
+func (s *UDPSockets) SendAll(from netip.AddrPort, of []Datagram) {
+	if len(of) < 2 || s.batchConns[from] == nil {
 		for _, p := range of {
 			s.Send(from, p.To, p.Data)
 		}
@@ -129,7 +129,7 @@
 		ms[i] = ipv4.Message{Buffers: [][]byte{p.Data}, Addr: net.UDPAddrFromAddrPort(p.To)}
 	}
 	for len(ms) > 0 {
-		n, err := s.batch[from].WriteBatch(ms, 0)
+		n, err := s.batchConns[from].WriteBatch(ms, 0)
 		if err != nil || n == 0 { // the first one is at fault
 			s.Lost.Add(1)
 			n = 1
@@ -138,29 +138,29 @@
 	}
 }
 
-// end stops an engine. The library's poller forgets a stop that comes before it has begun to run, and would be waited for
+// shutdownEngine stops an engine. The library's poller forgets a stop that comes before it has begun to run, and would be waited for
 // without end: so this waits for a second at most. Whoever closes so soon after the start is about to exit.
-func end(e *nbio.Engine) {
+func shutdownEngine(e *nbio.Engine) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	_ = e.Shutdown(ctx) // there is nothing left to be done about it
 }
 
 // Close closes all sockets.
-func (s *Sockets) Close() {
-	end(s.engine)
-	s.closeOut()
+func (s *UDPSockets) Close() {
+	shutdownEngine(s.engine)
+	s.closeConns()
 }
 
-func (s *Sockets) closeOut() {
+func (s *UDPSockets) closeConns() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, c := range s.out {
+	for _, c := range s.conns {
 		c.Close()
 	}
 }
 
-// Taken tells whether an error of Listen says that an address is in use by somebody else.
-func Taken(err error) bool {
+// AddressInUse tells whether an error of Listen says that an address is in use by somebody else.
+func AddressInUse(err error) bool {
 	return err != nil && strings.Contains(err.Error(), "address already in use")
 }
--- a/internal/gateway/reactor/reactor_test.go
+++ b/internal/gateway/reactor/reactor_test.go
@@ -15,7 +15,7 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if _, err := Listen([]netip.AddrPort{b}, 1, func(_, _ netip.AddrPort, _ []byte) {}); !Taken(err) {
+	if _, err := Listen([]netip.AddrPort{b}, 1, func(_, _ netip.AddrPort, _ []byte) {}); !AddressInUse(err) {
 		t.Errorf("address in use: error %v", err)
 	}
 	c := netip.MustParseAddrPort("127.71.0.3:19061")
--- a/internal/gateway/reactor/stream.go
+++ b/internal/gateway/reactor/stream.go
@@ -23,26 +23,26 @@
 	Connected(s *Stream)
 	// Data brings what came; the bytes are valid only during the call.
 	Data(s *Stream, b []byte)
-	// Left says that what had not left at once has; see Stream.HasLeft.
-	Left(s *Stream)
+	// Flushed says that what had not left at once has; see Stream.HasLeft.
+	Flushed(s *Stream)
 	// Closed says that a stream has ended or never came up, and why.
 	Closed(s *Stream, err error)
 }
 
 // Stream is one TCP connection.
 type Stream struct {
-	conn   atomic.Pointer[nbio.Conn]
-	handed atomic.Int64
-	left   atomic.Int64
-	shut   atomic.Bool // from here
-	place  bool        // it was accepted, and has a place
-	told   atomic.Bool // Closed was called, or will not be
-	up     sync.Once   // Accepted or Connected was told, or will not be
-	// turn is held while the poller takes the connection over and while it is closed from here: a descriptor that is
+	conn          atomic.Pointer[nbio.Conn]
+	bytesWritten  atomic.Int64
+	bytesFlushed  atomic.Int64
+	closed        atomic.Bool // from here
+	accepted      bool        // it was accepted, and has a place
+	closeReported atomic.Bool // Closed was called, or will not be
+	openReported  sync.Once   // Accepted or Connected was told, or will not be
+	// adoptMu is held while the poller takes the connection over and while it is closed from here: a descriptor that is
 	// closed and used again by another connection must not be handed to the poller for this one.
-	turn   sync.Mutex
-	cancel context.CancelFunc // of its dial
-	User   any                // the handler's own, set before anything of the stream is heard
+	adoptMu sync.Mutex
+	cancel  context.CancelFunc // of its dial
+	User    any                // the handler's own, set before anything of the stream is heard
 }
 
 // listener is what is used of a net.TCPListener.
@@ -53,44 +53,44 @@
 
 // Streams are open TCP connections of one listener and of dials.
 type Streams struct {
-	engine   *nbio.Engine
-	handler  Handler
-	listener listener
-	room     chan struct{} // a place for each caller's connection
-	within   time.Duration // a dial that is not up by then ends
-	ctx      context.Context
-	stop     context.CancelFunc
-	loops    sync.WaitGroup // dials, and the loop that accepts
-	accepts  sync.WaitGroup // that loop alone
-	ending   atomic.Bool    // it ends once nobody comes any more
-	ended    atomic.Bool    // it has
-	Local    netip.AddrPort
+	engine        *nbio.Engine
+	handler       Handler
+	listener      listener
+	slots         chan struct{} // a place for each caller's connection
+	dialTimeout   time.Duration // a dial that is not up by then ends
+	ctx           context.Context
+	stop          context.CancelFunc
+	goroutines    sync.WaitGroup // dials, and the loop that accepts
+	acceptLoop    sync.WaitGroup // that loop alone
+	stopAccepting atomic.Bool    // it ends once nobody comes any more
+	acceptStopped atomic.Bool    // it has
+	Local         netip.AddrPort
 }
 
-// lateBy is how long after its time a dial is ended here, ms: whoever dialled decides first.
-const lateBy = 100
+// dialGrace is how long after its time a dial is ended here, ms: whoever dialled decides first.
+const dialGrace = 100
 
 const streamBuffer = 16 << 10
 
 // ServeStreams listens on an address, by one poller. No more than most connections are accepted at a time: what comes
 // beyond waits in the kernel. A dial that is not up within so many ms ends.
-func ServeStreams(addr netip.AddrPort, most int, within float64, h Handler) (*Streams, error) {
-	quiet()
-	nbio.MaxOpenFiles = min(nbio.MaxOpenFiles, mostFiles)
-	s := &Streams{handler: h, room: make(chan struct{}, most), within: time.Duration((within + lateBy) * 1e6)}
+func ServeStreams(addr netip.AddrPort, maxAccepted int, dialTimeout float64, h Handler) (*Streams, error) {
+	silenceLibraryLog()
+	nbio.MaxOpenFiles = min(nbio.MaxOpenFiles, maxOpenFiles)
+	s := &Streams{handler: h, slots: make(chan struct{}, maxAccepted), dialTimeout: time.Duration((dialTimeout + dialGrace) * 1e6)}
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	// The library's own listener is not used: where descriptors have run out it accepts without a pause, and it hands a
 	// connection that was closed meanwhile to the poller.
 	s.engine = nbio.NewEngine(nbio.Config{Name: "streams", NPoller: 1, ReadBufferSize: streamBuffer})
 	s.engine.OnData(func(c *nbio.Conn, b []byte) {
-		if st, ok := c.Session().(*Stream); ok && !st.shut.Load() {
-			s.begun(st)
-			h.Data(st, b)
+		if stream, ok := c.Session().(*Stream); ok && !stream.closed.Load() {
+			s.reportOpen(stream)
+			h.Data(stream, b)
 		}
 	})
 	s.engine.OnWrittenSize(func(c *nbio.Conn, _ []byte, n int) {
-		if st, ok := c.Session().(*Stream); ok && st.left.Add(int64(n)) == st.handed.Load() {
-			h.Left(st)
+		if stream, ok := c.Session().(*Stream); ok && stream.bytesFlushed.Add(int64(n)) == stream.bytesWritten.Load() {
+			h.Flushed(stream)
 		}
 	})
 	s.engine.OnClose(s.closed)
@@ -102,47 +102,47 @@
 		l.Close()
 		return nil, fmt.Errorf("poller: %w", err)
 	}
-	s.listener, s.Local = l, plain(l.Addr().(*net.TCPAddr).AddrPort())
-	s.accepts.Add(1)
+	s.listener, s.Local = l, unmapped(l.Addr().(*net.TCPAddr).AddrPort())
+	s.acceptLoop.Add(1)
 	go s.accept()
 	return s, nil
 }
 
-// mostFiles bounds the table that the library keeps of descriptors: it would else hold 16 MB.
-const mostFiles = 1 << 16
+// maxOpenFiles bounds the table that the library keeps of descriptors: it would else hold 16 MB.
+const maxOpenFiles = 1 << 16
 
 const (
 	acceptRetry = 20 * time.Millisecond // between two tries to accept while the process has no descriptor left
-	acceptQuiet = 20 * time.Millisecond // without a newcomer: whoever connected before the end has been accepted
+	acceptIdle  = 20 * time.Millisecond // without a newcomer: whoever connected before the end has been accepted
 )
 
 // accept takes connections, each into a place of its own, till nobody comes after StopAccept.
 func (s *Streams) accept() {
-	defer s.accepts.Done()
-	defer s.ended.Store(true)
+	defer s.acceptLoop.Done()
+	defer s.acceptStopped.Store(true)
 	defer s.listener.Close()
 	for {
 		select {
-		case s.room <- struct{}{}:
+		case s.slots <- struct{}{}:
 		case <-s.ctx.Done():
 			return
 		}
-		last, since := s.ending.Load(), time.Now()
+		last, since := s.stopAccepting.Load(), time.Now()
 		if last {
-			s.listener.SetDeadline(since.Add(acceptQuiet))
+			s.listener.SetDeadline(since.Add(acceptIdle))
 		}
 		c, err := s.listener.Accept()
 		if err == nil {
-			s.adopt(&Stream{place: true}, c)
+			s.adopt(&Stream{accepted: true}, c)
 			continue
 		}
-		<-s.room
+		<-s.slots
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			// the deadline of StopAccept only wakes this loop, and what is pending is not seen past it
-			if last && time.Since(since) >= acceptQuiet {
+			if last && time.Since(since) >= acceptIdle {
 				return
 			}
 		default:
@@ -158,135 +158,137 @@
 // StopAccept ends the taking of connections: those whose callers have connected are still accepted, and then the listener
 // closes. It does not wait for that; Accepting tells.
 func (s *Streams) StopAccept() {
-	s.ending.Store(true)
+	s.stopAccepting.Store(true)
 	s.listener.SetDeadline(time.Now())
 }
 
 // Accepting tells whether connections are still accepted.
-func (s *Streams) Accepting() bool { return !s.ended.Load() }
+func (s *Streams) Accepting() bool { return !s.acceptStopped.Load() }
 
-// begun tells that a stream is there, once, and before anything else of it.
-func (s *Streams) begun(st *Stream) {
-	st.up.Do(func() {
-		if !st.place {
-			s.handler.Connected(st)
+// reportOpen tells that a stream is there, once, and before anything else of it.
+func (s *Streams) reportOpen(stream *Stream) {
+	stream.openReported.Do(func() {
+		if !stream.accepted {
+			s.handler.Connected(stream)
 			return
 		}
-		from, _ := st.conn.Load().RemoteAddr().(*net.TCPAddr)
+		from, _ := stream.conn.Load().RemoteAddr().(*net.TCPAddr)
 		if from != nil {
-			s.handler.Accepted(st, from.AddrPort().Addr().Unmap())
+			s.handler.Accepted(stream, from.AddrPort().Addr().Unmap())
 		}
 	})
 }
 
 // adopt hands a connection to the poller. Only then is it told of: what is written before could neither wait for room in
 // the socket nor be counted as left.
-func (s *Streams) adopt(st *Stream, conn net.Conn) {
+func (s *Streams) adopt(stream *Stream, conn net.Conn) {
 	c, err := nbio.NBConn(conn)
 	if err != nil {
 		conn.Close()
-		s.leave(st, err)
+		s.reportClosed(stream, err)
 		return
 	}
-	st.turn.Lock()
-	if st.shut.Load() {
+	stream.adoptMu.Lock()
+	if stream.closed.Load() {
 		c.Close()
-		st.turn.Unlock()
+		stream.adoptMu.Unlock()
 		return
 	}
-	c.SetSession(st)
-	st.conn.Store(c)
+	c.SetSession(stream)
+	stream.conn.Store(c)
 	_, err = s.engine.AddConn(c)
-	st.turn.Unlock()
+	stream.adoptMu.Unlock()
 	if err != nil {
-		s.leave(st, err)
+		s.reportClosed(stream, err)
 		return
 	}
-	s.begun(st)
+	s.reportOpen(stream)
 }
 
 func (s *Streams) closed(c *nbio.Conn, err error) {
-	if st, ok := c.Session().(*Stream); ok {
-		s.leave(st, err)
+	if stream, ok := c.Session().(*Stream); ok {
+		s.reportClosed(stream, err)
 	}
 }
 
-// leave tells that a stream has ended, once, and gives its place back.
-func (s *Streams) leave(st *Stream, err error) {
-	if st.told.Swap(true) {
+// reportClosed tells that a stream has ended, once, and gives its place back.
+func (s *Streams) reportClosed(stream *Stream, err error) {
+	if stream.closeReported.Swap(true) {
 		return
 	}
-	if st.place {
-		<-s.room
+	if stream.accepted {
+		<-s.slots
 	}
 	known := true
-	st.up.Do(func() { known = !st.place }) // a caller's that nobody was told of has not been there
-	if known && !st.shut.Load() {
-		s.handler.Closed(st, err)
+	stream.openReported.Do(func() { known = !stream.accepted }) // a caller's that nobody was told of has not been there
+	if known && !stream.closed.Load() {
+		s.handler.Closed(stream, err)
 	}
 }
 
 // Dial opens a stream; Connected or Closed follows. The library's own dial reads the first four bytes of an address that
 // may have sixteen, and so reaches another machine; the standard one connects, and the poller takes over.
-func (s *Streams) Dial(st *Stream, to netip.AddrPort) {
-	ctx, cancel := context.WithTimeout(s.ctx, s.within)
-	st.cancel = cancel
-	s.loops.Add(1)
+func (s *Streams) Dial(stream *Stream, to netip.AddrPort) {
+	ctx, cancel := context.WithTimeout(s.ctx, s.dialTimeout)
+	stream.cancel = cancel
+	s.goroutines.Add(1)
 	go func() {
-		defer s.loops.Done()
+		defer s.goroutines.Done()
 		defer cancel()
 		conn, err := (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", to.String())
 		if err != nil {
-			s.leave(st, err)
+			s.reportClosed(stream, err)
 			return
 		}
-		s.adopt(st, conn)
+		s.adopt(stream, conn)
 	}()
 }
 
-// Refused tells whether an error says that somebody was there and took no connection.
-func Refused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+// IsRefused tells whether an error says that somebody was there and took no connection.
+func IsRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// Reset tells whether an error says that the other side has torn a connection down.
-func Reset(err error) bool {
+// IsReset tells whether an error says that the other side has torn a connection down.
+func IsReset(err error) bool {
 	return errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
 // Write hands bytes on, in order; it tells whether all that was ever handed has left.
-func (st *Stream) Write(b []byte) bool {
-	c := st.conn.Load()
-	if c == nil || st.shut.Load() {
+func (stream *Stream) Write(b []byte) bool {
+	c := stream.conn.Load()
+	if c == nil || stream.closed.Load() {
 		return false
 	}
-	st.handed.Add(int64(len(b)))
+	stream.bytesWritten.Add(int64(len(b)))
 	if _, err := c.Write(b); err != nil {
 		return false // Closed follows
 	}
-	return st.HasLeft()
+	return stream.IsFlushed()
 }
 
-// HasLeft tells whether all that was handed has left.
-func (st *Stream) HasLeft() bool { return st.left.Load() == st.handed.Load() }
+// IsFlushed tells whether all that was handed has left.
+func (stream *Stream) IsFlushed() bool {
+	return stream.bytesFlushed.Load() == stream.bytesWritten.Load()
+}
 
-// Shut closes a stream; nothing more is heard of it.
-func (st *Stream) Shut() {
-	st.shut.Store(true)
-	if st.cancel != nil {
-		st.cancel()
+// Close closes a stream; nothing more is heard of it.
+func (stream *Stream) Close() {
+	stream.closed.Store(true)
+	if stream.cancel != nil {
+		stream.cancel()
 	}
-	st.turn.Lock()
-	defer st.turn.Unlock()
-	if c := st.conn.Load(); c != nil {
+	stream.adoptMu.Lock()
+	defer stream.adoptMu.Unlock()
+	if c := stream.conn.Load(); c != nil {
 		c.Close()
 	}
 }
 
 // CloseWrite says that nothing more will be written: the other side reads what was, and then the end.
-func (st *Stream) CloseWrite() {
-	st.turn.Lock()
-	defer st.turn.Unlock()
-	c := st.conn.Load()
-	if c == nil || st.shut.Load() || st.told.Load() {
+func (stream *Stream) CloseWrite() {
+	stream.adoptMu.Lock()
+	defer stream.adoptMu.Unlock()
+	c := stream.conn.Load()
+	if c == nil || stream.closed.Load() || stream.closeReported.Load() {
 		return
 	}
 	if raw, err := c.SyscallConn(); err == nil {
@@ -298,7 +300,7 @@
 func (s *Streams) Close() {
 	s.stop()
 	s.listener.Close()
-	s.accepts.Wait()
-	s.loops.Wait()
-	end(s.engine)
+	s.acceptLoop.Wait()
+	s.goroutines.Wait()
+	shutdownEngine(s.engine)
 }
--- a/internal/gateway/reactor/stream_test.go
+++ b/internal/gateway/reactor/stream_test.go
@@ -41,7 +41,7 @@
 	e.connected++
 }
 func (e *ears) Data(_ *Stream, b []byte) { e.mu.Lock(); defer e.mu.Unlock(); e.data.Write(b) }
-func (e *ears) Left(*Stream)             { e.mu.Lock(); defer e.mu.Unlock(); e.left++ }
+func (e *ears) Flushed(*Stream)          { e.mu.Lock(); defer e.mu.Unlock(); e.left++ }
 func (e *ears) Closed(_ *Stream, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -83,15 +83,15 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	st := &Stream{}
-	s.Dial(st, netip.MustParseAddrPort(l.Addr().String()))
+	stream := &Stream{}
+	s.Dial(stream, netip.MustParseAddrPort(l.Addr().String()))
 	c, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	e.until(t, "connected", func() bool { return e.connected == 1 })
-	if !st.Write([]byte("hello")) {
+	if !stream.Write([]byte("hello")) {
 		t.Error("five bytes did not leave at once")
 	}
 	b := make([]byte, 5)
@@ -102,7 +102,7 @@
 	e.until(t, "data", func() bool { return e.data.String() == "you" })
 	c.Close()
 	e.until(t, "closed", func() bool { return len(e.closed) == 1 })
-	if st.Write([]byte("x")) {
+	if stream.Write([]byte("x")) {
 		t.Error("a write to a closed stream left")
 	}
 }
@@ -117,7 +117,7 @@
 	l.Close()
 	s.Dial(&Stream{}, to)
 	e.until(t, "closed", func() bool { return len(e.closed) == 1 })
-	if len(e.closed) != 1 || !Refused(e.closed[0]) || e.connected != 0 {
+	if len(e.closed) != 1 || !IsRefused(e.closed[0]) || e.connected != 0 {
 		t.Errorf("closed %v, connected %d", e.closed, e.connected)
 	}
 }
@@ -130,10 +130,10 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	st := &Stream{}
-	s.Dial(st, netip.MustParseAddrPort(l.Addr().String()))
+	stream := &Stream{}
+	s.Dial(stream, netip.MustParseAddrPort(l.Addr().String()))
 	e.until(t, "connected", func() bool { return e.connected == 1 })
-	st.Shut()
+	stream.Close()
 	c, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -159,18 +159,18 @@
 	}
 	defer c.Close()
 	e.until(t, "accepted", func() bool { return len(e.accepted) == 1 })
-	st := e.accepted[0]
+	stream := e.accepted[0]
 	const size = 32 << 20
-	if st.Write(make([]byte, size)) {
+	if stream.Write(make([]byte, size)) {
 		t.Fatal("32 MiB left at once to a reader that reads nothing")
 	}
-	if st.HasLeft() {
+	if stream.IsFlushed() {
 		t.Error("they are said to have left")
 	}
 	if n, err := io.CopyN(io.Discard, c, size); err != nil {
 		t.Errorf("%d bytes came: %v", n, err)
 	}
-	e.until(t, "left", func() bool { return e.left > 0 && st.HasLeft() })
+	e.until(t, "left", func() bool { return e.left > 0 && stream.IsFlushed() })
 }
 
 // No more connections are accepted than there is room for; when one ends the next gets in.
@@ -194,7 +194,7 @@
 	if n != 2 {
 		t.Errorf("%d were accepted", n)
 	}
-	first.Shut() // from here
+	first.Close() // from here
 	e.until(t, "the third accepted", func() bool { return len(e.accepted) == 3 })
 }
 
@@ -203,7 +203,7 @@
 func TestUsedWhenTold(t *testing.T) {
 	const size = 16 << 20
 	for _, dialled := range []bool{false, true} {
-		s, e := serveTo(t, 4, &ears{told: func(st *Stream) { st.Write(make([]byte, size)) }})
+		s, e := serveTo(t, 4, &ears{told: func(stream *Stream) { stream.Write(make([]byte, size)) }})
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -239,11 +239,11 @@
 	other := make(chan net.Conn, 1)
 	var first atomic.Bool
 	e.mu.Lock()
-	e.told = func(st *Stream) {
+	e.told = func(stream *Stream) {
 		if first.Swap(true) {
 			return
 		}
-		st.Shut()
+		stream.Close()
 		s.Dial(&Stream{}, netip.MustParseAddrPort(l.Addr().String())) // it gets the descriptor that has just been closed
 		c, err := l.Accept()
 		if err != nil {
@@ -297,15 +297,15 @@
 	s, e := serve(t, 2)
 	old := s.listener
 	s.StopAccept() // ends the loop and its listener; another begins
-	s.accepts.Wait()
+	s.acceptLoop.Wait()
 	again, err := net.ListenTCP("tcp", old.Addr().(*net.TCPAddr))
 	if err != nil {
 		t.Fatal(err)
 	}
 	l := &starvedListener{listener: again, fails: 3}
 	s.listener = l
-	s.ending.Store(false)
-	s.accepts.Add(1)
+	s.stopAccepting.Store(false)
+	s.acceptLoop.Add(1)
 	go s.accept()
 	c, err := net.Dial("tcp", s.Local.String())
 	if err != nil {
@@ -336,7 +336,7 @@
 	s, e := serve(t, 8)
 	addr := s.listener.Addr().(*net.TCPAddr)
 	s.StopAccept()
-	s.accepts.Wait()
+	s.acceptLoop.Wait()
 	if s.Accepting() {
 		t.Error("it is said to accept")
 	}
@@ -350,8 +350,8 @@
 	}
 	l := &pausedListener{again, make(chan struct{})}
 	s.listener = l
-	s.ending.Store(false)
-	s.accepts.Add(1)
+	s.stopAccepting.Store(false)
+	s.acceptLoop.Add(1)
 	go s.accept()
 	for range 3 {
 		c, err := net.Dial("tcp", addr.String())
@@ -361,7 +361,7 @@
 		defer c.Close()
 		c.Write([]byte("ask"))
 	}
-	s.ending.Store(true) // they are in the kernel's queue, and the end is there
+	s.stopAccepting.Store(true) // they are in the kernel's queue, and the end is there
 	close(l.begin)
 	s.StopAccept()
 	e.until(t, "three accepted and read", func() bool { return len(e.accepted) == 3 && e.data.Len() == 9 })
@@ -377,9 +377,9 @@
 	}
 	defer c.Close()
 	e.until(t, "accepted", func() bool { return len(e.accepted) == 1 })
-	st := e.accepted[0]
-	st.Write([]byte("answer"))
-	st.CloseWrite()
+	stream := e.accepted[0]
+	stream.Write([]byte("answer"))
+	stream.CloseWrite()
 	c.Write([]byte("late"))
 	c.SetReadDeadline(time.Now().Add(2 * time.Second))
 	if b, err := io.ReadAll(c); err != nil || string(b) != "answer" {
--- a/internal/gateway/simadapter/benchwire_test.go
+++ b/internal/gateway/simadapter/benchwire_test.go
@@ -14,36 +14,39 @@
 type echo struct {
 	host  routing.Host
 	set   *routing.Settings
-	pools []*routing.Pool
+	pools []*routing.Endpoint
 	heard []string
 }
 
 func (e *echo) note(f string, a ...any) { e.heard = append(e.heard, fmt.Sprintf(f, a...)) }
 
-func (e *echo) Listed(_ float64, ps []*routing.Pool) {
+func (e *echo) OnEndpoints(_ float64, ps []*routing.Endpoint) {
 	for _, p := range ps {
-		e.note("pool %d %d since %v", p.Number, p.State, p.Since)
+		e.note("pool %d %d since %v", p.DestinationID, p.State, p.StartedAt)
 	}
 	e.pools = append(e.pools, ps...)
 }
-func (e *echo) Offered(now float64, c *routing.Contact) {
-	if c.Number == "panic" {
+func (e *echo) OnCall(now float64, c *routing.Call) {
+	if c.CalledNumber == "panic" {
 		panic("no such number")
 	}
-	e.note("%s %s until %v at %v", c.Skill.Name, c.Number, c.Until-now, c.Home != nil)
-	e.host.Ring(c, e.pools[0], 80)
-	e.host.Wake(now+10, c)
+	e.note("%s %s until %v at %v", c.Class.Name, c.CalledNumber, c.Deadline-now, c.Destination != nil)
+	e.host.StartAttempt(c, e.pools[0], 80)
+	e.host.ScheduleWakeup(now+10, c)
 }
-func (e *echo) Stood(_ float64, r *routing.Ring) { e.note("stood %v", r.Cost) }
-func (e *echo) Ended(_ float64, r *routing.Ring, closed bool) {
-	e.note("ended %d %v wait %v util %v", r.End, closed, r.Wait, r.Pool.Report.Util)
+func (e *echo) OnAnswer(_ float64, r *routing.Attempt) { e.note("stood %v", r.Latency) }
+func (e *echo) OnAttemptEnd(_ float64, r *routing.Attempt, closed bool) {
+	e.note("ended %d %v wait %v util %v", r.Outcome, closed, r.RetryAfter, r.Endpoint.LoadReport.Utilization)
 }
-func (e *echo) Left(float64, *routing.Contact) { e.note("left") }
-func (e *echo) Reported(_ float64, p *routing.Pool, ok, full bool) {
-	e.note("report %v %v free %v util %v", ok, full, p.Report.Free, p.Report.Util)
+func (e *echo) OnHangup(float64, *routing.Call) { e.note("left") }
+func (e *echo) OnLoadReport(_ float64, p *routing.Endpoint, ok, full bool) {
+	e.note("report %v %v free %v util %v", ok, full, p.LoadReport.Free, p.LoadReport.Utilization)
+}
+func (e *echo) OnGossip(_ float64, from int, data []byte) { e.note("told %d %s", from, data) }
+func (e *echo) OnWakeup(now float64, c *routing.Call) {
+	e.note("woken")
+	e.host.SendGossip(1, []byte("hi"))
 }
-func (e *echo) Told(_ float64, from int, data []byte) { e.note("told %d %s", from, data) }
-func (e *echo) Woken(now float64, c *routing.Contact) { e.note("woken"); e.host.Tell(1, []byte("hi")) }
 
 const create = `create	gateway-3	18446744073709551615	{"me":2,"balancers":4,"new":[1],"stats":{"fields":` +
 	`["free","busy","odd"],"how":"inline"},"lanes":[{"name":"a","aim":2000.0,"hardLimit":9000.0}]}`
@@ -55,7 +58,7 @@
 	t.Helper()
 	var out bytes.Buffer
 	e := &echo{}
-	err := Serve(strings.NewReader(in), &out, func(s *routing.Settings, h routing.Host) endpointset.Module {
+	err := Serve(strings.NewReader(in), &out, func(s *routing.Settings, h routing.Host) endpointset.Policy {
 		e.host, e.set, e.pools = h, s, nil
 		return e
 	})
@@ -83,7 +86,7 @@
 		"memo_to	gateway-3	1	6869\nready\n"; out != want {
 		t.Errorf("wrote\n%s\nwant\n%s", out, want)
 	}
-	if s := e.set; s.Gateways != 4 || s.Seed != 1<<64-1 || s.Skills[0].Value != 1 {
+	if s := e.set; s.Gateways != 4 || s.Seed != 1<<64-1 || s.Classes[0].Weight != 1 {
 		t.Errorf("settings %+v", s)
 	}
 }
--- a/internal/gateway/simadapter/codec.go
+++ b/internal/gateway/simadapter/codec.go
@@ -83,7 +83,7 @@
 	return b
 }
 
-func (l *line) choice(name string, of map[string]routing.End) routing.End {
+func (l *line) choice(name string, of map[string]routing.Outcome) routing.Outcome {
 	s := l.text(name)
 	e, ok := of[s]
 	if !ok {
@@ -99,15 +99,15 @@
 	return l.err
 }
 
-var ends = map[string]routing.End{
-	"done": routing.Done, "err": routing.Failed, "busy": routing.Full, "etimedout": routing.TimedOut,
-	"econnrefused": routing.Refused, "econnreset": routing.Reset, "ecanceled": routing.Cancelled,
-	"skipped": routing.Unsent,
+var ends = map[string]routing.Outcome{
+	"done": routing.Completed, "err": routing.Failed, "busy": routing.Overloaded, "etimedout": routing.TimedOut,
+	"econnrefused": routing.ConnectionRefused, "econnreset": routing.Reset, "ecanceled": routing.Canceled,
+	"skipped": routing.NotSent,
 }
 
 // report reads a load report over an older one; it tells whether a processor's figures came. Values that
 // are absent or -1 leave the older figure.
-func (l *line) report(fields []string, into *routing.Report) bool {
+func (l *line) report(fields []string, into *routing.LoadReport) bool {
 	s := l.text("telemetry")
 	if s == "" {
 		return false
@@ -127,7 +127,7 @@
 			l.fault("telemetry", "numbers", s)
 			return false
 		}
-		if deployment.Figure(into, f, v) {
+		if deployment.SetLoadReportField(into, f, v) {
 			full = true
 		}
 	}
--- a/internal/gateway/simadapter/host.go
+++ b/internal/gateway/simadapter/host.go
@@ -21,14 +21,14 @@
 	name     string
 	out      *bufio.Writer
 	now      float64
-	mod      endpointset.Module
+	mod      endpointset.Policy
 	fields   []string
-	pools    *endpointset.Pools[int64]
-	contacts map[string]*endpointset.Call
-	timers   map[int64]*routing.Contact
+	pools    *endpointset.Set[int64]
+	contacts map[string]*endpointset.Tracker
+	timers   map[int64]*routing.Call
 	timer    int64
-	skills   map[string]*routing.Skill
-	payers   map[string]*routing.Customer
+	skills   map[string]*routing.Class
+	payers   map[string]*routing.Tenant
 }
 
 func (in *instance) act(kind string, parts ...string) {
@@ -43,50 +43,50 @@
 
 func num(v int64) string { return strconv.FormatInt(v, 10) }
 
-// Ring implements contact.Host.
-func (in *instance) Ring(c *routing.Contact, p *routing.Pool, limit float64) {
-	k := c.ID.(*endpointset.Call)
-	k.Ring(p, in.now)
-	in.act("try", k.ID, num(in.pools.ID(p)), ms(limit))
+// StartAttempt implements contact.Host.
+func (in *instance) StartAttempt(c *routing.Call, p *routing.Endpoint, limit float64) {
+	k := c.HostData.(*endpointset.Tracker)
+	k.Begin(p, in.now)
+	in.act("try", k.ID, num(in.pools.IDOf(p)), ms(limit))
 }
 
-// Defer implements contact.Host.
-func (in *instance) Defer(c *routing.Contact, wait float64) {
-	c.Over = true
-	in.act("decline", c.ID.(*endpointset.Call).ID, ms(wait))
-	in.drop(c.ID.(*endpointset.Call))
+// Reject implements contact.Host.
+func (in *instance) Reject(c *routing.Call, wait float64) {
+	c.Finished = true
+	in.act("decline", c.HostData.(*endpointset.Tracker).ID, ms(wait))
+	in.drop(c.HostData.(*endpointset.Tracker))
 }
 
-// Abandon implements contact.Host.
-func (in *instance) Abandon(c *routing.Contact) {
-	c.Over = true
-	in.act("abort", c.ID.(*endpointset.Call).ID)
-	in.drop(c.ID.(*endpointset.Call))
+// Fail implements contact.Host.
+func (in *instance) Fail(c *routing.Call) {
+	c.Finished = true
+	in.act("abort", c.HostData.(*endpointset.Tracker).ID)
+	in.drop(c.HostData.(*endpointset.Tracker))
 }
 
-// Cancel implements contact.Host.
-func (in *instance) Cancel(r *routing.Ring) {
-	in.act("call_off", r.Contact.ID.(*endpointset.Call).ID, num(int64(r.ID.(int))))
+// CancelAttempt implements contact.Host.
+func (in *instance) CancelAttempt(r *routing.Attempt) {
+	in.act("call_off", r.Call.HostData.(*endpointset.Tracker).ID, num(int64(r.HostData.(int))))
 }
 
-// Probe implements contact.Host.
-func (in *instance) Probe(p *routing.Pool) { in.act("ask_load", num(in.pools.ID(p))) }
+// ProbeHealth implements contact.Host.
+func (in *instance) ProbeHealth(p *routing.Endpoint) { in.act("ask_load", num(in.pools.IDOf(p))) }
 
-// Tell implements contact.Host.
-func (in *instance) Tell(to int, data []byte) {
+// SendGossip implements contact.Host.
+func (in *instance) SendGossip(to int, data []byte) {
 	in.act("memo_to", num(int64(to)), hex.EncodeToString(data))
 }
 
-// Wake implements contact.Host.
-func (in *instance) Wake(at float64, c *routing.Contact) {
+// ScheduleWakeup implements contact.Host.
+func (in *instance) ScheduleWakeup(at float64, c *routing.Call) {
 	in.timer++
 	in.timers[in.timer] = c
 	in.act("schedule", ms(at), num(in.timer))
 }
 
 // drop forgets a call that has its answer and no ring out.
-func (in *instance) drop(k *endpointset.Call) {
-	if k.Settled() {
+func (in *instance) drop(k *endpointset.Tracker) {
+	if k.Done() {
 		delete(in.contacts, k.ID)
 	}
 }
@@ -94,14 +94,14 @@
 // process is the process: its instances and its numbered lists.
 type process struct {
 	out   *bufio.Writer
-	mk    endpointset.Maker
+	mk    endpointset.PolicyFactory
 	insts map[string]*instance
 	banks map[int64][][]string
 	now   float64
 }
 
 // Serve answers batches until the input ends. An error names the line and what was expected there.
-func Serve(in io.Reader, out io.Writer, mk endpointset.Maker) error {
+func Serve(in io.Reader, out io.Writer, mk endpointset.PolicyFactory) error {
 	h := &process{out: bufio.NewWriterSize(out, 1<<16), mk: mk, insts: map[string]*instance{},
 		banks: map[int64][][]string{}}
 	rd := bufio.NewReaderSize(in, 1<<20)
@@ -211,14 +211,14 @@
 	if err != nil {
 		return fmt.Errorf("line %d: create: params: %w", l.n, err)
 	}
-	in := &instance{name: name, out: h.out, fields: fields, pools: endpointset.NewPools[int64](),
-		contacts: map[string]*endpointset.Call{},
-		timers:   map[int64]*routing.Contact{}, skills: map[string]*routing.Skill{},
-		payers: map[string]*routing.Customer{}}
-	for _, k := range set.Skills {
+	in := &instance{name: name, out: h.out, fields: fields, pools: endpointset.New[int64](),
+		contacts: map[string]*endpointset.Tracker{},
+		timers:   map[int64]*routing.Call{}, skills: map[string]*routing.Class{},
+		payers: map[string]*routing.Tenant{}}
+	for _, k := range set.Classes {
 		in.skills[k.Name] = k
 	}
-	for _, c := range set.Customers {
+	for _, c := range set.Tenants {
 		in.payers[c.Name] = c
 	}
 	in.mod = h.mk(set, in)
@@ -237,11 +237,11 @@
 	"outcome":     (*process).ended,
 	"lapsed": func(h *process, in *instance, l *line) error {
 		k := in.contacts[l.text("corr")]
-		if err := l.done(); err != nil || k == nil || k.Over {
+		if err := l.done(); err != nil || k == nil || k.Finished {
 			return err
 		}
-		k.Over = true
-		in.mod.Left(h.now, k.Contact)
+		k.Finished = true
+		in.mod.OnHangup(h.now, k.Call)
 		in.drop(k)
 		return nil
 	},
@@ -252,21 +252,21 @@
 		if err := l.done(); err != nil || !ok {
 			return err
 		}
-		in.mod.Woken(h.now, c)
+		in.mod.OnWakeup(h.now, c)
 		return nil
 	},
 	"ping_result": func(h *process, in *instance, l *line) error {
-		p := in.pools.Pool(l.whole("switch", 0, 1<<32-1))
+		p := in.pools.ByID(l.whole("switch", 0, 1<<32-1))
 		end := l.choice("disposition", ends)
 		l.num("costTime", 0)
 		if p == nil {
 			return l.err
 		}
-		full := l.report(in.fields, &p.Report)
+		full := l.report(in.fields, &p.LoadReport)
 		if err := l.done(); err != nil {
 			return err
 		}
-		in.mod.Reported(h.now, p, end == routing.Done, full)
+		in.mod.OnLoadReport(h.now, p, end == routing.Completed, full)
 		return nil
 	},
 	"memo": func(h *process, in *instance, l *line) error {
@@ -274,7 +274,7 @@
 		if err := l.done(); err != nil {
 			return err
 		}
-		in.mod.Told(h.now, int(from), data)
+		in.mod.OnGossip(h.now, int(from), data)
 		return nil
 	},
 }
@@ -298,57 +298,57 @@
 		number := int(v.whole("nodeNo", -1, 1<<32))
 		state := routing.State(v.whole("lifecycle", 0, 2))
 		v.num("capacityHint", 1)
-		entries = append(entries, endpointset.Entry[int64]{ID: id, Number: number, State: state, Since: v.num("onlineSince", 0)})
+		entries = append(entries, endpointset.Entry[int64]{ID: id, DestinationID: number, State: state, StartedAt: v.num("onlineSince", 0)})
 		if err := v.done(); err != nil {
 			return err
 		}
 	}
-	in.mod.Listed(h.now, in.pools.Apply(entries, kind != 1))
+	in.mod.OnEndpoints(h.now, in.pools.Apply(entries, kind != 1))
 	return nil
 }
 
 func (h *process) knock(in *instance, l *line) error {
-	c := &routing.Contact{Came: h.now}
-	k := &endpointset.Call{Contact: c, ID: l.text("corr")}
-	c.ID = k
+	c := &routing.Call{ArrivedAt: h.now}
+	k := &endpointset.Tracker{Call: c, ID: l.text("corr")}
+	c.HostData = k
 	l.num("cost", 0)
 	left := l.num("left", math.NaN())
 	skill := l.text("tierClass")
-	c.Skill = in.skills[skill]
-	if c.Skill == nil {
+	c.Class = in.skills[skill]
+	if c.Class == nil {
 		l.fault("tierClass", "a class of the settings", skill)
 	}
-	if math.IsNaN(left) && c.Skill != nil {
-		left = c.Skill.Patience
+	if math.IsNaN(left) && c.Class != nil {
+		left = c.Class.Timeout
 	}
-	c.Until = h.now + left
-	c.Number = l.text("routeKey")
+	c.Deadline = h.now + left
+	c.CalledNumber = l.text("routeKey")
 	l.flag("mutates")
 	l.num("units", 1)
-	c.Again = l.flag("returned")
+	c.Resumed = l.flag("returned")
 	l.flag("isRetry")
 	l.num("hop", -1)
 	l.flag("passing")
 	if who := l.text("realm"); who != "" && who != "0" {
-		c.Customer = in.payers[who]
+		c.Tenant = in.payers[who]
 	}
-	c.HomeNumber = int(l.num("farEnd", -1))
-	c.Home = in.pools.Home(c.HomeNumber)
+	c.DestinationID = int(l.num("farEnd", -1))
+	c.Destination = in.pools.ByDestination(c.DestinationID)
 	if err := l.done(); err != nil {
 		return err
 	}
 	in.contacts[k.ID] = k
-	in.mod.Offered(h.now, c)
+	in.mod.OnCall(h.now, c)
 	return nil
 }
 
 // ring finds the ring that an event speaks of; nil where it ended before.
-func (in *instance) ring(l *line, id string, n int64) (*endpointset.Call, *routing.Ring) {
+func (in *instance) ring(l *line, id string, n int64) (*endpointset.Tracker, *routing.Attempt) {
 	k := in.contacts[id]
-	if k == nil || n >= int64(len(k.Rings)) {
+	if k == nil || n >= int64(len(k.Log)) {
 		return k, nil
 	}
-	return k, k.Rings[n]
+	return k, k.Log[n]
 }
 
 func (h *process) stood(in *instance, l *line) error {
@@ -359,8 +359,8 @@
 	if err := l.done(); err != nil || r == nil {
 		return err
 	}
-	r.Cost, k.Stands = cost, true
-	in.mod.Stood(h.now, r)
+	r.Latency, k.Established = cost, true
+	in.mod.OnAnswer(h.now, r)
 	return nil
 }
 
@@ -370,19 +370,19 @@
 	n, cost, note := l.whole("sendNo", 0, 1<<20), l.num("costTime", 0), int64(l.num("note", 0))
 	end, closed := l.choice("disposition", ends), l.flag("finished")
 	k, r := in.ring(l, id, n)
-	into := endpointset.Blank()
+	into := endpointset.UnknownLoad()
 	if r != nil {
-		into = r.Pool.Report
+		into = r.Endpoint.LoadReport
 	}
 	full := l.report(in.fields, &into)
 	if err := l.done(); err != nil || r == nil {
 		return err
 	}
-	r.Pool.Report, r.Reported = into, full
-	r.NoAgent, r.Wait = end == routing.Full && note%16 == 1, float64(note/16)
-	r.Engaged = end == routing.Failed && note%16 == 4
-	k.End(r, end, cost, closed)
-	in.mod.Ended(h.now, r, closed)
+	r.Endpoint.LoadReport, r.HasLoadReport = into, full
+	r.AtCapacity, r.RetryAfter = end == routing.Overloaded && note%16 == 1, float64(note/16)
+	r.NumberBusy = end == routing.Failed && note%16 == 4
+	k.RecordOutcome(r, end, cost, closed)
+	in.mod.OnAttemptEnd(h.now, r, closed)
 	in.drop(k)
 	return nil
 }
--- a/internal/gateway/sipserver/front.go
+++ b/internal/gateway/sipserver/front.go
@@ -19,7 +19,7 @@
 type door struct {
 	g       *Gateway
 	front   *enumserver.Front
-	sockets *reactor.Sockets
+	sockets *reactor.UDPSockets
 	tcp     *net.TCPListener
 	mu      sync.Mutex
 	open    map[*net.TCPConn]struct{}
--- a/internal/gateway/sipserver/gateway.go
+++ b/internal/gateway/sipserver/gateway.go
@@ -57,25 +57,25 @@
 	set     *gatewayconfig.Edge
 	log     zerolog.Logger
 	edge    *b2bua.Edge
-	sockets *reactor.Sockets
+	sockets *reactor.UDPSockets
 	events  chan event
 	start   time.Time
 	lost    uint64 // datagrams that found the queue full
-	out     []reactor.Packet
+	out     []reactor.Datagram
 	numbers *numbers
 	door    *door
 	ended   <-chan struct{}
 }
 
 // Run runs an edge until ctx's parent says so: the first value on stop lets it drain, the second ends it at once.
-func Run(ctx context.Context, set *gatewayconfig.Edge, mk endpointset.Maker, log zerolog.Logger, stop <-chan struct{}) (Outcome, error) {
+func Run(ctx context.Context, set *gatewayconfig.Edge, mk endpointset.PolicyFactory, log zerolog.Logger, stop <-chan struct{}) (Outcome, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	g := &Gateway{set: set, log: log, events: make(chan event, set.Queue), start: time.Now()}
 	addrs := []netip.AddrPort{set.Self, set.Peer}
 	sockets, err := reactor.Listen(addrs, 1, g.arrived)
 	if err != nil {
-		if reactor.Taken(err) {
+		if reactor.AddressInUse(err) {
 			return Forced, fmt.Errorf("gateway %s: another program has the address: %w", set.Name, err)
 		}
 		return Forced, fmt.Errorf("gateway %s: %w", set.Name, err)
@@ -129,7 +129,7 @@
 			log.Error().Err(err).Msg("pool list")
 		}
 	}()
-	log.Info().Str("sip", set.Self.String()).Int("number", set.Set.Me).Msg("gateway runs")
+	log.Info().Str("sip", set.Self.String()).Int("number", set.Set.GatewayIndex).Msg("gateway runs")
 	out := g.loop(stop)
 	if g.door != nil {
 		g.door.front.Close(g.now())
@@ -146,9 +146,9 @@
 	cancel()
 	<-done
 	c := g.edge.Counts
-	log.Info().Uint64("taken", c.Taken).Uint64("stood", c.Stood).Uint64("deferred", c.Deferred).Uint64("abandoned", c.Abandoned).
-		Uint64("turned", c.Turned).Uint64("rings", c.Rings).Uint64("overdue", c.Overdue).Uint64("barred", c.Barred).
-		Uint64("asked", c.Asked).Uint64("unrouted", c.Unrouted).Uint64("queue_lost", g.lost).Uint64("send_lost", sockets.Lost.Load()).Bool("drained", out == Drained).Msg("gateway ended")
+	log.Info().Uint64("taken", c.Accepted).Uint64("stood", c.Answered).Uint64("deferred", c.Rejected).Uint64("abandoned", c.Failed).
+		Uint64("turned", c.Shed).Uint64("rings", c.Attempts).Uint64("overdue", c.Overdue).Uint64("barred", c.Blocked).
+		Uint64("asked", c.Lookups).Uint64("unrouted", c.Unrouted).Uint64("queue_lost", g.lost).Uint64("send_lost", sockets.Lost.Load()).Bool("drained", out == Drained).Msg("gateway ended")
 	return out, nil
 }
 
@@ -175,7 +175,7 @@
 
 // Send implements edge.Out.
 func (g *Gateway) Send(to netip.AddrPort, data []byte) {
-	g.out = append(g.out, reactor.Packet{To: to, Data: data})
+	g.out = append(g.out, reactor.Datagram{To: to, Data: data})
 }
 
 // flush sends what a batch made.
@@ -188,7 +188,7 @@
 // Tell implements edge.Out: two bytes say who sends, then the message.
 func (g *Gateway) Tell(to int, data []byte) {
 	if to < len(g.set.Peers) && len(data) <= 256 {
-		g.sockets.Send(g.set.Peer, g.set.Peers[to], append(binary.BigEndian.AppendUint16(nil, uint16(g.set.Set.Me)), data...))
+		g.sockets.Send(g.set.Peer, g.set.Peers[to], append(binary.BigEndian.AppendUint16(nil, uint16(g.set.Set.GatewayIndex)), data...))
 	}
 }
 
@@ -221,7 +221,7 @@
 					return Forced
 				}
 				closing = g.now()
-				g.edge.Close()
+				g.edge.StopAdmitting()
 				g.log.Info().Msg("draining")
 				continue
 			}
@@ -251,7 +251,7 @@
 // drained tells whether a gateway that drains may go: nobody waits for an answer, and the calls that stood have ended
 // or were released when their time was over, with a while for the release to be heard.
 func (g *Gateway) drained(now, since float64) bool {
-	waiting, standing := g.edge.Held()
+	waiting, standing := g.edge.InProgress()
 	if waiting > 0 {
 		return false
 	}
--- a/internal/gateway/sipserver/gateway_test.go
+++ b/internal/gateway/sipserver/gateway_test.go
@@ -97,7 +97,7 @@
 	return s
 }
 
-func mind(s *routing.Settings, h routing.Host) endpointset.Module { return router.New(s, h) }
+func mind(s *routing.Settings, h routing.Host) endpointset.Policy { return router.New(s, h) }
 
 type end struct {
 	out Outcome
--- a/internal/gateway/sipserver/numbers.go
+++ b/internal/gateway/sipserver/numbers.go
@@ -37,7 +37,7 @@
 	first   *numberplan.Table
 	client  *dnsclient.Client
 	finder  *portability.Finder
-	sockets *reactor.Sockets
+	sockets *reactor.UDPSockets
 	ports   []netip.AddrPort
 }
 
--- a/internal/protocol/b2bua/analysis.go
+++ b/internal/protocol/b2bua/analysis.go
@@ -46,7 +46,7 @@
 	}
 	e.drawn++
 	a, o := e.table.Begin(numberplan.Call{Dialled: user, Looked: p.Looked, Routing: p.Routing, Carrier: p.Carrier, At: e.cfg.Epoch.Add(time.Duration(e.Now * float64(time.Millisecond))),
-		Draw: detrand.Of(e.names.Seed, e.drawn)})
+		Draw: detrand.Float64(e.names.Seed, e.drawn)})
 	k.route.analysis, k.route.version = a, a.Table.Version
 	e.tables[a.Table]++
 	if o.Refusal != nil {
@@ -70,12 +70,12 @@
 // lookUp asks what the analysis wants to know, for no longer than a part of what is left of the caller's patience.
 func (k *held) lookUp() {
 	e := k.edge
-	within := min(k.route.within, e.cfg.Share*(k.Until-e.Now))
+	within := min(k.route.within, e.cfg.Share*(k.Deadline-e.Now))
 	over := false
 	done := func(now float64, found numberplan.Found) {
 		over = true
 		k.route.stop = nil
-		if k.Over {
+		if k.Finished {
 			return
 		}
 		e.Now, e.sip.Now = now, now
@@ -85,7 +85,7 @@
 		done(e.Now, numberplan.Found{Answer: numberplan.Silent})
 		return
 	}
-	e.Counts.Asked++
+	e.Counts.Lookups++
 	stop := e.cfg.Look.Ask(e.Now, k.route.waits, within, done)
 	if !over {
 		k.route.stop = stop
@@ -100,10 +100,10 @@
 		e.Counts.Unrouted++
 		k.refuse(o.Refusal.Code, phrase(o.Refusal.Why))
 	case o.Route == nil || !k.routed(o.Route):
-		e.Abandon(k.Contact)
+		e.Fail(k.Call)
 	default:
-		k.Home = e.Pools.Home(k.HomeNumber)
-		k.Offer()
+		k.Destination = e.Endpoints.ByDestination(k.DestinationID)
+		k.PassToRouter()
 	}
 }
 
@@ -115,19 +115,19 @@
 		return false
 	}
 	if r.Skill != "" {
-		s := e.Skills[r.Skill]
+		s := e.Classes[r.Skill]
 		if s == nil {
 			return false
 		}
-		k.Skill = s
-		k.Patience()
+		k.Class = s
+		k.SetDeadline()
 	}
 	if r.Customer != "" {
-		if k.Customer = e.Payers[r.Customer]; k.Customer == nil {
+		if k.Tenant = e.Tenants[r.Customer]; k.Tenant == nil {
 			return false
 		}
 	}
-	k.Number, k.HomeNumber, k.route.name = r.Number, g.Pool, r.Name
+	k.CalledNumber, k.DestinationID, k.route.name = r.Number, g.Pool, r.Name
 	if r.Looked {
 		k.route.params = ";npdi"
 		if r.Routing != "" {
--- a/internal/protocol/b2bua/analysis_test.go
+++ b/internal/protocol/b2bua/analysis_test.go
@@ -101,8 +101,8 @@
 // patience holds.
 func TestRouted(t *testing.T) {
 	r, b := numberRig(t)
-	var got *routing.Contact
-	r.m.offered = func(now float64, c *routing.Contact) { got = c; r.m.h.Ring(c, r.m.pools[1], c.Until-now) }
+	var got *routing.Call
+	r.m.offered = func(now float64, c *routing.Call) { got = c; r.m.h.StartAttempt(c, r.m.pools[1], c.Deadline-now) }
 	r.get(caller, callerSays("INVITE", "a1", ""))
 	if len(b.asked) != 1 || b.asked[0] != "14185550123" || b.within[0] != 400 || got != nil {
 		t.Fatalf("asked %v within %v, offered %v", b.asked, b.within, got)
@@ -110,7 +110,7 @@
 	r.pass(200)
 	r.sent(caller, "SIP/2.0 100")
 	b.done[0](r.now, numberplan.Found{Answer: numberplan.Ported, Routing: "+15145550000", Carrier: "+1-6789"})
-	if got == nil || got.Skill.Name != "claim" || got.HomeNumber != 1 || got.Home != r.m.pools[1] || got.Until != got.Came+6000 {
+	if got == nil || got.Class.Name != "claim" || got.DestinationID != 1 || got.Destination != r.m.pools[1] || got.Deadline != got.ArrivedAt+6000 {
 		t.Fatalf("offered %+v", got)
 	}
 	req := r.sent(switchB, "INVITE sip:+14185550123;npdi;rn=+70115145550000;cic=+1-6789;tgrp=TG-1;")
@@ -136,7 +136,7 @@
 	r, b := numberRig(t)
 	r.e.cfg.Share = 0
 	home := -1
-	r.m.offered = func(_ float64, c *routing.Contact) { home = c.HomeNumber }
+	r.m.offered = func(_ float64, c *routing.Call) { home = c.DestinationID }
 	r.get(caller, callerSays("INVITE", "a1", ""))
 	if len(b.asked) != 0 || home != 0 {
 		t.Errorf("asked %v, offered with destination %d", b.asked, home)
@@ -146,7 +146,7 @@
 // A caller that hangs up takes its question back; an answer that comes then, or after the contact's end, changes nothing.
 func TestAnswerTooLate(t *testing.T) {
 	r, b := numberRig(t)
-	r.m.offered = func(float64, *routing.Contact) { t.Error("offered") }
+	r.m.offered = func(float64, *routing.Call) { t.Error("offered") }
 	r.get(caller, callerSays("INVITE", "a1", ""))
 	r.get(caller, callerSays("CANCEL", "a1", ""))
 	r.sent(caller, "SIP/2.0 487")
@@ -170,11 +170,11 @@
 // old table is let go.
 func TestSwapInFlight(t *testing.T) {
 	r, b := numberRig(t)
-	r.e.Gate.Most = 5000
+	r.e.LoadShedder.Most = 5000
 	var sent []string
-	r.m.offered = func(now float64, c *routing.Contact) {
-		sent = append(sent, c.Number+c.ID.(*callcontrol.Held).Party.(*call).route.params)
-		r.m.h.Defer(c, 0)
+	r.m.offered = func(now float64, c *routing.Call) {
+		sent = append(sent, c.CalledNumber+c.HostData.(*callcontrol.Session).SignalingLeg.(*call).route.params)
+		r.m.h.Reject(c, 0)
 	}
 	for v := 1; v <= 4; v++ {
 		r.e.Use(numbers(t, v))
@@ -204,7 +204,7 @@
 // need none.
 func TestTableLetGo(t *testing.T) {
 	r, b := numberRig(t)
-	r.m.offered = func(now float64, c *routing.Contact) { r.m.h.Ring(c, r.m.pools[1], c.Until-now) }
+	r.m.offered = func(now float64, c *routing.Call) { r.m.h.StartAttempt(c, r.m.pools[1], c.Deadline-now) }
 	old := func() weak.Pointer[numberplan.Table] {
 		x := numbers(t, 2)
 		r.e.Use(x)
@@ -225,7 +225,7 @@
 	if old.Value() != nil {
 		t.Error("still there")
 	}
-	if _, standing := r.e.Held(); standing != 1 {
+	if _, standing := r.e.InProgress(); standing != 1 {
 		t.Errorf("%d stand", standing)
 	}
 }
@@ -234,14 +234,14 @@
 // does not have is a fault of its own.
 func TestRefused(t *testing.T) {
 	r, b := numberRig(t)
-	r.m.offered = func(float64, *routing.Contact) { t.Error("offered") }
+	r.m.offered = func(float64, *routing.Call) { t.Error("offered") }
 	for number, want := range map[string]string{"+19115550123": "SIP/2.0 410 not here", "+15145550123": "SIP/2.0 404", "+1CALLME": "SIP/2.0 484",
 		"+16135550123": "SIP/2.0 500", "+1418555;npdi;npdi": "SIP/2.0 400"} {
 		r.get(caller, strings.Replace(callerSays("INVITE", "z"+want[8:11], ""), "+14185550123", number, 1))
 		r.sent(caller, want)
 		r.said = 0
 	}
-	if held, _ := r.e.Held(); held != 0 || len(b.asked) != 0 || len(r.e.tables) != 0 {
+	if held, _ := r.e.InProgress(); held != 0 || len(b.asked) != 0 || len(r.e.tables) != 0 {
 		t.Errorf("%d held, asked %v, %d tables", held, b.asked, len(r.e.tables))
 	}
 }
@@ -249,26 +249,26 @@
 // A flood that the intake turns away asks for nothing.
 func TestFloodAsksNothing(t *testing.T) {
 	r, b := numberRig(t)
-	r.e.Gate.Most = 10
+	r.e.LoadShedder.Most = 10
 	for i := range 200 {
 		r.get(caller, callerSays("INVITE", fmt.Sprintf("f%d", i), ""))
 	}
-	if len(b.asked) > 10 || r.e.Counts.Turned < 190 {
-		t.Errorf("%d asked, %d turned away", len(b.asked), r.e.Counts.Turned)
+	if len(b.asked) > 10 || r.e.Counts.Shed < 190 {
+		t.Errorf("%d asked, %d turned away", len(b.asked), r.e.Counts.Shed)
 	}
 }
 
 // A contact held for its look-up is served when the edge drains meanwhile; to the pool that the list has then.
 func TestListedAndDrainingMeanwhile(t *testing.T) {
 	r, b := numberRig(t)
-	r.m.offered = func(now float64, c *routing.Contact) { r.m.h.Ring(c, r.m.pools[0], c.Until-now) }
+	r.m.offered = func(now float64, c *routing.Call) { r.m.h.StartAttempt(c, r.m.pools[0], c.Deadline-now) }
 	r.get(caller, callerSays("INVITE", "a1", ""))
-	r.e.Close()
+	r.e.StopAdmitting()
 	r.list(routing.Draining)
 	b.done[0](r.now, numberplan.Found{Answer: numberplan.Silent})
 	r.pass(1)
-	if len(r.m.heard) != 1 || !strings.HasPrefix(r.m.heard[0], fmt.Sprintf("ended %d", routing.Unsent)) || r.e.Counts.Barred != 1 {
-		t.Errorf("rule 3: heard %v, barred %d", r.m.heard, r.e.Counts.Barred)
+	if len(r.m.heard) != 1 || !strings.HasPrefix(r.m.heard[0], fmt.Sprintf("ended %d", routing.NotSent)) || r.e.Counts.Blocked != 1 {
+		t.Errorf("rule 3: heard %v, barred %d", r.m.heard, r.e.Counts.Blocked)
 	}
 	for _, p := range r.out {
 		if p.to == switchA && strings.HasPrefix(p.data, "INVITE") {
--- a/internal/protocol/b2bua/caller.go
+++ b/internal/protocol/b2bua/caller.go
@@ -46,7 +46,7 @@
 		name = e.cfg.Default
 	}
 	user, params, _ := strings.Cut(req.Recipient.User, ";")
-	skill := e.Skills[name]
+	skill := e.Classes[name]
 	switch {
 	case e.refusals.Known(e.Now, key(req)):
 		s.Refuse(e.busy(req))
@@ -61,22 +61,22 @@
 		s.Respond(siptransaction.Response(req, 400, "Missing Contact", e.names.Next()))
 		return
 	}
-	c := &routing.Contact{Skill: skill, Customer: e.Payers[req.From().Address.Host], Number: user, Came: e.Now, HomeNumber: -1}
+	c := &routing.Call{Class: skill, Tenant: e.Tenants[req.From().Address.Host], CalledNumber: user, ArrivedAt: e.Now, DestinationID: -1}
 	if g := e.byName[param(params, "tgrp")]; g != nil {
-		c.HomeNumber = g.Pool
+		c.DestinationID = g.Pool
 	}
-	k := &call{held: &held{Held: e.Hold(c, siptransaction.Wait(siptransaction.Field(req, "Expires"))), edge: e, session: siptransaction.Session(req)}, req: req, server: s,
+	k := &call{held: &held{Session: e.NewSession(c, siptransaction.Wait(siptransaction.Field(req, "Expires"))), edge: e, session: siptransaction.Session(req)}, req: req, server: s,
 		payer: req.From().Address.Host}
-	k.Party, k.refuser, s.User = k, k, k
-	k.Patience()
+	k.SignalingLeg, k.refuser, s.User = k, k, k
+	k.SetDeadline()
 	if k.session == "" {
 		k.session = e.session()
 	}
 	if e.table != nil && !k.analyse(user, params) {
 		return
 	}
-	c.Home = e.Pools.Home(c.HomeNumber)
-	e.Wait(k.Held)
+	c.Destination = e.Endpoints.ByDestination(c.DestinationID)
+	e.Enqueue(k.Session)
 }
 
 // param is a parameter of a telephone number in a user part (RFC 3261 19.1.6, RFC 4904).
@@ -104,7 +104,7 @@
 }
 
 // turned implements control.Party.
-func (k *call) Turned() {
+func (k *call) SendShed() {
 	k.letGo()
 	k.edge.refusals.Add(k.edge.Now, key(k.req))
 	k.server.Refuse(k.edge.busy(k.req))
@@ -120,32 +120,32 @@
 }
 
 // defers implements control.Party.
-func (k *call) Defers(wait float64) {
+func (k *call) SendRejection(wait float64) {
 	res := siptransaction.Response(k.req, 503, "Service Unavailable", k.tag)
-	if wait > 0 && k.edge.cfg.Set.MayWait {
+	if wait > 0 && k.edge.cfg.Set.RetryAfterEnabled {
 		res.AppendHeader(sip.NewHeader(siptransaction.RetryAfter, siptransaction.Seconds(wait)))
 	}
 	k.answer(res)
 }
 
 // isOut implements control.Party.
-func (k *call) IsOut() bool { return k.trunk != nil }
+func (k *call) HasAttempt() bool { return k.trunk != nil }
 
 // callOff implements control.Party.
-func (k *call) CallOff(r *routing.Ring) {
-	if k.trunk != nil && k.trunk.ring == r && !k.Stands {
+func (k *call) SendCancel(r *routing.Attempt) {
+	if k.trunk != nil && k.trunk.ring == r && !k.Established {
 		k.trunk.cancel()
 	}
 }
 
-// Begin implements control.Party: a number that has to be looked up is not ready.
-func (k *call) Begin() bool {
+// OnAccepted implements control.Party: a number that has to be looked up is not ready.
+func (k *call) OnAccepted() bool {
 	k.tag = k.edge.names.Next()
 	return k.route.waits == ""
 }
 
 // trying implements control.Party.
-func (k *call) Trying() {
+func (k *call) SendTrying() {
 	if !k.rang {
 		k.server.Respond(siptransaction.Response(k.req, 100, "Trying", ""))
 	}
@@ -157,14 +157,14 @@
 		return
 	}
 	k.server.Respond(res)
-	if k.Over && k.trunk != nil {
+	if k.Finished && k.trunk != nil {
 		k.trunk.cancel()
 	}
 }
 
 // ringing tells the caller that it rings.
 func (k *call) ringing() {
-	if !k.rang && !k.Over {
+	if !k.rang && !k.Finished {
 		k.rang = true
 		k.server.Respond(siptransaction.Response(k.req, 180, "Ringing", k.tag))
 	}
@@ -177,30 +177,30 @@
 	res.AppendHeader(&sip.ContactHeader{Address: e.uri("")})
 	copyBody(from, res)
 	k.answer(res)
-	k.Stands = true
-	e.Standing(1)
-	e.Counts.Stood++
+	k.Established = true
+	e.AddEstablished(1)
+	e.Counts.Answered++
 	e.ends[k.tag] = &end{edge: e, call: k, callID: string(*k.req.CallID()), tag: k.tag}
-	k.server.Lost(func() { k.release(routing.Done, plainReason) }) // RFC 3261 13.3.1.4: no ACK ever came
+	k.server.Lost(func() { k.release(routing.Completed, plainReason) }) // RFC 3261 13.3.1.4: no ACK ever came
 }
 
 // CalledOff implements signal.User: the caller is gone before its answer.
 func (e *Edge) CalledOff(s *siptransaction.Server, _ *sip.Request) {
 	e.Now = e.sip.Now
 	k, ok := s.User.(*call)
-	if !ok || k.Over || k.Stands {
+	if !ok || k.Finished || k.Established {
 		return
 	}
-	e.Counts.Left++
+	e.Counts.HungUp++
 	if k.tag == "" { // not taken yet
-		k.Over = true
+		k.Finished = true
 		k.letGo()
 		s.Respond(siptransaction.Response(k.req, 487, "Request Terminated", e.names.Next()))
 		return
 	}
 	k.answer(siptransaction.Response(k.req, 487, "Request Terminated", k.tag))
-	if k.Offered {
-		e.Mod.Left(e.Now, k.Contact)
+	if k.WithRouter {
+		e.Router.OnHangup(e.Now, k.Call)
 	}
 }
 
@@ -213,10 +213,10 @@
 
 // bye ends a call from either side.
 func (d *end) bye(req *sip.Request) {
-	if d.call == nil || !d.call.Stands {
+	if d.call == nil || !d.call.Established {
 		return
 	}
-	how, why := routing.Done, plainReason
+	how, why := routing.Completed, plainReason
 	if v := siptransaction.Field(req, siptransaction.Reason); strings.Contains(v, "Q.850") && !strings.Contains(v, "cause=16") {
 		how, why = routing.Reset, v
 	}
@@ -230,13 +230,13 @@
 }
 
 // release ends a standing call on the sides that do not know of it yet.
-func (k *call) release(how routing.End, why string) {
-	if !k.Stands || k.trunk == nil {
+func (k *call) release(how routing.Outcome, why string) {
+	if !k.Established || k.trunk == nil {
 		return
 	}
 	e, l := k.edge, k.trunk
 	k.server.Acked() // a BYE may overtake the ACK: the 200 is not repeated any more
-	e.Standing(-1)
+	e.AddEstablished(-1)
 	k.trunk = nil
 	if _, open := e.ends[k.tag]; open {
 		delete(e.ends, k.tag)
@@ -252,7 +252,7 @@
 	}
 	l.told = true
 	l.forget()
-	k.Ended(l.ring, how, true)
+	k.EndAttempt(l.ring, how, true)
 }
 
 // bye gives a BYE its Session-ID and reason.
--- a/internal/protocol/b2bua/edge.go
+++ b/internal/protocol/b2bua/edge.go
@@ -95,14 +95,14 @@
 
 // Edge is one gateway.
 type Edge struct {
-	*callcontrol.Control
+	*callcontrol.Controller
 	OnFate func(Fate) // may be nil
 
 	cfg      *Config
 	out      Out
 	names    siptransaction.Names
 	sip      *siptransaction.Layer
-	addrs    map[*routing.Pool]netip.AddrPort
+	addrs    map[*routing.Endpoint]netip.AddrPort
 	groups   map[int]*Group    // by pool
 	byName   map[string]*Group // by tgrp
 	ends     map[string]*end   // dialogs by our tag
@@ -113,9 +113,9 @@
 }
 
 // New makes an edge; its module comes from mk.
-func New(cfg *Config, mk endpointset.Maker, out Out) *Edge {
-	e := &Edge{Control: callcontrol.New(&callcontrol.Config{Set: cfg.Set, Margin: cfg.Margin, Gate: cfg.Gate, Off: cfg.Off}), cfg: cfg, out: out,
-		addrs: map[*routing.Pool]netip.AddrPort{}, groups: map[int]*Group{}, byName: map[string]*Group{}, ends: map[string]*end{},
+func New(cfg *Config, mk endpointset.PolicyFactory, out Out) *Edge {
+	e := &Edge{Controller: callcontrol.New(&callcontrol.Config{Settings: cfg.Set, AnswerMargin: cfg.Margin, LoadShedding: cfg.Gate, DisabledGuards: cfg.Off}), cfg: cfg, out: out,
+		addrs: map[*routing.Endpoint]netip.AddrPort{}, groups: map[int]*Group{}, byName: map[string]*Group{}, ends: map[string]*end{},
 		table: cfg.Table, tables: map[*numberplan.Table]int{}}
 	h := fnv.New64a()
 	h.Write([]byte(cfg.Name))
@@ -129,7 +129,7 @@
 	if cfg.Parse != nil {
 		e.sip.Parse = cfg.Parse
 	}
-	e.Mod = mk(cfg.Set, moduleHost{e})
+	e.Router = mk(cfg.Set, moduleHost{e})
 	return e
 }
 
@@ -142,8 +142,8 @@
 // Peer takes another gateway's message.
 func (e *Edge) Peer(now float64, from int, data []byte) {
 	e.Now, e.sip.Now = now, now
-	if len(data) <= 256 && from >= 0 && from < e.cfg.Set.Gateways && from != e.cfg.Set.Me {
-		e.Mod.Told(now, from, data)
+	if len(data) <= 256 && from >= 0 && from < e.cfg.Set.Gateways && from != e.cfg.Set.GatewayIndex {
+		e.Router.OnGossip(now, from, data)
 	}
 }
 
@@ -153,14 +153,14 @@
 	e.Now, e.sip.Now = now, now
 	entries := make([]endpointset.Entry[string], len(list))
 	for i, m := range list {
-		entries[i] = endpointset.Entry[string]{ID: m.ID, Number: m.Number, State: m.State, Since: m.Since}
+		entries[i] = endpointset.Entry[string]{ID: m.ID, DestinationID: m.Number, State: m.State, StartedAt: m.Since}
 	}
-	changed := e.Pools.Apply(entries, whole)
+	changed := e.Endpoints.Apply(entries, whole)
 	for _, m := range list {
-		p := e.Pools.Pool(m.ID)
+		p := e.Endpoints.ByID(m.ID)
 		if _, known := e.addrs[p]; !known {
-			if g := e.groups[p.Number]; g != nil {
-				p.Report.Agents, p.Report.Free = float64(g.Size), float64(g.Size)
+			if g := e.groups[p.DestinationID]; g != nil {
+				p.LoadReport.Capacity, p.LoadReport.Free = float64(g.Size), float64(g.Size)
 			}
 		}
 		e.addrs[p] = m.Addr
@@ -168,19 +168,19 @@
 	for _, p := range changed {
 		if p.State != routing.Ready {
 			for _, d := range e.ends {
-				if d.leg != nil && d.leg.ring.Pool == p && !d.leg.tx.Heard() {
+				if d.leg != nil && d.leg.ring.Endpoint == p && !d.leg.tx.Heard() {
 					d.leg.tx.Quiet()
 				}
 			}
 		}
 	}
-	e.Mod.Listed(now, changed)
+	e.Router.OnEndpoints(now, changed)
 }
 
 // Wake ends a batch: timers that are due run, then what came is offered to the module.
 func (e *Edge) Wake(now float64) {
 	e.sip.Now = now
-	e.Batch(now, func() {
+	e.ProcessBatch(now, func() {
 		if e.cfg.Look != nil {
 			e.cfg.Look.Wake(now)
 		}
@@ -189,7 +189,7 @@
 
 // Next is when Wake is wanted, on the clock that was handed in.
 func (e *Edge) Next() float64 {
-	at := e.Control.Next()
+	at := e.Controller.NextWakeup()
 	if e.cfg.Look != nil {
 		at = math.Min(at, e.cfg.Look.Next())
 	}
@@ -219,27 +219,27 @@
 	return len(e.ends), c + s, e.Timers.Len()
 }
 
-// Probe implements contact.Host: OPTIONS (RFC 3261 11).
-func (e *Edge) Probe(p *routing.Pool) {
+// ProbeHealth implements contact.Host: OPTIONS (RFC 3261 11).
+func (e *Edge) ProbeHealth(p *routing.Endpoint) {
 	to := e.addrs[p]
 	req := sip.NewRequest(sip.OPTIONS, sip.Uri{Scheme: "sip", Host: to.Addr().String(), Port: int(to.Port())})
 	e.common(req, &sip.FromHeader{Address: e.uri(""), Params: sip.HeaderParams{{K: "tag", V: e.names.Next()}}},
 		&sip.ToHeader{Address: req.Recipient}, e.names.Next()+"@"+e.cfg.Name, 1)
 	e.sip.Ask(req, to, oc, func(res *sip.Response) {
 		full := res != nil && e.report(p, res)
-		e.Mod.Reported(e.Now, p, res != nil && res.StatusCode < 300, full)
+		e.Router.OnLoadReport(e.Now, p, res != nil && res.StatusCode < 300, full)
 	})
 }
 
-// Tell implements contact.Host.
-func (e *Edge) Tell(to int, data []byte) { e.out.Tell(to, data) }
+// SendGossip implements contact.Host.
+func (e *Edge) SendGossip(to int, data []byte) { e.out.Tell(to, data) }
 
 // moduleHost is the edge as the module sees it: Wake means something else there.
 type moduleHost struct{ *Edge }
 
-// Wake implements contact.Host.
-func (h moduleHost) Wake(at float64, c *routing.Contact) {
-	h.Control.Wake(at, c)
+// ScheduleWakeup implements contact.Host.
+func (h moduleHost) ScheduleWakeup(at float64, c *routing.Call) {
+	h.Controller.ScheduleWakeup(at, c)
 }
 
 // Asked implements signal.User.
--- a/internal/protocol/b2bua/edge_test.go
+++ b/internal/protocol/b2bua/edge_test.go
@@ -24,32 +24,32 @@
 // mind is a module that a test plays by hand.
 type mind struct {
 	h       routing.Host
-	pools   []*routing.Pool
-	offered func(now float64, c *routing.Contact)
-	ended   func(now float64, r *routing.Ring)
-	woken   func(now float64, c *routing.Contact)
+	pools   []*routing.Endpoint
+	offered func(now float64, c *routing.Call)
+	ended   func(now float64, r *routing.Attempt)
+	woken   func(now float64, c *routing.Call)
 	heard   []string
 }
 
-func (m *mind) Listed(_ float64, ps []*routing.Pool) {
+func (m *mind) OnEndpoints(_ float64, ps []*routing.Endpoint) {
 	if m.pools == nil {
 		m.pools = ps
 	}
 }
-func (m *mind) Offered(now float64, c *routing.Contact) { m.offered(now, c) }
-func (m *mind) Stood(_ float64, r *routing.Ring)        { m.heard = append(m.heard, "stood") }
-func (m *mind) Ended(now float64, r *routing.Ring, closed bool) {
-	m.heard = append(m.heard, fmt.Sprintf("ended %d closed %v wait %v", r.End, closed, r.Wait))
+func (m *mind) OnCall(now float64, c *routing.Call)    { m.offered(now, c) }
+func (m *mind) OnAnswer(_ float64, r *routing.Attempt) { m.heard = append(m.heard, "stood") }
+func (m *mind) OnAttemptEnd(now float64, r *routing.Attempt, closed bool) {
+	m.heard = append(m.heard, fmt.Sprintf("ended %d closed %v wait %v", r.Outcome, closed, r.RetryAfter))
 	if m.ended != nil {
 		m.ended(now, r)
 	}
 }
-func (m *mind) Left(float64, *routing.Contact) { m.heard = append(m.heard, "left") }
-func (m *mind) Reported(_ float64, p *routing.Pool, ok, full bool) {
+func (m *mind) OnHangup(float64, *routing.Call) { m.heard = append(m.heard, "left") }
+func (m *mind) OnLoadReport(_ float64, p *routing.Endpoint, ok, full bool) {
 	m.heard = append(m.heard, fmt.Sprintf("report %v %v", ok, full))
 }
-func (m *mind) Told(float64, int, []byte) {}
-func (m *mind) Woken(now float64, c *routing.Contact) {
+func (m *mind) OnGossip(float64, int, []byte) {}
+func (m *mind) OnWakeup(now float64, c *routing.Call) {
 	if m.woken != nil {
 		m.woken(now, c)
 	}
@@ -75,12 +75,12 @@
 
 func newRig(t *testing.T) *rig {
 	r := &rig{T: t, m: &mind{}, now: 1e6}
-	set := &routing.Settings{Gateways: 1, Seed: 3, Tick: 1, MaxRings: 5, MayCancel: true, MayWait: true, ClearWait: 500, Slack: 20,
-		Skills: []*routing.Skill{{Name: "shift-lookup", Target: 2000, Patience: 9000, Value: 1}, {Name: "claim", Target: 1000, Patience: 6000, Value: 5}}}
+	set := &routing.Settings{Gateways: 1, Seed: 3, TickInterval: 1, MaxAttempts: 5, CancelEnabled: true, RetryAfterEnabled: true, RetryHoldOff: 500, AnswerGrace: 20,
+		Classes: []*routing.Class{{Name: "shift-lookup", LatencyObjective: 2000, Timeout: 9000, Weight: 1}, {Name: "claim", LatencyObjective: 1000, Timeout: 6000, Weight: 5}}}
 	r.e = New(&Config{Name: "e", Self: self, Context: "x.example", Set: set, Times: siptransaction.Times{T1: 400, T2: 3200, T4: 5000}, Default: "shift-lookup",
 		Groups: []Group{{Name: "TG-0", Pool: 0, Size: 10}, {Name: "TG-1", Pool: 1, Size: 10}}, Gate: intake.Gate{Most: 100}},
-		func(_ *routing.Settings, h routing.Host) endpointset.Module { r.m.h = h; return r.m }, r)
-	r.m.offered = func(now float64, c *routing.Contact) { r.m.h.Ring(c, r.m.pools[0], c.Until-now) }
+		func(_ *routing.Settings, h routing.Host) endpointset.Policy { r.m.h = h; return r.m }, r)
+	r.m.offered = func(now float64, c *routing.Call) { r.m.h.StartAttempt(c, r.m.pools[0], c.Deadline-now) }
 	r.list(routing.Ready)
 	return r
 }
@@ -188,7 +188,7 @@
 	r.sent(switchA, "ACK ")
 	ok := r.sent(caller, "SIP/2.0 200")
 	tag := ";tag=" + siptransaction.Tag(ok.To().Params)
-	if p := r.m.pools[0].Report; p.Util != 0.5 || p.Queue != 3 || p.Agents != 90 || p.Free != 80 {
+	if p := r.m.pools[0].LoadReport; p.Utilization != 0.5 || p.QueueLength != 3 || p.Capacity != 90 || p.Free != 80 {
 		t.Errorf("report %+v", p)
 	}
 	r.pass(900)
@@ -207,7 +207,7 @@
 	r.get(caller, callerSays("BYE", "1a", tag))
 	r.sent(switchA, "BYE ")
 	r.heard("report true true", "stood", "ended 0 closed true wait 0")
-	if w, s := r.e.Held(); w != 0 || s != 0 {
+	if w, s := r.e.InProgress(); w != 0 || s != 0 {
 		t.Errorf("held %d, standing %d", w, s)
 	}
 	r.pass(100000)
@@ -233,17 +233,17 @@
 // CANCEL and 200 cross: the call that stood is acknowledged and released, and nothing rings before the clear wait.
 func TestCancelCrosses200(t *testing.T) {
 	r := newRig(t)
-	r.m.ended = func(now float64, x *routing.Ring) { r.m.h.Wake(now+1, x.Contact) }
-	r.m.woken = func(now float64, c *routing.Contact) {
-		if !c.Over && c.Out == nil {
-			r.m.h.Ring(c, r.m.pools[1], c.Until-now) // before the clear wait is over: barred
-			r.m.h.Wake(now+100, c)
+	r.m.ended = func(now float64, x *routing.Attempt) { r.m.h.ScheduleWakeup(now+1, x.Call) }
+	r.m.woken = func(now float64, c *routing.Call) {
+		if !c.Finished && c.InFlight == nil {
+			r.m.h.StartAttempt(c, r.m.pools[1], c.Deadline-now) // before the clear wait is over: barred
+			r.m.h.ScheduleWakeup(now+100, c)
 		}
 	}
 	r.get(caller, callerSays("INVITE", "2a", ""))
 	inv := r.sent(switchA, "INVITE")
 	r.answer(switchA, inv, 180, "s", "")
-	r.m.h.Cancel(r.e.ends[siptransaction.Tag(inv.From().Params)].leg.ring)
+	r.m.h.CancelAttempt(r.e.ends[siptransaction.Tag(inv.From().Params)].leg.ring)
 	r.sent(switchA, "CANCEL")
 	r.pass(10)
 	if r.count(switchB, "INVITE") != 0 {
@@ -268,9 +268,9 @@
 // A 200 after the time-out: the caller has its answer, the call that stood is released.
 func TestLate200(t *testing.T) {
 	r := newRig(t)
-	r.m.ended = func(_ float64, x *routing.Ring) {
-		if !x.Contact.Over {
-			r.m.h.Abandon(x.Contact)
+	r.m.ended = func(_ float64, x *routing.Attempt) {
+		if !x.Call.Finished {
+			r.m.h.Fail(x.Call)
 		}
 	}
 	r.get(caller, callerSays("INVITE", "3a", ""))
@@ -316,8 +316,8 @@
 // The caller calls off while its contact is in the clear wait.
 func TestCallerLeavesInClearWait(t *testing.T) {
 	r := newRig(t)
-	r.m.ended = func(now float64, x *routing.Ring) { r.m.h.Wake(now+500, x.Contact) }
-	r.m.woken = func(now float64, c *routing.Contact) { r.m.h.Ring(c, r.m.pools[1], 100) }
+	r.m.ended = func(now float64, x *routing.Attempt) { r.m.h.ScheduleWakeup(now+500, x.Call) }
+	r.m.woken = func(now float64, c *routing.Call) { r.m.h.StartAttempt(c, r.m.pools[1], 100) }
 	r.get(caller, callerSays("INVITE", "5a", ""))
 	inv := r.sent(switchA, "INVITE")
 	r.answer(switchA, inv, 408, "s", "")
@@ -345,7 +345,7 @@
 		{302, "Contact: <sip:127.0.0.9>", "ended 1 closed false wait 0"},
 	} {
 		r := newRig(t)
-		r.m.ended = func(_ float64, x *routing.Ring) { r.m.h.Defer(x.Contact, 300) }
+		r.m.ended = func(_ float64, x *routing.Attempt) { r.m.h.Reject(x.Call, 300) }
 		r.get(caller, callerSays("INVITE", fmt.Sprintf("%da", i+1), ""))
 		r.answer(switchA, r.sent(switchA, "INVITE"), x.code, "s", x.more)
 		r.sent(switchA, "ACK")
@@ -411,7 +411,7 @@
 // An edge stands still past a repeat and the patience: the answer goes, and no repeat with it.
 func TestStoodStillPastPatience(t *testing.T) {
 	r := newRig(t)
-	r.m.ended = func(_ float64, x *routing.Ring) { r.m.h.Abandon(x.Contact) }
+	r.m.ended = func(_ float64, x *routing.Attempt) { r.m.h.Fail(x.Call) }
 	r.get(caller, callerSays("INVITE", "1d", ""))
 	r.pass(2000) // the next repeat is due at 2800, the patience ends at 9000
 	n := r.count(switchA, "INVITE")
@@ -427,9 +427,9 @@
 // the earliest. One that was merely idle takes it as new.
 func TestStoodStill(t *testing.T) {
 	r := newRig(t)
-	r.m.ended = func(_ float64, x *routing.Ring) {
-		if !x.Contact.Over {
-			r.m.h.Abandon(x.Contact)
+	r.m.ended = func(_ float64, x *routing.Attempt) {
+		if !x.Call.Finished {
+			r.m.h.Fail(x.Call)
 		}
 	}
 	r.pass(1000)
@@ -447,7 +447,7 @@
 	}
 	r.get(caller, callerSays("INVITE", "2c", ""))
 	r.pass(8990)
-	if r.e.Counts.Abandoned != 1 {
+	if r.e.Counts.Failed != 1 {
 		t.Error("an idle edge took a new contact for an old one")
 	}
 }
@@ -455,7 +455,7 @@
 // What the intake turns away gets one answer, also when its INVITE is repeated after room has come.
 func TestTurnedAwayStaysSo(t *testing.T) {
 	r := newRig(t)
-	r.e.Gate.Most = 1
+	r.e.LoadShedder.Most = 1
 	r.get(caller, callerSays("INVITE", "1a", ""))
 	inv := r.sent(switchA, "INVITE")
 	r.get(caller, callerSays("INVITE", "2a", ""))
@@ -463,19 +463,19 @@
 	r.answer(switchA, inv, 200, "s", "")
 	r.get(caller, callerSays("INVITE", "2a", ""))
 	r.sent(caller, "SIP/2.0 503")
-	if r.e.Counts.Taken != 1 {
-		t.Errorf("%d taken", r.e.Counts.Taken)
+	if r.e.Counts.Accepted != 1 {
+		t.Errorf("%d taken", r.e.Counts.Accepted)
 	}
 }
 
 // A module that forgets a contact or answers it twice: rule 1 is kept all the same.
 func TestForgottenContact(t *testing.T) {
 	r := newRig(t)
-	r.m.offered = func(float64, *routing.Contact) {}
+	r.m.offered = func(float64, *routing.Call) {}
 	r.get(caller, callerSays("INVITE", "1b", ""))
 	r.pass(9011)
 	r.sent(caller, "SIP/2.0 500")
-	r.m.offered = func(_ float64, c *routing.Contact) { r.m.h.Defer(c, 0); r.m.h.Abandon(c) }
+	r.m.offered = func(_ float64, c *routing.Call) { r.m.h.Reject(c, 0); r.m.h.Fail(c) }
 	r.get(caller, callerSays("INVITE", "2b", ""))
 	r.sent(caller, "SIP/2.0 503")
 	if n := r.count(caller, "SIP/2.0 500"); n < 1 || r.e.Counts.Overdue != 1 {
--- a/internal/protocol/b2bua/enquiry.go
+++ b/internal/protocol/b2bua/enquiry.go
@@ -22,7 +22,7 @@
 // enquiry is a contact of somebody who asks which pool to call, and calls it itself.
 type enquiry struct {
 	*held
-	out  *routing.Ring
+	out  *routing.Attempt
 	done func(now float64, n Named)
 }
 
@@ -31,51 +31,51 @@
 // back.
 func (e *Edge) Enquire(now float64, number, skill string, patience float64, done func(now float64, n Named)) (stop func()) {
 	e.Now, e.sip.Now = now, now
-	k := e.Skills[skill]
+	k := e.Classes[skill]
 	if k == nil {
 		done(now, Named{Code: 404, Why: "no such skill"})
 		return func() {}
 	}
-	c := &routing.Contact{Skill: k, Number: number, Came: now, HomeNumber: -1}
-	q := &enquiry{held: &held{Held: e.Hold(c, patience), edge: e, session: e.session()}, done: done}
-	q.Party, q.refuser = q, q
-	q.Patience()
+	c := &routing.Call{Class: k, CalledNumber: number, ArrivedAt: now, DestinationID: -1}
+	q := &enquiry{held: &held{Session: e.NewSession(c, patience), edge: e, session: e.session()}, done: done}
+	q.SignalingLeg, q.refuser = q, q
+	q.SetDeadline()
 	if e.table != nil && !q.analyse(number, "") {
 		return func() {}
 	}
-	c.Home = e.Pools.Home(c.HomeNumber)
-	e.Wait(q.Held)
+	c.Destination = e.Endpoints.ByDestination(c.DestinationID)
+	e.Enqueue(q.Session)
 	return q.stop
 }
 
 // stop: nobody waits for the answer any more.
 func (q *enquiry) stop() {
 	switch {
-	case q.Over:
-	case !q.Taken:
-		q.Over = true
+	case q.Finished:
+	case !q.Accepted:
+		q.Finished = true
 		q.letGo()
 	default:
 		q.settle(487)
-		if q.Offered {
-			q.edge.Mod.Left(q.edge.Now, q.Contact)
+		if q.WithRouter {
+			q.edge.Router.OnHangup(q.edge.Now, q.Call)
 		}
 	}
 }
 
 // turned implements control.Party.
-func (q *enquiry) Turned() {
+func (q *enquiry) SendShed() {
 	q.letGo()
 	q.done(q.edge.Now, Named{Code: 503, Why: "busy"})
 }
 
-// Begin implements control.Party.
-func (q *enquiry) Begin() bool { return q.route.waits == "" }
+// OnAccepted implements control.Party.
+func (q *enquiry) OnAccepted() bool { return q.route.waits == "" }
 
 // refuse implements control.Party.
 func (q *enquiry) refuse(code int, why string) {
-	if !q.Taken {
-		q.Over = true
+	if !q.Accepted {
+		q.Finished = true
 	} else if !q.settle(code) {
 		return
 	}
@@ -83,41 +83,41 @@
 }
 
 // defers implements control.Party.
-func (q *enquiry) Defers(wait float64) {
+func (q *enquiry) SendRejection(wait float64) {
 	if !q.settle(503) {
 		return
 	}
-	if !q.edge.cfg.Set.MayWait {
+	if !q.edge.cfg.Set.RetryAfterEnabled {
 		wait = 0
 	}
 	q.done(q.edge.Now, Named{Code: 503, Why: "deferred", Wait: wait})
 }
 
 // isOut implements control.Party.
-func (q *enquiry) IsOut() bool { return q.out != nil }
+func (q *enquiry) HasAttempt() bool { return q.out != nil }
 
-// Dial implements control.Party: the answer is the ring. Whoever asked calls the pool itself, so it is over for us; the module
+// SendSetup implements control.Party: the answer is the ring. Whoever asked calls the pool itself, so it is over for us; the module
 // counts it as one that was sent and taken.
-func (q *enquiry) Dial(r *routing.Ring, _ float64) bool {
+func (q *enquiry) SendSetup(r *routing.Attempt, _ float64) bool {
 	e := q.edge
-	g := e.groups[r.Pool.Number]
+	g := e.groups[r.Endpoint.DestinationID]
 	if g == nil || g.out >= g.Size || !q.settle(200) {
 		return false
 	}
-	q.Over, q.out = true, r
-	e.Counts.Named++
-	p := r.Pool
-	e.Timers.Set(e.Now, func() {
+	q.Finished, q.out = true, r
+	e.Counts.EnquiriesAnswered++
+	p := r.Endpoint
+	e.Timers.Schedule(e.Now, func() {
 		q.out = nil
-		q.Ended(r, routing.Done, true)
+		q.EndAttempt(r, routing.Completed, true)
 	})
-	q.done(e.Now, Named{Code: 200, Addr: e.addrs[p], Group: g.Name, Number: q.Number, Params: q.route.params,
+	q.done(e.Now, Named{Code: 200, Addr: e.addrs[p], Group: g.Name, Number: q.CalledNumber, Params: q.route.params,
 		Still: func() bool { return p.State == routing.Ready }})
 	return true
 }
 
 // callOff implements control.Party: an answer that was given can't be taken back.
-func (*enquiry) CallOff(*routing.Ring) {}
+func (*enquiry) SendCancel(*routing.Attempt) {}
 
 // trying implements control.Party.
-func (*enquiry) Trying() {}
+func (*enquiry) SendTrying() {}
--- a/internal/protocol/b2bua/enquiry_test.go
+++ b/internal/protocol/b2bua/enquiry_test.go
@@ -12,7 +12,7 @@
 // An enquiry's answer names the pool that the module rings, once; the module hears that the ring is over.
 func TestEnquiry(t *testing.T) {
 	r, b := numberRig(t)
-	r.m.offered = func(now float64, c *routing.Contact) { r.m.h.Ring(c, r.m.pools[1], c.Until-now) }
+	r.m.offered = func(now float64, c *routing.Call) { r.m.h.StartAttempt(c, r.m.pools[1], c.Deadline-now) }
 	var got []Named
 	r.e.Enquire(r.now, "14185550123", "shift-lookup", 2000, func(_ float64, n Named) { got = append(got, n) })
 	r.pass(1)
@@ -25,10 +25,10 @@
 		t.Fatalf("%+v", got)
 	}
 	r.pass(2)
-	if want := fmt.Sprintf("ended %d closed true wait 0", routing.Done); len(r.m.heard) != 1 || r.m.heard[0] != want {
+	if want := fmt.Sprintf("ended %d closed true wait 0", routing.Completed); len(r.m.heard) != 1 || r.m.heard[0] != want {
 		t.Errorf("the module heard %v", r.m.heard)
 	}
-	if held, _ := r.e.Held(); held != 0 || r.e.Counts.Named != 1 || len(r.e.tables) != 0 {
+	if held, _ := r.e.InProgress(); held != 0 || r.e.Counts.EnquiriesAnswered != 1 || len(r.e.tables) != 0 {
 		t.Errorf("%d held, %+v", held, r.e.Counts)
 	}
 	r.e.Listed(r.now, []Member{{ID: "b", Number: 1, State: routing.Draining, Addr: switchB}}, false)
@@ -42,19 +42,19 @@
 	r := newRig(t)
 	var got []Named
 	done := func(_ float64, n Named) { got = append(got, n) }
-	r.m.offered = func(now float64, c *routing.Contact) {
-		r.m.h.Ring(c, r.m.pools[0], 100)
-		r.m.h.Ring(c, r.m.pools[1], 100)
-		r.m.h.Defer(c, 0)
+	r.m.offered = func(now float64, c *routing.Call) {
+		r.m.h.StartAttempt(c, r.m.pools[0], 100)
+		r.m.h.StartAttempt(c, r.m.pools[1], 100)
+		r.m.h.Reject(c, 0)
 	}
 	r.e.Enquire(r.now, "1", "shift-lookup", 2000, done)
 	r.pass(2)
-	if len(got) != 1 || got[0].Code != 200 || r.e.Counts.Barred != 1 {
-		t.Errorf("two rings and a deferral: %+v, barred %d", got, r.e.Counts.Barred)
+	if len(got) != 1 || got[0].Code != 200 || r.e.Counts.Blocked != 1 {
+		t.Errorf("two rings and a deferral: %+v, barred %d", got, r.e.Counts.Blocked)
 	}
 	got = nil
 	r.list(routing.Draining)
-	r.m.offered = func(now float64, c *routing.Contact) { r.m.h.Ring(c, r.m.pools[0], 100) }
+	r.m.offered = func(now float64, c *routing.Call) { r.m.h.StartAttempt(c, r.m.pools[0], 100) }
 	r.e.Enquire(r.now, "1", "shift-lookup", 2000, done)
 	r.pass(1990)
 	if len(got) != 0 {
@@ -65,7 +65,7 @@
 		t.Errorf("forgotten: %+v", got)
 	}
 	got = nil
-	r.m.offered = func(now float64, c *routing.Contact) {}
+	r.m.offered = func(now float64, c *routing.Call) {}
 	stop := r.e.Enquire(r.now, "1", "shift-lookup", 2000, done)
 	r.pass(1)
 	stop()
@@ -74,14 +74,14 @@
 	if len(got) != 0 || r.m.heard[len(r.m.heard)-1] != "left" {
 		t.Errorf("taken back: %+v, heard %v", got, r.m.heard)
 	}
-	r.e.Close()
+	r.e.StopAdmitting()
 	r.e.Enquire(r.now, "1", "shift-lookup", 2000, done)
 	r.e.Enquire(r.now, "1", "nothing", 2000, done)
 	r.pass(1)
 	if len(got) != 2 || got[0].Code != 404 || got[1].Code != 503 {
 		t.Errorf("while it drains: %+v", got)
 	}
-	if held, _ := r.e.Held(); held != 0 {
+	if held, _ := r.e.InProgress(); held != 0 {
 		t.Errorf("%d held", held)
 	}
 }
@@ -89,14 +89,14 @@
 // A flood of enquiries passes the same intake as calls.
 func TestEnquiryFlood(t *testing.T) {
 	r := newRig(t)
-	r.e.Gate.Most = 10
-	r.m.offered = func(float64, *routing.Contact) {}
+	r.e.LoadShedder.Most = 10
+	r.m.offered = func(float64, *routing.Call) {}
 	n := map[string]int{}
 	for range 100 {
 		r.e.Enquire(r.now, "1", "shift-lookup", 2000, func(_ float64, x Named) { n[strings.Fields(x.Why)[0]]++ })
 	}
 	r.pass(1)
-	if n["busy"] != 90 || r.e.Counts.Turned != 90 {
-		t.Errorf("%v, turned %d", n, r.e.Counts.Turned)
+	if n["busy"] != 90 || r.e.Counts.Shed != 90 {
+		t.Errorf("%v, turned %d", n, r.e.Counts.Shed)
 	}
 }
--- a/internal/protocol/b2bua/held.go
+++ b/internal/protocol/b2bua/held.go
@@ -4,7 +4,7 @@
 
 // held is a contact as the edge holds it: what the call control has, and what became of its number.
 type held struct {
-	*callcontrol.Held
+	*callcontrol.Session
 	refuser
 	edge    *Edge
 	session string
@@ -19,19 +19,19 @@
 
 // settle notes a final answer, by its code, and lets go of the number's table; false: it has one already.
 func (k *held) settle(code int) bool {
-	if !k.Settle(code >= 300) {
+	if !k.Finish(code >= 300) {
 		return false
 	}
 	k.letGo()
 	if e := k.edge; e.OnFate != nil {
-		e.OnFate(Fate{Session: k.session, Skill: k.Skill.Name, Answer: code, Rings: k.Contact.Rings, Took: e.Now - k.Came,
+		e.OnFate(Fate{Session: k.session, Skill: k.Class.Name, Answer: code, Rings: k.Call.Attempts, Took: e.Now - k.ArrivedAt,
 			Table: k.route.version, Route: k.route.name})
 	}
 	return true
 }
 
-// Abandons implements control.Party.
-func (k *held) Abandons() { k.refuse(500, "Server Internal Error") }
+// SendFailure implements control.Party.
+func (k *held) SendFailure() { k.refuse(500, "Server Internal Error") }
 
 // Prepare looks a contact's number up before the module gets it.
 func (k *held) Prepare() { k.lookUp() }
--- a/internal/protocol/b2bua/load.go
+++ b/internal/protocol/b2bua/load.go
@@ -12,17 +12,17 @@
 )
 
 // fields of our load header and where their values go; times are milliseconds.
-var fields = map[string]func(*routing.Report, float64){
-	"util":  func(r *routing.Report, v float64) { r.Util = v },
-	"queue": func(r *routing.Report, v float64) { r.Queue = v },
-	"wait":  func(r *routing.Report, v float64) { r.Wait = v },
-	"lines": func(r *routing.Report, v float64) { r.Agents = v },
-	"free":  func(r *routing.Report, v float64) { r.Free = v },
+var fields = map[string]func(*routing.LoadReport, float64){
+	"util":  func(r *routing.LoadReport, v float64) { r.Utilization = v },
+	"queue": func(r *routing.LoadReport, v float64) { r.QueueLength = v },
+	"wait":  func(r *routing.LoadReport, v float64) { r.QueueDelay = v },
+	"lines": func(r *routing.LoadReport, v float64) { r.Capacity = v },
+	"free":  func(r *routing.LoadReport, v float64) { r.Free = v },
 }
 
 // report reads what an answer says of a pool's load: overload control in our own Via (RFC 7339 4, RFC 7415 3) and the
 // load header. It tells whether figures of the processor came. What makes no sense is passed over.
-func (e *Edge) report(p *routing.Pool, res *sip.Response) bool {
+func (e *Edge) report(p *routing.Endpoint, res *sip.Response) bool {
 	full := false
 	if via := res.Via(); via != nil {
 		v, _ := via.Params.Get("oc")
@@ -31,9 +31,9 @@
 		if n, ok := figure(v); ok && !(stated && validity == "0") { // 0: control has ended (RFC 7339 4.3)
 			switch strings.Trim(algo, `"`) {
 			case "loss":
-				p.Report.Holdback, full = min(1, n/100), true
+				p.LoadReport.LossFraction, full = min(1, n/100), true
 			case "rate": // what this client may send; the module wants what all may
-				p.Report.Rate, full = n*float64(max(1, e.cfg.Set.Gateways)), true
+				p.LoadReport.RateLimit, full = n*float64(max(1, e.cfg.Set.Gateways)), true
 			}
 		}
 	}
@@ -41,7 +41,7 @@
 		k, v, _ := strings.Cut(strings.TrimSpace(f), "=")
 		n, ok := figure(v)
 		if set := fields[k]; set != nil && ok {
-			set(&p.Report, n)
+			set(&p.LoadReport, n)
 			full = full || k != "lines" && k != "free"
 		}
 	}
--- a/internal/protocol/b2bua/trunk.go
+++ b/internal/protocol/b2bua/trunk.go
@@ -16,7 +16,7 @@
 // leg is one ring on the wire. It outlives the ring where the switch may still think that the call goes on.
 type leg struct {
 	call   *call
-	ring   *routing.Ring
+	ring   *routing.Attempt
 	group  *Group
 	to     netip.AddrPort
 	tx     *siptransaction.Client
@@ -31,15 +31,15 @@
 	freed  bool // its circuit is free
 }
 
-// Dial implements control.Party: it sends a set-up over a trunk group and gives up after limit ms. A group without a free
+// SendSetup implements control.Party: it sends a set-up over a trunk group and gives up after limit ms. A group without a free
 // circuit takes none.
-func (k *call) Dial(r *routing.Ring, limit float64) bool {
+func (k *call) SendSetup(r *routing.Attempt, limit float64) bool {
 	e := k.edge
-	g := e.groups[r.Pool.Number]
+	g := e.groups[r.Endpoint.DestinationID]
 	if g == nil || g.out >= g.Size {
 		return false
 	}
-	to := e.addrs[r.Pool]
+	to := e.addrs[r.Endpoint]
 	l := &leg{call: k, ring: r, group: g, to: to, wanted: true}
 	tag, id := e.names.Next(), e.names.Next()+"@"+e.cfg.Name
 	l.end = &end{edge: e, call: k, leg: l, callID: id, tag: tag}
@@ -47,16 +47,16 @@
 	g.out++
 	k.trunk = l
 	l.req = sip.NewRequest(sip.INVITE, sip.Uri{Scheme: "sip", Host: to.Addr().String(), Port: int(to.Port()),
-		User: k.Number + k.route.params + ";tgrp=" + g.Name + ";trunk-context=" + e.cfg.Context})
+		User: k.CalledNumber + k.route.params + ";tgrp=" + g.Name + ";trunk-context=" + e.cfg.Context})
 	e.common(l.req, &sip.FromHeader{Address: sip.Uri{Scheme: "sip", User: "anonymous", Host: k.payer},
 		Params: sip.HeaderParams{{K: "tag", V: tag}}},
-		&sip.ToHeader{Address: sip.Uri{Scheme: "sip", User: k.Number, Host: to.Addr().String(), Port: int(to.Port())}}, id, 1)
+		&sip.ToHeader{Address: sip.Uri{Scheme: "sip", User: k.CalledNumber, Host: to.Addr().String(), Port: int(to.Port())}}, id, 1)
 	l.req.AppendHeader(&sip.ContactHeader{Address: e.uri("")})
 	l.req.AppendHeader(sip.NewHeader(siptransaction.SessionID, siptransaction.SessionValue(k.session)))
-	l.req.AppendHeader(sip.NewHeader(siptransaction.Service, servicePrefix+k.Skill.Name))
+	l.req.AppendHeader(sip.NewHeader(siptransaction.Service, servicePrefix+k.Class.Name))
 	copyBody(k.req, l.req)
 	l.tx = e.sip.Ask(l.req, to, oc, l.heard)
-	l.limit = e.Timers.Set(e.Now+limit, l.late)
+	l.limit = e.Timers.Schedule(e.Now+limit, l.late)
 	return true
 }
 
@@ -73,7 +73,7 @@
 // first one, and till then the ring is out. Rule 1: of a contact that has its answer nothing is repeated either.
 func (l *leg) cancel() {
 	l.wanted = false
-	if !l.tx.Cancel() && l.call.Over && !l.tx.Heard() {
+	if !l.tx.Cancel() && l.call.Finished && !l.tx.Heard() {
 		l.tx.Quiet()
 	}
 }
@@ -84,20 +84,20 @@
 	e := k.edge
 	e.Now = e.sip.Now
 	if res == nil {
-		if l.wanted || k.Over {
+		if l.wanted || k.Finished {
 			l.tell(routing.TimedOut)
 		} else {
-			l.tell(routing.Cancelled)
+			l.tell(routing.Canceled)
 		}
 		l.forget()
 		return
 	}
-	full := e.report(l.ring.Pool, res)
+	full := e.report(l.ring.Endpoint, res)
 	code := res.StatusCode
 	switch {
 	case code < 200:
 		if full {
-			e.Mod.Reported(e.Now, l.ring.Pool, true, true)
+			e.Router.OnLoadReport(e.Now, l.ring.Endpoint, true, true)
 		}
 		if !l.wanted {
 			l.tx.Cancel()
@@ -114,52 +114,52 @@
 		l.remote = res
 		l.ack = l.acknowledge(res)
 		if full {
-			e.Mod.Reported(e.Now, l.ring.Pool, true, true)
+			e.Router.OnLoadReport(e.Now, l.ring.Endpoint, true, true)
 		}
-		if !l.wanted || l.told || k.Over || k.Stands { // it crossed our giving up: nobody is there for it
+		if !l.wanted || l.told || k.Finished || k.Established { // it crossed our giving up: nobody is there for it
 			l.bye(plainReason)
-			l.tell(routing.Cancelled)
+			l.tell(routing.Canceled)
 			l.forget()
 			return
 		}
-		e.Timers.Stop(l.limit)
+		e.Timers.Cancel(l.limit)
 		k.trunk = l
-		l.ring.Cost = e.Now - l.ring.Sent
+		l.ring.Latency = e.Now - l.ring.SentAt
 		k.stands(res)
-		e.Mod.Stood(e.Now, l.ring)
+		e.Router.OnAnswer(e.Now, l.ring)
 	default:
-		l.ring.Wait = 0
+		l.ring.RetryAfter = 0
 		how := routing.Failed
 		switch code {
 		case 503: // the processor is too busy
-			how, l.ring.Wait = routing.Full, siptransaction.Wait(siptransaction.Field(res, siptransaction.RetryAfter))
+			how, l.ring.RetryAfter = routing.Overloaded, siptransaction.Wait(siptransaction.Field(res, siptransaction.RetryAfter))
 		case 486: // no line free at this pool
-			how, l.ring.NoAgent = routing.Full, true
+			how, l.ring.AtCapacity = routing.Overloaded, true
 		case 600: // all lines of the number are busy, at any pool
-			l.ring.Engaged = true
+			l.ring.NumberBusy = true
 		case 487:
-			how = routing.Cancelled
+			how = routing.Canceled
 		case 408:
 			how = routing.TimedOut
 		}
-		l.ring.Reported = full
+		l.ring.HasLoadReport = full
 		l.tell(how)
 		l.forget()
 	}
 }
 
 // tell tells the module how the ring ended, once, and frees the circuit where nothing is left of it.
-func (l *leg) tell(how routing.End) {
+func (l *leg) tell(how routing.Outcome) {
 	if l.told {
 		return
 	}
 	l.told = true
 	k := l.call
-	k.edge.Timers.Stop(l.limit)
+	k.edge.Timers.Cancel(l.limit)
 	if k.trunk == l {
 		k.trunk = nil
 	}
-	k.Ended(l.ring, how, k.Over)
+	k.EndAttempt(l.ring, how, k.Finished)
 }
 
 // forget lets go of the leg's dialog and circuit.
@@ -169,7 +169,7 @@
 	if l.remote != nil && l.told {
 		l.tx.Forget() // a repeat of the 2xx finds the dialog released
 	}
-	e.Timers.Stop(l.limit)
+	e.Timers.Cancel(l.limit)
 	if !l.freed {
 		l.freed = true
 		l.group.out--
--- a/internal/protocol/binarygateway/any_test.go
+++ b/internal/protocol/binarygateway/any_test.go
@@ -22,14 +22,14 @@
 		text := rapid.SampledFrom([]string{"", "voice", "video", "1500", "-1", "1e300", "NaN", "dest:0;width:1;via:-1", "dest:1;again:1", "at:a", "at:b", "at:nobody",
 			"width:0", "free:3;size:40;busy:0.5;q:2", "free:x;:;;busy:NaN", "cpu_full", "number_busy", "all_trunks_busy"})
 		codes := []byte{binarymessage.Class, binarymessage.Patience, binarymessage.Number, binarymessage.Figures, binarymessage.Wait, binarymessage.Note, binarymessage.Busy, binarymessage.Report, binarymessage.Cause, binarymessage.Description}
-		kinds := rapid.SampledFrom([]byte{binarymessage.SetUp, binarymessage.Progress, binarymessage.Answer, binarymessage.Release, binarymessage.Heard, binarymessage.State, binarymessage.Test, binarymessage.Tested, 99})
+		kinds := rapid.SampledFrom([]byte{binarymessage.Setup, binarymessage.Progress, binarymessage.Answer, binarymessage.Release, binarymessage.ReleaseComplete, binarymessage.LoadState, binarymessage.HealthCheck, binarymessage.HealthResult, 99})
 		some := func() (of []binarymessage.Param) {
 			for _, c := range rapid.SliceOfNDistinct(rapid.SampledFrom(codes), 0, 5, rapid.ID[byte]).Draw(rt, "codes") {
 				if c == binarymessage.Cause {
-					of = append(of, binarymessage.Why(rapid.SampledFrom([]byte{0, 16, 17, 34, 41, 42, 47, 102}).Draw(rt, "cause")))
+					of = append(of, binarymessage.CauseParam(rapid.SampledFrom([]byte{0, 16, 17, 34, 41, 42, 47, 102}).Draw(rt, "cause")))
 					continue
 				}
-				of = append(of, binarymessage.Text(c, text.Draw(rt, "text")))
+				of = append(of, binarymessage.TextParam(c, text.Draw(rt, "text")))
 			}
 			return
 		}
@@ -45,11 +45,11 @@
 			case what == 4:
 				r.says(rapid.SampledFrom(live).Draw(rt, "caller"), kinds.Draw(rt, "kind"), ids.Draw(rt, "id"), some()...)
 			case what == 5:
-				r.m.Closed(r.now, rapid.SampledFrom(live).Draw(rt, "caller").link, Orderly)
+				r.m.OnClosed(r.now, rapid.SampledFrom(live).Draw(rt, "caller").link, ClosedNormally)
 			case what <= 7 && len(lines) > 0:
 				r.says(rapid.SampledFrom(lines).Draw(rt, "line"), kinds.Draw(rt, "kind"), ids.Draw(rt, "id"), some()...)
 			case what == 8 && len(lines) > 0:
-				r.m.Closed(r.now, rapid.SampledFrom(lines).Draw(rt, "line").link, rapid.SampledFrom([]Ending{Orderly, Refused, Reset}).Draw(rt, "how"))
+				r.m.OnClosed(r.now, rapid.SampledFrom(lines).Draw(rt, "line").link, rapid.SampledFrom([]CloseReason{ClosedNormally, ClosedRefused, ClosedReset}).Draw(rt, "how"))
 			default:
 				b := ready("b", addrB, 1)
 				b.State = rapid.SampledFrom([]routing.State{routing.Ready, routing.Draining}).Draw(rt, "state")
@@ -62,12 +62,12 @@
 			r.pass(rapid.SampledFrom([]float64{0, 1, 100, 700, 3000}).Draw(rt, "time"))
 		}
 		for _, w := range callers {
-			r.m.Closed(r.now, w.link, Orderly)
+			r.m.OnClosed(r.now, w.link, ClosedNormally)
 		}
 		r.pass(200)
 		r.list(3)
 		r.pass(50000)
-		if calls, trunks, clients, links, _ := r.m.Open(); calls+trunks+clients+links > 0 {
+		if calls, trunks, clients, links, _ := r.m.OpenCounts(); calls+trunks+clients+links > 0 {
 			rt.Errorf("%d calls, %d trunks, %d clients, %d links are left", calls, trunks, clients, links)
 		}
 	})
@@ -78,10 +78,10 @@
 	r := newRig(t)
 	r.mod.to = []int{0}
 	c := r.caller()
-	of := []binarymessage.Param{binarymessage.Text(binarymessage.Class, "voice"), binarymessage.Text(binarymessage.Patience, "9e5"), binarymessage.Text(binarymessage.Number, "1")}
-	room := binarymessage.Most - 9 - 3 - 3*3 - len("voice9e51")
-	r.says(c, binarymessage.SetUp, 7, append(of, binarymessage.Param{Code: binarymessage.Description, Value: make([]byte, room)})...)
+	of := []binarymessage.Param{binarymessage.TextParam(binarymessage.Class, "voice"), binarymessage.TextParam(binarymessage.Patience, "9e5"), binarymessage.TextParam(binarymessage.Number, "1")}
+	room := binarymessage.MaxLength - 9 - 3 - 3*3 - len("voice9e51")
+	r.says(c, binarymessage.Setup, 7, append(of, binarymessage.Param{Code: binarymessage.Description, Value: make([]byte, room)})...)
 	r.wants(c.last(7), binarymessage.Release, binarymessage.Invalid)
-	r.says(c, binarymessage.SetUp, 8, append(of, binarymessage.Param{Code: binarymessage.Description, Value: make([]byte, room-64)})...)
+	r.says(c, binarymessage.Setup, 8, append(of, binarymessage.Param{Code: binarymessage.Description, Value: make([]byte, room-64)})...)
 	r.on(8)
 }
