--- a/internal/protocol/binarygateway/caller.go
+++ b/internal/protocol/binarygateway/caller.go
@@ -15,123 +15,123 @@
 
 // client is all that comes from one address: its calls are bound to none of its connections.
 type client struct {
-	m        *Machine
-	links    []*Link
-	owed     []owed
-	standing int
+	gateway          *Gateway
+	conns            []*Conn
+	pendingReleases  []pendingRelease
+	establishedCalls int
 }
 
-// owed is a release that no connection was there for.
-type owed struct {
-	call  uint64
-	cause byte
-	till  float64
+// pendingRelease is a release that no connection was there for.
+type pendingRelease struct {
+	callID    uint64
+	cause     byte
+	expiresAt float64
 }
 
 const (
-	owedFor     = 20000.0 // ms: callers come back sooner, or not at all
-	mostOwed    = 4096
-	mostResumed = 8192    // standing calls told by callers: bounds what they can make a gateway hold
-	mostNamed   = 64      // digits and letters of a number called
-	longest     = 86400e3 // ms: no caller waits longer
+	releaseRetention   = 20000.0 // ms: callers come back sooner, or not at all
+	maxPendingReleases = 4096
+	maxResumedCalls    = 8192    // standing calls told by callers: bounds what they can make a gateway hold
+	maxNumberLength    = 64      // digits and letters of a number called
+	maxTimeout         = 86400e3 // ms: no caller waits longer
 	// a set-up has to fit when its patience is said again in other figures
-	mostSaid = binarymessage.Most - 16
+	maxSetupLength = binarymessage.MaxLength - 16
 )
 
 // call is a contact of a caller, and the same once it stands. One that a caller told of as standing already has no Held.
 type call struct {
-	*callcontrol.Held
-	m      *Machine
-	id     uint64
-	client *client
-	link   *Link         // of its set-up; nil once that has closed
-	said   []byte        // its set-up, till it stands
-	leg    *leg          // whose ring is out
-	at     *trunk        // where it stands
-	ring   *routing.Ring // and by which ring
-	line   *Link         // the line that it stands on, nil once that has closed
-	began  float64
+	*callcontrol.Session
+	gateway      *Gateway
+	id           uint64
+	client       *client
+	conn         *Conn            // of its set-up; nil once that has closed
+	setup        []byte           // its set-up, till it stands
+	leg          *outboundLeg     // whose ring is out
+	upstream     *upstream        // where it stands
+	attempt      *routing.Attempt // and by which ring
+	upstreamConn *Conn            // the line that it stands on, nil once that has closed
+	startedAt    float64
 }
 
-// heard implements side.
-func (c *client) heard(l *Link, msg binarymessage.Message) {
-	m := c.m
-	l.used = m.Now
+// onMessage implements side.
+func (c *client) onMessage(conn *Conn, msg binarymessage.Message) {
+	g := c.gateway
+	conn.lastUsedAt = g.Now
 	switch msg.Type() {
-	case binarymessage.SetUp:
-		l.proven = true
-		c.setUp(l, msg)
+	case binarymessage.Setup:
+		conn.receivedMessage = true
+		c.onSetup(conn, msg)
 	case binarymessage.Release:
-		l.proven = true
-		c.released(l, msg)
-	case binarymessage.Test:
-		l.proven = true
-		if len(m.tests) < 1000 {
-			m.tests = append(m.tests, test{l, msg.Call()})
+		conn.receivedMessage = true
+		c.onRelease(conn, msg)
+	case binarymessage.HealthCheck:
+		conn.receivedMessage = true
+		if len(g.pendingChecks) < 1000 {
+			g.pendingChecks = append(g.pendingChecks, healthCheck{conn, msg.Call()})
 		}
-		m.isReady()
-	case binarymessage.Heard, binarymessage.Progress, binarymessage.Tested, binarymessage.State, binarymessage.Answer:
+		g.updateReadiness()
+	case binarymessage.ReleaseComplete, binarymessage.Progress, binarymessage.HealthResult, binarymessage.LoadState, binarymessage.Answer:
 		// free: they mean nothing here
 	default:
-		m.Wire.Odd++
-		l.shut()
+		g.Metrics.InvalidRequests++
+		conn.close()
 	}
 }
 
-// setUp takes a set-up: decoded fields go straight into a contact. It is offered by the next Wake.
-func (c *client) setUp(l *Link, msg binarymessage.Message) {
-	m, id := c.m, msg.Call()
-	f, ok := figures(msg)
+// onSetup takes a set-up: decoded fields go straight into a contact. It is offered by the next Wake.
+func (c *client) onSetup(conn *Conn, msg binarymessage.Message) {
+	g, id := c.gateway, msg.Call()
+	f, ok := parseSetupParameters(msg)
 	if !ok || id == 0 {
-		m.Wire.Odd++
-		l.send(binarymessage.Append(nil, binarymessage.Release, id, binarymessage.Why(binarymessage.Invalid)))
+		g.Metrics.InvalidRequests++
+		conn.send(binarymessage.Append(nil, binarymessage.Release, id, binarymessage.CauseParam(binarymessage.Invalid)))
 		return
 	}
-	old := m.calls[id]
-	if f.at != "" {
-		c.resume(l, id, f.at)
+	old := g.calls[id]
+	if f.endpointID != "" {
+		c.resumeCall(conn, id, f.endpointID)
 		return
 	}
 	if old != nil {
 		// nobody can tell any more which of the two an answer is for; the one that was there stays, unless both are
 		// this connection's
-		m.Wire.Twice++
-		l.shut()
+		g.Metrics.Duplicates++
+		conn.close()
 		return
 	}
-	skill := m.Skills[msg.Text(binarymessage.Class)]
-	wait, ok := figure(msg.Text(binarymessage.Patience))
+	skill := g.Classes[msg.Text(binarymessage.Class)]
+	wait, ok := parseNumber(msg.Text(binarymessage.Patience))
 	number := msg.Text(binarymessage.Number)
-	if skill == nil || !ok || wait <= 0 || wait > longest || number == "" || len(number) > mostNamed || len(msg) > mostSaid {
-		m.Wire.Odd++
-		l.send(binarymessage.Append(nil, binarymessage.Release, id, binarymessage.Why(binarymessage.Invalid)))
+	if skill == nil || !ok || wait <= 0 || wait > maxTimeout || number == "" || len(number) > maxNumberLength || len(msg) > maxSetupLength {
+		g.Metrics.InvalidRequests++
+		conn.send(binarymessage.Append(nil, binarymessage.Release, id, binarymessage.CauseParam(binarymessage.Invalid)))
 		return
 	}
-	of := &routing.Contact{Skill: skill, Number: number, Came: m.Now, HomeNumber: f.dest, Again: f.again}
-	k := &call{Held: m.Hold(of, wait), m: m, id: id, client: c, link: l, said: slices.Clone(msg), began: m.Now}
-	k.Party = k
-	k.Until = k.From + wait - m.cfg.Margin
-	of.Home = m.Pools.Home(f.dest)
-	m.calls[id] = k
-	l.open++
-	m.Wait(k.Held)
+	routed := &routing.Call{Class: skill, CalledNumber: number, ArrivedAt: g.Now, DestinationID: f.destination, Resumed: f.resumed}
+	k := &call{Session: g.NewSession(routed, wait), gateway: g, id: id, client: c, conn: conn, setup: slices.Clone(msg), startedAt: g.Now}
+	k.SignalingLeg = k
+	k.Deadline = k.TimeoutStart + wait - g.config.AnswerMargin
+	routed.Destination = g.Endpoints.ByDestination(f.destination)
+	g.calls[id] = k
+	conn.pendingCalls++
+	g.Enqueue(k.Session)
 }
 
-// asked are a set-up's figures.
-type asked struct {
-	dest  int
-	again bool
-	at    string
+// setupParameters are a set-up's figures.
+type setupParameters struct {
+	destination int
+	resumed     bool
+	endpointID  string
 }
 
-// figures reads a set-up's figures; false: they are out of range or no numbers.
-func figures(msg binarymessage.Message) (a asked, ok bool) {
-	a.dest = -1
+// parseSetupParameters reads a set-up's figures; false: they are out of range or no numbers.
+func parseSetupParameters(msg binarymessage.Message) (a setupParameters, ok bool) {
+	a.destination = -1
 	v, _ := msg.Get(binarymessage.Figures)
-	for f := range fieldsOf(string(v)) {
+	for f := range parameters(string(v)) {
 		switch f.name {
 		case "at":
-			a.at = f.value
+			a.endpointID = f.value
 			continue
 		case "dest", "width", "via", "again":
 		default:
@@ -143,280 +143,282 @@
 		}
 		switch f.name {
 		case "dest":
-			a.dest = n
+			a.destination = n
 		case "again":
-			a.again = n == 1
+			a.resumed = n == 1
 		}
 	}
 	return a, true
 }
 
-type field struct{ name, value string }
+type parameter struct{ name, value string }
 
-// fieldsOf reads `a:1;b:2`.
-func fieldsOf(s string) iter.Seq[field] {
-	return func(yield func(field) bool) {
+// parameters reads `a:1;b:2`.
+func parameters(s string) iter.Seq[parameter] {
+	return func(yield func(parameter) bool) {
 		for f := range strings.SplitSeq(s, ";") {
-			if k, v, ok := strings.Cut(f, ":"); ok && !yield(field{strings.TrimSpace(k), strings.TrimSpace(v)}) {
+			if k, v, ok := strings.Cut(f, ":"); ok && !yield(parameter{strings.TrimSpace(k), strings.TrimSpace(v)}) {
 				return
 			}
 		}
 	}
 }
 
-// figure reads a number from 0 up.
-func figure(s string) (float64, bool) {
+// parseNumber reads a number from 0 up.
+func parseNumber(s string) (float64, bool) {
 	n, err := strconv.ParseFloat(s, 64)
 	return n, err == nil && n >= 0 && !math.IsInf(n, 0)
 }
 
-// resume takes up a call that stands at a switch already, set up by a gateway before this one.
-func (c *client) resume(l *Link, id uint64, at string) {
-	m := c.m
-	if k := m.calls[id]; k != nil {
-		if k.at != nil { // it is held here: what ends it goes where its caller is now
-			k.bind(l)
+// resumeCall takes up a call that stands at a switch already, set up by a gateway before this one.
+func (c *client) resumeCall(conn *Conn, id uint64, at string) {
+	g := c.gateway
+	if k := g.calls[id]; k != nil {
+		if k.upstream != nil { // it is held here: what ends it goes where its caller is now
+			k.bindTo(conn)
 		}
 		return
 	}
-	t := m.trunks[m.Pools.Pool(at)]
-	if t == nil || m.resumed >= mostResumed {
-		l.send(binarymessage.Append(nil, binarymessage.Release, id, binarymessage.Why(binarymessage.Failure)))
+	u := g.upstreams[g.Endpoints.ByID(at)]
+	if u == nil || g.resumedCalls >= maxResumedCalls {
+		conn.send(binarymessage.Append(nil, binarymessage.Release, id, binarymessage.CauseParam(binarymessage.Failure)))
 		return
 	}
-	if cause, over := t.ends[id]; over {
-		delete(t.ends, id)
-		l.send(binarymessage.Append(nil, binarymessage.Release, id, binarymessage.Why(cause.cause)))
+	if cause, over := u.unknownEnds[id]; over {
+		delete(u.unknownEnds, id)
+		conn.send(binarymessage.Append(nil, binarymessage.Release, id, binarymessage.CauseParam(cause.cause)))
 		return
 	}
-	m.Wire.Resumed++
-	m.resumed++
-	k := &call{m: m, id: id, client: c, at: t, began: m.Now}
-	m.calls[id] = k
-	t.standing[id] = k
-	c.standing++
-	k.bind(l)
+	g.Metrics.CallsResumed++
+	g.resumedCalls++
+	k := &call{gateway: g, id: id, client: c, upstream: u, startedAt: g.Now}
+	g.calls[id] = k
+	u.established[id] = k
+	c.establishedCalls++
+	k.bindTo(conn)
 }
 
-// bind lets a standing call's release go to a link.
-func (k *call) bind(l *Link) {
-	if k.link != nil {
-		k.link.standing--
+// bindTo lets a standing call's release go to a link.
+func (c *call) bindTo(conn *Conn) {
+	if c.conn != nil {
+		c.conn.establishedCalls--
 	}
-	if k.client != l.client {
-		k.client.standing--
-		l.client.standing++
-		k.client = l.client
+	if c.client != conn.client {
+		c.client.establishedCalls--
+		conn.client.establishedCalls++
+		c.client = conn.client
 	}
-	k.link = l
-	l.standing++
+	c.conn = conn
+	conn.establishedCalls++
 }
 
-// released takes a caller's release: of a set-up, which is given up, or of a call that stands.
-func (c *client) released(l *Link, msg binarymessage.Message) {
-	k := c.m.calls[msg.Call()]
+// onRelease takes a caller's release: of a set-up, which is given up, or of a call that stands.
+func (c *client) onRelease(conn *Conn, msg binarymessage.Message) {
+	k := c.gateway.calls[msg.Call()]
 	switch {
 	case k == nil:
-	case k.at != nil:
-		k.release(routing.Done, msg.Cause(), true)
+	case k.upstream != nil:
+		k.release(routing.Completed, msg.Cause(), true)
 	case k.client == c:
-		k.giveUp()
+		k.onCallerGone()
 	}
 }
 
-// lost implements side: set-ups whose connection has closed are given up; what stands goes on.
-func (c *client) lost(l *Link, _ Ending) {
-	m := c.m
-	c.links = slices.DeleteFunc(c.links, func(o *Link) bool { return o == l })
-	m.callers = slices.DeleteFunc(m.callers, func(o *Link) bool { return o == l })
-	m.tests = slices.DeleteFunc(m.tests, func(t test) bool { return t.link == l })
-	if l.open == 0 && l.standing == 0 {
+// onClosed implements side: set-ups whose connection has closed are given up; what stands goes on.
+func (c *client) onClosed(conn *Conn, _ CloseReason) {
+	g := c.gateway
+	c.conns = slices.DeleteFunc(c.conns, func(o *Conn) bool { return o == conn })
+	g.clientConns = slices.DeleteFunc(g.clientConns, func(o *Conn) bool { return o == conn })
+	g.pendingChecks = slices.DeleteFunc(g.pendingChecks, func(t healthCheck) bool { return t.conn == conn })
+	if conn.pendingCalls == 0 && conn.establishedCalls == 0 {
 		return
 	}
 	var of []*call
-	for _, k := range m.calls {
-		if k.link == l {
+	for _, k := range g.calls {
+		if k.conn == conn {
 			of = append(of, k)
 		}
 	}
-	slices.SortFunc(of, byID)
+	slices.SortFunc(of, compareByID)
 	for _, k := range of {
-		if k.at != nil {
-			k.link = nil
+		if k.upstream != nil {
+			k.conn = nil
 		} else {
-			k.giveUp()
+			k.onCallerGone()
 		}
 	}
 }
 
-func byID(a, b *call) int { return cmp.Compare(a.id, b.id) }
+func compareByID(a, b *call) int { return cmp.Compare(a.id, b.id) }
 
-// giveUp: its caller does not wait any more.
-func (k *call) giveUp() {
-	if k.Over {
+// onCallerGone: its caller does not wait any more.
+func (c *call) onCallerGone() {
+	if c.Finished {
 		return
 	}
-	k.m.Counts.Left++
-	if !k.Taken {
-		k.Over = true
-		k.drop()
+	c.gateway.Counts.HungUp++
+	if !c.Accepted {
+		c.Finished = true
+		c.forget()
 		return
 	}
-	if !k.Settle(true) {
+	if !c.Finish(true) {
 		return
 	}
-	if k.Offered {
-		k.m.Mod.Left(k.m.Now, k.Contact)
+	if c.WithRouter {
+		c.gateway.Router.OnHangup(c.gateway.Now, c.Call)
 	}
-	k.drop()
-	if k.leg != nil {
-		k.leg.giveUp(routing.Cancelled)
+	c.forget()
+	if c.leg != nil {
+		c.leg.cancel(routing.Canceled)
 	}
 }
 
-// drop lets go of a set-up that has its end.
-func (k *call) drop() {
-	if k.m.calls[k.id] == k {
-		delete(k.m.calls, k.id)
+// forget lets go of a set-up that has its end.
+func (c *call) forget() {
+	if c.gateway.calls[c.id] == c {
+		delete(c.gateway.calls, c.id)
 	}
-	if k.link != nil {
-		k.link.open--
-		k.link = nil
+	if c.conn != nil {
+		c.conn.pendingCalls--
+		c.conn = nil
 	}
-	k.said = nil
+	c.setup = nil
 }
 
-// refuse is the final answer that it does not stand.
-func (k *call) refuse(params ...binarymessage.Param) {
-	if !k.Settle(true) {
+// sendFinal is the final answer that it does not stand.
+func (c *call) sendFinal(params ...binarymessage.Param) {
+	if !c.Finish(true) {
 		return
 	}
-	if k.link != nil {
-		k.link.send(binarymessage.Append(nil, binarymessage.Release, k.id, params...))
+	if c.conn != nil {
+		c.conn.send(binarymessage.Append(nil, binarymessage.Release, c.id, params...))
 	}
-	k.drop()
-	if k.leg != nil {
-		k.leg.giveUp(routing.Cancelled)
+	c.forget()
+	if c.leg != nil {
+		c.leg.cancel(routing.Canceled)
 	}
 }
 
-// Abandons implements control.Party.
-func (k *call) Abandons() { k.refuse(binarymessage.Why(binarymessage.Failure)) }
+// SendFailure implements control.Party.
+func (c *call) SendFailure() { c.sendFinal(binarymessage.CauseParam(binarymessage.Failure)) }
 
-// Defers implements control.Party.
-func (k *call) Defers(wait float64) {
-	if wait > 0 && k.m.cfg.Set.MayWait {
-		k.refuse(binarymessage.Why(binarymessage.Congested), binarymessage.Text(binarymessage.Wait, strconv.Itoa(int(math.Ceil(wait)))))
+// SendRejection implements control.Party.
+func (c *call) SendRejection(wait float64) {
+	if wait > 0 && c.gateway.config.Settings.RetryAfterEnabled {
+		c.sendFinal(binarymessage.CauseParam(binarymessage.Congested), binarymessage.TextParam(binarymessage.Wait, strconv.Itoa(int(math.Ceil(wait)))))
 		return
 	}
-	k.refuse(binarymessage.Why(binarymessage.Congested))
+	c.sendFinal(binarymessage.CauseParam(binarymessage.Congested))
 }
 
-// Turned implements control.Party.
-func (k *call) Turned() {
-	if k.link != nil {
-		k.link.send(binarymessage.Append(nil, binarymessage.Release, k.id, binarymessage.Why(binarymessage.Congested)))
+// SendShed implements control.Party.
+func (c *call) SendShed() {
+	if c.conn != nil {
+		c.conn.send(binarymessage.Append(nil, binarymessage.Release, c.id, binarymessage.CauseParam(binarymessage.Congested)))
 	}
-	k.drop()
+	c.forget()
 }
 
-// Begin implements control.Party.
-func (k *call) Begin() bool { return true }
+// OnAccepted implements control.Party.
+func (c *call) OnAccepted() bool { return true }
 
 // Prepare implements control.Party.
-func (k *call) Prepare() {}
+func (c *call) Prepare() {}
 
-// IsOut implements control.Party: a ring is out, or its call stands.
-func (k *call) IsOut() bool { return k.leg != nil || k.at != nil }
+// HasAttempt implements control.Party: a ring is out, or its call stands.
+func (c *call) HasAttempt() bool { return c.leg != nil || c.upstream != nil }
 
-// Trying implements control.Party: nothing is owed before the answer.
-func (k *call) Trying() {}
+// SendTrying implements control.Party: nothing is owed before the answer.
+func (c *call) SendTrying() {}
 
-// stands passes the switch's answer on, its description unchanged.
-func (k *call) stands(t *trunk, line *Link, r *routing.Ring, description []byte) {
-	if !k.Settle(false) {
+// establish passes the switch's answer on, its description unchanged.
+func (c *call) establish(u *upstream, upstreamConn *Conn, attempt *routing.Attempt, description []byte) {
+	if !c.Finish(false) {
 		return
 	}
-	m := k.m
-	k.Stands = true
-	m.Control.Standing(1)
-	m.Counts.Stood++
-	k.at, k.line, k.ring, k.said = t, line, r, nil
-	t.standing[k.id] = k
-	k.client.standing++
-	if k.link != nil {
-		k.link.open--
-		k.link.standing++
-		k.link.put(entry{data: binarymessage.Append(nil, binarymessage.Answer, k.id, binarymessage.Param{Code: binarymessage.Description, Value: description}),
+	g := c.gateway
+	c.Established = true
+	g.Controller.AddEstablished(1)
+	g.Counts.Answered++
+	c.upstream, c.upstreamConn, c.attempt, c.setup = u, upstreamConn, attempt, nil
+	u.established[c.id] = c
+	c.client.establishedCalls++
+	if c.conn != nil {
+		c.conn.pendingCalls--
+		c.conn.establishedCalls++
+		c.conn.enqueue(outgoingMessage{data: binarymessage.Append(nil, binarymessage.Answer, c.id, binarymessage.Param{Code: binarymessage.Description, Value: description}),
 			// its caller has closed and never heard of it: it has given the set-up up
-			lost: func() { k.release(routing.Done, binarymessage.Normal, true) }})
+			onLost: func() { c.release(routing.Completed, binarymessage.Normal, true) }})
 	}
 }
 
 // release ends a standing call on the sides that do not know of it yet; byCaller: its caller does.
-func (k *call) release(how routing.End, cause byte, byCaller bool) {
-	m, t := k.m, k.at
-	if t == nil {
+func (c *call) release(outcome routing.Outcome, cause byte, byCaller bool) {
+	g, u := c.gateway, c.upstream
+	if u == nil {
 		return
 	}
-	delete(m.calls, k.id)
-	delete(t.standing, k.id)
-	k.at = nil
-	k.client.standing--
-	if k.link != nil {
-		k.link.standing--
+	delete(g.calls, c.id)
+	delete(u.established, c.id)
+	c.upstream = nil
+	c.client.establishedCalls--
+	if c.conn != nil {
+		c.conn.establishedCalls--
 	}
 	if byCaller {
-		m.Wire.Released++
-		t.release(k, cause)
+		g.Metrics.ReleasesByCaller++
+		u.releaseCall(c, cause)
 	} else {
-		k.tell(cause)
+		c.sendRelease(cause)
 	}
-	if k.Held == nil {
-		m.resumed--
+	if c.Session == nil {
+		g.resumedCalls--
 		return
 	}
-	m.Control.Standing(-1)
-	k.Stands = false
-	k.Over = true
-	k.Ended(k.ring, how, true)
+	g.Controller.AddEstablished(-1)
+	c.Established = false
+	c.Finished = true
+	c.EndAttempt(c.attempt, outcome, true)
 }
 
-// tell releases a call that is over towards its caller: on the connection of its set-up, else on its latest, else on the
+// sendRelease releases a call that is over towards its caller: on the connection of its set-up, else on its latest, else on the
 // next one.
-func (k *call) tell(cause byte) { k.client.tell(k.link, owed{k.id, cause, k.m.Now + owedFor}) }
-
-func (c *client) tell(l *Link, o owed) {
-	if l == nil || l.closed {
-		l = nil
-		for _, other := range c.links {
-			if l == nil || other.used > l.used {
-				l = other
+func (c *call) sendRelease(cause byte) {
+	c.client.sendRelease(c.conn, pendingRelease{c.id, cause, c.gateway.Now + releaseRetention})
+}
+
+func (c *client) sendRelease(conn *Conn, o pendingRelease) {
+	if conn == nil || conn.closed {
+		conn = nil
+		for _, other := range c.conns {
+			if conn == nil || other.lastUsedAt > conn.lastUsedAt {
+				conn = other
 			}
 		}
 	}
-	if l == nil {
-		c.m.Wire.Owed++
-		if len(c.owed) < mostOwed {
-			c.owed = append(c.owed, o)
+	if conn == nil {
+		c.gateway.Metrics.ReleasesDeferred++
+		if len(c.pendingReleases) < maxPendingReleases {
+			c.pendingReleases = append(c.pendingReleases, o)
 		}
 		return
 	}
-	l.put(entry{data: binarymessage.Append(nil, binarymessage.Release, o.call, binarymessage.Why(o.cause)), lost: func() { c.tell(nil, o) }})
+	conn.enqueue(outgoingMessage{data: binarymessage.Append(nil, binarymessage.Release, o.callID, binarymessage.CauseParam(o.cause)), onLost: func() { c.sendRelease(nil, o) }})
 }
 
-// pay sends the releases that are owed.
-func (c *client) pay(l *Link) {
-	of := c.owed
-	c.owed = nil
+// sendPendingReleases sends the releases that are owed.
+func (c *client) sendPendingReleases(conn *Conn) {
+	of := c.pendingReleases
+	c.pendingReleases = nil
 	for _, o := range of {
-		c.tell(l, o)
+		c.sendRelease(conn, o)
 	}
 }
 
-// forget gives up owed releases that nobody came for.
-func (c *client) forget(now float64) {
-	n := len(c.owed)
-	c.owed = slices.DeleteFunc(c.owed, func(o owed) bool { return o.till < now })
-	c.m.Wire.Unpaid += uint64(n - len(c.owed))
+// dropExpiredReleases gives up owed releases that nobody came for.
+func (c *client) dropExpiredReleases(now float64) {
+	n := len(c.pendingReleases)
+	c.pendingReleases = slices.DeleteFunc(c.pendingReleases, func(o pendingRelease) bool { return o.expiresAt < now })
+	c.gateway.Metrics.ReleasesDropped += uint64(n - len(c.pendingReleases))
 }
--- a/internal/protocol/binarygateway/link.go
+++ b/internal/protocol/binarygateway/link.go
@@ -8,153 +8,153 @@
 	"cobaltpier/internal/protocol/binarymessage"
 )
 
-// Link is one connection, a caller's or a line to a switch.
-type Link struct {
-	Conn any // the driver's own
+// Conn is one connection, a caller's or a line to a switch.
+type Conn struct {
+	Socket any // the driver's own
 
-	m       *Machine
-	side    side
-	reader  binarymessage.Reader
-	queue   []entry // what was made and has not been handed to the socket
-	size    int
-	handed  []entry // what the socket has been handed and has not left, without its bytes
-	busy    bool    // there is something of that
-	wrote   float64 // when the socket was handed something last
-	closed  bool
-	waiting bool // in dirty
+	gateway        *Gateway
+	peer           peer
+	reader         binarymessage.Reader
+	outgoing       []outgoingMessage // what was made and has not been handed to the socket
+	outgoingBytes  int
+	written        []outgoingMessage // what the socket has been handed and has not left, without its bytes
+	writePending   bool              // there is something of that
+	lastWriteAt    float64           // when the socket was handed something last
+	closed         bool
+	flushScheduled bool // in dirty
 
 	// a caller's
-	writeClosed bool // nothing is written to it any more
-	client      *client
-	opened      float64
-	used        float64
-	proven      bool
-	begun       float64 // when the message began that is not whole
-	open        int     // set-ups without an answer
-	standing    int     // calls whose release would go here
+	writeClosed      bool // nothing is written to it any more
+	client           *client
+	openedAt         float64
+	lastUsedAt       float64
+	receivedMessage  bool
+	partialSince     float64 // when the message began that is not whole
+	pendingCalls     int     // set-ups without an answer
+	establishedCalls int     // calls whose release would go here
 
 	// a line's
-	legs    []*leg
-	isUp    bool
-	spoke   bool // the switch has said something on it
-	retired bool // it gets no set-ups any more
+	legs          []*outboundLeg
+	connected     bool
+	endpointSpoke bool // the switch has said something on it
+	retired       bool // it gets no set-ups any more
 }
 
-// side is who is at the other end.
-type side interface {
-	heard(l *Link, m binarymessage.Message)
-	lost(l *Link, how Ending)
+// peer is who is at the other end.
+type peer interface {
+	onMessage(l *Conn, m binarymessage.Message)
+	onClosed(l *Conn, how CloseReason)
 }
 
-// Ending is how a link ended.
-type Ending int
+// CloseReason is how a link ended.
+type CloseReason int
 
 // The endings.
 const (
-	Orderly Ending = iota // closed by one side, or given up
-	Refused               // it never came up: nobody listens there
-	Reset                 // reset under way
+	ClosedNormally CloseReason = iota // closed by one side, or given up
+	ClosedRefused                     // it never came up: nobody listens there
+	ClosedReset                       // reset under way
 )
 
-// entry is a message that waits in a queue.
-type entry struct {
-	data []byte
-	leg  *leg   // whose set-up it is; nil: none
-	left func() // to be done once it has left; may be nil
-	lost func() // to be done in its place if its link ends before; nil: left, for with the link its set-up is given up
+// outgoingMessage is a message that waits in a queue.
+type outgoingMessage struct {
+	data   []byte
+	leg    *outboundLeg // whose set-up it is; nil: none
+	onSent func()       // to be done once it has left; may be nil
+	onLost func()       // to be done in its place if its link ends before; nil: left, for with the link its set-up is given up
 }
 
-// end does what is to be done when an entry's link has ended before it left.
-func (e *entry) end() {
-	if e.lost != nil {
-		e.lost()
-	} else if e.left != nil {
-		e.left()
+// connLost does what is to be done when an entry's link has ended before it left.
+func (e *outgoingMessage) connLost() {
+	if e.onLost != nil {
+		e.onLost()
+	} else if e.onSent != nil {
+		e.onSent()
 	}
 }
 
-// mostQueued is how much may wait for a socket: whoever reads nothing for so long is cut off.
-const mostQueued = 256 << 10
+// maxOutgoingBytes is how much may wait for a socket: whoever reads nothing for so long is cut off.
+const maxOutgoingBytes = 256 << 10
 
 // send queues a message.
-func (l *Link) send(b []byte) { l.put(entry{data: b}) }
+func (conn *Conn) send(b []byte) { conn.enqueue(outgoingMessage{data: b}) }
 
-func (l *Link) put(e entry) {
-	if l.closed {
-		if e.left != nil || e.lost != nil {
-			l.m.Timers.Set(l.m.Now, e.end)
+func (conn *Conn) enqueue(message outgoingMessage) {
+	if conn.closed {
+		if message.onSent != nil || message.onLost != nil {
+			conn.gateway.Timers.Schedule(conn.gateway.Now, message.connLost)
 		}
 		return
 	}
-	l.queue = append(l.queue, e)
-	l.size += len(e.data)
-	l.mark()
+	conn.outgoing = append(conn.outgoing, message)
+	conn.outgoingBytes += len(message.data)
+	conn.scheduleFlush()
 }
 
-// mark has a link flushed at the end of the batch.
-func (l *Link) mark() {
-	if !l.waiting {
-		l.waiting = true
-		l.m.dirty = append(l.m.dirty, l)
+// scheduleFlush has a link flushed at the end of the batch.
+func (conn *Conn) scheduleFlush() {
+	if !conn.flushScheduled {
+		conn.flushScheduled = true
+		conn.gateway.dirtyConns = append(conn.gateway.dirtyConns, conn)
 	}
 }
 
 // flush hands what waits to the socket, unless that still has something.
-func (l *Link) flush() {
-	l.waiting = false
-	if l.closed || l.writeClosed {
+func (conn *Conn) flush() {
+	conn.flushScheduled = false
+	if conn.closed || conn.writeClosed {
 		return
 	}
-	if l.busy || l.m.trunkOf(l) != nil && !l.isUp {
-		if l.size > mostQueued {
-			l.m.Wire.Broken++
-			l.fail()
+	if conn.writePending || conn.gateway.upstreamOf(conn) != nil && !conn.connected {
+		if conn.outgoingBytes > maxOutgoingBytes {
+			conn.gateway.Metrics.ProtocolErrors++
+			conn.abort()
 		}
 		return
 	}
-	if len(l.queue) == 0 {
+	if len(conn.outgoing) == 0 {
 		return
 	}
 	var b []byte
-	for _, e := range l.queue {
+	for _, e := range conn.outgoing {
 		b = append(b, e.data...)
-		if l.m.Tap != nil && len(e.data) > 0 {
-			l.m.Tap(l, true, e.data)
+		if conn.gateway.OnMessage != nil && len(e.data) > 0 {
+			conn.gateway.OnMessage(conn, true, e.data)
 		}
 		if e.leg != nil {
-			e.leg.left = true
+			e.leg.sent = true
 		}
-		if e.left != nil || e.lost != nil {
-			l.handed = append(l.handed, entry{left: e.left, lost: e.lost})
+		if e.onSent != nil || e.onLost != nil {
+			conn.written = append(conn.written, outgoingMessage{onSent: e.onSent, onLost: e.onLost})
 		}
 	}
-	clear(l.queue)
-	l.queue, l.size = l.queue[:0], 0
-	l.busy, l.wrote = true, l.m.Now
-	if l.m.out.Write(l, b) {
-		l.hasLeft()
+	clear(conn.outgoing)
+	conn.outgoing, conn.outgoingBytes = conn.outgoing[:0], 0
+	conn.writePending, conn.lastWriteAt = true, conn.gateway.Now
+	if conn.gateway.transport.Write(conn, b) {
+		conn.onFlushed()
 	}
 }
 
-func (l *Link) hasLeft() {
-	l.busy = false
-	handed := l.handed
-	l.handed = nil
+func (conn *Conn) onFlushed() {
+	conn.writePending = false
+	handed := conn.written
+	conn.written = nil
 	for _, e := range handed {
-		if e.left != nil {
-			e.left()
+		if e.onSent != nil {
+			e.onSent()
 		}
 	}
 }
 
-// take takes a leg's set-up back that has not been handed to the socket; false: it has been.
-func (l *Link) take(g *leg) bool {
-	if g.left {
+// withdraw takes a leg's set-up back that has not been handed to the socket; false: it has been.
+func (conn *Conn) withdraw(leg *outboundLeg) bool {
+	if leg.sent {
 		return false
 	}
-	l.queue = slices.DeleteFunc(l.queue, func(e entry) bool {
-		if e.leg == g {
-			l.size -= len(e.data)
+	conn.outgoing = slices.DeleteFunc(conn.outgoing, func(e outgoingMessage) bool {
+		if e.leg == leg {
+			conn.outgoingBytes -= len(e.data)
 			return true
 		}
 		return false
@@ -162,144 +162,144 @@
 	return true
 }
 
-// shut closes a link from here.
-func (l *Link) shut() {
-	if l.closed {
+// close closes a link from here.
+func (conn *Conn) close() {
+	if conn.closed {
 		return
 	}
-	l.flushLast()
-	l.m.out.Shut(l)
-	l.end(Orderly)
+	conn.flushBeforeClose()
+	conn.gateway.transport.Close(conn)
+	conn.terminate(ClosedNormally)
 }
 
-// flushLast tries to hand over what waits before a close.
-func (l *Link) flushLast() {
-	if !l.busy && (l.isUp || l.client != nil) && len(l.queue) > 0 {
-		l.flush()
+// flushBeforeClose tries to hand over what waits before a close.
+func (conn *Conn) flushBeforeClose() {
+	if !conn.writePending && (conn.connected || conn.client != nil) && len(conn.outgoing) > 0 {
+		conn.flush()
 	}
 }
 
-// fail closes a link that is of no use, without a last word.
-func (l *Link) fail() {
-	if l.closed {
+// abort closes a link that is of no use, without a last word.
+func (conn *Conn) abort() {
+	if conn.closed {
 		return
 	}
-	l.m.out.Shut(l)
-	l.end(Orderly)
+	conn.gateway.transport.Close(conn)
+	conn.terminate(ClosedNormally)
 }
 
-// end forgets a link: what has not left has not run, and what somebody is owed goes another way.
-func (l *Link) end(how Ending) {
-	if l.closed {
+// terminate forgets a link: what has not left has not run, and what somebody is owed goes another way.
+func (conn *Conn) terminate(reason CloseReason) {
+	if conn.closed {
 		return
 	}
-	l.closed = true
-	unsent := append(l.handed, l.queue...)
-	l.queue, l.handed, l.size = nil, nil, 0
-	l.side.lost(l, how)
+	conn.closed = true
+	unsent := append(conn.written, conn.outgoing...)
+	conn.outgoing, conn.written, conn.outgoingBytes = nil, nil, 0
+	conn.peer.onClosed(conn, reason)
 	for _, e := range unsent {
-		e.end()
+		e.connLost()
 	}
 }
 
-// facts is what is decided by of a caller's link.
-func (l *Link) facts() intake.Link {
-	return intake.Link{Opened: l.opened, Used: l.used, Proven: l.proven, Partial: l.reader.Partial(), Begun: l.begun,
-		Open: l.open, Standing: l.standing, Unsent: l.busy || len(l.queue) > 0, Stuck: l.m.Now - l.wrote}
+// connState is what is decided by of a caller's link.
+func (conn *Conn) connState() intake.Link {
+	return intake.Link{Opened: conn.openedAt, Used: conn.lastUsedAt, Proven: conn.receivedMessage, Partial: conn.reader.Partial(), Begun: conn.partialSince,
+		Open: conn.pendingCalls, Standing: conn.establishedCalls, Unsent: conn.writePending || len(conn.outgoing) > 0, Stuck: conn.gateway.Now - conn.lastWriteAt}
 }
 
-// Accepted takes a caller's connection; nil: it was closed at once.
-func (m *Machine) Accepted(now float64, conn any, from netip.Addr) *Link {
-	m.Now = now
-	m.Wire.Accepted++
-	c := m.clients[from]
+// OnAccepted takes a caller's connection; nil: it was closed at once.
+func (g *Gateway) OnAccepted(now float64, socket any, address netip.Addr) *Conn {
+	g.Now = now
+	g.Metrics.Accepted++
+	c := g.clients[address]
 	if c == nil {
-		c = &client{m: m}
-		m.clients[from] = c
+		c = &client{gateway: g}
+		g.clients[address] = c
 	}
-	l := &Link{Conn: conn, m: m, side: c, client: c, opened: now, used: now, wrote: now}
-	c.links = append(c.links, l)
-	m.callers = append(m.callers, l)
-	if len(m.callers) > intake.Callers(m.cfg.Sockets) {
-		facts := make([]intake.Link, len(m.callers))
-		for i, l := range m.callers {
-			facts[i] = l.facts()
+	conn := &Conn{Socket: socket, gateway: g, peer: c, client: c, openedAt: now, lastUsedAt: now, lastWriteAt: now}
+	c.conns = append(c.conns, conn)
+	g.clientConns = append(g.clientConns, conn)
+	if len(g.clientConns) > intake.Callers(g.config.MaxDescriptors) {
+		facts := make([]intake.Link, len(g.clientConns))
+		for i, conn := range g.clientConns {
+			facts[i] = conn.connState()
 		}
-		m.Wire.Evicted++
-		worst := l
+		g.Metrics.Evicted++
+		worst := conn
 		if i := intake.Evict(now, facts); i >= 0 {
-			worst = m.callers[i]
+			worst = g.clientConns[i]
 		}
-		worst.shut()
+		worst.close()
 	}
-	if l.closed {
+	if conn.closed {
 		return nil
 	}
-	c.pay(l)
-	return l
+	c.sendPendingReleases(conn)
+	return conn
 }
 
-// Connected says that a link that was dialled is up.
-func (m *Machine) Connected(now float64, l *Link) {
-	m.Now = now
-	if t := m.trunkOf(l); t != nil && !l.closed {
-		t.connected(l)
+// OnConnected says that a link that was dialled is up.
+func (g *Gateway) OnConnected(now float64, conn *Conn) {
+	g.Now = now
+	if u := g.upstreamOf(conn); u != nil && !conn.closed {
+		u.onConnected(conn)
 	}
 }
 
-// Received takes bytes of a link.
-func (m *Machine) Received(now float64, l *Link, b []byte) {
-	m.Now = now
-	if l.closed {
+// OnData takes bytes of a link.
+func (g *Gateway) OnData(now float64, conn *Conn, data []byte) {
+	g.Now = now
+	if conn.closed {
 		return
 	}
-	if !l.reader.Partial() {
-		l.begun = now
+	if !conn.reader.Partial() {
+		conn.partialSince = now
 	}
-	err := l.reader.Feed(b, func(msg binarymessage.Message) bool {
-		l.begun = now // of whatever follows
-		if m.Tap != nil {
-			m.Tap(l, false, msg)
+	err := conn.reader.Feed(data, func(msg binarymessage.Message) bool {
+		conn.partialSince = now // of whatever follows
+		if g.OnMessage != nil {
+			g.OnMessage(conn, false, msg)
 		}
-		l.side.heard(l, msg)
-		return !l.closed
+		conn.peer.onMessage(conn, msg)
+		return !conn.closed
 	})
-	if err != nil && !l.closed {
-		if l.client != nil {
-			m.Wire.Unreadable++
-			l.shut()
+	if err != nil && !conn.closed {
+		if conn.client != nil {
+			g.Metrics.Malformed++
+			conn.close()
 		} else {
-			m.Wire.Broken++
-			l.fail()
+			g.Metrics.ProtocolErrors++
+			conn.abort()
 		}
 	}
 }
 
-// Left says that all that a link's socket was handed has left.
-func (m *Machine) Left(now float64, l *Link) {
-	m.Now = now
-	if l.closed || !l.busy {
+// OnFlushed says that all that a link's socket was handed has left.
+func (g *Gateway) OnFlushed(now float64, conn *Conn) {
+	g.Now = now
+	if conn.closed || !conn.writePending {
 		return
 	}
-	l.hasLeft()
-	l.mark()
+	conn.onFlushed()
+	conn.scheduleFlush()
 }
 
-// Closed says that a link was closed from the other side, or never came up.
-func (m *Machine) Closed(now float64, l *Link, how Ending) {
-	m.Now = now
-	l.end(how)
+// OnClosed says that a link was closed from the other side, or never came up.
+func (g *Gateway) OnClosed(now float64, conn *Conn, how CloseReason) {
+	g.Now = now
+	conn.terminate(how)
 }
 
-func (m *Machine) trunkOf(l *Link) *trunk {
-	t, _ := l.side.(*trunk)
-	return t
+func (g *Gateway) upstreamOf(conn *Conn) *upstream {
+	u, _ := conn.peer.(*upstream)
+	return u
 }
 
-// With names who is at the other end: a switch by its id.
-func (l *Link) With() string {
-	if t := l.m.trunkOf(l); t != nil {
-		return l.m.Pools.ID(t.pool)
+// PeerName names who is at the other end: a switch by its id.
+func (conn *Conn) PeerName() string {
+	if u := conn.gateway.upstreamOf(conn); u != nil {
+		return conn.gateway.Endpoints.IDOf(u.endpoint)
 	}
 	return "caller"
 }
--- a/internal/protocol/binarygateway/machine.go
+++ b/internal/protocol/binarygateway/machine.go
@@ -21,303 +21,307 @@
 
 //tally:decisions
 
-// Out is what a machine asks of its driver.
-type Out interface {
+// Transport is what a machine asks of its driver.
+type Transport interface {
 	// Write hands bytes to a link's socket; it tells whether all of them have left, else Left follows.
-	Write(l *Link, b []byte) (left bool)
+	Write(l *Conn, b []byte) (left bool)
 	// Dial opens a link; Connected or Closed follows.
-	Dial(l *Link, to netip.AddrPort)
-	// Shut closes a link; nothing follows. The machine does not use it any more.
-	Shut(l *Link)
+	Dial(l *Conn, to netip.AddrPort)
+	// Close closes a link; nothing follows. The machine does not use it any more.
+	Close(l *Conn)
 	// CloseWrite ends a caller's link in order, once all that was written has left: nothing more is written to it.
-	CloseWrite(l *Link)
-	// Tell sends a message of at most 256 bytes to another gateway, by its number.
-	Tell(gateway int, data []byte)
+	CloseWrite(l *Conn)
+	// SendGossip sends a message of at most 256 bytes to another gateway, by its number.
+	SendGossip(gateway int, data []byte)
 }
 
 // Config is what a machine is told at start.
 type Config struct {
-	Set     *routing.Settings
-	Links   deployment.Links
-	Sockets int     // descriptors
-	Margin  float64 // ms: final answers leave so long before the caller's patience ends
-	Gate    intake.Gate
-	Off     [6]bool // guards that are switched off, by rule: only to show that the checker sees what they prevent
-	// Clock turns the Unix ms of a start into the clock that is handed in.
-	Clock func(unix float64) float64
+	Settings       *routing.Settings
+	Connections    deployment.Connections
+	MaxDescriptors int     // descriptors
+	AnswerMargin   float64 // ms: final answers leave so long before the caller's patience ends
+	LoadShedding   intake.Gate
+	DisabledGuards [6]bool // guards that are switched off, by rule: only to show that the checker sees what they prevent
+	// FromUnixMillis turns the Unix ms of a start into the clock that is handed in.
+	FromUnixMillis func(unix float64) float64
 }
 
-// Machine is one gateway's door to the platform.
-type Machine struct {
-	*callcontrol.Control
-	Wire Wire
-	// Tap, where it is set, sees each message as it comes or is handed to a socket.
-	Tap func(l *Link, out bool, msg binarymessage.Message)
+// Gateway is one gateway's door to the platform.
+type Gateway struct {
+	*callcontrol.Controller
+	Metrics Metrics
+	// OnMessage, where it is set, sees each message as it comes or is handed to a socket.
+	OnMessage func(l *Conn, out bool, msg binarymessage.Message)
 
-	cfg     *Config
-	out     Out
-	calls   map[uint64]*call // by id: open and standing
-	trunks  map[*routing.Pool]*trunk
-	clients map[netip.Addr]*client
-	callers []*Link // callers' connections
-	tests   []test  // that wait for the gateway to be ready
-	dirty   []*Link
-	resumed int // standing calls that were told by their callers
-	started float64
-	ready   bool
-	leaving bool
-	draws   uint64
+	config        *Config
+	transport     Transport
+	calls         map[uint64]*call // by id: open and standing
+	upstreams     map[*routing.Endpoint]*upstream
+	clients       map[netip.Addr]*client
+	clientConns   []*Conn       // callers' connections
+	pendingChecks []healthCheck // that wait for the gateway to be ready
+	dirtyConns    []*Conn
+	resumedCalls  int // standing calls that were told by their callers
+	startedAt     float64
+	ready         bool
+	draining      bool
+	draws         uint64
 }
 
-// Wire counts what was seen on the connections.
-type Wire struct {
-	Accepted, Evicted, Spent, Unreadable, Odd, Twice             uint64 // callers'
-	Dialled, Up, Refused, Silent, Lost, Broken, Withdrawn, Stray uint64 // lines'
-	Cut, Resumed, Owed, Unpaid, Crossed, Dead, Released          uint64 // standing calls
+// Metrics counts what was seen on the connections.
+type Metrics struct {
+	Accepted, Evicted, IdleClosed, Malformed, InvalidRequests, Duplicates                                                uint64 // callers'
+	Dialed, Connected, ConnectionsRefused, ConnectTimeouts, ConnectionsLost, ProtocolErrors, Withdrawn, UnmatchedAnswers uint64 // lines'
+	CallsCut, CallsResumed, ReleasesDeferred, ReleasesDropped, LateAnswers, EndpointsDead, ReleasesByCaller              uint64 // standing calls
 }
 
-// test is a caller's question whether calls are taken here.
-type test struct {
-	link *Link
-	call uint64
+// healthCheck is a caller's question whether calls are taken here.
+type healthCheck struct {
+	conn   *Conn
+	callID uint64
 }
 
 const (
-	readyBy = 1000.0 // ms: tests are passed by then even if no switch was reached
-	tidy    = 250.0  // ms between two looks at what is left over
-	tellsOn = 4      // a switch tells its state on no more connections
+	readyTimeout        = 1000.0 // ms: tests are passed by then even if no switch was reached
+	maintenanceInterval = 250.0  // ms between two looks at what is left over
+	maxReportingConns   = 4      // a switch tells its state on no more connections
 )
 
 // New makes a machine; its module comes from mk.
-func New(now float64, cfg *Config, mk endpointset.Maker, out Out) *Machine {
-	m := &Machine{Control: callcontrol.New(&callcontrol.Config{Set: cfg.Set, Margin: cfg.Margin, Gate: cfg.Gate, Off: cfg.Off}), cfg: cfg, out: out,
-		calls: map[uint64]*call{}, trunks: map[*routing.Pool]*trunk{}, clients: map[netip.Addr]*client{}, started: now}
-	m.Now = now
-	m.Mod = mk(cfg.Set, m)
-	m.Timers.Set(now+tidy, m.tidy)
-	return m
+func New(now float64, cfg *Config, mk endpointset.PolicyFactory, out Transport) *Gateway {
+	g := &Gateway{Controller: callcontrol.New(&callcontrol.Config{Settings: cfg.Settings, AnswerMargin: cfg.AnswerMargin, LoadShedding: cfg.LoadShedding, DisabledGuards: cfg.DisabledGuards}), config: cfg, transport: out,
+		calls: map[uint64]*call{}, upstreams: map[*routing.Endpoint]*upstream{}, clients: map[netip.Addr]*client{}, startedAt: now}
+	g.Now = now
+	g.Router = mk(cfg.Settings, g)
+	g.Timers.Schedule(now+maintenanceInterval, g.maintain)
+	return g
 }
 
-// Probe implements contact.Host: a test shows no load, so there is nothing to ask.
-func (m *Machine) Probe(p *routing.Pool) {
-	m.Timers.Set(m.Now, func() { m.Mod.Reported(m.Now, p, m.trunks[p] != nil && m.trunks[p].up() > 0, false) })
+// ProbeHealth implements contact.Host: a test shows no load, so there is nothing to ask.
+func (g *Gateway) ProbeHealth(endpoint *routing.Endpoint) {
+	g.Timers.Schedule(g.Now, func() {
+		g.Router.OnLoadReport(g.Now, endpoint, g.upstreams[endpoint] != nil && g.upstreams[endpoint].connectedConns() > 0, false)
+	})
 }
 
-// Leave has tests fail from now on: whoever asks is to go elsewhere.
-func (m *Machine) Leave() { m.leaving = true }
+// BeginDrain has tests fail from now on: whoever asks is to go elsewhere.
+func (g *Gateway) BeginDrain() { g.draining = true }
 
-// DeferAll answers whatever is still held, before the process ends.
-func (m *Machine) DeferAll(now float64) {
-	m.Close()
-	m.Turn(now) // what has just come is taken and deferred
-	var of []*call
-	for _, k := range m.calls {
-		if k.at == nil {
-			of = append(of, k)
+// RejectAll answers whatever is still held, before the process ends.
+func (g *Gateway) RejectAll(now float64) {
+	g.StopAdmitting()
+	g.Step(now) // what has just come is taken and deferred
+	var unanswered []*call
+	for _, c := range g.calls {
+		if c.upstream == nil {
+			unanswered = append(unanswered, c)
 		}
 	}
-	slices.SortFunc(of, byID)
-	for _, k := range of {
-		k.Defers(0)
+	slices.SortFunc(unanswered, compareByID)
+	for _, c := range unanswered {
+		c.SendRejection(0)
 	}
-	m.Turn(now)
+	g.Step(now)
 }
 
-// Callers is how many callers' links are there, and on how many of them something has not left.
-func (m *Machine) Callers() (unsent, open int) {
-	for _, l := range m.callers {
-		if f := l.facts(); f.Unsent {
+// ClientConns is how many callers' links are there, and on how many of them something has not left.
+func (g *Gateway) ClientConns() (unsent, open int) {
+	for _, conn := range g.clientConns {
+		if f := conn.connState(); f.Unsent {
 			unsent++
 		}
 	}
-	return unsent, len(m.callers)
+	return unsent, len(g.clientConns)
 }
 
-// CloseWrite ends callers' links in order: what crosses it is sent once more elsewhere.
-func (m *Machine) CloseWrite() {
-	for _, l := range m.callers {
-		l.writeClosed = true
-		m.out.CloseWrite(l)
+// CloseClientWrites ends callers' links in order: what crosses it is sent once more elsewhere.
+func (g *Gateway) CloseClientWrites() {
+	for _, conn := range g.clientConns {
+		conn.writeClosed = true
+		g.transport.CloseWrite(conn)
 	}
 }
 
-// Tell implements contact.Host.
-func (m *Machine) Tell(to int, data []byte) { m.out.Tell(to, data) }
+// SendGossip implements contact.Host.
+func (g *Gateway) SendGossip(to int, data []byte) { g.transport.SendGossip(to, data) }
 
-// Peer takes another gateway's message.
-func (m *Machine) Peer(now float64, from int, data []byte) {
-	m.Now = now
-	if len(data) <= 256 && from >= 0 && from < m.cfg.Set.Gateways && from != m.cfg.Set.Me {
-		m.Mod.Told(now, from, data)
+// OnPeerMessage takes another gateway's message.
+func (g *Gateway) OnPeerMessage(now float64, sender int, data []byte) {
+	g.Now = now
+	if len(data) <= 256 && sender >= 0 && sender < g.config.Settings.Gateways && sender != g.config.Settings.GatewayIndex {
+		g.Router.OnGossip(now, sender, data)
 	}
 }
 
-// Listed takes a list. What it says of a pool counts from now on (rule 3): set-ups to a pool that drains or is gone that
+// OnEndpointList takes a list. What it says of a pool counts from now on (rule 3): set-ups to a pool that drains or is gone that
 // wait here are withdrawn. The lines to a switch that is gone are closed, and calls there have ended with it; one with a
 // new id is another switch, whatever its address.
-func (m *Machine) Listed(now float64, l *dnsdiscovery.List) {
-	m.Now = now
-	entries := make([]endpointset.Entry[string], len(l.Targets))
-	for i, t := range l.Targets {
-		entries[i] = endpointset.Entry[string]{ID: t.ID, Number: t.Cell, State: t.State}
-		if t.Started > 0 {
-			entries[i].Since = m.cfg.Clock(t.Started)
+func (g *Gateway) OnEndpointList(now float64, list *dnsdiscovery.List) {
+	g.Now = now
+	entries := make([]endpointset.Entry[string], len(list.Targets))
+	for i, target := range list.Targets {
+		entries[i] = endpointset.Entry[string]{ID: target.ID, DestinationID: target.DestinationID, State: target.State}
+		if target.StartedAt > 0 {
+			entries[i].StartedAt = g.config.FromUnixMillis(target.StartedAt)
 		}
-		if p := m.Pools.Pool(t.ID); p != nil && t.State == routing.Gone && entries[i].Number < 0 {
-			entries[i].Number = p.Number
+		if endpoint := g.Endpoints.ByID(target.ID); endpoint != nil && target.State == routing.Gone && entries[i].DestinationID < 0 {
+			entries[i].DestinationID = endpoint.DestinationID
 		}
 	}
-	changed := m.Pools.Apply(entries, l.Whole)
-	for _, t := range l.Targets {
-		p := m.Pools.Pool(t.ID)
-		if k := m.trunks[p]; k == nil && p.State != routing.Gone {
-			m.trunks[p] = newTrunk(m, p, t.Addr)
-		} else if k != nil && t.Addr.IsValid() && k.to != t.Addr && p.State != routing.Gone {
-			k.move(t.Addr)
+	changed := g.Endpoints.Apply(entries, list.Complete)
+	for _, target := range list.Targets {
+		endpoint := g.Endpoints.ByID(target.ID)
+		if existing := g.upstreams[endpoint]; existing == nil && endpoint.State != routing.Gone {
+			g.upstreams[endpoint] = newUpstream(g, endpoint, target.Addr)
+		} else if existing != nil && target.Addr.IsValid() && existing.address != target.Addr && endpoint.State != routing.Gone {
+			existing.changeAddress(target.Addr)
 		}
 	}
-	for _, p := range changed {
-		t := m.trunks[p]
-		if t == nil {
+	for _, endpoint := range changed {
+		u := g.upstreams[endpoint]
+		if u == nil {
 			continue
 		}
-		if p.State != routing.Ready {
-			t.withdraw()
+		if endpoint.State != routing.Ready {
+			u.withdrawUnsent()
 		}
-		if p.State == routing.Gone {
-			t.over()
-			delete(m.trunks, p)
-		} else if p.Since > t.since {
-			t.restarted(p.Since)
+		if endpoint.State == routing.Gone {
+			u.closeAll()
+			delete(g.upstreams, endpoint)
+		} else if endpoint.StartedAt > u.startedAt {
+			u.onRestart(endpoint.StartedAt)
 		}
 	}
-	m.Mod.Listed(now, changed)
-	for _, p := range changed {
-		if t := m.trunks[p]; t != nil {
-			t.warm()
+	g.Router.OnEndpoints(now, changed)
+	for _, endpoint := range changed {
+		if u := g.upstreams[endpoint]; u != nil {
+			u.maintainConns()
 		} else {
-			m.Pools.Forget(p)
+			g.Endpoints.Remove(endpoint)
 		}
 	}
 }
 
-// lines is how many lines each switch gets.
-func (m *Machine) lines() int { return intake.Lines(m.cfg.Sockets, len(m.trunks), tellsOn) }
+// connsPerEndpoint is how many lines each switch gets.
+func (g *Gateway) connsPerEndpoint() int {
+	return intake.Lines(g.config.MaxDescriptors, len(g.upstreams), maxReportingConns)
+}
 
-// Turn ends a batch: timers that are due run, what came is offered to the module, and what was made leaves.
-func (m *Machine) Turn(now float64) {
-	m.Batch(now, nil)
-	for len(m.dirty) > 0 {
-		dirty := m.dirty
-		m.dirty = nil
-		for _, l := range dirty {
-			l.flush()
+// Step ends a batch: timers that are due run, what came is offered to the module, and what was made leaves.
+func (g *Gateway) Step(now float64) {
+	g.ProcessBatch(now, nil)
+	for len(g.dirtyConns) > 0 {
+		dirty := g.dirtyConns
+		g.dirtyConns = nil
+		for _, conn := range dirty {
+			conn.flush()
 		}
 	}
 }
 
-// Next is when Turn is wanted, on the clock that was handed in.
-func (m *Machine) Next() float64 {
-	if len(m.dirty) > 0 {
-		return m.Now
+// NextWakeup is when Turn is wanted, on the clock that was handed in.
+func (g *Gateway) NextWakeup() float64 {
+	if len(g.dirtyConns) > 0 {
+		return g.Now
 	}
-	return m.Control.Next()
+	return g.Controller.NextWakeup()
 }
 
-// tidy looks after what nobody else does: connections that carry nothing, releases that could not be sent, tests.
-func (m *Machine) tidy() {
-	m.Timers.Set(m.Now+tidy, m.tidy)
-	m.isReady()
-	for _, l := range slices.Clone(m.callers) {
-		if f := l.facts(); f.Spent(m.Now) {
-			m.Wire.Spent++
-			l.shut()
+// maintain looks after what nobody else does: connections that carry nothing, releases that could not be sent, tests.
+func (g *Gateway) maintain() {
+	g.Timers.Schedule(g.Now+maintenanceInterval, g.maintain)
+	g.updateReadiness()
+	for _, conn := range slices.Clone(g.clientConns) {
+		if f := conn.connState(); f.Spent(g.Now) {
+			g.Metrics.IdleClosed++
+			conn.close()
 		}
 	}
-	for a, c := range m.clients {
-		c.forget(m.Now)
-		if len(c.links) == 0 && len(c.owed) == 0 && c.standing == 0 {
-			delete(m.clients, a)
+	for a, client := range g.clients {
+		client.dropExpiredReleases(g.Now)
+		if len(client.conns) == 0 && len(client.pendingReleases) == 0 && client.establishedCalls == 0 {
+			delete(g.clients, a)
 		}
 	}
-	for _, p := range m.inOrder() {
-		m.trunks[p].look()
+	for _, endpoint := range g.upstreamsInOrder() {
+		g.upstreams[endpoint].checkLiveness()
 	}
 }
 
-// inOrder is the pools that have a trunk, in the order of their ids.
-func (m *Machine) inOrder() []*routing.Pool {
-	of := make([]*routing.Pool, 0, len(m.trunks))
-	for p := range m.trunks {
-		of = append(of, p)
+// upstreamsInOrder is the pools that have a trunk, in the order of their ids.
+func (g *Gateway) upstreamsInOrder() []*routing.Endpoint {
+	endpoints := make([]*routing.Endpoint, 0, len(g.upstreams))
+	for endpoint := range g.upstreams {
+		endpoints = append(endpoints, endpoint)
 	}
-	slices.SortFunc(of, func(a, b *routing.Pool) int {
-		if m.Pools.ID(a) < m.Pools.ID(b) {
+	slices.SortFunc(endpoints, func(a, b *routing.Endpoint) int {
+		if g.Endpoints.IDOf(a) < g.Endpoints.IDOf(b) {
 			return -1
 		}
 		return 1
 	})
-	return of
+	return endpoints
 }
 
-// isReady passes the tests that wait once calls can be taken.
-func (m *Machine) isReady() bool {
-	for _, t := range m.trunks {
-		m.ready = m.ready || t.up() > 0
+// updateReadiness passes the tests that wait once calls can be taken.
+func (g *Gateway) updateReadiness() bool {
+	for _, u := range g.upstreams {
+		g.ready = g.ready || u.connectedConns() > 0
 	}
-	m.ready = m.ready || m.Now > m.started+readyBy
-	if m.ready {
+	g.ready = g.ready || g.Now > g.startedAt+readyTimeout
+	if g.ready {
 		passed := byte(1)
-		if m.leaving {
+		if g.draining {
 			passed = 0
 		}
-		for _, t := range m.tests {
-			t.link.send(binarymessage.Append(nil, binarymessage.Tested, t.call, binarymessage.Why(passed)))
+		for _, t := range g.pendingChecks {
+			t.conn.send(binarymessage.Append(nil, binarymessage.HealthResult, t.callID, binarymessage.CauseParam(passed)))
 		}
-		m.tests = nil
+		g.pendingChecks = nil
 	}
-	return m.ready
+	return g.ready
 }
 
-// chance draws a number from 0 to 1.
-func (m *Machine) chance() float64 {
-	m.draws++
-	return detrand.Of(m.cfg.Set.Seed, 0x6c696e6b, m.draws)
+// random draws a number from 0 to 1.
+func (g *Gateway) random() float64 {
+	g.draws++
+	return detrand.Float64(g.config.Settings.Seed, 0x6c696e6b, g.draws)
 }
 
-// Open is how much the machine holds: for tests of what is left after churn.
-func (m *Machine) Open() (calls, trunks, clients, links, timers int) {
-	return len(m.calls), len(m.trunks), len(m.clients), len(m.callers), m.Timers.Len()
+// OpenCounts is how much the machine holds: for tests of what is left after churn.
+func (g *Gateway) OpenCounts() (calls, trunks, clients, links, timers int) {
+	return len(g.calls), len(g.upstreams), len(g.clients), len(g.clientConns), g.Timers.Len()
 }
 
-// Remembered is how many calls that are over here are remembered: given up at their switch, ended and unknown.
-func (m *Machine) Remembered() (late, ends int) {
-	for _, t := range m.trunks {
-		late += len(t.late)
-		ends += len(t.ends)
+// RememberedCounts is how many calls that are over here are remembered: given up at their switch, ended and unknown.
+func (g *Gateway) RememberedCounts() (late, ends int) {
+	for _, u := range g.upstreams {
+		late += len(u.canceled)
+		ends += len(u.unknownEnds)
 	}
 	return
 }
 
-// Stood is how many calls stand, resumed ones included.
-func (m *Machine) Stood() int {
-	_, n := m.Held()
-	return n + m.resumed
+// EstablishedCalls is how many calls stand, resumed ones included.
+func (g *Gateway) EstablishedCalls() int {
+	_, n := g.InProgress()
+	return n + g.resumedCalls
 }
 
-// report reads a load report (`a:1;b:2`) over the pool's older one. It tells whether figures of the processor came. What
+// applyLoadReport reads a load report (`a:1;b:2`) over the pool's older one. It tells whether figures of the processor came. What
 // makes no sense is passed over.
-func (m *Machine) report(p *routing.Pool, msg binarymessage.Message) (any, full bool) {
+func (g *Gateway) applyLoadReport(endpoint *routing.Endpoint, msg binarymessage.Message) (reported, complete bool) {
 	v, ok := msg.Get(binarymessage.Report)
 	if !ok {
 		return false, false
 	}
-	for f := range fieldsOf(string(v)) {
-		if n, ok := figure(f.value); ok {
-			if deployment.Figure(&p.Report, f.name, n) {
-				full = true
+	for parameter := range parameters(string(v)) {
+		if number, ok := parseNumber(parameter.value); ok {
+			if deployment.SetLoadReportField(&endpoint.LoadReport, parameter.name, number) {
+				complete = true
 			}
 		}
 	}
-	return true, full
+	return true, complete
 }
--- a/internal/protocol/binarygateway/platform_test.go
+++ b/internal/protocol/binarygateway/platform_test.go
@@ -25,20 +25,20 @@
 	if _, there := m.Get(binarymessage.Figures); there {
 		t.Error("the caller's figures went to the switch")
 	}
-	if left, _ := figure(m.Text(binarymessage.Patience)); left < 2990 || left > 3000 {
+	if left, _ := parseNumber(m.Text(binarymessage.Patience)); left < 2990 || left > 3000 {
 		t.Errorf("the gateway waits %v ms", left)
 	}
-	r.says(w, binarymessage.Answer, 7, said, binarymessage.Text(binarymessage.Report, "free:3;size:40;busy:0.5;q:2"))
+	r.says(w, binarymessage.Answer, 7, said, binarymessage.TextParam(binarymessage.Report, "free:3;size:40;busy:0.5;q:2"))
 	r.wants(c.last(7), binarymessage.Answer, 0)
 	if d := c.last(7).Text(binarymessage.Description); d != "v=0 answer" {
 		t.Errorf("the caller got %q", d)
 	}
-	r.says(w, binarymessage.Release, 7, binarymessage.Why(binarymessage.Normal))
+	r.says(w, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal))
 	r.wants(c.last(7), binarymessage.Release, binarymessage.Normal)
 	if want := []string{"offered", "report 0 free 3 of 40", "stood", "ended 0 closed true agent false engaged false wait 0"}; !slices.Equal(r.mod.heard, want) {
 		t.Errorf("the module heard %q", r.mod.heard)
 	}
-	if calls, _, _, _, _ := r.m.Open(); calls != 0 {
+	if calls, _, _, _, _ := r.m.OpenCounts(); calls != 0 {
 		t.Errorf("%d calls are left", calls)
 	}
 }
@@ -62,9 +62,9 @@
 		r := newRig(t)
 		r.mod.to = []int{0}
 		r.setUp(r.caller(), 7)
-		of := []binarymessage.Param{binarymessage.Why(x.cause), binarymessage.Text(binarymessage.Note, x.note)}
+		of := []binarymessage.Param{binarymessage.CauseParam(x.cause), binarymessage.TextParam(binarymessage.Note, x.note)}
 		if x.wait != "" {
-			of = append(of, binarymessage.Text(binarymessage.Busy, x.wait))
+			of = append(of, binarymessage.TextParam(binarymessage.Busy, x.wait))
 		}
 		r.says(r.on(7), binarymessage.Release, 7, of...)
 		if got := r.mod.heard[len(r.mod.heard)-1]; got != x.want {
@@ -82,7 +82,7 @@
 		c := r.caller()
 		r.setUp(c, 7)
 		first := r.on(7)
-		r.mod.h.Cancel(r.mod.last.Out)
+		r.mod.h.CancelAttempt(r.mod.last.InFlight)
 		r.turn()
 		r.wants(first.last(7), binarymessage.Release, binarymessage.Normal)
 		r.pass(600)
@@ -108,7 +108,7 @@
 	c := r.caller()
 	r.setUp(c, 7)
 	first := r.on(7)
-	r.mod.h.Cancel(r.mod.last.Out)
+	r.mod.h.CancelAttempt(r.mod.last.InFlight)
 	r.pass(600)
 	w := r.on(7)
 	if w == first {
@@ -119,7 +119,7 @@
 	if first.count(7, binarymessage.Release) != before || w.count(7, binarymessage.Release) != 0 {
 		t.Error("the ring that is out was released")
 	}
-	r.says(w, binarymessage.Release, 7, binarymessage.Why(binarymessage.NoCircuit))
+	r.says(w, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.NoCircuit))
 	r.wants(w.last(7), binarymessage.Release, binarymessage.Normal)
 }
 
@@ -131,25 +131,25 @@
 		w.stuck = w.to == addrA
 	}
 	r.mute = true
-	r.says(r.wires[0], binarymessage.State, 0) // nothing is under way: lines take what comes
-	for _, w := range r.wires {                // something is before the set-up, and does not leave
+	r.says(r.wires[0], binarymessage.LoadState, 0) // nothing is under way: lines take what comes
+	for _, w := range r.wires {                    // something is before the set-up, and does not leave
 		if w.to == addrA {
-			w.link.send(binarymessage.Append(nil, binarymessage.Heard, 1))
+			w.link.send(binarymessage.Append(nil, binarymessage.ReleaseComplete, 1))
 		}
 	}
 	r.turn()
 	c := r.caller()
 	r.setUp(c, 7)
-	r.list(2, dnsdiscovery.Target{ID: "a", Addr: addrA, Cell: 0, State: routing.Draining}, ready("b", addrB, 1))
+	r.list(2, dnsdiscovery.Target{ID: "a", Addr: addrA, DestinationID: 0, State: routing.Draining}, ready("b", addrB, 1))
 	r.turn()
 	for _, w := range r.wires {
 		w.stuck = false
-		r.m.Left(r.now, w.link)
+		r.m.OnFlushed(r.now, w.link)
 	}
 	r.mute = false
 	r.turn()
 	for _, w := range r.wires {
-		if w.count(7, binarymessage.SetUp) != 0 {
+		if w.count(7, binarymessage.Setup) != 0 {
 			t.Error("the set-up went to a switch that drains")
 		}
 	}
@@ -165,7 +165,7 @@
 	r.setUp(c, 101)
 	r.setUp(c, 102)
 	for _, id := range []uint64{101, 102} {
-		r.says(r.on(id), binarymessage.Release, id, binarymessage.Why(binarymessage.NoCircuit))
+		r.says(r.on(id), binarymessage.Release, id, binarymessage.CauseParam(binarymessage.NoCircuit))
 	}
 	if n := len(r.linesTo(addrA)); n != 2 {
 		r.Fatalf("%d lines are up", n)
@@ -198,8 +198,8 @@
 	for end := r.now + ms; r.now < end; r.now += 10 {
 		r.turn()
 		for _, w := range r.linesTo(a) {
-			if !w.link.isUp {
-				r.m.Closed(r.now, w.link, Refused)
+			if !w.link.connected {
+				r.m.OnClosed(r.now, w.link, ClosedRefused)
 			}
 		}
 	}
@@ -214,7 +214,7 @@
 	r.stood(c, 7)
 	r.mute = true
 	for _, w := range r.linesTo(addrA) {
-		r.m.Closed(r.now, w.link, Reset)
+		r.m.OnClosed(r.now, w.link, ClosedReset)
 	}
 	r.turn()
 	r.wants(c.last(7), binarymessage.Answer, 0) // a reset alone proves nothing
@@ -229,12 +229,12 @@
 		c := r.caller()
 		w := r.stood(c, 7)
 		if told {
-			r.list(2, dnsdiscovery.Target{ID: "a", Addr: addrA, Cell: 0, State: routing.Draining}, ready("b", addrB, 1))
+			r.list(2, dnsdiscovery.Target{ID: "a", Addr: addrA, DestinationID: 0, State: routing.Draining}, ready("b", addrB, 1))
 		}
 		r.mute = true
 		for _, o := range r.linesTo(addrA) {
 			if o != w {
-				r.m.Closed(r.now, o.link, Orderly)
+				r.m.OnClosed(r.now, o.link, ClosedNormally)
 			}
 		}
 		before := len(r.wires)
@@ -243,7 +243,7 @@
 		if n := len(r.wires) - before; n > 14 {
 			t.Errorf("told %v: %d lines were tried in 12 s", told, n)
 		}
-		r.says(w, binarymessage.Release, 7, binarymessage.Why(binarymessage.Normal))
+		r.says(w, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal))
 		r.wants(c.last(7), binarymessage.Release, binarymessage.Normal)
 	}
 }
@@ -256,7 +256,7 @@
 	r.stood(c, 7)
 	r.mute = true
 	for _, w := range r.linesTo(addrA) {
-		r.m.Closed(r.now, w.link, Orderly)
+		r.m.OnClosed(r.now, w.link, ClosedNormally)
 	}
 	r.refuse(addrA, 6000)
 	r.wants(c.last(7), binarymessage.Answer, 0)
@@ -273,10 +273,10 @@
 	r.mute = true
 	for end := r.now + 5500; r.now < end; r.now += 10 {
 		for _, w := range r.linesTo(addrA) {
-			if !w.link.isUp {
-				r.m.Connected(r.now, w.link)
+			if !w.link.connected {
+				r.m.OnConnected(r.now, w.link)
 			}
-			r.m.Closed(r.now, w.link, Reset)
+			r.m.OnClosed(r.now, w.link, ClosedReset)
 		}
 		r.turn()
 	}
@@ -311,7 +311,7 @@
 			n++
 		}
 	}
-	if n > tellsOn {
+	if n > maxReportingConns {
 		t.Errorf("%d lines are open", n)
 	}
 }
@@ -319,7 +319,7 @@
 // A switch that the list calls started anew, or gone, has cut the calls from before.
 func TestListCuts(t *testing.T) {
 	for _, next := range [][]dnsdiscovery.Target{
-		{{ID: "a", Addr: addrA, Cell: 0, State: routing.Ready, Started: 1e6 + 5000}, ready("b", addrB, 1)},
+		{{ID: "a", Addr: addrA, DestinationID: 0, State: routing.Ready, StartedAt: 1e6 + 5000}, ready("b", addrB, 1)},
 		{ready("b", addrB, 1)},
 		{ready("c", addrA, 0), ready("b", addrB, 1)}, // another has its address now
 	} {
@@ -344,12 +344,12 @@
 	r := newRig(t)
 	c, d := r.caller(), r.caller()
 	w := r.stood(c, 7)
-	r.m.Closed(r.now, c.link, Orderly)
-	r.says(w, binarymessage.Release, 7, binarymessage.Why(binarymessage.Normal))
+	r.m.OnClosed(r.now, c.link, ClosedNormally)
+	r.says(w, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal))
 	r.wants(d.last(7), binarymessage.Release, binarymessage.Normal)
 	w = r.stood(d, 8)
-	r.m.Closed(r.now, d.link, Orderly)
-	r.says(w, binarymessage.Release, 8, binarymessage.Why(binarymessage.Normal))
+	r.m.OnClosed(r.now, d.link, ClosedNormally)
+	r.says(w, binarymessage.Release, 8, binarymessage.CauseParam(binarymessage.Normal))
 	r.pass(500)
 	e := r.caller()
 	r.turn()
@@ -361,11 +361,11 @@
 	r := newRig(t)
 	c, d := r.caller(), r.caller()
 	w := r.stood(c, 7)
-	r.says(d, binarymessage.Release, 7, binarymessage.Why(binarymessage.Normal))
+	r.says(d, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal))
 	r.wants(w.last(7), binarymessage.Release, binarymessage.Normal)
 	w = r.stood(c, 8)
-	r.m.Closed(r.now, w.link, Orderly)
-	r.says(c, binarymessage.Release, 8, binarymessage.Why(binarymessage.Normal))
+	r.m.OnClosed(r.now, w.link, ClosedNormally)
+	r.says(c, binarymessage.Release, 8, binarymessage.CauseParam(binarymessage.Normal))
 	n := 0
 	for _, o := range r.wires {
 		if o.to == addrA {
@@ -384,7 +384,7 @@
 	c := r.caller()
 	r.setUp(c, 7)
 	w := r.on(7)
-	r.says(c, binarymessage.Release, 7, binarymessage.Why(binarymessage.Normal))
+	r.says(c, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal))
 	r.wants(w.last(7), binarymessage.Release, binarymessage.Normal)
 	r.says(w, binarymessage.Answer, 7, said)
 	if n := w.count(7, binarymessage.Release); n != 2 {
@@ -403,7 +403,7 @@
 	r := newRig(t)
 	c := r.caller()
 	at := func(id uint64, who string) {
-		r.says(c, binarymessage.SetUp, id, binarymessage.Text(binarymessage.Class, "voice"), binarymessage.Text(binarymessage.Figures, "at:"+who))
+		r.says(c, binarymessage.Setup, id, binarymessage.TextParam(binarymessage.Class, "voice"), binarymessage.TextParam(binarymessage.Figures, "at:"+who))
 	}
 	var line *wire
 	for _, w := range r.wires {
@@ -416,10 +416,10 @@
 	if c.last(7) != nil {
 		t.Errorf("answered with %x", c.last(7))
 	}
-	r.says(line, binarymessage.Release, 7, binarymessage.Why(binarymessage.Normal))
+	r.says(line, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal))
 	r.wants(c.last(7), binarymessage.Release, binarymessage.Normal)
 	at(8, "a")
-	r.says(c, binarymessage.Release, 8, binarymessage.Why(binarymessage.Normal))
+	r.says(c, binarymessage.Release, 8, binarymessage.CauseParam(binarymessage.Normal))
 	n := 0
 	for _, w := range r.wires {
 		n += w.count(8, binarymessage.Release)
@@ -427,7 +427,7 @@
 	if n != 1 || c.last(8) != nil {
 		t.Errorf("the switch heard %d releases, the caller got %x", n, c.last(8))
 	}
-	r.says(line, binarymessage.Release, 9, binarymessage.Why(binarymessage.Failure)) // it ended before its caller told of it
+	r.says(line, binarymessage.Release, 9, binarymessage.CauseParam(binarymessage.Failure)) // it ended before its caller told of it
 	at(9, "a")
 	r.wants(c.last(9), binarymessage.Release, binarymessage.Failure)
 	at(10, "nobody")
@@ -435,7 +435,7 @@
 	if len(r.mod.heard) > 0 && slices.Contains(r.mod.heard, "offered") {
 		t.Errorf("the module was offered a call that stands: %q", r.mod.heard)
 	}
-	if calls, _, _, _, _ := r.m.Open(); calls != 0 {
+	if calls, _, _, _, _ := r.m.OpenCounts(); calls != 0 {
 		t.Errorf("%d calls are left", calls)
 	}
 }
@@ -485,7 +485,7 @@
 	if one == other {
 		t.Fatal("both are on one line")
 	}
-	r.m.Received(r.now, one.link, []byte{0xff, 0xff, 1})
+	r.m.OnData(r.now, one.link, []byte{0xff, 0xff, 1})
 	r.turn()
 	if !one.shut || other.shut {
 		t.Errorf("closed: %v, the other %v", one.shut, other.shut)
@@ -519,7 +519,7 @@
 		r.mute = true
 		for _, w := range slices.Clone(r.wires) {
 			if w.to == addrA {
-				r.m.Closed(r.now, w.link, Orderly)
+				r.m.OnClosed(r.now, w.link, ClosedNormally)
 			}
 		}
 		r.turn()
@@ -528,7 +528,7 @@
 		if refused {
 			for _, w := range slices.Clone(r.wires) {
 				if w.to == addrA && !w.link.closed {
-					r.m.Closed(r.now, w.link, Refused)
+					r.m.OnClosed(r.now, w.link, ClosedRefused)
 				}
 			}
 			r.turn()
@@ -547,13 +547,13 @@
 	c, d := r.caller(), r.caller()
 	c.stuck = true
 	for i := range uint64(20000) {
-		r.m.Received(r.now, c.link, binarymessage.Append(nil, binarymessage.Test, i+1, binarymessage.Why(0)))
-		if r.m.Turn(r.now); c.shut {
+		r.m.OnData(r.now, c.link, binarymessage.Append(nil, binarymessage.HealthCheck, i+1, binarymessage.CauseParam(0)))
+		if r.m.Step(r.now); c.shut {
 			break
 		}
 	}
 	if !c.shut {
-		t.Errorf("%d bytes wait", c.link.size)
+		t.Errorf("%d bytes wait", c.link.outgoingBytes)
 	}
 	r.mod.to = []int{0}
 	r.setUp(d, 7)
@@ -569,7 +569,7 @@
 	r.turn()
 	r.now += 1000
 	r.setUp(c, 7)
-	if left := r.mod.last.Until - r.now; left > 2010 || left < 1900 {
+	if left := r.mod.last.Deadline - r.now; left > 2010 || left < 1900 {
 		t.Errorf("%.0f ms of 3000 are left after a stall of 1000", left)
 	}
 }
@@ -578,11 +578,11 @@
 func TestReady(t *testing.T) {
 	r := newRig(t)
 	c := r.caller()
-	r.says(c, binarymessage.Test, 5, binarymessage.Why(0))
-	r.wants(c.last(5), binarymessage.Tested, 1)
-	r.m.Leave()
-	r.says(c, binarymessage.Test, 6, binarymessage.Why(0))
-	r.wants(c.last(6), binarymessage.Tested, 0)
+	r.says(c, binarymessage.HealthCheck, 5, binarymessage.CauseParam(0))
+	r.wants(c.last(5), binarymessage.HealthResult, 1)
+	r.m.BeginDrain()
+	r.says(c, binarymessage.HealthCheck, 6, binarymessage.CauseParam(0))
+	r.wants(c.last(6), binarymessage.HealthResult, 0)
 }
 
 // An answer without a description is none that a caller could be told: the call is released and has failed.
@@ -604,18 +604,18 @@
 	r := newRig(t)
 	r.mod.to = []int{0}
 	c := r.caller()
-	r.says(c, binarymessage.Test, 5, binarymessage.Why(0))
+	r.says(c, binarymessage.HealthCheck, 5, binarymessage.CauseParam(0))
 	r.pass(6000)
-	b := binarymessage.Append(nil, binarymessage.SetUp, 7, binarymessage.Text(binarymessage.Class, "voice"), binarymessage.Text(binarymessage.Patience, "3000"),
-		binarymessage.Text(binarymessage.Number, "1"), binarymessage.Text(binarymessage.Description, "v=0"))
-	r.m.Received(r.now, c.link, b[:10])
+	b := binarymessage.Append(nil, binarymessage.Setup, 7, binarymessage.TextParam(binarymessage.Class, "voice"), binarymessage.TextParam(binarymessage.Patience, "3000"),
+		binarymessage.TextParam(binarymessage.Number, "1"), binarymessage.TextParam(binarymessage.Description, "v=0"))
+	r.m.OnData(r.now, c.link, b[:10])
 	r.pass(900)
-	r.m.Received(r.now, c.link, b[10:20])
+	r.m.OnData(r.now, c.link, b[10:20])
 	r.pass(900)
 	if c.shut {
 		t.Fatal("closed between two pieces")
 	}
-	r.m.Received(r.now, c.link, b[20:])
+	r.m.OnData(r.now, c.link, b[20:])
 	r.turn()
 	r.says(r.on(7), binarymessage.Answer, 7, said)
 	r.wants(c.last(7), binarymessage.Answer, 0)
@@ -624,7 +624,7 @@
 // full opens callers' connections, each used once, till one has to go.
 func (r *rig) full() {
 	for i := range uint64(intake.Callers(256)) {
-		r.says(r.caller(), binarymessage.Test, 1000+i, binarymessage.Why(0))
+		r.says(r.caller(), binarymessage.HealthCheck, 1000+i, binarymessage.CauseParam(0))
 	}
 }
 
@@ -635,16 +635,16 @@
 	c := r.caller()
 	r.setUp(c, 7)
 	c.stuck = true
-	r.says(c, binarymessage.Test, 5, binarymessage.Why(0)) // the socket has this, and does not take it
+	r.says(c, binarymessage.HealthCheck, 5, binarymessage.CauseParam(0)) // the socket has this, and does not take it
 	r.says(r.on(7), binarymessage.Answer, 7, said)
-	r.says(r.on(7), binarymessage.Release, 7, binarymessage.Why(binarymessage.Normal))
+	r.says(r.on(7), binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal))
 	r.full()
 	r.pass(3000)
 	if c.shut {
 		t.Fatal("closed with an answer in its queue")
 	}
 	c.stuck = false
-	r.m.Left(r.now, c.link)
+	r.m.OnFlushed(r.now, c.link)
 	r.turn()
 	if c.count(7, binarymessage.Answer) != 1 || c.count(7, binarymessage.Release) != 1 {
 		t.Errorf("the caller got %x", c.got)
@@ -658,14 +658,14 @@
 	c := r.caller()
 	w := r.stood(c, 7)
 	c.stuck = true
-	r.says(c, binarymessage.Test, 5, binarymessage.Why(0))
-	r.says(w, binarymessage.Release, 7, binarymessage.Why(binarymessage.Normal)) // its release waits in the queue
+	r.says(c, binarymessage.HealthCheck, 5, binarymessage.CauseParam(0))
+	r.says(w, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal)) // its release waits in the queue
 	r.mod.to = []int{0}
 	r.setUp(c, 8)
 	w = r.on(8)
 	r.says(w, binarymessage.Answer, 8, said) // and so does the answer to another
 	d := r.caller()
-	r.m.Closed(r.now, c.link, Reset)
+	r.m.OnClosed(r.now, c.link, ClosedReset)
 	r.turn()
 	r.wants(d.last(7), binarymessage.Release, binarymessage.Normal)
 	r.wants(w.last(8), binarymessage.Release, binarymessage.Normal)
@@ -673,17 +673,17 @@
 		t.Errorf("a call that its caller gave up with its connection: %x", d.last(8))
 	}
 	d.stuck = true
-	r.says(d, binarymessage.Test, 6, binarymessage.Why(0))
+	r.says(d, binarymessage.HealthCheck, 6, binarymessage.CauseParam(0))
 	w = r.stoodAs(d, 9)
-	r.says(w, binarymessage.Release, 9, binarymessage.Why(binarymessage.Normal))
-	r.m.Closed(r.now, d.link, Reset)
+	r.says(w, binarymessage.Release, 9, binarymessage.CauseParam(binarymessage.Normal))
+	r.m.OnClosed(r.now, d.link, ClosedReset)
 	r.pass(300)
 	e := r.caller()
 	r.turn()
 	if e.count(9, binarymessage.Answer) != 0 {
 		t.Errorf("the caller got %x", e.got)
 	}
-	if calls, _, _, _, _ := r.m.Open(); calls != 0 {
+	if calls, _, _, _, _ := r.m.OpenCounts(); calls != 0 {
 		t.Errorf("%d calls are left", calls)
 	}
 }
@@ -708,42 +708,42 @@
 			case "waits for a line":
 				r.mute = true
 				for _, w := range r.linesTo(addrA) {
-					r.m.Closed(r.now, w.link, Orderly)
+					r.m.OnClosed(r.now, w.link, ClosedNormally)
 				}
 			case "waits in a line":
 				for _, w := range r.linesTo(addrA) {
-					r.m.Received(r.now, w.link, binarymessage.Append(nil, binarymessage.State, 0))
-					w.link.busy = true // under a batch that has not left
+					r.m.OnData(r.now, w.link, binarymessage.Append(nil, binarymessage.LoadState, 0))
+					w.link.writePending = true // under a batch that has not left
 				}
 				r.mute = true
 			}
 			r.setUp(c, 7)
 			if state == "waits after a ring" {
-				r.says(r.on(7), binarymessage.Release, 7, binarymessage.Why(binarymessage.Failure))
+				r.says(r.on(7), binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Failure))
 				r.pass(100)
 			}
 			rings := 0
 			for _, w := range r.wires {
-				rings += w.count(7, binarymessage.SetUp)
+				rings += w.count(7, binarymessage.Setup)
 			}
 			if closes {
-				r.m.Closed(r.now, c.link, Orderly)
+				r.m.OnClosed(r.now, c.link, ClosedNormally)
 			} else {
-				r.m.Received(r.now, c.link, binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.Why(binarymessage.Normal)))
+				r.m.OnData(r.now, c.link, binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal)))
 			}
 			r.mute = false
 			for _, w := range r.wires {
-				w.link.busy = false
+				w.link.writePending = false
 			}
 			r.pass(3000)
 			after := 0
 			for _, w := range r.wires {
-				after += w.count(7, binarymessage.SetUp)
+				after += w.count(7, binarymessage.Setup)
 			}
 			if after != rings {
 				t.Errorf("closes %v, %s: %d rings before, %d after", closes, state, rings, after)
 			}
-			if calls, _, _, _, _ := r.m.Open(); calls != 0 || c.last(7) != nil {
+			if calls, _, _, _, _ := r.m.OpenCounts(); calls != 0 || c.last(7) != nil {
 				t.Errorf("closes %v, %s: %d calls are left, the caller got %x", closes, state, calls, c.last(7))
 			}
 		}
@@ -755,10 +755,10 @@
 	r := newRig(t)
 	r.mod.to = []int{0}
 	c := r.caller()
-	r.m.Received(r.now, c.link, binarymessage.Append(nil, binarymessage.SetUp, 7, binarymessage.Text(binarymessage.Class, "voice"),
-		binarymessage.Text(binarymessage.Patience, "3000"), binarymessage.Text(binarymessage.Number, "1")))
-	r.m.Batch(r.now, nil) // it has been rung, and is in its line's queue
-	r.m.Received(r.now, c.link, binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.Why(binarymessage.Normal)))
+	r.m.OnData(r.now, c.link, binarymessage.Append(nil, binarymessage.Setup, 7, binarymessage.TextParam(binarymessage.Class, "voice"),
+		binarymessage.TextParam(binarymessage.Patience, "3000"), binarymessage.TextParam(binarymessage.Number, "1")))
+	r.m.ProcessBatch(r.now, nil) // it has been rung, and is in its line's queue
+	r.m.OnData(r.now, c.link, binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal)))
 	r.pass(100)
 	for _, w := range r.wires {
 		if w.last(7) != nil {
@@ -795,21 +795,21 @@
 	c, slow := r.caller(), r.caller()
 	r.setUp(c, 7)
 	slow.stuck = true
-	r.says(slow, binarymessage.Test, 5, binarymessage.Why(0))
+	r.says(slow, binarymessage.HealthCheck, 5, binarymessage.CauseParam(0))
 	r.setUp(slow, 8)
-	r.m.DeferAll(r.now)
+	r.m.RejectAll(r.now)
 	r.wants(c.last(7), binarymessage.Release, binarymessage.Congested)
-	if unsent, open := r.m.Callers(); unsent != 1 || open != 2 {
+	if unsent, open := r.m.ClientConns(); unsent != 1 || open != 2 {
 		t.Errorf("%d of %d have something that has not left", unsent, open)
 	}
 	slow.stuck = false
-	r.m.Left(r.now, slow.link)
-	r.m.Turn(r.now)
+	r.m.OnFlushed(r.now, slow.link)
+	r.m.Step(r.now)
 	r.wants(slow.last(8), binarymessage.Release, binarymessage.Congested)
-	if unsent, _ := r.m.Callers(); unsent != 0 {
+	if unsent, _ := r.m.ClientConns(); unsent != 0 {
 		t.Errorf("%d have something that has not left", unsent)
 	}
-	r.m.CloseWrite()
+	r.m.CloseClientWrites()
 	before, heard := len(c.got), len(r.mod.heard)
 	r.setUp(c, 9)
 	if len(r.mod.heard) != heard {
@@ -826,15 +826,15 @@
 	r := newRig(t)
 	c, d := r.caller(), r.caller()
 	w := r.stood(c, 7)
-	r.m.Received(r.now, c.link, binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.Why(binarymessage.Normal)))
-	r.m.Received(r.now, w.link, binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.Why(binarymessage.Normal)))
+	r.m.OnData(r.now, c.link, binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal)))
+	r.m.OnData(r.now, w.link, binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal)))
 	r.turn()
 	if c.count(7, binarymessage.Release) != 0 || w.count(7, binarymessage.Release) != 1 {
 		t.Errorf("the caller's release first: the caller got %x, the switch %x", c.got, w.got)
 	}
 	w = r.stood(c, 8)
-	r.m.Received(r.now, w.link, binarymessage.Append(nil, binarymessage.Release, 8, binarymessage.Why(binarymessage.Normal)))
-	r.m.Received(r.now, c.link, binarymessage.Append(nil, binarymessage.Release, 8, binarymessage.Why(binarymessage.Normal)))
+	r.m.OnData(r.now, w.link, binarymessage.Append(nil, binarymessage.Release, 8, binarymessage.CauseParam(binarymessage.Normal)))
+	r.m.OnData(r.now, c.link, binarymessage.Append(nil, binarymessage.Release, 8, binarymessage.CauseParam(binarymessage.Normal)))
 	r.turn()
 	if c.count(8, binarymessage.Release) != 1 || w.count(8, binarymessage.Release) != 0 {
 		t.Errorf("the switch's release first: the caller got %x, the switch %x", c.got, w.got)
@@ -846,18 +846,18 @@
 		w = r.on(id)
 		answer := binarymessage.Append(nil, binarymessage.Answer, id, said)
 		if closesFirst {
-			r.m.Closed(r.now, e.link, Reset)
-			r.m.Received(r.now, w.link, answer)
+			r.m.OnClosed(r.now, e.link, ClosedReset)
+			r.m.OnData(r.now, w.link, answer)
 		} else {
-			r.m.Received(r.now, w.link, answer)
-			r.m.Closed(r.now, e.link, Reset)
+			r.m.OnData(r.now, w.link, answer)
+			r.m.OnClosed(r.now, e.link, ClosedReset)
 		}
 		r.pass(100)
 		if w.count(id, binarymessage.Release) == 0 || c.last(id) != nil || d.last(id) != nil || e.last(id) != nil {
 			t.Errorf("close first %v: the switch got %x", closesFirst, w.got)
 		}
 	}
-	if calls, _, _, _, _ := r.m.Open(); calls != 0 {
+	if calls, _, _, _, _ := r.m.OpenCounts(); calls != 0 {
 		t.Errorf("%d calls are left", calls)
 	}
 }
@@ -878,12 +878,12 @@
 	for _, o := range r.linesTo(addrA) {
 		o.stuck = true
 	}
-	r.m.Received(r.now, c.link, binarymessage.Append(nil, binarymessage.Release, 9, binarymessage.Why(binarymessage.Normal))) // its give-up is in the socket
+	r.m.OnData(r.now, c.link, binarymessage.Append(nil, binarymessage.Release, 9, binarymessage.CauseParam(binarymessage.Normal))) // its give-up is in the socket
 	r.turn()
 	r.mute = true
 	r.mod.heard = nil
 	for _, o := range r.linesTo(addrA) {
-		r.m.Closed(r.now, o.link, Reset)
+		r.m.OnClosed(r.now, o.link, ClosedReset)
 	}
 	r.refuse(addrA, 100)
 	r.wants(c.last(7), binarymessage.Release, binarymessage.Failure)
--- a/internal/protocol/binarygateway/rig_test.go
+++ b/internal/protocol/binarygateway/rig_test.go
@@ -22,57 +22,57 @@
 // mind is a module that a test plays by hand: it rings the pools of to in turn and gives up when there is none left.
 type mind struct {
 	h     routing.Host
-	pools map[int]*routing.Pool
+	pools map[int]*routing.Endpoint
 	to    []int
 	heard []string
 	again bool // it rings the next pool after an end, once the clear wait is over
-	last  *routing.Contact
+	last  *routing.Call
 }
 
-func (m *mind) Listed(_ float64, ps []*routing.Pool) {
-	for _, p := range ps {
-		if p.State != routing.Gone || m.pools[p.Number] == p {
-			m.pools[p.Number] = p
+func (m *mind) OnEndpoints(_ float64, ps []*routing.Endpoint) {
+	for _, endpoint := range ps {
+		if endpoint.State != routing.Gone || m.pools[endpoint.DestinationID] == endpoint {
+			m.pools[endpoint.DestinationID] = endpoint
 		}
 	}
 }
-func (m *mind) Offered(now float64, c *routing.Contact) {
+func (m *mind) OnCall(now float64, c *routing.Call) {
 	m.heard = append(m.heard, "offered")
 	m.last = c
 	m.next(c)
 }
-func (m *mind) next(c *routing.Contact) {
+func (m *mind) next(c *routing.Call) {
 	if len(m.to) == 0 {
-		m.h.Defer(c, 300)
+		m.h.Reject(c, 300)
 		return
 	}
-	p := m.pools[m.to[0]]
+	endpoint := m.pools[m.to[0]]
 	m.to = m.to[1:]
-	m.h.Ring(c, p, 1e9)
+	m.h.StartAttempt(c, endpoint, 1e9)
 }
-func (m *mind) Stood(float64, *routing.Ring) { m.heard = append(m.heard, "stood") }
-func (m *mind) Ended(now float64, r *routing.Ring, closed bool) {
-	m.heard = append(m.heard, fmt.Sprintf("ended %d closed %v agent %v engaged %v wait %v", r.End, closed, r.NoAgent, r.Engaged, r.Wait))
-	if m.again && !closed && !r.Contact.Over {
-		m.h.Wake(now+500, r.Contact)
+func (m *mind) OnAnswer(float64, *routing.Attempt) { m.heard = append(m.heard, "stood") }
+func (m *mind) OnAttemptEnd(now float64, attempt *routing.Attempt, closed bool) {
+	m.heard = append(m.heard, fmt.Sprintf("ended %d closed %v agent %v engaged %v wait %v", attempt.Outcome, closed, attempt.AtCapacity, attempt.NumberBusy, attempt.RetryAfter))
+	if m.again && !closed && !attempt.Call.Finished {
+		m.h.ScheduleWakeup(now+500, attempt.Call)
 	}
 }
-func (m *mind) Left(float64, *routing.Contact) { m.heard = append(m.heard, "left") }
-func (m *mind) Reported(_ float64, p *routing.Pool, ok, full bool) {
-	m.heard = append(m.heard, fmt.Sprintf("report %d free %v of %v", p.Number, p.Report.Free, p.Report.Agents))
+func (m *mind) OnHangup(float64, *routing.Call) { m.heard = append(m.heard, "left") }
+func (m *mind) OnLoadReport(_ float64, endpoint *routing.Endpoint, ok, full bool) {
+	m.heard = append(m.heard, fmt.Sprintf("report %d free %v of %v", endpoint.DestinationID, endpoint.LoadReport.Free, endpoint.LoadReport.Capacity))
 }
-func (m *mind) Told(_ float64, from int, b []byte) {
+func (m *mind) OnGossip(_ float64, from int, b []byte) {
 	m.heard = append(m.heard, fmt.Sprintf("told %d %s", from, b))
 }
-func (m *mind) Woken(_ float64, c *routing.Contact) {
-	if c != nil && !c.Over {
+func (m *mind) OnWakeup(_ float64, c *routing.Call) {
+	if c != nil && !c.Finished {
 		m.next(c)
 	}
 }
 
 // wire is the driver's end of one link.
 type wire struct {
-	link   *Link
+	link   *Conn
 	to     netip.AddrPort // a line's
 	got    []binarymessage.Message
 	reader binarymessage.Reader
@@ -84,15 +84,15 @@
 // rig is a machine with a hand-played module and sockets.
 type rig struct {
 	*testing.T
-	m     *Machine
+	m     *Gateway
 	mod   *mind
 	now   float64
 	wires []*wire // lines, in the order of their dials
 	mute  bool    // dials do not come up by themselves
 }
 
-func (r *rig) Write(l *Link, b []byte) bool {
-	w := l.Conn.(*wire)
+func (r *rig) Write(conn *Conn, b []byte) bool {
+	w := conn.Socket.(*wire)
 	if w.stuck {
 		return false
 	}
@@ -105,24 +105,24 @@
 	return true
 }
 
-func (r *rig) Dial(l *Link, to netip.AddrPort) {
-	w := &wire{link: l, to: to}
-	l.Conn = w
+func (r *rig) Dial(conn *Conn, to netip.AddrPort) {
+	w := &wire{link: conn, to: to}
+	conn.Socket = w
 	r.wires = append(r.wires, w)
 }
 
-func (r *rig) Shut(l *Link) { l.Conn.(*wire).shut = true }
+func (r *rig) Close(conn *Conn) { conn.Socket.(*wire).shut = true }
 
-func (r *rig) CloseWrite(l *Link) { l.Conn.(*wire).ended = true }
+func (r *rig) CloseWrite(conn *Conn) { conn.Socket.(*wire).ended = true }
 
-func (r *rig) Tell(int, []byte) {}
+func (r *rig) SendGossip(int, []byte) {}
 
 func newRig(t *testing.T) *rig {
-	r := &rig{T: t, mod: &mind{pools: map[int]*routing.Pool{}}, now: 1e6}
-	set := &routing.Settings{Gateways: 2, Me: 0, Seed: 3, Tick: 1, MaxRings: 5, MayCancel: true, MayWait: true, ClearWait: 500, Slack: 20,
-		Skills: []*routing.Skill{{Name: "voice", Target: 2000, Patience: 9000, Value: 1, Repeat: true}}}
-	r.m = New(r.now, &Config{Set: set, Links: deployment.Links{ConnectTimeout: 500}, Sockets: 256,
-		Margin: 5, Gate: intake.Gate{Most: 1000}, Clock: func(unix float64) float64 { return unix }}, func(_ *routing.Settings, h routing.Host) endpointset.Module {
+	r := &rig{T: t, mod: &mind{pools: map[int]*routing.Endpoint{}}, now: 1e6}
+	set := &routing.Settings{Gateways: 2, GatewayIndex: 0, Seed: 3, TickInterval: 1, MaxAttempts: 5, CancelEnabled: true, RetryAfterEnabled: true, RetryHoldOff: 500, AnswerGrace: 20,
+		Classes: []*routing.Class{{Name: "voice", LatencyObjective: 2000, Timeout: 9000, Weight: 1, Idempotent: true}}}
+	r.m = New(r.now, &Config{Settings: set, Connections: deployment.Connections{ConnectTimeout: 500}, MaxDescriptors: 256,
+		AnswerMargin: 5, LoadShedding: intake.Gate{Most: 1000}, FromUnixMillis: func(unix float64) float64 { return unix }}, func(_ *routing.Settings, h routing.Host) endpointset.Policy {
 		r.mod.h = h
 		return r.mod
 	}, r)
@@ -132,11 +132,11 @@
 }
 
 func ready(id string, a netip.AddrPort, cell int) dnsdiscovery.Target {
-	return dnsdiscovery.Target{ID: id, Addr: a, Cell: cell, State: routing.Ready}
+	return dnsdiscovery.Target{ID: id, Addr: a, DestinationID: cell, State: routing.Ready}
 }
 
 func (r *rig) list(no uint32, of ...dnsdiscovery.Target) {
-	r.m.Listed(r.now, &dnsdiscovery.List{No: no, Whole: true, Targets: of})
+	r.m.OnEndpointList(r.now, &dnsdiscovery.List{Serial: no, Complete: true, Targets: of})
 }
 
 // turn ends a batch; lines that were dialled come up, and their switches speak first.
@@ -144,13 +144,13 @@
 	for range 3 {
 		if !r.mute {
 			for _, w := range r.wires {
-				if !w.link.isUp && !w.link.closed {
-					r.m.Connected(r.now, w.link)
-					r.m.Received(r.now, w.link, binarymessage.Append(nil, binarymessage.State, 0))
+				if !w.link.connected && !w.link.closed {
+					r.m.OnConnected(r.now, w.link)
+					r.m.OnData(r.now, w.link, binarymessage.Append(nil, binarymessage.LoadState, 0))
 				}
 			}
 		}
-		r.m.Turn(r.now)
+		r.m.Step(r.now)
 		r.now += 0.01
 	}
 }
@@ -164,21 +164,21 @@
 
 func (r *rig) caller() *wire {
 	w := &wire{}
-	w.link = r.m.Accepted(r.now, w, callin)
+	w.link = r.m.OnAccepted(r.now, w, callin)
 	return w
 }
 
 // says brings a message of the other side of a link.
 func (r *rig) says(w *wire, kind byte, call uint64, of ...binarymessage.Param) {
-	r.m.Received(r.now, w.link, binarymessage.Append(nil, kind, call, of...))
+	r.m.OnData(r.now, w.link, binarymessage.Append(nil, kind, call, of...))
 	r.turn()
 }
 
 // setUp brings a caller's set-up.
 func (r *rig) setUp(w *wire, call uint64, of ...binarymessage.Param) {
-	r.says(w, binarymessage.SetUp, call, append([]binarymessage.Param{binarymessage.Text(binarymessage.Class, "voice"), binarymessage.Text(binarymessage.Patience, "3000"),
-		binarymessage.Text(binarymessage.Number, "7f3a9c21e0b4d655"), binarymessage.Text(binarymessage.Figures, "dest:0;width:1;via:-1"),
-		binarymessage.Text(binarymessage.Description, "v=0")}, of...)...)
+	r.says(w, binarymessage.Setup, call, append([]binarymessage.Param{binarymessage.TextParam(binarymessage.Class, "voice"), binarymessage.TextParam(binarymessage.Patience, "3000"),
+		binarymessage.TextParam(binarymessage.Number, "7f3a9c21e0b4d655"), binarymessage.TextParam(binarymessage.Figures, "dest:0;width:1;via:-1"),
+		binarymessage.TextParam(binarymessage.Description, "v=0")}, of...)...)
 }
 
 // last is the latest message that a link was sent for a call, nil: none.
@@ -205,7 +205,7 @@
 func (r *rig) on(call uint64) *wire {
 	r.Helper()
 	for i := len(r.wires) - 1; i >= 0; i-- {
-		if m := r.wires[i].last(call); m != nil && m.Type() == binarymessage.SetUp {
+		if m := r.wires[i].last(call); m != nil && m.Type() == binarymessage.Setup {
 			return r.wires[i]
 		}
 	}
@@ -220,4 +220,4 @@
 	}
 }
 
-var said = binarymessage.Text(binarymessage.Description, "v=0 answer")
+var said = binarymessage.TextParam(binarymessage.Description, "v=0 answer")
--- a/internal/protocol/binarygateway/trunk.go
+++ b/internal/protocol/binarygateway/trunk.go
@@ -13,182 +13,182 @@
 )
 
 const (
-	keepUp      = 1       // lines that each switch has even if nothing presses: its state is heard on one, and each is paid for
-	mostPause   = 2000.0  // ms: between two tries to connect
-	firstPause  = 50.0    // ms
-	endsFor     = 15000.0 // ms: an end that nobody here knows of is remembered for a caller who asks
-	mostEnds    = 2048
-	lateFor     = 30000.0 // ms: an answer may come so long after its set-up was given up
-	connectElse = 500.0   // ms: where settings say nothing
+	minConnsPerEndpoint   = 1       // lines that each switch has even if nothing presses: its state is heard on one, and each is paid for
+	maxBackoff            = 2000.0  // ms: between two tries to connect
+	initialBackoff        = 50.0    // ms
+	unknownEndRetention   = 15000.0 // ms: an end that nobody here knows of is remembered for a caller who asks
+	maxUnknownEnds        = 2048
+	lateAnswerRetention   = 30000.0 // ms: an answer may come so long after its set-up was given up
+	defaultConnectTimeout = 500.0   // ms: where settings say nothing
 )
 
-// trunk is all lines to one switch.
-type trunk struct {
-	m          *Machine
-	pool       *routing.Pool
-	to         netip.AddrPort
-	since      float64 // its latest start, as told
-	lines      []*Link
-	waits      []*leg           // set-ups that wait for a line
-	standing   map[uint64]*call // calls that stand there
-	late       map[uint64]float64
-	ends       map[uint64]ended
-	heardAt    float64 // when it was last heard
-	unanswered int     // tries since then that brought no word, not even a refusal
-	failed     int     // tries to connect that came to nothing since a new line spoke
-	retryAt    float64 // no line is tried before this unless a set-up needs it
-	reset      bool    // the latest line to end was reset, and none has come up since
-	lostAt     float64 // when the latest line ended on which it had spoken
-	pause      *timerqueue.Timer
-	turn       uint64
-}
-
-// ended is an end of a call that nobody here knows of.
-type ended struct {
-	cause byte
-	till  float64
-}
-
-// leg is one ring on the wire.
-type leg struct {
-	call  *call
-	ring  *routing.Ring
-	trunk *trunk
-	line  *Link // nil: it waits for one
-	limit *timerqueue.Timer
-	left  bool // its set-up was handed to the socket
-	over  bool // the module knows of its end, or is about to
-	// crossed: an answer to an earlier ring of the call here came after that was given up
-	crossed bool
-}
-
-func newTrunk(m *Machine, p *routing.Pool, to netip.AddrPort) *trunk {
-	return &trunk{m: m, pool: p, to: to, since: p.Since, standing: map[uint64]*call{}, late: map[uint64]float64{}, ends: map[uint64]ended{}, heardAt: m.Now, lostAt: m.Now}
-}
-
-// up is how many lines are open.
-func (t *trunk) up() (n int) {
-	for _, l := range t.lines {
-		if l.isUp && !l.retired {
+// upstream is all lines to one switch.
+type upstream struct {
+	gateway         *Gateway
+	endpoint        *routing.Endpoint
+	address         netip.AddrPort
+	startedAt       float64 // its latest start, as told
+	conns           []*Conn
+	waiting         []*outboundLeg   // set-ups that wait for a line
+	established     map[uint64]*call // calls that stand there
+	canceled        map[uint64]float64
+	unknownEnds     map[uint64]endedCall
+	lastMessageAt   float64 // when it was last heard
+	unansweredDials int     // tries since then that brought no word, not even a refusal
+	failedDials     int     // tries to connect that came to nothing since a new line spoke
+	retryAt         float64 // no line is tried before this unless a set-up needs it
+	lastConnReset   bool    // the latest line to end was reset, and none has come up since
+	disconnectedAt  float64 // when the latest line ended on which it had spoken
+	reconnectTimer  *timerqueue.Timer
+	nextConn        uint64
+}
+
+// endedCall is an end of a call that nobody here knows of.
+type endedCall struct {
+	cause     byte
+	expiresAt float64
+}
+
+// outboundLeg is one ring on the wire.
+type outboundLeg struct {
+	call     *call
+	attempt  *routing.Attempt
+	upstream *upstream
+	conn     *Conn // nil: it waits for one
+	timeout  *timerqueue.Timer
+	sent     bool // its set-up was handed to the socket
+	ended    bool // the module knows of its end, or is about to
+	// answeredLate: an answer to an earlier ring of the call here came after that was given up
+	answeredLate bool
+}
+
+func newUpstream(g *Gateway, endpoint *routing.Endpoint, to netip.AddrPort) *upstream {
+	return &upstream{gateway: g, endpoint: endpoint, address: to, startedAt: endpoint.StartedAt, established: map[uint64]*call{}, canceled: map[uint64]float64{}, unknownEnds: map[uint64]endedCall{}, lastMessageAt: g.Now, disconnectedAt: g.Now}
+}
+
+// connectedConns is how many lines are open.
+func (u *upstream) connectedConns() (n int) {
+	for _, conn := range u.conns {
+		if conn.connected && !conn.retired {
 			n++
 		}
 	}
 	return
 }
 
-// warm opens the lines that a switch always has, so that its state is heard. One that drains gets no set-ups: it has a
+// maintainConns opens the lines that a switch always has, so that its state is heard. One that drains gets no set-ups: it has a
 // line only for what stands there.
-func (t *trunk) warm() {
-	keep := min(keepUp, t.m.lines())
-	if t.pool.State != routing.Ready {
-		keep = min(1, len(t.standing))
+func (u *upstream) maintainConns() {
+	keep := min(minConnsPerEndpoint, u.gateway.connsPerEndpoint())
+	if u.endpoint.State != routing.Ready {
+		keep = min(1, len(u.established))
 	}
-	for len(t.lines) < keep && t.pause == nil && t.mayRetry() && (t.failed == 0 || len(t.lines) == 0) {
-		t.dial()
+	for len(u.conns) < keep && u.reconnectTimer == nil && u.mayReconnect() && (u.failedDials == 0 || len(u.conns) == 0) {
+		u.dial()
 	}
 }
 
-// mayRetry tells whether a line may be tried that no set-up waits for.
-func (t *trunk) mayRetry() bool { return t.m.Now >= t.retryAt }
+// mayReconnect tells whether a line may be tried that no set-up waits for.
+func (u *upstream) mayReconnect() bool { return u.gateway.Now >= u.retryAt }
 
 // dial opens one more line.
-func (t *trunk) dial() *Link {
-	m := t.m
-	l := &Link{m: m, side: t}
-	t.lines = append(t.lines, l)
-	m.Wire.Dialled++
-	m.Timers.Set(m.Now+t.within(), func() {
-		if !l.isUp && !l.closed {
-			m.Wire.Silent++
-			l.fail()
+func (u *upstream) dial() *Conn {
+	g := u.gateway
+	conn := &Conn{gateway: g, peer: u}
+	u.conns = append(u.conns, conn)
+	g.Metrics.Dialed++
+	g.Timers.Schedule(g.Now+u.connectTimeout(), func() {
+		if !conn.connected && !conn.closed {
+			g.Metrics.ConnectTimeouts++
+			conn.abort()
 		}
 	})
-	m.out.Dial(l, t.to)
-	return l
+	g.transport.Dial(conn, u.address)
+	return conn
 }
 
-// connected: a line is up; what waits goes out. That shows a machine that accepts, not yet a switch that works: only its
+// onConnected: a line is up; what waits goes out. That shows a machine that accepts, not yet a switch that works: only its
 // first word does.
-func (t *trunk) connected(l *Link) {
-	l.isUp = true
-	t.m.Wire.Up++
-	t.reset = false
-	waits := t.waits
-	t.waits = nil
-	for _, g := range waits {
-		t.place(g)
-	}
-	t.m.isReady()
-	l.mark()
-}
-
-// Dial implements control.Party: it sends a set-up and gives up after limit ms.
-func (k *call) Dial(r *routing.Ring, limit float64) bool {
-	t := k.m.trunks[r.Pool]
-	if t == nil || k.said == nil {
+func (u *upstream) onConnected(conn *Conn) {
+	conn.connected = true
+	u.gateway.Metrics.Connected++
+	u.lastConnReset = false
+	waits := u.waiting
+	u.waiting = nil
+	for _, leg := range waits {
+		u.assignConn(leg)
+	}
+	u.gateway.updateReadiness()
+	conn.scheduleFlush()
+}
+
+// SendSetup implements control.Party: it sends a set-up and gives up after limit ms.
+func (c *call) SendSetup(attempt *routing.Attempt, limit float64) bool {
+	u := c.gateway.upstreams[attempt.Endpoint]
+	if u == nil || c.setup == nil {
 		return false
 	}
-	g := &leg{call: k, ring: r, trunk: t}
-	k.leg = g
-	g.limit = k.m.Timers.Set(k.m.Now+limit, func() { g.giveUp(routing.TimedOut) })
-	t.place(g)
+	leg := &outboundLeg{call: c, attempt: attempt, upstream: u}
+	c.leg = leg
+	leg.timeout = c.gateway.Timers.Schedule(c.gateway.Now+limit, func() { leg.cancel(routing.TimedOut) })
+	u.assignConn(leg)
 	return true
 }
 
-// place puts a set-up on a line: on one with the fewest set-ups under way, for one that breaks takes all of its own
+// assignConn puts a set-up on a line: on one with the fewest set-ups under way, for one that breaks takes all of its own
 // along. Where none is up it waits for the next.
-func (t *trunk) place(g *leg) {
-	var best *Link
-	t.turn++
-	for i := range t.lines {
-		l := t.lines[(int(t.turn%uint64(len(t.lines)))+i)%len(t.lines)]
-		if l.isUp && !l.retired && !l.busy && (best == nil || len(l.legs) < len(best.legs)) {
-			best = l
+func (u *upstream) assignConn(leg *outboundLeg) {
+	var best *Conn
+	u.nextConn++
+	for i := range u.conns {
+		conn := u.conns[(int(u.nextConn%uint64(len(u.conns)))+i)%len(u.conns)]
+		if conn.connected && !conn.retired && !conn.writePending && (best == nil || len(conn.legs) < len(best.legs)) {
+			best = conn
 		}
 	}
-	coming := slices.ContainsFunc(t.lines, func(l *Link) bool { return !l.isUp })
-	if (best == nil || len(best.legs) > 0 && t.mayRetry()) && !coming && len(t.lines) < t.m.lines() {
-		t.dial()
+	coming := slices.ContainsFunc(u.conns, func(conn *Conn) bool { return !conn.connected })
+	if (best == nil || len(best.legs) > 0 && u.mayReconnect()) && !coming && len(u.conns) < u.gateway.connsPerEndpoint() {
+		u.dial()
 	}
 	if best == nil { // it waits no longer than one connect may take, however many are tried meanwhile
-		t.waits = append(t.waits, g)
-		t.m.Timers.Set(t.m.Now+t.within(), func() { g.unreached() })
+		u.waiting = append(u.waiting, leg)
+		u.gateway.Timers.Schedule(u.gateway.Now+u.connectTimeout(), func() { leg.onConnectTimeout() })
 		return
 	}
-	k, now := g.call, t.m.Now
-	g.line = best
-	best.legs = append(best.legs, g)
-	left := math.Max(1, k.Until+t.m.cfg.Margin-now)
-	msg := binarymessage.Message(k.said)
-	b := binarymessage.Append(nil, binarymessage.SetUp, k.id, forwarded(msg, left)...)
-	best.put(entry{data: b, leg: g})
+	c, now := leg.call, u.gateway.Now
+	leg.conn = best
+	best.legs = append(best.legs, leg)
+	left := math.Max(1, c.Deadline+u.gateway.config.AnswerMargin-now)
+	msg := binarymessage.Message(c.setup)
+	b := binarymessage.Append(nil, binarymessage.Setup, c.id, forwardedParameters(msg, left)...)
+	best.enqueue(outgoingMessage{data: b, leg: leg})
 }
 
-// unreached ends a ring that found no line.
-func (g *leg) unreached() {
-	t := g.trunk
-	if i := slices.Index(t.waits, g); i >= 0 && !g.over {
-		t.waits = slices.Delete(t.waits, i, i+1)
-		g.over = true
-		g.finish(routing.Refused)
+// onConnectTimeout ends a ring that found no line.
+func (leg *outboundLeg) onConnectTimeout() {
+	u := leg.upstream
+	if i := slices.Index(u.waiting, leg); i >= 0 && !leg.ended {
+		u.waiting = slices.Delete(u.waiting, i, i+1)
+		leg.ended = true
+		leg.finish(routing.ConnectionRefused)
 	}
 }
 
-// within is how long a connect may take, ms.
-func (t *trunk) within() float64 {
-	if w := t.m.cfg.Links.ConnectTimeout; w > 0 {
+// connectTimeout is how long a connect may take, ms.
+func (u *upstream) connectTimeout() float64 {
+	if w := u.gateway.config.Connections.ConnectTimeout; w > 0 {
 		return w
 	}
-	return connectElse
+	return defaultConnectTimeout
 }
 
-// forwarded is what of a caller's set-up goes to a switch: class, number and description as they are, and for how many ms
+// forwardedParameters is what of a caller's set-up goes to a switch: class, number and description as they are, and for how many ms
 // this gateway waits.
-func forwarded(msg binarymessage.Message, left float64) []binarymessage.Param {
+func forwardedParameters(msg binarymessage.Message, left float64) []binarymessage.Param {
 	var of []binarymessage.Param
 	for _, code := range []byte{binarymessage.Class, binarymessage.Patience, binarymessage.Number, binarymessage.Description} {
 		if code == binarymessage.Patience {
-			of = append(of, binarymessage.Text(code, strconv.Itoa(int(left))))
+			of = append(of, binarymessage.TextParam(code, strconv.Itoa(int(left))))
 		} else if v, ok := msg.Get(code); ok {
 			of = append(of, binarymessage.Param{Code: code, Value: v})
 		}
@@ -196,402 +196,402 @@
 	return of
 }
 
-// giveUp ends a ring from here. What has not left is withdrawn and has not run; else its end counts from when the
+// cancel ends a ring from here. What has not left is withdrawn and has not run; else its end counts from when the
 // give-up has left.
-func (g *leg) giveUp(how routing.End) {
-	if g.over {
+func (leg *outboundLeg) cancel(how routing.Outcome) {
+	if leg.ended {
 		return
 	}
-	m := g.trunk.m
-	g.over = true
-	m.Timers.Stop(g.limit)
-	if g.line == nil {
-		g.trunk.waits = slices.DeleteFunc(g.trunk.waits, func(o *leg) bool { return o == g })
-		m.Wire.Withdrawn++
-		m.Timers.Set(m.Now, func() { g.finish(routing.Unsent) })
+	g := leg.upstream.gateway
+	leg.ended = true
+	g.Timers.Cancel(leg.timeout)
+	if leg.conn == nil {
+		leg.upstream.waiting = slices.DeleteFunc(leg.upstream.waiting, func(o *outboundLeg) bool { return o == leg })
+		g.Metrics.Withdrawn++
+		g.Timers.Schedule(g.Now, func() { leg.finish(routing.NotSent) })
 		return
 	}
-	if g.line.take(g) {
-		m.Wire.Withdrawn++
-		m.Timers.Set(m.Now, func() { g.finish(routing.Unsent) })
+	if leg.conn.withdraw(leg) {
+		g.Metrics.Withdrawn++
+		g.Timers.Schedule(g.Now, func() { leg.finish(routing.NotSent) })
 		return
 	}
-	g.trunk.late[g.call.id] = m.Now + lateFor
-	l := g.line
-	l.put(entry{data: binarymessage.Append(nil, binarymessage.Release, g.call.id, binarymessage.Why(binarymessage.Normal)), left: func() {
-		m.Timers.Set(m.Now, func() { g.finish(how) })
+	leg.upstream.canceled[leg.call.id] = g.Now + lateAnswerRetention
+	conn := leg.conn
+	conn.enqueue(outgoingMessage{data: binarymessage.Append(nil, binarymessage.Release, leg.call.id, binarymessage.CauseParam(binarymessage.Normal)), onSent: func() {
+		g.Timers.Schedule(g.Now, func() { leg.finish(how) })
 	}})
 }
 
 // finish tells how a ring ended, once.
-func (g *leg) finish(how routing.End) {
-	if g.ring == nil {
+func (leg *outboundLeg) finish(how routing.Outcome) {
+	if leg.attempt == nil {
 		return
 	}
-	r, k := g.ring, g.call
-	g.ring, g.over = nil, true
-	g.trunk.m.Timers.Stop(g.limit)
-	if g.line != nil {
-		g.line.legs = slices.DeleteFunc(g.line.legs, func(o *leg) bool { return o == g })
+	attempt, c := leg.attempt, leg.call
+	leg.attempt, leg.ended = nil, true
+	leg.upstream.gateway.Timers.Cancel(leg.timeout)
+	if leg.conn != nil {
+		leg.conn.legs = slices.DeleteFunc(leg.conn.legs, func(o *outboundLeg) bool { return o == leg })
 	}
-	if k.leg == g {
-		k.leg = nil
+	if c.leg == leg {
+		c.leg = nil
 	}
-	if g.crossed {
-		m := g.trunk.m
-		m.Wire.Crossed++
-		g.trunk.say(k.id, binarymessage.Normal, g.line)
+	if leg.answeredLate {
+		g := leg.upstream.gateway
+		g.Metrics.LateAnswers++
+		leg.upstream.sendRelease(c.id, binarymessage.Normal, leg.conn)
 	}
-	k.Ended(r, how, k.Over)
+	c.EndAttempt(attempt, how, c.Finished)
 }
 
-// outs is the ring of a call that is out at this switch and wanted, on whatever line.
-func (t *trunk) outs(id uint64) *leg {
-	for _, l := range t.lines {
-		if g := l.find(id); g != nil && !g.over {
-			return g
+// activeLeg is the ring of a call that is out at this switch and wanted, on whatever line.
+func (u *upstream) activeLeg(id uint64) *outboundLeg {
+	for _, conn := range u.conns {
+		if leg := conn.legOf(id); leg != nil && !leg.ended {
+			return leg
 		}
 	}
 	return nil
 }
 
-// CallOff implements control.Party.
-func (k *call) CallOff(r *routing.Ring) {
-	if k.leg != nil && k.leg.ring == r {
-		k.leg.giveUp(routing.Cancelled)
+// SendCancel implements control.Party.
+func (c *call) SendCancel(attempt *routing.Attempt) {
+	if c.leg != nil && c.leg.attempt == attempt {
+		c.leg.cancel(routing.Canceled)
 	}
 }
 
-// find is the ring of a call that is out on a line.
-func (l *Link) find(id uint64) *leg {
-	for _, g := range l.legs {
-		if g.call.id == id {
-			return g
+// legOf is the ring of a call that is out on a line.
+func (conn *Conn) legOf(id uint64) *outboundLeg {
+	for _, leg := range conn.legs {
+		if leg.call.id == id {
+			return leg
 		}
 	}
 	return nil
 }
 
-// heard implements side.
-func (t *trunk) heard(l *Link, msg binarymessage.Message) {
-	m := t.m
-	t.heardAt, t.unanswered = m.Now, 0
-	if !l.spoke {
-		l.spoke, t.failed = true, 0
+// onMessage implements side.
+func (u *upstream) onMessage(conn *Conn, msg binarymessage.Message) {
+	g := u.gateway
+	u.lastMessageAt, u.unansweredDials = g.Now, 0
+	if !conn.endpointSpoke {
+		conn.endpointSpoke, u.failedDials = true, 0
 	}
 	id := msg.Call()
 	switch msg.Type() {
-	case binarymessage.State:
-		if any, full := m.report(t.pool, msg); any {
-			m.Mod.Reported(m.Now, t.pool, true, full)
+	case binarymessage.LoadState:
+		if any, full := g.applyLoadReport(u.endpoint, msg); any {
+			g.Router.OnLoadReport(g.Now, u.endpoint, true, full)
 		}
 	case binarymessage.Answer:
-		g := l.find(id)
+		leg := conn.legOf(id)
 		description, ok := msg.Get(binarymessage.Description)
 		switch {
-		case t.standing[id] != nil:
+		case u.established[id] != nil:
 			// the answer of a ring that was given up before the one that stands here: to release it would cut the call
-			m.Wire.Twice++
-		case (g == nil || g.over || !g.left) && t.outs(id) != nil:
-			t.outs(id).crossed = true // released when the ring that is out here has ended without standing
-		case g == nil || g.over || !g.left:
-			if _, late := t.late[id]; late || g != nil && g.over { // it crossed our giving up
-				m.Wire.Crossed++
-				l.send(binarymessage.Append(nil, binarymessage.Release, id, binarymessage.Why(binarymessage.Normal)))
+			g.Metrics.Duplicates++
+		case (leg == nil || leg.ended || !leg.sent) && u.activeLeg(id) != nil:
+			u.activeLeg(id).answeredLate = true // released when the ring that is out here has ended without standing
+		case leg == nil || leg.ended || !leg.sent:
+			if _, late := u.canceled[id]; late || leg != nil && leg.ended { // it crossed our giving up
+				g.Metrics.LateAnswers++
+				conn.send(binarymessage.Append(nil, binarymessage.Release, id, binarymessage.CauseParam(binarymessage.Normal)))
 			} else {
-				m.Wire.Stray++
+				g.Metrics.UnmatchedAnswers++
 			}
 		case !ok: // it stands there, but its caller can't be told what the switch said
-			m.Wire.Broken++
-			l.send(binarymessage.Append(nil, binarymessage.Release, id, binarymessage.Why(binarymessage.Normal)))
-			g.finish(routing.Failed)
+			g.Metrics.ProtocolErrors++
+			conn.send(binarymessage.Append(nil, binarymessage.Release, id, binarymessage.CauseParam(binarymessage.Normal)))
+			leg.finish(routing.Failed)
 		default:
-			m.Timers.Stop(g.limit)
-			g.over = true
-			l.legs = slices.DeleteFunc(l.legs, func(o *leg) bool { return o == g })
-			any, full := m.report(t.pool, msg)
-			k, r := g.call, g.ring
-			k.leg = nil
-			r.Cost = m.Now - r.Sent
-			k.stands(t, l, r, description)
+			g.Timers.Cancel(leg.timeout)
+			leg.ended = true
+			conn.legs = slices.DeleteFunc(conn.legs, func(o *outboundLeg) bool { return o == leg })
+			any, full := g.applyLoadReport(u.endpoint, msg)
+			c, attempt := leg.call, leg.attempt
+			c.leg = nil
+			attempt.Latency = g.Now - attempt.SentAt
+			c.establish(u, conn, attempt, description)
 			if any {
-				m.Mod.Reported(m.Now, t.pool, true, full)
+				g.Router.OnLoadReport(g.Now, u.endpoint, true, full)
 			}
-			m.Mod.Stood(m.Now, r)
+			g.Router.OnAnswer(g.Now, attempt)
 		}
 	case binarymessage.Release:
-		t.released(l, msg)
-	case binarymessage.Progress, binarymessage.Heard, binarymessage.Tested, binarymessage.Test, binarymessage.SetUp:
+		u.onRelease(conn, msg)
+	case binarymessage.Progress, binarymessage.ReleaseComplete, binarymessage.HealthResult, binarymessage.HealthCheck, binarymessage.Setup:
 		// free: they mean nothing here
 	default:
-		m.Wire.Broken++
-		l.fail()
+		g.Metrics.ProtocolErrors++
+		conn.abort()
 	}
 }
 
-// released takes a switch's release: the end of a ring, or of a call that stands.
-func (t *trunk) released(l *Link, msg binarymessage.Message) {
-	m, id, cause := t.m, msg.Call(), msg.Cause()
-	any, full := m.report(t.pool, msg)
-	if g := l.find(id); g != nil && g.ring != nil && g.left {
-		r := g.ring
-		r.Reported = full
+// onRelease takes a switch's release: the end of a ring, or of a call that stands.
+func (u *upstream) onRelease(conn *Conn, msg binarymessage.Message) {
+	g, id, cause := u.gateway, msg.Call(), msg.Cause()
+	any, full := g.applyLoadReport(u.endpoint, msg)
+	if leg := conn.legOf(id); leg != nil && leg.attempt != nil && leg.sent {
+		attempt := leg.attempt
+		attempt.HasLoadReport = full
 		note := msg.Text(binarymessage.Note)
 		how := routing.Reset
 		switch cause {
 		case binarymessage.NoCircuit:
-			how = routing.Full
-			r.NoAgent = note == "all_trunks_busy"
-			if w, ok := figure(msg.Text(binarymessage.Busy)); ok {
-				r.Wait = w
+			how = routing.Overloaded
+			attempt.AtCapacity = note == "all_trunks_busy"
+			if w, ok := parseNumber(msg.Text(binarymessage.Busy)); ok {
+				attempt.RetryAfter = w
 			}
 		case binarymessage.UserBusy, binarymessage.Fault:
 			how = routing.Failed
-			r.Engaged = note == "number_busy"
+			attempt.NumberBusy = note == "number_busy"
 		case binarymessage.Moot:
-			how = routing.Unsent
+			how = routing.NotSent
 		}
-		if !g.over { // else our giving up crossed it, and counts
-			g.over = true
-			g.finish(how)
+		if !leg.ended { // else our giving up crossed it, and counts
+			leg.ended = true
+			leg.finish(how)
 		}
 		return
 	}
-	if k := t.standing[id]; k != nil {
+	if c := u.established[id]; c != nil {
 		how := routing.Reset
 		if cause == binarymessage.Normal {
-			how = routing.Done
+			how = routing.Completed
 		} else {
-			m.Wire.Cut++
+			g.Metrics.CallsCut++
 		}
-		if k.ring != nil {
-			k.ring.Reported = full
+		if c.attempt != nil {
+			c.attempt.HasLoadReport = full
 		}
-		k.release(how, cause, false)
+		c.release(how, cause, false)
 		return
 	}
 	if any && full {
-		m.Mod.Reported(m.Now, t.pool, true, full)
+		g.Router.OnLoadReport(g.Now, u.endpoint, true, full)
 	}
-	if m.calls[id] == nil && len(t.ends) < mostEnds { // its caller may still tell us of it
-		t.ends[id] = ended{cause, m.Now + endsFor}
+	if g.calls[id] == nil && len(u.unknownEnds) < maxUnknownEnds { // its caller may still tell us of it
+		u.unknownEnds[id] = endedCall{cause, g.Now + unknownEndRetention}
 	}
 }
 
-// release releases a call at its switch: on the line of its set-up, else on any, else on the next.
-func (t *trunk) release(k *call, cause byte) {
+// releaseCall releases a call at its switch: on the line of its set-up, else on any, else on the next.
+func (u *upstream) releaseCall(c *call, cause byte) {
 	if cause == 0 {
 		cause = binarymessage.Normal
 	}
-	t.late[k.id] = t.m.Now + lateFor
-	t.say(k.id, cause, k.line)
+	u.canceled[c.id] = u.gateway.Now + lateAnswerRetention
+	u.sendRelease(c.id, cause, c.upstreamConn)
 }
 
-// say sends a release: on a line, where that is still open, else on any, else on the next.
-func (t *trunk) say(id uint64, cause byte, l *Link) {
-	if l == nil || l.closed {
-		l = nil
-		for _, o := range t.lines {
-			if !o.closed && (l == nil || o.isUp && !l.isUp) {
-				l = o
+// sendRelease sends a release: on a line, where that is still open, else on any, else on the next.
+func (u *upstream) sendRelease(id uint64, cause byte, conn *Conn) {
+	if conn == nil || conn.closed {
+		conn = nil
+		for _, o := range u.conns {
+			if !o.closed && (conn == nil || o.connected && !conn.connected) {
+				conn = o
 			}
 		}
 	}
-	if l == nil {
-		l = t.dial()
+	if conn == nil {
+		conn = u.dial()
 	}
-	l.put(entry{data: binarymessage.Append(nil, binarymessage.Release, id, binarymessage.Why(cause))})
+	conn.enqueue(outgoingMessage{data: binarymessage.Append(nil, binarymessage.Release, id, binarymessage.CauseParam(cause))})
 }
 
-// lost implements side: set-ups that have left on a line may have run, others have not.
-func (t *trunk) lost(l *Link, how Ending) {
-	m := t.m
-	t.lines = slices.DeleteFunc(t.lines, func(o *Link) bool { return o == l })
-	for _, k := range t.standing {
-		if k.line == l {
-			k.line = nil
+// onClosed implements side: set-ups that have left on a line may have run, others have not.
+func (u *upstream) onClosed(conn *Conn, how CloseReason) {
+	g := u.gateway
+	u.conns = slices.DeleteFunc(u.conns, func(o *Conn) bool { return o == conn })
+	for _, c := range u.established {
+		if c.upstreamConn == conn {
+			c.upstreamConn = nil
 		}
 	}
-	legs := l.legs
-	l.legs = nil
-	for _, g := range legs {
+	legs := conn.legs
+	conn.legs = nil
+	for _, leg := range legs {
 		switch {
-		case g.ring == nil, g.over: // ended, or about to: its give-up, gone with the line, settles it
-		case !g.left:
-			g.over = true
-			m.Timers.Set(m.Now, func() { g.finish(routing.Unsent) })
+		case leg.attempt == nil, leg.ended: // ended, or about to: its give-up, gone with the line, settles it
+		case !leg.sent:
+			leg.ended = true
+			g.Timers.Schedule(g.Now, func() { leg.finish(routing.NotSent) })
 		default:
-			g.over = true
-			t.late[g.call.id] = m.Now + lateFor
-			m.Timers.Set(m.Now, func() { g.finish(routing.Reset) })
+			leg.ended = true
+			u.canceled[leg.call.id] = g.Now + lateAnswerRetention
+			g.Timers.Schedule(g.Now, func() { leg.finish(routing.Reset) })
 		}
 	}
-	if m.trunks[t.pool] != t {
+	if g.upstreams[u.endpoint] != u {
 		return
 	}
-	if l.isUp {
-		m.Wire.Lost++
-		if t.reset = how == Reset; l.spoke {
-			t.lostAt = m.Now
+	if conn.connected {
+		g.Metrics.ConnectionsLost++
+		if u.lastConnReset = how == ClosedReset; conn.endpointSpoke {
+			u.disconnectedAt = g.Now
 		} else { // accepted, and no more: nobody works there
-			t.backOff()
-			t.unanswered++
+			u.backOff()
+			u.unansweredDials++
 		}
-		if t.up() == 0 {
-			t.again()
+		if u.connectedConns() == 0 {
+			u.scheduleReconnect()
 		}
 		return
 	}
-	t.backOff()
-	if how == Refused { // a machine that says no is there, and a process that has died would have reset the lines that are up
-		m.Wire.Refused++
-		t.unanswered = 0
+	u.backOff()
+	if how == ClosedRefused { // a machine that says no is there, and a process that has died would have reset the lines that are up
+		g.Metrics.ConnectionsRefused++
+		u.unansweredDials = 0
 	} else {
-		t.unanswered++
+		u.unansweredDials++
 	}
-	if t.up() == 0 && !slices.ContainsFunc(t.lines, func(l *Link) bool { return !l.isUp && !l.closed }) {
-		for _, g := range t.waits {
-			m.Timers.Set(m.Now, g.unreached)
+	if u.connectedConns() == 0 && !slices.ContainsFunc(u.conns, func(conn *Conn) bool { return !conn.connected && !conn.closed }) {
+		for _, leg := range u.waiting {
+			g.Timers.Schedule(g.Now, leg.onConnectTimeout)
 		}
 		// A process that dies resets its lines, and then nobody listens there; one that drains closes them in order and
 		// listens no more, and its calls go on.
-		if how == Refused && t.reset {
-			t.died()
+		if how == ClosedRefused && u.lastConnReset {
+			u.markDead()
 		}
-		t.again()
+		u.scheduleReconnect()
 	}
 }
 
 // backOff counts a try that came to nothing: the next waits longer, by chance.
-func (t *trunk) backOff() {
-	t.failed++
-	t.retryAt = t.m.Now + math.Min(mostPause, firstPause*math.Pow(2, float64(min(t.failed, 10))))*(0.5+t.m.chance())
+func (u *upstream) backOff() {
+	u.failedDials++
+	u.retryAt = u.gateway.Now + math.Min(maxBackoff, initialBackoff*math.Pow(2, float64(min(u.failedDials, 10))))*(0.5+u.gateway.random())
 }
 
-// again tries to connect once more, after a rest if the last try failed.
-func (t *trunk) again() {
-	if t.pause != nil || t.pool.State == routing.Gone {
+// scheduleReconnect tries to connect once more, after a rest if the last try failed.
+func (u *upstream) scheduleReconnect() {
+	if u.reconnectTimer != nil || u.endpoint.State == routing.Gone {
 		return
 	}
-	t.pause = t.m.Timers.Set(math.Max(t.m.Now, t.retryAt), func() {
-		t.pause = nil
-		if t.m.trunks[t.pool] == t && len(t.lines) == 0 && (t.pool.State == routing.Ready || len(t.standing) > 0) {
-			t.dial()
+	u.reconnectTimer = u.gateway.Timers.Schedule(math.Max(u.gateway.Now, u.retryAt), func() {
+		u.reconnectTimer = nil
+		if u.gateway.upstreams[u.endpoint] == u && len(u.conns) == 0 && (u.endpoint.State == routing.Ready || len(u.established) > 0) {
+			u.dial()
 		}
 	})
 }
 
-// look finds switches that have gone silent, and forgets what is over.
-func (t *trunk) look() {
-	m := t.m
-	for id, till := range t.late {
-		if till < m.Now {
-			delete(t.late, id)
+// checkLiveness finds switches that have gone silent, and forgets what is over.
+func (u *upstream) checkLiveness() {
+	g := u.gateway
+	for id, till := range u.canceled {
+		if till < g.Now {
+			delete(u.canceled, id)
 		}
 	}
-	for id, e := range t.ends {
-		if e.till < m.Now {
-			delete(t.ends, id)
+	for id, e := range u.unknownEnds {
+		if e.expiresAt < g.Now {
+			delete(u.unknownEnds, id)
 		}
 	}
-	busy := len(t.standing) > 0
-	for _, l := range t.lines {
-		busy = busy || len(l.legs) > 0
+	busy := len(u.established) > 0
+	for _, conn := range u.conns {
+		busy = busy || len(conn.legs) > 0
 	}
 	if busy {
 		away := 0.0 // how long no line has been up
-		if t.up() == 0 {
-			away = m.Now - t.lostAt
+		if u.connectedConns() == 0 {
+			away = g.Now - u.disconnectedAt
 		}
-		switch intake.Silence(m.Now-t.heardAt, away, t.unanswered) {
+		switch intake.Silence(g.Now-u.lastMessageAt, away, u.unansweredDials) {
 		case intake.Died:
-			for _, l := range slices.Clone(t.lines) {
-				l.fail()
+			for _, conn := range slices.Clone(u.conns) {
+				conn.abort()
 			}
-			t.died()
+			u.markDead()
 		case intake.Doubt:
-			if t.pause == nil && t.mayRetry() && !slices.ContainsFunc(t.lines, func(l *Link) bool { return !l.isUp }) {
-				t.spare()
-				t.dial()
+			if u.reconnectTimer == nil && u.mayReconnect() && !slices.ContainsFunc(u.conns, func(conn *Conn) bool { return !conn.connected }) {
+				u.freeConnSlot()
+				u.dial()
 			}
 		}
 	}
-	t.warm()
+	u.maintainConns()
 }
 
-// spare makes room for one more line: of those on which nothing is under way the oldest goes.
-func (t *trunk) spare() {
-	if len(t.lines) < t.m.lines() {
+// freeConnSlot makes room for one more line: of those on which nothing is under way the oldest goes.
+func (u *upstream) freeConnSlot() {
+	if len(u.conns) < u.gateway.connsPerEndpoint() {
 		return
 	}
-	for _, l := range t.lines {
-		if l.isUp && len(l.legs) == 0 && len(l.queue) == 0 && !l.busy {
-			l.shut()
+	for _, conn := range u.conns {
+		if conn.connected && len(conn.legs) == 0 && len(conn.outgoing) == 0 && !conn.writePending {
+			conn.close()
 			return
 		}
 	}
 }
 
-// died: the process there has ended and its calls with it.
-func (t *trunk) died() {
-	if len(t.standing) == 0 {
+// markDead: the process there has ended and its calls with it.
+func (u *upstream) markDead() {
+	if len(u.established) == 0 {
 		return
 	}
-	t.m.Wire.Dead++
-	t.cut(math.Inf(1))
+	u.gateway.Metrics.EndpointsDead++
+	u.releaseCalls(math.Inf(1))
 }
 
-// cut ends the calls that have stood there since before a time.
-func (t *trunk) cut(before float64) {
+// releaseCalls ends the calls that have stood there since before a time.
+func (u *upstream) releaseCalls(before float64) {
 	var of []*call
-	for _, k := range t.standing {
-		if k.began < before {
-			of = append(of, k)
+	for _, c := range u.established {
+		if c.startedAt < before {
+			of = append(of, c)
 		}
 	}
-	slices.SortFunc(of, byID)
-	for _, k := range of {
-		t.m.Wire.Cut++
-		k.release(routing.Reset, binarymessage.Failure, false)
+	slices.SortFunc(of, compareByID)
+	for _, c := range of {
+		u.gateway.Metrics.CallsCut++
+		c.release(routing.Reset, binarymessage.Failure, false)
 	}
 }
 
-// restarted: the switch's process is a new one since a time.
-func (t *trunk) restarted(since float64) {
-	t.since = since
-	t.cut(since)
+// onRestart: the switch's process is a new one since a time.
+func (u *upstream) onRestart(since float64) {
+	u.startedAt = since
+	u.releaseCalls(since)
 }
 
-// withdraw takes back the set-ups that have not left (rule 3).
-func (t *trunk) withdraw() {
-	for _, g := range slices.Clone(t.waits) {
-		g.giveUp(routing.Unsent)
+// withdrawUnsent takes back the set-ups that have not left (rule 3).
+func (u *upstream) withdrawUnsent() {
+	for _, leg := range slices.Clone(u.waiting) {
+		leg.cancel(routing.NotSent)
 	}
-	for _, l := range t.lines {
-		for _, g := range slices.Clone(l.legs) {
-			if !g.left {
-				g.giveUp(routing.Unsent)
+	for _, conn := range u.conns {
+		for _, leg := range slices.Clone(conn.legs) {
+			if !leg.sent {
+				leg.cancel(routing.NotSent)
 			}
 		}
 	}
 }
 
-// over: the switch is gone from the list.
-func (t *trunk) over() {
-	t.cut(math.Inf(1))
-	for _, l := range slices.Clone(t.lines) {
-		l.shut()
+// closeAll: the switch is gone from the list.
+func (u *upstream) closeAll() {
+	u.releaseCalls(math.Inf(1))
+	for _, conn := range slices.Clone(u.conns) {
+		conn.close()
 	}
-	t.m.Timers.Stop(t.pause)
+	u.gateway.Timers.Cancel(u.reconnectTimer)
 }
 
-// move: the list names another address for the same switch.
-func (t *trunk) move(to netip.AddrPort) {
-	t.to = to
-	for _, l := range slices.Clone(t.lines) {
-		l.retired = true
-		if len(l.legs) == 0 {
-			l.shut()
+// changeAddress: the list names another address for the same switch.
+func (u *upstream) changeAddress(to netip.AddrPort) {
+	u.address = to
+	for _, conn := range slices.Clone(u.conns) {
+		conn.retired = true
+		if len(conn.legs) == 0 {
+			conn.close()
 		}
 	}
 }
--- a/internal/protocol/binarygateway/world_test.go
+++ b/internal/protocol/binarygateway/world_test.go
@@ -21,15 +21,15 @@
 	"cobaltpier/internal/routing"
 )
 
-func mind(s *routing.Settings, h routing.Host) endpointset.Module { return router.New(s, h) }
+func mind(s *routing.Settings, h routing.Host) endpointset.Policy { return router.New(s, h) }
 
-func newWorld(seed uint64, mk endpointset.Maker, off [6]bool) *binarystandin.World {
-	set := &routing.Settings{Gateways: 1, Seed: seed, Tick: 1, MaxRings: 5, MayCancel: true, MayWait: true, MaxWait: 2000, Retransmit: 400,
-		ClearWait: 300, Slack: 20, ColdShare: 0.4, WarmWithin: 3000, TipMultiple: 2.5, TipTime: 1000,
-		Skills: []*routing.Skill{{Name: "voice", Target: 1000, Patience: 3000, Value: 1, Hold: 800, Repeat: true}}}
+func newWorld(seed uint64, mk endpointset.PolicyFactory, off [6]bool) *binarystandin.World {
+	set := &routing.Settings{Gateways: 1, Seed: seed, TickInterval: 1, MaxAttempts: 5, CancelEnabled: true, RetryAfterEnabled: true, MaxRetryAfter: 2000, RetransmitInterval: 400,
+		RetryHoldOff: 300, AnswerGrace: 20, SlowStartFraction: 0.4, SlowStartDuration: 3000, OverloadFactor: 2.5, OverloadWindow: 1000,
+		Classes: []*routing.Class{{Name: "voice", LatencyObjective: 1000, Timeout: 3000, Weight: 1, MeanHoldingTime: 800, Idempotent: true}}}
 	j := binaryconformance.New(binaryconformance.Rules{Slack: 50, Grace: 250, Clear: 300, Told: 1000, ToldElse: 8000})
-	return binarystandin.New(seed, &binarygateway.Config{Set: set, Links: deployment.Links{ConnectTimeout: 500},
-		Sockets: 256, Margin: 5, Gate: intake.Gate{Most: 500}, Off: off}, mk, 3, j)
+	return binarystandin.New(seed, &binarygateway.Config{Settings: set, Connections: deployment.Connections{ConnectTimeout: 500},
+		MaxDescriptors: 256, AnswerMargin: 5, LoadShedding: intake.Gate{Most: 500}, DisabledGuards: off}, mk, 3, j)
 }
 
 // share draws a share of something going wrong: often none.
@@ -64,39 +64,41 @@
 // reckless is a module that keeps no rule: it rings whatever it knows whenever it likes, and answers late or never.
 type reckless struct {
 	h     routing.Host
-	pools []*routing.Pool
+	pools []*routing.Endpoint
 	seed  uint64
 	draws uint64
 }
 
 func (m *reckless) chance() float64 {
 	m.draws++
-	return detrand.Of(m.seed, m.draws)
+	return detrand.Float64(m.seed, m.draws)
 }
 
-func (m *reckless) act(now float64, c *routing.Contact) {
-	if m.chance() < 0.3 && c.Out != nil {
-		m.h.Cancel(c.Out)
+func (m *reckless) act(now float64, c *routing.Call) {
+	if m.chance() < 0.3 && c.InFlight != nil {
+		m.h.CancelAttempt(c.InFlight)
 	}
 	if len(m.pools) > 0 && m.chance() < 0.8 {
-		m.h.Ring(c, m.pools[int(m.chance()*float64(len(m.pools)))], 200*m.chance())
+		m.h.StartAttempt(c, m.pools[int(m.chance()*float64(len(m.pools)))], 200*m.chance())
 	}
 	if m.chance() < 0.1 {
-		m.h.Abandon(c)
-		m.h.Defer(c, 100)
+		m.h.Fail(c)
+		m.h.Reject(c, 100)
 	}
 	if m.draws < 40000 {
-		m.h.Wake(now+400*m.chance(), c)
+		m.h.ScheduleWakeup(now+400*m.chance(), c)
 	}
 }
-func (m *reckless) Listed(_ float64, of []*routing.Pool)        { m.pools = append(m.pools, of...) }
-func (m *reckless) Offered(now float64, c *routing.Contact)     { m.act(now, c) }
-func (m *reckless) Stood(now float64, r *routing.Ring)          { m.act(now, r.Contact) }
-func (m *reckless) Ended(now float64, r *routing.Ring, _ bool)  { m.act(now, r.Contact) }
-func (m *reckless) Left(now float64, c *routing.Contact)        { m.act(now, c) }
-func (m *reckless) Reported(float64, *routing.Pool, bool, bool) {}
-func (m *reckless) Told(float64, int, []byte)                   {}
-func (m *reckless) Woken(now float64, c *routing.Contact)       { m.act(now, c) }
+func (m *reckless) OnEndpoints(_ float64, of []*routing.Endpoint)  { m.pools = append(m.pools, of...) }
+func (m *reckless) OnCall(now float64, c *routing.Call)            { m.act(now, c) }
+func (m *reckless) OnAnswer(now float64, attempt *routing.Attempt) { m.act(now, attempt.Call) }
+func (m *reckless) OnAttemptEnd(now float64, attempt *routing.Attempt, _ bool) {
+	m.act(now, attempt.Call)
+}
+func (m *reckless) OnHangup(now float64, c *routing.Call)               { m.act(now, c) }
+func (m *reckless) OnLoadReport(float64, *routing.Endpoint, bool, bool) {}
+func (m *reckless) OnGossip(float64, int, []byte)                       {}
+func (m *reckless) OnWakeup(now float64, c *routing.Call)               { m.act(now, c) }
 
 // A module that keeps no rule breaks none past the guards; each guard switched off is seen by the judge.
 func TestGuards(t *testing.T) {
@@ -106,7 +108,7 @@
 			for seed := range uint64(4) {
 				var offs [6]bool
 				offs[off] = off > 0
-				w := newWorld(seed, func(_ *routing.Settings, h routing.Host) endpointset.Module { return &reckless{h: h, seed: seed} }, offs)
+				w := newWorld(seed, func(_ *routing.Settings, h routing.Host) endpointset.Policy { return &reckless{h: h, seed: seed} }, offs)
 				w.Faults = binarystandin.Faults{Late: 0.2, Full: 0.3, Drains: 0.4, Never: 0.2}
 				w.Stop = 6000
 				w.Run(12000)
@@ -132,11 +134,11 @@
 	w.Faults = binarystandin.Faults{Late: 0.05, Never: 0.02, Twice: 0.1, Reset: 0.02, Cut: 0.2, Leaves: 0.1, Closes: 0.1, Drains: 0.3, Deaths: 0.1, Spoilt: 0.02}
 	w.Stop = 40000
 	w.Run(100000)
-	calls, trunks, clients, links, timers := w.M.Open()
+	calls, trunks, clients, links, timers := w.M.OpenCounts()
 	if calls > 0 || trunks > 4 || clients > 1 || links > 4 || timers > 40 {
 		t.Errorf("%d calls, %d trunks, %d clients, %d links, %d timers are left", calls, trunks, clients, links, timers)
 	}
-	if late, ends := w.M.Remembered(); late+ends > 0 {
+	if late, ends := w.M.RememberedCounts(); late+ends > 0 {
 		t.Errorf("%d and %d are remembered", late, ends)
 	}
 	for _, f := range w.Judge.Findings {
@@ -168,13 +170,13 @@
 		Hangs: 0.1, Closes: 0.05, Stuck: 0.1, Split: true, Drains: 0.3, Deaths: 0.1, Silents: 0.1, Spoilt: 0.02}
 	w.Stop = 20000
 	h := fnv.New64a()
-	w.M.Tap = func(l *binarygateway.Link, out bool, msg binarymessage.Message) {
+	w.M.OnMessage = func(conn *binarygateway.Conn, out bool, msg binarymessage.Message) {
 		header := binary.LittleEndian.AppendUint64(nil, math.Float64bits(w.Now()))
 		if out {
 			header = append(header, 1)
 		}
 		h.Write(header)
-		h.Write([]byte(l.With()))
+		h.Write([]byte(conn.PeerName()))
 		h.Write(msg)
 		messages++
 	}
--- a/internal/protocol/binarymessage/message.go
+++ b/internal/protocol/binarymessage/message.go
@@ -13,14 +13,14 @@
 
 // Types of messages.
 const (
-	SetUp    = 1
-	Progress = 6
-	Answer   = 9
-	Release  = 12
-	Heard    = 16 // a release was heard
-	State    = 43 // of a group
-	Test     = 52
-	Tested   = 53
+	Setup           = 1
+	Progress        = 6
+	Answer          = 9
+	Release         = 12
+	ReleaseComplete = 16 // a release was heard
+	LoadState       = 43 // of a group
+	HealthCheck     = 52
+	HealthResult    = 53
 )
 
 // Codes of parameters.
@@ -49,8 +49,8 @@
 	Moot      = 102
 )
 
-// Most is the longest message, its length field not counted.
-const Most = 16 << 10
+// MaxLength is the longest message, its length field not counted.
+const MaxLength = 16 << 10
 
 const head = 2 + 1 + 8
 
@@ -104,7 +104,7 @@
 	}
 	if n := int(binary.BigEndian.Uint16(b)); n != len(b)-2 {
 		return nil, fmt.Errorf("length %d of %d bytes: %w", n, len(b)-2, ErrForm)
-	} else if n > Most {
+	} else if n > MaxLength {
 		return nil, ErrLong
 	}
 	var seen [256]bool
@@ -131,11 +131,11 @@
 	Value []byte
 }
 
-// Text makes a parameter of a text.
-func Text(code byte, v string) Param { return Param{code, []byte(v)} }
+// TextParam makes a parameter of a text.
+func TextParam(code byte, v string) Param { return Param{code, []byte(v)} }
 
-// Why makes the parameter that names a cause.
-func Why(cause byte) Param { return Param{Cause, []byte{cause}} }
+// CauseParam makes the parameter that names a cause.
+func CauseParam(cause byte) Param { return Param{Cause, []byte{cause}} }
 
 // Append writes a message after dst. What does not fit is the caller's mistake.
 func Append(dst []byte, kind byte, call uint64, params ...Param) []byte {
@@ -143,7 +143,7 @@
 	for _, p := range params {
 		n += 3 + len(p.Value)
 	}
-	if n > Most {
+	if n > MaxLength {
 		panic(ErrLong)
 	}
 	dst = binary.BigEndian.AppendUint16(dst, uint16(n))
@@ -213,7 +213,7 @@
 
 func length(b []byte) error {
 	switch n := int(binary.BigEndian.Uint16(b)); {
-	case n > Most:
+	case n > MaxLength:
 		return ErrLong
 	case n < head-2:
 		return ErrShort
--- a/internal/protocol/binarymessage/message_test.go
+++ b/internal/protocol/binarymessage/message_test.go
@@ -48,7 +48,7 @@
 }
 
 func TestFields(t *testing.T) {
-	m, err := Parse(Append(nil, Release, 0x7f3a9c21e0b4d655, Why(Congested), Text(Wait, "300"), Text(Note, "")))
+	m, err := Parse(Append(nil, Release, 0x7f3a9c21e0b4d655, CauseParam(Congested), TextParam(Wait, "300"), TextParam(Note, "")))
 	if err != nil || m.Type() != Release || m.Call() != 0x7f3a9c21e0b4d655 || m.Cause() != 42 || m.Text(Wait) != "300" {
 		t.Errorf("%x: %v", []byte(m), err)
 	}
@@ -58,7 +58,7 @@
 	if _, there := m.Get(Class); there {
 		t.Error("a parameter is there that is not")
 	}
-	if got := Append(nil, Test, 1, Why(0)); !bytes.Equal(got, []byte{0, 13, 52, 0, 0, 0, 0, 0, 0, 0, 1, 43, 0, 1, 0}) {
+	if got := Append(nil, HealthCheck, 1, CauseParam(0)); !bytes.Equal(got, []byte{0, 13, 52, 0, 0, 0, 0, 0, 0, 0, 1, 43, 0, 1, 0}) {
 		t.Errorf("a test is % d", got)
 	}
 }
@@ -75,7 +75,7 @@
 		{"the longest length", []byte{0xff, 0xff}, ErrLong},
 		{"a parameter without length", append(Append(nil, 1, 1)[:1:1], 10, 1, 0, 0, 0, 0, 0, 0, 0, 1, 5), ErrForm},
 		{"a parameter beyond the end", append([]byte{0, 13}, 1, 0, 0, 0, 0, 0, 0, 0, 1, 5, 0, 9, 0), ErrForm},
-		{"one twice", Append(nil, 1, 1, Text(Class, "a"), Text(Class, "b")), ErrTwice},
+		{"one twice", Append(nil, 1, 1, TextParam(Class, "a"), TextParam(Class, "b")), ErrTwice},
 	} {
 		var r Reader
 		err := r.Feed(c.b, func(Message) bool { t.Errorf("%s: a message", c.what); return true })
@@ -96,7 +96,7 @@
 
 // The longest message passes; it is no more than 16 KiB behind its length.
 func TestLongest(t *testing.T) {
-	b := Append(nil, SetUp, 1, Param{Description, make([]byte, Most-9-3)})
+	b := Append(nil, Setup, 1, Param{Description, make([]byte, MaxLength-9-3)})
 	n := 0
 	var r Reader
 	if err := r.Feed(b, func(Message) bool { n++; return true }); err != nil || n != 1 {
@@ -106,7 +106,7 @@
 
 // Stopped in the middle of what came, the rest is not handed on.
 func TestStop(t *testing.T) {
-	b := append(Append(nil, Test, 1), Append(nil, Test, 2)...)
+	b := append(Append(nil, HealthCheck, 1), Append(nil, HealthCheck, 2)...)
 	n := 0
 	var r Reader
 	if err := r.Feed(b, func(Message) bool { n++; return false }); err != nil || n != 1 {
@@ -115,7 +115,7 @@
 }
 
 func FuzzReader(f *testing.F) {
-	f.Add(Append(nil, SetUp, 7, Text(Class, "voice"), Text(Description, "v=0")), byte(3))
+	f.Add(Append(nil, Setup, 7, TextParam(Class, "voice"), TextParam(Description, "v=0")), byte(3))
 	f.Add([]byte{0, 13, 1, 0, 0, 0, 0, 0, 0, 0, 1, 5, 0, 9, 0}, byte(1))
 	f.Fuzz(func(t *testing.T, b []byte, cut byte) {
 		whole, pieces := read(b, len(b)), read(b, int(cut)%17+1)
--- a/internal/protocol/callcontrol/control.go
+++ b/internal/protocol/callcontrol/control.go
@@ -19,141 +19,145 @@
 
 // Counts are what a gateway has seen since its start.
 type Counts struct {
-	Taken, Turned, Stood, Deferred, Abandoned, Left, Rings, Overdue, Barred uint64
-	Asked, Unrouted, Named                                                  uint64 // of numbers: look-ups, refused by the table; enquiries answered with a pool
+	Accepted, Shed, Answered, Rejected, Failed, HungUp, Attempts, Overdue, Blocked uint64
+	Lookups, Unrouted, EnquiriesAnswered                                           uint64 // of numbers: look-ups, refused by the table; enquiries answered with a pool
 }
 
 // Config is what the call control is told at start.
 type Config struct {
-	Set    *routing.Settings
-	Margin float64 // ms: final answers leave so long before the caller's patience ends
-	Gate   intake.Gate
-	Off    [6]bool // guards that are switched off, by rule: only to show that the checker sees what they prevent
+	Settings       *routing.Settings
+	AnswerMargin   float64 // ms: final answers leave so long before the caller's patience ends
+	LoadShedding   intake.Gate
+	DisabledGuards [6]bool // guards that are switched off, by rule: only to show that the checker sees what they prevent
 }
 
-// Control holds one gateway's contacts.
-type Control struct {
-	Counts Counts
-	Timers timerqueue.Queue
-	Mod    endpointset.Module
-	Pools  *endpointset.Pools[string]
-	Skills map[string]*routing.Skill
-	Payers map[string]*routing.Customer
-	Gate   intake.Gate // what is taken of a flood
-	Now    float64
-
-	cfg      *Config
-	waiting  []*Held // came since the last batch
-	held     int     // contacts without a final answer
-	standing int
-	closing  bool
-	looked   float64 // when the latest batch ended, 0: none yet
+// Controller holds one gateway's contacts.
+type Controller struct {
+	Counts      Counts
+	Timers      timerqueue.Queue
+	Router      endpointset.Policy
+	Endpoints   *endpointset.Set[string]
+	Classes     map[string]*routing.Class
+	Tenants     map[string]*routing.Tenant
+	LoadShedder intake.Gate // what is taken of a flood
+	Now         float64
+
+	config      *Config
+	arrived     []*Session // came since the last batch
+	pending     int        // contacts without a final answer
+	established int
+	stopped     bool
+	lastBatchAt float64 // when the latest batch ended, 0: none yet
 }
 
 // New makes a call control without a module.
-func New(cfg *Config) *Control {
-	c := &Control{cfg: cfg, Gate: cfg.Gate, Pools: endpointset.NewPools[string](), Skills: map[string]*routing.Skill{}, Payers: map[string]*routing.Customer{}}
-	for _, k := range cfg.Set.Skills {
-		c.Skills[k.Name] = k
+func New(cfg *Config) *Controller {
+	c := &Controller{config: cfg, LoadShedder: cfg.LoadShedding, Endpoints: endpointset.New[string](), Classes: map[string]*routing.Class{}, Tenants: map[string]*routing.Tenant{}}
+	for _, k := range cfg.Settings.Classes {
+		c.Classes[k.Name] = k
 	}
-	for _, p := range cfg.Set.Customers {
-		c.Payers[p.Name] = p
+	for _, p := range cfg.Settings.Tenants {
+		c.Tenants[p.Name] = p
 	}
 	return c
 }
 
-// beat is how often a gateway wants to be woken even if nothing is due, ms: so it knows when it stood still.
-const beat = 100.0
+// heartbeatInterval is how often a gateway wants to be woken even if nothing is due, ms: so it knows when it stood still.
+const heartbeatInterval = 100.0
 
-// Since is the earliest time at which what came in this batch may have come: a process that was stopped finds what came
+// EarliestArrival is the earliest time at which what came in this batch may have come: a process that was stopped finds what came
 // meanwhile at once, and a caller's patience ran all the time. It guards rule 1 against stalls of any cause. What comes
 // just at the end of a stall gets less time than its caller has.
-func (c *Control) Since() float64 {
-	if c.looked > 0 && c.Now-c.looked > 2*beat {
-		return c.looked
+func (c *Controller) EarliestArrival() float64 {
+	if c.lastBatchAt > 0 && c.Now-c.lastBatchAt > 2*heartbeatInterval {
+		return c.lastBatchAt
 	}
 	return c.Now
 }
 
-// Wait keeps a contact for the end of the batch.
-func (c *Control) Wait(k *Held) { c.waiting = append(c.waiting, k) }
+// Enqueue keeps a contact for the end of the batch.
+func (c *Controller) Enqueue(session *Session) { c.arrived = append(c.arrived, session) }
 
-// Batch ends a batch: timers that are due run, then what came is offered to the module.
-func (c *Control) Batch(now float64, due func()) {
+// ProcessBatch ends a batch: timers that are due run, then what came is offered to the module.
+func (c *Controller) ProcessBatch(now float64, onTimers func()) {
 	c.Now = now
-	defer func() { c.looked = now }()
+	defer func() { c.lastBatchAt = now }()
 	c.Timers.Run(now)
-	if due != nil {
-		due()
+	if onTimers != nil {
+		onTimers()
 	}
-	if len(c.waiting) == 0 {
+	if len(c.arrived) == 0 {
 		return
 	}
-	batch := c.waiting
-	c.waiting = nil
+	batch := c.arrived
+	c.arrived = nil
 	values := make([]float64, len(batch))
-	for i, k := range batch {
-		values[i] = k.Skill.Value
+	for i, session := range batch {
+		values[i] = session.Class.Weight
 	}
-	for i, ok := range c.Gate.Take(now, values, c.held) {
-		if k := batch[i]; !ok {
-			k.turn()
-		} else if !k.Over {
-			k.take()
+	for i, ok := range c.LoadShedder.Take(now, values, c.pending) {
+		if session := batch[i]; !ok {
+			session.shed()
+		} else if !session.Finished {
+			session.accept()
 		}
 	}
 }
 
-// Next is when Batch is wanted, on the clock that was handed in.
-func (c *Control) Next() float64 {
-	if len(c.waiting) > 0 {
+// NextWakeup is when Batch is wanted, on the clock that was handed in.
+func (c *Controller) NextWakeup() float64 {
+	if len(c.arrived) > 0 {
 		return c.Now
 	}
-	return math.Min(c.Timers.Next(), math.Max(c.looked, c.Now)+beat)
+	return math.Min(c.Timers.Next(), math.Max(c.lastBatchAt, c.Now)+heartbeatInterval)
 }
 
-// Close lets no new contact in; those held go on.
-func (c *Control) Close() { c.closing = true }
+// StopAdmitting lets no new contact in; those held go on.
+func (c *Controller) StopAdmitting() { c.stopped = true }
 
-// Held is how many contacts have no final answer yet, and how many stand.
-func (c *Control) Held() (waiting, standing int) { return c.held + len(c.waiting), c.standing }
+// InProgress is how many contacts have no final answer yet, and how many stand.
+func (c *Controller) InProgress() (pending, established int) {
+	return c.pending + len(c.arrived), c.established
+}
 
-// Standing counts calls that stand, or no longer.
-func (c *Control) Standing(more int) { c.standing += more }
+// AddEstablished counts calls that stand, or no longer.
+func (c *Controller) AddEstablished(more int) { c.established += more }
 
-// Ring implements contact.Host: rules 2, 3 and 5 are the module's to keep, and whatever it asks, nothing that breaks
+// StartAttempt implements contact.Host: rules 2, 3 and 5 are the module's to keep, and whatever it asks, nothing that breaks
 // one of them passes here. What is barred comes back as never sent.
-func (c *Control) Ring(of *routing.Contact, p *routing.Pool, limit float64) {
-	k := of.ID.(*Held)
-	off := &c.cfg.Off
-	barred := !off[1] && (k.Over || c.Now > of.Until) || !off[2] && k.IsOut() ||
-		!off[3] && p.State != routing.Ready || !off[5] && c.Now < k.clear
-	r := k.Call.Ring(p, c.Now)
-	c.Counts.Rings++
-	if barred {
-		c.Counts.Barred++
+func (c *Controller) StartAttempt(call *routing.Call, endpoint *routing.Endpoint, limit float64) {
+	session := call.HostData.(*Session)
+	off := &c.config.DisabledGuards
+	blocked := !off[1] && (session.Finished || c.Now > call.Deadline) || !off[2] && session.HasAttempt() ||
+		!off[3] && endpoint.State != routing.Ready || !off[5] && c.Now < session.holdOffUntil
+	attempt := session.Tracker.Begin(endpoint, c.Now)
+	c.Counts.Attempts++
+	if blocked {
+		c.Counts.Blocked++
 	}
-	if barred || !k.Dial(r, math.Min(limit, of.Until-c.Now)) {
-		c.Timers.Set(c.Now, func() { k.Ended(r, routing.Unsent, false) })
+	if blocked || !session.SendSetup(attempt, math.Min(limit, call.Deadline-c.Now)) {
+		c.Timers.Schedule(c.Now, func() { session.EndAttempt(attempt, routing.NotSent, false) })
 	}
 }
 
-// Defer implements contact.Host.
-func (c *Control) Defer(of *routing.Contact, wait float64) {
-	c.Counts.Deferred++
-	of.ID.(*Held).Defers(wait)
+// Reject implements contact.Host.
+func (c *Controller) Reject(call *routing.Call, retryAfter float64) {
+	c.Counts.Rejected++
+	call.HostData.(*Session).SendRejection(retryAfter)
 }
 
-// Abandon implements contact.Host.
-func (c *Control) Abandon(of *routing.Contact) {
-	c.Counts.Abandoned++
-	of.ID.(*Held).Abandons()
+// Fail implements contact.Host.
+func (c *Controller) Fail(call *routing.Call) {
+	c.Counts.Failed++
+	call.HostData.(*Session).SendFailure()
 }
 
-// Cancel implements contact.Host. The ring's end comes when it is over at the switch: until then it is out.
-func (c *Control) Cancel(r *routing.Ring) { r.Contact.ID.(*Held).CallOff(r) }
+// CancelAttempt implements contact.Host. The ring's end comes when it is over at the switch: until then it is out.
+func (c *Controller) CancelAttempt(attempt *routing.Attempt) {
+	attempt.Call.HostData.(*Session).SendCancel(attempt)
+}
 
-// Wake implements contact.Host.
-func (c *Control) Wake(at float64, of *routing.Contact) {
-	c.Timers.Set(at, func() { c.Mod.Woken(c.Now, of) })
+// ScheduleWakeup implements contact.Host.
+func (c *Controller) ScheduleWakeup(at float64, call *routing.Call) {
+	c.Timers.Schedule(at, func() { c.Router.OnWakeup(c.Now, call) })
 }
--- a/internal/protocol/callcontrol/held.go
+++ b/internal/protocol/callcontrol/held.go
@@ -6,134 +6,134 @@
 	"cobaltpier/internal/timerqueue"
 )
 
-// Party is whoever wants an answer for a contact, and the way its rings go out.
-type Party interface {
-	// Abandons sends the final answer "failed".
-	Abandons()
-	// Defers sends the module's "refused": come back, after wait ms if that is above 0.
-	Defers(wait float64)
-	// Turned sends the answer of the intake, which keeps no state.
-	Turned()
-	// Begin says that the intake has taken the contact; false: Prepare comes first, and offers it.
-	Begin() bool
+// SignalingLeg is whoever wants an answer for a contact, and the way its rings go out.
+type SignalingLeg interface {
+	// SendFailure sends the final answer "failed".
+	SendFailure()
+	// SendRejection sends the module's "refused": come back, after wait ms if that is above 0.
+	SendRejection(wait float64)
+	// SendShed sends the answer of the intake, which keeps no state.
+	SendShed()
+	// OnAccepted says that the intake has taken the contact; false: Prepare comes first, and offers it.
+	OnAccepted() bool
 	// Prepare does what a contact that was not ready needs before the module gets it.
 	Prepare()
-	// IsOut tells whether a ring of the contact is out.
-	IsOut() bool
-	// Dial sends a ring; false: it can't be sent.
-	Dial(r *routing.Ring, limit float64) bool
-	// CallOff calls a ring off.
-	CallOff(r *routing.Ring)
-	// Trying tells that the contact is looked at.
-	Trying()
+	// HasAttempt tells whether a ring of the contact is out.
+	HasAttempt() bool
+	// SendSetup sends a ring; false: it can't be sent.
+	SendSetup(r *routing.Attempt, limit float64) bool
+	// SendCancel calls a ring off.
+	SendCancel(r *routing.Attempt)
+	// SendTrying tells that the contact is looked at.
+	SendTrying()
 }
 
-// Held is a contact as a gateway holds it till its final answer, whoever asked. Its contact's ID is the Held.
-type Held struct {
-	endpointset.Call
-	Party
-	Taken   bool    // by the intake
-	Offered bool    // the module has it
-	From    float64 // its patience counts from here
-	Expires float64 // what the caller said of its patience, 0: nothing
+// Session is a contact as a gateway holds it till its final answer, whoever asked. Its contact's ID is the Held.
+type Session struct {
+	endpointset.Tracker
+	SignalingLeg
+	Accepted         bool    // by the intake
+	WithRouter       bool    // the module has it
+	TimeoutStart     float64 // its patience counts from here
+	RequestedTimeout float64 // what the caller said of its patience, 0: nothing
 
-	control *Control
-	overdue *timerqueue.Timer
-	clear   float64 // rule 5: no send before this
+	controller    *Controller
+	deadlineTimer *timerqueue.Timer
+	holdOffUntil  float64 // rule 5: no send before this
 }
 
-// Hold makes a contact of this gateway.
-func (c *Control) Hold(of *routing.Contact, expires float64) *Held {
-	k := &Held{Call: endpointset.Call{Contact: of}, control: c, From: c.Since(), Expires: expires}
-	of.ID = k
-	return k
+// NewSession makes a contact of this gateway.
+func (c *Controller) NewSession(call *routing.Call, requestedTimeout float64) *Session {
+	session := &Session{Tracker: endpointset.Tracker{Call: call}, controller: c, TimeoutStart: c.EarliestArrival(), RequestedTimeout: requestedTimeout}
+	call.HostData = session
+	return session
 }
 
-// Patience is how long the caller of a contact of its skill waits, no longer than it says itself.
-func (k *Held) Patience() {
-	p := k.Skill.Patience
-	if k.Expires > 0 {
-		p = min(p, k.Expires)
+// SetDeadline is how long the caller of a contact of its skill waits, no longer than it says itself.
+func (session *Session) SetDeadline() {
+	p := session.Class.Timeout
+	if session.RequestedTimeout > 0 {
+		p = min(p, session.RequestedTimeout)
 	}
-	k.Until = k.From + p - k.control.cfg.Margin
+	session.Deadline = session.TimeoutStart + p - session.controller.config.AnswerMargin
 }
 
-// turn refuses what the intake does not take.
-func (k *Held) turn() {
-	if k.Over {
+// shed refuses what the intake does not take.
+func (session *Session) shed() {
+	if session.Finished {
 		return
 	}
-	k.control.Counts.Turned++
-	k.Over = true
-	k.Turned()
+	session.controller.Counts.Shed++
+	session.Finished = true
+	session.SendShed()
 }
 
-// take hands a contact that the intake has let in to the module, or lets its door prepare it first.
-func (k *Held) take() {
-	c := k.control
-	c.Counts.Taken++
-	c.held++
-	k.Taken = true
-	ready := k.Begin()
-	if c.closing {
-		c.Counts.Deferred++
-		k.Defers(0)
+// accept hands a contact that the intake has let in to the module, or lets its door prepare it first.
+func (session *Session) accept() {
+	c := session.controller
+	c.Counts.Accepted++
+	c.pending++
+	session.Accepted = true
+	ready := session.OnAccepted()
+	if c.stopped {
+		c.Counts.Rejected++
+		session.SendRejection(0)
 		return
 	}
 	if ready {
-		k.Offer()
+		session.PassToRouter()
 	}
-	if !k.Over && !k.Stands {
-		k.watch()
+	if !session.Finished && !session.Established {
+		session.armDeadline()
 	}
 	if !ready {
-		k.Prepare()
+		session.Prepare()
 	}
 }
 
-// Offer hands a contact whose route is known to the module.
-func (k *Held) Offer() {
-	k.Offered = true
-	k.control.Mod.Offered(k.control.Now, k.Contact)
+// PassToRouter hands a contact whose route is known to the module.
+func (session *Session) PassToRouter() {
+	session.WithRouter = true
+	session.controller.Router.OnCall(session.controller.Now, session.Call)
 }
 
-// watch sees to it that the caller hears something soon, and has its answer whatever happens.
-func (k *Held) watch() {
-	c := k.control
-	k.overdue = c.Timers.Set(c.Now+trying, func() {
-		k.Trying()
+// armDeadline sees to it that the caller hears something soon, and has its answer whatever happens.
+func (session *Session) armDeadline() {
+	c := session.controller
+	session.deadlineTimer = c.Timers.Schedule(c.Now+tryingDelay, func() {
+		session.SendTrying()
 		// Rule 1 holds whatever the module does: a contact that is forgotten is answered here.
-		k.overdue = c.Timers.Set(k.Until+c.cfg.Set.Slack/2, func() {
+		session.deadlineTimer = c.Timers.Schedule(session.Deadline+c.config.Settings.AnswerGrace/2, func() {
 			c.Counts.Overdue++
-			c.Abandon(k.Contact)
+			c.Fail(session.Call)
 		})
 	})
 }
 
-// trying is when a caller that heard nothing is told that its call is looked at: 200 ms at most (RFC 3261 8.2.6.1), ms.
-const trying = 150
+// tryingDelay is when a caller that heard nothing is told that its call is looked at: 200 ms at most (RFC 3261 8.2.6.1), ms.
+const tryingDelay = 150
 
-// Settle notes a final answer, the one place that does so for a contact that was taken; over: it does not stand. False:
+// Finish notes a final answer, the one place that does so for a contact that was taken; over: it does not stand. False:
 // it has one already, and this one must not leave.
-func (k *Held) Settle(over bool) bool {
-	if k.Over || k.Stands {
+func (session *Session) Finish(finished bool) bool {
+	if session.Finished || session.Established {
 		return false
 	}
-	k.control.held--
-	k.control.Timers.Stop(k.overdue)
-	k.Over = over
+	session.controller.pending--
+	session.controller.Timers.Cancel(session.deadlineTimer)
+	session.Finished = finished
 	return true
 }
 
-// Ended notes a ring's end and tells the module.
-func (k *Held) Ended(r *routing.Ring, how routing.End, closed bool) {
-	c := k.control
-	if k.Call.Rings[r.ID.(int)] == nil {
+// EndAttempt notes a ring's end and tells the module.
+func (session *Session) EndAttempt(attempt *routing.Attempt, outcome routing.Outcome, answered bool) {
+	c := session.controller
+	if session.Tracker.Log[attempt.HostData.(int)] == nil {
 		return
 	}
-	if how == routing.TimedOut || how == routing.Reset || how == routing.Cancelled {
-		k.clear = c.Now + c.cfg.Set.ClearWait
+	if outcome == routing.TimedOut || outcome == routing.Reset || outcome == routing.Canceled {
+		session.holdOffUntil = c.Now + c.config.Settings.RetryHoldOff
 	}
-	k.End(r, how, c.Now-r.Sent, closed || k.Over)
-	c.Mod.Ended(c.Now, r, k.Over)
+	session.RecordOutcome(attempt, outcome, c.Now-attempt.SentAt, answered || session.Finished)
+	c.Router.OnAttemptEnd(c.Now, attempt, session.Finished)
 }
--- a/internal/protocol/dnsclient/resolve.go
+++ b/internal/protocol/dnsclient/resolve.go
@@ -212,17 +212,17 @@
 	}
 	a := &asker{done: done}
 	f.askers = append(f.askers, a)
-	a.limit = c.timers.Set(now+within, func() {
+	a.limit = c.timers.Schedule(now+within, func() {
 		c.Counts.Late++
 		c.tell(a, c.cache.stale(c.now, name))
 	})
 	if stale != nil && c.cfg.StaleAfter < within {
-		a.early = c.timers.Set(now+c.cfg.StaleAfter, func() { c.tell(a, c.cache.stale(c.now, name)) })
+		a.early = c.timers.Schedule(now+c.cfg.StaleAfter, func() { c.tell(a, c.cache.stale(c.now, name)) })
 	}
 	return func() {
 		a.over = true
-		c.timers.Stop(a.limit)
-		c.timers.Stop(a.early)
+		c.timers.Cancel(a.limit)
+		c.timers.Cancel(a.early)
 	}
 }
 
@@ -251,8 +251,8 @@
 		return
 	}
 	a.over = true
-	c.timers.Stop(a.limit)
-	c.timers.Stop(a.early)
+	c.timers.Cancel(a.limit)
+	c.timers.Cancel(a.early)
 	c.give(c.now, stale, a.done)
 }
 
@@ -285,7 +285,7 @@
 	f.out = append(f.out, s)
 	c.Counts.Sent++
 	c.out.Query(s.key.port, s.key.from, data)
-	s.timer = c.timers.Set(c.now+wait, func() {
+	s.timer = c.timers.Schedule(c.now+wait, func() {
 		c.health.Missed(i, c.now, s.at)
 		c.again(f)
 	})
@@ -308,7 +308,7 @@
 	c.streams[s.token] = s
 	f.out = append(f.out, s)
 	c.Counts.Streams++
-	s.timer = c.timers.Set(c.now+byTCP, func() { c.Streamed(c.now, s.token, nil) }) // whatever the driver does
+	s.timer = c.timers.Schedule(c.now+byTCP, func() { c.Streamed(c.now, s.token, nil) }) // whatever the driver does
 	c.out.Stream(s.token, s.key.from, data, byTCP)
 }
 
@@ -347,7 +347,7 @@
 	}
 	if !f.last { // all is sent; answers may only be slow, and whoever asked has its own limit
 		f.last = true
-		c.timers.Set(c.now+lastWait, func() { c.again(f) })
+		c.timers.Schedule(c.now+lastWait, func() { c.again(f) })
 		return
 	}
 	c.cache.fail(c.now, f.name)
@@ -366,7 +366,7 @@
 	f.settled = true
 	delete(c.flights, f.key)
 	for _, s := range f.out {
-		c.timers.Stop(s.timer)
+		c.timers.Cancel(s.timer)
 		delete(c.tries, s.key)
 		delete(c.streams, s.token)
 	}
@@ -375,8 +375,8 @@
 			continue
 		}
 		a.over = true
-		c.timers.Stop(a.limit)
-		c.timers.Stop(a.early)
+		c.timers.Cancel(a.limit)
+		c.timers.Cancel(a.early)
 		a.done(c.now, say(a))
 	}
 }
@@ -395,7 +395,7 @@
 		return
 	}
 	c.strays[s.server] = 0
-	c.timers.Stop(s.timer)
+	c.timers.Cancel(s.timer)
 	delete(c.tries, s.key)
 	c.health.Answered(s.server, now, now-s.at)
 	if m.Truncated { // RFC 2181 9: what came is not used
@@ -426,7 +426,7 @@
 		return
 	}
 	delete(c.streams, token)
-	c.timers.Stop(s.timer)
+	c.timers.Cancel(s.timer)
 	m := new(dns.Msg)
 	if data == nil || m.Unpack(data) != nil || m.Id != s.key.id || !matches(m, s.name) {
 		c.health.Missed(s.server, now, s.at)
--- a/internal/protocol/dnsclient/resolve_test.go
+++ b/internal/protocol/dnsclient/resolve_test.go
@@ -57,7 +57,7 @@
 	r.ids[uint16(data[0])<<8|uint16(data[1])] = true
 	r.ports[port]++
 	for _, x := range r.servers[i].Datagram(data) {
-		r.events.Set(r.now+x.After, func() { r.c.Receive(r.now, port, to, x.Data) })
+		r.events.Schedule(r.now+x.After, func() { r.c.Receive(r.now, port, to, x.Data) })
 	}
 }
 
@@ -67,7 +67,7 @@
 	if len(xs) == 0 {
 		return // the client's own bound must do
 	}
-	r.events.Set(r.now+xs[0].After, func() { r.c.Streamed(r.now, token, xs[0].Data) })
+	r.events.Schedule(r.now+xs[0].After, func() { r.c.Streamed(r.now, token, xs[0].Data) })
 }
 
 func (r *rig) run(until float64) {
@@ -682,7 +682,7 @@
 		var qs []q
 		for i := range rapid.IntRange(10, 120).Draw(rt, "steps") {
 			if rapid.IntRange(0, 4).Draw(rt, "trouble") == 0 {
-				u := func(k uint64) float64 { return detrand.Of(uint64(i), k, r.c.cfg.Seed) }
+				u := func(k uint64) float64 { return detrand.Float64(uint64(i), k, r.c.cfg.Seed) }
 				r.servers[int(3*u(0))].Faults = dnsserver.Faults{Silent: u(1) < 0.2, Delay: 300 * u(2), Jitter: 300 * u(3), Loss: u(4) * u(4),
 					WrongID: u(5) * u(5), Spoof: u(6) * u(6), Guesses: int(30 * u(7)), Cut: u(8) * u(8), NoStream: u(9) < 0.3,
 					Lame: u(10) < 0.1, Refer: u(11) < 0.1, ServFail: u(12) < 0.1, Poison: u(13) < 0.5}
--- a/internal/protocol/dnsdiscovery/roster.go
+++ b/internal/protocol/dnsdiscovery/roster.go
@@ -21,33 +21,33 @@
 	"cobaltpier/internal/routing"
 )
 
-// name is what the list is asked for by.
-const name = "_data._tcp.farm.lan."
+// queryName is what the list is asked for by.
+const queryName = "_data._tcp.farm.lan."
 
 const (
-	every  = 200.0 // ms between two questions: a change counts as told 1.5 s after it happened at the latest
-	recent = 16    // questions that may still be answered
-	most   = 8192  // bytes of an answer
+	queryInterval  = 200.0 // ms between two questions: a change counts as told 1.5 s after it happened at the latest
+	maxOutstanding = 16    // questions that may still be answered
+	maxAnswerSize  = 8192  // bytes of an answer
 )
 
 // Target is one core switch.
 type Target struct {
-	ID      string
-	Addr    netip.AddrPort
-	Cell    int
-	State   routing.State
-	Started float64 // Unix ms of a late start, 0: long ago
+	ID            string
+	Addr          netip.AddrPort
+	DestinationID int
+	State         routing.State
+	StartedAt     float64 // Unix ms of a late start, 0: long ago
 }
 
 // List is a list or a change of it, by its number.
 type List struct {
-	No      uint32
-	Whole   bool
-	Targets []Target
+	Serial   uint32
+	Complete bool
+	Targets  []Target
 }
 
-// Event reads an event of the configuration.
-func Event(raw []byte) (List, error) {
+// ParseEvent reads an event of the configuration.
+func ParseEvent(raw []byte) (List, error) {
 	var w struct {
 		No     uint32
 		Roster struct {
@@ -64,7 +64,7 @@
 	if err := json.Unmarshal(raw, &w); err != nil {
 		return List{}, err
 	}
-	l := List{No: w.No, Whole: w.Roster.All}
+	l := List{Serial: w.No, Complete: w.Roster.All}
 	states := map[string]routing.State{"ready": routing.Ready, "draining": routing.Draining, "gone": routing.Gone}
 	for _, t := range w.Roster.Targets {
 		s, ok := states[t.State]
@@ -75,110 +75,110 @@
 		if err != nil && s != routing.Gone {
 			return List{}, fmt.Errorf("target %q: endpoint: want an address, got %q", t.UID, t.Endpoint)
 		}
-		l.Targets = append(l.Targets, Target{ID: t.UID, Addr: a, Cell: t.PodGroup, State: s, Started: t.BootMS})
+		l.Targets = append(l.Targets, Target{ID: t.UID, Addr: a, DestinationID: t.PodGroup, State: s, StartedAt: t.BootMS})
 	}
 	return l, nil
 }
 
-// Roster is the list as one gateway follows it.
-type Roster struct {
-	Server netip.AddrPort
-	Counts struct{ Asked, Heard, Strays, Bad, Old uint64 }
-	no     uint32
-	seed   uint64
-	draws  uint64
-	ids    []uint16 // of the latest questions
-	next   float64
+// Client is the list as one gateway follows it.
+type Client struct {
+	Server      netip.AddrPort
+	Queries     struct{ Asked, Heard, Strays, Bad, Old uint64 }
+	serial      uint32
+	seed        uint64
+	draws       uint64
+	outstanding []uint16 // of the latest questions
+	nextQueryAt float64
 }
 
 // New follows a server; no is the number of the last event that is had.
-func New(server netip.AddrPort, no uint32, seed uint64) *Roster {
-	return &Roster{Server: server, no: no, seed: seed}
+func New(server netip.AddrPort, no uint32, seed uint64) *Client {
+	return &Client{Server: server, serial: no, seed: seed}
 }
 
-// Turn follows another server: answers of the old one do not count any more, numbers go on, and it is asked at once.
-func (r *Roster) Turn(server netip.AddrPort) {
-	r.Server, r.ids, r.next = server, nil, 0
+// SetServer follows another server: answers of the old one do not count any more, numbers go on, and it is asked at once.
+func (c *Client) SetServer(server netip.AddrPort) {
+	c.Server, c.outstanding, c.nextQueryAt = server, nil, 0
 }
 
-// Next is when Ask is wanted.
-func (r *Roster) Next() float64 { return r.next }
+// NextQuery is when Ask is wanted.
+func (c *Client) NextQuery() float64 { return c.nextQueryAt }
 
-// Ask makes the next question, nil where none is due.
-func (r *Roster) Ask(now float64) []byte {
-	if now < r.next {
+// Query makes the next question, nil where none is due.
+func (c *Client) Query(now float64) []byte {
+	if now < c.nextQueryAt {
 		return nil
 	}
-	r.next = now + every
-	r.draws++
-	id := uint16(detrand.Of(r.seed, r.draws) * (1 << 16))
+	c.nextQueryAt = now + queryInterval
+	c.draws++
+	id := uint16(detrand.Float64(c.seed, c.draws) * (1 << 16))
 	q := &dns.Msg{}
 	q.Id = id
-	q.Question = []dns.Question{{Name: name, Qtype: dns.TypeSRV, Qclass: dns.ClassINET}}
+	q.Question = []dns.Question{{Name: queryName, Qtype: dns.TypeSRV, Qclass: dns.ClassINET}}
 	b, err := q.Pack()
 	if err != nil {
 		return nil // can't be: nothing in it varies but the id
 	}
-	if r.ids = append(r.ids, id); len(r.ids) > recent {
-		r.ids = r.ids[1:]
+	if c.outstanding = append(c.outstanding, id); len(c.outstanding) > maxOutstanding {
+		c.outstanding = c.outstanding[1:]
 	}
-	r.Counts.Asked++
+	c.Queries.Asked++
 	return b
 }
 
 // What is wrong with answers that do not count.
 var (
-	ErrStray = errors.New("not an answer to a question of ours")
-	ErrOld   = errors.New("an older list")
+	ErrUnsolicited = errors.New("not an answer to a question of ours")
+	ErrOutdated    = errors.New("an older list")
 )
 
-// Take takes a datagram. The list is nil where it says nothing new.
-func (r *Roster) Take(from netip.AddrPort, b []byte) (*List, error) {
-	l, err := r.read(from, b)
+// HandleResponse takes a datagram. The list is nil where it says nothing new.
+func (c *Client) HandleResponse(from netip.AddrPort, b []byte) (*List, error) {
+	list, err := c.parseResponse(from, b)
 	switch {
-	case errors.Is(err, ErrStray):
-		r.Counts.Strays++
-	case errors.Is(err, ErrOld):
-		r.Counts.Old++
+	case errors.Is(err, ErrUnsolicited):
+		c.Queries.Strays++
+	case errors.Is(err, ErrOutdated):
+		c.Queries.Old++
 	case err != nil:
-		r.Counts.Bad++
+		c.Queries.Bad++
 	default:
-		r.Counts.Heard++
-		if l != nil {
-			r.no = l.No
+		c.Queries.Heard++
+		if list != nil {
+			c.serial = list.Serial
 		}
 	}
-	return l, err
+	return list, err
 }
 
-func (r *Roster) read(from netip.AddrPort, b []byte) (*List, error) {
-	if from != r.Server || len(b) > most {
-		return nil, ErrStray
+func (c *Client) parseResponse(from netip.AddrPort, b []byte) (*List, error) {
+	if from != c.Server || len(b) > maxAnswerSize {
+		return nil, ErrUnsolicited
 	}
 	m := &dns.Msg{}
 	if err := m.Unpack(b); err != nil {
 		return nil, fmt.Errorf("answer: %w", err)
 	}
-	if !m.Response || !slices.Contains(r.ids, m.Id) || len(m.Question) != 1 ||
-		!strings.EqualFold(m.Question[0].Name, name) || m.Question[0].Qtype != dns.TypeSRV {
-		return nil, ErrStray
+	if !m.Response || !slices.Contains(c.outstanding, m.Id) || len(m.Question) != 1 ||
+		!strings.EqualFold(m.Question[0].Name, queryName) || m.Question[0].Qtype != dns.TypeSRV {
+		return nil, ErrUnsolicited
 	}
 	if m.Truncated || m.Rcode != dns.RcodeSuccess {
 		return nil, fmt.Errorf("answer: truncated %v, code %d", m.Truncated, m.Rcode)
 	}
-	l := &List{Whole: true}
+	list := &List{Complete: true}
 	numbered := false
 	for _, rr := range m.Ns {
 		if s, ok := rr.(*dns.SOA); ok {
-			l.No, numbered = s.Serial, true
+			list.Serial, numbered = s.Serial, true
 		}
 	}
 	switch {
 	case !numbered:
 		return nil, errors.New("answer: no SOA record")
-	case l.No < r.no:
-		return nil, ErrOld
-	case l.No == r.no:
+	case list.Serial < c.serial:
+		return nil, ErrOutdated
+	case list.Serial == c.serial:
 		return nil, nil
 	}
 	addrs, texts := map[string]netip.Addr{}, map[string][]string{}
@@ -193,7 +193,7 @@
 	}
 	for _, rr := range m.Answer {
 		s, ok := rr.(*dns.SRV)
-		if !ok || !strings.EqualFold(s.Hdr.Name, name) {
+		if !ok || !strings.EqualFold(s.Hdr.Name, queryName) {
 			continue
 		}
 		host := strings.ToLower(s.Target)
@@ -203,7 +203,7 @@
 		if !ok || !ok2 || id == "" {
 			return nil, fmt.Errorf("answer: %s: no address or text", host)
 		}
-		x := Target{ID: id, Addr: netip.AddrPortFrom(a, s.Port), State: routing.Ready, Cell: -1}
+		x := Target{ID: id, Addr: netip.AddrPortFrom(a, s.Port), State: routing.Ready, DestinationID: -1}
 		if s.Priority != 0 {
 			x.State = routing.Draining
 		}
@@ -212,15 +212,15 @@
 			var err error
 			switch k {
 			case "cell":
-				x.Cell, err = strconv.Atoi(v)
+				x.DestinationID, err = strconv.Atoi(v)
 			case "started":
-				x.Started, err = strconv.ParseFloat(v, 64)
+				x.StartedAt, err = strconv.ParseFloat(v, 64)
 			}
 			if err != nil {
 				return nil, fmt.Errorf("answer: %s: %q", host, kv)
 			}
 		}
-		l.Targets = append(l.Targets, x)
+		list.Targets = append(list.Targets, x)
 	}
-	return l, nil
+	return list, nil
 }
--- a/internal/protocol/dnsdiscovery/roster_test.go
+++ b/internal/protocol/dnsdiscovery/roster_test.go
@@ -28,7 +28,7 @@
 		return dns.RR_Header{Name: name, Rrtype: kind, Class: dns.ClassINET}
 	}
 	for i, host := range []string{"s-00c41f7a.east.hosts.", "s-00c41f7b.west.hosts."} {
-		m.Answer = append(m.Answer, &dns.SRV{Hdr: head(name, dns.TypeSRV), Priority: uint16(i), Weight: 40, Port: 5070, Target: host})
+		m.Answer = append(m.Answer, &dns.SRV{Hdr: head(queryName, dns.TypeSRV), Priority: uint16(i), Weight: 40, Port: 5070, Target: host})
 		m.Extra = append(m.Extra, &dns.A{Hdr: head(host, dns.TypeA), A: net.IPv4(127, 0, 1, byte(9+i))},
 			&dns.TXT{Hdr: head(host, dns.TypeTXT), Txt: []string{"kind=std", "cell=2", "started=1700000000000"}})
 	}
@@ -44,30 +44,30 @@
 }
 
 func TestList(t *testing.T) {
-	r := New(server, 4, 1)
-	l, err := r.Take(server, answer(t, r.Ask(0), 5, nil))
-	if err != nil || l == nil || l.No != 5 || !l.Whole || len(l.Targets) != 2 {
-		t.Fatalf("%+v %v", l, err)
+	c := New(server, 4, 1)
+	list, err := c.HandleResponse(server, answer(t, c.Query(0), 5, nil))
+	if err != nil || list == nil || list.Serial != 5 || !list.Complete || len(list.Targets) != 2 {
+		t.Fatalf("%+v %v", list, err)
 	}
-	a, b := l.Targets[0], l.Targets[1]
-	if a.ID != "s-00c41f7a" || a.Addr.String() != "127.0.1.9:5070" || a.State != routing.Ready || a.Cell != 2 || a.Started != 1700000000000 {
+	a, b := list.Targets[0], list.Targets[1]
+	if a.ID != "s-00c41f7a" || a.Addr.String() != "127.0.1.9:5070" || a.State != routing.Ready || a.DestinationID != 2 || a.StartedAt != 1700000000000 {
 		t.Errorf("%+v", a)
 	}
 	if b.State != routing.Draining {
 		t.Errorf("%+v", b)
 	}
-	if l, err = r.Take(server, answer(t, r.Ask(300), 5, nil)); l != nil || err != nil {
-		t.Errorf("the same list again: %v %v", l, err)
+	if list, err = c.HandleResponse(server, answer(t, c.Query(300), 5, nil)); list != nil || err != nil {
+		t.Errorf("the same list again: %v %v", list, err)
 	}
 }
 
 // What is no good answer changes nothing, and the next good one counts.
 func TestBadAnswers(t *testing.T) {
-	r := New(server, 4, 1)
+	c := New(server, 4, 1)
 	now := 0.0
 	ask := func() []byte {
-		now += every
-		return r.Ask(now)
+		now += queryInterval
+		return c.Query(now)
 	}
 	cut := answer(t, ask(), 5, nil)
 	for what, b := range map[string][]byte{
@@ -83,75 +83,75 @@
 		"nothing":      {},
 		"another name": answer(t, ask(), 5, func(m *dns.Msg) { m.Question[0].Name = "other." }),
 	} {
-		if l, err := r.Take(server, b); l != nil || err == nil {
-			t.Errorf("%s: %v %v", what, l, err)
+		if list, err := c.HandleResponse(server, b); list != nil || err == nil {
+			t.Errorf("%s: %v %v", what, list, err)
 		}
 	}
 	good := answer(t, ask(), 5, nil)
-	if _, err := r.Take(netip.MustParseAddrPort("127.0.2.9:5353"), good); !errors.Is(err, ErrStray) {
+	if _, err := c.HandleResponse(netip.MustParseAddrPort("127.0.2.9:5353"), good); !errors.Is(err, ErrUnsolicited) {
 		t.Errorf("from elsewhere: %v", err)
 	}
-	if l, err := r.Take(server, good); l == nil || err != nil {
-		t.Errorf("good: %v %v", l, err)
+	if list, err := c.HandleResponse(server, good); list == nil || err != nil {
+		t.Errorf("good: %v %v", list, err)
 	}
 }
 
 // An answer that is late, to a question before the latest, counts; one of long ago does not.
 func TestLate(t *testing.T) {
-	r := New(server, 4, 1)
-	old := r.Ask(0)
-	late := r.Ask(every)
-	for i := range recent - 1 {
-		if r.Ask(every*float64(2+i)) == nil {
+	c := New(server, 4, 1)
+	old := c.Query(0)
+	late := c.Query(queryInterval)
+	for i := range maxOutstanding - 1 {
+		if c.Query(queryInterval*float64(2+i)) == nil {
 			t.Fatal("no question is due")
 		}
 	}
-	if l, _ := r.Take(server, answer(t, old, 5, nil)); l != nil {
+	if list, _ := c.HandleResponse(server, answer(t, old, 5, nil)); list != nil {
 		t.Error("an answer of long ago counts")
 	}
-	if l, err := r.Take(server, answer(t, late, 5, nil)); l == nil {
+	if list, err := c.HandleResponse(server, answer(t, late, 5, nil)); list == nil {
 		t.Errorf("late: %v", err)
 	}
-	if r.Ask(r.Next()-1) != nil {
+	if c.Query(c.NextQuery()-1) != nil {
 		t.Error("a question before it is due")
 	}
 }
 
 // Another name server is asked at once; what the old one still says does not count, and the numbers go on.
 func TestTurn(t *testing.T) {
-	r := New(server, 4, 1)
-	q := r.Ask(0)
+	c := New(server, 4, 1)
+	q := c.Query(0)
 	other := netip.MustParseAddrPort("127.0.2.2:5353")
-	r.Turn(other)
-	if l, _ := r.Take(server, answer(t, q, 9, nil)); l != nil {
+	c.SetServer(other)
+	if list, _ := c.HandleResponse(server, answer(t, q, 9, nil)); list != nil {
 		t.Error("the old server counts")
 	}
-	if l, _ := r.Take(other, answer(t, q, 9, nil)); l != nil {
+	if list, _ := c.HandleResponse(other, answer(t, q, 9, nil)); list != nil {
 		t.Error("a question to the old server counts at the new one")
 	}
-	q = r.Ask(1)
+	q = c.Query(1)
 	if q == nil {
 		t.Fatal("the new server is not asked at once")
 	}
-	if l, err := r.Take(other, answer(t, q, 3, nil)); l != nil || !errors.Is(err, ErrOld) {
-		t.Errorf("an older list: %v %v", l, err)
+	if list, err := c.HandleResponse(other, answer(t, q, 3, nil)); list != nil || !errors.Is(err, ErrOutdated) {
+		t.Errorf("an older list: %v %v", list, err)
 	}
-	if l, err := r.Take(other, answer(t, q, 5, nil)); l == nil {
+	if list, err := c.HandleResponse(other, answer(t, q, 5, nil)); list == nil {
 		t.Errorf("the new list: %v", err)
 	}
 }
 
 func FuzzAnswer(f *testing.F) {
-	r := New(server, 0, 1)
+	c := New(server, 0, 1)
 	m := &dns.Msg{}
-	m.Unpack(r.Ask(0))
+	m.Unpack(c.Query(0))
 	m.Response = true
 	b, _ := m.Pack()
 	f.Add(b)
 	f.Fuzz(func(t *testing.T, b []byte) {
-		r := New(server, 0, 1)
-		r.Ask(0)
-		if l, err := r.Take(server, b); l != nil && err != nil {
+		c := New(server, 0, 1)
+		c.Query(0)
+		if list, err := c.HandleResponse(server, b); list != nil && err != nil {
 			t.Error("a list and a fault")
 		}
 	})
--- a/internal/protocol/siptransaction/client.go
+++ b/internal/protocol/siptransaction/client.go
@@ -39,8 +39,8 @@
 		gap: l.Times.T1, heard: heard}
 	l.clients[c.key] = c
 	l.out(to, c.data)
-	c.timer = l.Timers.Set(l.Now+c.gap, c.again)       // timers A and E
-	c.end = l.Timers.Set(l.Now+64*l.Times.T1, func() { // timers B and F
+	c.timer = l.Timers.Schedule(l.Now+c.gap, c.again)       // timers A and E
+	c.end = l.Timers.Schedule(l.Now+64*l.Times.T1, func() { // timers B and F
 		c.forget()
 		if c.final == 0 {
 			heard(nil)
@@ -68,7 +68,7 @@
 // Quiet ends the repeats of a request that must not reach its receiver any more.
 func (c *Client) Quiet() {
 	c.quiet = true
-	c.layer.Timers.Stop(c.timer)
+	c.layer.Timers.Cancel(c.timer)
 }
 
 // Cancel sends a CANCEL (RFC 3261 9.1) where that is allowed: a provisional answer came, no final one. It tells
@@ -94,10 +94,10 @@
 	l.clients[k.key] = k
 	l.out(k.to, k.data)
 	k.due = l.Now + k.gap
-	k.timer = l.Timers.Set(k.due, k.again)
-	k.end = l.Timers.Set(l.Now+64*l.Times.T1, k.forget)
-	l.Timers.Stop(c.end) // RFC 3261 9.1: 64 T1 after the CANCEL nothing more will come
-	c.end = l.Timers.Set(l.Now+64*l.Times.T1, func() {
+	k.timer = l.Timers.Schedule(k.due, k.again)
+	k.end = l.Timers.Schedule(l.Now+64*l.Times.T1, k.forget)
+	l.Timers.Cancel(c.end) // RFC 3261 9.1: 64 T1 after the CANCEL nothing more will come
+	c.end = l.Timers.Schedule(l.Now+64*l.Times.T1, func() {
 		c.forget()
 		if c.final == 0 {
 			c.heard(nil)
@@ -113,7 +113,7 @@
 	}
 	if l.Now-c.due > l.Times.T1/2 { // this process stood still: what else is overdue comes first, and may end this
 		c.due = l.Now + 1
-		c.timer = l.Timers.Set(c.due, c.again)
+		c.timer = l.Timers.Schedule(c.due, c.again)
 		return
 	}
 	l.out(c.to, c.data)
@@ -122,7 +122,7 @@
 		c.gap = min(c.gap, l.Times.T2)
 	}
 	c.due = l.Now + c.gap
-	c.timer = l.Timers.Set(c.due, c.again)
+	c.timer = l.Timers.Schedule(c.due, c.again)
 }
 
 func (c *Client) answered(res *sip.Response) {
@@ -133,7 +133,7 @@
 		if c.final == 0 {
 			c.first = true
 			if invite {
-				l.Timers.Stop(c.timer)
+				l.Timers.Cancel(c.timer)
 			}
 			c.heard(res)
 		}
@@ -148,15 +148,15 @@
 		return
 	}
 	c.final = code
-	l.Timers.Stop(c.timer)
-	l.Timers.Stop(c.end)
+	l.Timers.Cancel(c.timer)
+	l.Timers.Cancel(c.end)
 	switch {
 	case invite && code < 300:
-		c.end = l.Timers.Set(l.Now+64*l.Times.T1, c.forget) // timer M
+		c.end = l.Timers.Schedule(l.Now+64*l.Times.T1, c.forget) // timer M
 	case invite:
 		c.ack = c.ackOf(res)
 		l.out(c.to, c.ack)
-		c.end = l.Timers.Set(l.Now+max(32000, 64*l.Times.T1), c.forget) // timer D
+		c.end = l.Timers.Schedule(l.Now+max(32000, 64*l.Times.T1), c.forget) // timer D
 	default:
 		c.forget() // timer K would only pass repeats over, and without it they are
 	}
@@ -180,7 +180,7 @@
 
 func (c *Client) forget() {
 	l := c.layer
-	l.Timers.Stop(c.timer)
-	l.Timers.Stop(c.end)
+	l.Timers.Cancel(c.timer)
+	l.Timers.Cancel(c.end)
 	delete(l.clients, c.key)
 }
--- a/internal/protocol/siptransaction/layer.go
+++ b/internal/protocol/siptransaction/layer.go
@@ -241,13 +241,13 @@
 		if s.final < 300 {
 			s.bury(s.final)
 		} else {
-			s.end = l.Timers.Set(l.Now+64*l.Times.T1, s.forget)
+			s.end = l.Timers.Schedule(l.Now+64*l.Times.T1, s.forget)
 		}
 		return
 	}
 	s.gap = l.Times.T1
-	s.timer = l.Timers.Set(l.Now+s.gap, s.again)
-	s.end = l.Timers.Set(l.Now+64*l.Times.T1, s.unacked) // timer H
+	s.timer = l.Timers.Schedule(l.Now+s.gap, s.again)
+	s.end = l.Timers.Schedule(l.Now+64*l.Times.T1, s.unacked) // timer H
 }
 
 // Refuse sends a final answer and forgets the transaction at once (RFC 3261 8.2.7): for floods, where the user keeps
@@ -294,7 +294,7 @@
 	l := s.layer
 	l.out(s.to, s.last)
 	s.gap = min(2*s.gap, l.Times.T2)
-	s.timer = l.Timers.Set(l.Now+s.gap, s.again)
+	s.timer = l.Timers.Schedule(l.Now+s.gap, s.again)
 }
 
 // repeated answers a repeat of the request with the latest answer; a 2xx goes by its own timer (RFC 6026 7.1).
@@ -306,8 +306,8 @@
 
 func (s *Server) forget() {
 	l := s.layer
-	l.Timers.Stop(s.timer)
-	l.Timers.Stop(s.end)
+	l.Timers.Cancel(s.timer)
+	l.Timers.Cancel(s.end)
 	delete(l.servers, s.key)
 	if s.once != "" {
 		delete(l.merged, s.once)
--- a/internal/protocol/siptransaction/message.go
+++ b/internal/protocol/siptransaction/message.go
@@ -39,7 +39,7 @@
 // Chance is a number from 0 to 1 by the same draw.
 func (s *Names) Chance() float64 {
 	s.n++
-	return detrand.Of(s.Seed, s.n)
+	return detrand.Float64(s.Seed, s.n)
 }
 
 // Parse reads a datagram. A message that lacks what every message must have (RFC 3261 8.1.1) is an error, and so is
--- a/internal/protocol/siptransaction/signal_test.go
+++ b/internal/protocol/siptransaction/signal_test.go
@@ -71,7 +71,7 @@
 			if ring && method == sip.INVITE {
 				s.Respond(Response(req, 180, "Ringing", "t"))
 			}
-			b.timers.Set(now+150, func() { s.Respond(Response(req, code, "X", "t")) })
+			b.timers.Schedule(now+150, func() { s.Respond(Response(req, code, "X", "t")) })
 		}
 		var finals []int
 		nothing := false
