--- a/internal/router/brain.go
+++ b/internal/router/brain.go
@@ -17,354 +17,405 @@
 
 // Values that no setting gives. They are general: none is taken from a deployment.
 const (
-	waitScale   = 3000.0 // design: a wait of so much is nought free
-	noughtAge   = 2000.0 // design: a nought report older than this
-	noughtShare = 0.1    // design: counts as this free share
-	probeEvery  = 1000.0 // design: where reports come only by probe
-
-	span       = 5000.0  // counts fade like this
-	waitSpan   = 2000.0  // a judgement of a pool's wait fades like this
-	coldSafety = 0.4     // part of the cold budget that a gateway uses
-	coldProven = 0.8     // the same once set-ups there stand without a wait
-	coldOpen   = 0.6     // of the time that tips a cold pool: so long a token for it is good
-	goalRepeat = 0.35    // the wait aimed at: this part of the time of the first repeat
-	goalTarget = 0.15    // and no more than this part of the shortest answer target
-	goalElse   = 150.0   // the same where neither is known
-	growth     = 1.0     // a second: how fast a pace grows at no wait
-	regrowth   = 3.0     // a second: the same, up to half of the pace before the latest press
-	decline    = 0.7     // a second: how fast it falls at twice the wait aimed at
-	lean       = 0.5     // how far the pace leans at once against the wait
-	mostWait   = 6.0     // of the wait aimed at: no judgement is longer
-	ownFirst   = 500.0   // a wait reported within this after a set-up time seen here does not count
-	worst      = -2.0    // a wait counts as no more than this many times over the one aimed at
-	leastPace  = 0.001   // set-ups a millisecond that a pool always gets, from all gateways together
-	release    = 3.0     // a pace is no more than so many times what is sent lately,
-	mostEven   = 1.2     // or than so many even parts of what the pool is rated for,
-	leastEven  = 0.03    // and no less than this one
-	patienceIn = 0.45    // of the answer target: so long a contact may wait in line here
-	openFor    = 500.0   // so long a token is good for contacts of another destination
-	swing      = 3.0     // standard deviations of a load that a group of agents has to spare
-	agentShare = 0.03    // of the agents: with fewer free the pace falls
-	agentLeast = 3.0     // but no fewer agents than this
-	overtaken  = 0.5     // of the wait aimed at: a set-up sent so long before one that stands is lost
-	lossy      = 0.5     // lost set-ups lately: with more a lone set-up under way may be lost too
-	little     = 0.5     // of the mean worth: a contact of less
-	soundFrom  = 3.0     // so many set-ups failed lately may be chance
-	soundAs    = 0.7     // of the best sound share: a destination that has less is passed by
-	spareRoom  = 0.4     // takes only a pool with a wait under this part of the one aimed at
-	comeBack   = 0.15    // of the answer target: a deferred caller who can still be in time is asked back then
-	engagedFor = 2000.0  // a number with no line free is left alone so long
-	homeCredit = 1.0     // a token in advance for the destination's own contacts while nothing presses it
-	longIdle   = 500.0   // a gateway that heard nothing for longer may have stood still
-	longEvery  = 10000.0 // a pool not heard for longer counts as heard once in this time
-	tellEvery  = 200.0   // news is told no more often than this,
-	tellTo     = 4       // to so many gateways,
-	tellUnit   = 10.0    // in steps of so many milliseconds,
-	newsFrom   = 2.0     // when a wait is off by so many times the one aimed at,
-	newsFor    = 1000.0  // to those who have heard nothing of that pool for so long
-	fullPause  = 400.0   // a pool that turns a set-up away is left alone so long, longer where heard seldom
-	fullCut    = 0.7     // and its pace cut to this part
-	lookAgain  = 20.0    // how often the line is looked at
+	fullQueueDelay     = 3000.0 // design: a wait of so much is nought free
+	staleZeroAge       = 2000.0 // design: a nought report older than this
+	staleZeroFreeShare = 0.1    // design: counts as this free share
+	probeInterval      = 1000.0 // design: where reports come only by probe
+
+	rateWindow             = 5000.0 // counts fade like this
+	delayWindow            = 2000.0 // a judgement of a pool's wait fades like this
+	slowStartSafety        = 0.4    // part of the cold budget that a gateway uses
+	slowStartProvenSafety  = 0.8    // the same once set-ups there stand without a wait
+	slowStartTokenLifetime = 0.6    // of the time that tips a cold pool: so long a token for it is good
+	objectiveOfRetransmit  = 0.35   // the wait aimed at: this part of the time of the first repeat
+	objectiveOfLatency     = 0.15   // and no more than this part of the shortest answer target
+	defaultDelayObjective  = 150.0  // the same where neither is known
+	rateGrowth             = 1.0    // a second: how fast a pace grows at no wait
+	rateRecovery           = 3.0    // a second: the same, up to half of the pace before the latest press
+	rateDecline            = 0.7    // a second: how fast it falls at twice the wait aimed at
+	immediateCorrection    = 0.5    // how far the pace leans at once against the wait
+	maxDelayFactor         = 6.0    // of the wait aimed at: no judgement is longer
+	ownSampleLifetime      = 500.0  // a wait reported within this after a set-up time seen here does not count
+	minHeadroom            = -2.0   // a wait counts as no more than this many times over the one aimed at
+	minSendRate            = 0.001  // set-ups a millisecond that a pool always gets, from all gateways together
+	maxOverRecentRate      = 3.0    // a pace is no more than so many times what is sent lately,
+	maxEvenShares          = 1.2    // or than so many even parts of what the pool is rated for,
+	minEvenShares          = 0.03   // and no less than this one
+	maxQueueingFraction    = 0.45   // of the answer target: so long a contact may wait in line here
+	tokenLifetime          = 500.0  // so long a token is good for contacts of another destination
+	loadDeviations         = 3.0    // standard deviations of a load that a group of agents has to spare
+	reserveFraction        = 0.03   // of the agents: with fewer free the pace falls
+	minReserve             = 3.0    // but no fewer agents than this
+	// of the wait aimed at: a set-up sent so long before one that stands is lost
+	overtakenFraction = 0.5
+	lossyCount        = 0.5 // lost set-ups lately: with more a lone set-up under way may be lost too
+	lowWeightFraction = 0.5 // of the mean worth: a contact of less
+	failureAllowance  = 3.0 // so many set-ups failed lately may be chance
+	minSuccessRatio   = 0.7 // of the best sound share: a destination that has less is passed by
+	lightLoadFraction = 0.4 // takes only a pool with a wait under this part of the one aimed at
+	// of the answer target: a deferred caller who can still be in time is asked back then
+	retryAfterFraction = 0.15
+	busyNumberPause    = 2000.0 // a number with no line free is left alone so long
+	// a token in advance for the destination's own contacts while nothing presses it
+	destinationCredit = 1.0
+	stallThreshold    = 500.0   // a gateway that heard nothing for longer may have stood still
+	maxHearInterval   = 10000.0 // a pool not heard for longer counts as heard once in this time
+	gossipInterval    = 200.0   // news is told no more often than this,
+	gossipFanout      = 4       // to so many gateways,
+	gossipDelayUnit   = 10.0    // in steps of so many milliseconds,
+	gossipThreshold   = 2.0     // when a wait is off by so many times the one aimed at,
+	gossipHoldDown    = 1000.0  // to those who have heard nothing of that pool for so long
+	// a pool that turns a set-up away is left alone so long, longer where heard seldom
+	overloadPause   = 400.0
+	overloadRateCut = 0.7  // and its pace cut to this part
+	queueInterval   = 20.0 // how often the line is looked at
 )
 
-// Brain is the decision module of one gateway.
-type Brain struct {
-	set     *routing.Settings
-	host    routing.Host
-	now     float64
-	idle    float64 // so long nothing was heard before now, if that may mean that this gateway stood still
-	draws   uint64
-	goal    float64                    // the wait aimed at in a pool
-	longest float64                    // the longest patience
-	hold    float64                    // the longest mean time that a contact stands
-	whole   float64                    // the total capacity of all places
-	summed  float64                    // and when it was added up
-	pools   []*routing.Pool            // in the order in which they were first listed
-	line    []*routing.Contact         // contacts that wait for room, the most valuable first
-	probed  float64                    // when pools were last probed
-	telling float64                    // when others may be told next
-	awake   bool                       // the line will be looked at
-	came    sum                        // first tries that came lately
-	value   sum                        // and what they are worth
-	places  []*routing.Pool            // the latest pool of each number
-	tried   map[caller]float64         // callers who went unserved, and when they first came
-	most    map[*routing.Skill]float64 // the most time that was left of a contact when it came
-	engaged map[string]*number         // numbers that were found engaged
-	swept   float64                    // when those who have given up were last forgotten
-}
-
-// caller is what a redial has in common with the try before it.
-type caller struct {
-	number   string
-	skill    *routing.Skill
-	customer *routing.Customer
-}
-
-// number is one called that was found engaged: till when it is left alone, and set-ups that stood since.
-type number struct {
-	till  float64
-	stood int
-}
-
-// pool is what the module notes of a pool.
-type pool struct {
-	base    float64         // the least set-up time seen
-	queue   float64         // the largest queue seen
-	heard   float64         // when the latest report came
-	life    float64         // when it last gave a sign of life
-	silent  int             // set-ups without an answer since then
-	cuts    int             // standing contacts cut and connections refused since then
-	noAgent bool            // told with no free agent
-	wait    float64         // the wait at its processor, as judged
-	judged  float64         // and when
-	saw     float64         // the latest wait seen here that others were not told yet, or -1
-	told    float64         // when anything was last heard of it
-	every   float64         // how long it is between two times, but at least a second
-	timed   float64         // when a set-up time was last seen
-	out     []*routing.Ring // set-ups under way, the oldest first
-	sent    sum             // set-ups sent lately
-	lost    sum             // set-ups found lost lately
-	done    sum             // set-ups that stood or failed lately
-	failed  sum             // and those of them that failed, through no engaged number
-	pace    float64         // set-ups a millisecond that it gets from here; +Inf: all
-	knee    float64         // the pace when the latest press began
-	pressed bool            // its wait is longer than aimed at
-	tokens  float64         // set-ups that may go now
-	filled  float64         // when pace and tokens were brought up to date
-	shut    float64         // it turned a set-up away and is left alone till then
-	fresh   float64         // rule 4: when it started cold, as far as known; -Inf: long ago
-	budget  float64         // rule 4: set-ups that may go now
-	counted float64         // rule 4: when the budget was brought up to date
-}
-
-// sum is a decaying sum, brought up to date when it is read.
-type sum struct{ v, at float64 }
-
-func (s *sum) read(now float64) float64 {
-	s.v *= math.Exp((s.at - now) / span)
-	s.at = now
-	return s.v
-}
-
-func (s *sum) add(now, v float64) { s.v, s.at = s.read(now)+v, now }
+// Router is the decision module of one gateway.
+type Router struct {
+	settings *routing.Settings
+	host     routing.Host
+	now      float64
+	// so long nothing was heard before now, if that may mean that this gateway stood still
+	stalledFor      float64
+	draws           uint64
+	delayObjective  float64                    // the wait aimed at in a pool
+	maxTimeout      float64                    // the longest patience
+	maxHoldingTime  float64                    // the longest mean time that a contact stands
+	totalCapacity   float64                    // the total capacity of all places
+	totalCapacityAt float64                    // and when it was added up
+	endpoints       []*routing.Endpoint        // in the order in which they were first listed
+	queue           []*routing.Call            // contacts that wait for room, the most valuable first
+	lastProbeAt     float64                    // when pools were last probed
+	nextGossipAt    float64                    // when others may be told next
+	queueWakeupSet  bool                       // the line will be looked at
+	arrivals        decayingSum                // first tries that came lately
+	arrivedWeight   decayingSum                // and what they are worth
+	destinations    []*routing.Endpoint        // the latest pool of each number
+	unservedCallers map[callerKey]float64      // callers who went unserved, and when they first came
+	maxTimeLeft     map[*routing.Class]float64 // the most time that was left of a contact when it came
+	busyNumbers     map[string]*busyNumber     // numbers that were found engaged
+	lastSweepAt     float64                    // when those who have given up were last forgotten
+}
+
+// callerKey is what a redial has in common with the try before it.
+type callerKey struct {
+	calledNumber string
+	class        *routing.Class
+	tenant       *routing.Tenant
+}
+
+// busyNumber is one called that was found engaged: till when it is left alone, and set-ups that stood since.
+type busyNumber struct {
+	until    float64
+	answered int
+}
+
+// endpointState is what the module notes of a pool.
+type endpointState struct {
+	minLatency           float64            // the least set-up time seen
+	maxQueueLength       float64            // the largest queue seen
+	reportedAt           float64            // when the latest report came
+	aliveAt              float64            // when it last gave a sign of life
+	unanswered           int                // set-ups without an answer since then
+	resets               int                // standing contacts cut and connections refused since then
+	atCapacity           bool               // told with no free agent
+	delay                float64            // the wait at its processor, as judged
+	delayAt              float64            // and when
+	gossipDelay          float64            // the latest wait seen here that others were not told yet, or -1
+	heardAt              float64            // when anything was last heard of it
+	hearInterval         float64            // how long it is between two times, but at least a second
+	latencyAt            float64            // when a set-up time was last seen
+	inFlight             []*routing.Attempt // set-ups under way, the oldest first
+	sent                 decayingSum        // set-ups sent lately
+	lost                 decayingSum        // set-ups found lost lately
+	concluded            decayingSum        // set-ups that stood or failed lately
+	failed               decayingSum        // and those of them that failed, through no engaged number
+	sendRate             float64            // set-ups a millisecond that it gets from here; +Inf: all
+	rateBeforeCongestion float64            // the pace when the latest press began
+	congested            bool               // its wait is longer than aimed at
+	tokens               float64            // set-ups that may go now
+	refilledAt           float64            // when pace and tokens were brought up to date
+	pausedUntil          float64            // it turned a set-up away and is left alone till then
+	startedAt            float64            // rule 4: when it started cold, as far as known; -Inf: long ago
+	slowStartTokens      float64            // rule 4: set-ups that may go now
+	slowStartRefilledAt  float64            // rule 4: when the budget was brought up to date
+}
+
+// decayingSum is a decaying sum, brought up to date when it is read.
+type decayingSum struct{ value, updatedAt float64 }
+
+func (s *decayingSum) read(now float64) float64 {
+	s.value *= math.Exp((s.updatedAt - now) / rateWindow)
+	s.updatedAt = now
+	return s.value
+}
+
+func (s *decayingSum) add(now, v float64) { s.value, s.updatedAt = s.read(now)+v, now }
 
 // rate is the sum's count a millisecond.
-func (s *sum) rate(now float64) float64 { return s.read(now) / span }
+func (s *decayingSum) rate(now float64) float64 { return s.read(now) / rateWindow }
 
-// verdict is what a stage makes of a contact.
-type verdict int
+// stageResult is what a stage makes of a contact.
+type stageResult int
 
 const (
-	pass verdict = iota
-	kept
-	ended
+	proceed stageResult = iota
+	pending
+	finished
 )
 
 // stage is a link of the chain: down takes a contact on its way to a pool, up hears how a ring went.
 type stage struct {
-	down func(*Brain, *routing.Contact, **routing.Pool) verdict
-	up   func(*Brain, *routing.Ring)
+	onCall    func(*Router, *routing.Call, **routing.Endpoint) stageResult
+	onOutcome func(*Router, *routing.Attempt)
 }
 
 var chain [5]stage
 
-const afterLine = 2 // the first stage behind the line
+const stageAfterQueue = 2 // the first stage behind the line
 
 func init() {
-	chain = [...]stage{{(*Brain).door, (*Brain).doorUp}, {(*Brain).admission, nil},
-		{(*Brain).route, (*Brain).routeUp}, {(*Brain).guard, nil}, {(*Brain).ring, (*Brain).ringUp}}
+	chain = [...]stage{
+		{(*Router).checkEligibility, (*Router).onEligibilityOutcome},
+		{(*Router).admit, nil},
+		{
+			(*Router).selectEndpoint,
+			(*Router).onSelectionOutcome,
+		},
+		{(*Router).enforceRules, nil},
+		{(*Router).dispatch, (*Router).onDispatchOutcome},
+	}
 }
 
 // New makes the module of one gateway.
-func New(s *routing.Settings, h routing.Host) *Brain {
-	b := &Brain{set: s, host: h, goal: math.Inf(1), tried: map[caller]float64{},
-		engaged: map[string]*number{}, most: map[*routing.Skill]float64{}}
-	for _, k := range s.Skills {
-		b.goal = math.Min(b.goal, goalTarget*k.Target)
-		b.longest, b.hold = math.Max(b.longest, k.Patience), math.Max(b.hold, k.Hold)
-	}
-	if s.Retransmit > 0 {
-		b.goal = math.Min(b.goal, goalRepeat*s.Retransmit)
-	}
-	if !(b.goal > 0) || math.IsInf(b.goal, 1) {
-		b.goal = goalElse
-	}
-	if s.MaxRings <= 0 {
-		s.MaxRings = math.MaxInt
-	}
-	return b
+func New(settings *routing.Settings, h routing.Host) *Router {
+	r := &Router{
+		settings:        settings,
+		host:            h,
+		delayObjective:  math.Inf(1),
+		unservedCallers: map[callerKey]float64{},
+		busyNumbers:     map[string]*busyNumber{},
+		maxTimeLeft:     map[*routing.Class]float64{},
+	}
+	for _, k := range settings.Classes {
+		r.delayObjective = math.Min(r.delayObjective, objectiveOfLatency*k.LatencyObjective)
+		r.maxTimeout, r.maxHoldingTime = math.Max(
+			r.maxTimeout,
+			k.Timeout,
+		), math.Max(
+			r.maxHoldingTime,
+			k.MeanHoldingTime,
+		)
+	}
+	if settings.RetransmitInterval > 0 {
+		r.delayObjective = math.Min(r.delayObjective, objectiveOfRetransmit*settings.RetransmitInterval)
+	}
+	if !(r.delayObjective > 0) || math.IsInf(r.delayObjective, 1) {
+		r.delayObjective = defaultDelayObjective
+	}
+	if settings.MaxAttempts <= 0 {
+		settings.MaxAttempts = math.MaxInt
+	}
+	return r
 }
 
 // advance sends a contact down the chain from a stage on.
-func (b *Brain) advance(c *routing.Contact, from int) {
-	var p *routing.Pool
+func (r *Router) advance(call *routing.Call, from int) {
+	var endpoint *routing.Endpoint
 	for _, s := range chain[from:] {
-		if s.down(b, c, &p) != pass {
+		if s.onCall(r, call, &endpoint) != proceed {
 			return
 		}
 	}
 }
 
-// back runs what a ring brought up the chain.
-func (b *Brain) back(r *routing.Ring) {
+// propagateOutcome runs what a ring brought up the chain.
+func (r *Router) propagateOutcome(attempt *routing.Attempt) {
 	for i := len(chain) - 1; i >= 0; i-- {
-		if up := chain[i].up; up != nil {
-			up(b, r)
+		if up := chain[i].onOutcome; up != nil {
+			up(r, attempt)
 		}
 	}
 }
 
-// Listed hears that pools are new on the list or have changed there.
-func (b *Brain) Listed(now float64, changed []*routing.Pool) {
-	b.at(now)
-	for _, p := range changed {
-		if i := slices.Index(b.pools, p); i >= 0 && p.State == routing.Gone {
-			b.pools = slices.Delete(b.pools, i, i+1)
+// OnEndpoints hears that pools are new on the list or have changed there.
+func (r *Router) OnEndpoints(now float64, changed []*routing.Endpoint) {
+	r.setTime(now)
+	for _, endpoint := range changed {
+		if i := slices.Index(r.endpoints, endpoint); i >= 0 && endpoint.State == routing.Gone {
+			r.endpoints = slices.Delete(r.endpoints, i, i+1)
 		}
-		if p.Notes == nil {
-			p.Notes = &pool{base: math.Inf(1), fresh: math.Inf(-1), pace: math.Inf(1), filled: now, counted: now,
-				tokens: 1 - b.chance()*(1-b.part(1)), // the first one falls due at a moment drawn by chance
-				budget: b.chance(), every: 1000, saw: -1}
+		if endpoint.PolicyState == nil {
+			endpoint.PolicyState = &endpointState{
+				minLatency:          math.Inf(1),
+				startedAt:           math.Inf(-1),
+				sendRate:            math.Inf(1),
+				refilledAt:          now,
+				slowStartRefilledAt: now,
+				// the first one falls due at a moment drawn by chance
+				tokens:          1 - r.random()*(1-r.evenShare(1)),
+				slowStartTokens: r.random(),
+				hearInterval:    1000,
+				gossipDelay:     -1,
+			}
 		}
-		if p.State != routing.Gone && !slices.Contains(b.pools, p) {
-			b.pools = append(b.pools, p)
+		if endpoint.State != routing.Gone && !slices.Contains(r.endpoints, endpoint) {
+			r.endpoints = append(r.endpoints, endpoint)
 		}
-		if i := slices.IndexFunc(b.places, func(q *routing.Pool) bool { return q.Number == p.Number }); i < 0 {
-			b.places = append(b.places, p)
-		} else if p.State != routing.Gone {
-			b.places[i] = p
+		if i := slices.IndexFunc(
+			r.destinations,
+			func(other *routing.Endpoint) bool { return other.DestinationID == endpoint.DestinationID },
+		); i < 0 {
+			r.destinations = append(r.destinations, endpoint)
+		} else if endpoint.State != routing.Gone {
+			r.destinations[i] = endpoint
 		}
-		if n := note(p); p.Since > n.fresh && p.Since > 0 {
-			n.restart(now, p.Since)
+		if state := stateOf(endpoint); endpoint.StartedAt > state.startedAt && endpoint.StartedAt > 0 {
+			state.restart(now, endpoint.StartedAt)
 		}
 	}
-	b.probe()
+	r.probeEndpoints()
 }
 
-// Offered takes a new contact.
-func (b *Brain) Offered(now float64, c *routing.Contact) {
-	b.at(now)
-	left := c.Until - now
-	b.most[c.Skill] = math.Max(b.most[c.Skill], left)
-	c.Came -= math.Min(b.idle, b.most[c.Skill]-left) // it waited while this gateway stood still
-	c.First = c.Came
-	id := caller{c.Number, c.Skill, c.Customer}
-	if first, again := b.tried[id]; again && now < first+c.Skill.Patience {
-		c.First = first
-		delete(b.tried, id)
+// OnCall takes a new contact.
+func (r *Router) OnCall(now float64, call *routing.Call) {
+	r.setTime(now)
+	left := call.Deadline - now
+	r.maxTimeLeft[call.Class] = math.Max(r.maxTimeLeft[call.Class], left)
+	call.ArrivedAt -= math.Min(
+		r.stalledFor,
+		r.maxTimeLeft[call.Class]-left,
+	) // it waited while this gateway stood still
+	call.FirstSeenAt = call.ArrivedAt
+	id := callerKey{call.CalledNumber, call.Class, call.Tenant}
+	if first, again := r.unservedCallers[id]; again && now < first+call.Class.Timeout {
+		call.FirstSeenAt = first
+		delete(r.unservedCallers, id)
 	} else {
-		b.came.add(now, 1)
-		b.value.add(now, c.Skill.Value)
+		r.arrivals.add(now, 1)
+		r.arrivedWeight.add(now, call.Class.Weight)
 	}
-	b.advance(c, 0)
+	r.advance(call, 0)
 }
 
-// Stood hears that a ring's contact stands.
-func (b *Brain) Stood(now float64, r *routing.Ring) {
-	b.at(now)
-	b.back(r)
-	b.tell()
+// OnAnswer hears that a ring's contact stands.
+func (r *Router) OnAnswer(now float64, attempt *routing.Attempt) {
+	r.setTime(now)
+	r.propagateOutcome(attempt)
+	r.sendGossip()
 }
 
-// Ended hears how a ring ended; closed: its contact needs no answer any more.
-func (b *Brain) Ended(now float64, r *routing.Ring, closed bool) {
-	b.at(now)
-	b.back(r)
-	b.tell()
+// OnAttemptEnd hears how a ring ended; closed: its contact needs no answer any more.
+func (r *Router) OnAttemptEnd(now float64, attempt *routing.Attempt, closed bool) {
+	r.setTime(now)
+	r.propagateOutcome(attempt)
+	r.sendGossip()
 }
 
-// Left hears that a caller is gone.
-func (b *Brain) Left(now float64, c *routing.Contact) {
-	b.at(now)
-	b.unserved(c)
+// OnHangup hears that a caller is gone.
+func (r *Router) OnHangup(now float64, call *routing.Call) {
+	r.setTime(now)
+	r.rememberUnserved(call)
 }
 
-// Reported hears a report that came by itself or for a probe.
-func (b *Brain) Reported(now float64, p *routing.Pool, ok, full bool) {
-	b.at(now)
-	b.learn(p, full)
+// OnLoadReport hears a report that came by itself or for a probe.
+func (r *Router) OnLoadReport(now float64, endpoint *routing.Endpoint, ok, full bool) {
+	r.setTime(now)
+	r.applyLoadReport(endpoint, full)
 }
 
-// Told hears another gateway's news: pairs of a pool's number and the wait seen there. What was heard here
+// OnGossip hears another gateway's news: pairs of a pool's number and the wait seen there. What was heard
+// here
 // lately goes first, and news that makes no sense is passed over.
-func (b *Brain) Told(now float64, from int, data []byte) {
-	b.at(now)
+func (r *Router) OnGossip(now float64, from int, data []byte) {
+	r.setTime(now)
 	for ; len(data) > 1; data = data[2:] {
-		for _, p := range b.places {
-			if n := note(p); p.Number == int(data[0]) && b.now-n.told > newsFor {
-				b.judge(n, float64(data[1])*tellUnit)
+		for _, endpoint := range r.destinations {
+			if state := stateOf(
+				endpoint,
+			); endpoint.DestinationID == int(data[0]) &&
+				r.now-state.heardAt > gossipHoldDown {
+				r.recordDelay(state, float64(data[1])*gossipDelayUnit)
 			}
 		}
 	}
 }
 
-// tell passes on news of the pools' waits to a few gateways drawn by chance. It guards against jams that grow
+// sendGossip passes on news of the pools' waits to a few gateways drawn by chance. It guards against jams
+// that grow
 // faster than gateways that seldom hear of a pool could learn of them alone; the module is sound without it.
-func (b *Brain) tell() {
-	if !b.set.MayTell || b.now < b.telling || b.set.Gateways < 2 {
+func (r *Router) sendGossip() {
+	if !r.settings.GossipEnabled || r.now < r.nextGossipAt || r.settings.Gateways < 2 {
 		return
 	}
 	var data []byte
-	for _, p := range b.places {
-		if n := note(p); n.saw >= 0 && p.State == routing.Ready && p.Number < 256 {
-			data = append(data, byte(p.Number), byte(math.Min(255, n.saw/tellUnit)))
-			n.saw = -1
+	for _, endpoint := range r.destinations {
+		if state := stateOf(
+			endpoint,
+		); state.gossipDelay >= 0 && endpoint.State == routing.Ready &&
+			endpoint.DestinationID < 256 {
+			data = append(data, byte(endpoint.DestinationID), byte(math.Min(255, state.gossipDelay/gossipDelayUnit)))
+			state.gossipDelay = -1
 		}
 	}
-	for i := 0; i < tellTo && len(data) > 0; i++ {
-		b.telling = b.now + tellEvery
-		if to := int(b.chance() * float64(b.set.Gateways)); to != b.set.Me {
-			b.host.Tell(to, data)
+	for i := 0; i < gossipFanout && len(data) > 0; i++ {
+		r.nextGossipAt = r.now + gossipInterval
+		if to := int(r.random() * float64(r.settings.Gateways)); to != r.settings.GatewayIndex {
+			r.host.SendGossip(to, data)
 		}
 	}
 }
 
-// Woken goes on with a contact, or with the line.
-func (b *Brain) Woken(now float64, c *routing.Contact) {
-	b.at(now)
+// OnWakeup goes on with a contact, or with the line.
+func (r *Router) OnWakeup(now float64, call *routing.Call) {
+	r.setTime(now)
 	switch {
-	case c == nil:
-		b.awake = false
-		b.serve()
-		b.probe()
-	case !c.Over && c.Out == nil && !c.InLine:
-		b.advance(c, 0)
+	case call == nil:
+		r.queueWakeupSet = false
+		r.serveQueue()
+		r.probeEndpoints()
+	case !call.Finished && call.InFlight == nil && !call.Queued:
+		r.advance(call, 0)
 	}
 }
 
-// probe asks every pool for its report where reports come only so: once a second, as the design has it.
-func (b *Brain) probe() {
-	if !b.set.ByProbe || !b.set.MayProbe || b.now < b.probed+probeEvery && b.probed > 0 {
+// probeEndpoints asks every pool for its report where reports come only so: once a second, as the design has
+// it.
+func (r *Router) probeEndpoints() {
+	if !r.settings.LoadReportsByProbe || !r.settings.ProbeEnabled ||
+		r.now < r.lastProbeAt+probeInterval && r.lastProbeAt > 0 {
 		return
 	}
-	b.probed = b.now
-	for _, p := range b.pools {
-		if p.State == routing.Ready {
-			b.host.Probe(p)
+	r.lastProbeAt = r.now
+	for _, endpoint := range r.endpoints {
+		if endpoint.State == routing.Ready {
+			r.host.ProbeHealth(endpoint)
 		}
 	}
-	b.host.Wake(b.now+probeEvery, nil)
+	r.host.ScheduleWakeup(r.now+probeInterval, nil)
 }
 
-// at moves the clock. A gateway that stood still finds all that came meanwhile at once, and can't tell when:
+// setTime moves the clock. A gateway that stood still finds all that came meanwhile at once, and can't tell
+// when:
 // idle is how long it heard nothing.
-func (b *Brain) at(now float64) {
-	if now > b.now {
-		if b.idle = now - b.now; b.idle < longIdle {
-			b.idle = 0 // it need not mean anything
+func (r *Router) setTime(now float64) {
+	if now > r.now {
+		if r.stalledFor = now - r.now; r.stalledFor < stallThreshold {
+			r.stalledFor = 0 // it need not mean anything
 		}
-		b.now = now
+		r.now = now
 	}
 }
 
-func note(p *routing.Pool) *pool { return p.Notes.(*pool) }
+func stateOf(endpoint *routing.Endpoint) *endpointState { return endpoint.PolicyState.(*endpointState) }
 
-// chance draws a number from 0 to 1: the hash of the instance's seed and a counter.
-func (b *Brain) chance() float64 {
+// random draws a number from 0 to 1: the hash of the instance's seed and a counter.
+func (r *Router) random() float64 {
 	var x [16]byte
-	b.draws++
-	binary.LittleEndian.PutUint64(x[:8], b.set.Seed)
-	binary.LittleEndian.PutUint64(x[8:], b.draws)
+	r.draws++
+	binary.LittleEndian.PutUint64(x[:8], r.settings.Seed)
+	binary.LittleEndian.PutUint64(x[8:], r.draws)
 	h := fnv.New64a()
 	h.Write(x[:])
 	v := h.Sum64()
@@ -372,185 +423,203 @@
 	return float64((v^v>>33)>>11) / (1 << 53)
 }
 
-// unserved remembers a caller who may dial again: a redial still has to stand within the target of the
+// rememberUnserved remembers a caller who may dial again: a redial still has to stand within the target of
+// the
 // first try, so one that comes later is worth less than a first try.
-func (b *Brain) unserved(c *routing.Contact) {
-	if b.now-b.swept > c.Skill.Patience {
-		b.swept = b.now
-		for id, first := range b.tried {
-			if b.now > first+id.skill.Patience {
-				delete(b.tried, id)
+func (r *Router) rememberUnserved(call *routing.Call) {
+	if r.now-r.lastSweepAt > call.Class.Timeout {
+		r.lastSweepAt = r.now
+		for id, first := range r.unservedCallers {
+			if r.now > first+id.class.Timeout {
+				delete(r.unservedCallers, id)
 			}
 		}
-		for id, e := range b.engaged {
-			if b.now > e.till+c.Skill.Patience {
-				delete(b.engaged, id)
+		for id, busy := range r.busyNumbers {
+			if r.now > busy.until+call.Class.Timeout {
+				delete(r.busyNumbers, id)
 			}
 		}
 	}
-	b.tried[caller{c.Number, c.Skill, c.Customer}] = c.First
+	r.unservedCallers[callerKey{call.CalledNumber, call.Class, call.Tenant}] = call.FirstSeenAt
 }
 
-// shed is the final answer "deferred".
-func (b *Brain) shed(c *routing.Contact) verdict {
-	b.unserved(c)
+// reject is the final answer "deferred".
+func (r *Router) reject(call *routing.Call) stageResult {
+	r.rememberUnserved(call)
 	wait := 0.0
-	if w := comeBack * c.Skill.Target; b.set.MayWait && b.now+w+b.goal < c.First+c.Skill.Target {
-		wait = math.Min(w, b.set.MaxWait) // soon enough to be in time: its own pause would be longer
+	if w := retryAfterFraction * call.Class.LatencyObjective; r.settings.RetryAfterEnabled &&
+		r.now+w+r.delayObjective < call.FirstSeenAt+call.Class.LatencyObjective {
+		wait = math.Min(w, r.settings.MaxRetryAfter) // soon enough to be in time: its own pause would be longer
 	}
-	b.host.Defer(c, wait)
-	return ended
+	r.host.Reject(call, wait)
+	return finished
 }
 
-// giveUp is the final answer "abandoned".
-func (b *Brain) giveUp(c *routing.Contact) verdict {
-	b.unserved(c)
-	b.host.Abandon(c)
-	return ended
+// fail is the final answer "abandoned".
+func (r *Router) fail(call *routing.Call) stageResult {
+	r.rememberUnserved(call)
+	r.host.Fail(call)
+	return finished
 }
 
-// worth is what a contact is worth if it stands soon.
-func (b *Brain) worth(c *routing.Contact) float64 {
-	if b.now+b.goal > c.First+c.Skill.Target {
-		return c.Skill.Value * c.Skill.LateValue
+// currentWeight is what a contact is worth if it stands soon.
+func (r *Router) currentWeight(call *routing.Call) float64 {
+	if r.now+r.delayObjective > call.FirstSeenAt+call.Class.LatencyObjective {
+		return call.Class.Weight * call.Class.LateWeightFraction
 	}
-	return c.Skill.Value
+	return call.Class.Weight
 }
 
-// door keeps a contact until it may ring and ends it when its time is up.
-func (b *Brain) door(c *routing.Contact, _ **routing.Pool) verdict {
-	if c.Until-b.now <= b.set.Tick || c.Rings >= b.set.MaxRings {
-		return b.giveUp(c)
+// checkEligibility keeps a contact until it may ring and ends it when its time is up.
+func (r *Router) checkEligibility(call *routing.Call, _ **routing.Endpoint) stageResult {
+	if call.Deadline-r.now <= r.settings.TickInterval || call.Attempts >= r.settings.MaxAttempts {
+		return r.fail(call)
 	}
-	if c.NotTill > b.now {
-		b.host.Wake(c.NotTill, c)
-		return kept
+	if call.RetryNotBefore > r.now {
+		r.host.ScheduleWakeup(call.RetryNotBefore, call)
+		return pending
 	}
-	if e := b.engaged[c.Number]; e != nil { // all its lines are busy: work for nothing, at any pool
-		if b.now < e.till {
-			return b.shed(c)
+	// all its lines are busy: work for nothing, at any pool
+	if busy := r.busyNumbers[call.CalledNumber]; busy != nil {
+		if r.now < busy.until {
+			return r.reject(call)
 		}
-		e.till = b.now + engagedFor // one may try
+		busy.until = r.now + busyNumberPause // one may try
 	}
-	return pass
+	return proceed
 }
 
-// doorUp answers a contact whose ring did not stand, or lets it ring again.
-func (b *Brain) doorUp(r *routing.Ring) {
-	c := r.Contact
-	if e := b.engaged[c.Number]; e != nil && c.Out == r {
-		if e.stood++; e.stood > 1 {
-			delete(b.engaged, c.Number)
+// onEligibilityOutcome answers a contact whose ring did not stand, or lets it ring again.
+func (r *Router) onEligibilityOutcome(attempt *routing.Attempt) {
+	call := attempt.Call
+	if busy := r.busyNumbers[call.CalledNumber]; busy != nil && call.InFlight == attempt {
+		if busy.answered++; busy.answered > 1 {
+			delete(r.busyNumbers, call.CalledNumber)
 		}
 	}
-	if c.Out == r || c.Over { // it stands, or needs nothing more
+	if call.InFlight == attempt || call.Finished { // it stands, or needs nothing more
 		return
 	}
-	if r.Engaged && c.Number != "" {
-		b.engaged[c.Number] = &number{till: b.now + engagedFor}
-	}
-	c.MayRun = c.MayRun || r.End != routing.Full && r.End != routing.Refused && r.End != routing.Unsent
-	if r.End == routing.TimedOut || r.End == routing.Reset || r.End == routing.Cancelled {
-		c.NotTill = b.now + b.set.ClearWait // rule 5
-	}
-	if from := math.Max(c.NotTill, b.now); from+b.goal > c.Came+c.Skill.Target || from+2*lookAgain > c.Until ||
-		c.MayRun && !c.Skill.Repeat { // the last may have run and must not run twice
-		b.giveUp(c)
+	if attempt.NumberBusy && call.CalledNumber != "" {
+		r.busyNumbers[call.CalledNumber] = &busyNumber{until: r.now + busyNumberPause}
+	}
+	call.MayHaveExecuted = call.MayHaveExecuted ||
+		attempt.Outcome != routing.Overloaded && attempt.Outcome != routing.ConnectionRefused &&
+			attempt.Outcome != routing.NotSent
+	if attempt.Outcome == routing.TimedOut || attempt.Outcome == routing.Reset ||
+		attempt.Outcome == routing.Canceled {
+		call.RetryNotBefore = r.now + r.settings.RetryHoldOff // rule 5
+	}
+	if from := math.Max(
+		call.RetryNotBefore,
+		r.now,
+	); from+r.delayObjective > call.ArrivedAt+call.Class.LatencyObjective ||
+		from+2*queueInterval > call.Deadline ||
+		call.MayHaveExecuted && !call.Class.Idempotent { // the last may have run and must not run twice
+		r.fail(call)
 		return
 	}
-	b.advance(c, 0)
+	r.advance(call, 0)
 }
 
-// admission keeps contacts in line while no pool has room and defers the least valuable when not all can be
+// admit keeps contacts in line while no pool has room and defers the least valuable when not all can be
 // served in time: the document's case of all pools overloaded, take what can be taken and shed the rest.
-func (b *Brain) admission(c *routing.Contact, _ **routing.Pool) verdict {
-	if len(b.line) == 0 && b.anyRoom(c) {
-		return pass
+func (r *Router) admit(call *routing.Call, _ **routing.Endpoint) stageResult {
+	if len(r.queue) == 0 && r.anyCapacity(call) {
+		return proceed
 	}
-	c.InLine = true
-	at := len(b.line)
-	for at > 0 && b.worth(b.line[at-1]) < b.worth(c) {
+	call.Queued = true
+	at := len(r.queue)
+	for at > 0 && r.currentWeight(r.queue[at-1]) < r.currentWeight(call) {
 		at--
 	}
-	b.line = append(b.line, nil)
-	copy(b.line[at+1:], b.line[at:])
-	b.line[at] = c
-	b.serve()
-	return kept
+	r.queue = append(r.queue, nil)
+	copy(r.queue[at+1:], r.queue[at:])
+	r.queue[at] = call
+	r.serveQueue()
+	return pending
 }
 
-// serve lets contacts in line go on while there is room, and defers those that must not wait longer or are
+// serveQueue lets contacts in line go on while there is room, and defers those that must not wait longer or
+// are
 // too far back to be served in time.
-func (b *Brain) serve() {
+func (r *Router) serveQueue() {
 	pace := 0.0
-	for _, p := range b.pools {
-		if p.State == routing.Ready {
-			b.fill(p)
-			pace += note(p).pace
+	for _, endpoint := range r.endpoints {
+		if endpoint.State == routing.Ready {
+			r.updateSendRate(endpoint)
+			pace += stateOf(endpoint).sendRate
 		}
 	}
-	line := b.line
-	b.line = nil
+	queue := r.queue
+	r.queue = nil
 	ahead := 0.0
-	var rest []*routing.Contact
-	for _, c := range line {
-		limit := patienceIn * math.Min(c.Skill.Target, c.Until-c.Came)
+	var remaining []*routing.Call
+	for _, call := range queue {
+		limit := maxQueueingFraction * math.Min(call.Class.LatencyObjective, call.Deadline-call.ArrivedAt)
 		switch {
-		case c.Over:
-		case b.anyRoom(c):
-			c.InLine = false
-			b.advance(c, afterLine)
-		case b.now-c.Came > limit && c.Rings == 0, b.now+b.goal > c.Came+c.Skill.Target, ahead >= pace*limit,
-			b.now+2*lookAgain > c.Until: // the last guards rule 1: nobody may be forgotten in line
-			c.InLine = false
-			b.shed(c)
+		case call.Finished:
+		case r.anyCapacity(call):
+			call.Queued = false
+			r.advance(call, stageAfterQueue)
+		case r.now-call.ArrivedAt > limit && call.Attempts == 0,
+			r.now+r.delayObjective > call.ArrivedAt+call.Class.LatencyObjective,
+			ahead >= pace*limit,
+			r.now+2*queueInterval > call.Deadline: // the last guards rule 1: nobody may be forgotten in line
+			call.Queued = false
+			r.reject(call)
 		default:
-			rest = append(rest, c)
+			remaining = append(remaining, call)
 			ahead++
 		}
 	}
-	b.line = append(rest, b.line...)
-	if len(b.line) > 0 && !b.awake {
-		b.awake = true
-		b.host.Wake(b.now+lookAgain, nil)
+	r.queue = append(remaining, r.queue...)
+	if len(r.queue) > 0 && !r.queueWakeupSet {
+		r.queueWakeupSet = true
+		r.host.ScheduleWakeup(r.now+queueInterval, nil)
 	}
 }
 
-func (b *Brain) anyRoom(c *routing.Contact) bool {
-	for _, p := range b.pools {
-		if b.room(c, p) {
+func (r *Router) anyCapacity(call *routing.Call) bool {
+	for _, endpoint := range r.endpoints {
+		if r.hasCapacity(call, endpoint) {
 			return true
 		}
 	}
 	return false
 }
 
-// room tells whether p has room for c: the rules allow it, and its pace has a token left.
-func (b *Brain) room(c *routing.Contact, p *routing.Pool) bool {
-	if !b.allowed(c, p) || note(p).noAgent {
+// hasCapacity tells whether p has room for c: the rules allow it, and its pace has a token left.
+func (r *Router) hasCapacity(call *routing.Call, endpoint *routing.Endpoint) bool {
+	if !r.rulesAllow(call, endpoint) || stateOf(endpoint).atCapacity {
 		return false
 	}
-	b.fill(p)
-	n := note(p)
-	if b.worth(c)*b.came.read(b.now) < little*b.value.read(b.now) && n.expect(b.now, b.idle) > spareRoom*b.goal {
+	r.updateSendRate(endpoint)
+	state := stateOf(endpoint)
+	if r.currentWeight(call)*r.arrivals.read(r.now) < lowWeightFraction*r.arrivedWeight.read(r.now) &&
+		state.expectedDelay(r.now, r.stalledFor) > lightLoadFraction*r.delayObjective {
 		return false // what is worth little takes only what nobody else will miss
 	}
-	if n.silent > 1 && (len(n.out) > 0 || b.now-n.life < probeEvery) {
+	if state.unanswered > 1 && (len(state.inFlight) > 0 || r.now-state.aliveAt < probeInterval) {
 		return false // a pool that is silent gets one set-up at a time to show that it is back
 	}
-	if b.now < n.shut {
+	if r.now < state.pausedUntil {
 		return false
 	}
-	if p == c.Home { // its own contacts come as they come, while nothing presses it
-		calm := b.idle == 0 && n.expect(b.now, 0) < spareRoom*b.goal && agents(p) < spareRoom && n.pace >= n.knee/2
-		return n.tokens >= 1 || calm && n.tokens >= 1-homeCredit
+	if endpoint == call.Destination { // its own contacts come as they come, while nothing presses it
+		calm := r.stalledFor == 0 && state.expectedDelay(r.now, 0) < lightLoadFraction*r.delayObjective &&
+			capacityPressure(endpoint) < lightLoadFraction &&
+			state.sendRate >= state.rateBeforeCongestion/2
+		return state.tokens >= 1 || calm && state.tokens >= 1-destinationCredit
 	}
 	// for others a token is good for a moment only: else all that the gateways had saved up would come at once
 	// to the few pools with room when a large one fails
-	return n.tokens >= 1 && (n.tokens < 1+n.pace*openFor || n.pace*openFor >= 1)
+	return state.tokens >= 1 &&
+		(state.tokens < 1+state.sendRate*tokenLifetime || state.sendRate*tokenLifetime >= 1)
 }
 
-// fill brings a pool's pace and tokens up to date. While set-ups there wait longer than aimed at, the pace
+// updateSendRate brings a pool's pace and tokens up to date. While set-ups there wait longer than aimed at,
+// the pace
 // falls, else it grows: gateways that each do so share the pool's processor without knowing of each other,
 // and do not all stop and start together. It guards against every cause of long waits: overload, slow
 // processors, other work on them, traffic piled on one pool.
@@ -558,87 +627,103 @@
 // Where a pool is heard seldom, as with hundreds of gateways, its pace grows the slower: else each gateway
 // would be back at its full pace before its next sample. What a press tells counts at once, however seldom
 // it is seen.
-func (b *Brain) fill(p *routing.Pool) {
-	n := note(p)
-	dt := math.Max(0, b.now-math.Max(n.filled, n.shut)) // what turns set-ups away earns nothing meanwhile
-	n.filled = b.now
-	off := math.Max(worst, 1-math.Max(n.expect(b.now, b.idle)/b.goal, agents(p)))
-	turn := growth / n.every
+func (r *Router) updateSendRate(endpoint *routing.Endpoint) {
+	state := stateOf(endpoint)
+	dt := math.Max(
+		0,
+		r.now-math.Max(state.refilledAt, state.pausedUntil),
+	) // what turns set-ups away earns nothing meanwhile
+	state.refilledAt = r.now
+	off := math.Max(
+		minHeadroom,
+		1-math.Max(state.expectedDelay(r.now, r.stalledFor)/r.delayObjective, capacityPressure(endpoint)),
+	)
+	turn := rateGrowth / state.hearInterval
 	switch {
 	case off < 0:
-		if turn = decline / 1000; !n.pressed {
-			n.knee = n.pace
-		}
-	case n.pace < n.knee/2:
-		turn = regrowth / n.every // back soon to half of what went well before the press
-	}
-	n.pressed = off < 0
-	even := math.Max(b.part(b.size(p)/1000), b.came.rate(b.now)*b.share(p))
-	if !(p.Report.Agents > 0) && !(p.Report.Rate >= 0) {
-		even = 1 / b.goal // nothing is known of it
-	}
-	few := n.sent.read(b.now)
-	most := math.Max(release*(few-math.Sqrt(few))/span, mostEven*even) // a few sends may be chance
-	n.pace = math.Min(most, math.Min(most, n.pace)*math.Exp(off*turn*dt))
-	n.pace = math.Max(n.pace, math.Max(b.part(leastPace), leastEven*even))
-	n.tokens += dt * n.pace * (1 + lean*off)
-	if n.tokens > 2 && n.pace*openFor < 1 {
-		n.tokens = 1 + frac(n.tokens)
+		if turn = rateDecline / 1000; !state.congested {
+			state.rateBeforeCongestion = state.sendRate
+		}
+	case state.sendRate < state.rateBeforeCongestion/2:
+		turn = rateRecovery / state.hearInterval // back soon to half of what went well before the press
+	}
+	state.congested = off < 0
+	even := math.Max(r.evenShare(r.capacityOf(endpoint)/1000), r.arrivals.rate(r.now)*r.capacityShare(endpoint))
+	if !(endpoint.LoadReport.Capacity > 0) && !(endpoint.LoadReport.RateLimit >= 0) {
+		even = 1 / r.delayObjective // nothing is known of it
+	}
+	few := state.sent.read(r.now)
+	most := math.Max(
+		maxOverRecentRate*(few-math.Sqrt(few))/rateWindow,
+		maxEvenShares*even,
+	) // a few sends may be chance
+	state.sendRate = math.Min(most, math.Min(most, state.sendRate)*math.Exp(off*turn*dt))
+	state.sendRate = math.Max(state.sendRate, math.Max(r.evenShare(minSendRate), minEvenShares*even))
+	state.tokens += dt * state.sendRate * (1 + immediateCorrection*off)
+	if state.tokens > 2 && state.sendRate*tokenLifetime < 1 {
+		state.tokens = 1 + fraction(state.tokens)
 	} else {
-		n.tokens = math.Min(1+math.Max(1, n.pace*b.goal), n.tokens)
+		state.tokens = math.Min(1+math.Max(1, state.sendRate*r.delayObjective), state.tokens)
 	}
 }
 
-// part is this gateway's even part of what all gateways may do.
-func (b *Brain) part(v float64) float64 { return v / float64(max(1, b.set.Gateways)) }
+// evenShare is this gateway's even part of what all gateways may do.
+func (r *Router) evenShare(v float64) float64 { return v / float64(max(1, r.settings.Gateways)) }
 
-// agents is the press on a pool's agents, 0 to 2: it is 1 with half of a small reserve free. The figure is
+// capacityPressure is the press on a pool's agents, 0 to 2: it is 1 with half of a small reserve free. The
+// figure is
 // late and every gateway has the same, so the last agents are shared by pace, not raced for.
-func agents(p *routing.Pool) float64 {
-	if !(p.Report.Agents > 0) || math.IsNaN(p.Report.Free) {
+func capacityPressure(endpoint *routing.Endpoint) float64 {
+	if !(endpoint.LoadReport.Capacity > 0) || math.IsNaN(endpoint.LoadReport.Free) {
 		return 0
 	}
-	return math.Max(0, 2-2*p.Report.Free/math.Max(agentLeast, agentShare*p.Report.Agents))
+	return math.Max(
+		0,
+		2-2*endpoint.LoadReport.Free/math.Max(minReserve, reserveFraction*endpoint.LoadReport.Capacity),
+	)
 }
 
-// route chooses the destination while it has room, else a pool by lottery.
-func (b *Brain) route(c *routing.Contact, to **routing.Pool) verdict {
-	h := c.Home
-	if h != nil && b.room(c, h) && b.sound(h) >= soundAs*b.soundest(c) {
-		*to = h
-		return pass
+// selectEndpoint chooses the destination while it has room, else a pool by lottery.
+func (r *Router) selectEndpoint(call *routing.Call, to **routing.Endpoint) stageResult {
+	destination := call.Destination
+	if destination != nil && r.hasCapacity(call, destination) &&
+		r.successRate(destination) >= minSuccessRatio*r.bestSuccessRate(call) {
+		*to = destination
+		return proceed
 	}
 	total := 0.0
-	for _, p := range b.pools {
-		total += b.tickets(c, p)
+	for _, endpoint := range r.endpoints {
+		total += r.tickets(call, endpoint)
 	}
-	draw := b.chance() * total
-	for _, p := range b.pools {
-		if t := b.tickets(c, p); t > 0 {
-			*to = p
+	draw := r.random() * total
+	for _, endpoint := range r.endpoints {
+		if t := r.tickets(call, endpoint); t > 0 {
+			*to = endpoint
 			if draw -= t; draw < 0 {
 				break
 			}
 		}
 	}
 	if *to == nil {
-		return b.shed(c)
+		return r.reject(call)
 	}
-	return pass
+	return proceed
 }
 
-// sound is the share of the set-ups a pool took up lately that it did not fail. It guards against pools that
+// successRate is the share of the set-ups a pool took up lately that it did not fail. It guards against pools
+// that
 // answer soon and fail most of what they take: what makes nobody wait draws everything.
-func (b *Brain) sound(p *routing.Pool) float64 {
-	n := note(p)
-	return 1 - n.failed.read(b.now)/(soundFrom+n.done.read(b.now))
+func (r *Router) successRate(endpoint *routing.Endpoint) float64 {
+	state := stateOf(endpoint)
+	return 1 - state.failed.read(r.now)/(failureAllowance+state.concluded.read(r.now))
 }
 
-// soundest is the best sound share of the pools that have room: where all fail alike, no pool is at fault.
-func (b *Brain) soundest(c *routing.Contact) float64 {
+// bestSuccessRate is the best sound share of the pools that have room: where all fail alike, no pool is at
+// fault.
+func (r *Router) bestSuccessRate(call *routing.Call) float64 {
 	best := 0.0
-	for _, p := range b.pools {
-		if s := b.sound(p); s > best && b.room(c, p) {
+	for _, endpoint := range r.endpoints {
+		if s := r.successRate(endpoint); s > best && r.hasCapacity(call, endpoint) {
 			best = s
 		}
 	}
@@ -647,286 +732,318 @@
 
 // tickets is the document's lottery: total capacity times the square of the relative capacity, of which a
 // pool that fails set-ups has its sound share only.
-func (b *Brain) tickets(c *routing.Contact, p *routing.Pool) float64 {
-	if !b.room(c, p) {
+func (r *Router) tickets(call *routing.Call, endpoint *routing.Endpoint) float64 {
+	if !r.hasCapacity(call, endpoint) {
 		return 0
 	}
-	f := b.free(p) * b.sound(p)
-	return b.size(p) * f * f
+	f := r.freeShare(endpoint) * r.successRate(endpoint)
+	return r.capacityOf(endpoint) * f * f
 }
 
-// size is the total capacity in set-ups a second: the reported rate, and no more than its agents can hold
+// capacityOf is the total capacity in set-ups a second: the reported rate, and no more than its agents can
+// hold
 // with room for the load's swing (else small pools are overrated); the agents alone, which the document
 // names as a measure too, where no rate is reported; else 1.
-func (b *Brain) size(p *routing.Pool) float64 {
-	held := math.Inf(1)
-	if p.Report.Agents > 0 && b.hold > 0 {
-		held = 1000 * math.Max(1, p.Report.Agents-swing*math.Sqrt(p.Report.Agents)) / b.hold
+func (r *Router) capacityOf(endpoint *routing.Endpoint) float64 {
+	sustainable := math.Inf(1)
+	if endpoint.LoadReport.Capacity > 0 && r.maxHoldingTime > 0 {
+		sustainable = 1000 * math.Max(
+			1,
+			endpoint.LoadReport.Capacity-loadDeviations*math.Sqrt(endpoint.LoadReport.Capacity),
+		) / r.maxHoldingTime
 	}
 	switch {
-	case p.Report.Rate >= 0:
-		return math.Min(p.Report.Rate, held)
-	case !math.IsInf(held, 1):
-		return held
+	case endpoint.LoadReport.RateLimit >= 0:
+		return math.Min(endpoint.LoadReport.RateLimit, sustainable)
+	case !math.IsInf(sustainable, 1):
+		return sustainable
 	}
 	return 1
 }
 
-// free is the relative capacity: the free share of a pool's processor by its latest report.
-func (b *Brain) free(p *routing.Pool) float64 {
-	n, r, f := note(p), &p.Report, 1.0
+// freeShare is the relative capacity: the free share of a pool's processor by its latest report.
+func (r *Router) freeShare(endpoint *routing.Endpoint) float64 {
+	state, report, share := stateOf(endpoint), &endpoint.LoadReport, 1.0
 	switch {
-	case !math.IsNaN(r.Util):
-		f = 1 - r.Util
-	case !math.IsNaN(r.Wait):
-		f = 1 - r.Wait/waitScale
-	case !math.IsNaN(r.Holdback):
-		f = 1 - r.Holdback
-	case !math.IsNaN(r.Queue) && n.queue > 0:
-		f = 1 - r.Queue/n.queue
-	case r.Rate == 0:
-		f = 0
-	}
-	if f <= 0 {
-		f = 0
-		if b.now-n.heard > noughtAge {
-			f = noughtShare
-		}
-	}
-	return f
-}
-
-// routeUp learns a pool's state from what a ring brought.
-func (b *Brain) routeUp(r *routing.Ring) {
-	n := note(r.Pool)
-	if stood := r.Contact.Out == r; stood || r.End == routing.Failed && !r.Engaged {
-		n.done.add(b.now, 1)
+	case !math.IsNaN(report.Utilization):
+		share = 1 - report.Utilization
+	case !math.IsNaN(report.QueueDelay):
+		share = 1 - report.QueueDelay/fullQueueDelay
+	case !math.IsNaN(report.LossFraction):
+		share = 1 - report.LossFraction
+	case !math.IsNaN(report.QueueLength) && state.maxQueueLength > 0:
+		share = 1 - report.QueueLength/state.maxQueueLength
+	case report.RateLimit == 0:
+		share = 0
+	}
+	if share <= 0 {
+		share = 0
+		if r.now-state.reportedAt > staleZeroAge {
+			share = staleZeroFreeShare
+		}
+	}
+	return share
+}
+
+// onSelectionOutcome learns a pool's state from what a ring brought.
+func (r *Router) onSelectionOutcome(attempt *routing.Attempt) {
+	state := stateOf(attempt.Endpoint)
+	if stood := attempt.Call.InFlight == attempt; stood ||
+		attempt.Outcome == routing.Failed && !attempt.NumberBusy {
+		state.concluded.add(r.now, 1)
 		if !stood {
-			n.failed.add(b.now, 1)
+			state.failed.add(r.now, 1)
 		}
 	}
 	switch {
-	case r.Contact.Out == r:
-		b.hear(n)
-		n.base = math.Min(n.base, r.Cost)
-		n.timed = b.now
-		if w := r.Cost - n.base; w < b.goal || w > b.idle {
-			b.see(n, w-math.Min(b.idle, w)) // else it may have waited unread here
+	case attempt.Call.InFlight == attempt:
+		r.noteHeard(state)
+		state.minLatency = math.Min(state.minLatency, attempt.Latency)
+		state.latencyAt = r.now
+		if delay := attempt.Latency - state.minLatency; delay < r.delayObjective || delay > r.stalledFor {
+			r.observeDelay(state, delay-math.Min(r.stalledFor, delay)) // else it may have waited unread here
 		}
 		return
-	case r.End == routing.Full && r.NoAgent:
-		n.noAgent, r.Pool.Report.Free = true, 0
+	case attempt.Outcome == routing.Overloaded && attempt.AtCapacity:
+		state.atCapacity, attempt.Endpoint.LoadReport.Free = true, 0
 		return // the report with it is older than that
-	case r.End == routing.Cancelled, r.End == routing.TimedOut:
+	case attempt.Outcome == routing.Canceled, attempt.Outcome == routing.TimedOut:
 		// one sent to a process that has died since says nothing of the next
-		late := !r.Lost && n.timed < r.Sent && (n.silent > 1 || n.lost.read(b.now) < lossy) // else lost
-		if late && r.Sent > n.fresh {
-			b.hear(n)
-			b.see(n, r.Cost)
+		late := !attempt.PresumedLost && state.latencyAt < attempt.SentAt &&
+			(state.unanswered > 1 || state.lost.read(r.now) < lossyCount) // else lost
+		if late && attempt.SentAt > state.startedAt {
+			r.noteHeard(state)
+			r.observeDelay(state, attempt.Latency)
 		}
-	case r.End == routing.Full:
-		if b.now >= n.shut {
-			n.pace *= fullCut
-			n.saw = mostWait * b.goal
+	case attempt.Outcome == routing.Overloaded:
+		if r.now >= state.pausedUntil {
+			state.sendRate *= overloadRateCut
+			state.gossipDelay = maxDelayFactor * r.delayObjective
 		}
-		pause := fullPause * n.every / 1000 * (0.5 + b.chance())
-		n.shut = b.now + math.Max(pause, math.Min(r.Wait, waitSpan))
-	case r.End == routing.Refused:
-		n.wait, n.judged = mostWait*b.goal, b.now
+		pause := overloadPause * state.hearInterval / 1000 * (0.5 + r.random())
+		state.pausedUntil = r.now + math.Max(pause, math.Min(attempt.RetryAfter, delayWindow))
+	case attempt.Outcome == routing.ConnectionRefused:
+		state.delay, state.delayAt = maxDelayFactor*r.delayObjective, r.now
 	}
-	b.learn(r.Pool, r.Reported)
+	r.applyLoadReport(attempt.Endpoint, attempt.HasLoadReport)
 }
 
-// hear notes that something was heard of a pool's processor.
-func (b *Brain) hear(n *pool) {
-	if n.told > 0 {
-		n.every = math.Max(1000, (n.every+math.Min(longEvery, b.now-n.told))/2)
+// noteHeard notes that something was heard of a pool's processor.
+func (r *Router) noteHeard(state *endpointState) {
+	if state.heardAt > 0 {
+		state.hearInterval = math.Max(1000, (state.hearInterval+math.Min(maxHearInterval, r.now-state.heardAt))/2)
 	}
-	n.told = b.now
+	state.heardAt = r.now
 }
 
-// learn takes a pool's latest report.
-func (b *Brain) learn(p *routing.Pool, full bool) {
-	n := note(p)
-	if !math.IsNaN(p.Report.Free) {
-		n.noAgent = p.Report.Free <= 0
+// applyLoadReport takes a pool's latest report.
+func (r *Router) applyLoadReport(endpoint *routing.Endpoint, full bool) {
+	state := stateOf(endpoint)
+	if !math.IsNaN(endpoint.LoadReport.Free) {
+		state.atCapacity = endpoint.LoadReport.Free <= 0
 	}
 	if full {
-		b.hear(n)
-		n.heard = b.now
+		r.noteHeard(state)
+		state.reportedAt = r.now
 		// a report may lie or stick: set-up times seen here go first, and what cannot be is not believed
-		if w := p.Report.Wait; w < b.longest && b.now-n.timed > ownFirst {
-			b.judge(n, w)
+		if w := endpoint.LoadReport.QueueDelay; w < r.maxTimeout && r.now-state.latencyAt > ownSampleLifetime {
+			r.recordDelay(state, w)
 		}
-		if !math.IsNaN(p.Report.Queue) {
-			n.queue = math.Max(n.queue, p.Report.Queue)
+		if !math.IsNaN(endpoint.LoadReport.QueueLength) {
+			state.maxQueueLength = math.Max(state.maxQueueLength, endpoint.LoadReport.QueueLength)
 		}
 	}
 }
 
-// expect is the wait that a set-up sent now must reckon with: the faded judgement, but no less than the
+// expectedDelay is the wait that a set-up sent now must reckon with: the faded judgement, but no less than
+// the
 // oldest set-up under way has waited; where some were lost lately, the second oldest.
-func (n *pool) expect(now, idle float64) float64 {
-	w := n.faded(now)
+func (state *endpointState) expectedDelay(now, idle float64) float64 {
+	w := state.currentDelay(now)
 	skip := 0
-	if n.lost.read(now) > lossy {
+	if state.lost.read(now) > lossyCount {
 		skip = 1
 	}
-	if len(n.out) > skip {
-		w = math.Max(w, now-idle-n.out[skip].Sent-n.least())
+	if len(state.inFlight) > skip {
+		w = math.Max(w, now-idle-state.inFlight[skip].SentAt-state.minLatencyOrZero())
 	}
 	return w
 }
 
-// faded is the judged wait as far as it still counts: it fades the slower the less often something is heard.
-func (n *pool) faded(now float64) float64 {
-	return n.wait * math.Exp((n.judged-now)/(waitSpan*n.every/1000))
+// currentDelay is the judged wait as far as it still counts: it fades the slower the less often something is
+// heard.
+func (state *endpointState) currentDelay(now float64) float64 {
+	return state.delay * math.Exp((state.delayAt-now)/(delayWindow*state.hearInterval/1000))
 }
 
-// least is the set-up time without a wait, as far as seen.
-func (n *pool) least() float64 {
-	if math.IsInf(n.base, 1) {
+// minLatencyOrZero is the set-up time without a wait, as far as seen.
+func (state *endpointState) minLatencyOrZero() float64 {
+	if math.IsInf(state.minLatency, 1) {
 		return 0
 	}
-	return n.base
+	return state.minLatency
 }
 
-// see judges a wait seen here; one that surprises is news for others.
-func (b *Brain) see(n *pool, wait float64) {
-	if math.Abs(math.Min(mostWait*b.goal, wait)-n.faded(b.now)) > newsFrom*b.goal {
-		n.saw = wait
+// observeDelay judges a wait seen here; one that surprises is news for others.
+func (r *Router) observeDelay(state *endpointState, wait float64) {
+	if math.Abs(
+		math.Min(maxDelayFactor*r.delayObjective, wait)-state.currentDelay(r.now),
+	) > gossipThreshold*r.delayObjective {
+		state.gossipDelay = wait
 	}
-	b.judge(n, wait)
+	r.recordDelay(state, wait)
 }
 
-// judge takes a sample of the wait. It is bounded, so that any judgement is forgotten in bounded time.
-func (b *Brain) judge(n *pool, sample float64) {
-	w := n.faded(b.now)
-	n.wait, n.judged = (w+math.Min(mostWait*b.goal, math.Max(0, sample)))/2, b.now
+// recordDelay takes a sample of the wait. It is bounded, so that any judgement is forgotten in bounded time.
+func (r *Router) recordDelay(state *endpointState, sample float64) {
+	w := state.currentDelay(r.now)
+	state.delay, state.delayAt = (w+math.Min(maxDelayFactor*r.delayObjective, math.Max(0, sample)))/2, r.now
 }
 
-// guard is the last word on every send: what the rules do not allow does not pass.
-func (b *Brain) guard(c *routing.Contact, to **routing.Pool) verdict {
-	if !b.allowed(c, *to) {
-		return b.shed(c)
+// enforceRules is the last word on every send: what the rules do not allow does not pass.
+func (r *Router) enforceRules(call *routing.Call, to **routing.Endpoint) stageResult {
+	if !r.rulesAllow(call, *to) {
+		return r.reject(call)
 	}
-	return pass
+	return proceed
 }
 
-// allowed tells whether the rules let c ring p now.
-func (b *Brain) allowed(c *routing.Contact, p *routing.Pool) bool {
-	return p.State == routing.Ready && // rule 3: at once, not only after the grace
-		c.Out == nil && !c.Over && // rules 1 and 2
-		c.Until > b.now && c.Rings < b.set.MaxRings && (c.Skill.Repeat || !c.MayRun) &&
-		c.NotTill <= b.now && // rule 5
-		(c.Skill.Pools == nil || c.Skill.Pools[p.Number]) &&
-		b.cold(p) // rule 4
+// rulesAllow tells whether the rules let c ring p now.
+func (r *Router) rulesAllow(call *routing.Call, endpoint *routing.Endpoint) bool {
+	return endpoint.State == routing.Ready && // rule 3: at once, not only after the grace
+		call.InFlight == nil && !call.Finished && // rules 1 and 2
+		call.Deadline > r.now && call.Attempts < r.settings.MaxAttempts &&
+		(call.Class.Idempotent || !call.MayHaveExecuted) &&
+		call.RetryNotBefore <= r.now && // rule 5
+		(call.Class.AllowedDestinations == nil || call.Class.AllowedDestinations[endpoint.DestinationID]) &&
+		r.slowStartAllows(endpoint) // rule 4
 }
 
-// cold is rule 4: it tells whether this gateway may send a pool a set-up now. All gateways together keep
+// slowStartAllows is rule 4: it tells whether this gateway may send a pool a set-up now. All gateways
+// together keep
 // the rule if each sends no more than the stated multiple of its part of a warm pool's load, scaled down to
 // what the pool can do at its present age. First tries stand for that load: they do not fall to nothing
 // with the pools. A token is good for a moment only and falls due at a moment drawn by chance: so all
 // gateways together hold no more than a moment's budget, however many they are and however long nothing was
 // sent.
-func (b *Brain) cold(p *routing.Pool) bool {
-	n := note(p)
-	age := b.now - n.fresh
-	if age >= b.set.WarmWithin || b.set.TipMultiple <= 0 {
-		n.counted = b.now
+func (r *Router) slowStartAllows(endpoint *routing.Endpoint) bool {
+	state := stateOf(endpoint)
+	age := r.now - state.startedAt
+	if age >= r.settings.SlowStartDuration || r.settings.OverloadFactor <= 0 {
+		state.slowStartRefilledAt = r.now
 		return true
 	}
-	part := b.set.ColdShare + (1-b.set.ColdShare)*math.Max(0, age)/b.set.WarmWithin
-	safety := coldSafety
-	if n.timed > n.fresh && n.expect(b.now, b.idle) < spareRoom*b.goal {
-		safety = coldProven // set-ups stand there at once
-	}
-	rate := b.came.rate(b.now) * b.share(p) * safety * b.set.TipMultiple * part
-	n.pace = math.Max(b.part(leastPace), math.Min(n.pace, 2*rate)) // and no rush when it is warm
-	n.budget += rate * (b.now - n.counted)
-	n.counted = b.now
-	open := rate * b.set.TipTime * coldOpen
-	if open >= 1 {
-		n.budget = math.Min(n.budget, 1+open)
-		return n.budget >= 1
-	}
-	if n.budget >= 2 {
-		n.budget = 1 + frac(n.budget)
-	}
-	return n.budget >= 1 && n.budget < 1+open
+	warmth := r.settings.SlowStartFraction + (1-r.settings.SlowStartFraction)*math.Max(
+		0,
+		age,
+	)/r.settings.SlowStartDuration
+	safety := slowStartSafety
+	if state.latencyAt > state.startedAt &&
+		state.expectedDelay(r.now, r.stalledFor) < lightLoadFraction*r.delayObjective {
+		safety = slowStartProvenSafety // set-ups stand there at once
+	}
+	rate := r.arrivals.rate(r.now) * r.capacityShare(endpoint) * safety * r.settings.OverloadFactor * warmth
+	state.sendRate = math.Max(
+		r.evenShare(minSendRate),
+		math.Min(state.sendRate, 2*rate),
+	) // and no rush when it is warm
+	state.slowStartTokens += rate * (r.now - state.slowStartRefilledAt)
+	state.slowStartRefilledAt = r.now
+	tokenLimit := rate * r.settings.OverloadWindow * slowStartTokenLifetime
+	if tokenLimit >= 1 {
+		state.slowStartTokens = math.Min(state.slowStartTokens, 1+tokenLimit)
+		return state.slowStartTokens >= 1
+	}
+	if state.slowStartTokens >= 2 {
+		state.slowStartTokens = 1 + fraction(state.slowStartTokens)
+	}
+	return state.slowStartTokens >= 1 && state.slowStartTokens < 1+tokenLimit
 }
 
-// share is a pool's part of the total capacity: the load is made for all places, not for the few pools that
+// capacityShare is a pool's part of the total capacity: the load is made for all places, not for the few
+// pools that
 // are left.
-func (b *Brain) share(p *routing.Pool) float64 {
-	if b.summed != b.now {
-		b.whole, b.summed = 0, b.now
-		for _, q := range b.places {
-			b.whole += b.size(q)
+func (r *Router) capacityShare(endpoint *routing.Endpoint) float64 {
+	if r.totalCapacityAt != r.now {
+		r.totalCapacity, r.totalCapacityAt = 0, r.now
+		for _, other := range r.destinations {
+			r.totalCapacity += r.capacityOf(other)
 		}
 	}
-	return b.size(p) / math.Max(b.whole, b.size(p))
+	return r.capacityOf(endpoint) / math.Max(r.totalCapacity, r.capacityOf(endpoint))
 }
 
-// frac is the part after the point.
-func frac(v float64) float64 { return v - math.Floor(v) }
-
-// ring sends the set-up.
-func (b *Brain) ring(c *routing.Contact, to **routing.Pool) verdict {
-	n := note(*to)
-	n.budget--
-	n.tokens--
-	n.sent.add(b.now, 1)
-	c.Rings++
-	b.host.Ring(c, *to, c.Until-b.now)
-	n.out = append(n.out, c.Out)
-	return kept
+// fraction is the part after the point.
+func fraction(v float64) float64 { return v - math.Floor(v) }
+
+// dispatch sends the set-up.
+func (r *Router) dispatch(call *routing.Call, to **routing.Endpoint) stageResult {
+	state := stateOf(*to)
+	state.slowStartTokens--
+	state.tokens--
+	state.sent.add(r.now, 1)
+	call.Attempts++
+	r.host.StartAttempt(call, *to, call.Deadline-r.now)
+	state.inFlight = append(state.inFlight, call.InFlight)
+	return pending
 }
 
-// ringUp notes that a set-up is no longer under way, and the pool's signs of life. A pool that left set-ups
+// onDispatchOutcome notes that a set-up is no longer under way, and the pool's signs of life. A pool that
+// left set-ups
 // unanswered, and cut contacts or refused to connect, has started anew when it answers: it is cold, whatever
 // the list says of it.
-func (b *Brain) ringUp(r *routing.Ring) {
-	n := note(r.Pool)
-	stood := r.Contact.Out == r
-	for i, o := range n.out {
-		if o == r {
-			n.out = append(n.out[:i], n.out[i+1:]...)
+func (r *Router) onDispatchOutcome(attempt *routing.Attempt) {
+	state := stateOf(attempt.Endpoint)
+	stood := attempt.Call.InFlight == attempt
+	for i, o := range state.inFlight {
+		if o == attempt {
+			state.inFlight = append(state.inFlight[:i], state.inFlight[i+1:]...)
 			break
 		}
 	}
 	switch {
-	case stood || r.End == routing.Done || r.End == routing.Full || r.End == routing.Failed:
-		if n.silent > 0 && n.cuts > 0 && b.now-n.fresh > b.set.WarmWithin {
-			n.restart(b.now, b.now)
+	case stood || attempt.Outcome == routing.Completed || attempt.Outcome == routing.Overloaded ||
+		attempt.Outcome == routing.Failed:
+		if state.unanswered > 0 && state.resets > 0 && r.now-state.startedAt > r.settings.SlowStartDuration {
+			state.restart(r.now, r.now)
 		}
-		n.life, n.silent, n.cuts = b.now, 0, 0
-	case r.End == routing.Refused:
-		n.silent++
-		n.cuts++
-	case r.End == routing.Reset:
-		n.cuts++
-	case !r.Lost && r.End != routing.Unsent && r.Sent > n.fresh:
-		n.silent++
-	}
-	for stood && b.set.MayCancel && len(n.out) > 0 && n.out[0].Sent < r.Sent-overtaken*b.goal {
-		lost := n.out[0] // a processor takes set-ups in turn: this one is lost, and says nothing of the wait
-		lost.Lost = true
-		n.lost.add(b.now, 1)
-		n.out = n.out[1:]
-		if b.inTime(lost.Contact) {
-			b.host.Cancel(lost)
+		state.aliveAt, state.unanswered, state.resets = r.now, 0, 0
+	case attempt.Outcome == routing.ConnectionRefused:
+		state.unanswered++
+		state.resets++
+	case attempt.Outcome == routing.Reset:
+		state.resets++
+	case !attempt.PresumedLost && attempt.Outcome != routing.NotSent && attempt.SentAt > state.startedAt:
+		state.unanswered++
+	}
+	for stood && r.settings.CancelEnabled && len(state.inFlight) > 0 &&
+		state.inFlight[0].SentAt < attempt.SentAt-overtakenFraction*r.delayObjective {
+		// a processor takes set-ups in turn: this one is lost, and says nothing of the wait
+		lost := state.inFlight[0]
+		lost.PresumedLost = true
+		state.lost.add(r.now, 1)
+		state.inFlight = state.inFlight[1:]
+		if r.canMeetObjective(lost.Call) {
+			r.host.CancelAttempt(lost)
 		}
 	}
 }
 
 // restart begins a pool's notes anew: its processor has started cold. The time before earns no cold budget.
-func (n *pool) restart(now, at float64) {
-	n.fresh, n.wait, n.pace, n.silent, n.budget, n.counted = at, 0, math.Inf(1), 0, frac(n.budget), now
-	n.out = slices.DeleteFunc(n.out, func(r *routing.Ring) bool { return r.Sent < at }) // lost with the old one
+func (state *endpointState) restart(now, at float64) {
+	state.startedAt = at
+	state.delay = 0
+	state.sendRate = math.Inf(1)
+	state.unanswered = 0
+	state.slowStartTokens = fraction(state.slowStartTokens)
+	state.slowStartRefilledAt = now
+	state.inFlight = slices.DeleteFunc(
+		state.inFlight,
+		func(attempt *routing.Attempt) bool { return attempt.SentAt < at },
+	) // lost with the old one
 }
 
-// inTime tells whether a contact called off now could still stand in time elsewhere.
-func (b *Brain) inTime(c *routing.Contact) bool {
-	return b.now+b.set.ClearWait+b.goal < c.Came+c.Skill.Target
+// canMeetObjective tells whether a contact called off now could still stand in time elsewhere.
+func (r *Router) canMeetObjective(call *routing.Call) bool {
+	return r.now+r.settings.RetryHoldOff+r.delayObjective < call.ArrivedAt+call.Class.LatencyObjective
 }
--- a/internal/router/brain_test.go
+++ b/internal/router/brain_test.go
@@ -11,19 +11,19 @@
 func TestLotteryShares(t *testing.T) {
 	h, ps := setup(3)
 	want := []float64{20 * 0.5 * 0.5, 10 * 0.8 * 0.8, 30 * 0.2 * 0.2}
-	for i, r := range []routing.Report{{Rate: 20, Util: 0.5}, {Rate: 10, Util: 0.2}, {Rate: 30, Util: 0.8}} {
-		ps[i].Report.Rate, ps[i].Report.Util = r.Rate, r.Util
-		h.b.Reported(h.now, ps[i], true, true)
+	for i, r := range []routing.LoadReport{{RateLimit: 20, Utilization: 0.5}, {RateLimit: 10, Utilization: 0.2}, {RateLimit: 30, Utilization: 0.8}} {
+		ps[i].LoadReport.RateLimit, ps[i].LoadReport.Utilization = r.RateLimit, r.Utilization
+		h.b.OnLoadReport(h.now, ps[i], true, true)
 	}
-	got := map[*routing.Pool]float64{}
+	got := map[*routing.Endpoint]float64{}
 	for i := 0; i < 20000; i++ {
 		h.pass(1000)
-		got[h.stand(h.offer(nil), 20).Pool]++
+		got[h.stand(h.offer(nil), 20).Endpoint]++
 	}
 	all := want[0] + want[1] + want[2]
-	for i, p := range ps {
-		if d := got[p]/20000 - want[i]/all; math.Abs(d) > 0.02 {
-			t.Errorf("pool %d: share %.3f, want %.3f", i, got[p]/20000, want[i]/all)
+	for i, endpoint := range ps {
+		if d := got[endpoint]/20000 - want[i]/all; math.Abs(d) > 0.02 {
+			t.Errorf("pool %d: share %.3f, want %.3f", i, got[endpoint]/20000, want[i]/all)
 		}
 	}
 }
@@ -33,30 +33,31 @@
 	h, ps := setup(2)
 	for i := 0; i < 50; i++ {
 		h.pass(1000)
-		if r := h.stand(h.offer(ps[1]), 20); r.Pool != ps[1] {
+		if attempt := h.stand(h.offer(ps[1]), 20); attempt.Endpoint != ps[1] {
 			t.Fatal("the destination had room and was passed over")
 		}
 	}
-	ps[0].Report.Util = 1
-	h.b.Reported(h.now, ps[0], true, true)
-	if f := h.b.free(ps[0]); f != 0 {
+	ps[0].LoadReport.Utilization = 1
+	h.b.OnLoadReport(h.now, ps[0], true, true)
+	if f := h.b.freeShare(ps[0]); f != 0 {
 		t.Errorf("nought report: free share %v, want 0", f)
 	}
 	ps[1].State = routing.Draining
 	h.pass(1000)
-	if c := h.offer(ps[1]); !c.Over {
+	if call := h.offer(ps[1]); !call.Finished {
 		t.Error("the only pool reports nought: no tickets anywhere")
 	}
 	h.pass(1100)
-	if c := h.offer(ps[1]); c.Out == nil || c.Out.Pool != ps[0] {
+	if call := h.offer(ps[1]); call.InFlight == nil || call.InFlight.Endpoint != ps[0] {
 		t.Error("a draining destination must be left for another pool")
 	}
-	if f := h.b.free(ps[0]); f != noughtShare {
-		t.Errorf("nought report of 2 s ago: free share %v, want %v", f, noughtShare)
+	if f := h.b.freeShare(ps[0]); f != staleZeroFreeShare {
+		t.Errorf("nought report of 2 s ago: free share %v, want %v", f, staleZeroFreeShare)
 	}
 }
 
-// A destination that fails most set-ups at once is passed by while others do not, still tried, and comes back; where all
+// A destination that fails most set-ups at once is passed by while others do not, still tried, and comes
+// back; where all
 // fail alike, or numbers are engaged, it keeps its contacts.
 func TestFailingPool(t *testing.T) {
 	for _, c := range []struct {
@@ -71,25 +72,25 @@
 		{"engaged", [2]float64{0.8, 0}, true, 400, 400},
 	} {
 		h, ps := setup(2)
-		for _, p := range ps {
-			p.Report.Agents, p.Report.Free = 1000, 800
+		for _, endpoint := range ps {
+			endpoint.LoadReport.Capacity, endpoint.LoadReport.Free = 1000, 800
 		}
 		play := func(n int, fails [2]float64) (home int) {
 			for i := 0; i < n; i++ {
 				h.pass(20)
 				k := h.offer(ps[0])
-				for first := true; k.Out != nil && !k.Over; first = false {
-					r, at := k.Out, 0
-					if r.Pool == ps[1] {
+				for first := true; k.InFlight != nil && !k.Finished; first = false {
+					attempt, at := k.InFlight, 0
+					if attempt.Endpoint == ps[1] {
 						at = 1
 					} else if first {
 						home++
 					}
-					if h.b.chance() >= fails[at] {
+					if h.b.random() >= fails[at] {
 						h.stand(k, 20)
 						break
 					}
-					r.Engaged = c.engaged
+					attempt.NumberBusy = c.engaged
 					h.end(k, routing.Failed)
 				}
 			}
@@ -109,7 +110,7 @@
 // With no pool at all a contact gets its answer within its patience, and at once when it can't be served.
 func TestNoPools(t *testing.T) {
 	h, _ := setup(0)
-	if c := h.offer(nil); !c.Over || len(h.deferred) != 1 {
+	if call := h.offer(nil); !call.Finished || len(h.deferred) != 1 {
 		t.Error("no pool: want the contact deferred at once")
 	}
 }
@@ -117,15 +118,15 @@
 // A pool whose set-ups wait gets fewer of them and gets them back: no flush, no standstill.
 func TestPaceFollowsWait(t *testing.T) {
 	h, ps := setup(1)
-	ps[0].Report.Agents, ps[0].Report.Free = 1000, 500
+	ps[0].LoadReport.Capacity, ps[0].LoadReport.Free = 1000, 500
 	count := func(cost float64) int {
 		before := len(h.rings)
 		for i := 0; i < 400; i++ {
 			h.pass(10)
 			h.offer(ps[0])
-			for _, r := range h.rings {
-				if c := r.Contact; c.Out == r && !c.Stands {
-					h.stand(c, cost)
+			for _, attempt := range h.rings {
+				if call := attempt.Call; call.InFlight == attempt && !call.Established {
+					h.stand(call, cost)
 				}
 			}
 		}
@@ -140,9 +141,9 @@
 // When not all can be served the contacts of most value are, whatever came first.
 func TestLineByWorth(t *testing.T) {
 	h, ps := setup(1)
-	ps[0].Report.Agents, ps[0].Report.Free = 20, 10
+	ps[0].LoadReport.Capacity, ps[0].LoadReport.Free = 20, 10
 	small, big := *h.skill, *h.skill
-	big.Value = 8
+	big.Weight = 8
 	var got, all [2]int
 	for i := 0; i < 2000; i++ {
 		h.pass(10)
@@ -152,13 +153,13 @@
 		}
 		h.offer(ps[0])
 	}
-	for _, c := range h.all {
+	for _, call := range h.all {
 		k := 0
-		if c.Skill == &big {
+		if call.Class == &big {
 			k = 1
 		}
 		all[k]++
-		if c.Rings > 0 {
+		if call.Attempts > 0 {
 			got[k]++
 		}
 	}
@@ -174,10 +175,10 @@
 	first := h.offer(ps[0])
 	h.pass(2500)
 	again := h.offer(ps[0])
-	if !first.Over || again.First != first.Came {
-		t.Fatalf("redial counted from %v, want %v", again.First, first.Came)
+	if !first.Finished || again.FirstSeenAt != first.ArrivedAt {
+		t.Fatalf("redial counted from %v, want %v", again.FirstSeenAt, first.ArrivedAt)
 	}
-	if w := h.b.worth(again); w != h.skill.Value*h.skill.LateValue {
+	if w := h.b.currentWeight(again); w != h.skill.Weight*h.skill.LateWeightFraction {
 		t.Errorf("late redial worth %v", w)
 	}
 }
@@ -185,15 +186,15 @@
 // A set-up overtaken by a later one is lost: it is called off and says nothing of the wait.
 func TestLostSetUp(t *testing.T) {
 	h, ps := setup(1)
-	ps[0].Report.Agents, ps[0].Report.Free = 1000, 500
+	ps[0].LoadReport.Capacity, ps[0].LoadReport.Free = 1000, 500
 	h.stand(h.offer(ps[0]), 20)
 	lost := h.offer(ps[0])
 	h.pass(300)
 	h.stand(h.offer(ps[0]), 20)
-	if len(h.cancelled) != 1 || h.cancelled[0].Contact != lost {
+	if len(h.cancelled) != 1 || h.cancelled[0].Call != lost {
 		t.Fatalf("%d set-ups called off, want the lost one", len(h.cancelled))
 	}
-	if w := note(ps[0]).expect(h.now, 0); w > h.b.goal {
+	if w := stateOf(ps[0]).expectedDelay(h.now, 0); w > h.b.delayObjective {
 		t.Errorf("a lost set-up counts as a wait of %v", w)
 	}
 }
@@ -201,7 +202,7 @@
 // A silent pool gets one set-up at a time; contacts cut and an answer after silence mean that it is cold.
 func TestSilenceAndRestart(t *testing.T) {
 	h, ps := setup(1)
-	ps[0].Report.Agents, ps[0].Report.Free = 1000, 500
+	ps[0].LoadReport.Capacity, ps[0].LoadReport.Free = 1000, 500
 	standing := h.offer(ps[0])
 	h.stand(standing, 20)
 	for i := 0; i < 2; i++ {
@@ -210,17 +211,17 @@
 	}
 	h.end(standing, routing.Reset)
 	h.pass(100)
-	if c := h.offer(ps[0]); c.Out != nil {
+	if call := h.offer(ps[0]); call.InFlight != nil {
 		t.Error("a silent pool was sent a set-up within a second of the last")
 	}
 	h.pass(1500)
 	h.offer(ps[0])
-	c := h.rings[len(h.rings)-1].Contact
-	if c.Out == nil || len(note(ps[0]).out) != 1 {
-		t.Fatalf("%d set-ups under way to a silent pool, want one", len(note(ps[0]).out))
+	call := h.rings[len(h.rings)-1].Call
+	if call.InFlight == nil || len(stateOf(ps[0]).inFlight) != 1 {
+		t.Fatalf("%d set-ups under way to a silent pool, want one", len(stateOf(ps[0]).inFlight))
 	}
-	h.stand(c, 20)
-	if n := note(ps[0]); n.fresh != h.now {
+	h.stand(call, 20)
+	if state := stateOf(ps[0]); state.startedAt != h.now {
 		t.Error("a pool that cut contacts and fell silent has started cold when it answers")
 	}
 }
@@ -228,9 +229,9 @@
 // What cannot be is not believed: a report of a wait of weeks leaves a pool in use.
 func TestImpossibleReport(t *testing.T) {
 	h, ps := setup(1)
-	ps[0].Report.Agents, ps[0].Report.Free, ps[0].Report.Wait = 1000, 500, 3e9
-	h.b.Reported(h.now, ps[0], true, true)
-	if w := note(ps[0]).expect(h.now, 0); w != 0 {
+	ps[0].LoadReport.Capacity, ps[0].LoadReport.Free, ps[0].LoadReport.QueueDelay = 1000, 500, 3e9
+	h.b.OnLoadReport(h.now, ps[0], true, true)
+	if w := stateOf(ps[0]).expectedDelay(h.now, 0); w != 0 {
 		t.Errorf("wait judged %v", w)
 	}
 }
@@ -238,15 +239,15 @@
 // Skills that must not run twice are not rung again once a set-up may have run.
 func TestOnlyOnce(t *testing.T) {
 	h, ps := setup(2)
-	h.skill.Repeat = false
-	c := h.offer(ps[0])
-	h.end(c, routing.TimedOut)
-	if len(h.abandoned) != 1 || c.Rings != 1 {
-		t.Errorf("abandoned %d, rings %d", len(h.abandoned), c.Rings)
-	}
-	c = h.offer(ps[0])
-	h.end(c, routing.Refused)
-	if c.Rings+len(h.b.line) < 2 {
+	h.skill.Idempotent = false
+	call := h.offer(ps[0])
+	h.end(call, routing.TimedOut)
+	if len(h.abandoned) != 1 || call.Attempts != 1 {
+		t.Errorf("abandoned %d, rings %d", len(h.abandoned), call.Attempts)
+	}
+	call = h.offer(ps[0])
+	h.end(call, routing.ConnectionRefused)
+	if call.Attempts+len(h.b.queue) < 2 {
 		t.Error("a set-up that never ran may go elsewhere")
 	}
 }
@@ -254,8 +255,8 @@
 // Where reports come only by probe, each pool is probed every second.
 func TestProbes(t *testing.T) {
 	h, ps := setup(2)
-	h.b.set.ByProbe, h.b.set.MayProbe = true, true
-	h.b.Listed(h.now, ps)
+	h.b.settings.LoadReportsByProbe, h.b.settings.ProbeEnabled = true, true
+	h.b.OnEndpoints(h.now, ps)
 	h.pass(10100)
 	if h.probed < 20 || h.probed > 22 {
 		t.Errorf("%d probes of two pools in 10 s", h.probed)
@@ -265,20 +266,20 @@
 // A number whose lines are all busy is left alone, but for one try at a time.
 func TestEngagedNumber(t *testing.T) {
 	h, ps := setup(1)
-	ps[0].Report.Agents, ps[0].Report.Free = 1000, 500
+	ps[0].LoadReport.Capacity, ps[0].LoadReport.Free = 1000, 500
 	h.number = "hot"
-	c := h.offer(ps[0])
-	c.Out.Engaged = true
-	h.end(c, routing.Failed)
-	if again := h.offer(ps[0]); !c.Over || !again.Over || again.Rings > 0 {
+	call := h.offer(ps[0])
+	call.InFlight.NumberBusy = true
+	h.end(call, routing.Failed)
+	if again := h.offer(ps[0]); !call.Finished || !again.Finished || again.Attempts > 0 {
 		t.Error("an engaged number was rung again at once")
 	}
-	h.pass(engagedFor + 100)
-	if one, two := h.offer(ps[0]), h.offer(ps[0]); one.Rings != 1 || two.Rings != 0 {
-		t.Errorf("%d and %d rings, want one try", one.Rings, two.Rings)
+	h.pass(busyNumberPause + 100)
+	if one, two := h.offer(ps[0]), h.offer(ps[0]); one.Attempts != 1 || two.Attempts != 0 {
+		t.Errorf("%d and %d rings, want one try", one.Attempts, two.Attempts)
 	}
 	h.number = "other"
-	if c := h.offer(ps[0]); c.Rings != 1 {
+	if call := h.offer(ps[0]); call.Attempts != 1 {
 		t.Error("another number must not suffer")
 	}
 }
@@ -286,61 +287,62 @@
 // A pool that turns a set-up away is left alone for a moment, not for the time that a long wait fades.
 func TestTurnedAway(t *testing.T) {
 	h, ps := setup(1)
-	ps[0].Report.Agents, ps[0].Report.Free = 1000, 500
+	ps[0].LoadReport.Capacity, ps[0].LoadReport.Free = 1000, 500
 	h.stand(h.offer(ps[0]), 20)
 	h.pass(1000)
-	h.end(h.offer(ps[0]), routing.Full)
+	h.end(h.offer(ps[0]), routing.Overloaded)
 	sent := len(h.rings)
 	if h.offer(ps[0]); len(h.rings) > sent {
 		t.Error("rung again at once")
 	}
-	if h.pass(fullPause + 300); len(h.rings) == sent {
+	if h.pass(overloadPause + 300); len(h.rings) == sent {
 		t.Error("still left alone after the pause")
 	}
 }
 
 // Settings that are missing give sensible decisions: contacts are rung while the pool answers.
 func TestOddSettings(t *testing.T) {
-	for _, set := range []routing.Settings{{}, {Skills: []*routing.Skill{{}}}, {ByProbe: true, MayWait: true}} {
+	for _, set := range []routing.Settings{{}, {Classes: []*routing.Class{{}}}, {LoadReportsByProbe: true, RetryAfterEnabled: true}} {
 		h, ps := setup(1)
 		h.b = New(&set, h)
-		ps[0].Notes = nil
-		h.b.Listed(h.now, ps)
+		ps[0].PolicyState = nil
+		h.b.OnEndpoints(h.now, ps)
 		for i := 0; i < 20; i++ {
 			h.now += 1000
-			c := h.offer(ps[0])
-			if c.Out == nil {
+			call := h.offer(ps[0])
+			if call.InFlight == nil {
 				t.Fatalf("contact %d under %+v: not rung", i, set)
 			}
-			h.stand(c, 20)
+			h.stand(call, 20)
 		}
 		ps[0].State = routing.Gone
-		h.b.Listed(h.now, ps)
-		if c := h.offer(ps[0]); !c.Over {
+		h.b.OnEndpoints(h.now, ps)
+		if call := h.offer(ps[0]); !call.Finished {
 			t.Errorf("no pool left under %+v: want an answer at once", set)
 		}
 	}
 }
 
-// A gateway that stood still finds a backlog: its contacts came earlier, its answers tell nothing of the wait.
+// A gateway that stood still finds a backlog: its contacts came earlier, its answers tell nothing of the
+// wait.
 func TestBacklog(t *testing.T) {
 	h, ps := setup(1)
-	ps[0].Report.Agents, ps[0].Report.Free = 1000, 500
+	ps[0].LoadReport.Capacity, ps[0].LoadReport.Free = 1000, 500
 	h.stand(h.offer(ps[0]), 20)
 	h.pass(100)
-	c := h.offer(ps[0])
+	call := h.offer(ps[0])
 	h.now, h.left = h.now+1800, h.left-1500
-	if late := h.offer(ps[0]); late.Came != h.now-1500 {
-		t.Errorf("came %v ago, want 1500", h.now-late.Came)
+	if late := h.offer(ps[0]); late.ArrivedAt != h.now-1500 {
+		t.Errorf("came %v ago, want 1500", h.now-late.ArrivedAt)
 	}
-	h.stand(c, 1800)
-	if w := note(ps[0]).expect(h.now, 0); w != 0 {
+	h.stand(call, 1800)
+	if w := stateOf(ps[0]).expectedDelay(h.now, 0); w != 0 {
 		t.Errorf("wait judged %v", w)
 	}
 	h.now += 2000
 	slow := h.offer(ps[0])
 	h.pass(5)
-	if h.stand(slow, 1800); note(ps[0]).expect(h.now, 0) < h.b.goal {
+	if h.stand(slow, 1800); stateOf(ps[0]).expectedDelay(h.now, 0) < h.b.delayObjective {
 		t.Error("a wait seen by a gateway that did not stand still must count")
 	}
 }
@@ -348,21 +350,21 @@
 // A wait that surprises is told to others; they heed it where they heard nothing lately, and no nonsense.
 func TestNews(t *testing.T) {
 	h, ps := setup(2)
-	h.b.set.MayTell, h.b.set.Gateways = true, 200
+	h.b.settings.GossipEnabled, h.b.settings.Gateways = true, 200
 	h.stand(h.offer(ps[1]), 20)
 	if h.pass(1000); len(h.told) > 0 {
 		t.Error("a set-up that stands at once is no news")
 	}
 	h.stand(h.offer(ps[1]), 2000)
-	if len(h.told) == 0 || len(h.told) > tellTo {
-		t.Fatalf("%d messages, want up to %d", len(h.told), tellTo)
+	if len(h.told) == 0 || len(h.told) > gossipFanout {
+		t.Fatalf("%d messages, want up to %d", len(h.told), gossipFanout)
 	}
 	other, qs := setup(2)
 	for _, odd := range [][]byte{nil, {1}, {99, 200}, {99}} {
-		other.b.Told(other.now, -5, odd)
+		other.b.OnGossip(other.now, -5, odd)
 	}
-	other.b.Told(other.now+2000, 1<<30, append(h.told[0], 1))
-	if a, b := note(qs[0]).wait, note(qs[1]).wait; a != 0 || b < other.b.goal {
+	other.b.OnGossip(other.now+2000, 1<<30, append(h.told[0], 1))
+	if a, b := stateOf(qs[0]).delay, stateOf(qs[1]).delay; a != 0 || b < other.b.delayObjective {
 		t.Errorf("waits judged %v and %v, want none and a long one", a, b)
 	}
 }
@@ -371,12 +373,12 @@
 func TestGatewayCounts(t *testing.T) {
 	for _, count := range []int{-1, 0, 1, 300} {
 		h, ps := setup(1)
-		h.b.set.Gateways = count
-		ps[0].Report.Agents, ps[0].Report.Free = 1000, 500
+		h.b.settings.Gateways = count
+		ps[0].LoadReport.Capacity, ps[0].LoadReport.Free = 1000, 500
 		for i := 0; i < 60; i++ {
 			h.pass(3000)
-			if c := h.offer(ps[0]); c.Out != nil {
-				h.stand(c, 20)
+			if call := h.offer(ps[0]); call.InFlight != nil {
+				h.stand(call, 20)
 			}
 		}
 		if len(h.rings) < 30 {
@@ -384,11 +386,16 @@
 		}
 		for i := 0; i < 100; i++ { // a long press
 			h.pass(100)
-			h.b.at(h.now)
-			h.b.judge(note(ps[0]), 9e9)
-			h.b.fill(ps[0])
+			h.b.setTime(h.now)
+			h.b.recordDelay(stateOf(ps[0]), 9e9)
+			h.b.updateSendRate(ps[0])
 		}
-		if all := note(ps[0]).pace * float64(max(1, count)); !(all > 0) || all > 0.05*h.b.size(ps[0])/1000 {
+		if all := stateOf(
+			ps[0],
+		).sendRate * float64(
+			max(1, count),
+		); !(all > 0) ||
+			all > 0.05*h.b.capacityOf(ps[0])/1000 {
 			t.Errorf("%d gateways: a floor of %v set-ups a ms for all", count, all)
 		}
 	}
@@ -397,17 +404,17 @@
 // Set-ups sent before a pool's start say nothing of it, however they end.
 func TestOldSetUpsAfterRestart(t *testing.T) {
 	h, ps := setup(1)
-	ps[0].Report.Agents, ps[0].Report.Free = 1000, 500
+	ps[0].LoadReport.Capacity, ps[0].LoadReport.Free = 1000, 500
 	h.stand(h.offer(ps[0]), 20)
 	h.pass(1000)
 	a, b := h.offer(ps[0]), h.offer(ps[0])
 	h.pass(1000)
-	ps[0].Since = h.now
-	h.b.Listed(h.now, ps)
+	ps[0].StartedAt = h.now
+	h.b.OnEndpoints(h.now, ps)
 	h.pass(1500)
 	h.end(a, routing.TimedOut)
 	h.end(b, routing.TimedOut)
-	if n := note(ps[0]); n.silent > 0 || n.expect(h.now, 0) > 0 {
-		t.Errorf("silent %d, wait %v after a restart", n.silent, n.expect(h.now, 0))
+	if state := stateOf(ps[0]); state.unanswered > 0 || state.expectedDelay(h.now, 0) > 0 {
+		t.Errorf("silent %d, wait %v after a restart", state.unanswered, state.expectedDelay(h.now, 0))
 	}
 }
--- a/internal/router/help_test.go
+++ b/internal/router/help_test.go
@@ -9,29 +9,29 @@
 // wake is a call back that the module asked for.
 type wake struct {
 	at float64
-	c  *routing.Contact
+	c  *routing.Call
 }
 
 // bench is a host that writes down what it is asked, and a slow plain model of the rules beside it.
 type bench struct {
 	now                 float64
-	b                   *Brain
-	skill               *routing.Skill
+	b                   *Router
+	skill               *routing.Class
 	number              string
 	left                float64
-	all                 []*routing.Contact
-	rings, cancelled    []*routing.Ring
-	deferred, abandoned []*routing.Contact
+	all                 []*routing.Call
+	rings, cancelled    []*routing.Attempt
+	deferred, abandoned []*routing.Call
 	probed              int
 	told                [][]byte
 	wakes               []wake
 	rule                func(rule int, what string) // hears of a broken rule
-	answered            map[*routing.Contact]bool
-	out                 map[*routing.Contact]int
-	notTill             map[*routing.Contact]float64
-	stopped             map[*routing.Pool]bool
-	start               map[*routing.Pool]float64
-	sent                map[*routing.Pool][]float64
+	answered            map[*routing.Call]bool
+	out                 map[*routing.Call]int
+	notTill             map[*routing.Call]float64
+	stopped             map[*routing.Endpoint]bool
+	start               map[*routing.Endpoint]float64
+	sent                map[*routing.Endpoint][]float64
 }
 
 func (h *bench) broke(rule int, what string) {
@@ -40,73 +40,109 @@
 	}
 }
 
-// Ring checks rules 1, 2, 3 and 5 by the plain model, and notes the send for rule 4.
-func (h *bench) Ring(c *routing.Contact, p *routing.Pool, _ float64) {
-	if h.answered[c] || h.now > c.Until {
+// StartAttempt checks rules 1, 2, 3 and 5 by the plain model, and notes the send for rule 4.
+func (h *bench) StartAttempt(call *routing.Call, endpoint *routing.Endpoint, _ float64) {
+	if h.answered[call] || h.now > call.Deadline {
 		h.broke(1, "sent after the answer or the patience")
 	}
-	if h.out[c]++; h.out[c] > 1 {
+	if h.out[call]++; h.out[call] > 1 {
 		h.broke(2, "two rings out")
 	}
-	if h.stopped[p] {
+	if h.stopped[endpoint] {
 		h.broke(3, "sent to a pool that drains or is gone")
 	}
-	if h.now < h.notTill[c] {
+	if h.now < h.notTill[call] {
 		h.broke(5, "sent before the clear wait was over")
 	}
-	h.sent[p] = append(h.sent[p], h.now)
-	c.Out = &routing.Ring{Contact: c, Pool: p, Sent: h.now}
-	h.rings = append(h.rings, c.Out)
+	h.sent[endpoint] = append(h.sent[endpoint], h.now)
+	call.InFlight = &routing.Attempt{Call: call, Endpoint: endpoint, SentAt: h.now}
+	h.rings = append(h.rings, call.InFlight)
 }
 
-func (h *bench) answer(c *routing.Contact) {
-	if h.answered[c] || h.out[c] > 0 {
+func (h *bench) answer(call *routing.Call) {
+	if h.answered[call] || h.out[call] > 0 {
 		h.broke(1, "answered twice or with a ring out")
 	}
-	if h.now > c.Until+h.b.set.Slack {
+	if h.now > call.Deadline+h.b.settings.AnswerGrace {
 		h.broke(1, "answered too late")
 	}
-	h.answered[c], c.Over = true, true
+	h.answered[call], call.Finished = true, true
 }
 
-func (h *bench) Defer(c *routing.Contact, _ float64) { h.answer(c); h.deferred = append(h.deferred, c) }
-func (h *bench) Abandon(c *routing.Contact)          { h.answer(c); h.abandoned = append(h.abandoned, c) }
-func (h *bench) Cancel(r *routing.Ring)              { h.cancelled = append(h.cancelled, r) }
-func (h *bench) Probe(*routing.Pool)                 { h.probed++ }
-func (h *bench) Tell(to int, data []byte)            { h.told = append(h.told, data) }
-func (h *bench) Wake(at float64, c *routing.Contact) { h.wakes = append(h.wakes, wake{at, c}) }
+func (h *bench) Reject(call *routing.Call, _ float64) {
+	h.answer(call)
+	h.deferred = append(h.deferred, call)
+}
+
+func (h *bench) Fail(
+	call *routing.Call,
+) {
+	h.answer(call)
+	h.abandoned = append(h.abandoned, call)
+}
+func (h *bench) CancelAttempt(attempt *routing.Attempt) { h.cancelled = append(h.cancelled, attempt) }
+func (h *bench) ProbeHealth(*routing.Endpoint)          { h.probed++ }
+func (h *bench) SendGossip(to int, data []byte)         { h.told = append(h.told, data) }
+func (h *bench) ScheduleWakeup(at float64, call *routing.Call) {
+	h.wakes = append(h.wakes, wake{at, call})
+}
 
-func newPool(i int) *routing.Pool {
+func newPool(i int) *routing.Endpoint {
 	n := math.NaN()
-	return &routing.Pool{Number: i, State: routing.Ready, Report: routing.Report{Agents: n, Free: n, Util: n,
-		Queue: n, Wait: n, Rate: n, Holdback: n}}
+	return &routing.Endpoint{
+		DestinationID: i,
+		State:         routing.Ready,
+		LoadReport: routing.LoadReport{Capacity: n, Free: n, Utilization: n,
+			QueueLength: n, QueueDelay: n, RateLimit: n, LossFraction: n},
+	}
 }
 
-func setup(pools int) (*bench, []*routing.Pool) {
-	h := &bench{now: 1e6, left: 3000, answered: map[*routing.Contact]bool{}, out: map[*routing.Contact]int{},
-		notTill: map[*routing.Contact]float64{}, stopped: map[*routing.Pool]bool{},
-		start: map[*routing.Pool]float64{}, sent: map[*routing.Pool][]float64{}}
-	h.skill = &routing.Skill{Target: 2000, Patience: 9000, Value: 1, LateValue: 0.1, Hold: 10000, Repeat: true}
-	h.b = New(&routing.Settings{Gateways: 1, Seed: 7, Tick: 5, MaxRings: 5, ClearWait: 500, ColdShare: 0.3,
-		WarmWithin: 14000, TipMultiple: 2.5, TipTime: 1000, MayCancel: true, Slack: 20,
-		Skills: []*routing.Skill{h.skill}}, h)
-	var ps []*routing.Pool
+func setup(pools int) (*bench, []*routing.Endpoint) {
+	h := &bench{now: 1e6, left: 3000, answered: map[*routing.Call]bool{}, out: map[*routing.Call]int{},
+		notTill: map[*routing.Call]float64{}, stopped: map[*routing.Endpoint]bool{},
+		start: map[*routing.Endpoint]float64{}, sent: map[*routing.Endpoint][]float64{}}
+	h.skill = &routing.Class{
+		LatencyObjective:   2000,
+		Timeout:            9000,
+		Weight:             1,
+		LateWeightFraction: 0.1,
+		MeanHoldingTime:    10000,
+		Idempotent:         true,
+	}
+	h.b = New(
+		&routing.Settings{
+			Gateways:          1,
+			Seed:              7,
+			TickInterval:      5,
+			MaxAttempts:       5,
+			RetryHoldOff:      500,
+			SlowStartFraction: 0.3,
+			SlowStartDuration: 14000,
+			OverloadFactor:    2.5,
+			OverloadWindow:    1000,
+			CancelEnabled:     true,
+			AnswerGrace:       20,
+			Classes:           []*routing.Class{h.skill},
+		},
+		h,
+	)
+	var ps []*routing.Endpoint
 	for i := 0; i < pools; i++ {
 		ps = append(ps, newPool(i))
 	}
-	h.b.Listed(h.now, ps)
+	h.b.OnEndpoints(h.now, ps)
 	return h, ps
 }
 
 // pass lets time go by, in ticks, with the call backs that fall due.
 func (h *bench) pass(ms float64) {
 	for end := h.now + ms; h.now < end; {
-		h.now = math.Min(end, h.now+h.b.set.Tick)
+		h.now = math.Min(end, h.now+h.b.settings.TickInterval)
 		due := h.wakes
 		h.wakes = nil
 		for _, w := range due {
 			if w.at <= h.now {
-				h.b.Woken(h.now, w.c)
+				h.b.OnWakeup(h.now, w.c)
 			} else {
 				h.wakes = append(h.wakes, w)
 			}
@@ -114,30 +150,36 @@
 	}
 }
 
-func (h *bench) offer(home *routing.Pool) *routing.Contact {
-	c := &routing.Contact{Skill: h.skill, Home: home, Came: h.now, Until: h.now + h.left, Number: h.number}
-	h.all = append(h.all, c)
-	h.b.Offered(h.now, c)
-	return c
+func (h *bench) offer(home *routing.Endpoint) *routing.Call {
+	call := &routing.Call{
+		Class:        h.skill,
+		Destination:  home,
+		ArrivedAt:    h.now,
+		Deadline:     h.now + h.left,
+		CalledNumber: h.number,
+	}
+	h.all = append(h.all, call)
+	h.b.OnCall(h.now, call)
+	return call
 }
 
 // stand lets the contact's ring stand after cost.
-func (h *bench) stand(c *routing.Contact, cost float64) *routing.Ring {
-	r := c.Out
-	r.Cost, c.Stands = cost, true
-	h.answered[c] = true
-	h.b.Stood(h.now, r)
-	return r
+func (h *bench) stand(call *routing.Call, cost float64) *routing.Attempt {
+	attempt := call.InFlight
+	attempt.Latency, call.Established = cost, true
+	h.answered[call] = true
+	h.b.OnAnswer(h.now, attempt)
+	return attempt
 }
 
 // end lets the contact's ring end.
-func (h *bench) end(c *routing.Contact, end routing.End) {
-	r := c.Out
-	r.End, r.Cost, c.Out = end, h.now-r.Sent, nil
-	h.out[c]--
-	if end == routing.TimedOut || end == routing.Reset || end == routing.Cancelled {
-		h.notTill[c] = h.now + h.b.set.ClearWait
+func (h *bench) end(call *routing.Call, end routing.Outcome) {
+	attempt := call.InFlight
+	attempt.Outcome, attempt.Latency, call.InFlight = end, h.now-attempt.SentAt, nil
+	h.out[call]--
+	if end == routing.TimedOut || end == routing.Reset || end == routing.Canceled {
+		h.notTill[call] = h.now + h.b.settings.RetryHoldOff
 	}
-	c.Over = c.Over || c.Stands
-	h.b.Ended(h.now, r, c.Stands)
+	call.Finished = call.Finished || call.Established
+	h.b.OnAttemptEnd(h.now, attempt, call.Established)
 }
--- a/internal/router/rules_test.go
+++ b/internal/router/rules_test.go
@@ -23,74 +23,74 @@
 			ok = false
 			t.Logf("seed %d: rule %d at %v: %s", seed, rule, h.now, what)
 		}
-		for _, p := range ps {
-			p.Report.Agents, p.Report.Free = 200, 100
+		for _, endpoint := range ps {
+			endpoint.LoadReport.Capacity, endpoint.LoadReport.Free = 200, 100
 		}
-		open := map[*routing.Ring]float64{} // when each ring out will end or stand
+		open := map[*routing.Attempt]float64{} // when each ring out will end or stand
 		for i := 0; i < 2500; i++ {
 			h.pass(5 * float64(1+rnd.Intn(4)))
-			p := ps[rnd.Intn(len(ps))]
+			endpoint := ps[rnd.Intn(len(ps))]
 			switch rnd.Intn(60) {
 			case 0:
-				p.State = routing.State(rnd.Intn(3))
-				if h.stopped[p] && p.State == routing.Ready {
-					p.Since, h.start[p], h.sent[p] = h.now, h.now, nil // it comes back cold
+				endpoint.State = routing.State(rnd.Intn(3))
+				if h.stopped[endpoint] && endpoint.State == routing.Ready {
+					endpoint.StartedAt, h.start[endpoint], h.sent[endpoint] = h.now, h.now, nil // it comes back cold
 				}
-				h.stopped[p] = p.State != routing.Ready
-				h.b.Listed(h.now, []*routing.Pool{p})
+				h.stopped[endpoint] = endpoint.State != routing.Ready
+				h.b.OnEndpoints(h.now, []*routing.Endpoint{endpoint})
 			case 1:
-				p.Report.Util, p.Report.Wait = 2*rnd.Float64(), rnd.ExpFloat64()*1000
-				p.Report.Free = float64(rnd.Intn(100))
-				h.b.Reported(h.now, p, true, true)
+				endpoint.LoadReport.Utilization, endpoint.LoadReport.QueueDelay = 2*rnd.Float64(), rnd.ExpFloat64()*1000
+				endpoint.LoadReport.Free = float64(rnd.Intn(100))
+				h.b.OnLoadReport(h.now, endpoint, true, true)
 			case 2:
-				if c := pick(rnd, h.all); c != nil && !c.Over && !c.Stands && h.out[c] == 0 {
-					c.Over, h.answered[c] = true, true // the caller leaves early
-					h.b.Left(h.now, c)
+				if call := pick(rnd, h.all); call != nil && !call.Finished && !call.Established && h.out[call] == 0 {
+					call.Finished, h.answered[call] = true, true // the caller leaves early
+					h.b.OnHangup(h.now, call)
 				}
 			default:
 				h.left = 200 + rnd.Float64()*3000
 				h.number = fmt.Sprint(rnd.Intn(400))
-				h.offer(p)
+				h.offer(endpoint)
 			}
-			for _, r := range h.rings[max(0, len(h.rings)-400):] {
-				if _, known := open[r]; !known && r.Contact.Out == r {
-					open[r] = h.now + rnd.ExpFloat64()*[]float64{50, 50, 400, 9000}[rnd.Intn(4)]
+			for _, attempt := range h.rings[max(0, len(h.rings)-400):] {
+				if _, known := open[attempt]; !known && attempt.Call.InFlight == attempt {
+					open[attempt] = h.now + rnd.ExpFloat64()*[]float64{50, 50, 400, 9000}[rnd.Intn(4)]
 				}
 			}
-			for _, r := range h.cancelled {
-				if r.Contact.Out == r && !r.Contact.Stands {
-					h.finish(open, r, routing.Cancelled)
+			for _, attempt := range h.cancelled {
+				if attempt.Call.InFlight == attempt && !attempt.Call.Established {
+					h.finish(open, attempt, routing.Canceled)
 				}
 			}
 			h.cancelled = nil
-			for _, r := range h.rings {
-				at, known := open[r]
-				switch c := r.Contact; {
+			for _, attempt := range h.rings {
+				at, known := open[attempt]
+				switch call := attempt.Call; {
 				case !known:
-				case !c.Stands && h.now >= c.Until:
-					h.finish(open, r, routing.TimedOut)
+				case !call.Established && h.now >= call.Deadline:
+					h.finish(open, attempt, routing.TimedOut)
 				case h.now < at:
-				case c.Stands:
-					h.finish(open, r, []routing.End{routing.Done, routing.Reset}[rnd.Intn(2)])
+				case call.Established:
+					h.finish(open, attempt, []routing.Outcome{routing.Completed, routing.Reset}[rnd.Intn(2)])
 				case rnd.Intn(3) == 0:
-					h.finish(open, r, routing.End(1+rnd.Intn(7)))
+					h.finish(open, attempt, routing.Outcome(1+rnd.Intn(7)))
 				default:
-					h.stand(c, h.now-r.Sent)
-					open[r] = h.now + rnd.ExpFloat64()*5000
+					h.stand(call, h.now-attempt.SentAt)
+					open[attempt] = h.now + rnd.ExpFloat64()*5000
 				}
 			}
 		}
 		h.pass(4000)
-		for _, c := range h.all {
-			if c.Out == nil && !h.answered[c] {
+		for _, call := range h.all {
+			if call.InFlight == nil && !h.answered[call] {
 				h.broke(1, "never answered")
 			}
 		}
 		rate := float64(len(h.all)) / (h.now - 1e6) * 1000 / float64(len(ps)) // what a warm pool is sent a second
-		for p, at := range h.start {                                          // rule 4: any window, with one set-up for chance
-			for i, from := range h.sent[p] {
+		for endpoint, at := range h.start {                                   // rule 4: any window, with one set-up for chance
+			for i, from := range h.sent[endpoint] {
 				part := 0.3 + 0.7*(from+1000-at)/14000
-				if n := within(h.sent[p][i:], from+1000); part < 1 && float64(n) > 1+2.5*part*rate {
+				if n := within(h.sent[endpoint][i:], from+1000); part < 1 && float64(n) > 1+2.5*part*rate {
 					h.broke(4, fmt.Sprintf("%d set-ups in a second to a cold pool", n))
 				}
 			}
@@ -102,9 +102,10 @@
 	}
 }
 
-// TestFleetAndColdPool puts many modules beside one pool that starts cold, on generated inputs, and counts what they
-// send it together in every window that tips it. They hear of the start at different times, some were restarted with
-// an old list, some stand still and find a backlog, and the pool was down for long before: no time earns a burst.
+// TestFleetAndColdPool puts many modules beside one pool that starts cold, on generated inputs, and counts
+// what they send it together in every window that tips it. They hear of the start at different times, some
+// were restarted with an old list, some stand still and find a backlog, and the pool was down for long
+// before: no time earns a burst.
 func TestFleetAndColdPool(t *testing.T) {
 	fleet := func(seed int64) bool {
 		rnd := rand.New(rand.NewSource(seed))
@@ -115,10 +116,10 @@
 		for i := 0; i < gateways; i++ {
 			h, ps := setup(pools)
 			h.now += rnd.Float64() * 5 // gateways are not in step
-			h.b.set.Gateways, h.b.set.Seed = gateways, uint64(seed)+uint64(i)*7919
-			for _, p := range ps {
-				p.Report.Agents, p.Report.Free = lines, lines/2
-				note(p).tokens = rnd.Float64()
+			h.b.settings.Gateways, h.b.settings.Seed = gateways, uint64(seed)+uint64(i)*7919
+			for _, endpoint := range ps {
+				endpoint.LoadReport.Capacity, endpoint.LoadReport.Free = lines, lines/2
+				stateOf(endpoint).tokens = rnd.Float64()
 			}
 			hs = append(hs, h)
 			told[i] = rnd.Float64() * 500
@@ -126,9 +127,9 @@
 		start, end := 1e6+6000.0, 1e6+6000+10000
 		var sent []float64
 		for i, h := range hs {
-			p := h.b.pools[0]
-			p.State = routing.Gone // down before: contacts come all the time
-			h.b.Listed(h.now, []*routing.Pool{p})
+			endpoint := h.b.endpoints[0]
+			endpoint.State = routing.Gone // down before: contacts come all the time
+			h.b.OnEndpoints(h.now, []*routing.Endpoint{endpoint})
 			next, heard := h.now+rnd.ExpFloat64()*every, false
 			for h.now < end {
 				if rnd.Intn(400) == 0 { // it stands still, and finds what came meanwhile
@@ -136,26 +137,26 @@
 				}
 				h.pass(10)
 				if !heard && h.now >= start+told[i] {
-					heard, p.State, p.Since = true, routing.Ready, start
-					for _, q := range h.b.places {
-						if q != p {
-							q.State = routing.Draining // all that comes wants the cold pool
+					heard, endpoint.State, endpoint.StartedAt = true, routing.Ready, start
+					for _, other := range h.b.destinations {
+						if other != endpoint {
+							other.State = routing.Draining // all that comes wants the cold pool
 						}
 					}
-					h.b.Listed(h.now, h.b.places)
+					h.b.OnEndpoints(h.now, h.b.destinations)
 				}
 				for ; next < h.now; next += rnd.ExpFloat64() * every {
-					if c := h.offer(h.b.places[rnd.Intn(pools)]); c.Out != nil && !c.Stands {
-						h.stand(c, 20+rnd.Float64()*40)
+					if call := h.offer(h.b.destinations[rnd.Intn(pools)]); call.InFlight != nil && !call.Established {
+						h.stand(call, 20+rnd.Float64()*40)
 					}
 				}
-				for _, r := range h.rings[max(0, len(h.rings)-50):] {
-					if c := r.Contact; c.Out == r && !c.Stands {
-						h.stand(c, 60)
+				for _, attempt := range h.rings[max(0, len(h.rings)-50):] {
+					if call := attempt.Call; call.InFlight == attempt && !call.Established {
+						h.stand(call, 60)
 					}
 				}
 			}
-			sent = append(sent, h.sent[p]...)
+			sent = append(sent, h.sent[endpoint]...)
 		}
 		sort.Float64s(sent)
 		warm := float64(gateways) / every * 1000 / float64(pools) // the load of a place, in set-ups a second
@@ -174,8 +175,9 @@
 	}
 }
 
-// TestFewGatewaysAndColdPools has twenty or thirty modules beside pools that start cold in one step, while all gateways are
-// restarted, a few at a time, and forget what they sent. They are told of the start at once or late. In no window that tips
+// TestFewGatewaysAndColdPools has twenty or thirty modules beside pools that start cold in one step, while
+// all gateways are restarted, a few at a time, and forget what they sent. They are told of the start at once
+// or late. In no window that tips
 // a pool do all of them send it more than N + 2 root N + 2, N being what the settings allow it then.
 func TestFewGatewaysAndColdPools(t *testing.T) {
 	worst := 0.0
@@ -189,12 +191,12 @@
 		sent := make([][]float64, cold)
 		for i := range gateways {
 			told, restart := rnd.Float64()*late, start+rnd.Float64()*8000
-			begin := func(at float64, again int) (*bench, []*routing.Pool) {
+			begin := func(at float64, again int) (*bench, []*routing.Endpoint) {
 				h, ps := setup(pools)
 				h.now = at
-				h.b.set.Gateways, h.b.set.Seed = gateways, uint64(seed)*1e6+uint64(i)*7919+uint64(again)
-				for _, p := range ps {
-					p.Report.Agents, p.Report.Free = lines, lines/2
+				h.b.settings.Gateways, h.b.settings.Seed = gateways, uint64(seed)*1e6+uint64(i)*7919+uint64(again)
+				for _, endpoint := range ps {
+					endpoint.LoadReport.Capacity, endpoint.LoadReport.Free = lines, lines/2
 				}
 				return h, ps
 			}
@@ -202,7 +204,7 @@
 			for k := range cold {
 				ps[k].State = routing.Gone // down before: contacts come all the time
 			}
-			h.b.Listed(h.now, ps[:cold])
+			h.b.OnEndpoints(h.now, ps[:cold])
 			heard, again := false, false
 			next := h.now + rnd.ExpFloat64()*every
 			for h.now < end {
@@ -218,28 +220,28 @@
 						for k := range cold {
 							ps[k].State = routing.Gone
 						}
-						h.b.Listed(h.now, ps[:cold])
+						h.b.OnEndpoints(h.now, ps[:cold])
 					}
 					for k := range cold {
 						if heard { // it is told of the start with its first list
-							ps[k].Since = start
+							ps[k].StartedAt = start
 						}
 					}
-					h.b.Listed(h.now, ps[:cold])
+					h.b.OnEndpoints(h.now, ps[:cold])
 				}
 				if !heard && h.now >= start+told {
 					heard = true
 					for k := range cold {
-						ps[k].State, ps[k].Since = routing.Ready, start
+						ps[k].State, ps[k].StartedAt = routing.Ready, start
 					}
-					h.b.Listed(h.now, ps[:cold])
+					h.b.OnEndpoints(h.now, ps[:cold])
 				}
 				for ; next < h.now; next += rnd.ExpFloat64() * every {
 					h.offer(ps[rnd.Intn(pools)])
 				}
-				for _, r := range h.rings[max(0, len(h.rings)-50):] {
-					if c := r.Contact; c.Out == r && !c.Stands && h.now > r.Sent+30 {
-						h.stand(c, 30)
+				for _, attempt := range h.rings[max(0, len(h.rings)-50):] {
+					if call := attempt.Call; call.InFlight == attempt && !call.Established && h.now > attempt.SentAt+30 {
+						h.stand(call, 30)
 					}
 				}
 			}
@@ -258,8 +260,16 @@
 				most := budget + 2*math.Sqrt(budget) + 2
 				worst = math.Max(worst, float64(n)/most)
 				if float64(n) > most {
-					t.Errorf("seed %d: %d gateways, %d of %d pools cold: %d set-ups in a second, %.0f ms after the start, at most %.1f",
-						seed, gateways, cold, pools, n, from-start, most)
+					t.Errorf(
+						"seed %d: %d gateways, %d of %d pools cold: %d set-ups in a second, %.0f ms after the start, at most %.1f",
+						seed,
+						gateways,
+						cold,
+						pools,
+						n,
+						from-start,
+						most,
+					)
 					break
 				}
 			}
@@ -272,12 +282,12 @@
 }
 
 // finish ends a ring and forgets it.
-func (h *bench) finish(open map[*routing.Ring]float64, r *routing.Ring, end routing.End) {
-	delete(open, r)
-	h.end(r.Contact, end)
+func (h *bench) finish(open map[*routing.Attempt]float64, attempt *routing.Attempt, end routing.Outcome) {
+	delete(open, attempt)
+	h.end(attempt.Call, end)
 }
 
-func pick(rnd *rand.Rand, of []*routing.Contact) *routing.Contact {
+func pick(rnd *rand.Rand, of []*routing.Call) *routing.Call {
 	if len(of) == 0 {
 		return nil
 	}
--- a/internal/timerqueue/clock.go
+++ b/internal/timerqueue/clock.go
@@ -9,28 +9,28 @@
 
 // Timer is a call back at a time; the zero of a pointer is "none set".
 type Timer struct {
-	at    float64
-	seq   uint64
-	index int // in the heap, -1 when it is not there
-	do    func()
+	at       float64
+	sequence uint64
+	index    int // in the heap, -1 when it is not there
+	callback func()
 }
 
 // Queue holds timers.
 type Queue struct {
-	heap timers
-	seq  uint64
+	heap     timers
+	sequence uint64
 }
 
-// Set calls do back in the first Run at or after a time.
-func (q *Queue) Set(at float64, do func()) *Timer {
-	q.seq++
-	t := &Timer{at: at, seq: q.seq, do: do}
+// Schedule calls do back in the first Run at or after a time.
+func (q *Queue) Schedule(at float64, callback func()) *Timer {
+	q.sequence++
+	t := &Timer{at: at, sequence: q.sequence, callback: callback}
 	heap.Push(&q.heap, t)
 	return t
 }
 
-// Stop forgets a timer; nil or one that has run is no matter.
-func (q *Queue) Stop(t *Timer) {
+// Cancel forgets a timer; nil or one that has run is no matter.
+func (q *Queue) Cancel(t *Timer) {
 	if t != nil && t.index >= 0 {
 		heap.Remove(&q.heap, t.index)
 	}
@@ -50,9 +50,9 @@
 // Run runs what is due, timers that are set meanwhile and already due included, as long as they were set for a time
 // before now or were there when Run began: a timer that sets itself anew for now waits for the next Run.
 func (q *Queue) Run(now float64) {
-	last := q.seq
-	for len(q.heap) > 0 && q.heap[0].at <= now && (q.heap[0].seq <= last || q.heap[0].at < now) {
-		heap.Pop(&q.heap).(*Timer).do()
+	last := q.sequence
+	for len(q.heap) > 0 && q.heap[0].at <= now && (q.heap[0].sequence <= last || q.heap[0].at < now) {
+		heap.Pop(&q.heap).(*Timer).callback()
 	}
 }
 
@@ -60,7 +60,7 @@
 
 func (h timers) Len() int { return len(h) }
 func (h timers) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].sequence < h[j].sequence
 }
 func (h timers) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
--- a/internal/timerqueue/clock_test.go
+++ b/internal/timerqueue/clock_test.go
@@ -24,12 +24,12 @@
 			switch rapid.IntRange(0, 3).Draw(t, "do") {
 			case 0, 1:
 				at := now + float64(rapid.IntRange(0, 5).Draw(t, "at"))
-				set[n] = q.Set(at, func() { got = append(got, n) })
+				set[n] = q.Schedule(at, func() { got = append(got, n) })
 				want = append(want, plain{at, n})
 			case 2:
 				if len(want) > 0 {
 					i := rapid.IntRange(0, len(want)-1).Draw(t, "which")
-					q.Stop(set[want[i].n])
+					q.Cancel(set[want[i].n])
 					want = slices.Delete(want, i, i+1)
 				}
 			default:
@@ -61,8 +61,8 @@
 	var q Queue
 	n := 0
 	var do func()
-	do = func() { n++; q.Set(5, do) }
-	q.Set(5, do)
+	do = func() { n++; q.Schedule(5, do) }
+	q.Schedule(5, do)
 	q.Run(5)
 	if n != 1 {
 		t.Errorf("ran %d times", n)
