--- a/internal/cli/edgecli/edgecmd.go
+++ b/internal/cli/edgecli/edgecmd.go
@@ -25,7 +25,7 @@
 	"cobaltpier/internal/routing"
 )
 
-// ErrForced says that a second signal ended the gateway with contacts still held.
+// ErrForced says that a second signal ended the gateway with calls still held.
 var ErrForced = errors.New("ended at once: contacts that were held have no answer")
 
 // New is the command.
--- a/internal/cli/labcli/throughput.go
+++ b/internal/cli/labcli/throughput.go
@@ -51,7 +51,7 @@
 	return c
 }
 
-// oneList is a pool list with one pool that never changes.
+// oneList is an endpoint list with one endpoint that never changes.
 type oneList struct {
 	api.UnimplementedPoolListServer
 	at string
@@ -170,7 +170,7 @@
 	}
 	defer rig.Close()
 	time.Sleep(time.Second)
-	rig.Run(saturation.Load{Rate: 200, For: 3 * time.Second}) // the module learns that its pool answers at once
+	rig.Run(saturation.Load{Rate: 200, For: 3 * time.Second}) // the module learns that its endpoint answers at once
 	best := 0.0
 	fmt.Fprintf(out, "%8s %8s %8s %8s %9s %9s %9s %8s\n", "rate", "sent", "stood", "repeats", "p50 µs", "p99 µs", "p99.9 µs", "late")
 	show := func(rate float64, r *saturation.Result) {
--- a/internal/conformance/binaryconformance/judge.go
+++ b/internal/conformance/binaryconformance/judge.go
@@ -15,7 +15,7 @@
 
 // Rules are the figures of the rules, ms.
 type Rules struct {
-	Slack    float64 // after the patience a final answer still counts
+	Slack    float64 // after the timeout a final answer still counts
 	Grace    float64 // after hearing that a switch drains or is gone
 	Clear    float64 // after a time-out, reset or cancel
 	Told     float64 // a call that is over is released towards its caller within this
@@ -114,7 +114,7 @@
 	}
 }
 
-// CallerGone: the connection of a call's set-up has ended from the caller's side.
+// CallerGone: the connection of a call's setup has ended from the caller's side.
 func (j *Judge) CallerGone(id uint64) {
 	if c := j.calls[id]; c != nil && c.final == 0 {
 		c.left = true
@@ -242,7 +242,7 @@
 	}
 }
 
-// LineGone: a line has ended, from either side; the rings on it have too.
+// LineGone: a line has ended, from either side; the attempts on it have too.
 func (j *Judge) LineGone(at float64, who string, line int) {
 	j.now = at
 	for _, c := range j.calls {
--- a/internal/conformance/check.go
+++ b/internal/conformance/check.go
@@ -1,5 +1,5 @@
 // Package conformance judges the five rules from a capture alone: what crossed the gateways' sockets, the lists that were
-// delivered to them, and the starts of the switches. It knows nothing of any program's state. A contact is followed by
+// delivered to them, and the starts of the switches. It knows nothing of any program's state. A call is followed by
 // its Session-ID (RFC 7989) through all its legs.
 package conformance
 
@@ -33,7 +33,7 @@
 // Totals are what the capture held.
 type Totals struct {
 	Contacts, Answers, Rings, Repeats, Datagrams int
-	Looks, Named, KioskCalls                     int     // look-ups of kiosks, those answered with a pool, their calls
+	Looks, Named, KioskCalls                     int     // look-ups of kiosks, those answered with an endpoint, their calls
 	ColdUse                                      float64 // the largest part of a cold budget used by gateways that knew
 }
 
@@ -54,7 +54,7 @@
 	rules    *api.Rules
 	nodes    map[string]*api.Node
 	contacts map[string]*contact          // by edge and session
-	byTx     map[string]*ring             // a set-up's transaction, by edge and branch
+	byTx     map[string]*ring             // a setup's transaction, by edge and branch
 	byDialog map[string]*ring             // by edge and Call-ID
 	answers  map[string]*contact          // the caller's INVITE transaction, by edge and branch
 	listed   map[string]map[string]*place // by edge's name and address
@@ -62,11 +62,11 @@
 	killed   map[string]float64
 	starts   map[string][]*start // by address
 	looks    map[string]*look
-	named    map[string][]float64 // by kiosk and pool: when it was named and not called yet
+	named    map[string][]float64 // by kiosk and endpoint: when it was named and not called yet
 	last     float64
 }
 
-// contact is one contact at one gateway.
+// call is one call at one gateway.
 type contact struct {
 	id, edge string
 	came     float64
@@ -79,7 +79,7 @@
 	rings    int
 }
 
-// ring is one set-up on the wire.
+// attempt is one setup on the wire.
 type ring struct {
 	c      *contact
 	to     string
@@ -190,7 +190,7 @@
 		}
 	case "edge-stop":
 		k.stopped[m.Who] = true
-	case "edge-go": // what was delivered while it stood still it could hear from now on
+	case "edge-go": // what was delivered while it stalled it could hear from now on
 		k.looksOf(at, m)
 		k.stopped[m.Who] = false
 		for _, p := range k.listed[m.Who] {
@@ -291,7 +291,7 @@
 	case c.final == "":
 		c.final, c.at = final, at
 		k.Totals.Answers++
-		// a contact of a process that was killed since is no longer its duty: its caller's repeat is new to the next one
+		// a call of a process that was killed since is no longer its duty: its caller's repeat is new to the next one
 		if kill, killed := k.killed[edge]; killed && c.came <= kill {
 			return
 		}
--- a/internal/conformance/check_test.go
+++ b/internal/conformance/check_test.go
@@ -48,7 +48,7 @@
 	return t.add(at, &api.Listing{Edge: "edge", Entries: []*api.Entry{{Id: addr, Addr: addr, State: state, Since: since}}})
 }
 
-// msg is a request, or where code is set an answer, of contact c on leg b (its branch and Call-ID).
+// msg is a request, or where code is set an answer, of call c on leg b (its branch and Call-ID).
 func (t *tape) msg(at float64, from, to, method string, code int, c, b string) *tape {
 	start := method + " sip:1@x SIP/2.0"
 	tag := ""
--- a/internal/conformance/kiosks.go
+++ b/internal/conformance/kiosks.go
@@ -23,16 +23,16 @@
 	questions int
 	answers   int
 	text      string // of the latest answer
-	to        string // the pool that it names
+	to        string // the endpoint that it names
 }
 
 const (
 	lookPatience = 3000.0 // ms: an answer that comes later finds nobody
 	again        = 4900.0 // ms after its answer: nothing that comes with the same id is a repeat
-	fresh        = 200.0  // ms: a kiosk calls the pool that was named within this
+	fresh        = 200.0  // ms: a kiosk calls the endpoint that was named within this
 )
 
-// lookup judges what passes between a kiosk and a gateway's front. An answer that names a pool is a ring: rules 1, 3 and 4 hold for it.
+// lookup judges what passes between a kiosk and a gateway's front. An answer that names an endpoint is an attempt: rules 1, 3 and 4 hold for it.
 func (k *Checker) lookup(at float64, d *api.Datagram, from, to *api.Node) {
 	m := new(dns.Msg)
 	if m.Unpack(d.Data) != nil || len(m.Question) != 1 {
@@ -104,13 +104,13 @@
 	}
 }
 
-// ready tells whether an edge knows of no reason against a pool.
+// ready tells whether an edge knows of no reason against an endpoint.
 func (k *Checker) ready(at float64, edge, addr string) bool {
 	p := k.listed[edge][addr]
 	return p != nil && p.state == "ready"
 }
 
-// kioskCalls judges a kiosk's own call: it goes to a pool that was named just before, once for each naming.
+// kioskCalls judges a kiosk's own call: it goes to an endpoint that was named just before, once for each naming.
 func (k *Checker) kioskCalls(at float64, d *api.Datagram, from *api.Node) {
 	m, err := k.Parse(d.Data)
 	r, ok := m.(*sip.Request)
--- a/internal/conformance/tables.go
+++ b/internal/conformance/tables.go
@@ -12,7 +12,7 @@
 	"cobaltpier/internal/protocol/siptransaction"
 )
 
-// Tables judges from a capture whether each contact was analysed wholly by one number table, and by one that was in
+// Tables judges from a capture whether each call was analysed wholly by one number table, and by one that was in
 // force when it came. The laboratory's tables put a mark of their own in front of every number, in a step of its own; marks are
 // four digits that Mark makes of a version.
 type Tables struct {
@@ -21,7 +21,7 @@
 	Parse    func([]byte) (sip.Message, error)
 	Contacts int // that were set up with a mark
 	Versions int // that were seen in use
-	Records  int // contacts whose own record was held against the wire
+	Records  int // calls whose own record was held against the wire
 	Findings []string
 	nodes    map[string]*api.Node
 	force    map[string]*force
@@ -31,14 +31,14 @@
 	byMark   map[string]uint64
 }
 
-// moment is when a contact came, and the latest at which its edge looked at it first: one that stood still looks later.
+// moment is when a call came, and the latest at which its edge looked at it first: one that stalled looks later.
 type moment struct{ at, looked float64 }
 
 // force is what tables a gateway may use: those sent to it since the latest that it said is in, and that one.
 type force struct {
 	in    uint64
 	since map[uint64]float64 // when a table was sent to it first, or was there at its start
-	stood bool               // it stands still
+	stood bool               // it stalls
 	wait  []string           // what came meanwhile
 	sent  []uint64
 	past  []span // tables that were in force
@@ -94,7 +94,7 @@
 		f.stood = true
 	case m.What == "edge-go":
 		for _, id := range f.wait {
-			if c, known := k.came[id]; known { // else the process was killed while it stood still
+			if c, known := k.came[id]; known { // else the process was killed while it stalled
 				c.looked = at + lag
 				k.came[id] = c
 			}
@@ -121,7 +121,7 @@
 	}
 }
 
-// lag is how long after it goes on an edge may still find what came while it stood still, ms.
+// lag is how long after it goes on an edge may still find what came while it stalled, ms.
 const lag = 250
 
 // may tells whether a table may have been in force at an edge at a time.
@@ -145,7 +145,7 @@
 	return false
 }
 
-// Record holds a contact's own record against what it was set up with on the wire.
+// Record holds a call's own record against what it was set up with on the wire.
 func (k *Tables) Record(edge, session string, version uint64) {
 	mark, rung := k.marks[edge+" "+session]
 	if !rung {
--- a/internal/conformance/tables_test.go
+++ b/internal/conformance/tables_test.go
@@ -8,7 +8,7 @@
 	"cobaltpier/api"
 )
 
-// Each thing that would show a contact analysed by another table than its own is found.
+// Each thing that would show a call analysed by another table than its own is found.
 func TestTables(t *testing.T) {
 	mark := func(v uint64) string { return fmt.Sprint(1000 + v) }
 	node := func(addr, role, name string) *api.Record {
--- a/internal/decision/intake/intake.go
+++ b/internal/decision/intake/intake.go
@@ -1,7 +1,7 @@
-// Package intake decides which of the contacts that come in at once a gateway takes when it can't take all: it guards
+// Package intake decides which of the calls that come in at once a gateway takes when it can't take all: it guards
 // the gateway's own memory and processor against any flood, whatever its cause. It knows no wire and no clock.
 //
-// What it turns away is answered at once. Everything that it takes is the decision module's.
+// What it rejects is answered at once. Everything that it takes is the decision module's.
 package intake
 
 import (
@@ -12,7 +12,7 @@
 //tally:decisions
 
 const (
-	reserve = 0.1     // of the room: kept for contacts worth more than the mean
+	reserve = 0.1     // of the room: kept for calls worth more than the mean
 	burst   = 100.0   // ms: so long at the full rate is made up for what did not come before
 	span    = 10000.0 // ms: the mean worth fades like this
 	memory  = 1 << 18 // refusals remembered in one generation: bounds the memory of a flood
@@ -20,18 +20,18 @@
 
 // Gate is the bound of one gateway.
 type Gate struct {
-	Most   int     // contacts held at once
-	Rate   float64 // contacts a second taken over any while; 0: any number
+	Most   int     // calls held at once
+	Rate   float64 // calls a second taken over any while; 0: any number
 	worth  float64
 	count  float64
-	tokens float64 // contacts that may be taken now
+	tokens float64 // calls that may be taken now
 	at     float64
 }
 
-// Take says which of the contacts that came since the last tick are taken, by their values in the order of their
+// Take says which of the calls that came since the last tick are taken, by their values in the order of their
 // coming, with so many held already. The most valuable go first, and of equals the earlier.
 //
-// The last tenth of the room is for contacts worth more than the mean of late: else a flood of cheap ones that came
+// The last tenth of the room is for calls worth more than the mean of late: else a flood of cheap ones that came
 // a tick earlier would shut out what matters. Where all are worth the same the tenth is open to all.
 func (g *Gate) Take(now float64, values []float64, held int) []bool {
 	fade := math.Exp(math.Min(0, g.at-now) / span)
@@ -81,7 +81,7 @@
 	return taken
 }
 
-// Refusals remembers what was turned away, in bounded memory: a repeat of it must get the same answer, for to take it
+// Refusals remembers what was rejected, in bounded memory: a repeat of it must get the same answer, for to take it
 // then would give its caller two. Two generations are kept, each for as long as a repeat may come.
 type Refusals struct {
 	Keep     float64 // ms: no repeat comes later
--- a/internal/decision/intake/intake_test.go
+++ b/internal/decision/intake/intake_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestTake: never more than the room or the rate, the most valuable first, and no valuable one turned away while
+// TestTake: never more than the room or the rate, the most valuable first, and no valuable one rejected while
 // a cheaper one of the same batch is taken.
 func TestTake(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -38,7 +38,7 @@
 	})
 }
 
-// The reserve: a flood of cheap contacts leaves room for a dear one; where all are worth the same nothing is held back.
+// The reserve: a flood of cheap calls leaves room for a dear one; where all are worth the same nothing is held back.
 func TestReserve(t *testing.T) {
 	count := func(of []bool) (n int) {
 		for _, ok := range of {
--- a/internal/decision/intake/links.go
+++ b/internal/decision/intake/links.go
@@ -16,7 +16,7 @@
 	Proven   bool    // one came
 	Partial  bool    // one has begun that is not whole
 	Begun    float64 // and when
-	Open     int     // set-ups without an answer
+	Open     int     // setups without an answer
 	Standing int     // calls whose release would go there
 	Unsent   bool    // something was made for it that has not left
 	Stuck    float64 // and so many ms nothing has
--- a/internal/decision/intake/links_test.go
+++ b/internal/decision/intake/links_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// Who has said nothing goes first, then who carries nothing; a connection with an open set-up never.
+// Who has said nothing goes first, then who carries nothing; a connection with an open setup never.
 func TestEvict(t *testing.T) {
 	busy, stands := Link{Proven: true, Used: 1, Open: 1}, Link{Proven: true, Used: 2, Standing: 1}
 	idle, later, silent := Link{Proven: true, Used: 500}, Link{Proven: true, Used: 600}, Link{Opened: 700, Used: 700}
--- a/internal/decision/numberplan/compile.go
+++ b/internal/decision/numberplan/compile.go
@@ -471,7 +471,7 @@
 	Skills, Customers, Groups []string
 }
 
-// Names lists the skills, customers and trunk groups that a table's routes name, in order.
+// Names lists the classes, tenants and trunk groups that a table's routes name, in order.
 func (t *Table) Names() Names {
 	var n Names
 	for _, r := range t.routes {
--- a/internal/decision/numberplan/number.go
+++ b/internal/decision/numberplan/number.go
@@ -1,5 +1,5 @@
 // Package numberplan decides what becomes of a number that was dialled: by the longest prefix, the time of day, portability
-// and weights, through plans that lead on to each other, to a route. A contact carries one table from its first digit to
+// and weights, through plans that lead on to each other, to a route. A call carries one table from its first digit to
 // its end, however often the tables change meanwhile. Package number knows no wire, no clock and no look-up: a step that
 // needs one returns a question, and the analysis goes on with the answer, its absence or its time-out.
 package numberplan
@@ -86,7 +86,7 @@
 	Why  string
 }
 
-// Route is where a contact goes.
+// Route is where a call goes.
 type Route struct {
 	Name     string
 	Skill    string // "": what the caller asked for
@@ -123,7 +123,7 @@
 	Carrier string // the carrier (RFC 4694 cic), "": none is named
 }
 
-// Analysis is one contact's way through a table.
+// Analysis is one call's way through a table.
 type Analysis struct {
 	Table   *Table
 	Steps   []string // what was done and why, where Explain is set
--- a/internal/decision/tableversions/tables.go
+++ b/internal/decision/tableversions/tables.go
@@ -42,7 +42,7 @@
 	// Keep writes a table into the store as the one that runs from now on, on a shelf as it is before: answered by Kept.
 	// Serial is 0 for a new one.
 	Keep(c Checked, note string, serial uint64, shelf Shelf)
-	// Swap gives new contacts a table, at once.
+	// Swap gives new calls a table, at once.
 	Swap(*numberplan.Table)
 }
 
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -147,7 +147,7 @@
 type Connections struct {
 	ConnectTimeout  float64 // one that is not up by then is refused
 	IdleTimeout     float64 // idle ones are closed after this
-	MaxPendingCalls int     // open contacts of one gateway
+	MaxPendingCalls int     // open calls of one gateway
 }
 
 // DecodeConnections reads what the object says of connections.
--- a/internal/emulator/baseline/baseline.go
+++ b/internal/emulator/baseline/baseline.go
@@ -1,4 +1,4 @@
-// Package baseline holds other ways to choose a pool, kept only to measure the project's decisions against: the plain
+// Package baseline holds other ways to choose an endpoint, kept only to measure the project's decisions against: the plain
 // design without departures, and chance. They keep the rules that their host enforces, and no others.
 package baseline
 
@@ -12,7 +12,7 @@
 	"cobaltpier/internal/routing"
 )
 
-// Plain rings the destination while it shows room, or not even that, and gives up after a few rings.
+// Plain attempts the destination while it shows room, or not even that, and gives up after a few attempts.
 type Plain struct {
 	set    *routing.Settings
 	host   routing.Host
--- a/internal/emulator/binarystandin/standin.go
+++ b/internal/emulator/binarystandin/standin.go
@@ -23,17 +23,17 @@
 // Faults are the shares of what goes wrong, 0 to 1.
 type Faults struct {
 	Spoilt  float64 // answers that are noise
-	Late    float64 // answers that come after the set-up was given up
+	Late    float64 // answers that come after the setup was given up
 	Never   float64 // answers that never come
 	Twice   float64 // answers that come twice
 	Ahead   float64 // an answer under an unknown id comes first
-	Reset   float64 // lines that are reset under a set-up
-	Full    float64 // set-ups turned away
-	Bad     float64 // set-ups that fail
+	Reset   float64 // lines that are reset under a setup
+	Full    float64 // setups rejected
+	Bad     float64 // setups that fail
 	Cut     float64 // calls that are cut
 	Leaves  float64 // callers that do not wait
 	Hangs   float64 // callers that release what stands
-	Closes  float64 // callers' connections closed under a set-up
+	Closes  float64 // callers' connections closed under a setup
 	Stuck   float64 // writes to switches that do not leave at once
 	Split   bool    // bytes come in pieces
 	Drains  float64 // switches told to drain, a second
@@ -46,10 +46,10 @@
 	M      *binarygateway.Gateway
 	Judge  *binaryconformance.Judge
 	Faults Faults
-	Rate   float64 // set-ups a second
+	Rate   float64 // setups a second
 	Hold   float64 // ms that a call stands
 	Work   float64 // ms until an answer
-	Stop   float64 // no set-ups after this
+	Stop   float64 // no setups after this
 
 	seed, draws uint64
 	now         float64
@@ -85,7 +85,7 @@
 	number int
 	sw     *Switch // nil: a caller's
 	reader binarymessage.Reader
-	open   []uint64 // callers': set-ups without an answer
+	open   []uint64 // callers': setups without an answer
 	closed bool
 	stuck  []byte
 }
@@ -234,7 +234,7 @@
 	}
 }
 
-// arrive sends the next set-up.
+// arrive sends the next setup.
 func (w *World) arrive() {
 	if w.now > w.Stop {
 		return
--- a/internal/emulator/callers/caller.go
+++ b/internal/emulator/callers/caller.go
@@ -1,5 +1,5 @@
 // Package callers is a stand-in for the callers of one gateway: SIP user agents that come at planned times, wait as long
-// as their patience lasts, hang up when they are done, and dial again by themselves. Arrivals are planned ahead and do
+// as their timeout lasts, hang up when they are done, and dial again by themselves. Arrivals are planned ahead and do
 // not wait for answers. No I/O, no clock.
 package callers
 
@@ -29,7 +29,7 @@
 	Try      float64 // of one try
 	Value    float64
 	Late     float64 // share of the value after the target
-	Over     bool    // beyond its customer's share
+	Over     bool    // beyond its tenant's share
 }
 
 // Story is what became of a caller, over all its tries.
@@ -166,7 +166,7 @@
 	t.tx = c.sip.Ask(r, c.edge, sip.HeaderParams{{K: "rport"}}, t.heard)
 }
 
-// giveUp: the patience of this try is over.
+// giveUp: the timeout of this try is over.
 func (t *try) giveUp() {
 	if t.over || t.stands {
 		return
--- a/internal/emulator/calltrace/trace.go
+++ b/internal/emulator/calltrace/trace.go
@@ -301,7 +301,7 @@
 // Merge puts traces together by their times.
 func Merge(of ...[]*api.Call) []*api.Call { return sorted(slices.Concat(of...)) }
 
-// Speed plays times of coming so many times faster. Holds and patience are people's and stay as they are, unless all is
+// Speed plays times of coming so many times faster. Holds and timeout are people's and stay as they are, unless all is
 // set: then they shrink too, and load per circuit stays what it was.
 func Speed(of []*api.Call, factor float64, all bool) []*api.Call {
 	out := make([]*api.Call, len(of))
--- a/internal/emulator/coreswitch/core.go
+++ b/internal/emulator/coreswitch/core.go
@@ -19,16 +19,16 @@
 // Model is how a switch behaves; works and times are milliseconds, works at full speed.
 type Model struct {
 	Name      string
-	Setup     float64 // work of a set-up
+	Setup     float64 // work of a setup
 	Answer    float64 // work of its answer
 	Release   float64
-	Repeat    float64 // work of a repeat of a set-up that waits
+	Repeat    float64 // work of a repeat of a setup that waits
 	Reject    float64 // work of turning one away
 	Probe     float64
 	Lines     int
-	WaitLimit float64 // a longer wait turns set-ups away
+	WaitLimit float64 // a longer wait turns setups away
 	NamesWait bool    // it says for how long
-	WorksOn   bool    // a set-up that was called off is still worked on
+	WorksOn   bool    // a setup that was called off is still worked on
 	ErrorRate float64
 	ColdShare float64  // of its full speed at the start
 	Warm      float64  // till full speed
@@ -50,7 +50,7 @@
 	FellAt     float64
 	Slow       float64 // times slower
 	Other      float64 // share of the processor that other work takes
-	Taken      int     // set-ups that came
+	Taken      int     // setups that came
 	SetupsDone int
 	now        float64
 	born       float64 // its start; -Inf: long ago
@@ -60,7 +60,7 @@
 	calls      map[string]*call // by our tag
 	lines      int              // in use
 	lost       int              // lines that are gone
-	first      []*job           // set-ups go before
+	first      []*job           // setups go before
 	rest       []*job           // answers and releases
 	work       float64          // that waits, at full speed
 	busy       bool
@@ -157,7 +157,7 @@
 	return s.timers.Next()
 }
 
-// Standing are the contacts that stand here, by their sessions.
+// Standing are the calls that stand here, by their sessions.
 func (s *Switch) Standing() []string {
 	var of []string
 	for _, c := range s.calls {
@@ -226,7 +226,7 @@
 	}
 }
 
-// wait is how long a set-up that comes now will wait: those before it, without the answers and releases behind them.
+// wait is how long a setup that comes now will wait: those before it, without the answers and releases behind them.
 func (s *Switch) wait() float64 {
 	w := 0.0
 	for _, j := range s.first {
@@ -286,7 +286,7 @@
 	s.add(&s.first, c.job)
 }
 
-// setUp is the end of a set-up's work.
+// setUp is the end of a setup's work.
 func (c *call) setUp() {
 	s, sv, req := c.sw, c.server, c.req
 	c.job = nil
--- a/internal/emulator/enumclient/kiosk.go
+++ b/internal/emulator/enumclient/kiosk.go
@@ -1,5 +1,5 @@
-// Package enumclient is a stand-in for the kiosks of one gateway: each contact asks by ENUM which pool to call, repeats the
-// question while no answer comes, and calls the pool that is named. Contacts are planned ahead. No I/O, no clock.
+// Package enumclient is a stand-in for the kiosks of one gateway: each call asks by ENUM which endpoint to call, repeats the
+// question while no answer comes, and calls the endpoint that is named. Calls are planned ahead. No I/O, no clock.
 package enumclient
 
 //tally:standin
@@ -16,13 +16,13 @@
 	"cobaltpier/internal/timerqueue"
 )
 
-// Visit is one contact's plan and what became of it.
+// Visit is one call's plan and what became of it.
 type Visit struct {
 	At      float64
 	Number  string // digits
 	Hold    float64
 	Asks    int     // questions, repeats not counted
-	Named   float64 // when a pool was named, NaN: never
+	Named   float64 // when an endpoint was named, NaN: never
 	None    bool    // there is no such number
 	Answers int
 }
@@ -41,7 +41,7 @@
 	Manners
 	Visits []*Visit
 	Silent int                                                         // questions that had no answer, repeats and all
-	Call   func(now float64, v *Visit, user string, to netip.AddrPort) // calls the pool that was named
+	Call   func(now float64, v *Visit, user string, to netip.AddrPort) // calls the endpoint that was named
 	send   func(data []byte)
 	stream func(data []byte)
 	now    float64
@@ -153,7 +153,7 @@
 	}
 }
 
-// Named is the pool that an answer names: the user part of its SIP URI, and where to call.
+// Named is the endpoint that an answer names: the user part of its SIP URI, and where to call.
 func Named(m *dns.Msg) (user string, to netip.AddrPort, ok bool) {
 	for _, rr := range m.Answer {
 		n, is := rr.(*dns.NAPTR)
--- a/internal/emulator/loadgen/load.go
+++ b/internal/emulator/loadgen/load.go
@@ -1,5 +1,5 @@
 // Package loadgen sends planned calls to gateways at the times they were planned for, whatever becomes of those before, and
-// measures waits from the intended times: a gateway that stands still does not slow the load, and what would have come
+// measures waits from the intended times: a gateway that stalls does not slow the load, and what would have come
 // meanwhile is counted with its whole wait. It watches its own lateness, and says when it was itself the bottleneck.
 package loadgen
 
@@ -39,7 +39,7 @@
 	Self    netip.AddrPort
 	Targets []netip.AddrPort // by gateway; calls of higher numbers go round
 	Context string           // trunk-context
-	T1      time.Duration    // first gap between repeats of a set-up
+	T1      time.Duration    // first gap between repeats of a setup
 	Late    time.Duration    // lateness of the generator's slowest thousandth that is allowed
 	Start   time.Time        // when the plan's time 0 is; zero: now
 }
@@ -115,7 +115,7 @@
 	id    string
 }
 
-// Run sends the calls and waits until each has ended. A call that nobody answers within its patience is called off and
+// Run sends the calls and waits until each has ended. A call that nobody answers within its timeout is called off and
 // counts with that wait: it is not left out.
 func Run(ctx context.Context, calls []*api.Call, o Options) (*Result, error) {
 	if len(o.Targets) == 0 {
@@ -196,7 +196,7 @@
 
 func (r *runner) write(k *call, data []byte) { r.conn.WriteToUDPAddrPort(data, r.target(k)) }
 
-// again repeats a set-up that nobody answered (RFC 3261 17.1.1.2).
+// again repeats a setup that nobody answered (RFC 3261 17.1.1.2).
 func (r *runner) again(k *call) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -209,7 +209,7 @@
 	r.write(k, k.invite)
 }
 
-// late: the caller's patience is over.
+// late: the caller's timeout is over.
 func (r *runner) late(k *call) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/emulator/loadgen/load_test.go
+++ b/internal/emulator/loadgen/load_test.go
@@ -19,7 +19,7 @@
 	return of
 }
 
-// A stand-in stands still for half of the run: the calls that were meant to come meanwhile count with their whole wait,
+// A stand-in stalls for half of the run: the calls that were meant to come meanwhile count with their whole wait,
 // and the load does not slow down. Bounds are wide: the machine may be busy.
 func TestStandingStill(t *testing.T) {
 	at := netip.MustParseAddrPort("127.73.0.2:19063")
@@ -50,7 +50,7 @@
 	}
 }
 
-// Nobody answers: each call counts with its patience, and none is left out.
+// Nobody answers: each call counts with its timeout, and none is left out.
 func TestNobodyAnswers(t *testing.T) {
 	calls := every(20, 5)
 	for _, c := range calls {
--- a/internal/emulator/loadgen/still.go
+++ b/internal/emulator/loadgen/still.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Still is a stand-in that answers each set-up after a fixed delay, and stands still at planned times: what would be
+// Still is a stand-in that answers each setup after a fixed delay, and stalls at planned times: what would be
 // answered then is answered at the end of the pause, in order. So the true wait of every call is known beforehand.
 type Still struct {
 	Delay  time.Duration
--- a/internal/emulator/processrun/day.go
+++ b/internal/emulator/processrun/day.go
@@ -1,4 +1,4 @@
-// Package processrun puts a script's day on with gateways that are processes of their own: real sockets, a real pool list
+// Package processrun puts a script's day on with gateways that are processes of their own: real sockets, a real endpoint list
 // stream, signals. Switches, callers and the wire are the stage's, by the wall clock.
 package processrun
 
@@ -370,7 +370,7 @@
 	return b.String()
 }
 
-// Follow implements the pool list's service.
+// Follow implements the endpoint list's service.
 func (r *runner) Follow(req *api.FollowRequest, stream grpc.ServerStreamingServer[api.Update]) error {
 	ch := make(chan *api.Update, 1024)
 	r.mu.Lock()
--- a/internal/emulator/processrun/numbers.go
+++ b/internal/emulator/processrun/numbers.go
@@ -83,7 +83,7 @@
 		c.Most, c.Tries, ms(c.StaleAfter), c.Cache.Most, ms(c.Cache.Least), ms(c.Cache.Longest), ms(c.Cache.Negative), ms(c.Cache.Stale), ms(c.Cache.Fail))
 }
 
-// Table implements stage.Fleet: a gateway that is down or stands still gets the next one.
+// Table implements stage.Fleet: a gateway that is down or stalls gets the next one.
 func (r *runner) Table(i int, t *scenario.Table) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
--- a/internal/emulator/saturation/rush.go
+++ b/internal/emulator/saturation/rush.go
@@ -20,7 +20,7 @@
 
 // Load is what is sent.
 type Load struct {
-	Rate float64 // contacts a second
+	Rate float64 // calls a second
 	For  time.Duration
 	Hold time.Duration
 }
@@ -28,7 +28,7 @@
 // Result is what came of it.
 type Result struct {
 	Sent, Stood, Ended, Refused int64
-	Repeats                     int64                   // set-ups that the gateway sent again by itself
+	Repeats                     int64                   // setups that the gateway sent again by itself
 	Added                       *hdrhistogram.Histogram // µs from a caller's sending to the switch's receipt
 	Back                        *hdrhistogram.Histogram // µs from the switch's answer to the caller's receipt
 	Late                        time.Duration           // the most that the sender ran behind its plan
@@ -40,7 +40,7 @@
 	edge           netip.AddrPort
 	mu             sync.Mutex
 	res            *Result
-	sentAt         []atomic.Int64 // ns, by contact
+	sentAt         []atomic.Int64 // ns, by call
 	answered       []atomic.Int64
 	stood          []atomic.Bool
 	seen           []atomic.Bool
@@ -50,7 +50,7 @@
 	wait           sync.WaitGroup
 }
 
-const slots = 1 << 20 // contacts that are told apart at once
+const slots = 1 << 20 // calls that are told apart at once
 
 // NewRig opens both ends' sockets.
 func NewRig(callers, trunk, edge netip.AddrPort) (*Rig, error) {
--- a/internal/emulator/scenario/days.go
+++ b/internal/emulator/scenario/days.go
@@ -15,7 +15,7 @@
 //go:embed days/*.hcl
 var days embed.FS
 
-// Day is one of the days that come with the program, with some values changed ("pools.count=6").
+// Day is one of the days that come with the program, with some values changed ("endpoints.count=6").
 func Day(name string, set ...string) (*scenariofile.Script, error) {
 	src, err := days.ReadFile("days/" + name + ".hcl")
 	if err != nil {
--- a/internal/emulator/scenario/design.go
+++ b/internal/emulator/scenario/design.go
@@ -12,22 +12,22 @@
 	"cobaltpier/internal/protocol/siptransaction"
 )
 
-// Shares compares what the wire shows with the design (S2-082110): first rings go to the destination; of contacts whose
-// destination takes nothing, pools are drawn with tickets of total capacity times the square of relative capacity. The
+// Shares compares what the wire shows with the design (S2-082110): first attempts go to the destination; of calls whose
+// destination takes nothing, endpoints are drawn with tickets of total capacity times the square of relative capacity. The
 // latter is computed from the load reports that each gateway had received when it sent.
 type Shares struct {
-	Home, First int       // first rings at the destination, and all whose destination was there
-	Drawn       []int     // by pool, of contacts whose destination drains
+	Home, First int       // first attempts at the destination, and all whose destination was there
+	Drawn       []int     // by endpoint, of calls whose destination drains
 	Expected    []float64 // by the formula
 	Variance    []float64
 	homes       map[string]int             // by session
-	util        map[string]map[int]float64 // by gateway and pool
+	util        map[string]map[int]float64 // by gateway and endpoint
 	pools       map[string]int             // by address
 	lines       []float64
-	away        int // the pool that drains, -1: none
+	away        int // the endpoint that drains, -1: none
 }
 
-// NewShares follows a stage whose pool away drains from the start, -1: none.
+// NewShares follows a stage whose endpoint away drains from the start, -1: none.
 func NewShares(st *Stage, away int) *Shares {
 	s := &Shares{homes: map[string]int{}, util: map[string]map[int]float64{}, pools: map[string]int{}, away: away,
 		Drawn: make([]int, len(st.places)), Expected: make([]float64, len(st.places)), Variance: make([]float64, len(st.places))}
@@ -38,7 +38,7 @@
 	return s
 }
 
-// Drain puts a pool on the list as draining, without a replacement.
+// Drain puts an endpoint on the list as draining, without a replacement.
 func (st *Stage) Drain(pool int) {
 	p := st.places[pool]
 	p.state = api.State_DRAINING
@@ -89,7 +89,7 @@
 		if !first || r.At < 1000 {
 			return
 		}
-		delete(s.homes, id) // later rings and repeats don't count
+		delete(s.homes, id) // later attempts and repeats don't count
 		if home != s.away {
 			s.First++
 			if to == home {
@@ -117,7 +117,7 @@
 	}
 }
 
-// Deviation is the largest distance of a pool's draws from the formula, in standard deviations.
+// Deviation is the largest distance of an endpoint's draws from the formula, in standard deviations.
 func (s *Shares) Deviation() (most float64) {
 	for i, n := range s.Drawn {
 		if s.Variance[i] > 0 {
--- a/internal/emulator/scenario/guards_test.go
+++ b/internal/emulator/scenario/guards_test.go
@@ -37,14 +37,14 @@
 func (r *rogue) OnCall(now float64, c *routing.Call) {
 	r.n++
 	switch {
-	case r.rule == 1 && r.n%10 == 0: // a ring after the answer
+	case r.rule == 1 && r.n%10 == 0: // an attempt after the answer
 		r.h.Reject(c, 0)
 		r.h.StartAttempt(c, r.pools[0], 1000)
 	case r.rule == 1 && r.n%10 == 5: // forgotten
 	case r.rule == 2 && r.n%10 == 0: // two at once
 		r.h.StartAttempt(c, r.pools[0], 1000)
 		r.h.StartAttempt(c, r.pools[1], 1000)
-	case r.rule == 3: // to pools that drain as to any
+	case r.rule == 3: // to endpoints that drain as to any
 		r.h.StartAttempt(c, r.pools[r.n%len(r.pools)], c.Deadline-now)
 	case r.rule == 5 && r.n%3 == 0: // called off at once, and sent again as soon as that is over
 		r.h.StartAttempt(c, r.pools[0], c.Deadline-now)
@@ -144,7 +144,7 @@
 	}
 }
 
-// pusher sends all it has to a pool that starts.
+// pusher sends all it has to an endpoint that starts.
 type pusher struct{ rogue }
 
 func (p *pusher) OnCall(now float64, c *routing.Call) {
--- a/internal/emulator/scenario/kiosks.go
+++ b/internal/emulator/scenario/kiosks.go
@@ -90,10 +90,10 @@
 		Limits: enumserver.Limits{Rate: 50, Burst: 100, Clients: 10000, Nets: []enumserver.Net{{Prefix: netip.MustParsePrefix("127.90.0.0/16"), Rate: 5000}}}}
 }
 
-// KioskService is what became of the kiosks' contacts.
+// KioskService is what became of the kiosks' calls.
 type KioskService struct {
 	Visits, Named, Stood, Cut, None, Silent int
-	Waits                                   []float64 // from the visit to the pool's name, ms
+	Waits                                   []float64 // from the visit to the endpoint's name, ms
 }
 
 // KioskService adds up.
--- a/internal/emulator/scenario/numbers.go
+++ b/internal/emulator/scenario/numbers.go
@@ -24,7 +24,7 @@
 	Alter   func(i int, do func(*dnsserver.Server)) // changes a server; one behind a socket needs a lock
 	Version uint64                                  // of the table that is in force
 	tables  map[uint64]*Table
-	Dialled int // contacts' numbers, drawn
+	Dialled int // calls' numbers, drawn
 }
 
 // Table is a table in both forms.
@@ -76,7 +76,7 @@
 func Mark4(version uint64) string { return strconv.FormatUint(1000+version%9000, 10) }
 
 // Table makes the table of a version: all say the same, but in every step they use a mark of their own, so that a
-// contact that was analysed by parts of two would go nowhere.
+// call that was analysed by parts of two would go nowhere.
 func (st *Stage) Table(version uint64) *Table {
 	if t := st.Names.tables[version]; t != nil {
 		return t
--- a/internal/emulator/scenario/numbers_test.go
+++ b/internal/emulator/scenario/numbers_test.go
@@ -34,7 +34,7 @@
 	return st, v, k, tables
 }
 
-// Tables change every second, gateways are killed and stand still, DNS servers fail: each contact is analysed wholly by a
+// Tables change every second, gateways are killed and stand still, DNS servers fail: each call is analysed wholly by a
 // table that was in force when it came, all rules are kept, and nobody keeps an old table when the day is over.
 func TestTablesChange(t *testing.T) {
 	st, v, _, tables := numbersDay(t, func(s *scenariofile.Script) {
--- a/internal/emulator/scenario/service.go
+++ b/internal/emulator/scenario/service.go
@@ -5,7 +5,7 @@
 	"sort"
 )
 
-// Service is how a day went by the users' account: the value of contacts that stood in time and were not cut, over the
+// Service is how a day went by the users' account: the value of calls that stood in time and were not cut, over the
 // value offered, a caller's further tries counted with its first. Of simulated switches.
 type Service struct {
 	Whole, Worst10s            float64
--- a/internal/emulator/scenario/stage.go
+++ b/internal/emulator/scenario/stage.go
@@ -1,4 +1,4 @@
-// Package scenario puts a script's day on: switches, callers, the pool list and the wire between them and the gateways.
+// Package scenario puts a script's day on: switches, callers, the endpoint list and the wire between them and the gateways.
 // The gateways themselves are the very edge machines in virtual time, or processes of their own behind real sockets.
 package scenario
 
@@ -58,7 +58,7 @@
 	deaf    bool // no list reaches it
 }
 
-// place is a pool with the machine that it has now.
+// place is an endpoint with the machine that it has now.
 type place struct {
 	number int
 	region string
@@ -81,7 +81,7 @@
 	Record   func(*api.Record)                 // what the capture gets; may be nil
 	Say      func(at float64, what string)     // troubles as they begin and end; may be nil
 	Parse    func([]byte) (sip.Message, error) // what all machines of the stage read with
-	Fate     func(gateway int, f b2bua.Fate)   // gets the record of each contact, in virtual time; may be nil
+	Fate     func(gateway int, f b2bua.Fate)   // gets the record of each call, in virtual time; may be nil
 	Names    *Names                            // nil: callers name their trunk groups
 	Off      int                               // a guard of the edges that is switched off, to show that the checker sees it
 	names    siptransaction.Names
@@ -482,7 +482,7 @@
 	}
 }
 
-// flood sends one gateway many contacts of the least value.
+// flood sends one gateway many calls of the least value.
 func (st *Stage) flood(t scenariofile.Trouble) {
 	s, n := st.Script, &st.names
 	least := s.Skills[0]
@@ -502,7 +502,7 @@
 	}
 }
 
-// Group is the name of the trunk group to a pool.
+// Group is the name of the trunk group to an endpoint.
 func Group(pool int) string { return fmt.Sprintf("TG-%d", pool) }
 
 // Settings are what the decision module of a gateway is told.
--- a/internal/emulator/scenario/stage_test.go
+++ b/internal/emulator/scenario/stage_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// TestDesignShares is the product test of the design: on a quiet day contacts ring at their destination, and those whose
+// TestDesignShares is the product test of the design: on a quiet day calls attempt at their destination, and those whose
 // destination drains are drawn by the formula.
 func TestDesignShares(t *testing.T) {
 	s, err := Day("quiet")
@@ -87,8 +87,8 @@
 	}
 }
 
-// TestFlood sends one gateway twenty times the rated load of the least valuable skill: what it holds is bounded, rules
-// are kept, and the valuable skill is served.
+// TestFlood sends one gateway twenty times the rated load of the least valuable class: what it holds is bounded, rules
+// are kept, and the valuable class is served.
 func TestFlood(t *testing.T) {
 	s := short(t)
 	s.Gateways.Count, s.Gateways.Held, s.Gateways.MostRate = 1, 400, 90
@@ -126,7 +126,7 @@
 	}
 }
 
-// TestListSilent: the pool list says nothing for a minute, while a pool drains and is replaced and gateways stand still;
+// TestListSilent: the endpoint list says nothing for a minute, while an endpoint drains and is replaced and gateways stand still;
 // they go on with what they have.
 func TestListSilent(t *testing.T) {
 	s := short(t)
--- a/internal/emulator/scenariofile/script.go
+++ b/internal/emulator/scenariofile/script.go
@@ -48,19 +48,19 @@
 // Net is the wire.
 type Net struct{ Same, Cross, Caller, Peer, Jitter, Loss, Double, PeerLoss float64 }
 
-// Skill is a class of contacts.
+// Class is a class of calls.
 type Skill struct {
 	Name                                            string
 	Share, Target, Patience, Try, Value, Late, Hold float64
 }
 
-// Payer is a customer.
+// Payer is a tenant.
 type Payer struct {
 	Name  string
 	Share float64
 }
 
-// Pools are the switches.
+// Endpoints are the switches.
 type Pools struct {
 	Count  int
 	Spread float64 // their sizes differ by this part, up or down
@@ -72,7 +72,7 @@
 
 // Load is what comes.
 type Load struct {
-	Rate    float64 // contacts a second at all gateways
+	Rate    float64 // calls a second at all gateways
 	Drift   float64 // destinations change after so long
 	Skew    float64 // 0: all destinations alike
 	Numbers int     // numbers that are called
@@ -88,7 +88,7 @@
 	Silence float64
 }
 
-// List is the pool list's lateness.
+// List is the endpoint list's lateness.
 type List struct{ NoticeLo, NoticeHi, SilentLo, SilentHi, AddLo, AddHi, Spread float64 }
 
 // Numbers says whether the gateways analyse numbers, and how the look-ups that their tables ask for are answered.
@@ -98,17 +98,17 @@
 	Ported, None, Leads float64 // shares of the numbers
 	TTL, Delay, Jitter  float64
 	Servers             int
-	Within, Share       float64 // of a look-up: its time, and the most of a contact's patience
+	Within, Share       float64 // of a look-up: its time, and the most of a call's timeout
 	Cache, Alone        bool    // answers are kept; questions for one name are not shared
 	Popular             float64 // 1: all numbers are called alike; more: the first of them more often
-	Refuse              bool    // a number without an answer is deferred, not sent on as it was dialled
+	Refuse              bool    // a number without an answer is rejected, not sent on as it was dialled
 	Fail                float64 // a number without an answer is not asked for again so long
 	Stale               float64 // answers that ran out are served so long
 }
 
 // Kiosks ask by ENUM which switch to call, and call it themselves.
 type Kiosks struct {
-	Rate    float64 // contacts a second at all gateways; 0: there are none
+	Rate    float64 // calls a second at all gateways; 0: there are none
 	Hold    float64
 	Loss    float64 // of datagrams between them and the gateways
 	Wait    float64 // then a question is repeated
--- a/internal/emulator/search/hunt.go
+++ b/internal/emulator/search/hunt.go
@@ -19,7 +19,7 @@
 // Find is a day that stands out.
 type Find struct {
 	Script *scenariofile.Script
-	Rule   int     // the broken rule; 0: none, a day of bad service; Tables: a contact by another number table than its own
+	Rule   int     // the broken rule; 0: none, a day of bad service; Tables: a call by another number table than its own
 	What   string  // the first finding
 	Score  float64 // how bad: 10 and more for a broken rule
 }
@@ -124,7 +124,7 @@
 	return t
 }
 
-// Plain is the day that others are drawn from: slow switches, so that few contacts make a load.
+// Plain is the day that others are drawn from: slow switches, so that few calls make a load.
 func Plain() *scenariofile.Script {
 	s, err := scenario.Day("plain")
 	if err != nil {
--- a/internal/emulator/simulation/world.go
+++ b/internal/emulator/simulation/world.go
@@ -52,7 +52,7 @@
 	Tick    float64                                    // it handles what came at multiples of this; 0: at once
 	Tapped  bool                                       // the tap sees it
 	Real    func(to, from netip.AddrPort, data []byte) // set: it is behind a socket, and this writes there
-	Halted  bool                                       // it stands still: what comes waits
+	Halted  bool                                       // it stalls: what comes waits
 	Dead    bool                                       // what comes is lost
 	inbox   []letter
 	waking  float64 // when it will be woken, +Inf: not
--- a/internal/emulator/simulation/world_test.go
+++ b/internal/emulator/simulation/world_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// What comes to a node that stands still waits; what comes to a dead one is lost.
+// What comes to a node that stalls waits; what comes to a dead one is lost.
 func TestHaltAndDie(t *testing.T) {
 	w, a, b, e := two(1, Link{Delay: 1})
 	b.Halt()
--- a/internal/emulator/virtualrun/fleet.go
+++ b/internal/emulator/virtualrun/fleet.go
@@ -27,7 +27,7 @@
 	"cobaltpier/internal/routing"
 )
 
-// After is how long a day goes on after its last arrival could come, ms: all patience is over by then.
+// After is how long a day goes on after its last arrival could come, ms: all timeout is over by then.
 const After = 12000.0
 
 // Module is the maker of a decision module by its name: brain, or a baseline; nil for any other.
@@ -62,10 +62,10 @@
 type Series struct {
 	Seconds  int
 	Service  []float64            // share of the value that came in that second and stood in time
-	Offered  []float64            // contacts that came
+	Offered  []float64            // calls that came
 	P50, P95 []float64            // waits of those that came then and stood, ms; NaN: none
 	Rings    map[string][]float64 // by switch, sent in that second
-	Ends     map[string][]float64 // of rings, by what the switch answered
+	Ends     map[string][]float64 // of attempts, by what the switch answered
 	Cold     []conformance.Cold
 	Troubles []scenariofile.Trouble
 }
@@ -172,7 +172,7 @@
 	m[key][i]++
 }
 
-// ends names what a switch's answer makes of a ring.
+// ends names what a switch's answer makes of an attempt.
 var ends = map[string]string{"200": "stood", "486": "no line", "487": "called off", "500": "failed", "503": "processor full", "600": "engaged"}
 
 func (t *seriesTap) add(r *api.Record) {
--- a/internal/emulator/workload/plan.go
+++ b/internal/emulator/workload/plan.go
@@ -16,7 +16,7 @@
 // Plan says what comes. Times are milliseconds.
 type Plan struct {
 	Seed      uint64
-	Rate      float64 // contacts a second, the mean of the shape
+	Rate      float64 // calls a second, the mean of the shape
 	Length    float64
 	Shape     string  // steady, ramp, surge, day, bursts
 	Swing     float64 // ramp: from 1-swing to 1+swing times the rate; surge, bursts: the peak is 1+swing times
@@ -31,13 +31,13 @@
 	Customers []Share
 }
 
-// Skill is a class of contacts.
+// Class is a class of calls.
 type Skill struct {
 	Name                  string
 	Share, Hold, Patience float64
 }
 
-// Share is a customer's part.
+// Share is a tenant's part.
 type Share struct {
 	Name  string
 	Share float64
--- a/internal/gateway/binaryconfig/config_test.go
+++ b/internal/gateway/binaryconfig/config_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// What a customer's settings can't mean is told with the field.
+// What a tenant's settings can't mean is told with the field.
 func TestCustomersFaults(t *testing.T) {
 	for _, c := range [][2]string{
 		{`{"lanes":[{"name":"a","hardLimit":"soon"}]}`, "lanes.hardLimit"},
--- a/internal/gateway/binaryserver/customers_test.go
+++ b/internal/gateway/binaryserver/customers_test.go
@@ -13,7 +13,7 @@
 	"cobaltpier/internal/routing"
 )
 
-// customer is a made-up deployment.
+// tenant is a made-up deployment.
 type customer struct {
 	what    string
 	classes []string
@@ -22,7 +22,7 @@
 	rules   string
 	stats   string
 	sockets int
-	wait    string // a caller's patience
+	wait    string // a caller's timeout
 }
 
 func (c *customer) change(doc map[string]any) {
@@ -43,7 +43,7 @@
 	return
 }
 
-// Nothing holds for one customer only: whatever the classes are called and however many there are, with tiny limits or
+// Nothing holds for one tenant only: whatever the classes are called and however many there are, with tiny limits or
 // with all that may be switched off switched off, calls of every class pass, and what was never named is refused.
 func TestOtherCustomers(t *testing.T) {
 	for _, c := range []customer{
--- a/internal/gateway/binaryserver/leave_test.go
+++ b/internal/gateway/binaryserver/leave_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// A set-up that is half read when the gateway is told to go is answered: taken while contacts come, deferred after that;
+// A setup that is half read when the gateway is told to go is answered: taken while calls come, rejected after that;
 // so is one on a connection that is just accepted. All connections end in order.
 func TestLeaveHalfRead(t *testing.T) {
 	clean(t, func(t *testing.T) {
@@ -220,7 +220,7 @@
 	})
 }
 
-// A caller that closes under its ring has gone: the ring is given up, and no other begins.
+// A caller that closes under its attempt has gone: the attempt is given up, and no other begins.
 func TestCallerClosesUnderRing(t *testing.T) {
 	clean(t, func(t *testing.T) {
 		a, b := newCore(t, "s-0"), newCore(t, "s-1")
@@ -249,7 +249,7 @@
 		if !givenUp() {
 			t.Error("the ring was not given up")
 		}
-		other.hear(1200*time.Millisecond, func() bool { return false }) // well past the clear wait
+		other.hear(1200*time.Millisecond, func() bool { return false }) // well past the retry hold-off
 		if n := len(rung); n != 0 {
 			t.Errorf("%d more rings", n)
 		}
--- a/internal/gateway/binaryserver/serve.go
+++ b/internal/gateway/binaryserver/serve.go
@@ -35,7 +35,7 @@
 const clockOrigin = 1e9
 
 const (
-	answerMargin      = 5.0     // ms: final answers leave so long before the caller's patience ends
+	answerMargin      = 5.0     // ms: final answers leave so long before the caller's timeout ends
 	metricsInterval   = 10000.0 // ms between two lines of figures in the log
 	defaultMaxPending = 2000    // where settings say nothing
 )
@@ -176,12 +176,12 @@
 }
 
 const (
-	stallThreshold = 150.0                // ms without a batch, of which there is one every 100: the process stood still
+	stallThreshold = 150.0                // ms without a batch, of which there is one every 100: the process stalled
 	stallCatchUp   = 5 * time.Millisecond // for the poller to bring what came meanwhile
 )
 
-// stalled tells, once after the process stood still, that what its sockets brought meanwhile may not have come here yet: a
-// caller may have gone, and no timer may ring for it before that is known.
+// stalled tells, once after the process stalled, that what its sockets brought meanwhile may not have come here yet: a
+// caller may have gone, and no timer may attempt for it before that is known.
 func (s *Server) stalled(now float64) bool {
 	late := s.lastBatchAt > 0 && now-s.lastBatchAt > stallThreshold
 	s.lastBatchAt = 0
--- a/internal/gateway/binaryserver/serve_test.go
+++ b/internal/gateway/binaryserver/serve_test.go
@@ -35,7 +35,7 @@
 	owed []uint64 // releases for the next connection
 	open map[uint64]bool
 	got  int
-	// does, where it is set, says what becomes of the n-th set-up: "", reset, noise, full, never, half, deaf
+	// does, where it is set, says what becomes of the n-th setup: "", reset, noise, full, never, half, deaf
 	does func(n int) string
 	hold time.Duration
 	all  sync.WaitGroup
@@ -334,7 +334,7 @@
 	return nil
 }
 
-// ask is a caller's set-up.
+// ask is a caller's setup.
 func ask(id uint64, of ...binarymessage.Param) []byte {
 	return binarymessage.Append(nil, binarymessage.Setup, id, append([]binarymessage.Param{binarymessage.TextParam(binarymessage.Class, "voice"), binarymessage.TextParam(binarymessage.Patience, "1500"),
 		binarymessage.TextParam(binarymessage.Number, fmt.Sprintf("%x", id)), binarymessage.TextParam(binarymessage.Figures, fmt.Sprintf("dest:%d;width:1;via:-1", id%2)),
@@ -501,7 +501,7 @@
 	}
 }
 
-// Hundreds of set-ups at once, or taken back at once, or again as soon as they are turned away: each has one answer or none is
+// Hundreds of setups at once, or taken back at once, or again as soon as they are rejected: each has one answer or none is
 // owed, and a usual caller has its own in time.
 func TestFloods(t *testing.T) {
 	a, b := newCore(t, "s-0"), newCore(t, "s-1")
@@ -537,7 +537,7 @@
 		}
 	}
 	p := s.dial()
-	for n := range uint64(200) { // the same again as soon as it is turned away
+	for n := range uint64(200) { // the same again as soon as it is rejected
 		id := uint64(5)<<40 + n
 		p.c.Write(ask(id, binarymessage.TextParam(binarymessage.Wait, "0")))
 		if !p.hear(2*time.Second, func() bool { return len(p.got[id]) > 0 }) {
@@ -745,7 +745,7 @@
 	}
 }
 
-// After a standstill the sockets are read once more before any timer runs; else nothing waits.
+// After a stall the sockets are read once more before any timer runs; else nothing waits.
 func TestBehind(t *testing.T) {
 	s := &Server{}
 	for i, c := range []struct {
--- a/internal/gateway/gatewayconfig/settings.go
+++ b/internal/gateway/gatewayconfig/settings.go
@@ -20,7 +20,7 @@
 	b2bua.Config
 	Peer        netip.AddrPort   // where other gateways' messages come in
 	Peers       []netip.AddrPort // of all gateways, by number
-	List        string           // the pool list's address
+	List        string           // the endpoint list's address
 	Tick        float64
 	Level       string // of the log
 	Console     bool   // logs for a person, not JSON
@@ -32,7 +32,7 @@
 
 // Numbers is what an edge is told of its number tables and where it looks numbers up.
 type Numbers struct {
-	Table    string // a file; runs where the store has none yet; "" and no store: callers name skill and group themselves
+	Table    string // a file; runs where the store has none yet; "" and no store: callers name class and group themselves
 	Store    string // a file; "": what is put in service lives as long as the process
 	Admin    string // where gRPC puts tables in service; "": nowhere
 	Resolve  dnsclient.Config
--- a/internal/gateway/grpcdiscovery/listing.go
+++ b/internal/gateway/grpcdiscovery/listing.go
@@ -1,4 +1,4 @@
-// Package grpcdiscovery follows the pool list over a gRPC stream (api/list.proto). A stream that breaks is opened again with
+// Package grpcdiscovery follows the endpoint list over a gRPC stream (api/list.proto). A stream that breaks is opened again with
 // the version that was had; meanwhile whoever follows keeps the old list.
 package grpcdiscovery
 
--- a/internal/gateway/simadapter/benchwire_test.go
+++ b/internal/gateway/simadapter/benchwire_test.go
@@ -10,7 +10,7 @@
 	"cobaltpier/internal/routing"
 )
 
-// echo is a module that rings every contact at the first pool and writes down what it hears.
+// echo is a module that attempts every call at the first endpoint and writes down what it hears.
 type echo struct {
 	host  routing.Host
 	set   *routing.Settings
--- a/internal/gateway/simadapter/codec.go
+++ b/internal/gateway/simadapter/codec.go
@@ -1,4 +1,4 @@
-// Package simadapter speaks the bench's wire on one side and the words of package contact on the other. It
+// Package simadapter speaks the bench's wire on one side and the words of package routing on the other. It
 // hosts the instances of the decision module and decides nothing itself.
 package simadapter
 
--- a/internal/gateway/simadapter/host.go
+++ b/internal/gateway/simadapter/host.go
@@ -43,48 +43,48 @@
 
 func num(v int64) string { return strconv.FormatInt(v, 10) }
 
-// StartAttempt implements contact.Host.
+// StartAttempt implements routing.Host.
 func (in *instance) StartAttempt(c *routing.Call, p *routing.Endpoint, limit float64) {
 	k := c.HostData.(*endpointset.Tracker)
 	k.Begin(p, in.now)
 	in.act("try", k.ID, num(in.pools.IDOf(p)), ms(limit))
 }
 
-// Reject implements contact.Host.
+// Reject implements routing.Host.
 func (in *instance) Reject(c *routing.Call, wait float64) {
 	c.Finished = true
 	in.act("decline", c.HostData.(*endpointset.Tracker).ID, ms(wait))
 	in.drop(c.HostData.(*endpointset.Tracker))
 }
 
-// Fail implements contact.Host.
+// Fail implements routing.Host.
 func (in *instance) Fail(c *routing.Call) {
 	c.Finished = true
 	in.act("abort", c.HostData.(*endpointset.Tracker).ID)
 	in.drop(c.HostData.(*endpointset.Tracker))
 }
 
-// CancelAttempt implements contact.Host.
+// CancelAttempt implements routing.Host.
 func (in *instance) CancelAttempt(r *routing.Attempt) {
 	in.act("call_off", r.Call.HostData.(*endpointset.Tracker).ID, num(int64(r.HostData.(int))))
 }
 
-// ProbeHealth implements contact.Host.
+// ProbeHealth implements routing.Host.
 func (in *instance) ProbeHealth(p *routing.Endpoint) { in.act("ask_load", num(in.pools.IDOf(p))) }
 
-// SendGossip implements contact.Host.
+// SendGossip implements routing.Host.
 func (in *instance) SendGossip(to int, data []byte) {
 	in.act("memo_to", num(int64(to)), hex.EncodeToString(data))
 }
 
-// ScheduleWakeup implements contact.Host.
+// ScheduleWakeup implements routing.Host.
 func (in *instance) ScheduleWakeup(at float64, c *routing.Call) {
 	in.timer++
 	in.timers[in.timer] = c
 	in.act("schedule", ms(at), num(in.timer))
 }
 
-// drop forgets a call that has its answer and no ring out.
+// drop forgets a call that has its answer and no attempt out.
 func (in *instance) drop(k *endpointset.Tracker) {
 	if k.Done() {
 		delete(in.contacts, k.ID)
@@ -342,7 +342,7 @@
 	return nil
 }
 
-// ring finds the ring that an event speaks of; nil where it ended before.
+// attempt finds the attempt that an event speaks of; nil where it ended before.
 func (in *instance) ring(l *line, id string, n int64) (*endpointset.Tracker, *routing.Attempt) {
 	k := in.contacts[id]
 	if k == nil || n >= int64(len(k.Log)) {
--- a/internal/gateway/sipserver/gateway.go
+++ b/internal/gateway/sipserver/gateway.go
@@ -1,5 +1,5 @@
 // Package sipserver drives one edge by the wall clock: one loop owns the edge's state, and all that came since the last
-// tick is one batch. Sockets, the pool list, signals and logs reach it through one bounded queue and never hold it up.
+// tick is one batch. Sockets, the endpoint list, signals and logs reach it through one bounded queue and never hold it up.
 package sipserver
 
 import (
@@ -262,7 +262,7 @@
 		}
 		return false
 	}
-	dialogs, _, _ := g.edge.Open() // set-ups that nobody waits for, and that a switch may still answer
+	dialogs, _, _ := g.edge.Open() // setups that nobody waits for, and that a switch may still answer
 	return dialogs == 0 || now-since > g.set.DrainWithin+lastWait
 }
 
--- a/internal/gateway/sipserver/gateway_test.go
+++ b/internal/gateway/sipserver/gateway_test.go
@@ -21,7 +21,7 @@
 	"cobaltpier/internal/routing"
 )
 
-// keeper is a pool list that a test writes.
+// keeper is an endpoint list that a test writes.
 type keeper struct {
 	api.UnimplementedPoolListServer
 	mu    sync.Mutex
@@ -134,7 +134,7 @@
 	return v
 }
 
-// TestLife runs a gateway on real sockets: a call is set up at the pool that the list names, the gateway drains while it
+// TestLife runs a gateway on real sockets: a call is set up at the endpoint that the list names, the gateway drains while it
 // is not answered yet and while it stands, answers and releases it, and ends with nothing left over.
 func TestLife(t *testing.T) {
 	now := goleak.IgnoreCurrent()
--- a/internal/hclconfig/conf.go
+++ b/internal/hclconfig/conf.go
@@ -331,7 +331,7 @@
 }
 
 // Override puts another value in the place of one, or where there is none, before anything was read: path is the name,
-// with the names of the blocks before it and dots between ("pools.count"); text is the value as a file would have it.
+// with the names of the blocks before it and dots between ("endpoints.count"); text is the value as a file would have it.
 func (b *Block) Override(path, text string) error {
 	expr, diags := hclsyntax.ParseExpression([]byte(text), path, hcl.InitialPos)
 	if diags.HasErrors() {
--- a/internal/protocol/b2bua/analysis.go
+++ b/internal/protocol/b2bua/analysis.go
@@ -9,8 +9,8 @@
 	"cobaltpier/internal/detrand"
 )
 
-// numberAnalysis is what a number's analysis has come to. A contact carries one table from its first digit to its final
-// answer, whatever table new contacts get meanwhile.
+// numberAnalysis is what a number's analysis has come to. A call carries one table from its first digit to its final
+// answer, whatever table new calls get meanwhile.
 type numberAnalysis struct {
 	analysis *numberplan.Analysis
 	waits    string // the number to be looked up
@@ -21,10 +21,10 @@
 	params   string // what goes on with the number (RFC 4694)
 }
 
-// Use gives new contacts another table, nil: none. Contacts that are held keep theirs.
+// Use gives new calls another table, nil: none. Calls that are held keep theirs.
 func (e *Edge) Use(t *numberplan.Table) { e.table = t }
 
-// Tables says how many contacts without a final answer carry each table but the present one.
+// Tables says how many calls without a final answer carry each table but the present one.
 func (e *Edge) Tables() (old, contacts int) {
 	for t, n := range e.tables {
 		if t != e.table {
@@ -35,8 +35,8 @@
 	return
 }
 
-// analyse begins the analysis of a contact's number. What the table refuses at once is answered here and needs no state;
-// a question goes out only when the intake has taken the contact, so that a flood asks for nothing.
+// analyse begins the analysis of a call's number. What the table refuses at once is answered here and needs no state;
+// a question goes out only when the intake has taken the call, so that a flood asks for nothing.
 func (k *held) analyse(user, params string) bool {
 	e := k.edge
 	p, err := enum.Params(params)
@@ -67,7 +67,7 @@
 	return true
 }
 
-// lookUp asks what the analysis wants to know, for no longer than a part of what is left of the caller's patience.
+// lookUp asks what the analysis wants to know, for no longer than a part of what is left of the caller's timeout.
 func (k *held) lookUp() {
 	e := k.edge
 	within := min(k.route.within, e.cfg.Share*(k.Deadline-e.Now))
@@ -92,7 +92,7 @@
 	}
 }
 
-// goOn takes the end of an analysis that had a question: the module gets the contact, or the caller its answer.
+// goOn takes the end of an analysis that had a question: the module gets the call, or the caller its answer.
 func (k *held) goOn(o numberplan.Outcome) {
 	e := k.edge
 	switch {
@@ -107,7 +107,7 @@
 	}
 }
 
-// routed puts a route's fields into the contact; false: it names what this edge does not have.
+// routed puts a route's fields into the call; false: it names what this edge does not have.
 func (k *held) routed(r *numberplan.Route) bool {
 	e := k.edge
 	g := e.byName[r.Group]
@@ -140,7 +140,7 @@
 	return true
 }
 
-// letGo ends a contact's hold of its table and takes back what it asked.
+// letGo ends a call's hold of its table and takes back what it asked.
 func (k *held) letGo() {
 	r := &k.route
 	if r.stop != nil {
--- a/internal/protocol/b2bua/analysis_test.go
+++ b/internal/protocol/b2bua/analysis_test.go
@@ -97,8 +97,8 @@
 	return r, b
 }
 
-// A number whose portability is looked up is set up over its route's group with its routing number, and its skill's
-// patience holds.
+// A number whose portability is looked up is set up over its route's group with its routing number, and its class's
+// timeout holds.
 func TestRouted(t *testing.T) {
 	r, b := numberRig(t)
 	var got *routing.Call
@@ -122,7 +122,7 @@
 	}
 }
 
-// A look-up uses no more than its part of what is left of the caller's patience.
+// A look-up uses no more than its part of what is left of the caller's timeout.
 func TestShareOfPatience(t *testing.T) {
 	r, b := numberRig(t)
 	r.get(caller, strings.Replace(callerSays("INVITE", "a1", ""), "Expires: 9", "Expires: 1", 1))
@@ -143,7 +143,7 @@
 	}
 }
 
-// A caller that hangs up takes its question back; an answer that comes then, or after the contact's end, changes nothing.
+// A caller that hangs up takes its question back; an answer that comes then, or after the call's end, changes nothing.
 func TestAnswerTooLate(t *testing.T) {
 	r, b := numberRig(t)
 	r.m.offered = func(float64, *routing.Call) { t.Error("offered") }
@@ -166,7 +166,7 @@
 	}
 }
 
-// A thousand contacts are half analysed when their table changes: each ends by the table that it began with, and then the
+// A thousand calls are half analysed when their table changes: each ends by the table that it began with, and then the
 // old table is let go.
 func TestSwapInFlight(t *testing.T) {
 	r, b := numberRig(t)
@@ -200,7 +200,7 @@
 	}
 }
 
-// An old table is gone from memory when the last contact that carries it has its answer, and not before; calls that stand
+// An old table is gone from memory when the last call that carries it has its answer, and not before; calls that stand
 // need none.
 func TestTableLetGo(t *testing.T) {
 	r, b := numberRig(t)
@@ -246,7 +246,7 @@
 	}
 }
 
-// A flood that the intake turns away asks for nothing.
+// A flood that the intake rejects asks for nothing.
 func TestFloodAsksNothing(t *testing.T) {
 	r, b := numberRig(t)
 	r.e.LoadShedder.Most = 10
@@ -258,7 +258,7 @@
 	}
 }
 
-// A contact held for its look-up is served when the edge drains meanwhile; to the pool that the list has then.
+// A call held for its look-up is served when the edge drains meanwhile; to the endpoint that the list has then.
 func TestListedAndDrainingMeanwhile(t *testing.T) {
 	r, b := numberRig(t)
 	r.m.offered = func(now float64, c *routing.Call) { r.m.h.StartAttempt(c, r.m.pools[0], c.Deadline-now) }
--- a/internal/protocol/b2bua/caller.go
+++ b/internal/protocol/b2bua/caller.go
@@ -28,18 +28,18 @@
 	tag    string
 }
 
-// call is a contact of a caller by SIP, with its legs.
+// call is a call of a caller by SIP, with its legs.
 type call struct {
 	*held
 	req    *sip.Request
 	server *siptransaction.Server
 	tag    string
 	payer  string // host of the caller's address
-	trunk  *leg   // whose ring is out or stands
-	rang   bool   // the caller was told that it rings
+	trunk  *leg   // whose attempt is out or stands
+	rang   bool   // the caller was told that it attempts
 }
 
-// invited takes an INVITE: decoded fields go straight into a contact. It is offered by the next Wake.
+// invited takes an INVITE: decoded fields go straight into a call. It is offered by the next Wake.
 func (e *Edge) invited(s *siptransaction.Server, req *sip.Request) {
 	name, ok := strings.CutPrefix(siptransaction.Field(req, siptransaction.Service), servicePrefix)
 	if !ok {
@@ -98,7 +98,7 @@
 	return h.Sum64()
 }
 
-// busy is the answer to what is turned away at the door; it needs no state.
+// busy is the answer to what is rejected at the door; it needs no state.
 func (e *Edge) busy(req *sip.Request) *sip.Response {
 	return siptransaction.Response(req, 503, "Service Unavailable", "busy")
 }
@@ -162,7 +162,7 @@
 	}
 }
 
-// ringing tells the caller that it rings.
+// ringing tells the caller that it attempts.
 func (k *call) ringing() {
 	if !k.rang && !k.Finished {
 		k.rang = true
@@ -261,7 +261,7 @@
 	req.AppendHeader(sip.NewHeader(siptransaction.Reason, why))
 }
 
-// session is an id for a contact whose caller gave none.
+// session is an id for a call whose caller gave none.
 func (e *Edge) session() string { return siptransaction.NewSession(&e.names) }
 
 func copyBody(from, to interface {
--- a/internal/protocol/b2bua/edge.go
+++ b/internal/protocol/b2bua/edge.go
@@ -1,11 +1,11 @@
 // Package b2bua is one gateway's call control without I/O: a call-stateful back-to-back user agent (RFC 3261 6) that
 // takes calls, asks the decision module about each and sets it up over trunk groups. Datagrams, lists, other gateways'
-// messages and the time come in through methods; datagrams go out through Out. It hosts the module (contact.Host) and
+// messages and the time come in through methods; datagrams go out through Out. It hosts the module (routing.Host) and
 // decides nothing that the module decides.
 //
-// A contact passes caller leg, intake, module, trunk leg; what comes back runs the other way. What the five rules ask
+// A call passes caller leg, intake, module, trunk leg; what comes back runs the other way. What the five rules ask
 // of the wire is kept at one place each: rule 1 in (*control.Held).Settle, rules 2, 3 and 5 in
-// (*control.Control).Ring.
+// (*control.Control).Attempt.
 package b2bua
 
 import (
@@ -35,10 +35,10 @@
 	Tell(gateway int, data []byte)
 }
 
-// Group is a trunk group (RFC 4904) to a pool.
+// Group is a trunk group (RFC 4904) to an endpoint.
 type Group struct {
 	Name string // tgrp
-	Pool int    // the pool's number
+	Pool int    // the endpoint's number
 	Size int    // circuits
 	out  int    // in use by this gateway
 }
@@ -59,18 +59,18 @@
 	Set     *routing.Settings
 	Times   siptransaction.Times
 	Groups  []Group
-	Default string  // the skill of a call that names none
-	Margin  float64 // ms: final answers leave so long before the caller's patience ends
+	Default string  // the class of a call that names none
+	Margin  float64 // ms: final answers leave so long before the caller's timeout ends
 	Gate    intake.Gate
 	Parse   func([]byte) (sip.Message, error) // nil: signal.Parse
-	Table   *numberplan.Table                 // what becomes of numbers; nil: callers name skill and trunk group themselves
+	Table   *numberplan.Table                 // what becomes of numbers; nil: callers name class and trunk group themselves
 	Look    Lookup                            // nil: no question has an answer
-	Share   float64                           // of what is left of a contact's patience: the most that a look-up may use
+	Share   float64                           // of what is left of a call's timeout: the most that a look-up may use
 	Epoch   time.Time                         // the wall clock when this edge's clock stood at 0, for times of day
 	Off     [6]bool                           // guards that are switched off, by rule: only to show that the checker sees what they prevent
 }
 
-// Member is one line of the pool list.
+// Member is one line of the endpoint list.
 type Member struct {
 	ID     string
 	Number int
@@ -82,7 +82,7 @@
 // Counts are what an edge has seen since its start.
 type Counts = callcontrol.Counts
 
-// Fate is the end of a contact, for logs.
+// Fate is the end of a call, for logs.
 type Fate struct {
 	Session string
 	Skill   string
@@ -103,12 +103,12 @@
 	names    siptransaction.Names
 	sip      *siptransaction.Layer
 	addrs    map[*routing.Endpoint]netip.AddrPort
-	groups   map[int]*Group    // by pool
+	groups   map[int]*Group    // by endpoint
 	byName   map[string]*Group // by tgrp
 	ends     map[string]*end   // dialogs by our tag
 	refusals intake.Refusals
 	table    *numberplan.Table
-	tables   map[*numberplan.Table]int // contacts without a final answer that carry it
+	tables   map[*numberplan.Table]int // calls without a final answer that carry it
 	drawn    uint64
 }
 
@@ -133,7 +133,7 @@
 	return e
 }
 
-// Receive takes a datagram of the SIP socket. New contacts are offered to the module by the next Wake.
+// Receive takes a datagram of the SIP socket. New calls are offered to the module by the next Wake.
 func (e *Edge) Receive(now float64, from netip.AddrPort, data []byte) {
 	e.Now = now
 	e.sip.Receive(now, from, data)
@@ -147,8 +147,8 @@
 	}
 }
 
-// Listed takes a pool list, whole or of changes only. What it says of a pool counts from now on (rule 3): set-ups to a
-// pool that drains or is gone are not repeated any more.
+// Listed takes an endpoint list, whole or of changes only. What it says of an endpoint counts from now on (rule 3): setups to a
+// endpoint that drains or is gone are not repeated any more.
 func (e *Edge) Listed(now float64, list []Member, whole bool) {
 	e.Now, e.sip.Now = now, now
 	entries := make([]endpointset.Entry[string], len(list))
@@ -219,7 +219,7 @@
 	return len(e.ends), c + s, e.Timers.Len()
 }
 
-// ProbeHealth implements contact.Host: OPTIONS (RFC 3261 11).
+// ProbeHealth implements routing.Host: OPTIONS (RFC 3261 11).
 func (e *Edge) ProbeHealth(p *routing.Endpoint) {
 	to := e.addrs[p]
 	req := sip.NewRequest(sip.OPTIONS, sip.Uri{Scheme: "sip", Host: to.Addr().String(), Port: int(to.Port())})
@@ -231,13 +231,13 @@
 	})
 }
 
-// SendGossip implements contact.Host.
+// SendGossip implements routing.Host.
 func (e *Edge) SendGossip(to int, data []byte) { e.out.Tell(to, data) }
 
 // moduleHost is the edge as the module sees it: Wake means something else there.
 type moduleHost struct{ *Edge }
 
-// ScheduleWakeup implements contact.Host.
+// ScheduleWakeup implements routing.Host.
 func (h moduleHost) ScheduleWakeup(at float64, c *routing.Call) {
 	h.Controller.ScheduleWakeup(at, c)
 }
--- a/internal/protocol/b2bua/edge_test.go
+++ b/internal/protocol/b2bua/edge_test.go
@@ -230,13 +230,13 @@
 	}
 }
 
-// CANCEL and 200 cross: the call that stood is acknowledged and released, and nothing rings before the clear wait.
+// CANCEL and 200 cross: the call that stood is acknowledged and released, and nothing attempts before the retry hold-off.
 func TestCancelCrosses200(t *testing.T) {
 	r := newRig(t)
 	r.m.ended = func(now float64, x *routing.Attempt) { r.m.h.ScheduleWakeup(now+1, x.Call) }
 	r.m.woken = func(now float64, c *routing.Call) {
 		if !c.Finished && c.InFlight == nil {
-			r.m.h.StartAttempt(c, r.m.pools[1], c.Deadline-now) // before the clear wait is over: barred
+			r.m.h.StartAttempt(c, r.m.pools[1], c.Deadline-now) // before the retry hold-off is over: barred
 			r.m.h.ScheduleWakeup(now+100, c)
 		}
 	}
@@ -313,7 +313,7 @@
 	r.heard("left", "ended 6 closed true wait 0")
 }
 
-// The caller calls off while its contact is in the clear wait.
+// The caller calls off while its call is in the retry hold-off.
 func TestCallerLeavesInClearWait(t *testing.T) {
 	r := newRig(t)
 	r.m.ended = func(now float64, x *routing.Attempt) { r.m.h.ScheduleWakeup(now+500, x.Call) }
@@ -324,7 +324,7 @@
 	r.pass(100)
 	r.get(caller, callerSays("CANCEL", "5a", ""))
 	r.sent(caller, "SIP/2.0 487")
-	r.pass(2000) // the module rings all the same: barred
+	r.pass(2000) // the module attempts all the same: barred
 	if r.count(switchB, "INVITE") != 0 {
 		t.Error("a ring after the final answer")
 	}
@@ -356,7 +356,7 @@
 	}
 }
 
-// A drain that is heard while a set-up waits unanswered: it is not repeated there, for that could be its first arrival.
+// A drain that is heard while a setup waits unanswered: it is not repeated there, for that could be its first arrival.
 func TestDrainStopsRepeats(t *testing.T) {
 	r := newRig(t)
 	r.get(caller, callerSays("INVITE", "6a", ""))
@@ -397,7 +397,7 @@
 	r.sent(caller, "SIP/2.0 481")
 }
 
-// One caller's INVITE that comes over two ways is one contact: the second is told 482 (RFC 3261 8.2.2.2).
+// One caller's INVITE that comes over two ways is one call: the second is told 482 (RFC 3261 8.2.2.2).
 func TestMergedRequests(t *testing.T) {
 	r := newRig(t)
 	r.get(caller, callerSays("INVITE", "9a", ""))
@@ -408,12 +408,12 @@
 	}
 }
 
-// An edge stands still past a repeat and the patience: the answer goes, and no repeat with it.
+// An edge stalls past a repeat and the timeout: the answer goes, and no repeat with it.
 func TestStoodStillPastPatience(t *testing.T) {
 	r := newRig(t)
 	r.m.ended = func(_ float64, x *routing.Attempt) { r.m.h.Fail(x.Call) }
 	r.get(caller, callerSays("INVITE", "1d", ""))
-	r.pass(2000) // the next repeat is due at 2800, the patience ends at 9000
+	r.pass(2000) // the next repeat is due at 2800, the timeout ends at 9000
 	n := r.count(switchA, "INVITE")
 	r.now += 8000
 	r.pass(50)
@@ -423,7 +423,7 @@
 	}
 }
 
-// An edge that stood still finds an INVITE that may have come at any time since: it is answered within the patience from
+// An edge that stalled finds an INVITE that may have come at any time since: it is answered within the timeout from
 // the earliest. One that was merely idle takes it as new.
 func TestStoodStill(t *testing.T) {
 	r := newRig(t)
@@ -452,7 +452,7 @@
 	}
 }
 
-// What the intake turns away gets one answer, also when its INVITE is repeated after room has come.
+// What the intake rejects gets one answer, also when its INVITE is repeated after room has come.
 func TestTurnedAwayStaysSo(t *testing.T) {
 	r := newRig(t)
 	r.e.LoadShedder.Most = 1
@@ -468,7 +468,7 @@
 	}
 }
 
-// A module that forgets a contact or answers it twice: rule 1 is kept all the same.
+// A module that forgets a call or answers it twice: rule 1 is kept all the same.
 func TestForgottenContact(t *testing.T) {
 	r := newRig(t)
 	r.m.offered = func(float64, *routing.Call) {}
--- a/internal/protocol/b2bua/enquiry.go
+++ b/internal/protocol/b2bua/enquiry.go
@@ -6,28 +6,28 @@
 	"cobaltpier/internal/routing"
 )
 
-// Named is the answer to an enquiry: which pool to call, or why none is named.
+// Named is the answer to an enquiry: which endpoint to call, or why none is named.
 type Named struct {
-	Code   int // 200: a pool is named; else as of SIP
+	Code   int // 200: an endpoint is named; else as of SIP
 	Why    string
 	Wait   float64 // ms: come back after this, 0: nothing is said
 	Addr   netip.AddrPort
 	Group  string
 	Number string // to be called there
 	Params string // that go with it (RFC 4694)
-	// Still tells whether the pool could be named now: it has not drained or gone since.
+	// Still tells whether the endpoint could be named now: it has not drained or gone since.
 	Still func() bool
 }
 
-// enquiry is a contact of somebody who asks which pool to call, and calls it itself.
+// enquiry is a call of somebody who asks which endpoint to call, and calls it itself.
 type enquiry struct {
 	*held
 	out  *routing.Attempt
 	done func(now float64, n Named)
 }
 
-// Enquire asks for the pool that a contact of a skill with a number, as it would be dialled, would be sent to at this moment. done is called once,
-// within patience ms; what the module decides counts for drains and cold budgets as a ring does. stop takes the question
+// Enquire asks for the endpoint that a call of a class with a number, as it would be dialled, would be sent to at this moment. done is called once,
+// within timeout ms; what the module decides counts for drains and cold budgets as an attempt does. stop takes the question
 // back.
 func (e *Edge) Enquire(now float64, number, skill string, patience float64, done func(now float64, n Named)) (stop func()) {
 	e.Now, e.sip.Now = now, now
@@ -96,7 +96,7 @@
 // isOut implements control.Party.
 func (q *enquiry) HasAttempt() bool { return q.out != nil }
 
-// SendSetup implements control.Party: the answer is the ring. Whoever asked calls the pool itself, so it is over for us; the module
+// SendSetup implements control.Party: the answer is the attempt. Whoever asked calls the endpoint itself, so it is over for us; the module
 // counts it as one that was sent and taken.
 func (q *enquiry) SendSetup(r *routing.Attempt, _ float64) bool {
 	e := q.edge
--- a/internal/protocol/b2bua/enquiry_test.go
+++ b/internal/protocol/b2bua/enquiry_test.go
@@ -9,7 +9,7 @@
 	"cobaltpier/internal/routing"
 )
 
-// An enquiry's answer names the pool that the module rings, once; the module hears that the ring is over.
+// An enquiry's answer names the endpoint that the module attempts, once; the module hears that the attempt is over.
 func TestEnquiry(t *testing.T) {
 	r, b := numberRig(t)
 	r.m.offered = func(now float64, c *routing.Call) { r.m.h.StartAttempt(c, r.m.pools[1], c.Deadline-now) }
--- a/internal/protocol/b2bua/held.go
+++ b/internal/protocol/b2bua/held.go
@@ -2,7 +2,7 @@
 
 import "cobaltpier/internal/protocol/callcontrol"
 
-// held is a contact as the edge holds it: what the call control has, and what became of its number.
+// held is a call as the edge holds it: what the call control has, and what became of its number.
 type held struct {
 	*callcontrol.Session
 	refuser
@@ -33,5 +33,5 @@
 // SendFailure implements control.Party.
 func (k *held) SendFailure() { k.refuse(500, "Server Internal Error") }
 
-// Prepare looks a contact's number up before the module gets it.
+// Prepare looks a call's number up before the module gets it.
 func (k *held) Prepare() { k.lookUp() }
--- a/internal/protocol/b2bua/load.go
+++ b/internal/protocol/b2bua/load.go
@@ -20,7 +20,7 @@
 	"free":  func(r *routing.LoadReport, v float64) { r.Free = v },
 }
 
-// report reads what an answer says of a pool's load: overload control in our own Via (RFC 7339 4, RFC 7415 3) and the
+// report reads what an answer says of an endpoint's load: overload control in our own Via (RFC 7339 4, RFC 7415 3) and the
 // load header. It tells whether figures of the processor came. What makes no sense is passed over.
 func (e *Edge) report(p *routing.Endpoint, res *sip.Response) bool {
 	full := false
--- a/internal/protocol/b2bua/trunk.go
+++ b/internal/protocol/b2bua/trunk.go
@@ -13,7 +13,7 @@
 // oc says in a Via which kinds of overload control this edge heeds (RFC 7339 4.1, RFC 7415).
 var oc = sip.HeaderParams{{K: "oc"}, {K: "oc-algo", V: `"loss,rate"`}}
 
-// leg is one ring on the wire. It outlives the ring where the switch may still think that the call goes on.
+// leg is one attempt on the wire. It outlives the attempt where the switch may still think that the call goes on.
 type leg struct {
 	call   *call
 	ring   *routing.Attempt
@@ -26,12 +26,12 @@
 	remote *sip.Response // the 2xx that set the dialog up
 	ack    []byte
 	wanted bool // false: the caller or the module does not want it any more
-	told   bool // the module knows the ring's end
+	told   bool // the module knows the attempt's end
 	closed bool // the other side released it
 	freed  bool // its circuit is free
 }
 
-// SendSetup implements control.Party: it sends a set-up over a trunk group and gives up after limit ms. A group without a free
+// SendSetup implements control.Party: it sends a setup over a trunk group and gives up after limit ms. A group without a free
 // circuit takes none.
 func (k *call) SendSetup(r *routing.Attempt, limit float64) bool {
 	e := k.edge
@@ -69,8 +69,8 @@
 	l.tell(routing.TimedOut)
 }
 
-// cancel calls the set-up off. Where no provisional answer came yet RFC 3261 9.1 forbids the CANCEL: it follows the
-// first one, and till then the ring is out. Rule 1: of a contact that has its answer nothing is repeated either.
+// cancel calls the setup off. Where no provisional answer came yet RFC 3261 9.1 forbids the CANCEL: it follows the
+// first one, and till then the attempt is out. Rule 1: of a call that has its answer nothing is repeated either.
 func (l *leg) cancel() {
 	l.wanted = false
 	if !l.tx.Cancel() && l.call.Finished && !l.tx.Heard() {
@@ -133,9 +133,9 @@
 		switch code {
 		case 503: // the processor is too busy
 			how, l.ring.RetryAfter = routing.Overloaded, siptransaction.Wait(siptransaction.Field(res, siptransaction.RetryAfter))
-		case 486: // no line free at this pool
+		case 486: // no line free at this endpoint
 			how, l.ring.AtCapacity = routing.Overloaded, true
-		case 600: // all lines of the number are busy, at any pool
+		case 600: // all lines of the number are busy, at any endpoint
 			l.ring.NumberBusy = true
 		case 487:
 			how = routing.Canceled
@@ -148,7 +148,7 @@
 	}
 }
 
-// tell tells the module how the ring ended, once, and frees the circuit where nothing is left of it.
+// tell tells the module how the attempt ended, once, and frees the circuit where nothing is left of it.
 func (l *leg) tell(how routing.Outcome) {
 	if l.told {
 		return
@@ -180,7 +180,7 @@
 func (l *leg) inDialog(method sip.RequestMethod, res *sip.Response, seq uint32) *sip.Request {
 	target := l.req.Recipient
 	if c := res.Contact(); c != nil {
-		target = c.Address // the datagram goes where the set-up went, whatever stands here
+		target = c.Address // the datagram goes where the setup went, whatever stands here
 	}
 	req := sip.NewRequest(method, target)
 	l.call.edge.common(req, l.req.From(), res.To(), l.end.callID, seq)
@@ -202,7 +202,7 @@
 	l.call.edge.sip.Ask(req, l.to, nil, func(*sip.Response) {})
 }
 
-// shut acknowledges and releases a second answer of a set-up that was forked on its way (RFC 3261 13.2.2.4).
+// shut acknowledges and releases a second answer of a setup that was forked on its way (RFC 3261 13.2.2.4).
 func (l *leg) shut(res *sip.Response) {
 	l.acknowledge(res)
 	req := l.inDialog(sip.BYE, res, 2)
@@ -210,7 +210,7 @@
 	l.call.edge.sip.Ask(req, l.to, nil, func(*sip.Response) {})
 }
 
-// Stray implements signal.User: a switch says that a call stands which nobody here knows of, a set-up of a process
+// Stray implements signal.User: a switch says that a call stands which nobody here knows of, a setup of a process
 // before this one, or one whose dialog was released since. It is acknowledged and released, so that no line stays
 // taken; only where the list has a switch.
 func (e *Edge) Stray(res *sip.Response, from netip.AddrPort) {
--- a/internal/protocol/binarygateway/any_test.go
+++ b/internal/protocol/binarygateway/any_test.go
@@ -73,7 +73,7 @@
 	})
 }
 
-// The longest set-up whose patience is written shorter than it is said again does not fit any more: it is refused.
+// The longest setup whose timeout is written shorter than it is said again does not fit any more: it is refused.
 func TestLongestSetUp(t *testing.T) {
 	r := newRig(t)
 	r.mod.to = []int{0}
--- a/internal/protocol/binarygateway/caller.go
+++ b/internal/protocol/binarygateway/caller.go
@@ -34,21 +34,21 @@
 	maxResumedCalls    = 8192    // standing calls told by callers: bounds what they can make a gateway hold
 	maxNumberLength    = 64      // digits and letters of a number called
 	maxTimeout         = 86400e3 // ms: no caller waits longer
-	// a set-up has to fit when its patience is said again in other figures
+	// a setup has to fit when its timeout is said again in other figures
 	maxSetupLength = binarymessage.MaxLength - 16
 )
 
-// call is a contact of a caller, and the same once it stands. One that a caller told of as standing already has no Held.
+// call is a call of a caller, and the same once it stands. One that a caller told of as standing already has no Held.
 type call struct {
 	*callcontrol.Session
 	gateway      *Gateway
 	id           uint64
 	client       *client
-	conn         *Conn            // of its set-up; nil once that has closed
-	setup        []byte           // its set-up, till it stands
-	leg          *outboundLeg     // whose ring is out
+	conn         *Conn            // of its setup; nil once that has closed
+	setup        []byte           // its setup, till it stands
+	leg          *outboundLeg     // whose attempt is out
 	upstream     *upstream        // where it stands
-	attempt      *routing.Attempt // and by which ring
+	attempt      *routing.Attempt // and by which attempt
 	upstreamConn *Conn            // the line that it stands on, nil once that has closed
 	startedAt    float64
 }
@@ -78,7 +78,7 @@
 	}
 }
 
-// onSetup takes a set-up: decoded fields go straight into a contact. It is offered by the next Wake.
+// onSetup takes a setup: decoded fields go straight into a call. It is offered by the next Wake.
 func (c *client) onSetup(conn *Conn, msg binarymessage.Message) {
 	g, id := c.gateway, msg.Call()
 	f, ok := parseSetupParameters(msg)
@@ -117,14 +117,14 @@
 	g.Enqueue(k.Session)
 }
 
-// setupParameters are a set-up's figures.
+// setupParameters are a setup's figures.
 type setupParameters struct {
 	destination int
 	resumed     bool
 	endpointID  string
 }
 
-// parseSetupParameters reads a set-up's figures; false: they are out of range or no numbers.
+// parseSetupParameters reads a setup's figures; false: they are out of range or no numbers.
 func parseSetupParameters(msg binarymessage.Message) (a setupParameters, ok bool) {
 	a.destination = -1
 	v, _ := msg.Get(binarymessage.Figures)
@@ -212,7 +212,7 @@
 	conn.establishedCalls++
 }
 
-// onRelease takes a caller's release: of a set-up, which is given up, or of a call that stands.
+// onRelease takes a caller's release: of a setup, which is given up, or of a call that stands.
 func (c *client) onRelease(conn *Conn, msg binarymessage.Message) {
 	k := c.gateway.calls[msg.Call()]
 	switch {
@@ -224,7 +224,7 @@
 	}
 }
 
-// onClosed implements side: set-ups whose connection has closed are given up; what stands goes on.
+// onClosed implements side: setups whose connection has closed are given up; what stands goes on.
 func (c *client) onClosed(conn *Conn, _ CloseReason) {
 	g := c.gateway
 	c.conns = slices.DeleteFunc(c.conns, func(o *Conn) bool { return o == conn })
@@ -274,7 +274,7 @@
 	}
 }
 
-// forget lets go of a set-up that has its end.
+// forget lets go of a setup that has its end.
 func (c *call) forget() {
 	if c.gateway.calls[c.id] == c {
 		delete(c.gateway.calls, c.id)
@@ -326,7 +326,7 @@
 // Prepare implements control.Party.
 func (c *call) Prepare() {}
 
-// HasAttempt implements control.Party: a ring is out, or its call stands.
+// HasAttempt implements control.Party: an attempt is out, or its call stands.
 func (c *call) HasAttempt() bool { return c.leg != nil || c.upstream != nil }
 
 // SendTrying implements control.Party: nothing is owed before the answer.
@@ -348,7 +348,7 @@
 		c.conn.pendingCalls--
 		c.conn.establishedCalls++
 		c.conn.enqueue(outgoingMessage{data: binarymessage.Append(nil, binarymessage.Answer, c.id, binarymessage.Param{Code: binarymessage.Description, Value: description}),
-			// its caller has closed and never heard of it: it has given the set-up up
+			// its caller has closed and never heard of it: it has given the setup up
 			onLost: func() { c.release(routing.Completed, binarymessage.Normal, true) }})
 	}
 }
@@ -382,7 +382,7 @@
 	c.EndAttempt(c.attempt, outcome, true)
 }
 
-// sendRelease releases a call that is over towards its caller: on the connection of its set-up, else on its latest, else on the
+// sendRelease releases a call that is over towards its caller: on the connection of its setup, else on its latest, else on the
 // next one.
 func (c *call) sendRelease(cause byte) {
 	c.client.sendRelease(c.conn, pendingRelease{c.id, cause, c.gateway.Now + releaseRetention})
--- a/internal/protocol/binarygateway/link.go
+++ b/internal/protocol/binarygateway/link.go
@@ -30,14 +30,14 @@
 	lastUsedAt       float64
 	receivedMessage  bool
 	partialSince     float64 // when the message began that is not whole
-	pendingCalls     int     // set-ups without an answer
+	pendingCalls     int     // setups without an answer
 	establishedCalls int     // calls whose release would go here
 
 	// a line's
 	legs          []*outboundLeg
 	connected     bool
 	endpointSpoke bool // the switch has said something on it
-	retired       bool // it gets no set-ups any more
+	retired       bool // it gets no setups any more
 }
 
 // peer is who is at the other end.
@@ -59,9 +59,9 @@
 // outgoingMessage is a message that waits in a queue.
 type outgoingMessage struct {
 	data   []byte
-	leg    *outboundLeg // whose set-up it is; nil: none
+	leg    *outboundLeg // whose setup it is; nil: none
 	onSent func()       // to be done once it has left; may be nil
-	onLost func()       // to be done in its place if its link ends before; nil: left, for with the link its set-up is given up
+	onLost func()       // to be done in its place if its link ends before; nil: left, for with the link its setup is given up
 }
 
 // connLost does what is to be done when an entry's link has ended before it left.
@@ -147,7 +147,7 @@
 	}
 }
 
-// withdraw takes a leg's set-up back that has not been handed to the socket; false: it has been.
+// withdraw takes a leg's setup back that has not been handed to the socket; false: it has been.
 func (conn *Conn) withdraw(leg *outboundLeg) bool {
 	if leg.sent {
 		return false
--- a/internal/protocol/binarygateway/machine.go
+++ b/internal/protocol/binarygateway/machine.go
@@ -2,7 +2,7 @@
 // switches, calls and standing calls. Bytes and times come in through methods; bytes, connects and closes go out through
 // Out. The call control is the one that the edge has (package control), and so are the guards of the rules.
 //
-// A contact passes caller link, intake, module, line; what comes back runs the other way.
+// A call passes caller link, intake, module, line; what comes back runs the other way.
 package binarygateway
 
 import (
@@ -40,7 +40,7 @@
 	Settings       *routing.Settings
 	Connections    deployment.Connections
 	MaxDescriptors int     // descriptors
-	AnswerMargin   float64 // ms: final answers leave so long before the caller's patience ends
+	AnswerMargin   float64 // ms: final answers leave so long before the caller's timeout ends
 	LoadShedding   intake.Gate
 	DisabledGuards [6]bool // guards that are switched off, by rule: only to show that the checker sees what they prevent
 	// FromUnixMillis turns the Unix ms of a start into the clock that is handed in.
@@ -98,7 +98,7 @@
 	return g
 }
 
-// ProbeHealth implements contact.Host: a test shows no load, so there is nothing to ask.
+// ProbeHealth implements routing.Host: a test shows no load, so there is nothing to ask.
 func (g *Gateway) ProbeHealth(endpoint *routing.Endpoint) {
 	g.Timers.Schedule(g.Now, func() {
 		g.Router.OnLoadReport(g.Now, endpoint, g.upstreams[endpoint] != nil && g.upstreams[endpoint].connectedConns() > 0, false)
@@ -111,7 +111,7 @@
 // RejectAll answers whatever is still held, before the process ends.
 func (g *Gateway) RejectAll(now float64) {
 	g.StopAdmitting()
-	g.Step(now) // what has just come is taken and deferred
+	g.Step(now) // what has just come is taken and rejected
 	var unanswered []*call
 	for _, c := range g.calls {
 		if c.upstream == nil {
@@ -143,7 +143,7 @@
 	}
 }
 
-// SendGossip implements contact.Host.
+// SendGossip implements routing.Host.
 func (g *Gateway) SendGossip(to int, data []byte) { g.transport.SendGossip(to, data) }
 
 // OnPeerMessage takes another gateway's message.
@@ -154,7 +154,7 @@
 	}
 }
 
-// OnEndpointList takes a list. What it says of a pool counts from now on (rule 3): set-ups to a pool that drains or is gone that
+// OnEndpointList takes a list. What it says of an endpoint counts from now on (rule 3): setups to an endpoint that drains or is gone that
 // wait here are withdrawn. The lines to a switch that is gone are closed, and calls there have ended with it; one with a
 // new id is another switch, whatever its address.
 func (g *Gateway) OnEndpointList(now float64, list *dnsdiscovery.List) {
@@ -249,7 +249,7 @@
 	}
 }
 
-// upstreamsInOrder is the pools that have a trunk, in the order of their ids.
+// upstreamsInOrder is the endpoints that have a trunk, in the order of their ids.
 func (g *Gateway) upstreamsInOrder() []*routing.Endpoint {
 	endpoints := make([]*routing.Endpoint, 0, len(g.upstreams))
 	for endpoint := range g.upstreams {
@@ -309,7 +309,7 @@
 	return n + g.resumedCalls
 }
 
-// applyLoadReport reads a load report (`a:1;b:2`) over the pool's older one. It tells whether figures of the processor came. What
+// applyLoadReport reads a load report (`a:1;b:2`) over the endpoint's older one. It tells whether figures of the processor came. What
 // makes no sense is passed over.
 func (g *Gateway) applyLoadReport(endpoint *routing.Endpoint, msg binarymessage.Message) (reported, complete bool) {
 	v, ok := msg.Get(binarymessage.Report)
--- a/internal/protocol/binarygateway/platform_test.go
+++ b/internal/protocol/binarygateway/platform_test.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// The answer to a ring that was given up comes when another ring of the call stands at the same switch: a release there
+// The answer to an attempt that was given up comes when another attempt of the call stands at the same switch: a release there
 // would cut the call. At another switch it is released.
 func TestLateAnswerOfAnEarlierRing(t *testing.T) {
 	for _, second := range []int{0, 1} {
@@ -100,7 +100,7 @@
 	}
 }
 
-// The same while the second ring is still out there: released only when that has ended without standing.
+// The same while the second attempt is still out there: released only when that has ended without standing.
 func TestLateAnswerWhileRinging(t *testing.T) {
 	r := newRig(t)
 	r.second()
@@ -123,7 +123,7 @@
 	r.wants(w.last(7), binarymessage.Release, binarymessage.Normal)
 }
 
-// A set-up that waits in our buffer when its pool drains is withdrawn, and known not to have run.
+// A setup that waits in our buffer when its endpoint drains is withdrawn, and known not to have run.
 func TestWithdrawn(t *testing.T) {
 	r := newRig(t)
 	r.mod.to = []int{0}
@@ -132,7 +132,7 @@
 	}
 	r.mute = true
 	r.says(r.wires[0], binarymessage.LoadState, 0) // nothing is under way: lines take what comes
-	for _, w := range r.wires {                    // something is before the set-up, and does not leave
+	for _, w := range r.wires {                    // something is before the setup, and does not leave
 		if w.to == addrA {
 			w.link.send(binarymessage.Append(nil, binarymessage.ReleaseComplete, 1))
 		}
@@ -158,7 +158,7 @@
 	}
 }
 
-// second has a second line up to the first switch: set-ups under way at once want it.
+// second has a second line up to the first switch: setups under way at once want it.
 func (r *rig) second() {
 	r.mod.to = []int{0, 0}
 	c := r.caller()
@@ -356,7 +356,7 @@
 	r.wants(e.last(8), binarymessage.Release, binarymessage.Normal)
 }
 
-// A caller releases what stands on any of its connections; the switch hears on the line of the set-up, else on another.
+// A caller releases what stands on any of its connections; the switch hears on the line of the setup, else on another.
 func TestCallerReleases(t *testing.T) {
 	r := newRig(t)
 	c, d := r.caller(), r.caller()
@@ -377,7 +377,7 @@
 	}
 }
 
-// A caller that gives up is owed nothing; its ring is called off, and an answer that crosses that is released.
+// A caller that gives up is owed nothing; its attempt is called off, and an answer that crosses that is released.
 func TestGivenUp(t *testing.T) {
 	r := newRig(t)
 	r.mod.to = []int{0}
@@ -462,7 +462,7 @@
 	r.wants(w.last(8), binarymessage.Release, binarymessage.Normal)
 }
 
-// A deferred contact hears at once, with the time to come back.
+// A rejected call hears at once, with the time to come back.
 func TestDeferred(t *testing.T) {
 	r := newRig(t)
 	c := r.caller()
@@ -473,7 +473,7 @@
 	}
 }
 
-// A line that brings noise is closed: the set-ups on it may have run, those on other lines go on.
+// A line that brings noise is closed: the setups on it may have run, those on other lines go on.
 func TestNoise(t *testing.T) {
 	r := newRig(t)
 	r.second()
@@ -561,7 +561,7 @@
 	r.wants(d.last(7), binarymessage.Answer, 0)
 }
 
-// A gateway that stood still counts a caller's patience from when it last looked.
+// A gateway that stalled counts a caller's timeout from when it last looked.
 func TestStoodStill(t *testing.T) {
 	r := newRig(t)
 	r.mod.to = []int{0}
@@ -599,7 +599,7 @@
 	}
 }
 
-// A caller's connection that was quiet for long and brings a set-up in pieces is not closed between them.
+// A caller's connection that was quiet for long and brings a setup in pieces is not closed between them.
 func TestPiecesOnAnIdleLink(t *testing.T) {
 	r := newRig(t)
 	r.mod.to = []int{0}
@@ -697,7 +697,7 @@
 	return w
 }
 
-// A caller that closes or cancels has gone, whatever its set-up waits for: no ring begins any more.
+// A caller that closes or cancels has gone, whatever its setup waits for: no attempt begins any more.
 func TestGoneCallers(t *testing.T) {
 	for _, closes := range []bool{true, false} {
 		for _, state := range []string{"waits for a line", "waits in a line", "waits after a ring", "rings"} {
@@ -750,14 +750,14 @@
 	}
 }
 
-// A ring that is called off before it has left has not run, and nothing of it goes out.
+// An attempt that is called off before it has left has not run, and nothing of it goes out.
 func TestCalledOffAtOnce(t *testing.T) {
 	r := newRig(t)
 	r.mod.to = []int{0}
 	c := r.caller()
 	r.m.OnData(r.now, c.link, binarymessage.Append(nil, binarymessage.Setup, 7, binarymessage.TextParam(binarymessage.Class, "voice"),
 		binarymessage.TextParam(binarymessage.Patience, "3000"), binarymessage.TextParam(binarymessage.Number, "1")))
-	r.m.ProcessBatch(r.now, nil) // it has been rung, and is in its line's queue
+	r.m.ProcessBatch(r.now, nil) // it has been tried, and is in its line's queue
 	r.m.OnData(r.now, c.link, binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal)))
 	r.pass(100)
 	for _, w := range r.wires {
@@ -862,7 +862,7 @@
 	}
 }
 
-// A switch is killed behind its accept while a call stands, a ring is out and a give-up is in the socket: the ring ends as
+// A switch is killed behind its accept while a call stands, an attempt is out and a give-up is in the socket: the attempt ends as
 // one that may have run, the give-up as what it is, and the call is over for its caller.
 func TestKilledWithAllThree(t *testing.T) {
 	r := newRig(t)
--- a/internal/protocol/binarygateway/rig_test.go
+++ b/internal/protocol/binarygateway/rig_test.go
@@ -19,13 +19,13 @@
 	callin = netip.MustParseAddr("127.0.0.9")
 )
 
-// mind is a module that a test plays by hand: it rings the pools of to in turn and gives up when there is none left.
+// mind is a module that a test plays by hand: it attempts the endpoints of to in turn and gives up when there is none left.
 type mind struct {
 	h     routing.Host
 	pools map[int]*routing.Endpoint
 	to    []int
 	heard []string
-	again bool // it rings the next pool after an end, once the clear wait is over
+	again bool // it attempts the next endpoint after an end, once the retry hold-off is over
 	last  *routing.Call
 }
 
@@ -174,7 +174,7 @@
 	r.turn()
 }
 
-// setUp brings a caller's set-up.
+// setUp brings a caller's setup.
 func (r *rig) setUp(w *wire, call uint64, of ...binarymessage.Param) {
 	r.says(w, binarymessage.Setup, call, append([]binarymessage.Param{binarymessage.TextParam(binarymessage.Class, "voice"), binarymessage.TextParam(binarymessage.Patience, "3000"),
 		binarymessage.TextParam(binarymessage.Number, "7f3a9c21e0b4d655"), binarymessage.TextParam(binarymessage.Figures, "dest:0;width:1;via:-1"),
@@ -201,7 +201,7 @@
 	return
 }
 
-// on is the line that a set-up of a call went out on last.
+// on is the line that a setup of a call went out on last.
 func (r *rig) on(call uint64) *wire {
 	r.Helper()
 	for i := len(r.wires) - 1; i >= 0; i-- {
--- a/internal/protocol/binarygateway/trunk.go
+++ b/internal/protocol/binarygateway/trunk.go
@@ -18,7 +18,7 @@
 	initialBackoff        = 50.0    // ms
 	unknownEndRetention   = 15000.0 // ms: an end that nobody here knows of is remembered for a caller who asks
 	maxUnknownEnds        = 2048
-	lateAnswerRetention   = 30000.0 // ms: an answer may come so long after its set-up was given up
+	lateAnswerRetention   = 30000.0 // ms: an answer may come so long after its setup was given up
 	defaultConnectTimeout = 500.0   // ms: where settings say nothing
 )
 
@@ -29,14 +29,14 @@
 	address         netip.AddrPort
 	startedAt       float64 // its latest start, as told
 	conns           []*Conn
-	waiting         []*outboundLeg   // set-ups that wait for a line
+	waiting         []*outboundLeg   // setups that wait for a line
 	established     map[uint64]*call // calls that stand there
 	canceled        map[uint64]float64
 	unknownEnds     map[uint64]endedCall
 	lastMessageAt   float64 // when it was last heard
 	unansweredDials int     // tries since then that brought no word, not even a refusal
 	failedDials     int     // tries to connect that came to nothing since a new line spoke
-	retryAt         float64 // no line is tried before this unless a set-up needs it
+	retryAt         float64 // no line is tried before this unless a setup needs it
 	lastConnReset   bool    // the latest line to end was reset, and none has come up since
 	disconnectedAt  float64 // when the latest line ended on which it had spoken
 	reconnectTimer  *timerqueue.Timer
@@ -49,16 +49,16 @@
 	expiresAt float64
 }
 
-// outboundLeg is one ring on the wire.
+// outboundLeg is one attempt on the wire.
 type outboundLeg struct {
 	call     *call
 	attempt  *routing.Attempt
 	upstream *upstream
 	conn     *Conn // nil: it waits for one
 	timeout  *timerqueue.Timer
-	sent     bool // its set-up was handed to the socket
+	sent     bool // its setup was handed to the socket
 	ended    bool // the module knows of its end, or is about to
-	// answeredLate: an answer to an earlier ring of the call here came after that was given up
+	// answeredLate: an answer to an earlier attempt of the call here came after that was given up
 	answeredLate bool
 }
 
@@ -76,7 +76,7 @@
 	return
 }
 
-// maintainConns opens the lines that a switch always has, so that its state is heard. One that drains gets no set-ups: it has a
+// maintainConns opens the lines that a switch always has, so that its state is heard. One that drains gets no setups: it has a
 // line only for what stands there.
 func (u *upstream) maintainConns() {
 	keep := min(minConnsPerEndpoint, u.gateway.connsPerEndpoint())
@@ -88,7 +88,7 @@
 	}
 }
 
-// mayReconnect tells whether a line may be tried that no set-up waits for.
+// mayReconnect tells whether a line may be tried that no setup waits for.
 func (u *upstream) mayReconnect() bool { return u.gateway.Now >= u.retryAt }
 
 // dial opens one more line.
@@ -122,7 +122,7 @@
 	conn.scheduleFlush()
 }
 
-// SendSetup implements control.Party: it sends a set-up and gives up after limit ms.
+// SendSetup implements control.Party: it sends a setup and gives up after limit ms.
 func (c *call) SendSetup(attempt *routing.Attempt, limit float64) bool {
 	u := c.gateway.upstreams[attempt.Endpoint]
 	if u == nil || c.setup == nil {
@@ -135,7 +135,7 @@
 	return true
 }
 
-// assignConn puts a set-up on a line: on one with the fewest set-ups under way, for one that breaks takes all of its own
+// assignConn puts a setup on a line: on one with the fewest setups under way, for one that breaks takes all of its own
 // along. Where none is up it waits for the next.
 func (u *upstream) assignConn(leg *outboundLeg) {
 	var best *Conn
@@ -164,7 +164,7 @@
 	best.enqueue(outgoingMessage{data: b, leg: leg})
 }
 
-// onConnectTimeout ends a ring that found no line.
+// onConnectTimeout ends an attempt that found no line.
 func (leg *outboundLeg) onConnectTimeout() {
 	u := leg.upstream
 	if i := slices.Index(u.waiting, leg); i >= 0 && !leg.ended {
@@ -182,7 +182,7 @@
 	return defaultConnectTimeout
 }
 
-// forwardedParameters is what of a caller's set-up goes to a switch: class, number and description as they are, and for how many ms
+// forwardedParameters is what of a caller's setup goes to a switch: class, number and description as they are, and for how many ms
 // this gateway waits.
 func forwardedParameters(msg binarymessage.Message, left float64) []binarymessage.Param {
 	var of []binarymessage.Param
@@ -196,7 +196,7 @@
 	return of
 }
 
-// cancel ends a ring from here. What has not left is withdrawn and has not run; else its end counts from when the
+// cancel ends an attempt from here. What has not left is withdrawn and has not run; else its end counts from when the
 // give-up has left.
 func (leg *outboundLeg) cancel(how routing.Outcome) {
 	if leg.ended {
@@ -223,7 +223,7 @@
 	}})
 }
 
-// finish tells how a ring ended, once.
+// finish tells how an attempt ended, once.
 func (leg *outboundLeg) finish(how routing.Outcome) {
 	if leg.attempt == nil {
 		return
@@ -245,7 +245,7 @@
 	c.EndAttempt(attempt, how, c.Finished)
 }
 
-// activeLeg is the ring of a call that is out at this switch and wanted, on whatever line.
+// activeLeg is the attempt of a call that is out at this switch and wanted, on whatever line.
 func (u *upstream) activeLeg(id uint64) *outboundLeg {
 	for _, conn := range u.conns {
 		if leg := conn.legOf(id); leg != nil && !leg.ended {
@@ -262,7 +262,7 @@
 	}
 }
 
-// legOf is the ring of a call that is out on a line.
+// legOf is the attempt of a call that is out on a line.
 func (conn *Conn) legOf(id uint64) *outboundLeg {
 	for _, leg := range conn.legs {
 		if leg.call.id == id {
@@ -290,10 +290,10 @@
 		description, ok := msg.Get(binarymessage.Description)
 		switch {
 		case u.established[id] != nil:
-			// the answer of a ring that was given up before the one that stands here: to release it would cut the call
+			// the answer of an attempt that was given up before the one that stands here: to release it would cut the call
 			g.Metrics.Duplicates++
 		case (leg == nil || leg.ended || !leg.sent) && u.activeLeg(id) != nil:
-			u.activeLeg(id).answeredLate = true // released when the ring that is out here has ended without standing
+			u.activeLeg(id).answeredLate = true // released when the attempt that is out here has ended without standing
 		case leg == nil || leg.ended || !leg.sent:
 			if _, late := u.canceled[id]; late || leg != nil && leg.ended { // it crossed our giving up
 				g.Metrics.LateAnswers++
@@ -329,7 +329,7 @@
 	}
 }
 
-// onRelease takes a switch's release: the end of a ring, or of a call that stands.
+// onRelease takes a switch's release: the end of an attempt, or of a call that stands.
 func (u *upstream) onRelease(conn *Conn, msg binarymessage.Message) {
 	g, id, cause := u.gateway, msg.Call(), msg.Cause()
 	any, full := g.applyLoadReport(u.endpoint, msg)
@@ -378,7 +378,7 @@
 	}
 }
 
-// releaseCall releases a call at its switch: on the line of its set-up, else on any, else on the next.
+// releaseCall releases a call at its switch: on the line of its setup, else on any, else on the next.
 func (u *upstream) releaseCall(c *call, cause byte) {
 	if cause == 0 {
 		cause = binarymessage.Normal
@@ -403,7 +403,7 @@
 	conn.enqueue(outgoingMessage{data: binarymessage.Append(nil, binarymessage.Release, id, binarymessage.CauseParam(cause))})
 }
 
-// onClosed implements side: set-ups that have left on a line may have run, others have not.
+// onClosed implements side: setups that have left on a line may have run, others have not.
 func (u *upstream) onClosed(conn *Conn, how CloseReason) {
 	g := u.gateway
 	u.conns = slices.DeleteFunc(u.conns, func(o *Conn) bool { return o == conn })
@@ -562,7 +562,7 @@
 	u.releaseCalls(since)
 }
 
-// withdrawUnsent takes back the set-ups that have not left (rule 3).
+// withdrawUnsent takes back the setups that have not left (rule 3).
 func (u *upstream) withdrawUnsent() {
 	for _, leg := range slices.Clone(u.waiting) {
 		leg.cancel(routing.NotSent)
--- a/internal/protocol/binarygateway/world_test.go
+++ b/internal/protocol/binarygateway/world_test.go
@@ -61,7 +61,7 @@
 	})
 }
 
-// reckless is a module that keeps no rule: it rings whatever it knows whenever it likes, and answers late or never.
+// reckless is a module that keeps no rule: it attempts whatever it knows whenever it likes, and answers late or never.
 type reckless struct {
 	h     routing.Host
 	pools []*routing.Endpoint
--- a/internal/protocol/callcontrol/control.go
+++ b/internal/protocol/callcontrol/control.go
@@ -1,9 +1,9 @@
-// Package callcontrol is what every door of a gateway does alike with its contacts, whatever its wire: it keeps them till
+// Package callcontrol is what every door of a gateway does alike with its calls, whatever its wire: it keeps them till
 // their final answer, offers them to the decision module, and bars whatever would break a rule. It has no I/O and no
 // clock, and decides nothing that the module decides.
 //
 // What the five rules ask of the wire is kept at one place each: rule 1 in (*Held).Settle, rules 2, 3 and 5 in
-// (*Control).Ring, which every set-up passes.
+// (*Control).Attempt, which every setup passes.
 package callcontrol
 
 import (
@@ -20,18 +20,18 @@
 // Counts are what a gateway has seen since its start.
 type Counts struct {
 	Accepted, Shed, Answered, Rejected, Failed, HungUp, Attempts, Overdue, Blocked uint64
-	Lookups, Unrouted, EnquiriesAnswered                                           uint64 // of numbers: look-ups, refused by the table; enquiries answered with a pool
+	Lookups, Unrouted, EnquiriesAnswered                                           uint64 // of numbers: look-ups, refused by the table; enquiries answered with an endpoint
 }
 
 // Config is what the call control is told at start.
 type Config struct {
 	Settings       *routing.Settings
-	AnswerMargin   float64 // ms: final answers leave so long before the caller's patience ends
+	AnswerMargin   float64 // ms: final answers leave so long before the caller's timeout ends
 	LoadShedding   intake.Gate
 	DisabledGuards [6]bool // guards that are switched off, by rule: only to show that the checker sees what they prevent
 }
 
-// Controller holds one gateway's contacts.
+// Controller holds one gateway's calls.
 type Controller struct {
 	Counts      Counts
 	Timers      timerqueue.Queue
@@ -44,7 +44,7 @@
 
 	config      *Config
 	arrived     []*Session // came since the last batch
-	pending     int        // contacts without a final answer
+	pending     int        // calls without a final answer
 	established int
 	stopped     bool
 	lastBatchAt float64 // when the latest batch ended, 0: none yet
@@ -62,11 +62,11 @@
 	return c
 }
 
-// heartbeatInterval is how often a gateway wants to be woken even if nothing is due, ms: so it knows when it stood still.
+// heartbeatInterval is how often a gateway wants to be woken even if nothing is due, ms: so it knows when it stalled.
 const heartbeatInterval = 100.0
 
 // EarliestArrival is the earliest time at which what came in this batch may have come: a process that was stopped finds what came
-// meanwhile at once, and a caller's patience ran all the time. It guards rule 1 against stalls of any cause. What comes
+// meanwhile at once, and a caller's timeout ran all the time. It guards rule 1 against stalls of any cause. What comes
 // just at the end of a stall gets less time than its caller has.
 func (c *Controller) EarliestArrival() float64 {
 	if c.lastBatchAt > 0 && c.Now-c.lastBatchAt > 2*heartbeatInterval {
@@ -75,7 +75,7 @@
 	return c.Now
 }
 
-// Enqueue keeps a contact for the end of the batch.
+// Enqueue keeps a call for the end of the batch.
 func (c *Controller) Enqueue(session *Session) { c.arrived = append(c.arrived, session) }
 
 // ProcessBatch ends a batch: timers that are due run, then what came is offered to the module.
@@ -112,10 +112,10 @@
 	return math.Min(c.Timers.Next(), math.Max(c.lastBatchAt, c.Now)+heartbeatInterval)
 }
 
-// StopAdmitting lets no new contact in; those held go on.
+// StopAdmitting lets no new call in; those held go on.
 func (c *Controller) StopAdmitting() { c.stopped = true }
 
-// InProgress is how many contacts have no final answer yet, and how many stand.
+// InProgress is how many calls have no final answer yet, and how many stand.
 func (c *Controller) InProgress() (pending, established int) {
 	return c.pending + len(c.arrived), c.established
 }
@@ -123,7 +123,7 @@
 // AddEstablished counts calls that stand, or no longer.
 func (c *Controller) AddEstablished(more int) { c.established += more }
 
-// StartAttempt implements contact.Host: rules 2, 3 and 5 are the module's to keep, and whatever it asks, nothing that breaks
+// StartAttempt implements routing.Host: rules 2, 3 and 5 are the module's to keep, and whatever it asks, nothing that breaks
 // one of them passes here. What is barred comes back as never sent.
 func (c *Controller) StartAttempt(call *routing.Call, endpoint *routing.Endpoint, limit float64) {
 	session := call.HostData.(*Session)
@@ -140,24 +140,24 @@
 	}
 }
 
-// Reject implements contact.Host.
+// Reject implements routing.Host.
 func (c *Controller) Reject(call *routing.Call, retryAfter float64) {
 	c.Counts.Rejected++
 	call.HostData.(*Session).SendRejection(retryAfter)
 }
 
-// Fail implements contact.Host.
+// Fail implements routing.Host.
 func (c *Controller) Fail(call *routing.Call) {
 	c.Counts.Failed++
 	call.HostData.(*Session).SendFailure()
 }
 
-// CancelAttempt implements contact.Host. The ring's end comes when it is over at the switch: until then it is out.
+// CancelAttempt implements routing.Host. The attempt's end comes when it is over at the switch: until then it is out.
 func (c *Controller) CancelAttempt(attempt *routing.Attempt) {
 	attempt.Call.HostData.(*Session).SendCancel(attempt)
 }
 
-// ScheduleWakeup implements contact.Host.
+// ScheduleWakeup implements routing.Host.
 func (c *Controller) ScheduleWakeup(at float64, call *routing.Call) {
 	c.Timers.Schedule(at, func() { c.Router.OnWakeup(c.Now, call) })
 }
--- a/internal/protocol/callcontrol/held.go
+++ b/internal/protocol/callcontrol/held.go
@@ -6,7 +6,7 @@
 	"cobaltpier/internal/timerqueue"
 )
 
-// SignalingLeg is whoever wants an answer for a contact, and the way its rings go out.
+// SignalingLeg is whoever wants an answer for a call, and the way its attempts go out.
 type SignalingLeg interface {
 	// SendFailure sends the final answer "failed".
 	SendFailure()
@@ -14,42 +14,42 @@
 	SendRejection(wait float64)
 	// SendShed sends the answer of the intake, which keeps no state.
 	SendShed()
-	// OnAccepted says that the intake has taken the contact; false: Prepare comes first, and offers it.
+	// OnAccepted says that the intake has taken the call; false: Prepare comes first, and offers it.
 	OnAccepted() bool
-	// Prepare does what a contact that was not ready needs before the module gets it.
+	// Prepare does what a call that was not ready needs before the module gets it.
 	Prepare()
-	// HasAttempt tells whether a ring of the contact is out.
+	// HasAttempt tells whether an attempt of the call is out.
 	HasAttempt() bool
-	// SendSetup sends a ring; false: it can't be sent.
+	// SendSetup sends an attempt; false: it can't be sent.
 	SendSetup(r *routing.Attempt, limit float64) bool
-	// SendCancel calls a ring off.
+	// SendCancel calls an attempt off.
 	SendCancel(r *routing.Attempt)
-	// SendTrying tells that the contact is looked at.
+	// SendTrying tells that the call is looked at.
 	SendTrying()
 }
 
-// Session is a contact as a gateway holds it till its final answer, whoever asked. Its contact's ID is the Held.
+// Session is a call as a gateway holds it till its final answer, whoever asked. Its call's ID is the Held.
 type Session struct {
 	endpointset.Tracker
 	SignalingLeg
 	Accepted         bool    // by the intake
 	WithRouter       bool    // the module has it
-	TimeoutStart     float64 // its patience counts from here
-	RequestedTimeout float64 // what the caller said of its patience, 0: nothing
+	TimeoutStart     float64 // its timeout counts from here
+	RequestedTimeout float64 // what the caller said of its timeout, 0: nothing
 
 	controller    *Controller
 	deadlineTimer *timerqueue.Timer
 	holdOffUntil  float64 // rule 5: no send before this
 }
 
-// NewSession makes a contact of this gateway.
+// NewSession makes a call of this gateway.
 func (c *Controller) NewSession(call *routing.Call, requestedTimeout float64) *Session {
 	session := &Session{Tracker: endpointset.Tracker{Call: call}, controller: c, TimeoutStart: c.EarliestArrival(), RequestedTimeout: requestedTimeout}
 	call.HostData = session
 	return session
 }
 
-// SetDeadline is how long the caller of a contact of its skill waits, no longer than it says itself.
+// SetDeadline is how long the caller of a call of its class waits, no longer than it says itself.
 func (session *Session) SetDeadline() {
 	p := session.Class.Timeout
 	if session.RequestedTimeout > 0 {
@@ -68,7 +68,7 @@
 	session.SendShed()
 }
 
-// accept hands a contact that the intake has let in to the module, or lets its door prepare it first.
+// accept hands a call that the intake has let in to the module, or lets its door prepare it first.
 func (session *Session) accept() {
 	c := session.controller
 	c.Counts.Accepted++
@@ -91,7 +91,7 @@
 	}
 }
 
-// PassToRouter hands a contact whose route is known to the module.
+// PassToRouter hands a call whose route is known to the module.
 func (session *Session) PassToRouter() {
 	session.WithRouter = true
 	session.controller.Router.OnCall(session.controller.Now, session.Call)
@@ -102,7 +102,7 @@
 	c := session.controller
 	session.deadlineTimer = c.Timers.Schedule(c.Now+tryingDelay, func() {
 		session.SendTrying()
-		// Rule 1 holds whatever the module does: a contact that is forgotten is answered here.
+		// Rule 1 holds whatever the module does: a call that is forgotten is answered here.
 		session.deadlineTimer = c.Timers.Schedule(session.Deadline+c.config.Settings.AnswerGrace/2, func() {
 			c.Counts.Overdue++
 			c.Fail(session.Call)
@@ -113,7 +113,7 @@
 // tryingDelay is when a caller that heard nothing is told that its call is looked at: 200 ms at most (RFC 3261 8.2.6.1), ms.
 const tryingDelay = 150
 
-// Finish notes a final answer, the one place that does so for a contact that was taken; over: it does not stand. False:
+// Finish notes a final answer, the one place that does so for a call that was taken; over: it does not stand. False:
 // it has one already, and this one must not leave.
 func (session *Session) Finish(finished bool) bool {
 	if session.Finished || session.Established {
@@ -125,7 +125,7 @@
 	return true
 }
 
-// EndAttempt notes a ring's end and tells the module.
+// EndAttempt notes an attempt's end and tells the module.
 func (session *Session) EndAttempt(attempt *routing.Attempt, outcome routing.Outcome, answered bool) {
 	c := session.controller
 	if session.Tracker.Log[attempt.HostData.(int)] == nil {
--- a/internal/protocol/dnsclient/cache.go
+++ b/internal/protocol/dnsclient/cache.go
@@ -11,7 +11,7 @@
 // CacheTimes bound what is kept; times are ms.
 type CacheTimes struct {
 	Most     int     // names
-	Least    float64 // an answer is kept at least so long: a TTL of 0 would ask for each contact
+	Least    float64 // an answer is kept at least so long: a TTL of 0 would ask for each call
 	Longest  float64 // and at most
 	Negative float64 // "there is none" is kept at most so long (RFC 2308 5)
 	Stale    float64 // an answer that ran out is served for so long where nothing newer comes (RFC 8767); 0: never
--- a/internal/protocol/endpointset/host.go
+++ b/internal/protocol/endpointset/host.go
@@ -1,5 +1,5 @@
-// Package endpointset holds what every host of the decision module does alike, whatever its wire: following the pool
-// list, and keeping a contact's rings until all of them have ended. It decides nothing.
+// Package endpointset holds what every host of the decision module does alike, whatever its wire: following the endpoint
+// list, and keeping a call's attempts until all of them have ended. It decides nothing.
 package endpointset
 
 //tally:decisions
@@ -14,17 +14,17 @@
 
 // Policy is the decision module as its hosts see it. All times are milliseconds with fractions on the host's clock.
 type Policy interface {
-	// OnEndpoints says that pools were added or changed their state; those told are in the order of the list.
+	// OnEndpoints says that endpoints were added or changed their state; those told are in the order of the list.
 	OnEndpoints(now float64, changed []*routing.Endpoint)
-	// OnCall hands a new contact over.
+	// OnCall hands a new call over.
 	OnCall(now float64, c *routing.Call)
-	// OnAnswer says that a ring's contact stands.
+	// OnAnswer says that an attempt's call stands.
 	OnAnswer(now float64, r *routing.Attempt)
-	// OnAttemptEnd says how a ring ended; closed: its contact needs no answer any more.
+	// OnAttemptEnd says how an attempt ended; closed: its call needs no answer any more.
 	OnAttemptEnd(now float64, r *routing.Attempt, closed bool)
 	// OnHangup says that the caller is gone.
 	OnHangup(now float64, c *routing.Call)
-	// OnLoadReport says that a report came by itself or for a probe; ok: the pool answered, full: with figures.
+	// OnLoadReport says that a report came by itself or for a probe; ok: the endpoint answered, full: with figures.
 	OnLoadReport(now float64, p *routing.Endpoint, ok, full bool)
 	// OnGossip brings another gateway's message.
 	OnGossip(now float64, from int, data []byte)
@@ -41,7 +41,7 @@
 	return routing.LoadReport{Capacity: n, Free: n, Utilization: n, QueueLength: n, QueueDelay: n, RateLimit: n, LossFraction: n}
 }
 
-// Entry is one line of a pool list. ID names the machine: one that replaces another has a new one.
+// Entry is one line of an endpoint list. ID names the machine: one that replaces another has a new one.
 type Entry[ID cmp.Ordered] struct {
 	ID            ID
 	DestinationID int
@@ -49,7 +49,7 @@
 	StartedAt     float64 // its latest start, ms on the host's clock; 0: long ago
 }
 
-// Set is the pool list as one gateway knows it.
+// Set is the endpoint list as one gateway knows it.
 type Set[ID cmp.Ordered] struct {
 	byID          map[ID]*routing.Endpoint
 	ids           map[*routing.Endpoint]ID
@@ -61,7 +61,7 @@
 	return &Set[ID]{byID: map[ID]*routing.Endpoint{}, ids: map[*routing.Endpoint]ID{}, byDestination: map[int]*routing.Endpoint{}}
 }
 
-// Apply takes a list, whole or of changes only, and returns the pools to tell the module of, in the order of the
+// Apply takes a list, whole or of changes only, and returns the endpoints to tell the module of, in the order of the
 // list; those that a whole list leaves out are gone and come last, by their ids.
 func (s *Set[ID]) Apply(list []Entry[ID], complete bool) []*routing.Endpoint {
 	var changed []*routing.Endpoint
@@ -93,7 +93,7 @@
 	return append(changed, removed...)
 }
 
-// Remove lets go of a pool that is gone: ids are ever new, and none comes back.
+// Remove lets go of an endpoint that is gone: ids are ever new, and none comes back.
 func (s *Set[ID]) Remove(p *routing.Endpoint) {
 	if p.State != routing.Gone {
 		return
@@ -109,16 +109,16 @@
 	}
 }
 
-// ByID is the pool of an id, nil where the list never named it.
+// ByID is the endpoint of an id, nil where the list never named it.
 func (s *Set[ID]) ByID(id ID) *routing.Endpoint { return s.byID[id] }
 
-// IDOf is the id of a pool of this list.
+// IDOf is the id of an endpoint of this list.
 func (s *Set[ID]) IDOf(p *routing.Endpoint) ID { return s.ids[p] }
 
-// ByDestination is the pool that has a number, nil where none has.
+// ByDestination is the endpoint that has a number, nil where none has.
 func (s *Set[ID]) ByDestination(number int) *routing.Endpoint { return s.byDestination[number] }
 
-// Tracker is a contact with its id at the door and its rings, kept until all of them have ended.
+// Tracker is a call with its id at the door and its attempts, kept until all of them have ended.
 type Tracker struct {
 	*routing.Call
 	ID       string
@@ -126,7 +126,7 @@
 	inFlight int
 }
 
-// Begin notes a ring that goes out; its ID is its number among the contact's rings, from 0.
+// Begin notes an attempt that goes out; its ID is its number among the call's attempts, from 0.
 func (k *Tracker) Begin(p *routing.Endpoint, now float64) *routing.Attempt {
 	r := &routing.Attempt{Call: k.Call, Endpoint: p, SentAt: now, HostData: len(k.Log)}
 	k.Log = append(k.Log, r)
@@ -135,7 +135,7 @@
 	return r
 }
 
-// RecordOutcome notes how a ring ended, after cost ms; closed: its contact needs no answer any more.
+// RecordOutcome notes how an attempt ended, after cost ms; closed: its call needs no answer any more.
 func (k *Tracker) RecordOutcome(r *routing.Attempt, outcome routing.Outcome, latency float64, answered bool) {
 	k.Log[r.HostData.(int)] = nil
 	k.inFlight--
@@ -146,5 +146,5 @@
 	k.Finished = k.Finished || answered
 }
 
-// Done tells whether the contact has its answer and no ring out, and may be forgotten.
+// Done tells whether the call has its answer and no attempt out, and may be forgotten.
 func (k *Tracker) Done() bool { return k.Finished && k.inFlight == 0 }
--- a/internal/protocol/enumserver/front.go
+++ b/internal/protocol/enumserver/front.go
@@ -1,5 +1,5 @@
 // Package enumserver answers ENUM look-ups (RFC 6116) of kiosks without I/O: a number's domain is asked for, and the answer
-// names the pool that the gateway's decisions give at this moment. Messages come in with a way to reply; what a question asks goes
+// names the endpoint that the gateway's decisions give at this moment. Messages come in with a way to reply; what a question asks goes
 // into an enquiry, and its answer goes out, once. Whatever comes by datagram is bounded: by client, in all, and in what is sent for what came.
 package enumserver
 
@@ -25,8 +25,8 @@
 // Config is what a front is told. Times are ms.
 type Config struct {
 	Apex     string
-	Skill    string  // of the contacts
-	TTL      uint32  // s: of answers that name a pool
+	Skill    string  // of the calls
+	TTL      uint32  // s: of answers that name an endpoint
 	Negative uint32  // s: of "there is no such number"
 	Patience float64 // a resolver asks again or gives up after this
 	Repeat   float64 // the same question of the same client within this is a repeat: it gets the same answer
@@ -179,7 +179,7 @@
 	if x := f.open[k]; x != nil {
 		f.Counts.Repeats++
 		switch {
-		case x.named == nil: // it has one contact, whatever is repeated
+		case x.named == nil: // it has one call, whatever is repeated
 			if len(x.replies) < mostReplies {
 				x.replies = append(x.replies, r)
 			}
@@ -188,7 +188,7 @@
 			f.answer(r, x.named)
 			return
 		}
-		delete(f.open, k) // the pool drains by now: the answer is decided anew
+		delete(f.open, k) // the endpoint drains by now: the answer is decided anew
 	}
 	if f.waits >= f.cfg.Most {
 		f.Counts.Failed++
@@ -233,7 +233,7 @@
 	return cmp.Or(a.from.Compare(b.from), cmp.Compare(a.id, b.id), strings.Compare(a.name, b.name))
 }
 
-// answer says what an enquiry came to. A SIP URI names pool and trunk group (RFC 6116 3.4, RFC 3764, RFC 4904).
+// answer says what an enquiry came to. A SIP URI names endpoint and trunk group (RFC 6116 3.4, RFC 3764, RFC 4904).
 func (f *Front) answer(r reply, n *b2bua.Named) {
 	switch {
 	case n.Code == 200:
@@ -246,7 +246,7 @@
 		f.send(r, out)
 	case n.Code == 404 || n.Code == 484 || n.Code == 410 || n.Code == 604:
 		f.nothing(r, dns.RcodeNameError)
-	default: // deferred, abandoned: a resolver does not keep that (RFC 2308 7), and says why (RFC 8914)
+	default: // rejected, failed: a resolver does not keep that (RFC 2308 7), and says why (RFC 8914)
 		f.Counts.Failed++
 		out := f.to(r)
 		out.Rcode = dns.RcodeServerFailure
--- a/internal/protocol/enumserver/front_test.go
+++ b/internal/protocol/enumserver/front_test.go
@@ -82,7 +82,7 @@
 
 const name = "4.3.2.1.5.5.5.8.1.4.1.e164.test."
 
-// A look-up is answered once with the pool that is decided, and a failure with what it was.
+// A look-up is answered once with the endpoint that is decided, and a failure with what it was.
 func TestAnswers(t *testing.T) {
 	r := newRig(t, nil)
 	r.ask(kiosk, query(strings.ToUpper(name), dns.TypeNAPTR, 7, 1232), false)
@@ -133,7 +133,7 @@
 	}
 }
 
-// What is no question for a number here is answered without any contact, and an answer is never answered.
+// What is no question for a number here is answered without any call, and an answer is never answered.
 func TestOthers(t *testing.T) {
 	r := newRig(t, nil)
 	reply := query(name, dns.TypeNAPTR, 1, 0)
@@ -170,8 +170,8 @@
 	r.f.Receive(0, kiosk, append([]byte{0, 9, 0, 0}, make([]byte, 3)...), false, func([]byte) { t.Error("answered damage by datagram") })
 }
 
-// A question that is repeated while it waits is one contact, and gets its answer; repeated after, the same answer, but not
-// once the pool drains: then it is decided anew. Another id or client is another contact.
+// A question that is repeated while it waits is one call, and gets its answer; repeated after, the same answer, but not
+// once the endpoint drains: then it is decided anew. Another id or client is another call.
 func TestRepeats(t *testing.T) {
 	r := newRig(t, nil)
 	q := query(name, dns.TypeNAPTR, 7, 1232)
@@ -265,7 +265,7 @@
 	if a, s, _ := flood("10.1.0.1:1", 1000); a != 1000 || s != 0 {
 		t.Errorf("a known network: %d answered, %d truncated", a, s)
 	}
-	r.now += 5000 // it stands still: what came meanwhile comes at once
+	r.now += 5000 // it stalls: what came meanwhile comes at once
 	r.got = nil
 	for i := range 900 {
 		r.ask(netip.MustParseAddrPort("10.1.0.1:1"), query(name, dns.TypeNAPTR, uint16(2000+i), 1232), false)
--- a/internal/protocol/enumserver/limit.go
+++ b/internal/protocol/enumserver/limit.go
@@ -69,7 +69,7 @@
 		if r <= 0 {
 			return Refuse
 		}
-		each, burst = r, math.Max(burst, r) // after a standstill of ours a second's questions come at once
+		each, burst = r, math.Max(burst, r) // after a stall of ours a second's questions come at once
 	}
 	at := time.Unix(0, int64(now*1e6))
 	if each > 0 && !l.client(from, each, burst).AllowN(at, 1) || l.set.Total > 0 && !l.total.AllowN(at, 1) {
--- a/internal/protocol/siptransaction/client.go
+++ b/internal/protocol/siptransaction/client.go
@@ -111,7 +111,7 @@
 	if c.quiet || c.final != 0 || c.first && c.req.Method == sip.INVITE {
 		return
 	}
-	if l.Now-c.due > l.Times.T1/2 { // this process stood still: what else is overdue comes first, and may end this
+	if l.Now-c.due > l.Times.T1/2 { // this process stalled: what else is overdue comes first, and may end this
 		c.due = l.Now + 1
 		c.timer = l.Timers.Schedule(c.due, c.again)
 		return
--- a/internal/protocol/siptransaction/message.go
+++ b/internal/protocol/siptransaction/message.go
@@ -17,10 +17,10 @@
 
 // Header fields that the project reads by name.
 const (
-	SessionID  = "Session-ID"          // RFC 7989: one contact on all its legs
+	SessionID  = "Session-ID"          // RFC 7989: one call on all its legs
 	Reason     = "Reason"              // RFC 3326: why a call was released
 	RetryAfter = "Retry-After"         // RFC 3261 20.33
-	Service    = "P-Preferred-Service" // RFC 6050: the skill asked for
+	Service    = "P-Preferred-Service" // RFC 6050: the class asked for
 	Load       = "Cobalt-Load"         // ours: util, queue, wait, lines, free; see docs/gateway.md
 )
 
@@ -195,7 +195,7 @@
 
 const nilID = "00000000000000000000000000000000"
 
-// Session is the contact's id (RFC 7989 5): the first of a Session-ID's two that is not the nil one. "" without.
+// Session is the call's id (RFC 7989 5): the first of a Session-ID's two that is not the nil one. "" without.
 func Session(m interface{ GetHeader(string) sip.Header }) string {
 	local, rest, _ := strings.Cut(Field(m, SessionID), ";")
 	if local = strings.TrimSpace(local); local != "" && local != nilID {
@@ -208,7 +208,7 @@
 	return remote
 }
 
-// SessionValue is the header's value in a request of a contact's own side.
+// SessionValue is the header's value in a request of a call's own side.
 func SessionValue(id string) string { return id + ";remote=" + nilID }
 
 // NewSession makes an id: 32 lower-case hex digits (RFC 7989 4.1).
--- a/internal/router/brain.go
+++ b/internal/router/brain.go
@@ -1,9 +1,9 @@
-// Package router decides what becomes of each contact at one gateway. A host makes one Brain for each gateway
+// Package router decides what becomes of each call at one gateway. A host makes one Brain for each gateway
 // with New, tells it what happens through the methods below (Listed, Offered, Stood, Ended, Left, Reported,
-// Told, Woken) and does what it asks for through contact.Host; package contact holds all words of both.
+// Told, Woken) and does what it asks for through routing.Host; package routing holds all words of both.
 //
-// A contact passes the stages of the chain: door, admission, route, guard, ring. Each passes it on, keeps it
-// for later or ends it. How a ring went runs through the same stages from the last to the first.
+// A call passes the stages of the chain: door, admission, route, guard, attempt. Each passes it on, keeps it
+// for later or ends it. How an attempt went runs through the same stages from the last to the first.
 package router
 
 import (
@@ -23,10 +23,10 @@
 	probeInterval      = 1000.0 // design: where reports come only by probe
 
 	rateWindow             = 5000.0 // counts fade like this
-	delayWindow            = 2000.0 // a judgement of a pool's wait fades like this
+	delayWindow            = 2000.0 // a judgement of an endpoint's wait fades like this
 	slowStartSafety        = 0.4    // part of the cold budget that a gateway uses
-	slowStartProvenSafety  = 0.8    // the same once set-ups there stand without a wait
-	slowStartTokenLifetime = 0.6    // of the time that tips a cold pool: so long a token for it is good
+	slowStartProvenSafety  = 0.8    // the same once setups there stand without a wait
+	slowStartTokenLifetime = 0.6    // of the time that tips a cold endpoint: so long a token for it is good
 	objectiveOfRetransmit  = 0.35   // the wait aimed at: this part of the time of the first repeat
 	objectiveOfLatency     = 0.15   // and no more than this part of the shortest answer target
 	defaultDelayObjective  = 150.0  // the same where neither is known
@@ -35,37 +35,37 @@
 	rateDecline            = 0.7    // a second: how fast it falls at twice the wait aimed at
 	immediateCorrection    = 0.5    // how far the pace leans at once against the wait
 	maxDelayFactor         = 6.0    // of the wait aimed at: no judgement is longer
-	ownSampleLifetime      = 500.0  // a wait reported within this after a set-up time seen here does not count
+	ownSampleLifetime      = 500.0  // a wait reported within this after a setup time seen here does not count
 	minHeadroom            = -2.0   // a wait counts as no more than this many times over the one aimed at
-	minSendRate            = 0.001  // set-ups a millisecond that a pool always gets, from all gateways together
+	minSendRate            = 0.001  // setups a millisecond that an endpoint always gets, from all gateways together
 	maxOverRecentRate      = 3.0    // a pace is no more than so many times what is sent lately,
-	maxEvenShares          = 1.2    // or than so many even parts of what the pool is rated for,
+	maxEvenShares          = 1.2    // or than so many even parts of what the endpoint is rated for,
 	minEvenShares          = 0.03   // and no less than this one
-	maxQueueingFraction    = 0.45   // of the answer target: so long a contact may wait in line here
-	tokenLifetime          = 500.0  // so long a token is good for contacts of another destination
+	maxQueueingFraction    = 0.45   // of the answer target: so long a call may wait in line here
+	tokenLifetime          = 500.0  // so long a token is good for calls of another destination
 	loadDeviations         = 3.0    // standard deviations of a load that a group of agents has to spare
 	reserveFraction        = 0.03   // of the agents: with fewer free the pace falls
 	minReserve             = 3.0    // but no fewer agents than this
-	// of the wait aimed at: a set-up sent so long before one that stands is lost
+	// of the wait aimed at: a setup sent so long before one that stands is lost
 	overtakenFraction = 0.5
-	lossyCount        = 0.5 // lost set-ups lately: with more a lone set-up under way may be lost too
-	lowWeightFraction = 0.5 // of the mean worth: a contact of less
-	failureAllowance  = 3.0 // so many set-ups failed lately may be chance
+	lossyCount        = 0.5 // lost setups lately: with more a lone setup under way may be lost too
+	lowWeightFraction = 0.5 // of the mean worth: a call of less
+	failureAllowance  = 3.0 // so many setups failed lately may be chance
 	minSuccessRatio   = 0.7 // of the best sound share: a destination that has less is passed by
-	lightLoadFraction = 0.4 // takes only a pool with a wait under this part of the one aimed at
-	// of the answer target: a deferred caller who can still be in time is asked back then
+	lightLoadFraction = 0.4 // takes only an endpoint with a wait under this part of the one aimed at
+	// of the answer target: a rejected caller who can still be in time is asked back then
 	retryAfterFraction = 0.15
 	busyNumberPause    = 2000.0 // a number with no line free is left alone so long
-	// a token in advance for the destination's own contacts while nothing presses it
+	// a token in advance for the destination's own calls while nothing presses it
 	destinationCredit = 1.0
-	stallThreshold    = 500.0   // a gateway that heard nothing for longer may have stood still
-	maxHearInterval   = 10000.0 // a pool not heard for longer counts as heard once in this time
+	stallThreshold    = 500.0   // a gateway that heard nothing for longer may have stalled
+	maxHearInterval   = 10000.0 // an endpoint not heard for longer counts as heard once in this time
 	gossipInterval    = 200.0   // news is told no more often than this,
 	gossipFanout      = 4       // to so many gateways,
 	gossipDelayUnit   = 10.0    // in steps of so many milliseconds,
 	gossipThreshold   = 2.0     // when a wait is off by so many times the one aimed at,
-	gossipHoldDown    = 1000.0  // to those who have heard nothing of that pool for so long
-	// a pool that turns a set-up away is left alone so long, longer where heard seldom
+	gossipHoldDown    = 1000.0  // to those who have heard nothing of that endpoint for so long
+	// an endpoint that turns a setup away is left alone so long, longer where heard seldom
 	overloadPause   = 400.0
 	overloadRateCut = 0.7  // and its pace cut to this part
 	queueInterval   = 20.0 // how often the line is looked at
@@ -76,24 +76,24 @@
 	settings *routing.Settings
 	host     routing.Host
 	now      float64
-	// so long nothing was heard before now, if that may mean that this gateway stood still
+	// so long nothing was heard before now, if that may mean that this gateway stalled
 	stalledFor      float64
 	draws           uint64
-	delayObjective  float64                    // the wait aimed at in a pool
-	maxTimeout      float64                    // the longest patience
-	maxHoldingTime  float64                    // the longest mean time that a contact stands
+	delayObjective  float64                    // the wait aimed at in an endpoint
+	maxTimeout      float64                    // the longest timeout
+	maxHoldingTime  float64                    // the longest mean time that a call stands
 	totalCapacity   float64                    // the total capacity of all places
 	totalCapacityAt float64                    // and when it was added up
 	endpoints       []*routing.Endpoint        // in the order in which they were first listed
-	queue           []*routing.Call            // contacts that wait for room, the most valuable first
-	lastProbeAt     float64                    // when pools were last probed
+	queue           []*routing.Call            // calls that wait for room, the most valuable first
+	lastProbeAt     float64                    // when endpoints were last probed
 	nextGossipAt    float64                    // when others may be told next
 	queueWakeupSet  bool                       // the line will be looked at
 	arrivals        decayingSum                // first tries that came lately
 	arrivedWeight   decayingSum                // and what they are worth
-	destinations    []*routing.Endpoint        // the latest pool of each number
+	destinations    []*routing.Endpoint        // the latest endpoint of each number
 	unservedCallers map[callerKey]float64      // callers who went unserved, and when they first came
-	maxTimeLeft     map[*routing.Class]float64 // the most time that was left of a contact when it came
+	maxTimeLeft     map[*routing.Class]float64 // the most time that was left of a call when it came
 	busyNumbers     map[string]*busyNumber     // numbers that were found engaged
 	lastSweepAt     float64                    // when those who have given up were last forgotten
 }
@@ -105,40 +105,40 @@
 	tenant       *routing.Tenant
 }
 
-// busyNumber is one called that was found engaged: till when it is left alone, and set-ups that stood since.
+// busyNumber is one called that was found engaged: till when it is left alone, and setups that stood since.
 type busyNumber struct {
 	until    float64
 	answered int
 }
 
-// endpointState is what the module notes of a pool.
+// endpointState is what the module notes of an endpoint.
 type endpointState struct {
-	minLatency           float64            // the least set-up time seen
+	minLatency           float64            // the least setup time seen
 	maxQueueLength       float64            // the largest queue seen
 	reportedAt           float64            // when the latest report came
 	aliveAt              float64            // when it last gave a sign of life
-	unanswered           int                // set-ups without an answer since then
-	resets               int                // standing contacts cut and connections refused since then
+	unanswered           int                // setups without an answer since then
+	resets               int                // standing calls cut and connections refused since then
 	atCapacity           bool               // told with no free agent
 	delay                float64            // the wait at its processor, as judged
 	delayAt              float64            // and when
 	gossipDelay          float64            // the latest wait seen here that others were not told yet, or -1
 	heardAt              float64            // when anything was last heard of it
 	hearInterval         float64            // how long it is between two times, but at least a second
-	latencyAt            float64            // when a set-up time was last seen
-	inFlight             []*routing.Attempt // set-ups under way, the oldest first
-	sent                 decayingSum        // set-ups sent lately
-	lost                 decayingSum        // set-ups found lost lately
-	concluded            decayingSum        // set-ups that stood or failed lately
+	latencyAt            float64            // when a setup time was last seen
+	inFlight             []*routing.Attempt // setups under way, the oldest first
+	sent                 decayingSum        // setups sent lately
+	lost                 decayingSum        // setups found lost lately
+	concluded            decayingSum        // setups that stood or failed lately
 	failed               decayingSum        // and those of them that failed, through no engaged number
-	sendRate             float64            // set-ups a millisecond that it gets from here; +Inf: all
+	sendRate             float64            // setups a millisecond that it gets from here; +Inf: all
 	rateBeforeCongestion float64            // the pace when the latest press began
 	congested            bool               // its wait is longer than aimed at
-	tokens               float64            // set-ups that may go now
+	tokens               float64            // setups that may go now
 	refilledAt           float64            // when pace and tokens were brought up to date
-	pausedUntil          float64            // it turned a set-up away and is left alone till then
+	pausedUntil          float64            // it turned a setup away and is left alone till then
 	startedAt            float64            // rule 4: when it started cold, as far as known; -Inf: long ago
-	slowStartTokens      float64            // rule 4: set-ups that may go now
+	slowStartTokens      float64            // rule 4: setups that may go now
 	slowStartRefilledAt  float64            // rule 4: when the budget was brought up to date
 }
 
@@ -156,7 +156,7 @@
 // rate is the sum's count a millisecond.
 func (s *decayingSum) rate(now float64) float64 { return s.read(now) / rateWindow }
 
-// stageResult is what a stage makes of a contact.
+// stageResult is what a stage makes of a call.
 type stageResult int
 
 const (
@@ -165,7 +165,7 @@
 	finished
 )
 
-// stage is a link of the chain: down takes a contact on its way to a pool, up hears how a ring went.
+// stage is a link of the chain: down takes a call on its way to an endpoint, up hears how an attempt went.
 type stage struct {
 	onCall    func(*Router, *routing.Call, **routing.Endpoint) stageResult
 	onOutcome func(*Router, *routing.Attempt)
@@ -220,7 +220,7 @@
 	return r
 }
 
-// advance sends a contact down the chain from a stage on.
+// advance sends a call down the chain from a stage on.
 func (r *Router) advance(call *routing.Call, from int) {
 	var endpoint *routing.Endpoint
 	for _, s := range chain[from:] {
@@ -230,7 +230,7 @@
 	}
 }
 
-// propagateOutcome runs what a ring brought up the chain.
+// propagateOutcome runs what an attempt brought up the chain.
 func (r *Router) propagateOutcome(attempt *routing.Attempt) {
 	for i := len(chain) - 1; i >= 0; i-- {
 		if up := chain[i].onOutcome; up != nil {
@@ -239,7 +239,7 @@
 	}
 }
 
-// OnEndpoints hears that pools are new on the list or have changed there.
+// OnEndpoints hears that endpoints are new on the list or have changed there.
 func (r *Router) OnEndpoints(now float64, changed []*routing.Endpoint) {
 	r.setTime(now)
 	for _, endpoint := range changed {
@@ -278,7 +278,7 @@
 	r.probeEndpoints()
 }
 
-// OnCall takes a new contact.
+// OnCall takes a new call.
 func (r *Router) OnCall(now float64, call *routing.Call) {
 	r.setTime(now)
 	left := call.Deadline - now
@@ -286,7 +286,7 @@
 	call.ArrivedAt -= math.Min(
 		r.stalledFor,
 		r.maxTimeLeft[call.Class]-left,
-	) // it waited while this gateway stood still
+	) // it waited while this gateway stalled
 	call.FirstSeenAt = call.ArrivedAt
 	id := callerKey{call.CalledNumber, call.Class, call.Tenant}
 	if first, again := r.unservedCallers[id]; again && now < first+call.Class.Timeout {
@@ -299,14 +299,14 @@
 	r.advance(call, 0)
 }
 
-// OnAnswer hears that a ring's contact stands.
+// OnAnswer hears that an attempt's call stands.
 func (r *Router) OnAnswer(now float64, attempt *routing.Attempt) {
 	r.setTime(now)
 	r.propagateOutcome(attempt)
 	r.sendGossip()
 }
 
-// OnAttemptEnd hears how a ring ended; closed: its contact needs no answer any more.
+// OnAttemptEnd hears how an attempt ended; closed: its call needs no answer any more.
 func (r *Router) OnAttemptEnd(now float64, attempt *routing.Attempt, closed bool) {
 	r.setTime(now)
 	r.propagateOutcome(attempt)
@@ -325,7 +325,8 @@
 	r.applyLoadReport(endpoint, full)
 }
 
-// OnGossip hears another gateway's news: pairs of a pool's number and the wait seen there. What was heard
+// OnGossip hears another gateway's news: pairs of an endpoint's number and the wait seen there. What was
+// heard
 // here
 // lately goes first, and news that makes no sense is passed over.
 func (r *Router) OnGossip(now float64, from int, data []byte) {
@@ -342,9 +343,10 @@
 	}
 }
 
-// sendGossip passes on news of the pools' waits to a few gateways drawn by chance. It guards against jams
+// sendGossip passes on news of the endpoints' waits to a few gateways drawn by chance. It guards against jams
 // that grow
-// faster than gateways that seldom hear of a pool could learn of them alone; the module is sound without it.
+// faster than gateways that seldom hear of an endpoint could learn of them alone; the module is sound without
+// it.
 func (r *Router) sendGossip() {
 	if !r.settings.GossipEnabled || r.now < r.nextGossipAt || r.settings.Gateways < 2 {
 		return
@@ -367,7 +369,7 @@
 	}
 }
 
-// OnWakeup goes on with a contact, or with the line.
+// OnWakeup goes on with a call, or with the line.
 func (r *Router) OnWakeup(now float64, call *routing.Call) {
 	r.setTime(now)
 	switch {
@@ -380,7 +382,8 @@
 	}
 }
 
-// probeEndpoints asks every pool for its report where reports come only so: once a second, as the design has
+// probeEndpoints asks every endpoint for its report where reports come only so: once a second, as the design
+// has
 // it.
 func (r *Router) probeEndpoints() {
 	if !r.settings.LoadReportsByProbe || !r.settings.ProbeEnabled ||
@@ -396,7 +399,7 @@
 	r.host.ScheduleWakeup(r.now+probeInterval, nil)
 }
 
-// setTime moves the clock. A gateway that stood still finds all that came meanwhile at once, and can't tell
+// setTime moves the clock. A gateway that stalled finds all that came meanwhile at once, and can't tell
 // when:
 // idle is how long it heard nothing.
 func (r *Router) setTime(now float64) {
@@ -443,7 +446,7 @@
 	r.unservedCallers[callerKey{call.CalledNumber, call.Class, call.Tenant}] = call.FirstSeenAt
 }
 
-// reject is the final answer "deferred".
+// reject is the final answer "rejected".
 func (r *Router) reject(call *routing.Call) stageResult {
 	r.rememberUnserved(call)
 	wait := 0.0
@@ -455,14 +458,14 @@
 	return finished
 }
 
-// fail is the final answer "abandoned".
+// fail is the final answer "failed".
 func (r *Router) fail(call *routing.Call) stageResult {
 	r.rememberUnserved(call)
 	r.host.Fail(call)
 	return finished
 }
 
-// currentWeight is what a contact is worth if it stands soon.
+// currentWeight is what a call is worth if it stands soon.
 func (r *Router) currentWeight(call *routing.Call) float64 {
 	if r.now+r.delayObjective > call.FirstSeenAt+call.Class.LatencyObjective {
 		return call.Class.Weight * call.Class.LateWeightFraction
@@ -470,7 +473,7 @@
 	return call.Class.Weight
 }
 
-// checkEligibility keeps a contact until it may ring and ends it when its time is up.
+// checkEligibility keeps a call until it may attempt and ends it when its time is up.
 func (r *Router) checkEligibility(call *routing.Call, _ **routing.Endpoint) stageResult {
 	if call.Deadline-r.now <= r.settings.TickInterval || call.Attempts >= r.settings.MaxAttempts {
 		return r.fail(call)
@@ -479,7 +482,7 @@
 		r.host.ScheduleWakeup(call.RetryNotBefore, call)
 		return pending
 	}
-	// all its lines are busy: work for nothing, at any pool
+	// all its lines are busy: work for nothing, at any endpoint
 	if busy := r.busyNumbers[call.CalledNumber]; busy != nil {
 		if r.now < busy.until {
 			return r.reject(call)
@@ -489,7 +492,7 @@
 	return proceed
 }
 
-// onEligibilityOutcome answers a contact whose ring did not stand, or lets it ring again.
+// onEligibilityOutcome answers a call whose attempt did not stand, or lets it attempt again.
 func (r *Router) onEligibilityOutcome(attempt *routing.Attempt) {
 	call := attempt.Call
 	if busy := r.busyNumbers[call.CalledNumber]; busy != nil && call.InFlight == attempt {
@@ -522,8 +525,8 @@
 	r.advance(call, 0)
 }
 
-// admit keeps contacts in line while no pool has room and defers the least valuable when not all can be
-// served in time: the document's case of all pools overloaded, take what can be taken and shed the rest.
+// admit keeps calls in line while no endpoint has room and defers the least valuable when not all can be
+// served in time: the document's case of all endpoints overloaded, take what can be taken and shed the rest.
 func (r *Router) admit(call *routing.Call, _ **routing.Endpoint) stageResult {
 	if len(r.queue) == 0 && r.anyCapacity(call) {
 		return proceed
@@ -540,7 +543,7 @@
 	return pending
 }
 
-// serveQueue lets contacts in line go on while there is room, and defers those that must not wait longer or
+// serveQueue lets calls in line go on while there is room, and defers those that must not wait longer or
 // are
 // too far back to be served in time.
 func (r *Router) serveQueue() {
@@ -601,30 +604,33 @@
 		return false // what is worth little takes only what nobody else will miss
 	}
 	if state.unanswered > 1 && (len(state.inFlight) > 0 || r.now-state.aliveAt < probeInterval) {
-		return false // a pool that is silent gets one set-up at a time to show that it is back
+		return false // an endpoint that is silent gets one setup at a time to show that it is back
 	}
 	if r.now < state.pausedUntil {
 		return false
 	}
-	if endpoint == call.Destination { // its own contacts come as they come, while nothing presses it
+	if endpoint == call.Destination { // its own calls come as they come, while nothing presses it
 		calm := r.stalledFor == 0 && state.expectedDelay(r.now, 0) < lightLoadFraction*r.delayObjective &&
 			capacityPressure(endpoint) < lightLoadFraction &&
 			state.sendRate >= state.rateBeforeCongestion/2
 		return state.tokens >= 1 || calm && state.tokens >= 1-destinationCredit
 	}
 	// for others a token is good for a moment only: else all that the gateways had saved up would come at once
-	// to the few pools with room when a large one fails
+	// to the few endpoints with room when a large one fails
 	return state.tokens >= 1 &&
 		(state.tokens < 1+state.sendRate*tokenLifetime || state.sendRate*tokenLifetime >= 1)
 }
 
-// updateSendRate brings a pool's pace and tokens up to date. While set-ups there wait longer than aimed at,
+// updateSendRate brings an endpoint's pace and tokens up to date. While setups there wait longer than aimed
+// at,
 // the pace
-// falls, else it grows: gateways that each do so share the pool's processor without knowing of each other,
+// falls, else it grows: gateways that each do so share the endpoint's processor without knowing of each
+// other,
 // and do not all stop and start together. It guards against every cause of long waits: overload, slow
-// processors, other work on them, traffic piled on one pool.
+// processors, other work on them, traffic piled on one endpoint.
 //
-// Where a pool is heard seldom, as with hundreds of gateways, its pace grows the slower: else each gateway
+// Where an endpoint is heard seldom, as with hundreds of gateways, its pace grows the slower: else each
+// gateway
 // would be back at its full pace before its next sample. What a press tells counts at once, however seldom
 // it is seen.
 func (r *Router) updateSendRate(endpoint *routing.Endpoint) {
@@ -632,7 +638,7 @@
 	dt := math.Max(
 		0,
 		r.now-math.Max(state.refilledAt, state.pausedUntil),
-	) // what turns set-ups away earns nothing meanwhile
+	) // what turns setups away earns nothing meanwhile
 	state.refilledAt = r.now
 	off := math.Max(
 		minHeadroom,
@@ -670,7 +676,8 @@
 // evenShare is this gateway's even part of what all gateways may do.
 func (r *Router) evenShare(v float64) float64 { return v / float64(max(1, r.settings.Gateways)) }
 
-// capacityPressure is the press on a pool's agents, 0 to 2: it is 1 with half of a small reserve free. The
+// capacityPressure is the press on an endpoint's agents, 0 to 2: it is 1 with half of a small reserve free.
+// The
 // figure is
 // late and every gateway has the same, so the last agents are shared by pace, not raced for.
 func capacityPressure(endpoint *routing.Endpoint) float64 {
@@ -683,7 +690,7 @@
 	)
 }
 
-// selectEndpoint chooses the destination while it has room, else a pool by lottery.
+// selectEndpoint chooses the destination while it has room, else an endpoint by lottery.
 func (r *Router) selectEndpoint(call *routing.Call, to **routing.Endpoint) stageResult {
 	destination := call.Destination
 	if destination != nil && r.hasCapacity(call, destination) &&
@@ -710,7 +717,8 @@
 	return proceed
 }
 
-// successRate is the share of the set-ups a pool took up lately that it did not fail. It guards against pools
+// successRate is the share of the setups an endpoint took up lately that it did not fail. It guards against
+// endpoints
 // that
 // answer soon and fail most of what they take: what makes nobody wait draws everything.
 func (r *Router) successRate(endpoint *routing.Endpoint) float64 {
@@ -718,7 +726,8 @@
 	return 1 - state.failed.read(r.now)/(failureAllowance+state.concluded.read(r.now))
 }
 
-// bestSuccessRate is the best sound share of the pools that have room: where all fail alike, no pool is at
+// bestSuccessRate is the best sound share of the endpoints that have room: where all fail alike, no endpoint
+// is at
 // fault.
 func (r *Router) bestSuccessRate(call *routing.Call) float64 {
 	best := 0.0
@@ -731,7 +740,7 @@
 }
 
 // tickets is the document's lottery: total capacity times the square of the relative capacity, of which a
-// pool that fails set-ups has its sound share only.
+// endpoint that fails setups has its sound share only.
 func (r *Router) tickets(call *routing.Call, endpoint *routing.Endpoint) float64 {
 	if !r.hasCapacity(call, endpoint) {
 		return 0
@@ -740,9 +749,9 @@
 	return r.capacityOf(endpoint) * f * f
 }
 
-// capacityOf is the total capacity in set-ups a second: the reported rate, and no more than its agents can
+// capacityOf is the total capacity in setups a second: the reported rate, and no more than its agents can
 // hold
-// with room for the load's swing (else small pools are overrated); the agents alone, which the document
+// with room for the load's swing (else small endpoints are overrated); the agents alone, which the document
 // names as a measure too, where no rate is reported; else 1.
 func (r *Router) capacityOf(endpoint *routing.Endpoint) float64 {
 	sustainable := math.Inf(1)
@@ -761,7 +770,7 @@
 	return 1
 }
 
-// freeShare is the relative capacity: the free share of a pool's processor by its latest report.
+// freeShare is the relative capacity: the free share of an endpoint's processor by its latest report.
 func (r *Router) freeShare(endpoint *routing.Endpoint) float64 {
 	state, report, share := stateOf(endpoint), &endpoint.LoadReport, 1.0
 	switch {
@@ -785,7 +794,7 @@
 	return share
 }
 
-// onSelectionOutcome learns a pool's state from what a ring brought.
+// onSelectionOutcome learns an endpoint's state from what an attempt brought.
 func (r *Router) onSelectionOutcome(attempt *routing.Attempt) {
 	state := stateOf(attempt.Endpoint)
 	if stood := attempt.Call.InFlight == attempt; stood ||
@@ -828,7 +837,7 @@
 	r.applyLoadReport(attempt.Endpoint, attempt.HasLoadReport)
 }
 
-// noteHeard notes that something was heard of a pool's processor.
+// noteHeard notes that something was heard of an endpoint's processor.
 func (r *Router) noteHeard(state *endpointState) {
 	if state.heardAt > 0 {
 		state.hearInterval = math.Max(1000, (state.hearInterval+math.Min(maxHearInterval, r.now-state.heardAt))/2)
@@ -836,7 +845,7 @@
 	state.heardAt = r.now
 }
 
-// applyLoadReport takes a pool's latest report.
+// applyLoadReport takes an endpoint's latest report.
 func (r *Router) applyLoadReport(endpoint *routing.Endpoint, full bool) {
 	state := stateOf(endpoint)
 	if !math.IsNaN(endpoint.LoadReport.Free) {
@@ -845,7 +854,7 @@
 	if full {
 		r.noteHeard(state)
 		state.reportedAt = r.now
-		// a report may lie or stick: set-up times seen here go first, and what cannot be is not believed
+		// a report may lie or stick: setup times seen here go first, and what cannot be is not believed
 		if w := endpoint.LoadReport.QueueDelay; w < r.maxTimeout && r.now-state.latencyAt > ownSampleLifetime {
 			r.recordDelay(state, w)
 		}
@@ -855,9 +864,9 @@
 	}
 }
 
-// expectedDelay is the wait that a set-up sent now must reckon with: the faded judgement, but no less than
+// expectedDelay is the wait that a setup sent now must reckon with: the faded judgement, but no less than
 // the
-// oldest set-up under way has waited; where some were lost lately, the second oldest.
+// oldest setup under way has waited; where some were lost lately, the second oldest.
 func (state *endpointState) expectedDelay(now, idle float64) float64 {
 	w := state.currentDelay(now)
 	skip := 0
@@ -876,7 +885,7 @@
 	return state.delay * math.Exp((state.delayAt-now)/(delayWindow*state.hearInterval/1000))
 }
 
-// minLatencyOrZero is the set-up time without a wait, as far as seen.
+// minLatencyOrZero is the setup time without a wait, as far as seen.
 func (state *endpointState) minLatencyOrZero() float64 {
 	if math.IsInf(state.minLatency, 1) {
 		return 0
@@ -908,7 +917,7 @@
 	return proceed
 }
 
-// rulesAllow tells whether the rules let c ring p now.
+// rulesAllow tells whether the rules let c attempt p now.
 func (r *Router) rulesAllow(call *routing.Call, endpoint *routing.Endpoint) bool {
 	return endpoint.State == routing.Ready && // rule 3: at once, not only after the grace
 		call.InFlight == nil && !call.Finished && // rules 1 and 2
@@ -919,11 +928,12 @@
 		r.slowStartAllows(endpoint) // rule 4
 }
 
-// slowStartAllows is rule 4: it tells whether this gateway may send a pool a set-up now. All gateways
+// slowStartAllows is rule 4: it tells whether this gateway may send an endpoint a setup now. All gateways
 // together keep
-// the rule if each sends no more than the stated multiple of its part of a warm pool's load, scaled down to
-// what the pool can do at its present age. First tries stand for that load: they do not fall to nothing
-// with the pools. A token is good for a moment only and falls due at a moment drawn by chance: so all
+// the rule if each sends no more than the stated multiple of its part of a warm endpoint's load, scaled down
+// to
+// what the endpoint can do at its present age. First tries stand for that load: they do not fall to nothing
+// with the endpoints. A token is good for a moment only and falls due at a moment drawn by chance: so all
 // gateways together hold no more than a moment's budget, however many they are and however long nothing was
 // sent.
 func (r *Router) slowStartAllows(endpoint *routing.Endpoint) bool {
@@ -940,7 +950,7 @@
 	safety := slowStartSafety
 	if state.latencyAt > state.startedAt &&
 		state.expectedDelay(r.now, r.stalledFor) < lightLoadFraction*r.delayObjective {
-		safety = slowStartProvenSafety // set-ups stand there at once
+		safety = slowStartProvenSafety // setups stand there at once
 	}
 	rate := r.arrivals.rate(r.now) * r.capacityShare(endpoint) * safety * r.settings.OverloadFactor * warmth
 	state.sendRate = math.Max(
@@ -960,8 +970,8 @@
 	return state.slowStartTokens >= 1 && state.slowStartTokens < 1+tokenLimit
 }
 
-// capacityShare is a pool's part of the total capacity: the load is made for all places, not for the few
-// pools that
+// capacityShare is an endpoint's part of the total capacity: the load is made for all places, not for the few
+// endpoints that
 // are left.
 func (r *Router) capacityShare(endpoint *routing.Endpoint) float64 {
 	if r.totalCapacityAt != r.now {
@@ -976,7 +986,7 @@
 // fraction is the part after the point.
 func fraction(v float64) float64 { return v - math.Floor(v) }
 
-// dispatch sends the set-up.
+// dispatch sends the setup.
 func (r *Router) dispatch(call *routing.Call, to **routing.Endpoint) stageResult {
 	state := stateOf(*to)
 	state.slowStartTokens--
@@ -988,9 +998,10 @@
 	return pending
 }
 
-// onDispatchOutcome notes that a set-up is no longer under way, and the pool's signs of life. A pool that
-// left set-ups
-// unanswered, and cut contacts or refused to connect, has started anew when it answers: it is cold, whatever
+// onDispatchOutcome notes that a setup is no longer under way, and the endpoint's signs of life. An endpoint
+// that
+// left setups
+// unanswered, and cut calls or refused to connect, has started anew when it answers: it is cold, whatever
 // the list says of it.
 func (r *Router) onDispatchOutcome(attempt *routing.Attempt) {
 	state := stateOf(attempt.Endpoint)
@@ -1018,7 +1029,7 @@
 	}
 	for stood && r.settings.CancelEnabled && len(state.inFlight) > 0 &&
 		state.inFlight[0].SentAt < attempt.SentAt-overtakenFraction*r.delayObjective {
-		// a processor takes set-ups in turn: this one is lost, and says nothing of the wait
+		// a processor takes setups in turn: this one is lost, and says nothing of the wait
 		lost := state.inFlight[0]
 		lost.PresumedLost = true
 		state.lost.add(r.now, 1)
@@ -1029,7 +1040,8 @@
 	}
 }
 
-// restart begins a pool's notes anew: its processor has started cold. The time before earns no cold budget.
+// restart begins an endpoint's notes anew: its processor has started cold. The time before earns no cold
+// budget.
 func (state *endpointState) restart(now, at float64) {
 	state.startedAt = at
 	state.delay = 0
@@ -1043,7 +1055,7 @@
 	) // lost with the old one
 }
 
-// canMeetObjective tells whether a contact called off now could still stand in time elsewhere.
+// canMeetObjective tells whether a call called off now could still stand in time elsewhere.
 func (r *Router) canMeetObjective(call *routing.Call) bool {
 	return r.now+r.settings.RetryHoldOff+r.delayObjective < call.ArrivedAt+call.Class.LatencyObjective
 }
--- a/internal/router/brain_test.go
+++ b/internal/router/brain_test.go
@@ -7,7 +7,7 @@
 	"cobaltpier/internal/routing"
 )
 
-// The lottery draws pools by total capacity times the square of the free share, within 2 points in 100.
+// The lottery draws endpoints by total capacity times the square of the free share, within 2 points in 100.
 func TestLotteryShares(t *testing.T) {
 	h, ps := setup(3)
 	want := []float64{20 * 0.5 * 0.5, 10 * 0.8 * 0.8, 30 * 0.2 * 0.2}
@@ -56,15 +56,15 @@
 	}
 }
 
-// A destination that fails most set-ups at once is passed by while others do not, still tried, and comes
+// A destination that fails most setups at once is passed by while others do not, still tried, and comes
 // back; where all
-// fail alike, or numbers are engaged, it keeps its contacts.
+// fail alike, or numbers are engaged, it keeps its calls.
 func TestFailingPool(t *testing.T) {
 	for _, c := range []struct {
 		what        string
 		fails       [2]float64
 		engaged     bool
-		least, most int // of 400 first rings to the destination
+		least, most int // of 400 first attempts to the destination
 	}{
 		{"sound", [2]float64{0, 0}, false, 400, 400},
 		{"it fails", [2]float64{0.8, 0}, false, 5, 60},
@@ -107,7 +107,7 @@
 	}
 }
 
-// With no pool at all a contact gets its answer within its patience, and at once when it can't be served.
+// With no endpoint at all a call gets its answer within its timeout, and at once when it can't be served.
 func TestNoPools(t *testing.T) {
 	h, _ := setup(0)
 	if call := h.offer(nil); !call.Finished || len(h.deferred) != 1 {
@@ -115,7 +115,7 @@
 	}
 }
 
-// A pool whose set-ups wait gets fewer of them and gets them back: no flush, no standstill.
+// An endpoint whose setups wait gets fewer of them and gets them back: no flush, no stall.
 func TestPaceFollowsWait(t *testing.T) {
 	h, ps := setup(1)
 	ps[0].LoadReport.Capacity, ps[0].LoadReport.Free = 1000, 500
@@ -138,7 +138,7 @@
 	}
 }
 
-// When not all can be served the contacts of most value are, whatever came first.
+// When not all can be served the calls of most value are, whatever came first.
 func TestLineByWorth(t *testing.T) {
 	h, ps := setup(1)
 	ps[0].LoadReport.Capacity, ps[0].LoadReport.Free = 20, 10
@@ -183,7 +183,7 @@
 	}
 }
 
-// A set-up overtaken by a later one is lost: it is called off and says nothing of the wait.
+// A setup overtaken by a later one is lost: it is called off and says nothing of the wait.
 func TestLostSetUp(t *testing.T) {
 	h, ps := setup(1)
 	ps[0].LoadReport.Capacity, ps[0].LoadReport.Free = 1000, 500
@@ -199,7 +199,7 @@
 	}
 }
 
-// A silent pool gets one set-up at a time; contacts cut and an answer after silence mean that it is cold.
+// A silent endpoint gets one setup at a time; calls cut and an answer after silence mean that it is cold.
 func TestSilenceAndRestart(t *testing.T) {
 	h, ps := setup(1)
 	ps[0].LoadReport.Capacity, ps[0].LoadReport.Free = 1000, 500
@@ -226,7 +226,7 @@
 	}
 }
 
-// What cannot be is not believed: a report of a wait of weeks leaves a pool in use.
+// What cannot be is not believed: a report of a wait of weeks leaves an endpoint in use.
 func TestImpossibleReport(t *testing.T) {
 	h, ps := setup(1)
 	ps[0].LoadReport.Capacity, ps[0].LoadReport.Free, ps[0].LoadReport.QueueDelay = 1000, 500, 3e9
@@ -236,7 +236,7 @@
 	}
 }
 
-// Skills that must not run twice are not rung again once a set-up may have run.
+// Classes that must not run twice are not tried again once a setup may have run.
 func TestOnlyOnce(t *testing.T) {
 	h, ps := setup(2)
 	h.skill.Idempotent = false
@@ -252,7 +252,7 @@
 	}
 }
 
-// Where reports come only by probe, each pool is probed every second.
+// Where reports come only by probe, each endpoint is probed every second.
 func TestProbes(t *testing.T) {
 	h, ps := setup(2)
 	h.b.settings.LoadReportsByProbe, h.b.settings.ProbeEnabled = true, true
@@ -284,7 +284,7 @@
 	}
 }
 
-// A pool that turns a set-up away is left alone for a moment, not for the time that a long wait fades.
+// An endpoint that turns a setup away is left alone for a moment, not for the time that a long wait fades.
 func TestTurnedAway(t *testing.T) {
 	h, ps := setup(1)
 	ps[0].LoadReport.Capacity, ps[0].LoadReport.Free = 1000, 500
@@ -300,7 +300,7 @@
 	}
 }
 
-// Settings that are missing give sensible decisions: contacts are rung while the pool answers.
+// Settings that are missing give sensible decisions: calls are tried while the endpoint answers.
 func TestOddSettings(t *testing.T) {
 	for _, set := range []routing.Settings{{}, {Classes: []*routing.Class{{}}}, {LoadReportsByProbe: true, RetryAfterEnabled: true}} {
 		h, ps := setup(1)
@@ -323,7 +323,7 @@
 	}
 }
 
-// A gateway that stood still finds a backlog: its contacts came earlier, its answers tell nothing of the
+// A gateway that stalled finds a backlog: its calls came earlier, its answers tell nothing of the
 // wait.
 func TestBacklog(t *testing.T) {
 	h, ps := setup(1)
@@ -369,7 +369,7 @@
 	}
 }
 
-// However many gateways there are said to be, contacts are rung, and the floors of all stay small together.
+// However many gateways there are said to be, calls are tried, and the floors of all stay small together.
 func TestGatewayCounts(t *testing.T) {
 	for _, count := range []int{-1, 0, 1, 300} {
 		h, ps := setup(1)
@@ -401,7 +401,7 @@
 	}
 }
 
-// Set-ups sent before a pool's start say nothing of it, however they end.
+// Setups sent before an endpoint's start say nothing of it, however they end.
 func TestOldSetUpsAfterRestart(t *testing.T) {
 	h, ps := setup(1)
 	ps[0].LoadReport.Capacity, ps[0].LoadReport.Free = 1000, 500
--- a/internal/router/help_test.go
+++ b/internal/router/help_test.go
@@ -163,7 +163,7 @@
 	return call
 }
 
-// stand lets the contact's ring stand after cost.
+// stand lets the call's attempt stand after cost.
 func (h *bench) stand(call *routing.Call, cost float64) *routing.Attempt {
 	attempt := call.InFlight
 	attempt.Latency, call.Established = cost, true
@@ -172,7 +172,7 @@
 	return attempt
 }
 
-// end lets the contact's ring end.
+// end lets the call's attempt end.
 func (h *bench) end(call *routing.Call, end routing.Outcome) {
 	attempt := call.InFlight
 	attempt.Outcome, attempt.Latency, call.InFlight = end, h.now-attempt.SentAt, nil
--- a/internal/router/rules_test.go
+++ b/internal/router/rules_test.go
@@ -12,7 +12,7 @@
 )
 
 // TestRulesByModel runs the module on generated streams of events beside the plain model in the test host,
-// which looks at every send and every answer: contacts, redials, lost, late, cut and refused set-ups, drains,
+// which looks at every send and every answer: calls, redials, lost, late, cut and refused setups, drains,
 // cold starts, lying reports and gateways that start with an old list.
 func TestRulesByModel(t *testing.T) {
 	stream := func(seed int64) (ok bool) {
@@ -26,7 +26,7 @@
 		for _, endpoint := range ps {
 			endpoint.LoadReport.Capacity, endpoint.LoadReport.Free = 200, 100
 		}
-		open := map[*routing.Attempt]float64{} // when each ring out will end or stand
+		open := map[*routing.Attempt]float64{} // when each attempt out will end or stand
 		for i := 0; i < 2500; i++ {
 			h.pass(5 * float64(1+rnd.Intn(4)))
 			endpoint := ps[rnd.Intn(len(ps))]
@@ -86,8 +86,12 @@
 				h.broke(1, "never answered")
 			}
 		}
-		rate := float64(len(h.all)) / (h.now - 1e6) * 1000 / float64(len(ps)) // what a warm pool is sent a second
-		for endpoint, at := range h.start {                                   // rule 4: any window, with one set-up for chance
+		rate := float64(
+			len(h.all),
+		) / (h.now - 1e6) * 1000 / float64(
+			len(ps),
+		) // what a warm endpoint is sent a second
+		for endpoint, at := range h.start { // rule 4: any window, with one setup for chance
 			for i, from := range h.sent[endpoint] {
 				part := 0.3 + 0.7*(from+1000-at)/14000
 				if n := within(h.sent[endpoint][i:], from+1000); part < 1 && float64(n) > 1+2.5*part*rate {
@@ -102,15 +106,16 @@
 	}
 }
 
-// TestFleetAndColdPool puts many modules beside one pool that starts cold, on generated inputs, and counts
+// TestFleetAndColdPool puts many modules beside one endpoint that starts cold, on generated inputs, and
+// counts
 // what they send it together in every window that tips it. They hear of the start at different times, some
-// were restarted with an old list, some stand still and find a backlog, and the pool was down for long
+// were restarted with an old list, some stand still and find a backlog, and the endpoint was down for long
 // before: no time earns a burst.
 func TestFleetAndColdPool(t *testing.T) {
 	fleet := func(seed int64) bool {
 		rnd := rand.New(rand.NewSource(seed))
 		pools, gateways := 2+rnd.Intn(8), 5+rnd.Intn(250)
-		lines, every := 200+rnd.Float64()*800, 200+rnd.Float64()*600 // of each pool; between contacts at a gateway
+		lines, every := 200+rnd.Float64()*800, 200+rnd.Float64()*600 // of each endpoint; between calls at a gateway
 		var hs []*bench
 		told := make([]float64, gateways)
 		for i := 0; i < gateways; i++ {
@@ -128,11 +133,11 @@
 		var sent []float64
 		for i, h := range hs {
 			endpoint := h.b.endpoints[0]
-			endpoint.State = routing.Gone // down before: contacts come all the time
+			endpoint.State = routing.Gone // down before: calls come all the time
 			h.b.OnEndpoints(h.now, []*routing.Endpoint{endpoint})
 			next, heard := h.now+rnd.ExpFloat64()*every, false
 			for h.now < end {
-				if rnd.Intn(400) == 0 { // it stands still, and finds what came meanwhile
+				if rnd.Intn(400) == 0 { // it stalls, and finds what came meanwhile
 					h.now += 1500
 				}
 				h.pass(10)
@@ -140,7 +145,7 @@
 					heard, endpoint.State, endpoint.StartedAt = true, routing.Ready, start
 					for _, other := range h.b.destinations {
 						if other != endpoint {
-							other.State = routing.Draining // all that comes wants the cold pool
+							other.State = routing.Draining // all that comes wants the cold endpoint
 						}
 					}
 					h.b.OnEndpoints(h.now, h.b.destinations)
@@ -159,7 +164,7 @@
 			sent = append(sent, h.sent[endpoint]...)
 		}
 		sort.Float64s(sent)
-		warm := float64(gateways) / every * 1000 / float64(pools) // the load of a place, in set-ups a second
+		warm := float64(gateways) / every * 1000 / float64(pools) // the load of a place, in setups a second
 		for i, from := range sent {
 			part := math.Min(1, 0.3+0.7*(from+500-start)/14000)
 			if n, most := within(sent[i:], from+1000), 2.5*part*warm; float64(n) > most+math.Sqrt(most)+1 {
@@ -175,17 +180,18 @@
 	}
 }
 
-// TestFewGatewaysAndColdPools has twenty or thirty modules beside pools that start cold in one step, while
+// TestFewGatewaysAndColdPools has twenty or thirty modules beside endpoints that start cold in one step,
+// while
 // all gateways are restarted, a few at a time, and forget what they sent. They are told of the start at once
 // or late. In no window that tips
-// a pool do all of them send it more than N + 2 root N + 2, N being what the settings allow it then.
+// an endpoint do all of them send it more than N + 2 root N + 2, N being what the settings allow it then.
 func TestFewGatewaysAndColdPools(t *testing.T) {
 	worst := 0.0
 	for seed := int64(1); seed <= 24; seed++ {
 		rnd := rand.New(rand.NewSource(seed))
 		pools, gateways := 3+rnd.Intn(8), []int{20, 30}[seed%2]
 		lines, every := 100+rnd.Float64()*400, 150+rnd.Float64()*600
-		cold := 1 + rnd.Intn(pools/2) // so many of the pools start in one step
+		cold := 1 + rnd.Intn(pools/2) // so many of the endpoints start in one step
 		late := []float64{0, 500, 1500}[rnd.Intn(3)]
 		const start, end = 1e6 + 6000.0, 1e6 + 6000 + 12000
 		sent := make([][]float64, cold)
@@ -202,7 +208,7 @@
 			}
 			h, ps := begin(1e6+rnd.Float64()*5, 0)
 			for k := range cold {
-				ps[k].State = routing.Gone // down before: contacts come all the time
+				ps[k].State = routing.Gone // down before: calls come all the time
 			}
 			h.b.OnEndpoints(h.now, ps[:cold])
 			heard, again := false, false
@@ -249,7 +255,7 @@
 				sent[k] = append(sent[k], h.sent[ps[k]]...)
 			}
 		}
-		warm := float64(gateways) / every * 1000 / float64(pools) // the load of a place, in set-ups a second
+		warm := float64(gateways) / every * 1000 / float64(pools) // the load of a place, in setups a second
 		total := 0
 		for _, of := range sent {
 			sort.Float64s(of)
@@ -281,7 +287,7 @@
 	t.Logf("at most %.2f of what tips a pool", worst)
 }
 
-// finish ends a ring and forgets it.
+// finish ends an attempt and forgets it.
 func (h *bench) finish(open map[*routing.Attempt]float64, attempt *routing.Attempt, end routing.Outcome) {
 	delete(open, attempt)
 	h.end(attempt.Call, end)
--- a/internal/routing/contact.go
+++ b/internal/routing/contact.go
@@ -4,15 +4,15 @@
 
 // Host is what the decision module may ask of the program it runs in.
 type Host interface {
-	// StartAttempt sends a set-up of c to p and gives up after limit; the ring is c.Out until it ends.
+	// StartAttempt sends a setup of c to p and gives up after limit; the attempt is c.Out until it ends.
 	StartAttempt(c *Call, p *Endpoint, limit float64)
 	// Reject is the final answer "refused"; a wait above 0 asks the caller to stay away so long.
 	Reject(c *Call, wait float64)
 	// Fail is the final answer "failed".
 	Fail(c *Call)
-	// CancelAttempt stops waiting for a ring; its end comes as any other.
+	// CancelAttempt stops waiting for an attempt; its end comes as any other.
 	CancelAttempt(r *Attempt)
-	// ProbeHealth asks a pool for a report.
+	// ProbeHealth asks an endpoint for a report.
 	ProbeHealth(p *Endpoint)
 	// SendGossip sends a short message to another gateway, named by its number from 0.
 	SendGossip(to int, data []byte)
@@ -20,64 +20,64 @@
 	ScheduleWakeup(at float64, c *Call)
 }
 
-// State is what the pool list says of a pool.
+// State is what the endpoint list says of an endpoint.
 type State int
 
-// The states of a pool.
+// The states of an endpoint.
 const (
 	Gone State = iota
 	Ready
 	Draining
 )
 
-// Outcome is how a ring ended.
+// Outcome is how an attempt ended.
 type Outcome int
 
-// The ends of a ring.
+// The ends of an attempt.
 const (
-	Completed         Outcome = iota // the contact stood and has ended
-	Failed                           // a fault after the set-up was looked at
-	Overloaded                       // turned away: no agent, or the processor is too busy
-	TimedOut                         // no reply in time; the set-up may go on
+	Completed         Outcome = iota // the call stood and has ended
+	Failed                           // a fault after the setup was looked at
+	Overloaded                       // rejected: no agent, or the processor is too busy
+	TimedOut                         // no reply in time; the setup may go on
 	ConnectionRefused                // no connection: down or out of reach
 	Reset                            // cut
 	Canceled                         // called off
 	NotSent                          // it never left
 )
 
-// LoadReport is what a pool says of its load.
+// LoadReport is what an endpoint says of its load.
 type LoadReport struct {
 	Capacity     float64 // agents in all
 	Free         float64 // free agents
 	Utilization  float64 // busy share of the processor
-	QueueLength  float64 // set-ups that wait there
+	QueueLength  float64 // setups that wait there
 	QueueDelay   float64 // the wait at the processor
-	RateLimit    float64 // set-ups a second it can take from all senders
-	LossFraction float64 // share of set-ups it asks each sender to hold back
+	RateLimit    float64 // setups a second it can take from all senders
+	LossFraction float64 // share of setups it asks each sender to hold back
 }
 
 // Endpoint is a group of agents behind one processor.
 type Endpoint struct {
-	DestinationID int        // its number among the pools; contacts name destinations by it
+	DestinationID int        // its number among the endpoints; calls name destinations by it
 	State         State      // as the list has it
 	StartedAt     float64    // its latest start; 0: long ago
 	LoadReport    LoadReport // the latest report
 	PolicyState   any        // the decision module's own notes
 }
 
-// Class is a class of contacts.
+// Class is a class of calls.
 type Class struct {
 	Name                string
 	LatencyObjective    float64      // stands within this: full value
 	Timeout             float64      // the caller gives up after this, over all tries
-	Weight              float64      // of a contact that stands in time
+	Weight              float64      // of a call that stands in time
 	LateWeightFraction  float64      // share of the value for one that stands later
-	MeanHoldingTime     float64      // mean time that a contact stands
-	Idempotent          bool         // a set-up that may have run may be sent again
-	AllowedDestinations map[int]bool // numbers of the pools that may take it; nil: all
+	MeanHoldingTime     float64      // mean time that a call stands
+	Idempotent          bool         // a setup that may have run may be sent again
+	AllowedDestinations map[int]bool // numbers of the endpoints that may take it; nil: all
 }
 
-// Tenant is whose contact it is.
+// Tenant is whose call it is.
 type Tenant struct {
 	Name string
 }
@@ -94,16 +94,16 @@
 	ArrivedAt       float64   // when it was taken; the module sets it back where it waited unread
 	Deadline        float64   // when this try is given up
 	Resumed         bool      // it was cut before
-	Attempts        int       // rings so far
-	InFlight        *Attempt  // the ring that is out, also while the contact stands
+	Attempts        int       // attempts so far
+	InFlight        *Attempt  // the attempt that is out, also while the call stands
 	Established     bool      // it stands
 	Finished        bool      // it has its final answer
-	MayHaveExecuted bool      // a set-up of it may have run, though it does not stand
-	RetryNotBefore  float64   // the clear wait: no ring before this
+	MayHaveExecuted bool      // a setup of it may have run, though it does not stand
+	RetryNotBefore  float64   // the retry hold-off: no attempt before this
 	HostData        any       // the host's own
 }
 
-// Attempt is one set-up of a contact at a pool.
+// Attempt is one setup of a call at an endpoint.
 type Attempt struct {
 	Call          *Call
 	Endpoint      *Endpoint
@@ -113,7 +113,7 @@
 	AtCapacity    bool    // Full: no agent was free
 	NumberBusy    bool    // Failed: all lines of the number called are busy
 	RetryAfter    float64 // Full: the processor asks to stay away so long, or 0
-	HasLoadReport bool    // the end brought a report, now in Pool.Report
+	HasLoadReport bool    // the end brought a report, now in Endpoint.Report
 	PresumedLost  bool    // the module has found that it is lost
 	HostData      any     // the host's own
 }
@@ -131,15 +131,15 @@
 	ProbeEnabled       bool
 	GossipEnabled      bool
 	CancelEnabled      bool
-	RetryAfterEnabled  bool    // deferred callers are told when to come back
+	RetryAfterEnabled  bool    // rejected callers are told when to come back
 	MaxRetryAfter      float64 // they heed no more than this
 	LoadReportsByProbe bool    // reports come only with probes
-	RetransmitInterval float64 // a set-up that waits is sent again after this; 0: never
+	RetransmitInterval float64 // a setup that waits is sent again after this; 0: never
 
 	AnswerGrace       float64 // rule 1: grace for the final answer
-	SlowStartFraction float64 // rule 4: a pool starts with this share of its capacity
+	SlowStartFraction float64 // rule 4: an endpoint starts with this share of its capacity
 	SlowStartDuration float64 // and is warm after this
 	OverloadFactor    float64 // it falls over when sent more than this multiple
 	OverloadWindow    float64 // for this long
-	RetryHoldOff      float64 // rule 5: no ring so long after a time-out, reset or cancel
+	RetryHoldOff      float64 // rule 5: no attempt so long after a time-out, reset or cancel
 }
