--- /dev/null
+++ b/internal/router/eligibility.go
@@ -0,0 +1,98 @@
+package router
+
+import (
+	"math"
+
+	"cobaltpier/internal/routing"
+)
+
+// checkEligibility holds a call until it may be attempted and fails it when its time is up.
+func (r *Router) checkEligibility(call *routing.Call, _ **routing.Endpoint) stageResult {
+	if call.Deadline-r.now <= r.settings.TickInterval || call.Attempts >= r.settings.MaxAttempts {
+		return r.fail(call)
+	}
+	if call.RetryNotBefore > r.now {
+		r.host.ScheduleWakeup(call.RetryNotBefore, call)
+		return pending
+	}
+	if busy := r.busyNumbers[call.CalledNumber]; busy != nil {
+		if r.now < busy.until {
+			return r.reject(call)
+		}
+		busy.until = r.now + busyNumberPause // this call tries the number, others wait for its outcome
+	}
+	return proceed
+}
+
+// onEligibilityOutcome retries a call whose attempt was not answered, or fails it.
+func (r *Router) onEligibilityOutcome(attempt *routing.Attempt) {
+	call := attempt.Call
+	answered := call.InFlight == attempt
+	if answered {
+		r.clearBusyNumber(call.CalledNumber)
+	}
+	if answered || call.Finished {
+		return
+	}
+	if attempt.NumberBusy && call.CalledNumber != "" {
+		r.busyNumbers[call.CalledNumber] = &busyNumber{until: r.now + busyNumberPause}
+	}
+	call.MayHaveExecuted = call.MayHaveExecuted || mayHaveExecuted(attempt.Outcome)
+	if needsHoldOff(attempt.Outcome) {
+		call.RetryNotBefore = r.now + r.settings.RetryHoldOff // rule 5
+	}
+	if !r.mayRetry(call) {
+		r.fail(call)
+		return
+	}
+	r.advance(call, 0)
+}
+
+// clearBusyNumber forgets that a number was busy once two calls to it were answered.
+func (r *Router) clearBusyNumber(called string) {
+	if busy := r.busyNumbers[called]; busy != nil {
+		busy.answered++
+		if busy.answered > 1 {
+			delete(r.busyNumbers, called)
+		}
+	}
+}
+
+// mayRetry tells whether a further attempt can still be answered in time and can do no harm.
+func (r *Router) mayRetry(call *routing.Call) bool {
+	earliest := math.Max(call.RetryNotBefore, r.now)
+	return earliest+r.delayObjective <= call.ArrivedAt+call.Class.LatencyObjective &&
+		earliest+2*queueInterval <= call.Deadline &&
+		(call.Class.Idempotent || !call.MayHaveExecuted)
+}
+
+// mayHaveExecuted tells whether an attempt that ended so may have been executed at the endpoint.
+func mayHaveExecuted(outcome routing.Outcome) bool {
+	return outcome != routing.Overloaded && outcome != routing.ConnectionRefused && outcome != routing.NotSent
+}
+
+// needsHoldOff tells whether a retry after an attempt that ended so must wait for the hold-off (rule 5).
+func needsHoldOff(outcome routing.Outcome) bool {
+	return outcome == routing.TimedOut || outcome == routing.Reset || outcome == routing.Canceled
+}
+
+// reject answers a call as rejected. Where a retry can still be in time its caller is told when to come back,
+// sooner than it would by itself.
+func (r *Router) reject(call *routing.Call) stageResult {
+	r.rememberUnserved(call)
+	objective := call.Class.LatencyObjective
+	pause := retryAfterFraction * objective
+	retryAfter := 0.0
+	if r.settings.RetryAfterEnabled && r.now+pause+r.delayObjective < call.FirstSeenAt+objective {
+		retryAfter = math.Min(pause, r.settings.MaxRetryAfter)
+	}
+	r.host.Reject(call, retryAfter)
+	return finished
+}
+
+// fail answers a call as failed.
+func (r *Router) fail(call *routing.Call) stageResult {
+	r.rememberUnserved(call)
+	r.host.Fail(call)
+	return finished
+}
--- a/layout_test.go
+++ b/layout_test.go
@@ -83,7 +83,7 @@
 func ringOf(pkg string) int {
 	switch path := strings.TrimPrefix(pkg, "cobaltpier/internal/"); {
 	case strings.HasPrefix(path, "decision/"), path == "routing", path == "router", path == "detrand", path == "timerqueue",
-		path == "deployment", path == "hclconfig":
+		path == "deployment", path == "hclconfig", path == "decaysum":
 		return 1
 	case strings.HasPrefix(path, "protocol/"):
 		return 2
