--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -7,13 +7,12 @@
 	"os"
 
 	"cobaltpier/internal/gateway/simadapter"
-	"cobaltpier/internal/protocol/endpointset"
 	"cobaltpier/internal/router"
 	"cobaltpier/internal/routing"
 )
 
 func main() {
-	err := simadapter.Serve(os.Stdin, os.Stdout, func(s *routing.Settings, h routing.Host) endpointset.Policy {
+	err := simadapter.Serve(os.Stdin, os.Stdout, func(s *routing.Settings, h routing.Host) routing.Policy {
 		return router.New(s, h)
 	})
 	if err != nil {
--- a/internal/cli/edgecli/edgecmd.go
+++ b/internal/cli/edgecli/edgecmd.go
@@ -20,7 +20,6 @@
 	"cobaltpier/internal/emulator/baseline"
 	"cobaltpier/internal/gateway/gatewayconfig"
 	"cobaltpier/internal/gateway/sipserver"
-	"cobaltpier/internal/protocol/endpointset"
 	"cobaltpier/internal/router"
 	"cobaltpier/internal/routing"
 )
@@ -49,7 +48,7 @@
 			if err != nil {
 				return err
 			}
-			mk := func(s *routing.Settings, h routing.Host) endpointset.Policy { return router.New(s, h) }
+			mk := func(s *routing.Settings, h routing.Host) routing.Policy { return router.New(s, h) }
 			if module != "brain" {
 				if mk = baseline.ByName(module); mk == nil {
 					return fmt.Errorf("module %q: want brain, lottery or random", module)
--- a/internal/cli/edgecli/platform.go
+++ b/internal/cli/edgecli/platform.go
@@ -16,7 +16,6 @@
 
 	"cobaltpier/internal/gateway/binaryconfig"
 	"cobaltpier/internal/gateway/binaryserver"
-	"cobaltpier/internal/protocol/endpointset"
 	"cobaltpier/internal/router"
 	"cobaltpier/internal/routing"
 )
@@ -69,7 +68,7 @@
 					}
 				}
 			}()
-			return binaryserver.Run(cmd.Context(), file, cfg, func(s *routing.Settings, h routing.Host) endpointset.Policy { return router.New(s, h) }, log, told)
+			return binaryserver.Run(cmd.Context(), file, cfg, func(s *routing.Settings, h routing.Host) routing.Policy { return router.New(s, h) }, log, told)
 		}}
 	c.Flags().StringVar(&level, "log-level", "info", "trace (each message), debug, info, warn or error")
 	return c
--- a/internal/cli/labcli/design.go
+++ b/internal/cli/labcli/design.go
@@ -7,7 +7,6 @@
 
 	"cobaltpier/api"
 	"cobaltpier/internal/emulator/scenario"
-	"cobaltpier/internal/protocol/endpointset"
 	"cobaltpier/internal/router"
 	"cobaltpier/internal/routing"
 )
@@ -36,7 +35,7 @@
 					if away >= 0 {
 						st.Drain(away)
 					}
-					scenario.NewVirtual(st, func(set *routing.Settings, h routing.Host) endpointset.Policy { return router.New(set, h) })
+					scenario.NewVirtual(st, func(set *routing.Settings, h routing.Host) routing.Policy { return router.New(set, h) })
 					st.World.Run(s.Length + 10000)
 					fmt.Fprintf(cmd.OutOrStdout(), "seed %d, pool that drains: %d (-1: none)\n%s\n", seed, away, shares)
 				}
--- a/internal/cli/labcli/labcmd.go
+++ b/internal/cli/labcli/labcmd.go
@@ -24,7 +24,7 @@
 	"cobaltpier/internal/emulator/scenario"
 	"cobaltpier/internal/emulator/scenariofile"
 	"cobaltpier/internal/emulator/virtualrun"
-	"cobaltpier/internal/protocol/endpointset"
+	"cobaltpier/internal/routing"
 )
 
 // New is the command.
@@ -182,7 +182,7 @@
 }
 
 // Virtual puts a day on in virtual time.
-func Virtual(s *scenariofile.Script, mk endpointset.PolicyFactory, file string) (*processrun.Result, error) {
+func Virtual(s *scenariofile.Script, mk routing.PolicyFactory, file string) (*processrun.Result, error) {
 	o := virtualrun.Options{}
 	var keep *capture.Writer
 	if file != "" {
--- a/internal/decision/intake/intake_test.go
+++ b/internal/decision/loadshed/loadshed_test.go
@@ -1,4 +1,4 @@
-package intake
+package loadshed
 
 import (
 	"testing"
@@ -6,16 +6,16 @@
 	"pgregory.net/rapid"
 )
 
-// TestTake: never more than the room or the rate, the most valuable first, and no valuable one rejected while
+// TestAdmit: never more than the room or the rate, the most valuable first, and no valuable one rejected while
 // a cheaper one of the same batch is taken.
-func TestTake(t *testing.T) {
+func TestAdmit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := &Gate{Most: rapid.IntRange(1, 50).Draw(t, "most"), Rate: rapid.SampledFrom([]float64{0, 1, 5, 100}).Draw(t, "rate")}
+		g := &Gate{MaxPending: rapid.IntRange(1, 50).Draw(t, "most"), RatePerSecond: rapid.SampledFrom([]float64{0, 1, 5, 100}).Draw(t, "rate")}
 		held, now, all := 0, 1.0, 0
 		for range 20 {
 			now += rapid.Float64Range(0, 5000).Draw(t, "gap")
 			values := rapid.SliceOfN(rapid.SampledFrom([]float64{1, 1, 1, 5, 8}), 0, 40).Draw(t, "values")
-			taken, n, least := g.Take(now, values, held), 0, 1e9
+			taken, n, least := g.Admit(now, values, held), 0, 1e9
 			for i, ok := range taken {
 				if ok {
 					n++
@@ -27,11 +27,11 @@
 					t.Fatalf("%v turned away, %v taken", values[i], least)
 				}
 			}
-			if held+n > g.Most {
-				t.Fatalf("%d taken with %d held of %d", n, held, g.Most)
+			if held+n > g.MaxPending {
+				t.Fatalf("%d taken with %d held of %d", n, held, g.MaxPending)
 			}
-			if all += n; g.Rate > 0 && float64(all) > g.Rate*now/1000+2*max(2, g.Rate*burst/1000)+1 {
-				t.Fatalf("%d taken in %.0f ms at %v a second", all, now, g.Rate)
+			if all += n; g.RatePerSecond > 0 && float64(all) > g.RatePerSecond*now/1000+2*max(2, g.RatePerSecond*burstWindow/1000)+1 {
+				t.Fatalf("%d taken in %.0f ms at %v a second", all, now, g.RatePerSecond)
 			}
 			held = max(0, held+n-rapid.IntRange(0, 30).Draw(t, "ended"))
 		}
@@ -48,27 +48,27 @@
 		}
 		return n
 	}
-	flat := &Gate{Most: 100}
-	if n := count(flat.Take(0, make([]float64, 200), 0)); n != 100 {
+	flat := &Gate{MaxPending: 100}
+	if n := count(flat.Admit(0, make([]float64, 200), 0)); n != 100 {
 		t.Errorf("%d of equals taken, want 100", n)
 	}
-	g := &Gate{Most: 100}
+	g := &Gate{MaxPending: 100}
 	cheap := make([]float64, 200)
 	for i := range cheap {
 		cheap[i] = 1
 	}
 	cheap[3] = 8
-	if n := count(g.Take(0, cheap, 0)); n != 90 {
+	if n := count(g.Admit(0, cheap, 0)); n != 90 {
 		t.Errorf("%d taken of a flood, want 90", n)
 	}
-	if n := count(g.Take(1, []float64{8, 1}, 95)); n != 1 {
+	if n := count(g.Admit(1, []float64{8, 1}, 95)); n != 1 {
 		t.Errorf("%d taken into the reserve, want the dear one", n)
 	}
 }
 
 // Refusals are remembered for as long as a repeat may come, in bounded space.
 func TestRefusals(t *testing.T) {
-	r := &Refusals{Keep: 1000}
+	r := &Refusals{Retention: 1000}
 	r.Add(0, 7)
 	for _, x := range []struct {
 		now  float64
@@ -78,10 +78,10 @@
 			t.Errorf("at %v known %v", x.now, got)
 		}
 	}
-	for i := range uint64(3 * memory) {
+	for i := range uint64(3 * maxRemembered) {
 		r.Add(3000, i)
 	}
-	if r.Len() > 2*memory {
+	if r.Len() > 2*maxRemembered {
 		t.Errorf("%d remembered", r.Len())
 	}
 }
--- a/internal/emulator/baseline/baseline.go
+++ b/internal/emulator/baseline/baseline.go
@@ -8,7 +8,6 @@
 	"math"
 
 	"cobaltpier/internal/detrand"
-	"cobaltpier/internal/protocol/endpointset"
 	"cobaltpier/internal/routing"
 )
 
@@ -24,11 +23,11 @@
 
 // ByName makes "lottery" (S2-082110 as written: the destination while it shows a free processor, else a lottery with
 // tickets of total capacity times the square of relative capacity) or "random"; nil otherwise.
-func ByName(name string) endpointset.PolicyFactory {
+func ByName(name string) routing.PolicyFactory {
 	if name != "lottery" && name != "random" {
 		return nil
 	}
-	return func(s *routing.Settings, h routing.Host) endpointset.Policy {
+	return func(s *routing.Settings, h routing.Host) routing.Policy {
 		return &Plain{set: s, host: h, random: name == "random"}
 	}
 }
--- a/internal/emulator/binarystandin/standin.go
+++ b/internal/emulator/binarystandin/standin.go
@@ -15,7 +15,6 @@
 	"cobaltpier/internal/protocol/binarygateway"
 	"cobaltpier/internal/protocol/binarymessage"
 	"cobaltpier/internal/protocol/dnsdiscovery"
-	"cobaltpier/internal/protocol/endpointset"
 	"cobaltpier/internal/routing"
 	"cobaltpier/internal/timerqueue"
 )
@@ -91,7 +90,7 @@
 }
 
 // New makes a world of so many switches.
-func New(seed uint64, cfg *binarygateway.Config, mk endpointset.PolicyFactory, n int, j *binaryconformance.Judge) *World {
+func New(seed uint64, cfg *binarygateway.Config, mk routing.PolicyFactory, n int, j *binaryconformance.Judge) *World {
 	w := &World{Judge: j, seed: seed, now: 1e6, switches: map[netip.AddrPort]*Switch{}, byLink: map[*binarygateway.Conn]*conn{}, Rate: 20, Hold: 800, Work: 30}
 	cfg.FromUnixMillis = func(unix float64) float64 { return unix }
 	w.M = binarygateway.New(w.now, cfg, mk, w)
--- a/internal/emulator/processrun/day.go
+++ b/internal/emulator/processrun/day.go
@@ -335,7 +335,7 @@
 	ms := func(v float64) string { return time.Duration(v * 1e6).String() }
 	p("gateway {\n  name = %q\n  sip = %q\n  peer = %q\n  trunk_context = %q\n  gateways = %d\n  number = %d\n  seed = %d", g.Name, g.Addr, g.Peer,
 		c.Context, c.Set.Gateways, g.Number, c.Set.Seed%(1<<53))
-	p("  tick = %q\n  margin = %q\n  most_held = %d\n  most_rate = %g\n  drain_within = \"5s\"\n  peers = [", ms(s.Gateways.Tick), ms(c.Margin), c.Gate.Most, c.Gate.Rate)
+	p("  tick = %q\n  margin = %q\n  most_held = %d\n  most_rate = %g\n  drain_within = \"5s\"\n  peers = [", ms(s.Gateways.Tick), ms(c.Margin), c.Gate.MaxPending, c.Gate.RatePerSecond)
 	for _, o := range st.Gateways {
 		p("    %q,", netip.AddrPortFrom(o.Addr.Addr(), uint16(r.o.Port+20)))
 	}
--- a/internal/emulator/scenario/guards_test.go
+++ b/internal/emulator/scenario/guards_test.go
@@ -6,14 +6,13 @@
 	"cobaltpier/api"
 	"cobaltpier/internal/conformance"
 	"cobaltpier/internal/emulator/scenariofile"
-	"cobaltpier/internal/protocol/endpointset"
 	"cobaltpier/internal/router"
 	"cobaltpier/internal/routing"
 )
 
 // rogue is a module that breaks one rule and leaves the rest to the real one.
 type rogue struct {
-	endpointset.Policy
+	routing.Policy
 	h     routing.Host
 	rule  int
 	n     int
@@ -97,10 +96,10 @@
 }
 
 // judged plays a day and returns what the checker finds; build makes the module, change may alter each gateway.
-func judged(s *scenariofile.Script, build endpointset.PolicyFactory, off int) *conformance.Checker {
+func judged(s *scenariofile.Script, build routing.PolicyFactory, off int) *conformance.Checker {
 	k := conformance.New()
 	st := New(s, 5060, func(r *api.Record) { k.Add(r) })
-	st.Off = off
+	st.DisabledGuard = routing.Rule(off)
 	NewVirtual(st, build)
 	st.World.Run(s.Length + 12000)
 	k.Finish()
@@ -111,7 +110,7 @@
 // switched off the checker sees the rule broken in the traffic.
 func TestGuardsAndChecker(t *testing.T) {
 	for _, rule := range []int{1, 2, 3, 5} {
-		mk := func(set *routing.Settings, h routing.Host) endpointset.Policy {
+		mk := func(set *routing.Settings, h routing.Host) routing.Policy {
 			return &rogue{Policy: router.New(set, h), h: h, rule: rule, set: set}
 		}
 		if k := judged(short(t), mk, 0); len(k.Findings) > 0 {
@@ -131,7 +130,7 @@
 		s.Length, s.Load.Rate, s.Rules.ColdShare, s.Rules.TipTimes = 20000, 95, 0.2, 1.2
 		s.Pools.Model.ColdShare, s.Pools.Model.TipTimes, s.Pools.Model.Warm = 0.2, 0, 14000
 		s.Troubles = []scenariofile.Trouble{{Kind: "silent", At: 4000, For: 5000, Part: 0.5}}
-		k := judged(s, func(set *routing.Settings, h routing.Host) endpointset.Policy {
+		k := judged(s, func(set *routing.Settings, h routing.Host) routing.Policy {
 			if !guarded {
 				set.OverloadFactor = 0
 				return &pusher{rogue{Policy: router.New(set, h), h: h, set: set}}
--- a/internal/emulator/scenario/stage.go
+++ b/internal/emulator/scenario/stage.go
@@ -14,7 +14,7 @@
 	"github.com/emiago/sipgo/sip"
 
 	"cobaltpier/api"
-	"cobaltpier/internal/decision/intake"
+	"cobaltpier/internal/decision/loadshed"
 	"cobaltpier/internal/emulator/callers"
 	"cobaltpier/internal/emulator/coreswitch"
 	"cobaltpier/internal/emulator/enumclient"
@@ -83,15 +83,16 @@
 	Parse    func([]byte) (sip.Message, error) // what all machines of the stage read with
 	Fate     func(gateway int, f b2bua.Fate)   // gets the record of each call, in virtual time; may be nil
 	Names    *Names                            // nil: callers name their trunk groups
-	Off      int                               // a guard of the edges that is switched off, to show that the checker sees it
-	names    siptransaction.Names
-	places   []*place
-	machines []*api.Member // of the list as its keeper knows it, with start times in AgeMs
-	version  uint64
-	log      []*api.Update
-	loss     float64
-	muted    bool
-	listless bool
+	// DisabledGuard is the rule whose guard in the gateways is switched off, to show that the checker sees it; 0: none.
+	DisabledGuard routing.Rule
+	names         siptransaction.Names
+	places        []*place
+	machines      []*api.Member // of the list as its keeper knows it, with start times in AgeMs
+	version       uint64
+	log           []*api.Update
+	loss          float64
+	muted         bool
+	listless      bool
 }
 
 // New builds the stage of a script; base numbers the addresses' last but one byte so that stages don't meet. The
@@ -527,10 +528,8 @@
 func (st *Stage) Config(g *Gateway) *b2bua.Config {
 	s := st.Script
 	c := &b2bua.Config{Name: g.Name, Self: g.Addr, Context: Context, Set: st.Settings(g), Times: s.Pools.Model.Times,
-		Parse: st.Parse, Default: s.Skills[0].Name, Margin: s.Gateways.Margin, Gate: intake.Gate{Most: s.Gateways.Held, Rate: s.Gateways.MostRate}}
-	if st.Off > 0 {
-		c.Off[st.Off] = true
-	}
+		Parse: st.Parse, Default: s.Skills[0].Name, Margin: s.Gateways.Margin, Gate: loadshed.Gate{MaxPending: s.Gateways.Held, RatePerSecond: s.Gateways.MostRate}}
+	c.DisabledGuard = st.DisabledGuard
 	for _, p := range st.places {
 		c.Groups = append(c.Groups, b2bua.Group{Name: Group(p.number), Pool: p.number, Size: p.model.Lines})
 	}
--- a/internal/emulator/scenario/stage_test.go
+++ b/internal/emulator/scenario/stage_test.go
@@ -8,12 +8,11 @@
 	"cobaltpier/api"
 	"cobaltpier/internal/conformance"
 	"cobaltpier/internal/emulator/scenariofile"
-	"cobaltpier/internal/protocol/endpointset"
 	"cobaltpier/internal/router"
 	"cobaltpier/internal/routing"
 )
 
-func mind(s *routing.Settings, h routing.Host) endpointset.Policy { return router.New(s, h) }
+func mind(s *routing.Settings, h routing.Host) routing.Policy { return router.New(s, h) }
 
 func TestDayOfTrouble(t *testing.T) {
 	s, err := Day("trouble")
--- a/internal/emulator/virtualrun/fleet.go
+++ b/internal/emulator/virtualrun/fleet.go
@@ -21,7 +21,6 @@
 	"cobaltpier/internal/emulator/scenariofile"
 	"cobaltpier/internal/protocol/b2bua"
 	"cobaltpier/internal/protocol/dnsclient"
-	"cobaltpier/internal/protocol/endpointset"
 	"cobaltpier/internal/protocol/siptransaction"
 	"cobaltpier/internal/router"
 	"cobaltpier/internal/routing"
@@ -31,9 +30,9 @@
 const After = 12000.0
 
 // Module is the maker of a decision module by its name: brain, or a baseline; nil for any other.
-func Module(name string) endpointset.PolicyFactory {
+func Module(name string) routing.PolicyFactory {
 	if name == "" || name == "brain" {
-		return func(s *routing.Settings, h routing.Host) endpointset.Policy { return router.New(s, h) }
+		return func(s *routing.Settings, h routing.Host) routing.Policy { return router.New(s, h) }
 	}
 	return baseline.ByName(name)
 }
@@ -71,7 +70,7 @@
 }
 
 // Play plays a day.
-func Play(s *scenariofile.Script, mk endpointset.PolicyFactory, o Options) *Result {
+func Play(s *scenariofile.Script, mk routing.PolicyFactory, o Options) *Result {
 	begin := time.Now()
 	k := conformance.New()
 	k.Keep = o.Series
--- a/internal/gateway/binaryserver/customers_test.go
+++ b/internal/gateway/binaryserver/customers_test.go
@@ -8,7 +8,6 @@
 	"time"
 
 	"cobaltpier/internal/protocol/binarymessage"
-	"cobaltpier/internal/protocol/endpointset"
 	"cobaltpier/internal/router"
 	"cobaltpier/internal/routing"
 )
@@ -57,7 +56,7 @@
 	} {
 		t.Run(c.what, func(t *testing.T) {
 			a, b := newCore(t, "s-0"), newCore(t, "s-1")
-			s := startStation(t, newNames(t, 1, a, b), func(set *routing.Settings, h routing.Host) endpointset.Policy { return router.New(set, h) }, c.change, a, b)
+			s := startStation(t, newNames(t, 1, a, b), func(set *routing.Settings, h routing.Host) routing.Policy { return router.New(set, h) }, c.change, a, b)
 			p := s.dial()
 			p.ready()
 			for i, class := range c.classes {
--- a/internal/gateway/binaryserver/serve.go
+++ b/internal/gateway/binaryserver/serve.go
@@ -13,13 +13,15 @@
 
 	"github.com/rs/zerolog"
 
-	"cobaltpier/internal/decision/intake"
+	"cobaltpier/internal/decision/connlimit"
+	"cobaltpier/internal/decision/loadshed"
+	"cobaltpier/internal/decision/shutdown"
 	"cobaltpier/internal/gateway/binaryconfig"
 	"cobaltpier/internal/gateway/reactor"
 	"cobaltpier/internal/protocol/binarygateway"
 	"cobaltpier/internal/protocol/binarymessage"
 	"cobaltpier/internal/protocol/dnsdiscovery"
-	"cobaltpier/internal/protocol/endpointset"
+	"cobaltpier/internal/routing"
 )
 
 // Signal is what the gateway's machine tells it.
@@ -53,7 +55,7 @@
 	events          *eventQueue
 	startedAt       time.Time
 	metricsLoggedAt float64
-	stage           intake.Stage
+	stage           shutdown.Stage
 	shutdownAt      float64 // when it was told to go
 	stageSince      float64 // when the stage began
 	lastBatchAt     float64 // when the latest batch ended, 0: none yet
@@ -62,7 +64,7 @@
 }
 
 // Run runs a gateway by a configuration until it is told to leave and nothing is held.
-func Run(ctx context.Context, file string, cfg *binaryconfig.Config, mk endpointset.PolicyFactory, log zerolog.Logger, signals <-chan Signal) error {
+func Run(ctx context.Context, file string, cfg *binaryconfig.Config, mk routing.PolicyFactory, log zerolog.Logger, signals <-chan Signal) error {
 	s := &Server{configPath: file, config: cfg, log: log, events: newEventQueue(), startedAt: time.Now()}
 	bootUnix := float64(s.startedAt.UnixNano()) / 1e6
 	set := cfg.Settings
@@ -71,7 +73,7 @@
 		most = defaultMaxPending
 	}
 	s.gateway = binarygateway.New(s.now(), &binarygateway.Config{Settings: set, Connections: cfg.Connections, MaxDescriptors: cfg.Limits.Descriptors, AnswerMargin: answerMargin,
-		LoadShedding: intake.Gate{Most: most}, FromUnixMillis: func(unix float64) float64 { return clockOrigin + unix - bootUnix }}, mk, s)
+		LoadShedding: loadshed.Gate{MaxPending: most}, FromUnixMillis: func(unix float64) float64 { return clockOrigin + unix - bootUnix }}, mk, s)
 	if log.GetLevel() <= zerolog.TraceLevel {
 		s.gateway.OnMessage = func(l *binarygateway.Conn, out bool, msg binarymessage.Message) {
 			log.Trace().Bool("out", out).Str("with", l.PeerName()).Hex("call", msg[3:11]).Uint8("type", msg.Type()).Uint8("cause", msg.Cause()).Str("note", msg.Text(binarymessage.Note)).Str("report", msg.Text(binarymessage.Report)).Str("number", msg.Text(binarymessage.Number)).
@@ -89,7 +91,7 @@
 	}
 	var err error
 	// one over what the machine keeps, so that it may choose which to close
-	if s.streams, err = reactor.ServeStreams(cfg.Listen, intake.Callers(cfg.Limits.Descriptors)+spareConns, cfg.Connections.ConnectTimeout, s); err != nil {
+	if s.streams, err = reactor.ServeStreams(cfg.Listen, connlimit.MaxClientConns(cfg.Limits.Descriptors)+spareConns, cfg.Connections.ConnectTimeout, s); err != nil {
 		if reactor.AddressInUse(err) {
 			return fmt.Errorf("gateway %s: listen: another program has %s: %w", cfg.Name, cfg.Listen, err)
 		}
@@ -127,7 +129,7 @@
 func (s *Server) loop(ctx context.Context, signals <-chan Signal) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	for s.stage != intake.Over {
+	for s.stage != shutdown.Stopped {
 		now := s.now()
 		for _, e := range s.events.drain() {
 			s.handleEvent(now, e)
@@ -150,7 +152,7 @@
 			s.logMetrics("figures")
 		}
 		wait := math.Min(math.Min(s.gateway.NextWakeup(), s.discovery.NextQuery())-s.now(), 100)
-		if s.stage != intake.Serving {
+		if s.stage != shutdown.Serving {
 			wait = math.Min(wait, 10)
 		}
 		if wait <= 0 {
@@ -190,15 +192,15 @@
 
 // advanceShutdown goes on to the next stage of going, where it is due.
 func (s *Server) advanceShutdown(now float64) {
-	if s.stage == intake.Serving {
+	if s.stage == shutdown.Serving {
 		return
 	}
 	waiting, _ := s.gateway.InProgress()
 	unsent, open := s.gateway.ClientConns()
-	t := intake.Told{Since: now - s.shutdownAt, In: now - s.stageSince, Waiting: waiting, Standing: s.gateway.EstablishedCalls(),
-		Accepting: s.streams.Accepting(), Unsent: unsent, Open: open}
+	t := shutdown.Status{SinceSignal: now - s.shutdownAt, InStage: now - s.stageSince, PendingCalls: waiting, EstablishedCalls: s.gateway.EstablishedCalls(),
+		Listening: s.streams.Accepting(), UnsentConns: unsent, OpenConns: open}
 	for _, k := range s.config.Settings.Classes {
-		t.Patience = math.Max(t.Patience, k.Timeout)
+		t.MaxTimeout = math.Max(t.MaxTimeout, k.Timeout)
 	}
 	next := s.stage.Next(t)
 	if next == s.stage {
@@ -207,12 +209,12 @@
 	s.log.Debug().Int("stage", int(next)).Interface("told", t).Msg("leaving")
 	s.stage, s.stageSince = next, now
 	switch next {
-	case intake.Deferring:
+	case shutdown.Rejecting:
 		s.gateway.StopAdmitting()
-	case intake.Flushing:
+	case shutdown.Flushing:
 		s.streams.StopAccept()
 		s.gateway.RejectAll(now)
-	case intake.HalfClosing:
+	case shutdown.HalfClosing:
 		s.gateway.CloseClientWrites()
 	}
 }
@@ -222,10 +224,10 @@
 	case signal == Reload:
 		s.reloadsLeft = maxReloads
 		s.reload()
-	case s.stage == intake.Serving:
+	case s.stage == shutdown.Serving:
 		s.log.Info().Msg("leaving: new contacts are taken for a while, then what is held is answered")
 		s.gateway.BeginDrain()
-		s.stage, s.shutdownAt, s.stageSince = intake.Taking, s.now(), s.now()
+		s.stage, s.shutdownAt, s.stageSince = shutdown.Accepting, s.now(), s.now()
 	}
 }
 
--- a/internal/gateway/binaryserver/serve_test.go
+++ b/internal/gateway/binaryserver/serve_test.go
@@ -20,7 +20,6 @@
 	"cobaltpier/internal/detrand"
 	"cobaltpier/internal/gateway/binaryconfig"
 	"cobaltpier/internal/protocol/binarymessage"
-	"cobaltpier/internal/protocol/endpointset"
 	"cobaltpier/internal/router"
 	"cobaltpier/internal/routing"
 )
@@ -265,10 +264,10 @@
 
 func newStation(t *testing.T, ns *names, of ...*core) *station {
 	t.Helper()
-	return startStation(t, ns, func(set *routing.Settings, h routing.Host) endpointset.Policy { return router.New(set, h) }, func(map[string]any) {}, of...)
+	return startStation(t, ns, func(set *routing.Settings, h routing.Host) routing.Policy { return router.New(set, h) }, func(map[string]any) {}, of...)
 }
 
-func startStation(t *testing.T, ns *names, mk endpointset.PolicyFactory, change func(map[string]any), of ...*core) *station {
+func startStation(t *testing.T, ns *names, mk routing.PolicyFactory, change func(map[string]any), of ...*core) *station {
 	t.Helper()
 	s := &station{T: t, addr: freePort(t), file: filepath.Join(t.TempDir(), "config.json"), signals: make(chan Signal, 4), ended: make(chan error, 1)}
 	var targets []map[string]any
@@ -555,7 +554,7 @@
 
 // told is a module that hears other gateways and says something to them.
 type told struct {
-	endpointset.Policy
+	routing.Policy
 	h     routing.Host
 	heard chan string
 }
@@ -581,7 +580,7 @@
 	defer stranger.Close()
 	own := freePort(t)
 	heard := make(chan string, 10)
-	s := startStation(t, newNames(t, 1, a), func(set *routing.Settings, h routing.Host) endpointset.Policy {
+	s := startStation(t, newNames(t, 1, a), func(set *routing.Settings, h routing.Host) routing.Policy {
 		return &told{Policy: router.New(set, h), h: h, heard: heard}
 	}, func(doc map[string]any) {
 		doc["peer_listen"], doc["peers"] = own, []string{own, peer.LocalAddr().String()}
@@ -739,7 +738,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	err = Run(context.Background(), s.file, cfg, func(set *routing.Settings, h routing.Host) endpointset.Policy { return router.New(set, h) }, zerolog.Nop(), nil)
+	err = Run(context.Background(), s.file, cfg, func(set *routing.Settings, h routing.Host) routing.Policy { return router.New(set, h) }, zerolog.Nop(), nil)
 	if err == nil || !strings.Contains(err.Error(), s.addr) {
 		t.Errorf("%v", err)
 	}
--- a/internal/gateway/gatewayconfig/settings.go
+++ b/internal/gateway/gatewayconfig/settings.go
@@ -4,7 +4,7 @@
 import (
 	"net/netip"
 
-	"cobaltpier/internal/decision/intake"
+	"cobaltpier/internal/decision/loadshed"
 	"cobaltpier/internal/decision/numberplan"
 	"cobaltpier/internal/gateway/hclfile"
 	"cobaltpier/internal/hclconfig"
@@ -98,7 +98,7 @@
 	s.Tick = g.Ms("tick", 0, 0, 1000)
 	set.TickInterval = s.Tick
 	s.Margin = g.Ms("margin", 30, 0, 60000)
-	s.Gate = intake.Gate{Most: g.Int("most_held", 20000, 1, 1<<24), Rate: g.Num("most_rate", 0, 0, 1e6)}
+	s.Gate = loadshed.Gate{MaxPending: g.Int("most_held", 20000, 1, 1<<24), RatePerSecond: g.Num("most_rate", 0, 0, 1e6)}
 	s.Queue = g.Int("queue", 8192, 16, 1<<20)
 	s.DrainWithin = g.Ms("drain_within", 30000, 0, day)
 	s.Default = g.Text("default_skill", "")
--- a/internal/gateway/simadapter/benchwire_test.go
+++ b/internal/gateway/simadapter/benchwire_test.go
@@ -6,7 +6,6 @@
 	"strings"
 	"testing"
 
-	"cobaltpier/internal/protocol/endpointset"
 	"cobaltpier/internal/routing"
 )
 
@@ -58,7 +57,7 @@
 	t.Helper()
 	var out bytes.Buffer
 	e := &echo{}
-	err := Serve(strings.NewReader(in), &out, func(s *routing.Settings, h routing.Host) endpointset.Policy {
+	err := Serve(strings.NewReader(in), &out, func(s *routing.Settings, h routing.Host) routing.Policy {
 		e.host, e.set, e.pools = h, s, nil
 		return e
 	})
--- a/internal/gateway/simadapter/host.go
+++ b/internal/gateway/simadapter/host.go
@@ -12,6 +12,7 @@
 	"strings"
 
 	"cobaltpier/internal/deployment"
+	"cobaltpier/internal/protocol/attempts"
 	"cobaltpier/internal/protocol/endpointset"
 	"cobaltpier/internal/routing"
 )
@@ -21,10 +22,10 @@
 	name     string
 	out      *bufio.Writer
 	now      float64
-	mod      endpointset.Policy
+	mod      routing.Policy
 	fields   []string
 	pools    *endpointset.Set[int64]
-	contacts map[string]*endpointset.Tracker
+	contacts map[string]*attempts.Tracker
 	timers   map[int64]*routing.Call
 	timer    int64
 	skills   map[string]*routing.Class
@@ -45,7 +46,7 @@
 
 // StartAttempt implements routing.Host.
 func (in *instance) StartAttempt(c *routing.Call, p *routing.Endpoint, limit float64) {
-	k := c.HostData.(*endpointset.Tracker)
+	k := c.HostData.(*attempts.Tracker)
 	k.Begin(p, in.now)
 	in.act("try", k.ID, num(in.pools.IDOf(p)), ms(limit))
 }
@@ -53,20 +54,20 @@
 // Reject implements routing.Host.
 func (in *instance) Reject(c *routing.Call, wait float64) {
 	c.Finished = true
-	in.act("decline", c.HostData.(*endpointset.Tracker).ID, ms(wait))
-	in.drop(c.HostData.(*endpointset.Tracker))
+	in.act("decline", c.HostData.(*attempts.Tracker).ID, ms(wait))
+	in.drop(c.HostData.(*attempts.Tracker))
 }
 
 // Fail implements routing.Host.
 func (in *instance) Fail(c *routing.Call) {
 	c.Finished = true
-	in.act("abort", c.HostData.(*endpointset.Tracker).ID)
-	in.drop(c.HostData.(*endpointset.Tracker))
+	in.act("abort", c.HostData.(*attempts.Tracker).ID)
+	in.drop(c.HostData.(*attempts.Tracker))
 }
 
 // CancelAttempt implements routing.Host.
 func (in *instance) CancelAttempt(r *routing.Attempt) {
-	in.act("call_off", r.Call.HostData.(*endpointset.Tracker).ID, num(int64(r.HostData.(int))))
+	in.act("call_off", r.Call.HostData.(*attempts.Tracker).ID, num(int64(r.HostData.(int))))
 }
 
 // ProbeHealth implements routing.Host.
@@ -85,7 +86,7 @@
 }
 
 // drop forgets a call that has its answer and no attempt out.
-func (in *instance) drop(k *endpointset.Tracker) {
+func (in *instance) drop(k *attempts.Tracker) {
 	if k.Done() {
 		delete(in.contacts, k.ID)
 	}
@@ -94,14 +95,14 @@
 // process is the process: its instances and its numbered lists.
 type process struct {
 	out   *bufio.Writer
-	mk    endpointset.PolicyFactory
+	mk    routing.PolicyFactory
 	insts map[string]*instance
 	banks map[int64][][]string
 	now   float64
 }
 
 // Serve answers batches until the input ends. An error names the line and what was expected there.
-func Serve(in io.Reader, out io.Writer, mk endpointset.PolicyFactory) error {
+func Serve(in io.Reader, out io.Writer, mk routing.PolicyFactory) error {
 	h := &process{out: bufio.NewWriterSize(out, 1<<16), mk: mk, insts: map[string]*instance{},
 		banks: map[int64][][]string{}}
 	rd := bufio.NewReaderSize(in, 1<<20)
@@ -212,7 +213,7 @@
 		return fmt.Errorf("line %d: create: params: %w", l.n, err)
 	}
 	in := &instance{name: name, out: h.out, fields: fields, pools: endpointset.New[int64](),
-		contacts: map[string]*endpointset.Tracker{},
+		contacts: map[string]*attempts.Tracker{},
 		timers:   map[int64]*routing.Call{}, skills: map[string]*routing.Class{},
 		payers: map[string]*routing.Tenant{}}
 	for _, k := range set.Classes {
@@ -309,7 +310,7 @@
 
 func (h *process) knock(in *instance, l *line) error {
 	c := &routing.Call{ArrivedAt: h.now}
-	k := &endpointset.Tracker{Call: c, ID: l.text("corr")}
+	k := &attempts.Tracker{Call: c, ID: l.text("corr")}
 	c.HostData = k
 	l.num("cost", 0)
 	left := l.num("left", math.NaN())
@@ -343,7 +344,7 @@
 }
 
 // attempt finds the attempt that an event speaks of; nil where it ended before.
-func (in *instance) ring(l *line, id string, n int64) (*endpointset.Tracker, *routing.Attempt) {
+func (in *instance) ring(l *line, id string, n int64) (*attempts.Tracker, *routing.Attempt) {
 	k := in.contacts[id]
 	if k == nil || n >= int64(len(k.Log)) {
 		return k, nil
@@ -370,7 +371,7 @@
 	n, cost, note := l.whole("sendNo", 0, 1<<20), l.num("costTime", 0), int64(l.num("note", 0))
 	end, closed := l.choice("disposition", ends), l.flag("finished")
 	k, r := in.ring(l, id, n)
-	into := endpointset.UnknownLoad()
+	into := routing.UnknownLoad()
 	if r != nil {
 		into = r.Endpoint.LoadReport
 	}
--- a/internal/gateway/sipserver/gateway.go
+++ b/internal/gateway/sipserver/gateway.go
@@ -17,7 +17,7 @@
 	"cobaltpier/internal/gateway/grpcdiscovery"
 	"cobaltpier/internal/gateway/reactor"
 	"cobaltpier/internal/protocol/b2bua"
-	"cobaltpier/internal/protocol/endpointset"
+	"cobaltpier/internal/routing"
 )
 
 // Outcome is how a gateway ended.
@@ -68,7 +68,7 @@
 }
 
 // Run runs an edge until ctx's parent says so: the first value on stop lets it drain, the second ends it at once.
-func Run(ctx context.Context, set *gatewayconfig.Edge, mk endpointset.PolicyFactory, log zerolog.Logger, stop <-chan struct{}) (Outcome, error) {
+func Run(ctx context.Context, set *gatewayconfig.Edge, mk routing.PolicyFactory, log zerolog.Logger, stop <-chan struct{}) (Outcome, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	g := &Gateway{set: set, log: log, events: make(chan event, set.Queue), start: time.Now()}
--- a/internal/gateway/sipserver/gateway_test.go
+++ b/internal/gateway/sipserver/gateway_test.go
@@ -16,7 +16,6 @@
 
 	"cobaltpier/api"
 	"cobaltpier/internal/gateway/gatewayconfig"
-	"cobaltpier/internal/protocol/endpointset"
 	"cobaltpier/internal/router"
 	"cobaltpier/internal/routing"
 )
@@ -97,7 +96,7 @@
 	return s
 }
 
-func mind(s *routing.Settings, h routing.Host) endpointset.Policy { return router.New(s, h) }
+func mind(s *routing.Settings, h routing.Host) routing.Policy { return router.New(s, h) }
 
 type end struct {
 	out Outcome
--- a/internal/protocol/b2bua/analysis_test.go
+++ b/internal/protocol/b2bua/analysis_test.go
@@ -170,7 +170,7 @@
 // old table is let go.
 func TestSwapInFlight(t *testing.T) {
 	r, b := numberRig(t)
-	r.e.LoadShedder.Most = 5000
+	r.e.LoadShedder.MaxPending = 5000
 	var sent []string
 	r.m.offered = func(now float64, c *routing.Call) {
 		sent = append(sent, c.CalledNumber+c.HostData.(*callcontrol.Session).SignalingLeg.(*call).route.params)
@@ -249,7 +249,7 @@
 // A flood that the intake rejects asks for nothing.
 func TestFloodAsksNothing(t *testing.T) {
 	r, b := numberRig(t)
-	r.e.LoadShedder.Most = 10
+	r.e.LoadShedder.MaxPending = 10
 	for i := range 200 {
 		r.get(caller, callerSays("INVITE", fmt.Sprintf("f%d", i), ""))
 	}
--- a/internal/protocol/b2bua/edge.go
+++ b/internal/protocol/b2bua/edge.go
@@ -17,7 +17,7 @@
 
 	"github.com/emiago/sipgo/sip"
 
-	"cobaltpier/internal/decision/intake"
+	"cobaltpier/internal/decision/loadshed"
 	"cobaltpier/internal/decision/numberplan"
 	"cobaltpier/internal/protocol/callcontrol"
 	"cobaltpier/internal/protocol/endpointset"
@@ -61,13 +61,14 @@
 	Groups  []Group
 	Default string  // the class of a call that names none
 	Margin  float64 // ms: final answers leave so long before the caller's timeout ends
-	Gate    intake.Gate
+	Gate    loadshed.Gate
 	Parse   func([]byte) (sip.Message, error) // nil: signal.Parse
 	Table   *numberplan.Table                 // what becomes of numbers; nil: callers name class and trunk group themselves
 	Look    Lookup                            // nil: no question has an answer
 	Share   float64                           // of what is left of a call's timeout: the most that a look-up may use
 	Epoch   time.Time                         // the wall clock when this edge's clock stood at 0, for times of day
-	Off     [6]bool                           // guards that are switched off, by rule: only to show that the checker sees what they prevent
+	// DisabledGuard switches the guard of one rule off, for tests of the conformance checker; 0: none.
+	DisabledGuard routing.Rule
 }
 
 // Member is one line of the endpoint list.
@@ -106,15 +107,15 @@
 	groups   map[int]*Group    // by endpoint
 	byName   map[string]*Group // by tgrp
 	ends     map[string]*end   // dialogs by our tag
-	refusals intake.Refusals
+	refusals loadshed.Refusals
 	table    *numberplan.Table
 	tables   map[*numberplan.Table]int // calls without a final answer that carry it
 	drawn    uint64
 }
 
 // New makes an edge; its module comes from mk.
-func New(cfg *Config, mk endpointset.PolicyFactory, out Out) *Edge {
-	e := &Edge{Controller: callcontrol.New(&callcontrol.Config{Settings: cfg.Set, AnswerMargin: cfg.Margin, LoadShedding: cfg.Gate, DisabledGuards: cfg.Off}), cfg: cfg, out: out,
+func New(cfg *Config, mk routing.PolicyFactory, out Out) *Edge {
+	e := &Edge{Controller: callcontrol.New(&callcontrol.Config{Settings: cfg.Set, AnswerMargin: cfg.Margin, LoadShedding: cfg.Gate, DisabledGuard: cfg.DisabledGuard}), cfg: cfg, out: out,
 		addrs: map[*routing.Endpoint]netip.AddrPort{}, groups: map[int]*Group{}, byName: map[string]*Group{}, ends: map[string]*end{},
 		table: cfg.Table, tables: map[*numberplan.Table]int{}}
 	h := fnv.New64a()
@@ -124,7 +125,7 @@
 		g := &cfg.Groups[i]
 		e.groups[g.Pool], e.byName[g.Name] = g, g
 	}
-	e.refusals.Keep = 64 * cfg.Times.T1
+	e.refusals.Retention = 64 * cfg.Times.T1
 	e.sip = siptransaction.NewLayer(cfg.Self, cfg.Times, &e.names, &e.Timers, e, out.Send)
 	if cfg.Parse != nil {
 		e.sip.Parse = cfg.Parse
--- a/internal/protocol/b2bua/edge_test.go
+++ b/internal/protocol/b2bua/edge_test.go
@@ -8,8 +8,7 @@
 
 	"github.com/emiago/sipgo/sip"
 
-	"cobaltpier/internal/decision/intake"
-	"cobaltpier/internal/protocol/endpointset"
+	"cobaltpier/internal/decision/loadshed"
 	"cobaltpier/internal/protocol/siptransaction"
 	"cobaltpier/internal/routing"
 )
@@ -78,8 +77,8 @@
 	set := &routing.Settings{Gateways: 1, Seed: 3, TickInterval: 1, MaxAttempts: 5, CancelEnabled: true, RetryAfterEnabled: true, RetryHoldOff: 500, AnswerGrace: 20,
 		Classes: []*routing.Class{{Name: "shift-lookup", LatencyObjective: 2000, Timeout: 9000, Weight: 1}, {Name: "claim", LatencyObjective: 1000, Timeout: 6000, Weight: 5}}}
 	r.e = New(&Config{Name: "e", Self: self, Context: "x.example", Set: set, Times: siptransaction.Times{T1: 400, T2: 3200, T4: 5000}, Default: "shift-lookup",
-		Groups: []Group{{Name: "TG-0", Pool: 0, Size: 10}, {Name: "TG-1", Pool: 1, Size: 10}}, Gate: intake.Gate{Most: 100}},
-		func(_ *routing.Settings, h routing.Host) endpointset.Policy { r.m.h = h; return r.m }, r)
+		Groups: []Group{{Name: "TG-0", Pool: 0, Size: 10}, {Name: "TG-1", Pool: 1, Size: 10}}, Gate: loadshed.Gate{MaxPending: 100}},
+		func(_ *routing.Settings, h routing.Host) routing.Policy { r.m.h = h; return r.m }, r)
 	r.m.offered = func(now float64, c *routing.Call) { r.m.h.StartAttempt(c, r.m.pools[0], c.Deadline-now) }
 	r.list(routing.Ready)
 	return r
@@ -455,7 +454,7 @@
 // What the intake rejects gets one answer, also when its INVITE is repeated after room has come.
 func TestTurnedAwayStaysSo(t *testing.T) {
 	r := newRig(t)
-	r.e.LoadShedder.Most = 1
+	r.e.LoadShedder.MaxPending = 1
 	r.get(caller, callerSays("INVITE", "1a", ""))
 	inv := r.sent(switchA, "INVITE")
 	r.get(caller, callerSays("INVITE", "2a", ""))
--- a/internal/protocol/b2bua/enquiry_test.go
+++ b/internal/protocol/b2bua/enquiry_test.go
@@ -89,7 +89,7 @@
 // A flood of enquiries passes the same intake as calls.
 func TestEnquiryFlood(t *testing.T) {
 	r := newRig(t)
-	r.e.LoadShedder.Most = 10
+	r.e.LoadShedder.MaxPending = 10
 	r.m.offered = func(float64, *routing.Call) {}
 	n := map[string]int{}
 	for range 100 {
--- a/internal/protocol/binarygateway/link.go
+++ b/internal/protocol/binarygateway/link.go
@@ -4,7 +4,7 @@
 	"net/netip"
 	"slices"
 
-	"cobaltpier/internal/decision/intake"
+	"cobaltpier/internal/decision/connlimit"
 	"cobaltpier/internal/protocol/binarymessage"
 )
 
@@ -203,9 +203,9 @@
 }
 
 // connState is what is decided by of a caller's link.
-func (conn *Conn) connState() intake.Link {
-	return intake.Link{Opened: conn.openedAt, Used: conn.lastUsedAt, Proven: conn.receivedMessage, Partial: conn.reader.Partial(), Begun: conn.partialSince,
-		Open: conn.pendingCalls, Standing: conn.establishedCalls, Unsent: conn.writePending || len(conn.outgoing) > 0, Stuck: conn.gateway.Now - conn.lastWriteAt}
+func (conn *Conn) connState() connlimit.ConnState {
+	return connlimit.ConnState{OpenedAt: conn.openedAt, LastUsedAt: conn.lastUsedAt, ReceivedMessage: conn.receivedMessage, PartialMessage: conn.reader.Partial(), PartialSince: conn.partialSince,
+		PendingCalls: conn.pendingCalls, EstablishedCalls: conn.establishedCalls, HasUnsentData: conn.writePending || len(conn.outgoing) > 0, BlockedFor: conn.gateway.Now - conn.lastWriteAt}
 }
 
 // OnAccepted takes a caller's connection; nil: it was closed at once.
@@ -220,14 +220,14 @@
 	conn := &Conn{Socket: socket, gateway: g, peer: c, client: c, openedAt: now, lastUsedAt: now, lastWriteAt: now}
 	c.conns = append(c.conns, conn)
 	g.clientConns = append(g.clientConns, conn)
-	if len(g.clientConns) > intake.Callers(g.config.MaxDescriptors) {
-		facts := make([]intake.Link, len(g.clientConns))
+	if len(g.clientConns) > connlimit.MaxClientConns(g.config.MaxDescriptors) {
+		facts := make([]connlimit.ConnState, len(g.clientConns))
 		for i, conn := range g.clientConns {
 			facts[i] = conn.connState()
 		}
 		g.Metrics.Evicted++
 		worst := conn
-		if i := intake.Evict(now, facts); i >= 0 {
+		if i := connlimit.ChooseEviction(now, facts); i >= 0 {
 			worst = g.clientConns[i]
 		}
 		worst.close()
--- a/internal/protocol/binarygateway/machine.go
+++ b/internal/protocol/binarygateway/machine.go
@@ -9,7 +9,8 @@
 	"net/netip"
 	"slices"
 
-	"cobaltpier/internal/decision/intake"
+	"cobaltpier/internal/decision/connlimit"
+	"cobaltpier/internal/decision/loadshed"
 	"cobaltpier/internal/deployment"
 	"cobaltpier/internal/detrand"
 	"cobaltpier/internal/protocol/binarymessage"
@@ -41,8 +42,9 @@
 	Connections    deployment.Connections
 	MaxDescriptors int     // descriptors
 	AnswerMargin   float64 // ms: final answers leave so long before the caller's timeout ends
-	LoadShedding   intake.Gate
-	DisabledGuards [6]bool // guards that are switched off, by rule: only to show that the checker sees what they prevent
+	LoadShedding   loadshed.Gate
+	// DisabledGuard switches the guard of one rule off, for tests of the conformance checker; 0: none.
+	DisabledGuard routing.Rule
 	// FromUnixMillis turns the Unix ms of a start into the clock that is handed in.
 	FromUnixMillis func(unix float64) float64
 }
@@ -89,8 +91,8 @@
 )
 
 // New makes a machine; its module comes from mk.
-func New(now float64, cfg *Config, mk endpointset.PolicyFactory, out Transport) *Gateway {
-	g := &Gateway{Controller: callcontrol.New(&callcontrol.Config{Settings: cfg.Settings, AnswerMargin: cfg.AnswerMargin, LoadShedding: cfg.LoadShedding, DisabledGuards: cfg.DisabledGuards}), config: cfg, transport: out,
+func New(now float64, cfg *Config, mk routing.PolicyFactory, out Transport) *Gateway {
+	g := &Gateway{Controller: callcontrol.New(&callcontrol.Config{Settings: cfg.Settings, AnswerMargin: cfg.AnswerMargin, LoadShedding: cfg.LoadShedding, DisabledGuard: cfg.DisabledGuard}), config: cfg, transport: out,
 		calls: map[uint64]*call{}, upstreams: map[*routing.Endpoint]*upstream{}, clients: map[netip.Addr]*client{}, startedAt: now}
 	g.Now = now
 	g.Router = mk(cfg.Settings, g)
@@ -128,7 +130,7 @@
 // ClientConns is how many callers' links are there, and on how many of them something has not left.
 func (g *Gateway) ClientConns() (unsent, open int) {
 	for _, conn := range g.clientConns {
-		if f := conn.connState(); f.Unsent {
+		if f := conn.connState(); f.HasUnsentData {
 			unsent++
 		}
 	}
@@ -205,7 +207,7 @@
 
 // connsPerEndpoint is how many lines each switch gets.
 func (g *Gateway) connsPerEndpoint() int {
-	return intake.Lines(g.config.MaxDescriptors, len(g.upstreams), maxReportingConns)
+	return connlimit.MaxConnsPerEndpoint(g.config.MaxDescriptors, len(g.upstreams), maxReportingConns)
 }
 
 // Step ends a batch: timers that are due run, what came is offered to the module, and what was made leaves.
@@ -233,7 +235,7 @@
 	g.Timers.Schedule(g.Now+maintenanceInterval, g.maintain)
 	g.updateReadiness()
 	for _, conn := range slices.Clone(g.clientConns) {
-		if f := conn.connState(); f.Spent(g.Now) {
+		if f := conn.connState(); f.ShouldClose(g.Now) {
 			g.Metrics.IdleClosed++
 			conn.close()
 		}
--- a/internal/protocol/binarygateway/platform_test.go
+++ b/internal/protocol/binarygateway/platform_test.go
@@ -5,7 +5,7 @@
 	"slices"
 	"testing"
 
-	"cobaltpier/internal/decision/intake"
+	"cobaltpier/internal/decision/connlimit"
 	"cobaltpier/internal/protocol/binarymessage"
 	"cobaltpier/internal/protocol/dnsdiscovery"
 	"cobaltpier/internal/routing"
@@ -623,7 +623,7 @@
 
 // full opens callers' connections, each used once, till one has to go.
 func (r *rig) full() {
-	for i := range uint64(intake.Callers(256)) {
+	for i := range uint64(connlimit.MaxClientConns(256)) {
 		r.says(r.caller(), binarymessage.HealthCheck, 1000+i, binarymessage.CauseParam(0))
 	}
 }
--- a/internal/protocol/binarygateway/rig_test.go
+++ b/internal/protocol/binarygateway/rig_test.go
@@ -5,11 +5,10 @@
 	"net/netip"
 	"testing"
 
-	"cobaltpier/internal/decision/intake"
+	"cobaltpier/internal/decision/loadshed"
 	"cobaltpier/internal/deployment"
 	"cobaltpier/internal/protocol/binarymessage"
 	"cobaltpier/internal/protocol/dnsdiscovery"
-	"cobaltpier/internal/protocol/endpointset"
 	"cobaltpier/internal/routing"
 )
 
@@ -122,7 +121,7 @@
 	set := &routing.Settings{Gateways: 2, GatewayIndex: 0, Seed: 3, TickInterval: 1, MaxAttempts: 5, CancelEnabled: true, RetryAfterEnabled: true, RetryHoldOff: 500, AnswerGrace: 20,
 		Classes: []*routing.Class{{Name: "voice", LatencyObjective: 2000, Timeout: 9000, Weight: 1, Idempotent: true}}}
 	r.m = New(r.now, &Config{Settings: set, Connections: deployment.Connections{ConnectTimeout: 500}, MaxDescriptors: 256,
-		AnswerMargin: 5, LoadShedding: intake.Gate{Most: 1000}, FromUnixMillis: func(unix float64) float64 { return unix }}, func(_ *routing.Settings, h routing.Host) endpointset.Policy {
+		AnswerMargin: 5, LoadShedding: loadshed.Gate{MaxPending: 1000}, FromUnixMillis: func(unix float64) float64 { return unix }}, func(_ *routing.Settings, h routing.Host) routing.Policy {
 		r.mod.h = h
 		return r.mod
 	}, r)
--- a/internal/protocol/binarygateway/trunk.go
+++ b/internal/protocol/binarygateway/trunk.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strconv"
 
-	"cobaltpier/internal/decision/intake"
+	"cobaltpier/internal/decision/liveness"
 	"cobaltpier/internal/protocol/binarymessage"
 	"cobaltpier/internal/routing"
 	"cobaltpier/internal/timerqueue"
@@ -503,13 +503,13 @@
 		if u.connectedConns() == 0 {
 			away = g.Now - u.disconnectedAt
 		}
-		switch intake.Silence(g.Now-u.lastMessageAt, away, u.unansweredDials) {
-		case intake.Died:
+		switch liveness.Assess(g.Now-u.lastMessageAt, away, u.unansweredDials) {
+		case liveness.Dead:
 			for _, conn := range slices.Clone(u.conns) {
 				conn.abort()
 			}
 			u.markDead()
-		case intake.Doubt:
+		case liveness.Suspect:
 			if u.reconnectTimer == nil && u.mayReconnect() && !slices.ContainsFunc(u.conns, func(conn *Conn) bool { return !conn.connected }) {
 				u.freeConnSlot()
 				u.dial()
--- a/internal/protocol/binarygateway/world_test.go
+++ b/internal/protocol/binarygateway/world_test.go
@@ -10,26 +10,25 @@
 	"pgregory.net/rapid"
 
 	"cobaltpier/internal/conformance/binaryconformance"
-	"cobaltpier/internal/decision/intake"
+	"cobaltpier/internal/decision/loadshed"
 	"cobaltpier/internal/deployment"
 	"cobaltpier/internal/detrand"
 	"cobaltpier/internal/emulator/binarystandin"
 	"cobaltpier/internal/protocol/binarygateway"
 	"cobaltpier/internal/protocol/binarymessage"
-	"cobaltpier/internal/protocol/endpointset"
 	"cobaltpier/internal/router"
 	"cobaltpier/internal/routing"
 )
 
-func mind(s *routing.Settings, h routing.Host) endpointset.Policy { return router.New(s, h) }
+func mind(s *routing.Settings, h routing.Host) routing.Policy { return router.New(s, h) }
 
-func newWorld(seed uint64, mk endpointset.PolicyFactory, off [6]bool) *binarystandin.World {
+func newWorld(seed uint64, mk routing.PolicyFactory, off routing.Rule) *binarystandin.World {
 	set := &routing.Settings{Gateways: 1, Seed: seed, TickInterval: 1, MaxAttempts: 5, CancelEnabled: true, RetryAfterEnabled: true, MaxRetryAfter: 2000, RetransmitInterval: 400,
 		RetryHoldOff: 300, AnswerGrace: 20, SlowStartFraction: 0.4, SlowStartDuration: 3000, OverloadFactor: 2.5, OverloadWindow: 1000,
 		Classes: []*routing.Class{{Name: "voice", LatencyObjective: 1000, Timeout: 3000, Weight: 1, MeanHoldingTime: 800, Idempotent: true}}}
 	j := binaryconformance.New(binaryconformance.Rules{Slack: 50, Grace: 250, Clear: 300, Told: 1000, ToldElse: 8000})
 	return binarystandin.New(seed, &binarygateway.Config{Settings: set, Connections: deployment.Connections{ConnectTimeout: 500},
-		MaxDescriptors: 256, AnswerMargin: 5, LoadShedding: intake.Gate{Most: 500}, DisabledGuards: off}, mk, 3, j)
+		MaxDescriptors: 256, AnswerMargin: 5, LoadShedding: loadshed.Gate{MaxPending: 500}, DisabledGuard: off}, mk, 3, j)
 }
 
 // share draws a share of something going wrong: often none.
@@ -43,7 +42,7 @@
 // Whatever callers, switches and the network do, the traffic keeps the rules.
 func TestRulesInTrouble(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(rapid.Uint64().Draw(t, "seed"), mind, [6]bool{})
+		w := newWorld(rapid.Uint64().Draw(t, "seed"), mind, 0)
 		w.Faults = binarystandin.Faults{Spoilt: share(t, "spoilt", 0.1), Late: share(t, "late", 0.2), Never: share(t, "never", 0.2), Twice: share(t, "twice", 0.3),
 			Ahead: share(t, "ahead", 0.3), Reset: share(t, "reset", 0.1), Full: share(t, "full", 0.3), Bad: share(t, "bad", 0.2), Cut: share(t, "cut", 0.5),
 			Leaves: share(t, "leaves", 0.5), Hangs: share(t, "hangs", 0.5), Closes: share(t, "closes", 0.1), Stuck: share(t, "stuck", 0.2),
@@ -106,9 +105,7 @@
 		t.Run(fmt.Sprint(off), func(t *testing.T) {
 			found := map[int]int{}
 			for seed := range uint64(4) {
-				var offs [6]bool
-				offs[off] = off > 0
-				w := newWorld(seed, func(_ *routing.Settings, h routing.Host) endpointset.Policy { return &reckless{h: h, seed: seed} }, offs)
+				w := newWorld(seed, func(_ *routing.Settings, h routing.Host) routing.Policy { return &reckless{h: h, seed: seed} }, routing.Rule(off))
 				w.Faults = binarystandin.Faults{Late: 0.2, Full: 0.3, Drains: 0.4, Never: 0.2}
 				w.Stop = 6000
 				w.Run(12000)
@@ -129,7 +126,7 @@
 
 // Ids, connections and switches are ever new: what is held afterwards is what is held at the start.
 func TestNothingIsLeft(t *testing.T) {
-	w := newWorld(5, mind, [6]bool{})
+	w := newWorld(5, mind, 0)
 	w.Rate = 60
 	w.Faults = binarystandin.Faults{Late: 0.05, Never: 0.02, Twice: 0.1, Reset: 0.02, Cut: 0.2, Leaves: 0.1, Closes: 0.1, Drains: 0.3, Deaths: 0.1, Spoilt: 0.02}
 	w.Stop = 40000
@@ -164,7 +161,7 @@
 
 // trafficChecksum plays a run with faults and hashes every message that crosses the gateway's sockets.
 func trafficChecksum(seed uint64) (checksum uint64, messages int) {
-	w := newWorld(seed, mind, [6]bool{})
+	w := newWorld(seed, mind, 0)
 	w.Rate = 60
 	w.Faults = binarystandin.Faults{Late: 0.05, Never: 0.02, Twice: 0.1, Ahead: 0.05, Reset: 0.02, Full: 0.1, Bad: 0.1, Cut: 0.2, Leaves: 0.1,
 		Hangs: 0.1, Closes: 0.05, Stuck: 0.1, Split: true, Drains: 0.3, Deaths: 0.1, Silents: 0.1, Spoilt: 0.02}
--- /dev/null
+++ b/internal/routing/call.go
@@ -0,0 +1,75 @@
+package routing
+
+// Class is a class of calls.
+type Class struct {
+	Name                string
+	LatencyObjective    float64      // ms: a call that is established within this has its full weight
+	Timeout             float64      // ms: callers give up after this, over all attempts
+	Weight              float64      // of a call that is established in time
+	LateWeightFraction  float64      // of Weight, for one that is established later
+	MeanHoldingTime     float64      // ms that a call stays established
+	Idempotent          bool         // a setup that may have been executed may be sent again
+	AllowedDestinations map[int]bool // destination IDs that may take it; nil: all
+}
+
+// Tenant is the customer that a call belongs to.
+type Tenant struct {
+	Name string
+}
+
+// Call is one call of a caller.
+type Call struct {
+	Class         *Class
+	Tenant        *Tenant   // nil: none
+	Destination   *Endpoint // nil: not on the endpoint list
+	DestinationID int
+	CalledNumber  string
+
+	FirstSeenAt float64 // when its caller first tried, as far as the policy can tell
+	ArrivedAt   float64 // when it was read; the policy sets it back after a stall, in which it waited unread
+	Deadline    float64 // when its caller gives up
+	Resumed     bool    // it was established before and cut
+
+	Queued          bool     // the policy holds it until an endpoint has capacity
+	Attempts        int      // so far
+	InFlight        *Attempt // the attempt in flight, also while the call is established
+	Established     bool
+	Finished        bool    // it has its final answer
+	MayHaveExecuted bool    // an attempt that was not answered may have been executed
+	RetryNotBefore  float64 // rule 5: no attempt before this
+
+	HostData any // the host's own
+}
+
+// Attempt is one setup of a call at an endpoint.
+type Attempt struct {
+	Call     *Call
+	Endpoint *Endpoint
+	SentAt   float64
+	Latency  float64 // ms from sending until it was answered or ended
+
+	Outcome       Outcome
+	AtCapacity    bool    // Overloaded: the endpoint has no free agent
+	NumberBusy    bool    // Failed: the called number is busy
+	RetryAfter    float64 // Overloaded: ms that the endpoint asks not to be tried, or 0
+	HasLoadReport bool    // a load report came with the end; it is in Endpoint.LoadReport
+
+	PresumedLost bool // the policy has found that it was lost
+
+	HostData any // the host's own
+}
+
+// Outcome is how an attempt ended.
+type Outcome int
+
+// The outcomes of an attempt.
+const (
+	Completed         Outcome = iota // the call was established and has ended
+	Failed                           // a fault at the endpoint
+	Overloaded                       // rejected: no agent is free, or the processor is too busy
+	TimedOut                         // no answer in time; the setup may still be executed
+	ConnectionRefused                // the endpoint is down or out of reach
+	Reset                            // the connection broke, or the established call was cut
+	Canceled                         // given up from here
+	NotSent                          // it never left this gateway
+)
--- /dev/null
+++ b/internal/routing/endpoint.go
@@ -0,0 +1,47 @@
+package routing
+
+import "math"
+
+// State is the state of an endpoint on the endpoint list.
+type State int
+
+// The states of an endpoint.
+const (
+	Gone State = iota
+	Ready
+	Draining
+)
+
+// Endpoint is a group of agents behind one processor that takes calls.
+type Endpoint struct {
+	DestinationID int // calls name their destination by it; a replacement has the same
+	State         State
+	StartedAt     float64    // its latest start; 0: long ago
+	LoadReport    LoadReport // the latest
+	PolicyState   any        // the policy's own
+}
+
+// LoadReport is what an endpoint reports of its load.
+type LoadReport struct {
+	Capacity     float64 // agents in all
+	Free         float64 // free agents
+	Utilization  float64 // busy share of the processor, 0 to 1
+	QueueLength  float64 // setups that wait for the processor
+	QueueDelay   float64 // ms that a setup waits for the processor
+	RateLimit    float64 // setups a second that it takes from all gateways
+	LossFraction float64 // share of setups that it asks each gateway to hold back, 0 to 1
+}
+
+// UnknownLoad is the load report in which no figure is known.
+func UnknownLoad() LoadReport {
+	unknown := math.NaN()
+	return LoadReport{
+		Capacity:     unknown,
+		Free:         unknown,
+		Utilization:  unknown,
+		QueueLength:  unknown,
+		QueueDelay:   unknown,
+		RateLimit:    unknown,
+		LossFraction: unknown,
+	}
+}
--- a/internal/timerqueue/clock.go
+++ b/internal/timerqueue/timerqueue.go
@@ -1,5 +1,5 @@
-// Package timerqueue keeps timers for machines that have no clock of their own: time is handed in, and of timers due at
-// the same time the one set first runs first. Times are milliseconds with fractions.
+// Package timerqueue keeps timers for code that has no clock of its own: the time is handed in, in milliseconds. Of
+// timers that are due at the same time the one that was scheduled first runs first.
 package timerqueue
 
 import (
@@ -7,7 +7,7 @@
 	"math"
 )
 
-// Timer is a call back at a time; the zero of a pointer is "none set".
+// Timer is a scheduled call back; a nil pointer means none.
 type Timer struct {
 	at       float64
 	sequence uint64
@@ -15,13 +15,13 @@
 	callback func()
 }
 
-// Queue holds timers.
+// Queue is a queue of timers. Its zero value is empty and ready to use.
 type Queue struct {
 	heap     timers
 	sequence uint64
 }
 
-// Schedule calls do back in the first Run at or after a time.
+// Schedule has callback called by the first Run at or after a time.
 func (q *Queue) Schedule(at float64, callback func()) *Timer {
 	q.sequence++
 	t := &Timer{at: at, sequence: q.sequence, callback: callback}
@@ -29,14 +29,14 @@
 	return t
 }
 
-// Cancel forgets a timer; nil or one that has run is no matter.
+// Cancel removes a timer. A nil timer or one that has run is ignored.
 func (q *Queue) Cancel(t *Timer) {
 	if t != nil && t.index >= 0 {
 		heap.Remove(&q.heap, t.index)
 	}
 }
 
-// Next is when the next timer is due, +Inf without one.
+// Next is when the next timer is due; +Inf: there is none.
 func (q *Queue) Next() float64 {
 	if len(q.heap) == 0 {
 		return math.Inf(1)
@@ -44,11 +44,11 @@
 	return q.heap[0].at
 }
 
-// Len is the number of timers set.
+// Len is the number of scheduled timers.
 func (q *Queue) Len() int { return len(q.heap) }
 
-// Run runs what is due, timers that are set meanwhile and already due included, as long as they were set for a time
-// before now or were there when Run began: a timer that sets itself anew for now waits for the next Run.
+// Run runs the timers that are due, including those that are scheduled meanwhile for a time before now. A timer that
+// schedules itself again for now waits for the next Run.
 func (q *Queue) Run(now float64) {
 	last := q.sequence
 	for len(q.heap) > 0 && q.heap[0].at <= now && (q.heap[0].sequence <= last || q.heap[0].at < now) {
