--- a/internal/cli/edgecli/edgecmd.go
+++ b/internal/cli/edgecli/edgecmd.go
@@ -68,9 +68,9 @@
 			if os.Getenv("GOGC") == "" {
 				debug.SetGCPercent(collect)
 			}
-			level, _ := zerolog.ParseLevel(set.Level)
+			level, _ := zerolog.ParseLevel(set.LogLevel)
 			var w io.Writer = cmd.ErrOrStderr()
-			if set.Console {
+			if set.LogConsole {
 				w = zerolog.ConsoleWriter{Out: w, TimeFormat: time.TimeOnly}
 			}
 			// a reader of the log that is slow loses lines; the loop goes on
@@ -110,7 +110,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			s, err := gatewayconfig.Load(config)
 			if err == nil {
-				fmt.Fprintf(cmd.OutOrStdout(), "%s: gateway %s on %s, %d groups, %d skills: fine\n", config, s.Name, s.Self, len(s.Groups), len(s.Set.Classes))
+				fmt.Fprintf(cmd.OutOrStdout(), "%s: gateway %s on %s, %d groups, %d skills: fine\n", config, s.Name, s.Address, len(s.Groups), len(s.Settings.Classes))
 			}
 			return err
 		}}
--- a/internal/cli/labcli/record.go
+++ b/internal/cli/labcli/record.go
@@ -61,8 +61,8 @@
 		case m.Method == sip.INVITE && r.calls[key] == nil && siptransaction.Tag(m.To().Params) == "":
 			number, params, _ := strings.Cut(m.Recipient.User, ";")
 			c := &api.Call{AtMs: at, Gateway: r.gates[d.To], Number: number, Customer: m.From().Address.Host,
-				PatienceMs: siptransaction.Wait(siptransaction.Field(m, "Expires"))}
-			c.Skill, _ = strings.CutPrefix(siptransaction.Field(m, siptransaction.Service), "urn:urn-7:")
+				PatienceMs: siptransaction.ParseRetryAfter(siptransaction.HeaderValue(m, "Expires"))}
+			c.Skill, _ = strings.CutPrefix(siptransaction.HeaderValue(m, siptransaction.Service), "urn:urn-7:")
 			for p := range strings.SplitSeq(params, ";") {
 				if g, ok := strings.CutPrefix(p, "tgrp="); ok {
 					c.Group = g
--- a/internal/conformance/binaryconformance/judge.go
+++ b/internal/conformance/binaryconformance/judge.go
@@ -15,85 +15,85 @@
 
 // Rules are the figures of the rules, ms.
 type Rules struct {
-	Slack    float64 // after the timeout a final answer still counts
-	Grace    float64 // after hearing that a switch drains or is gone
-	Clear    float64 // after a time-out, reset or cancel
-	Told     float64 // a call that is over is released towards its caller within this
-	ToldElse float64 // the same where nobody could say that it was over
+	AnswerGrace         float64 // after the timeout a final answer still counts
+	DrainGrace          float64 // after hearing that a switch drains or is gone
+	HoldOff             float64 // after a time-out, reset or cancel
+	ReleaseWithin       float64 // a call that is over is released towards its caller within this
+	ReleaseWithinSilent float64 // the same where nobody could say that it was over
 }
 
 // Finding is a broken rule.
 type Finding struct {
-	Rule int // 6: what stood and is over was not released in time
-	At   float64
-	Call uint64
-	What string
+	Rule        int // 6: what stood and is over was not released in time
+	At          float64
+	Call        uint64
+	Description string
 }
 
 func (f Finding) String() string {
-	return fmt.Sprintf("rule %d at %.1f ms, call %016x: %s", f.Rule, f.At, f.Call, f.What)
+	return fmt.Sprintf("rule %d at %.1f ms, call %016x: %s", f.Rule, f.At, f.Call, f.Description)
 }
 
-// Judge takes what happens at one gateway, in order of time.
-type Judge struct {
-	Rules    Rules
-	Findings []Finding
-	Totals   struct{ SetUps, Answers, Refusals, Rings, Stood int }
-	now      float64
-	calls    map[uint64]*call
-	told     map[string]float64 // switch: when the gateway was told that it drains or is gone
-	present  bool               // the caller has a connection
-	since    float64            // and since when
+// Checker takes what happens at one gateway, in order of time.
+type Checker struct {
+	Rules           Rules
+	Findings        []Finding
+	Totals          struct{ SetUps, Answers, Refusals, Rings, Stood int }
+	now             float64
+	calls           map[uint64]*call
+	drainingSince   map[string]float64 // switch: when the gateway was told that it drains or is gone
+	clientConnected bool               // the caller has a connection
+	connectedSince  float64            // and since when
 }
 
 type call struct {
-	id     uint64
-	until  float64
-	final  byte // type of its final answer, 0: none
-	left   bool // its caller gave up, or its connection ended
-	out    *ring
-	rings  []*ring
-	clear  float64
-	over   float64 // when what stood was over, +Inf: it stands or never stood
-	freed  bool    // released towards its caller, or by it
-	stands bool
+	id           uint64
+	deadline     float64
+	finalAnswer  byte // type of its final answer, 0: none
+	callerGone   bool // its caller gave up, or its connection ended
+	inFlight     *attempt
+	attempts     []*attempt
+	holdOffUntil float64
+	endedAt      float64 // when what stood was over, +Inf: it stands or never stood
+	released     bool    // released towards its caller, or by it
+	established  bool
 }
 
-type ring struct {
-	to   string // the switch
-	line int
+type attempt struct {
+	endpoint string // the switch
+	conn     int
 }
 
 // New makes a judge.
-func New(r Rules) *Judge {
-	return &Judge{Rules: r, calls: map[uint64]*call{}, told: map[string]float64{}}
+func New(r Rules) *Checker {
+	return &Checker{Rules: r, calls: map[uint64]*call{}, drainingSince: map[string]float64{}}
 }
 
-func (j *Judge) broke(rule int, c uint64, what string, of ...any) {
-	j.Findings = append(j.Findings, Finding{rule, j.now, c, fmt.Sprintf(what, of...)})
+func (k *Checker) report(rule int, c uint64, what string, of ...any) {
+	k.Findings = append(k.Findings, Finding{rule, k.now, c, fmt.Sprintf(what, of...)})
 }
 
-// Present says whether the callers have a connection to the gateway.
-func (j *Judge) Present(at float64, yes bool) {
-	if j.now = at; yes && !j.present {
-		j.since = at
+// SetClientConnected says whether the callers have a connection to the gateway.
+func (k *Checker) SetClientConnected(at float64, yes bool) {
+	if k.now = at; yes && !k.clientConnected {
+		k.connectedSince = at
 	}
-	j.present = yes
+	k.clientConnected = yes
 }
 
-// Listed says that the gateway was told that a switch takes nothing more, or again.
-func (j *Judge) Listed(at float64, who string, ready bool) {
-	if _, known := j.told[who]; ready {
-		delete(j.told, who)
+// OnEndpointState says that the gateway was told that a switch takes nothing more, or again.
+func (k *Checker) OnEndpointState(at float64, who string, ready bool) {
+	if _, known := k.drainingSince[who]; ready {
+		delete(k.drainingSince, who)
 	} else if !known {
-		j.told[who] = at
+		k.drainingSince[who] = at
 	}
 }
 
-// FromCaller is a message that was written whole to a caller's connection. Only usual callers are judged by.
-func (j *Judge) FromCaller(at float64, m binarymessage.Message) {
-	j.now = at
-	c := j.calls[m.Call()]
+// OnClientMessage is a message that was written whole to a caller's connection. Only usual callers are judged by.
+func (k *Checker) OnClientMessage(at float64, m binarymessage.Message) {
+	k.now = at
+	c := k.calls[m.Call()]
 	switch m.Type() {
 	case binarymessage.Setup:
 		if c != nil {
@@ -101,33 +101,33 @@
 		}
 		var wait float64
 		fmt.Sscan(m.Text(binarymessage.Timeout), &wait)
-		j.calls[m.Call()] = &call{id: m.Call(), until: at + wait, over: math.Inf(1)}
-		j.Totals.SetUps++
+		k.calls[m.Call()] = &call{id: m.Call(), deadline: at + wait, endedAt: math.Inf(1)}
+		k.Totals.SetUps++
 	case binarymessage.Release:
 		if c == nil {
 			return
 		}
-		c.left = true
-		if c.stands {
-			c.freed = true
+		c.callerGone = true
+		if c.established {
+			c.released = true
 		}
 	}
 }
 
-// CallerGone: the connection of a call's setup has ended from the caller's side.
-func (j *Judge) CallerGone(id uint64) {
-	if c := j.calls[id]; c != nil && c.final == 0 {
-		c.left = true
+// OnClientGone: the connection of a call's setup has ended from the caller's side.
+func (k *Checker) OnClientGone(id uint64) {
+	if c := k.calls[id]; c != nil && c.finalAnswer == 0 {
+		c.callerGone = true
 	}
 }
 
-// ToCaller is a message that the gateway wrote to a caller's connection.
-func (j *Judge) ToCaller(at float64, m binarymessage.Message) {
-	j.now = at
-	c := j.calls[m.Call()]
+// OnMessageToClient is a message that the gateway wrote to a caller's connection.
+func (k *Checker) OnMessageToClient(at float64, m binarymessage.Message) {
+	k.now = at
+	c := k.calls[m.Call()]
 	if c == nil {
 		if m.Type() == binarymessage.Answer {
-			j.broke(1, m.Call(), "answered, and nobody asked")
+			k.report(1, m.Call(), "answered, and nobody asked")
 		}
 		return
 	}
@@ -136,147 +136,147 @@
 	default:
 		return
 	}
-	if m.Type() == binarymessage.Release && c.final == binarymessage.Answer {
-		if c.freed && !c.left {
-			j.broke(1, c.id, "released twice")
+	if m.Type() == binarymessage.Release && c.finalAnswer == binarymessage.Answer {
+		if c.released && !c.callerGone {
+			k.report(1, c.id, "released twice")
 		}
-		c.freed = true
-		if due := math.Max(c.over, j.since) + j.Rules.Told; at > due && !c.left {
-			j.broke(6, c.id, "was over at %.0f ms, and its caller was told %.0f ms late", c.over, at-due)
+		c.released = true
+		if due := math.Max(c.endedAt, k.connectedSince) + k.Rules.ReleaseWithin; at > due && !c.callerGone {
+			k.report(6, c.id, "was over at %.0f ms, and its caller was told %.0f ms late", c.endedAt, at-due)
 		}
 		return
 	}
-	if c.final != 0 {
-		j.broke(1, c.id, "type %d after the final answer %d", m.Type(), c.final)
+	if c.finalAnswer != 0 {
+		k.report(1, c.id, "type %d after the final answer %d", m.Type(), c.finalAnswer)
 		return
 	}
-	c.final = m.Type()
+	c.finalAnswer = m.Type()
 	if m.Type() == binarymessage.Answer {
-		j.Totals.Answers++
-		if !c.stands {
-			j.broke(1, c.id, "served with what no switch said")
+		k.Totals.Answers++
+		if !c.established {
+			k.report(1, c.id, "served with what no switch said")
 		}
 	} else {
-		j.Totals.Refusals++
+		k.Totals.Refusals++
 	}
-	if !c.left && at > c.until+j.Rules.Slack {
-		j.broke(1, c.id, "answered %.0f ms after its patience", at-c.until)
+	if !c.callerGone && at > c.deadline+k.Rules.AnswerGrace {
+		k.report(1, c.id, "answered %.0f ms after its patience", at-c.deadline)
 	}
 }
 
-// ToSwitch is a message that left for a switch on one of its lines.
-func (j *Judge) ToSwitch(at float64, who string, line int, m binarymessage.Message) {
-	j.now = at
-	c := j.calls[m.Call()]
+// OnMessageToEndpoint is a message that left for a switch on one of its lines.
+func (k *Checker) OnMessageToEndpoint(at float64, who string, line int, m binarymessage.Message) {
+	k.now = at
+	c := k.calls[m.Call()]
 	switch m.Type() {
 	case binarymessage.Setup:
 		if c == nil {
-			j.broke(1, m.Call(), "a set-up that no caller sent")
+			k.report(1, m.Call(), "a set-up that no caller sent")
 			return
 		}
-		j.Totals.Rings++
+		k.Totals.Rings++
 		switch {
-		case c.final != 0:
-			j.broke(1, c.id, "set-up after the final answer")
-		case c.left && at > c.until:
-			j.broke(1, c.id, "set-up after the patience")
+		case c.finalAnswer != 0:
+			k.report(1, c.id, "set-up after the final answer")
+		case c.callerGone && at > c.deadline:
+			k.report(1, c.id, "set-up after the patience")
 		}
-		if c.out != nil {
-			j.broke(2, c.id, "a ring to %s while one to %s is out", who, c.out.to)
+		if c.inFlight != nil {
+			k.report(2, c.id, "a ring to %s while one to %s is out", who, c.inFlight.endpoint)
 		}
-		if told, ok := j.told[who]; ok && at > told+j.Rules.Grace {
-			j.broke(3, c.id, "set-up to %s %.0f ms after it was told off", who, at-told)
+		if told, ok := k.drainingSince[who]; ok && at > told+k.Rules.DrainGrace {
+			k.report(3, c.id, "set-up to %s %.0f ms after it was told off", who, at-told)
 		}
-		if at < c.clear {
-			j.broke(5, c.id, "set-up %.1f ms before the clear wait was over", c.clear-at)
+		if at < c.holdOffUntil {
+			k.report(5, c.id, "set-up %.1f ms before the clear wait was over", c.holdOffUntil-at)
 		}
-		c.out = &ring{who, line}
-		c.rings = append(c.rings, c.out)
+		c.inFlight = &attempt{who, line}
+		c.attempts = append(c.attempts, c.inFlight)
 	case binarymessage.Release:
 		if c == nil {
 			return
 		}
-		if c.out != nil && c.out.to == who {
-			c.out = nil
-			c.clear = at + j.Rules.Clear
+		if c.inFlight != nil && c.inFlight.endpoint == who {
+			c.inFlight = nil
+			c.holdOffUntil = at + k.Rules.HoldOff
 			return
 		}
-		if !c.stands || c.rings[len(c.rings)-1].to != who || c.over <= at {
+		if !c.established || c.attempts[len(c.attempts)-1].endpoint != who || c.endedAt <= at {
 			return
 		}
-		if c.final == 0 { // the answer crossed the giving up
-			c.stands, c.clear = false, at+j.Rules.Clear
+		if c.finalAnswer == 0 { // the answer crossed the giving up
+			c.established, c.holdOffUntil = false, at+k.Rules.HoldOff
 			return
 		}
-		c.over = at
-		c.freed = c.freed || c.left
+		c.endedAt = at
+		c.released = c.released || c.callerGone
 	}
 }
 
-// FromSwitch is a message of a switch that the gateway read.
-func (j *Judge) FromSwitch(at float64, who string, line int, m binarymessage.Message) {
-	j.now = at
-	c := j.calls[m.Call()]
+// OnEndpointMessage is a message of a switch that the gateway read.
+func (k *Checker) OnEndpointMessage(at float64, who string, line int, m binarymessage.Message) {
+	k.now = at
+	c := k.calls[m.Call()]
 	if c == nil {
 		return
 	}
-	mine := c.out != nil && c.out.to == who && c.out.line == line
+	mine := c.inFlight != nil && c.inFlight.endpoint == who && c.inFlight.conn == line
 	switch m.Type() {
 	case binarymessage.Answer:
 		if _, whole := m.Get(binarymessage.Description); mine && whole {
-			c.out, c.stands = nil, true
-			j.Totals.Stood++
+			c.inFlight, c.established = nil, true
+			k.Totals.Stood++
 		}
 	case binarymessage.Release:
 		switch {
 		case mine:
-			c.out = nil
+			c.inFlight = nil
 			switch m.Cause() {
 			case binarymessage.NoCircuit, binarymessage.UserBusy, binarymessage.Fault, binarymessage.NeverSent:
 			default:
-				c.clear = at + j.Rules.Clear
+				c.holdOffUntil = at + k.Rules.HoldOff
 			}
-		case c.stands && c.rings[len(c.rings)-1].to == who && c.over > at:
-			c.over = at
+		case c.established && c.attempts[len(c.attempts)-1].endpoint == who && c.endedAt > at:
+			c.endedAt = at
 		}
 	}
 }
 
-// LineGone: a line has ended, from either side; the attempts on it have too.
-func (j *Judge) LineGone(at float64, who string, line int) {
-	j.now = at
-	for _, c := range j.calls {
-		if c.out != nil && c.out.to == who && c.out.line == line {
-			c.out = nil
-			c.clear = at + j.Rules.Clear
+// OnConnClosed: a line has ended, from either side; the attempts on it have too.
+func (k *Checker) OnConnClosed(at float64, who string, line int) {
+	k.now = at
+	for _, c := range k.calls {
+		if c.inFlight != nil && c.inFlight.endpoint == who && c.inFlight.conn == line {
+			c.inFlight = nil
+			c.holdOffUntil = at + k.Rules.HoldOff
 		}
 	}
 }
 
-// Died: a switch has ended without a word, and its calls with it.
-func (j *Judge) Died(at float64, who string) {
-	for _, c := range j.calls {
-		if c.stands && c.rings[len(c.rings)-1].to == who && c.over > at {
-			c.over = at + j.Rules.ToldElse - j.Rules.Told
+// OnEndpointDied: a switch has ended without a word, and its calls with it.
+func (k *Checker) OnEndpointDied(at float64, who string) {
+	for _, c := range k.calls {
+		if c.established && c.attempts[len(c.attempts)-1].endpoint == who && c.endedAt > at {
+			c.endedAt = at + k.Rules.ReleaseWithinSilent - k.Rules.ReleaseWithin
 		}
 	}
 }
 
 // Finish judges what can be judged only at the end.
-func (j *Judge) Finish(at float64) {
-	j.now = at
-	ids := make([]uint64, 0, len(j.calls))
-	for id := range j.calls {
+func (k *Checker) Finish(at float64) {
+	k.now = at
+	ids := make([]uint64, 0, len(k.calls))
+	for id := range k.calls {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		c := j.calls[id]
-		if c.final == 0 && !c.left && at > c.until+j.Rules.Slack {
-			j.broke(1, id, "never answered")
+		c := k.calls[id]
+		if c.finalAnswer == 0 && !c.callerGone && at > c.deadline+k.Rules.AnswerGrace {
+			k.report(1, id, "never answered")
 		}
-		if c.final == binarymessage.Answer && !c.freed && !c.left && j.present && at > math.Max(c.over, j.since)+j.Rules.Told {
-			j.broke(6, id, "was over at %.0f ms, and its caller was not told", c.over)
+		if c.finalAnswer == binarymessage.Answer && !c.released && !c.callerGone && k.clientConnected && at > math.Max(c.endedAt, k.connectedSince)+k.Rules.ReleaseWithin {
+			k.report(6, id, "was over at %.0f ms, and its caller was not told", c.endedAt)
 		}
 	}
 }
--- a/internal/conformance/binaryconformance/judge_test.go
+++ b/internal/conformance/binaryconformance/judge_test.go
@@ -8,43 +8,43 @@
 
 // tape is traffic made by hand.
 type tape struct {
-	*Judge
+	*Checker
 	at float64
 }
 
 func begin() *tape {
-	j := New(Rules{Slack: 50, Grace: 250, Clear: 500, Told: 1000, ToldElse: 8000})
-	j.Present(0, true)
-	return &tape{j, 0}
+	k := New(Rules{AnswerGrace: 50, DrainGrace: 250, HoldOff: 500, ReleaseWithin: 1000, ReleaseWithinSilent: 8000})
+	k.SetClientConnected(0, true)
+	return &tape{k, 0}
 }
 
 func (t *tape) wait(ms float64) *tape { t.at += ms; return t }
 func (t *tape) setUp() *tape {
-	t.FromCaller(t.at, binarymessage.Append(nil, binarymessage.Setup, 7, binarymessage.TextParam(binarymessage.Timeout, "2000")))
+	t.OnClientMessage(t.at, binarymessage.Append(nil, binarymessage.Setup, 7, binarymessage.TextParam(binarymessage.Timeout, "2000")))
 	return t
 }
 func (t *tape) ring(who string, line int) *tape {
-	t.ToSwitch(t.at, who, line, binarymessage.Append(nil, binarymessage.Setup, 7))
+	t.OnMessageToEndpoint(t.at, who, line, binarymessage.Append(nil, binarymessage.Setup, 7))
 	return t
 }
 func (t *tape) off(who string, line int) *tape {
-	t.ToSwitch(t.at, who, line, binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal)))
+	t.OnMessageToEndpoint(t.at, who, line, binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal)))
 	return t
 }
 func (t *tape) stands(who string, line int) *tape {
-	t.FromSwitch(t.at, who, line, binarymessage.Append(nil, binarymessage.Answer, 7, binarymessage.TextParam(binarymessage.Description, "x")))
+	t.OnEndpointMessage(t.at, who, line, binarymessage.Append(nil, binarymessage.Answer, 7, binarymessage.TextParam(binarymessage.Description, "x")))
 	return t
 }
 func (t *tape) ends(who string, line int, cause byte) *tape {
-	t.FromSwitch(t.at, who, line, binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.CauseParam(cause)))
+	t.OnEndpointMessage(t.at, who, line, binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.CauseParam(cause)))
 	return t
 }
 func (t *tape) answer() *tape {
-	t.ToCaller(t.at, binarymessage.Append(nil, binarymessage.Answer, 7))
+	t.OnMessageToClient(t.at, binarymessage.Append(nil, binarymessage.Answer, 7))
 	return t
 }
 func (t *tape) release() *tape {
-	t.ToCaller(t.at, binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Congested)))
+	t.OnMessageToClient(t.at, binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Congested)))
 	return t
 }
 
@@ -77,19 +77,19 @@
 	}
 	// what lies between them: lines, drains, deaths
 	d := begin()
-	d.Listed(0, "a", false)
+	d.OnEndpointState(0, "a", false)
 	d.setUp().wait(251).ring("a", 1)
 	if len(d.Findings) != 1 || d.Findings[0].Rule != 3 {
 		t.Errorf("a drain: %v", d.Findings)
 	}
 	l := begin().setUp().ring("a", 1)
-	l.LineGone(l.at, "a", 1)
+	l.OnConnClosed(l.at, "a", 1)
 	l.wait(100).ring("b", 2)
 	if len(l.Findings) != 1 || l.Findings[0].Rule != 5 {
 		t.Errorf("a line that ended: %v", l.Findings)
 	}
 	x := begin().setUp().ring("a", 1).stands("a", 1).answer()
-	x.Died(x.at, "a")
+	x.OnEndpointDied(x.at, "a")
 	late := begin().setUp().ring("a", 1).stands("a", 1).answer().ends("a", 1, binarymessage.Normal).wait(1100).release()
 	if len(late.Findings) != 1 || late.Findings[0].Rule != 6 {
 		t.Errorf("told late: %v", late.Findings)
--- a/internal/conformance/check.go
+++ b/internal/conformance/check.go
@@ -263,15 +263,15 @@
 		if siptransaction.Tag(r.To().Params) != "" {
 			return
 		}
-		key := edge + siptransaction.Session(r)
+		key := edge + siptransaction.SessionIDOf(r)
 		if k.contacts[key] != nil {
 			return // a repeat
 		}
-		patience := siptransaction.Wait(siptransaction.Field(r, "Expires"))
+		patience := siptransaction.ParseRetryAfter(siptransaction.HeaderValue(r, "Expires"))
 		if patience == 0 {
 			patience = math.Inf(1)
 		}
-		c := &contact{id: siptransaction.Session(r), edge: edge, came: at, until: at + patience}
+		c := &contact{id: siptransaction.SessionIDOf(r), edge: edge, came: at, until: at + patience}
 		k.contacts[key], k.answers[edge+branch] = c, c
 		k.Totals.Contacts++
 	case sip.CANCEL:
@@ -313,9 +313,9 @@
 			return
 		}
 		g := k.byTx[edge+branch]
-		c := k.contacts[edge+siptransaction.Session(r)]
+		c := k.contacts[edge+siptransaction.SessionIDOf(r)]
 		if c == nil {
-			k.broke(1, &contact{edge: edge, id: siptransaction.Session(r)}, "a set-up of a contact that never came")
+			k.broke(1, &contact{edge: edge, id: siptransaction.SessionIDOf(r)}, "a set-up of a contact that never came")
 			return
 		}
 		repeat := g != nil
@@ -373,7 +373,7 @@
 	case *sip.Request:
 		if g := k.byDialog[edge+id]; g != nil && m.Method == sip.BYE && !g.over {
 			g.over = true
-			if !strings.Contains(siptransaction.Field(m, siptransaction.Reason), "cause=16") {
+			if !strings.Contains(siptransaction.HeaderValue(m, siptransaction.Reason), "cause=16") {
 				g.c.clear = math.Max(g.c.clear, at+k.rules.ClearMs)
 			}
 		}
--- a/internal/conformance/kiosks.go
+++ b/internal/conformance/kiosks.go
@@ -117,10 +117,10 @@
 	if err != nil || !ok || r.Method != sip.INVITE {
 		return
 	}
-	if _, repeat := k.byTx[d.From+siptransaction.Session(r)]; repeat {
+	if _, repeat := k.byTx[d.From+siptransaction.SessionIDOf(r)]; repeat {
 		return
 	}
-	k.byTx[d.From+siptransaction.Session(r)] = &ring{}
+	k.byTx[d.From+siptransaction.SessionIDOf(r)] = &ring{}
 	k.Totals.KioskCalls++
 	ap, err := netip.ParseAddrPort(d.From)
 	if err != nil {
@@ -141,6 +141,6 @@
 	}
 	k.named[key] = of
 	if at-latest > fresh {
-		k.broke(3, &contact{edge: edge, id: siptransaction.Session(r)}, "%v calls %s, %.0f ms after it was named", ap, k.name(d.To), at-latest)
+		k.broke(3, &contact{edge: edge, id: siptransaction.SessionIDOf(r)}, "%v calls %s, %.0f ms after it was named", ap, k.name(d.To), at-latest)
 	}
 }
--- a/internal/conformance/tables.go
+++ b/internal/conformance/tables.go
@@ -169,7 +169,7 @@
 	}
 	switch {
 	case from.Role == "caller" && to.Role == "edge":
-		id := to.Name + " " + siptransaction.Session(req)
+		id := to.Name + " " + siptransaction.SessionIDOf(req)
 		if _, known := k.came[id]; !known {
 			k.came[id] = moment{at, at}
 			if f := k.at(to.Name); f.stood {
@@ -177,7 +177,7 @@
 			}
 		}
 	case from.Role == "edge" && to.Role == "switch":
-		id := from.Name + " " + siptransaction.Session(req)
+		id := from.Name + " " + siptransaction.SessionIDOf(req)
 		came, known := k.came[id]
 		if !known {
 			came = moment{math.Inf(-1), math.Inf(1)}
--- a/internal/emulator/baseline/baseline.go
+++ b/internal/emulator/baseline/baseline.go
@@ -13,12 +13,12 @@
 
 // Plain attempts the destination while it shows room, or not even that, and gives up after a few attempts.
 type Plain struct {
-	set    *routing.Settings
-	host   routing.Host
-	now    float64
-	pools  []*routing.Endpoint
-	draws  uint64
-	random bool
+	settings  *routing.Settings
+	host      routing.Host
+	now       float64
+	endpoints []*routing.Endpoint
+	draws     uint64
+	uniform   bool
 }
 
 // ByName makes "lottery" (S2-082110 as written: the destination while it shows a free processor, else a lottery with
@@ -28,7 +28,7 @@
 		return nil
 	}
 	return func(s *routing.Settings, h routing.Host) routing.Policy {
-		return &Plain{set: s, host: h, random: name == "random"}
+		return &Plain{settings: s, host: h, uniform: name == "random"}
 	}
 }
 
@@ -37,11 +37,11 @@
 	b.now = now
 	for _, p := range changed {
 		known := false
-		for _, q := range b.pools {
+		for _, q := range b.endpoints {
 			known = known || q == p
 		}
 		if !known {
-			b.pools = append(b.pools, p)
+			b.endpoints = append(b.endpoints, p)
 		}
 	}
 }
@@ -49,11 +49,11 @@
 // OnCall implements host.Module.
 func (b *Plain) OnCall(now float64, c *routing.Call) {
 	b.now = now
-	b.try(c)
+	b.attempt(c)
 }
 
-func (b *Plain) try(c *routing.Call) {
-	if p := b.pick(c); p != nil && c.Attempts < b.set.MaxAttempts && c.Deadline-b.now > b.set.TickInterval {
+func (b *Plain) attempt(c *routing.Call) {
+	if p := b.choose(c); p != nil && c.Attempts < b.settings.MaxAttempts && c.Deadline-b.now > b.settings.TickInterval {
 		c.Attempts++
 		b.host.StartAttempt(c, p, c.Deadline-b.now)
 		return
@@ -61,16 +61,16 @@
 	b.host.Reject(c, 0)
 }
 
-func (b *Plain) pick(c *routing.Call) *routing.Endpoint {
-	if !b.random && c.Destination != nil && c.Destination.State == routing.Ready && c.Attempts == 0 && b.free(c.Destination) > 0 {
+func (b *Plain) choose(c *routing.Call) *routing.Endpoint {
+	if !b.uniform && c.Destination != nil && c.Destination.State == routing.Ready && c.Attempts == 0 && b.freeShare(c.Destination) > 0 {
 		return c.Destination
 	}
 	total := 0.0
-	for _, p := range b.pools {
+	for _, p := range b.endpoints {
 		total += b.tickets(p)
 	}
-	u := b.chance() * total
-	for _, p := range b.pools {
+	u := b.randomFloat() * total
+	for _, p := range b.endpoints {
 		if t := b.tickets(p); t > 0 {
 			if u -= t; u < 0 {
 				return p
@@ -84,17 +84,17 @@
 	switch {
 	case p.State != routing.Ready:
 		return 0
-	case b.random:
+	case b.uniform:
 		return 1
 	}
 	size := 1.0
 	if p.LoadReport.RateLimit >= 0 {
 		size = p.LoadReport.RateLimit
 	}
-	return size * b.free(p) * b.free(p)
+	return size * b.freeShare(p) * b.freeShare(p)
 }
 
-func (b *Plain) free(p *routing.Endpoint) float64 {
+func (b *Plain) freeShare(p *routing.Endpoint) float64 {
 	r := &p.LoadReport
 	f := 1.0
 	switch {
@@ -119,14 +119,14 @@
 		return
 	}
 	if r.Outcome == routing.TimedOut || r.Outcome == routing.Reset || r.Outcome == routing.Canceled {
-		c.RetryNotBefore = now + b.set.RetryHoldOff
+		c.RetryNotBefore = now + b.settings.RetryHoldOff
 		b.host.ScheduleWakeup(c.RetryNotBefore, c)
 		if c.RetryNotBefore >= c.Deadline {
 			b.host.Fail(c)
 		}
 		return
 	}
-	b.try(c)
+	b.attempt(c)
 }
 
 // OnHangup implements host.Module.
@@ -142,11 +142,11 @@
 func (b *Plain) OnWakeup(now float64, c *routing.Call) {
 	b.now = now
 	if c != nil && !c.Finished && c.InFlight == nil {
-		b.try(c)
+		b.attempt(c)
 	}
 }
 
-func (b *Plain) chance() float64 {
+func (b *Plain) randomFloat() float64 {
 	b.draws++
-	return detrand.Float64(b.set.Seed, b.draws)
+	return detrand.Float64(b.settings.Seed, b.draws)
 }
--- a/internal/emulator/callers/caller.go
+++ b/internal/emulator/callers/caller.go
@@ -62,7 +62,7 @@
 	Extra   int // final answers after the final answer
 	edge    netip.AddrPort
 	now     float64
-	names   siptransaction.Names
+	names   siptransaction.Generator
 	timers  timerqueue.Queue
 	sip     *siptransaction.Layer
 	open    map[string]*try // by our tag
@@ -84,7 +84,7 @@
 }
 
 // New makes callers that dial an edge.
-func New(m Manners, self, edge netip.AddrPort, times siptransaction.Times, seed uint64, send func(netip.AddrPort, []byte)) *Callers {
+func New(m Manners, self, edge netip.AddrPort, times siptransaction.Timers, seed uint64, send func(netip.AddrPort, []byte)) *Callers {
 	c := &Callers{Manners: m, edge: edge, open: map[string]*try{}, bySess: map[string]*try{}}
 	c.names.Seed = seed
 	c.sip = siptransaction.NewLayer(self, times, &c.names, &c.timers, c, send)
@@ -107,17 +107,17 @@
 	c.sip.Receive(now, from, data)
 }
 
-// Wake runs what is due.
-func (c *Callers) Wake(now float64) {
+// Step runs what is due.
+func (c *Callers) Step(now float64) {
 	c.now, c.sip.Now = now, now
 	c.timers.Run(now)
 }
 
-// Next is when Wake is wanted.
-func (c *Callers) Next() float64 { return c.timers.Next() }
+// NextWakeup is when Wake is wanted.
+func (c *Callers) NextWakeup() float64 { return c.timers.Next() }
 
 func (c *Callers) uri() sip.Uri {
-	return sip.Uri{Scheme: "sip", Host: c.sip.Self.Addr().String(), Port: int(c.sip.Self.Port())}
+	return sip.Uri{Scheme: "sip", Host: c.sip.Address.Addr().String(), Port: int(c.sip.Address.Port())}
 }
 
 func (c *Callers) request(t *try, method sip.RequestMethod, seq uint32) *sip.Request {
@@ -139,7 +139,7 @@
 	r.AppendHeader(&id)
 	r.AppendHeader(&sip.CSeqHeader{SeqNo: seq, MethodName: method})
 	r.AppendHeader(sip.NewHeader("Max-Forwards", "70"))
-	r.AppendHeader(sip.NewHeader(siptransaction.SessionID, siptransaction.SessionValue(t.session)))
+	r.AppendHeader(sip.NewHeader(siptransaction.SessionID, siptransaction.FormatSessionID(t.session)))
 	return r
 }
 
@@ -153,7 +153,7 @@
 	}
 	wait := math.Floor(math.Min(left, s.Try)/1000) * 1000 // Expires counts whole seconds
 	s.Tries++
-	t := &try{of: c, story: s, callID: c.names.Next() + "@caller", tag: c.names.Next(), session: siptransaction.NewSession(&c.names)}
+	t := &try{of: c, story: s, callID: c.names.Next() + "@caller", tag: c.names.Next(), session: siptransaction.NewSessionID(&c.names)}
 	s.Session = t.session
 	c.open[t.tag], c.bySess[t.session] = t, t
 	r := c.request(t, sip.INVITE, 1)
@@ -163,7 +163,7 @@
 	r.AppendHeader(sip.NewHeader("Content-Type", "application/sdp"))
 	r.SetBody([]byte(body))
 	t.timer = c.timers.Schedule(c.now+wait, t.giveUp)
-	t.tx = c.sip.Ask(r, c.edge, sip.HeaderParams{{K: "rport"}}, t.heard)
+	t.tx = c.sip.Send(r, c.edge, sip.HeaderParams{{K: "rport"}}, t.heard)
 }
 
 // giveUp: the timeout of this try is over.
@@ -195,10 +195,10 @@
 		}
 	case res.StatusCode < 200:
 	case res.StatusCode < 300 && t.ack != nil:
-		c.sip.Ack(t.acknowledgement(), c.edge)
+		c.sip.SendAck(t.acknowledgement(), c.edge)
 	case res.StatusCode < 300:
 		t.answer = res
-		t.ack = c.sip.Ack(t.acknowledgement(), c.edge)
+		t.ack = c.sip.SendAck(t.acknowledgement(), c.edge)
 		if t.over { // it crossed our CANCEL
 			t.bye(`Q.850;cause=16`)
 			return
@@ -219,7 +219,7 @@
 		t.story.Answers = append(t.story.Answers, res.StatusCode)
 		t.done()
 		delete(c.open, t.tag)
-		c.again(t.story, siptransaction.Wait(siptransaction.Field(res, siptransaction.RetryAfter)))
+		c.again(t.story, siptransaction.ParseRetryAfter(siptransaction.HeaderValue(res, siptransaction.RetryAfter)))
 	}
 }
 
@@ -231,7 +231,7 @@
 	delete(c.open, t.tag)
 	r := c.request(t, sip.BYE, 2)
 	r.AppendHeader(sip.NewHeader(siptransaction.Reason, why))
-	c.sip.Ask(r, c.edge, sip.HeaderParams{{K: "rport"}}, func(*sip.Response) {})
+	c.sip.Send(r, c.edge, sip.HeaderParams{{K: "rport"}}, func(*sip.Response) {})
 }
 
 // again dials once more after a pause, or not.
@@ -244,8 +244,8 @@
 	if c.Grows {
 		pause *= math.Pow(2, float64(s.Tries-1))
 	}
-	pause *= 0.5 + c.names.Chance()
-	if told > 0 && c.names.Chance() < c.Honour {
+	pause *= 0.5 + c.names.Float64()
+	if told > 0 && c.names.Float64() < c.Honour {
 		pause = math.Min(told, c.MaxWait)
 	}
 	c.timers.Schedule(c.now+pause, func() { c.dial(s) })
@@ -268,8 +268,8 @@
 	})
 }
 
-// Asked implements signal.User: the other side hangs up.
-func (c *Callers) Asked(s *siptransaction.Server, req *sip.Request) {
+// OnRequest implements signal.User: the other side hangs up.
+func (c *Callers) OnRequest(s *siptransaction.Server, req *sip.Request) {
 	t := c.open[siptransaction.Tag(req.To().Params)]
 	if t == nil || req.Method != sip.BYE {
 		s.Respond(siptransaction.Response(req, 481, "Call/Transaction Does Not Exist", c.names.Next()))
@@ -284,11 +284,11 @@
 	delete(c.open, t.tag)
 }
 
-// CalledOff implements signal.User.
-func (c *Callers) CalledOff(*siptransaction.Server, *sip.Request) {}
+// OnCancel implements signal.User.
+func (c *Callers) OnCancel(*siptransaction.Server, *sip.Request) {}
 
-// Acked implements signal.User.
-func (c *Callers) Acked(*sip.Request) {}
+// OnAck implements signal.User.
+func (c *Callers) OnAck(*sip.Request) {}
 
-// Stray implements signal.User.
-func (*Callers) Stray(*sip.Response, netip.AddrPort) {}
+// OnStrayResponse implements signal.User.
+func (*Callers) OnStrayResponse(*sip.Response, netip.AddrPort) {}
--- a/internal/emulator/coreswitch/core.go
+++ b/internal/emulator/coreswitch/core.go
@@ -38,7 +38,7 @@
 	Refresh   float64
 	Delay     float64 // reports are so old
 	Noise     float64
-	Times     siptransaction.Times
+	Times     siptransaction.Timers
 	// Parse reads datagrams; nil: signal.Parse.
 	Parse func([]byte) (sip.Message, error) `json:"-"`
 }
@@ -54,7 +54,7 @@
 	SetupsDone int
 	now        float64
 	born       float64 // its start; -Inf: long ago
-	names      siptransaction.Names
+	names      siptransaction.Generator
 	timers     timerqueue.Queue
 	sip        *siptransaction.Layer
 	calls      map[string]*call // by our tag
@@ -119,7 +119,7 @@
 	}
 	s.sip.Now = now
 	s.sip.OnRepeat = s.repeated
-	s.timers.Schedule(now+s.names.Chance()*m.Refresh, s.refresh)
+	s.timers.Schedule(now+s.names.Float64()*m.Refresh, s.refresh)
 	return s
 }
 
@@ -141,16 +141,16 @@
 	}
 }
 
-// Wake runs what is due.
-func (s *Switch) Wake(now float64) {
+// Step runs what is due.
+func (s *Switch) Step(now float64) {
 	s.now, s.sip.Now = now, now
 	if !s.Fell {
 		s.timers.Run(now)
 	}
 }
 
-// Next is when Wake is wanted.
-func (s *Switch) Next() float64 {
+// NextWakeup is when Wake is wanted.
+func (s *Switch) NextWakeup() float64 {
 	if s.Fell {
 		return math.Inf(1)
 	}
@@ -213,9 +213,9 @@
 	req.AppendHeader(&id)
 	req.AppendHeader(&sip.CSeqHeader{SeqNo: 1, MethodName: sip.BYE})
 	req.AppendHeader(sip.NewHeader("Max-Forwards", "70"))
-	req.AppendHeader(sip.NewHeader(siptransaction.SessionID, siptransaction.SessionValue(c.session)))
+	req.AppendHeader(sip.NewHeader(siptransaction.SessionID, siptransaction.FormatSessionID(c.session)))
 	req.AppendHeader(sip.NewHeader(siptransaction.Reason, `Q.850;cause=41;text="Temporary failure"`))
-	s.sip.Ask(req, c.server.To(), nil, func(*sip.Response) {})
+	s.sip.Send(req, c.server.ResponseAddress(), nil, func(*sip.Response) {})
 	delete(s.calls, c.tag)
 }
 
@@ -235,8 +235,8 @@
 	return w / math.Max(1e-6, s.speed())
 }
 
-// Asked implements signal.User.
-func (s *Switch) Asked(sv *siptransaction.Server, req *sip.Request) {
+// OnRequest implements signal.User.
+func (s *Switch) OnRequest(sv *siptransaction.Server, req *sip.Request) {
 	switch req.Method {
 	case sip.INVITE:
 		if siptransaction.Tag(req.To().Params) != "" {
@@ -252,7 +252,7 @@
 		}
 		sv.Respond(s.loaded(siptransaction.Response(req, 200, "OK", "")))
 		c.gone = true
-		c.server.Acked() // a BYE may overtake the ACK
+		c.server.Acknowledge() // a BYE may overtake the ACK
 		delete(s.calls, c.tag)
 		s.add(&s.rest, &job{work: s.Release, do: c.free})
 	case sip.OPTIONS:
@@ -266,17 +266,17 @@
 
 func (s *Switch) invited(sv *siptransaction.Server, req *sip.Request) {
 	s.Taken++
-	s.senders[sv.To()] = s.now
+	s.senders[sv.ResponseAddress()] = s.now
 	if s.push(s.Setup) {
 		return
 	}
-	c := &call{sw: s, server: sv, req: req, tag: s.names.Next(), session: siptransaction.Session(req)}
+	c := &call{sw: s, server: sv, req: req, tag: s.names.Next(), session: siptransaction.SessionIDOf(req)}
 	sv.User = c
 	if w := s.wait(); w > s.WaitLimit {
 		s.add(&s.rest, &job{work: s.Reject, do: func() {
 			res := s.loaded(siptransaction.Response(req, 503, "Service Unavailable", c.tag))
 			if s.NamesWait {
-				res.AppendHeader(sip.NewHeader(siptransaction.RetryAfter, siptransaction.Seconds(w/4)))
+				res.AppendHeader(sip.NewHeader(siptransaction.RetryAfter, siptransaction.FormatRetryAfter(w/4)))
 			}
 			sv.Respond(res)
 		}})
@@ -293,7 +293,7 @@
 	s.SetupsDone++
 	switch {
 	case sv.Final() != 0: // called off, and still worked on
-	case s.ErrorRate > 0 && s.names.Chance() < s.ErrorRate:
+	case s.ErrorRate > 0 && s.names.Float64() < s.ErrorRate:
 		sv.Respond(s.loaded(siptransaction.Response(req, 500, "Server Internal Error", c.tag)))
 	case s.lines >= s.Lines-s.lost:
 		sv.Respond(s.loaded(siptransaction.Response(req, 486, "Busy Here", c.tag)))
@@ -312,19 +312,19 @@
 		return
 	}
 	res := s.loaded(siptransaction.Response(c.req, 200, "OK", c.tag))
-	res.AppendHeader(&sip.ContactHeader{Address: sip.Uri{Scheme: "sip", Host: s.sip.Self.Addr().String(), Port: int(s.sip.Self.Port())}})
+	res.AppendHeader(&sip.ContactHeader{Address: sip.Uri{Scheme: "sip", Host: s.sip.Address.Addr().String(), Port: int(s.sip.Address.Port())}})
 	if b := c.req.Body(); len(b) > 0 {
 		res.AppendHeader(sip.NewHeader("Content-Type", "application/sdp"))
 		res.SetBody(b)
 	}
 	c.stands = true
 	s.calls[c.tag] = c
-	sv.Lost(func() { c.cut() })
+	sv.OnUnacknowledged(func() { c.cut() })
 	sv.Respond(res)
 }
 
-// CalledOff implements signal.User.
-func (s *Switch) CalledOff(sv *siptransaction.Server, req *sip.Request) {
+// OnCancel implements signal.User.
+func (s *Switch) OnCancel(sv *siptransaction.Server, req *sip.Request) {
 	c, ok := sv.User.(*call)
 	if !ok {
 		return
@@ -338,10 +338,10 @@
 	sv.Respond(s.loaded(siptransaction.Response(c.req, 487, "Request Terminated", c.tag)))
 }
 
-// Acked implements signal.User.
-func (s *Switch) Acked(req *sip.Request) {
+// OnAck implements signal.User.
+func (s *Switch) OnAck(req *sip.Request) {
 	if c := s.calls[siptransaction.Tag(req.To().Params)]; c != nil {
-		c.server.Acked()
+		c.server.Acknowledge()
 	}
 }
 
@@ -413,7 +413,7 @@
 	if s.busy {
 		sum += s.now - math.Max(s.since, s.busySince)
 	}
-	noisy := func(v float64) float64 { return math.Max(0, v*(1+s.Noise*(2*s.names.Chance()-1))) }
+	noisy := func(v float64) float64 { return math.Max(0, v*(1+s.Noise*(2*s.names.Float64()-1))) }
 	r := shown{at: s.now + s.Delay, util: math.Min(1, noisy(sum/span)), wait: noisy(s.wait()), queue: int(noisy(float64(len(s.first))) + 0.5)}
 	full := 1000 / (s.Setup + s.Answer + s.Release)
 	r.rate = noisy(full * s.speed())
@@ -474,5 +474,5 @@
 	return max(1, n)
 }
 
-// Stray implements signal.User.
-func (*Switch) Stray(*sip.Response, netip.AddrPort) {}
+// OnStrayResponse implements signal.User.
+func (*Switch) OnStrayResponse(*sip.Response, netip.AddrPort) {}
--- a/internal/emulator/enumclient/kiosk.go
+++ b/internal/emulator/enumclient/kiosk.go
@@ -45,7 +45,7 @@
 	send   func(data []byte)
 	stream func(data []byte)
 	now    float64
-	names  siptransaction.Names
+	names  siptransaction.Generator
 	timers timerqueue.Queue
 	open   map[uint16]*ask
 }
@@ -60,7 +60,7 @@
 
 // New makes kiosks that send questions by datagram, and by stream where an answer was truncated.
 func New(m Manners, seed uint64, send, stream func([]byte)) *Kiosks {
-	return &Kiosks{Manners: m, send: send, stream: stream, names: siptransaction.Names{Seed: seed}, open: map[uint16]*ask{}}
+	return &Kiosks{Manners: m, send: send, stream: stream, names: siptransaction.Generator{Seed: seed}, open: map[uint16]*ask{}}
 }
 
 // Plan adds a visit.
@@ -70,14 +70,14 @@
 	k.timers.Schedule(v.At, func() { k.ask(v) })
 }
 
-// Wake runs what is due.
-func (k *Kiosks) Wake(now float64) {
+// Step runs what is due.
+func (k *Kiosks) Step(now float64) {
 	k.now = now
 	k.timers.Run(now)
 }
 
-// Next is when Wake is wanted.
-func (k *Kiosks) Next() float64 { return k.timers.Next() }
+// NextWakeup is when Wake is wanted.
+func (k *Kiosks) NextWakeup() float64 { return k.timers.Next() }
 
 func (k *Kiosks) ask(v *Visit) {
 	d, err := enum.Domain(v.Number, k.Apex)
@@ -89,7 +89,7 @@
 	m.SetQuestion(d, dns.TypeNAPTR)
 	m.SetEdns0(1232, false)
 	for {
-		m.Id = uint16(k.names.Chance() * 65536)
+		m.Id = uint16(k.names.Float64() * 65536)
 		if k.open[m.Id] == nil {
 			break
 		}
@@ -119,7 +119,7 @@
 
 func (k *Kiosks) again(v *Visit) {
 	if v.Asks <= k.Asks {
-		k.timers.Schedule(k.now+k.Pause*(0.5+k.names.Chance()), func() { k.ask(v) })
+		k.timers.Schedule(k.now+k.Pause*(0.5+k.names.Float64()), func() { k.ask(v) })
 	}
 }
 
--- a/internal/emulator/processrun/day.go
+++ b/internal/emulator/processrun/day.go
@@ -334,25 +334,25 @@
 	p := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
 	ms := func(v float64) string { return time.Duration(v * 1e6).String() }
 	p("gateway {\n  name = %q\n  sip = %q\n  peer = %q\n  trunk_context = %q\n  gateways = %d\n  number = %d\n  seed = %d", g.Name, g.Addr, g.Peer,
-		c.Context, c.Set.Gateways, g.Number, c.Set.Seed%(1<<53))
-	p("  tick = %q\n  margin = %q\n  most_held = %d\n  most_rate = %g\n  drain_within = \"5s\"\n  peers = [", ms(s.Gateways.Tick), ms(c.Margin), c.Gate.MaxPending, c.Gate.RatePerSecond)
+		c.TrunkContext, c.Settings.Gateways, g.Number, c.Settings.Seed%(1<<53))
+	p("  tick = %q\n  margin = %q\n  most_held = %d\n  most_rate = %g\n  drain_within = \"5s\"\n  peers = [", ms(s.Gateways.Tick), ms(c.AnswerMargin), c.LoadShedding.MaxPending, c.LoadShedding.RatePerSecond)
 	for _, o := range st.Gateways {
 		p("    %q,", netip.AddrPortFrom(o.Addr.Addr(), uint16(r.o.Port+20)))
 	}
 	p("  ]\n}\nlist {\n  addr = %q\n}\nlog {\n  level = %q\n}", r.list.Addr(), r.o.Level)
-	p("allow {\n  max_rings = %d\n  probe = %t\n  tell = %t\n  cancel = %t\n  name_wait = %t\n  max_wait = %q\n}", c.Set.MaxAttempts, c.Set.ProbeEnabled,
-		c.Set.GossipEnabled, c.Set.CancelEnabled, c.Set.RetryAfterEnabled, ms(c.Set.MaxRetryAfter))
+	p("allow {\n  max_rings = %d\n  probe = %t\n  tell = %t\n  cancel = %t\n  name_wait = %t\n  max_wait = %q\n}", c.Settings.MaxAttempts, c.Settings.ProbeEnabled,
+		c.Settings.GossipEnabled, c.Settings.CancelEnabled, c.Settings.RetryAfterEnabled, ms(c.Settings.MaxRetryAfter))
 	p("timers {\n  t1 = %q\n  t2 = %q\n  t4 = %q\n}", ms(c.Times.T1), ms(c.Times.T2), ms(c.Times.T4))
-	p("rules {\n  slack = %q\n  clear_wait = %q\n  cold_share = %g\n  warm_within = %q\n  tip_multiple = %g\n  tip_time = %q\n}", ms(c.Set.AnswerGrace),
-		ms(c.Set.RetryHoldOff), c.Set.SlowStartFraction, ms(c.Set.SlowStartDuration), c.Set.OverloadFactor, ms(c.Set.OverloadWindow))
-	for _, k := range c.Set.Classes {
+	p("rules {\n  slack = %q\n  clear_wait = %q\n  cold_share = %g\n  warm_within = %q\n  tip_multiple = %g\n  tip_time = %q\n}", ms(c.Settings.AnswerGrace),
+		ms(c.Settings.RetryHoldOff), c.Settings.SlowStartFraction, ms(c.Settings.SlowStartDuration), c.Settings.OverloadFactor, ms(c.Settings.OverloadWindow))
+	for _, k := range c.Settings.Classes {
 		p("skill %q {\n  target = %q\n  patience = %q\n  value = %g\n  late_value = %g\n  hold = %q\n}", k.Name, ms(k.LatencyObjective), ms(k.Timeout), k.Weight, k.LateWeightFraction, ms(k.MeanHoldingTime))
 	}
-	for _, k := range c.Set.Tenants {
+	for _, k := range c.Settings.Tenants {
 		p("customer %q {\n}", k.Name)
 	}
 	for _, t := range c.Groups {
-		p("group %q {\n  pool = %d\n  size = %d\n}", t.Name, t.Pool, t.Size)
+		p("group %q {\n  pool = %d\n  size = %d\n}", t.Name, t.DestinationID, t.Circuits)
 	}
 	if st.Names != nil {
 		b.WriteString(r.numberSettings(i))
--- a/internal/emulator/processrun/numbers.go
+++ b/internal/emulator/processrun/numbers.go
@@ -80,7 +80,7 @@
   fail = %q
 }
 `, r.tableFile(), filepath.Join(r.o.Dir, r.st.Gateways[i].Name+".tables"), r.admin(i), s.Share, scenario.Apex, strings.Join(servers, ", "),
-		c.Most, c.Tries, ms(c.StaleAfter), c.Cache.Most, ms(c.Cache.Least), ms(c.Cache.Longest), ms(c.Cache.Negative), ms(c.Cache.Stale), ms(c.Cache.Fail))
+		c.Most, c.Tries, ms(c.StaleAfter), c.Cache.MaxEntries, ms(c.Cache.MinTTL), ms(c.Cache.MaxTTL), ms(c.Cache.MaxNegativeTTL), ms(c.Cache.StaleTime), ms(c.Cache.FailureTTL))
 }
 
 // Table implements stage.Fleet: a gateway that is down or stalls gets the next one.
--- a/internal/emulator/scenario/design.go
+++ b/internal/emulator/scenario/design.go
@@ -62,7 +62,7 @@
 	switch m := m.(type) {
 	case *sip.Response:
 		if n, ok := s.pools[d.From]; ok {
-			for f := range strings.SplitSeq(siptransaction.Field(m, siptransaction.Load), ";") {
+			for f := range strings.SplitSeq(siptransaction.HeaderValue(m, siptransaction.Load), ";") {
 				if v, is := strings.CutPrefix(f, "util="); is {
 					if s.util[d.To] == nil {
 						s.util[d.To] = map[int]float64{}
@@ -76,7 +76,7 @@
 			return
 		}
 		to, trunk := s.pools[d.To]
-		id := siptransaction.Session(m)
+		id := siptransaction.SessionIDOf(m)
 		if !trunk {
 			_, group, _ := strings.Cut(m.Recipient.User, "tgrp=TG-")
 			n, _, _ := strings.Cut(group, ";")
--- a/internal/emulator/scenario/kiosks.go
+++ b/internal/emulator/scenario/kiosks.go
@@ -45,17 +45,17 @@
 		st.node(at, "kiosk", g.Name)
 	}
 	for t := 0.0; ; {
-		t += -math.Log(1-n.Chance()) * 1000 / s.Kiosks.Rate
+		t += -math.Log(1-n.Float64()) * 1000 / s.Kiosks.Rate
 		if t >= s.Length-1000 {
 			break
 		}
-		home := workload.Pick(n.Chance(), len(st.places), func(i int) float64 { return 1 / st.places[i].model.Setup })
+		home := workload.Pick(n.Float64(), len(st.places), func(i int) float64 { return 1 / st.places[i].model.Setup })
 		number := "1418"
 		if st.Names != nil {
-			number = strings.TrimPrefix(st.dialled(home, n.Chance()), "+")
+			number = strings.TrimPrefix(st.dialled(home, n.Float64()), "+")
 		}
-		g := st.Gateways[int(n.Chance()*float64(len(st.Gateways)))]
-		g.Kiosks.Plan(&enumclient.Visit{At: t, Number: number, Hold: -math.Log(1-n.Chance()) * s.Kiosks.Hold})
+		g := st.Gateways[int(n.Float64()*float64(len(st.Gateways)))]
+		g.Kiosks.Plan(&enumclient.Visit{At: t, Number: number, Hold: -math.Log(1-n.Float64()) * s.Kiosks.Hold})
 	}
 	for _, g := range st.Gateways {
 		g.kiosks.Due()
@@ -141,8 +141,8 @@
 	})
 }
 
-// Wake implements world.Machine.
-func (*door) Wake(float64) {}
+// Step implements world.Machine.
+func (*door) Step(float64) {}
 
-// Next implements world.Machine.
-func (*door) Next() float64 { return math.Inf(1) }
+// NextWakeup implements world.Machine.
+func (*door) NextWakeup() float64 { return math.Inf(1) }
--- a/internal/emulator/scenario/numbers.go
+++ b/internal/emulator/scenario/numbers.go
@@ -122,9 +122,9 @@
 func (st *Stage) Resolve(seed uint64) dnsclient.Config {
 	s := st.Script.Numbers
 	c := dnsclient.Config{Servers: st.Names.Addrs, Ports: 2, Seed: seed, Most: 1000, Tries: 4, StaleAfter: 100, Alone: s.Alone,
-		Cache: dnsclient.CacheTimes{Most: 100000, Least: 1000, Longest: 3600e3, Negative: 60e3, Stale: s.Stale, Fail: s.Fail}}
+		Cache: dnsclient.CacheTimes{MaxEntries: 100000, MinTTL: 1000, MaxTTL: 3600e3, MaxNegativeTTL: 60e3, StaleTime: s.Stale, FailureTTL: s.Fail}}
 	if !s.Cache {
-		c.Cache = dnsclient.CacheTimes{Most: 1, Fail: s.Fail}
+		c.Cache = dnsclient.CacheTimes{MaxEntries: 1, FailureTTL: s.Fail}
 	}
 	return c
 }
@@ -178,16 +178,16 @@
 }
 
 // Wake implements edge.Lookup.
-func (l *lookUps) Wake(now float64) { l.client.Wake(now) }
+func (l *lookUps) Wake(now float64) { l.client.Step(now) }
 
-// Next implements edge.Lookup.
-func (l *lookUps) Next() float64 { return l.client.Next() }
+// NextWakeup implements edge.Lookup.
+func (l *lookUps) NextWakeup() float64 { return l.client.NextWakeup() }
 
 // way is one way between a gateway and a DNS server, ms; lost: it does not come.
 func (l *lookUps) way() (delay float64, lost bool) {
 	st := l.box.v.Stage
 	n := st.Script.Net
-	return n.Cross * (1 + n.Jitter*(2*st.names.Chance()-1)), st.names.Chance() < n.Loss+st.loss
+	return n.Cross * (1 + n.Jitter*(2*st.names.Float64()-1)), st.names.Float64() < n.Loss+st.loss
 }
 
 // Query implements resolve.Out.
@@ -230,7 +230,7 @@
 				st.World.At(st.World.Now+r.After+way, func() {
 					l.box.later(func(now float64) {
 						if l.box.look == l {
-							l.client.Streamed(now, token, r.Data)
+							l.client.OnStreamResponse(now, token, r.Data)
 						}
 					})
 				})
@@ -254,7 +254,7 @@
 func (v *Virtual) Table(i int, t *Table) {
 	b := v.Edges[i]
 	b.later(func(now float64) {
-		b.Edge.Use(t.Table)
+		b.Agent.SetTable(t.Table)
 		v.Stage.TableIn(i, t.Version)
 	})
 }
--- a/internal/emulator/scenario/numbers_test.go
+++ b/internal/emulator/scenario/numbers_test.go
@@ -22,7 +22,7 @@
 	k, tables := conformance.New(), conformance.NewTables(Mark4)
 	st := New(s, 5060, func(r *api.Record) { k.Add(r); tables.Add(r) })
 	k.Parse, tables.Parse = st.Parse, st.Parse
-	st.Fate = func(gateway int, f b2bua.Fate) { tables.Record(st.Gateways[gateway].Name, f.Session, f.Table) }
+	st.Fate = func(gateway int, f b2bua.CallRecord) { tables.Record(st.Gateways[gateway].Name, f.SessionID, f.Table) }
 	v := NewVirtual(st, mind)
 	st.World.Run(s.Length + 12000)
 	k.Finish()
@@ -79,7 +79,7 @@
 				t.Errorf("the trouble was not felt: %+v", l)
 			}
 			for _, b := range v.Edges {
-				if f, _ := b.look.client.Open(); f != 0 {
+				if f, _ := b.look.client.OpenCounts(); f != 0 {
 					t.Errorf("%d look-ups are left", f)
 				}
 			}
@@ -103,8 +103,8 @@
 		t.Errorf("%+v", sv)
 	}
 	for _, b := range v.Edges {
-		if b.front.Open() > 10000 {
-			t.Errorf("%d answers are kept", b.front.Open())
+		if b.front.OpenCount() > 10000 {
+			t.Errorf("%d answers are kept", b.front.OpenCount())
 		}
 	}
 }
--- a/internal/emulator/scenario/stage.go
+++ b/internal/emulator/scenario/stage.go
@@ -78,14 +78,14 @@
 	World    *simulation.World
 	Gateways []*Gateway
 	Fleet    Fleet
-	Record   func(*api.Record)                 // what the capture gets; may be nil
-	Say      func(at float64, what string)     // troubles as they begin and end; may be nil
-	Parse    func([]byte) (sip.Message, error) // what all machines of the stage read with
-	Fate     func(gateway int, f b2bua.Fate)   // gets the record of each call, in virtual time; may be nil
-	Names    *Names                            // nil: callers name their trunk groups
+	Record   func(*api.Record)                     // what the capture gets; may be nil
+	Say      func(at float64, what string)         // troubles as they begin and end; may be nil
+	Parse    func([]byte) (sip.Message, error)     // what all machines of the stage read with
+	Fate     func(gateway int, f b2bua.CallRecord) // gets the record of each call, in virtual time; may be nil
+	Names    *Names                                // nil: callers name their trunk groups
 	// DisabledGuard is the rule whose guard in the gateways is switched off, to show that the checker sees it; 0: none.
 	DisabledGuard routing.Rule
-	names         siptransaction.Names
+	names         siptransaction.Generator
 	places        []*place
 	machines      []*api.Member // of the list as its keeper knows it, with start times in AgeMs
 	version       uint64
@@ -135,7 +135,7 @@
 	for i := 0; i < s.Pools.Count; i++ {
 		m := s.Pools.Model
 		m.Parse = st.Parse
-		size := 1 + s.Pools.Spread*(2*st.names.Chance()-1)
+		size := 1 + s.Pools.Spread*(2*st.names.Float64()-1)
 		region := s.Regions[i%len(s.Regions)]
 		if i < len(s.Pools.Sizes) {
 			size = s.Pools.Sizes[i]
@@ -281,7 +281,7 @@
 
 // change lets the list know of a machine after a while.
 func (st *Stage) change(m *api.Member, lo, hi float64) {
-	st.World.At(st.World.Now+lo+(hi-lo)*st.names.Chance(), func() { st.publish(m) })
+	st.World.At(st.World.Now+lo+(hi-lo)*st.names.Float64(), func() { st.publish(m) })
 }
 
 // publish puts a change on the list and sends it to every gateway that follows.
@@ -303,7 +303,7 @@
 	st.log = append(st.log, &api.Update{Version: st.version, Members: []*api.Member{m}})
 	for _, g := range st.Gateways {
 		g := g
-		st.World.At(st.World.Now+st.Script.List.Spread*st.names.Chance(), func() { st.follow(g) })
+		st.World.At(st.World.Now+st.Script.List.Spread*st.names.Float64(), func() { st.follow(g) })
 	}
 }
 
@@ -394,19 +394,19 @@
 		if t.Kind == "uneven" {
 			odd[i] = map[int]bool{}
 			for k := 0; k < max(1, int(t.Part*float64(len(st.Gateways)))); k++ {
-				odd[i][int(n.Chance()*float64(len(st.Gateways)))] = true
+				odd[i][int(n.Float64()*float64(len(st.Gateways)))] = true
 			}
 		}
 	}
 	var weights []float64
 	segment := -1
 	for at := 0.0; ; {
-		at += -math.Log(1-n.Chance()) * 1000 / (s.Load.Rate * most)
+		at += -math.Log(1-n.Float64()) * 1000 / (s.Load.Rate * most)
 		if at >= s.Length-1000 {
 			break
 		}
 		now := 1.0
-		g := int(n.Chance() * float64(len(st.Gateways)))
+		g := int(n.Float64() * float64(len(st.Gateways)))
 		for i, t := range s.Troubles {
 			if at < t.At || at >= t.At+t.For {
 				continue
@@ -415,35 +415,35 @@
 			case "burst":
 				now *= t.Size
 			case "uneven":
-				if n.Chance() < t.Size {
+				if n.Float64() < t.Size {
 					var of []int
 					for k := range odd[i] {
 						of = append(of, k)
 					}
 					sort.Ints(of)
-					g = of[int(n.Chance()*float64(len(of)))]
+					g = of[int(n.Float64()*float64(len(of)))]
 				}
 			}
 		}
-		if n.Chance()*most >= now {
+		if n.Float64()*most >= now {
 			continue
 		}
 		if k := int(at / s.Load.Drift); k != segment {
 			segment, weights = k, nil
 			for _, p := range st.places {
-				weights = append(weights, (1+s.Load.Skew*(2*n.Chance()-1))/p.model.Setup)
+				weights = append(weights, (1+s.Load.Skew*(2*n.Float64()-1))/p.model.Setup)
 			}
 		}
-		k := workload.Pick(n.Chance(), len(s.Skills), func(i int) float64 { return s.Skills[i].Share })
-		c := workload.Pick(n.Chance(), len(s.Payers), func(i int) float64 { return s.Payers[i].Share })
-		home := workload.Pick(n.Chance(), len(weights), func(i int) float64 { return weights[i] })
+		k := workload.Pick(n.Float64(), len(s.Skills), func(i int) float64 { return s.Skills[i].Share })
+		c := workload.Pick(n.Float64(), len(s.Payers), func(i int) float64 { return s.Payers[i].Share })
+		home := workload.Pick(n.Float64(), len(weights), func(i int) float64 { return weights[i] })
 		skill := s.Skills[k]
-		number, group := fmt.Sprintf("+1418%07d", int(n.Chance()*float64(s.Load.Numbers))), Group(home)
+		number, group := fmt.Sprintf("+1418%07d", int(n.Float64()*float64(s.Load.Numbers))), Group(home)
 		if st.Names != nil {
-			number, group = st.dialled(home, n.Chance()), ""
+			number, group = st.dialled(home, n.Float64()), ""
 		}
 		st.Gateways[g].Callers.Plan(&callers.Arrival{At: at, Number: number,
-			Skill: skill.Name, Customer: s.Payers[c].Name, Group: group, Hold: -math.Log(1-n.Chance()) * skill.Hold,
+			Skill: skill.Name, Customer: s.Payers[c].Name, Group: group, Hold: -math.Log(1-n.Float64()) * skill.Hold,
 			Target: skill.Target, Patience: skill.Patience, Try: skill.Try, Value: skill.Value, Late: skill.Late})
 	}
 	for _, t := range s.Troubles {
@@ -492,10 +492,10 @@
 			least = k
 		}
 	}
-	for at := t.At; at < t.At+t.For && at < s.Length-1000; at += -math.Log(1-n.Chance()) * 1000 / (s.Load.Rate * t.Size) {
-		number, group := fmt.Sprintf("+1999%07d", int(n.Chance()*1e7)), Group(0)
+	for at := t.At; at < t.At+t.For && at < s.Length-1000; at += -math.Log(1-n.Float64()) * 1000 / (s.Load.Rate * t.Size) {
+		number, group := fmt.Sprintf("+1999%07d", int(n.Float64()*1e7)), Group(0)
 		if st.Names != nil {
-			number, group = st.dialled(int(n.Chance()*float64(len(st.places))), n.Chance()), ""
+			number, group = st.dialled(int(n.Float64()*float64(len(st.places))), n.Float64()), ""
 		}
 		st.Gateways[0].Callers.Plan(&callers.Arrival{At: at, Number: number, Skill: least.Name,
 			Customer: s.Payers[0].Name, Group: group, Hold: least.Hold, Target: least.Target, Patience: least.Patience,
@@ -527,11 +527,11 @@
 // Config is what a gateway's edge is told.
 func (st *Stage) Config(g *Gateway) *b2bua.Config {
 	s := st.Script
-	c := &b2bua.Config{Name: g.Name, Self: g.Addr, Context: Context, Set: st.Settings(g), Times: s.Pools.Model.Times,
-		Parse: st.Parse, Default: s.Skills[0].Name, Margin: s.Gateways.Margin, Gate: loadshed.Gate{MaxPending: s.Gateways.Held, RatePerSecond: s.Gateways.MostRate}}
+	c := &b2bua.Config{Name: g.Name, Address: g.Addr, TrunkContext: Context, Settings: st.Settings(g), Times: s.Pools.Model.Times,
+		Parse: st.Parse, DefaultClass: s.Skills[0].Name, AnswerMargin: s.Gateways.Margin, LoadShedding: loadshed.Gate{MaxPending: s.Gateways.Held, RatePerSecond: s.Gateways.MostRate}}
 	c.DisabledGuard = st.DisabledGuard
 	for _, p := range st.places {
-		c.Groups = append(c.Groups, b2bua.Group{Name: Group(p.number), Pool: p.number, Size: p.model.Lines})
+		c.Groups = append(c.Groups, b2bua.Group{Name: Group(p.number), DestinationID: p.number, Circuits: p.model.Lines})
 	}
 	return c
 }
@@ -539,10 +539,10 @@
 // Tell carries a message between gateways.
 func (st *Stage) Tell(to int, deliver func(now float64)) {
 	n := st.Script.Net
-	if to < 0 || to >= len(st.Gateways) || st.muted || st.names.Chance() < n.PeerLoss {
+	if to < 0 || to >= len(st.Gateways) || st.muted || st.names.Float64() < n.PeerLoss {
 		return
 	}
-	st.World.At(st.World.Now+n.Peer*(1+n.Jitter*(2*st.names.Chance()-1)), func() { deliver(st.World.Now) })
+	st.World.At(st.World.Now+n.Peer*(1+n.Jitter*(2*st.names.Float64()-1)), func() { deliver(st.World.Now) })
 }
 
 // remember parses a datagram once for all who look at it: the tap, then its receiver. Messages are only read.
--- a/internal/emulator/scenario/trouble.go
+++ b/internal/emulator/scenario/trouble.go
@@ -94,7 +94,7 @@
 				g.deaf = true
 				st.Mark("edge-kill", g.Name, "", nil)
 				st.Fleet.Kill(g.Number)
-				w.At(w.Now+300+700*st.names.Chance(), func() {
+				w.At(w.Now+300+700*st.names.Float64(), func() {
 					g.deaf = false
 					st.Fleet.Start(g.Number)
 					st.Mark("edge-start", g.Name, "", nil)
@@ -118,7 +118,7 @@
 	n := max(1, int(math.Round(t.Part*float64(len(of)))))
 	of = append([]*place{}, of...)
 	for i := len(of) - 1; i > 0; i-- {
-		j := int(st.names.Chance() * float64(i+1))
+		j := int(st.names.Float64() * float64(i+1))
 		of[i], of[j] = of[j], of[i]
 	}
 	return of[:min(n, len(of))]
@@ -127,7 +127,7 @@
 func (st *Stage) gates(t scenariofile.Trouble) []*Gateway {
 	of := append([]*Gateway{}, st.Gateways...)
 	for i := len(of) - 1; i > 0; i-- {
-		j := int(st.names.Chance() * float64(i+1))
+		j := int(st.names.Float64() * float64(i+1))
 		of[i], of[j] = of[j], of[i]
 	}
 	return of[:min(len(of), max(1, int(math.Round(t.Part*float64(len(of))))))]
@@ -159,7 +159,7 @@
 			p.sw.Other = 0
 		}
 	}
-	w.At(math.Min(end, w.Now+500+2000*st.names.Chance()), func() { st.other(of, share, end) })
+	w.At(math.Min(end, w.Now+500+2000*st.names.Float64()), func() { st.other(of, share, end) })
 }
 
 // age slows a process step by step, then it dies and comes back.
@@ -183,7 +183,7 @@
 // lost lets the list learn, late, that a process is silent.
 func (st *Stage) lost(p *place) {
 	birth, l := p.birth, st.Script.List
-	st.World.At(st.World.Now+l.SilentLo+(l.SilentHi-l.SilentLo)*st.names.Chance(), func() {
+	st.World.At(st.World.Now+l.SilentLo+(l.SilentHi-l.SilentLo)*st.names.Float64(), func() {
 		if p.birth == birth { // not back meanwhile
 			p.state = api.State_GONE
 			st.publish(p.member())
@@ -239,5 +239,5 @@
 			st.Mark("edge-go", g.Name, "", nil)
 		})
 	}
-	w.At(w.Now+span+2000+1600*st.names.Chance(), func() { st.stall(of, span, end) })
+	w.At(w.Now+span+2000+1600*st.names.Float64(), func() { st.stall(of, span, end) })
 }
--- a/internal/emulator/scenario/virtual.go
+++ b/internal/emulator/scenario/virtual.go
@@ -20,13 +20,13 @@
 
 // Box is an edge in virtual time; what is no datagram waits there for its next tick.
 type Box struct {
-	*b2bua.Edge
+	*b2bua.Agent
 	v       *Virtual
 	g       *Gateway
 	pending []func(now float64)
 	births  uint64
-	front   *enumserver.Front // nil: it answers no look-ups
-	look    *lookUps          // of this process, nil: it looks nothing up
+	front   *enumserver.Server // nil: it answers no look-ups
+	look    *lookUps           // of this process, nil: it looks nothing up
 }
 
 // epoch is when virtual days begin: a Thursday noon, for times of day.
@@ -50,23 +50,23 @@
 
 func (b *Box) fresh() {
 	cfg := b.v.Stage.Config(b.g)
-	cfg.Set.Seed += b.births << 32
+	cfg.Settings.Seed += b.births << 32
 	b.births++
 	b.pending = nil
 	if st := b.v.Stage; st.Names != nil {
 		b.look = b.lookUps()
-		cfg.Look, cfg.Table, cfg.Share, cfg.Epoch = b.look, st.Table(st.Names.Version).Table, st.Script.Numbers.Share, epoch
+		cfg.NumberLookup, cfg.Table, cfg.LookupShare, cfg.Epoch = b.look, st.Table(st.Names.Version).Table, st.Script.Numbers.Share, epoch
 		st.TableIn(b.g.Number, st.Names.Version)
 	}
-	b.Edge = b2bua.New(cfg, b.v.Make, b)
-	b.Edge.OnFate = func(f b2bua.Fate) {
+	b.Agent = b2bua.New(cfg, b.v.Make, b)
+	b.Agent.OnCallEnd = func(f b2bua.CallRecord) {
 		if st := b.v.Stage; st.Fate != nil {
 			st.Fate(b.g.Number, f)
 		}
 	}
 	b.front = nil
 	if b.g.FrontAt != nil {
-		b.front = enumserver.New(b.v.Stage.FrontConfig(), b.Edge)
+		b.front = enumserver.New(b.v.Stage.FrontConfig(), b.Agent)
 		b.g.FrontAt.Machine = &door{b}
 	}
 }
@@ -74,12 +74,12 @@
 // Send implements edge.Out.
 func (b *Box) Send(to netip.AddrPort, data []byte) { b.v.Stage.World.Send(b.g.Addr, to, data) }
 
-// Tell implements edge.Out.
-func (b *Box) Tell(to int, data []byte) {
+// SendGossip implements edge.Out.
+func (b *Box) SendGossip(to int, data []byte) {
 	from := b.g.Number
 	b.v.Stage.Tell(to, func(float64) {
 		o := b.v.Edges[to]
-		o.later(func(now float64) { o.Peer(now, from, data) })
+		o.later(func(now float64) { o.OnPeerMessage(now, from, data) })
 	})
 }
 
@@ -91,29 +91,29 @@
 	b.g.Node.Due()
 }
 
-// Wake implements world.Machine.
-func (b *Box) Wake(now float64) {
+// Step implements world.Machine.
+func (b *Box) Step(now float64) {
 	of := b.pending
 	b.pending = nil
 	for _, do := range of {
 		do(now)
 	}
-	b.Edge.Wake(now)
+	b.Agent.Step(now)
 }
 
-// Next implements world.Machine.
-func (b *Box) Next() float64 {
+// NextWakeup implements world.Machine.
+func (b *Box) NextWakeup() float64 {
 	if len(b.pending) > 0 {
 		return b.v.Stage.World.Now
 	}
-	return b.Edge.Next()
+	return b.Agent.NextWakeup()
 }
 
 // List implements Fleet.
 func (v *Virtual) List(i int, u *api.Update) {
 	b := v.Edges[i]
 	sent := v.Stage.World.Now
-	b.later(func(now float64) { b.Listed(now, grpcdiscovery.Members(u, sent), u.Whole) })
+	b.later(func(now float64) { b.OnEndpointList(now, grpcdiscovery.Entries(u, sent), u.Whole) })
 }
 
 // Halt implements Fleet.
--- a/internal/emulator/scenariofile/bench.go
+++ b/internal/emulator/scenariofile/bench.go
@@ -146,7 +146,7 @@
 	s.Pools.Model = coreswitch.Model{Setup: 0.6 * work, Answer: 0.22 * work, Release: 0.18 * work, Repeat: d.Fam.Repeat * 0.6 * work, Reject: d.Fam.Reject * 0.6 * work,
 		Probe: ms(tier.ProbeWork), Lines: lines, WaitLimit: ms(d.Fam.Queue), NamesWait: d.Fam.TellsWait, WorksOn: !d.Fam.CancelDrops, ErrorRate: kind.ErrorRate,
 		ColdShare: kind.ColdFrom, Warm: ms(kind.Cold), TipTimes: d.FallMultiple, TipWindow: ms(d.FallFor), Refresh: math.Max(1, ms(tier.ReportPeriod)),
-		Delay: ms(tier.ReportDelay), Noise: tier.ReportNoise, Times: siptransaction.Times{T1: retry, T2: 8 * retry, T4: 5000}}
+		Delay: ms(tier.ReportDelay), Noise: tier.ReportNoise, Times: siptransaction.Timers{T1: retry, T2: 8 * retry, T4: 5000}}
 	names := map[string]string{"util": "util", "queue": "queue", "latency_ms": "wait", "qps": "rate", "eps": "loss"}
 	for _, f := range tier.ReportFields {
 		if n := names[f]; n != "" {
--- a/internal/emulator/scenariofile/script.go
+++ b/internal/emulator/scenariofile/script.go
@@ -200,7 +200,7 @@
 		WorksOn: p.Flag("works_on", false), ErrorRate: p.Num("error_rate", 0.0005, 0, 1), ColdShare: s.Rules.ColdShare,
 		Warm: p.Ms("warm", 12000, 0, day), TipTimes: s.Rules.TipTimes, TipWindow: s.Rules.TipWindow,
 		Refresh: p.Ms("refresh", 400, 1, day), Delay: p.Ms("report_delay", 120, 0, day), Noise: p.Num("noise", 0.08, 0, 1),
-		Times: siptransaction.Times{T1: retry, T2: 8 * retry, T4: 5000}}}
+		Times: siptransaction.Timers{T1: retry, T2: 8 * retry, T4: 5000}}}
 	s.Pools.Model.Reports = p.Texts("reports")
 	if len(s.Pools.Model.Reports) == 0 {
 		s.Pools.Model.Reports = []string{"util", "queue"}
--- a/internal/emulator/search/hunt.go
+++ b/internal/emulator/search/hunt.go
@@ -55,18 +55,18 @@
 
 // Draw makes a small day by chance.
 func Draw(seed uint64, large bool) *scenariofile.Script {
-	n := &siptransaction.Names{Seed: seed ^ 0x5bd1e995}
-	in := func(lo, hi float64) float64 { return lo + (hi-lo)*n.Chance() }
-	whole := func(lo, hi int) int { return lo + int(n.Chance()*float64(hi-lo+1)) }
+	n := &siptransaction.Generator{Seed: seed ^ 0x5bd1e995}
+	in := func(lo, hi float64) float64 { return lo + (hi-lo)*n.Float64() }
+	whole := func(lo, hi int) int { return lo + int(n.Float64()*float64(hi-lo+1)) }
 	s := Plain()
 	s.Seed, s.Length = seed, in(8000, 14000)
 	s.Gateways.Count, s.Pools.Count = whole(1, 6), whole(2, 4)
 	if large {
 		s.Gateways.Count, s.Pools.Count = whole(10, 40), whole(3, 8)
 	}
-	s.Gateways.Cancel, s.Gateways.Tell = n.Chance() < 0.7, n.Chance() < 0.7
+	s.Gateways.Cancel, s.Gateways.Tell = n.Float64() < 0.7, n.Float64() < 0.7
 	s.Gateways.Tick = []float64{1, 5, 10}[whole(0, 2)]
-	s.Pools.Model.WorksOn, s.Pools.Model.NamesWait = n.Chance() < 0.5, n.Chance() < 0.5
+	s.Pools.Model.WorksOn, s.Pools.Model.NamesWait = n.Float64() < 0.5, n.Float64() < 0.5
 	s.Pools.Model.Reports = [][]string{{"util", "queue"}, {"rate"}, {"loss", "wait"}, {"wait"}}[whole(0, 3)]
 	s.Pools.Model.ErrorRate = []float64{0, 0.001, 0.02}[whole(0, 2)]
 	s.Pools.Model.WaitLimit = in(800, 4000)
@@ -81,7 +81,7 @@
 	for range whole(1, 4) {
 		s.Troubles = append(s.Troubles, trouble(n, s))
 	}
-	if n.Chance() < 0.5 {
+	if n.Float64() < 0.5 {
 		numbers(n, s)
 	}
 	return s
@@ -96,30 +96,30 @@
 
 // numbers lets a day's gateways analyse numbers, with tables that change and DNS servers that fail, and maybe kiosks that ask
 // in place of a part of the callers.
-func numbers(n *siptransaction.Names, s *scenariofile.Script) {
-	in := func(lo, hi float64) float64 { return lo + (hi-lo)*n.Chance() }
-	some := func(of ...float64) float64 { return of[int(n.Chance()*float64(len(of)))] }
+func numbers(n *siptransaction.Generator, s *scenariofile.Script) {
+	in := func(lo, hi float64) float64 { return lo + (hi-lo)*n.Float64() }
+	some := func(of ...float64) float64 { return of[int(n.Float64()*float64(len(of)))] }
 	s.Numbers = scenariofile.Numbers{On: true, Change: some(0, 300, 1000, 3000), Ported: in(0, 0.6), None: in(0, 0.3), Leads: in(0, 0.6), TTL: some(0, 1000, 60000),
-		Delay: in(0, 40), Jitter: in(0, 60), Servers: 1 + int(n.Chance()*3), Within: in(50, 2500), Share: in(0.05, 0.9), Popular: some(1, 3, 8), Cache: n.Chance() < 0.8,
-		Refuse: n.Chance() < 0.5, Stale: some(0, 600e3), Fail: some(0, 1000)}
-	for range int(n.Chance() * 3) {
-		k := namesKinds[int(n.Chance()*float64(len(namesKinds)))]
-		s.Troubles = append(s.Troubles, scenariofile.Trouble{Kind: k.name, At: 500 + n.Chance()*s.Length*0.6, For: 300 + n.Chance()*s.Length*0.5, Part: 0.1 + 0.9*n.Chance(),
+		Delay: in(0, 40), Jitter: in(0, 60), Servers: 1 + int(n.Float64()*3), Within: in(50, 2500), Share: in(0.05, 0.9), Popular: some(1, 3, 8), Cache: n.Float64() < 0.8,
+		Refuse: n.Float64() < 0.5, Stale: some(0, 600e3), Fail: some(0, 1000)}
+	for range int(n.Float64() * 3) {
+		k := namesKinds[int(n.Float64()*float64(len(namesKinds)))]
+		s.Troubles = append(s.Troubles, scenariofile.Trouble{Kind: k.name, At: 500 + n.Float64()*s.Length*0.6, For: 300 + n.Float64()*s.Length*0.5, Part: 0.1 + 0.9*n.Float64(),
 			Size: in(k.lo, k.hi)})
 	}
-	if n.Chance() < 0.6 {
+	if n.Float64() < 0.6 {
 		part := in(0.1, 0.9)
-		s.Kiosks = scenariofile.Kiosks{Rate: s.Load.Rate * part, Hold: in(1000, 6000), Loss: some(0, 0.02, 0.2), Wait: in(200, 1500), Repeats: int(n.Chance() * 4),
-			Asks: int(n.Chance() * 4)}
+		s.Kiosks = scenariofile.Kiosks{Rate: s.Load.Rate * part, Hold: in(1000, 6000), Loss: some(0, 0.02, 0.2), Wait: in(200, 1500), Repeats: int(n.Float64() * 4),
+			Asks: int(n.Float64() * 4)}
 		s.Load.Rate *= 1 - part
 	}
 }
 
-func trouble(n *siptransaction.Names, s *scenariofile.Script) scenariofile.Trouble {
-	k := kinds[int(n.Chance()*float64(len(kinds)))]
-	t := scenariofile.Trouble{Kind: k.name, At: 500 + n.Chance()*s.Length*0.6, For: 300 + n.Chance()*s.Length*0.5, Part: 0.1 + 0.8*n.Chance(), Size: k.lo + (k.hi-k.lo)*n.Chance()}
+func trouble(n *siptransaction.Generator, s *scenariofile.Script) scenariofile.Trouble {
+	k := kinds[int(n.Float64()*float64(len(kinds)))]
+	t := scenariofile.Trouble{Kind: k.name, At: 500 + n.Float64()*s.Length*0.6, For: 300 + n.Float64()*s.Length*0.5, Part: 0.1 + 0.8*n.Float64(), Size: k.lo + (k.hi-k.lo)*n.Float64()}
 	if k.name == "region" || k.name == "lines" {
-		t.Region = s.Regions[int(n.Chance()*float64(len(s.Regions)))]
+		t.Region = s.Regions[int(n.Float64()*float64(len(s.Regions)))]
 	}
 	return t
 }
@@ -135,10 +135,10 @@
 
 // change makes a day like another.
 func change(s *scenariofile.Script, seed uint64) *scenariofile.Script {
-	n := &siptransaction.Names{Seed: seed}
+	n := &siptransaction.Generator{Seed: seed}
 	c := *s
 	c.Troubles = append([]scenariofile.Trouble{}, s.Troubles...)
-	switch int(n.Chance() * 6) {
+	switch int(n.Float64() * 6) {
 	case 0:
 		c.Seed = seed
 	case 1:
@@ -147,19 +147,19 @@
 		}
 	case 2:
 		if len(c.Troubles) > 0 {
-			i := int(n.Chance() * float64(len(c.Troubles)))
-			c.Troubles[i].At, c.Troubles[i].For = 500+n.Chance()*c.Length*0.6, 300+n.Chance()*c.Length*0.5
+			i := int(n.Float64() * float64(len(c.Troubles)))
+			c.Troubles[i].At, c.Troubles[i].For = 500+n.Float64()*c.Length*0.6, 300+n.Float64()*c.Length*0.5
 		}
 	case 3:
 		if len(c.Troubles) > 0 {
-			i := int(n.Chance() * float64(len(c.Troubles)))
-			c.Troubles[i].Part = 0.1 + 0.8*n.Chance()
-			c.Troubles[i].Size *= 0.7 + 0.6*n.Chance()
+			i := int(n.Float64() * float64(len(c.Troubles)))
+			c.Troubles[i].Part = 0.1 + 0.8*n.Float64()
+			c.Troubles[i].Size *= 0.7 + 0.6*n.Float64()
 		}
 	case 4:
-		c.Load.Rate *= 0.8 + 0.4*n.Chance()
+		c.Load.Rate *= 0.8 + 0.4*n.Float64()
 	default:
-		c.Gateways.Count = max(1, c.Gateways.Count+int(n.Chance()*5)-2)
+		c.Gateways.Count = max(1, c.Gateways.Count+int(n.Float64()*5)-2)
 	}
 	return &c
 }
@@ -191,11 +191,11 @@
 	hints := map[*scenariofile.Script]float64{}
 	virtualrun.Each(ctx, o.Days, func(i int) {
 		seed := o.Seed*1000003 + uint64(i)
-		n := &siptransaction.Names{Seed: seed}
+		n := &siptransaction.Generator{Seed: seed}
 		var s *scenariofile.Script
 		mu.Lock()
-		if len(elite) > 8 && n.Chance() < 0.5 {
-			s = change(elite[int(n.Chance()*float64(len(elite)))].Script, seed)
+		if len(elite) > 8 && n.Float64() < 0.5 {
+			s = change(elite[int(n.Float64()*float64(len(elite)))].Script, seed)
 		}
 		mu.Unlock()
 		if s == nil {
--- a/internal/emulator/simulation/world.go
+++ b/internal/emulator/simulation/world.go
@@ -17,8 +17,8 @@
 // Machine is a node: it takes datagrams and wants to be woken.
 type Machine interface {
 	Receive(now float64, from netip.AddrPort, data []byte)
-	Wake(now float64)
-	Next() float64
+	Step(now float64)
+	NextWakeup() float64
 }
 
 // Link is a wire's quality from one node to another, in milliseconds one way.
@@ -143,7 +143,7 @@
 		return
 	}
 	w := n.world
-	at := math.Max(w.Now, n.Machine.Next())
+	at := math.Max(w.Now, n.Machine.NextWakeup())
 	if len(n.inbox) > 0 {
 		at = w.Now
 	}
@@ -171,9 +171,9 @@
 	for _, l := range in {
 		n.Machine.Receive(n.world.Now, l.from, l.data)
 	}
-	n.Machine.Wake(n.world.Now)
+	n.Machine.Step(n.world.Now)
 	if n.Tick > 0 { // what it wants now it gets with the next tick
-		at := math.Max(n.Machine.Next(), n.world.Now+n.Tick/2)
+		at := math.Max(n.Machine.NextWakeup(), n.world.Now+n.Tick/2)
 		if !math.IsInf(at, 1) {
 			at = math.Ceil(at/n.Tick) * n.Tick
 			n.waking = at
--- a/internal/emulator/simulation/world_test.go
+++ b/internal/emulator/simulation/world_test.go
@@ -18,13 +18,13 @@
 func (e *echo) Receive(now float64, _ netip.AddrPort, data []byte) {
 	e.heard = append(e.heard, fmt.Sprintf("%v %s", now, data))
 }
-func (e *echo) Wake(now float64) {
+func (e *echo) Step(now float64) {
 	if now >= e.next {
 		e.heard = append(e.heard, fmt.Sprintf("%v woken", now))
 		e.next = math.Inf(1)
 	}
 }
-func (e *echo) Next() float64 { return e.next }
+func (e *echo) NextWakeup() float64 { return e.next }
 
 func two(seed uint64, l Link) (*World, *Node, *Node, *echo) {
 	w := New(seed)
--- a/internal/emulator/virtualrun/fleet.go
+++ b/internal/emulator/virtualrun/fleet.go
@@ -108,7 +108,7 @@
 		tables.Parse = st.Parse
 	}
 	if tables != nil {
-		st.Fate = func(gateway int, f b2bua.Fate) { tables.Record(st.Gateways[gateway].Name, f.Session, f.Table) }
+		st.Fate = func(gateway int, f b2bua.CallRecord) { tables.Record(st.Gateways[gateway].Name, f.SessionID, f.Table) }
 	}
 	v := scenario.NewVirtual(st, mk)
 	st.World.Run(s.Length + After)
--- a/internal/emulator/workload/plan.go
+++ b/internal/emulator/workload/plan.go
@@ -96,7 +96,7 @@
 
 // Calls draws the calls, a Poisson stream of the shape's rate.
 func (p *Plan) Calls() []*api.Call {
-	n := &siptransaction.Names{Seed: p.Seed}
+	n := &siptransaction.Generator{Seed: p.Seed}
 	most := 0.0
 	for i := range 1000 {
 		most = math.Max(most, p.At(p.Length*float64(i)/1000))
@@ -104,7 +104,7 @@
 	part := func(count int, spread float64) []float64 {
 		w := make([]float64, count)
 		for i := range w {
-			w[i] = 1 + spread*(2*n.Chance()-1)
+			w[i] = 1 + spread*(2*n.Float64()-1)
 		}
 		return w
 	}
@@ -113,22 +113,22 @@
 	segment := -1
 	var of []*api.Call
 	for at := 0.0; ; {
-		at += -math.Log(1-n.Chance()) * 1000 / (p.Rate * most)
+		at += -math.Log(1-n.Float64()) * 1000 / (p.Rate * most)
 		if at >= p.Length {
 			return of
 		}
-		if n.Chance()*most > p.At(at) {
+		if n.Float64()*most > p.At(at) {
 			continue
 		}
 		if k := int(at / p.Drift); k != segment {
 			segment, homes = k, part(len(p.Groups), p.Skew)
 		}
-		skill := p.Skills[Pick(n.Chance(), len(p.Skills), func(i int) float64 { return p.Skills[i].Share })]
-		of = append(of, &api.Call{AtMs: at, Gateway: uint32(Pick(n.Chance(), len(gates), func(i int) float64 { return gates[i] })),
-			Number: fmt.Sprintf("+1418%07d", int(n.Chance()*float64(p.Numbers))), Skill: skill.Name,
-			Customer: p.Customers[Pick(n.Chance(), len(p.Customers), func(i int) float64 { return p.Customers[i].Share })].Name,
-			Group:    p.Groups[Pick(n.Chance(), len(homes), func(i int) float64 { return homes[i] })],
-			HoldMs:   -math.Log(1-n.Chance()) * skill.Hold, PatienceMs: skill.Patience})
+		skill := p.Skills[Pick(n.Float64(), len(p.Skills), func(i int) float64 { return p.Skills[i].Share })]
+		of = append(of, &api.Call{AtMs: at, Gateway: uint32(Pick(n.Float64(), len(gates), func(i int) float64 { return gates[i] })),
+			Number: fmt.Sprintf("+1418%07d", int(n.Float64()*float64(p.Numbers))), Skill: skill.Name,
+			Customer: p.Customers[Pick(n.Float64(), len(p.Customers), func(i int) float64 { return p.Customers[i].Share })].Name,
+			Group:    p.Groups[Pick(n.Float64(), len(homes), func(i int) float64 { return homes[i] })],
+			HoldMs:   -math.Log(1-n.Float64()) * skill.Hold, PatienceMs: skill.Patience})
 	}
 }
 
--- a/internal/gateway/gatewayconfig/settings.go
+++ b/internal/gateway/gatewayconfig/settings.go
@@ -15,19 +15,19 @@
 	"cobaltpier/internal/routing"
 )
 
-// Edge is all that cobalt-edge is told. Times are milliseconds.
-type Edge struct {
+// Config is all that cobalt-edge is told. Times are milliseconds.
+type Config struct {
 	b2bua.Config
-	Peer        netip.AddrPort   // where other gateways' messages come in
-	Peers       []netip.AddrPort // of all gateways, by number
-	List        string           // the endpoint list's address
-	Tick        float64
-	Level       string // of the log
-	Console     bool   // logs for a person, not JSON
-	DrainWithin float64
-	Numbers     Numbers
-	Front       Front
-	Queue       int // datagrams that may wait for the loop
+	PeerListen   netip.AddrPort   // where other gateways' messages come in
+	Peers        []netip.AddrPort // of all gateways, by number
+	EndpointList string           // the endpoint list's address
+	Tick         float64
+	LogLevel     string // of the log
+	LogConsole   bool   // logs for a person, not JSON
+	DrainTimeout float64
+	Numbers      Numbers
+	ENUMServer   ENUMServer
+	QueueSize    int // datagrams that may wait for the loop
 }
 
 // Numbers is what an edge is told of its number tables and where it looks numbers up.
@@ -35,17 +35,17 @@
 	Table    string // a file; runs where the store has none yet; "" and no store: callers name class and group themselves
 	Store    string // a file; "": what is put in service lives as long as the process
 	Admin    string // where gRPC puts tables in service; "": nowhere
-	Resolve  dnsclient.Config
+	DNS      dnsclient.Config
 	Apex     string // "": nothing is looked up
 	Services []string
 }
 
 // Names are what number tables may name here.
-func (s *Edge) Names() (n numberplan.Names) {
-	for _, k := range s.Set.Classes {
+func (s *Config) Names() (n numberplan.Names) {
+	for _, k := range s.Settings.Classes {
 		n.Skills = append(n.Skills, k.Name)
 	}
-	for _, c := range s.Set.Tenants {
+	for _, c := range s.Settings.Tenants {
 		n.Customers = append(n.Customers, c.Name)
 	}
 	for _, g := range s.Groups {
@@ -54,21 +54,21 @@
 	return n
 }
 
-// Front is where the edge answers look-ups, and how.
-type Front struct {
+// ENUMServer is where the edge answers look-ups, and how.
+type ENUMServer struct {
 	enumserver.Config
-	Listen netip.AddrPort // UDP and TCP; not valid: nowhere
-	Conns  int            // streams open at once; what comes beyond is closed
-	Idle   float64        // ms: a stream on which nothing is asked is closed (RFC 7766 6.2.3)
+	Listen      netip.AddrPort // UDP and TCP; not valid: nowhere
+	MaxConns    int            // streams open at once; what comes beyond is closed
+	IdleTimeout float64        // ms: a stream on which nothing is asked is closed (RFC 7766 6.2.3)
 }
 
-// On tells whether the edge analyses numbers.
-func (n *Numbers) On() bool { return n.Table != "" || n.Store != "" }
+// Enabled tells whether the edge analyses numbers.
+func (n *Numbers) Enabled() bool { return n.Table != "" || n.Store != "" }
 
-const day = 24 * 3600 * 1000.0
+const dayMillis = 24 * 3600 * 1000.0
 
 // Load reads a file.
-func Load(name string) (*Edge, error) {
+func Load(name string) (*Config, error) {
 	b, err := hclfile.Load(name)
 	if err != nil {
 		return nil, err
@@ -77,7 +77,7 @@
 }
 
 // Parse reads settings at hand; name stands in the errors.
-func Parse(name string, src []byte) (*Edge, error) {
+func Parse(name string, src []byte) (*Config, error) {
 	b, err := hclconfig.Parse(name, src)
 	if err != nil {
 		return nil, err
@@ -85,23 +85,23 @@
 	return read(b)
 }
 
-func read(b *hclconfig.Block) (*Edge, error) {
-	s, set := &Edge{}, &routing.Settings{}
-	s.Set = set
+func read(b *hclconfig.Block) (*Config, error) {
+	s, set := &Config{}, &routing.Settings{}
+	s.Settings = set
 	g := b.One("gateway")
 	s.Name = g.Must("name")
-	s.Self, s.Peer = g.Addr("sip"), g.Addr("peer")
-	s.Context = g.Must("trunk_context")
+	s.Address, s.PeerListen = g.Addr("sip"), g.Addr("peer")
+	s.TrunkContext = g.Must("trunk_context")
 	set.Gateways = g.Int("gateways", 1, 1, 100000)
 	set.GatewayIndex = g.Int("number", 0, 0, 99999)
 	set.Seed = uint64(g.Num("seed", 1, 0, 1<<53))
 	s.Tick = g.Ms("tick", 0, 0, 1000)
 	set.TickInterval = s.Tick
-	s.Margin = g.Ms("margin", 30, 0, 60000)
-	s.Gate = loadshed.Gate{MaxPending: g.Int("most_held", 20000, 1, 1<<24), RatePerSecond: g.Num("most_rate", 0, 0, 1e6)}
-	s.Queue = g.Int("queue", 8192, 16, 1<<20)
-	s.DrainWithin = g.Ms("drain_within", 30000, 0, day)
-	s.Default = g.Text("default_skill", "")
+	s.AnswerMargin = g.Ms("margin", 30, 0, 60000)
+	s.LoadShedding = loadshed.Gate{MaxPending: g.Int("most_held", 20000, 1, 1<<24), RatePerSecond: g.Num("most_rate", 0, 0, 1e6)}
+	s.QueueSize = g.Int("queue", 8192, 16, 1<<20)
+	s.DrainTimeout = g.Ms("drain_within", 30000, 0, dayMillis)
+	s.DefaultClass = g.Text("default_skill", "")
 	if set.GatewayIndex >= set.Gateways {
 		g.Fault("number", "number: want one below gateways = %d, got %d", set.Gateways, set.GatewayIndex)
 	}
@@ -113,33 +113,33 @@
 		s.Peers = append(s.Peers, a)
 	}
 	l := b.One("list")
-	s.List = l.Must("addr")
+	s.EndpointList = l.Must("addr")
 	o := b.One("log")
-	s.Level = o.Text("level", "info", "debug", "info", "warn", "error")
-	s.Console = o.Text("form", "json", "json", "console") == "console"
+	s.LogLevel = o.Text("level", "info", "debug", "info", "warn", "error")
+	s.LogConsole = o.Text("form", "json", "json", "console") == "console"
 	m := b.One("allow")
 	set.MaxAttempts = m.Int("max_rings", 5, 1, 1000)
 	set.ProbeEnabled, set.GossipEnabled = m.Flag("probe", false), m.Flag("tell", len(s.Peers) > 0)
 	set.CancelEnabled, set.RetryAfterEnabled = m.Flag("cancel", true), m.Flag("name_wait", true)
-	set.MaxRetryAfter = m.Ms("max_wait", 2000, 0, day)
+	set.MaxRetryAfter = m.Ms("max_wait", 2000, 0, dayMillis)
 	set.LoadReportsByProbe = m.Flag("reports_by_probe", false)
 	if set.GossipEnabled && len(s.Peers) != set.Gateways {
 		g.Fault("peers", "peers: want the addresses of all %d gateways where allow.tell is set, got %d", set.Gateways, len(s.Peers))
 	}
 	t := b.One("timers")
 	t1 := t.Ms("t1", 500, 10, 60000)
-	s.Times = siptransaction.Times{T1: t1, T2: t.Ms("t2", 8*t1, 10, 600000), T4: t.Ms("t4", 5000, 10, 600000)}
+	s.Times = siptransaction.Timers{T1: t1, T2: t.Ms("t2", 8*t1, 10, 600000), T4: t.Ms("t4", 5000, 10, 600000)}
 	set.RetransmitInterval = t1
 	r := b.One("rules")
 	set.AnswerGrace = r.Ms("slack", 20, 0, 10000)
 	set.RetryHoldOff = r.Ms("clear_wait", hclconfig.Required, 0, 60000)
 	set.SlowStartFraction = r.Num("cold_share", hclconfig.Required, 0.001, 1)
-	set.SlowStartDuration = r.Ms("warm_within", hclconfig.Required, 0, day)
+	set.SlowStartDuration = r.Ms("warm_within", hclconfig.Required, 0, dayMillis)
 	set.OverloadFactor = r.Num("tip_multiple", hclconfig.Required, 0, 1000)
-	set.OverloadWindow = r.Ms("tip_time", hclconfig.Required, 1, day)
+	set.OverloadWindow = r.Ms("tip_time", hclconfig.Required, 1, dayMillis)
 	for _, k := range b.Blocks("skill", 1) {
-		x := &routing.Class{Name: k.Labels[0], LatencyObjective: k.Ms("target", hclconfig.Required, 1, day), Timeout: k.Ms("patience", hclconfig.Required, 1, day),
-			Weight: k.Num("value", 1, 0, 1e9), LateWeightFraction: k.Num("late_value", 0, 0, 1), MeanHoldingTime: k.Ms("hold", 0, 0, day), Idempotent: k.Flag("repeat", true)}
+		x := &routing.Class{Name: k.Labels[0], LatencyObjective: k.Ms("target", hclconfig.Required, 1, dayMillis), Timeout: k.Ms("patience", hclconfig.Required, 1, dayMillis),
+			Weight: k.Num("value", 1, 0, 1e9), LateWeightFraction: k.Num("late_value", 0, 0, 1), MeanHoldingTime: k.Ms("hold", 0, 0, dayMillis), Idempotent: k.Flag("repeat", true)}
 		if x.LatencyObjective > x.Timeout {
 			k.Fault("target", "target: want no more than patience")
 		}
@@ -147,29 +147,29 @@
 	}
 	if len(set.Classes) == 0 {
 		b.Fault("", "want at least one skill \"NAME\" { ... }")
-	} else if s.Default == "" {
-		s.Default = set.Classes[0].Name
+	} else if s.DefaultClass == "" {
+		s.DefaultClass = set.Classes[0].Name
 	}
 	names := map[string]bool{}
 	for _, k := range set.Classes {
 		names[k.Name] = true
 	}
-	if len(set.Classes) > 0 && !names[s.Default] {
-		g.Fault("default_skill", "default_skill: want one of the skills, got %q", s.Default)
+	if len(set.Classes) > 0 && !names[s.DefaultClass] {
+		g.Fault("default_skill", "default_skill: want one of the skills, got %q", s.DefaultClass)
 	}
 	for _, c := range b.Blocks("customer", 1) {
 		set.Tenants = append(set.Tenants, &routing.Tenant{Name: c.Labels[0]})
 	}
 	pools := map[int]string{}
 	for _, x := range b.Blocks("group", 1) {
-		n := b2bua.Group{Name: x.Labels[0], Pool: x.Int("pool", -1, 0, 1<<30), Size: x.Int("size", -1, 1, 1<<20)}
+		n := b2bua.Group{Name: x.Labels[0], DestinationID: x.Int("pool", -1, 0, 1<<30), Circuits: x.Int("size", -1, 1, 1<<20)}
 		if !x.Has("pool") || !x.Has("size") {
 			x.Fault("", "group %q: want pool and size", n.Name)
 		}
-		if o := pools[n.Pool]; o != "" {
-			x.Fault("pool", "pool %d has a group already, %q", n.Pool, o)
+		if o := pools[n.DestinationID]; o != "" {
+			x.Fault("pool", "pool %d has a group already, %q", n.DestinationID, o)
 		}
-		pools[n.Pool] = n.Name
+		pools[n.DestinationID] = n.Name
 		s.Groups = append(s.Groups, n)
 	}
 	if len(s.Groups) == 0 {
@@ -180,18 +180,18 @@
 }
 
 // numbers reads what concerns numbers.
-func (s *Edge) numbers(b *hclconfig.Block) {
+func (s *Config) numbers(b *hclconfig.Block) {
 	n, e := b.One("numbers"), b.One("enum")
 	s.Numbers = Numbers{Table: n.Text("table", ""), Store: n.Text("store", ""), Admin: n.Text("admin", ""),
 		Apex: e.Text("apex", ""), Services: e.Texts("services")}
-	s.Share = n.Num("lookup_share", 0.3, 0, 1)
+	s.LookupShare = n.Num("lookup_share", 0.3, 0, 1)
 	if len(s.Numbers.Services) == 0 {
 		s.Numbers.Services = []string{"pstn:tel"}
 	}
 	r := dnsclient.Config{Ports: e.Int("ports", 8, 1, 64), Most: e.Int("most", 1000, 1, 1<<20), Tries: e.Int("tries", 4, 1, 20),
-		StaleAfter: e.Ms("stale_after", 200, 0, day)}
-	r.Cache = dnsclient.CacheTimes{Most: e.Int("keep", 100000, 1, 1<<24), Least: e.Ms("least", 1000, 0, day), Longest: e.Ms("longest", day, 0, 7*day),
-		Negative: e.Ms("negative", 900e3, 0, day), Stale: e.Ms("stale", 3600e3, 0, 7*day), Fail: e.Ms("fail", 1000, 0, 300e3)}
+		StaleAfter: e.Ms("stale_after", 200, 0, dayMillis)}
+	r.Cache = dnsclient.CacheTimes{MaxEntries: e.Int("keep", 100000, 1, 1<<24), MinTTL: e.Ms("least", 1000, 0, dayMillis), MaxTTL: e.Ms("longest", dayMillis, 0, 7*dayMillis),
+		MaxNegativeTTL: e.Ms("negative", 900e3, 0, dayMillis), StaleTime: e.Ms("stale", 3600e3, 0, 7*dayMillis), FailureTTL: e.Ms("fail", 1000, 0, 300e3)}
 	for _, a := range e.Texts("servers") {
 		x, err := netip.ParseAddrPort(a)
 		if err != nil {
@@ -202,26 +202,26 @@
 	if (s.Numbers.Apex == "") != (len(r.Servers) == 0) {
 		e.Fault("servers", "enum: want apex and servers, or neither")
 	}
-	if s.Numbers.Apex != "" && !s.Numbers.On() {
+	if s.Numbers.Apex != "" && !s.Numbers.Enabled() {
 		n.Fault("", "enum: want numbers { table = ... } that asks for something")
 	}
-	s.Numbers.Resolve = r
+	s.Numbers.DNS = r
 	for _, f := range b.Blocks("front", 0) {
-		s.front(f)
+		s.enumServer(f)
 	}
 }
 
-// front reads how look-ups are answered.
-func (s *Edge) front(f *hclconfig.Block) {
-	c := &s.Front
+// enumServer reads how look-ups are answered.
+func (s *Config) enumServer(f *hclconfig.Block) {
+	c := &s.ENUMServer
 	if c.Listen.IsValid() {
 		f.Fault("", "front: stands here twice")
 	}
-	c.Listen, c.Apex, c.Context = f.Addr("listen"), f.Must("apex"), s.Context
-	c.Skill = f.Text("skill", s.Default)
+	c.Listen, c.Apex, c.Context = f.Addr("listen"), f.Must("apex"), s.TrunkContext
+	c.Skill = f.Text("skill", s.DefaultClass)
 	c.TTL, c.Negative = uint32(f.Int("ttl", 0, 0, 86400)), uint32(f.Int("negative", 30, 0, 86400))
 	c.Patience, c.Repeat = f.Ms("patience", 3000, 100, 60000), f.Ms("repeat", 5000, 0, 60000)
-	c.Conns, c.Idle = f.Int("streams", 256, 1, 1<<16), f.Ms("stream_idle", 10000, 100, 600000)
+	c.MaxConns, c.IdleTimeout = f.Int("streams", 256, 1, 1<<16), f.Ms("stream_idle", 10000, 100, 600000)
 	c.Gain = f.Num("gain", 6, 1, 1000)
 	c.Most, c.Keep = f.Int("most", 2000, 1, 1<<20), f.Int("keep", 10000, 1, 1<<20)
 	c.Limits = enumserver.Limits{Rate: f.Num("rate", 50, 0, 1e6), Burst: f.Num("burst", 100, 1, 1e6), Total: f.Num("total_rate", 0, 0, 1e7),
@@ -234,7 +234,7 @@
 		c.Limits.Nets = append(c.Limits.Nets, enumserver.Net{Prefix: p, Rate: n.Num("rate", hclconfig.Required, 0, 1e6)})
 	}
 	known := false
-	for _, k := range s.Set.Classes {
+	for _, k := range s.Settings.Classes {
 		known = known || k.Name == c.Skill
 	}
 	if !known {
--- a/internal/gateway/gatewayconfig/settings_test.go
+++ b/internal/gateway/gatewayconfig/settings_test.go
@@ -39,9 +39,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Set.Gateways != 2 || s.Set.GatewayIndex != 1 || s.Set.RetryHoldOff != 500 || s.Set.SlowStartDuration != 14000 || s.Default != "shift-lookup" ||
-		s.Set.Classes[0].Timeout != 9000 || s.Groups[0].Size != 100 || !s.Set.GossipEnabled || s.Set.RetransmitInterval != 500 {
-		t.Errorf("settings %+v of %+v", s, s.Set)
+	if s.Settings.Gateways != 2 || s.Settings.GatewayIndex != 1 || s.Settings.RetryHoldOff != 500 || s.Settings.SlowStartDuration != 14000 || s.DefaultClass != "shift-lookup" ||
+		s.Settings.Classes[0].Timeout != 9000 || s.Groups[0].Circuits != 100 || !s.Settings.GossipEnabled || s.Settings.RetransmitInterval != 500 {
+		t.Errorf("settings %+v of %+v", s, s.Settings)
 	}
 }
 
@@ -66,8 +66,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := s.Front
-	if !s.Numbers.On() || s.Share != 0.3 || len(s.Numbers.Resolve.Servers) != 1 || s.Numbers.Resolve.Cache.Fail != 1000 || s.Numbers.Services[0] != "pstn:tel" ||
+	f := s.ENUMServer
+	if !s.Numbers.Enabled() || s.LookupShare != 0.3 || len(s.Numbers.DNS.Servers) != 1 || s.Numbers.DNS.Cache.FailureTTL != 1000 || s.Numbers.Services[0] != "pstn:tel" ||
 		f.Skill != "shift-lookup" || f.TTL != 0 || f.Patience != 3000 || f.Context != "x.example" || len(f.Limits.Nets) != 1 || f.Limits.Nets[0].Rate != 0 {
 		t.Errorf("%+v, %+v", s.Numbers, f)
 	}
--- a/internal/gateway/grpcdiscovery/listing.go
+++ b/internal/gateway/grpcdiscovery/listing.go
@@ -22,12 +22,12 @@
 // Waits between two tries to connect, doubling, each shortened by chance by up to half: gateways that lost the same
 // list must not all come back at once.
 const (
-	firstWait = 100 * time.Millisecond
-	longest   = 5 * time.Second
+	initialBackoff = 100 * time.Millisecond
+	maxBackoff     = 5 * time.Second
 )
 
 // Follow calls got with every update, in order, until ctx ends. state hears of connections and breaks; it may be nil.
-func Follow(ctx context.Context, addr, gateway string, got func(*api.Update), state func(up bool, err error)) error {
+func Follow(ctx context.Context, addr, gateway string, onUpdate func(*api.Update), onState func(up bool, err error)) error {
 	conn, err := grpc.NewClient(addr, grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: 10 * time.Second, Timeout: 5 * time.Second}))
 	if err != nil {
@@ -36,7 +36,7 @@
 	defer conn.Close()
 	client := api.NewPoolListClient(conn)
 	var have uint64
-	wait := firstWait
+	wait := initialBackoff
 	for ctx.Err() == nil {
 		stream, err := client.Follow(ctx, &api.FollowRequest{Gateway: gateway, Have: have}, grpc.WaitForReady(true))
 		for first := true; err == nil; first = false {
@@ -45,9 +45,9 @@
 				break
 			}
 			if first {
-				wait = firstWait
-				if state != nil {
-					state(true, nil)
+				wait = initialBackoff
+				if onState != nil {
+					onState(true, nil)
 				}
 			}
 			if !u.Whole && u.Version <= have {
@@ -59,39 +59,39 @@
 				break
 			}
 			have = u.Version
-			got(u)
+			onUpdate(u)
 		}
 		if ctx.Err() != nil {
 			break
 		}
-		if state != nil {
-			state(false, err)
+		if onState != nil {
+			onState(false, err)
 		}
 		select {
 		case <-ctx.Done():
 		case <-time.After(wait/2 + time.Duration(rand.Int64N(int64(wait/2)))):
 		}
-		wait = min(2*wait, longest)
+		wait = min(2*wait, maxBackoff)
 	}
 	return nil
 }
 
-// Members turns a list from the wire into an edge's; at is when it came, on the edge's clock. Lines without an id or
+// Entries turns a list from the wire into an edge's; at is when it came, on the edge's clock. Lines without an id or
 // with an address that is none are passed over.
-func Members(u *api.Update, at float64) []b2bua.Member {
-	var of []b2bua.Member
+func Entries(u *api.Update, at float64) []b2bua.ListEntry {
+	var of []b2bua.ListEntry
 	for _, m := range u.Members {
 		a, err := netip.ParseAddrPort(m.Addr)
 		if err != nil || m.Id == "" || m.State < api.State_GONE || m.State > api.State_DRAINING {
 			continue
 		}
-		e := b2bua.Member{ID: m.Id, Number: int(m.Number), State: states[m.State], Addr: a}
+		e := b2bua.ListEntry{ID: m.Id, DestinationID: int(m.Number), State: statesByProto[m.State], Addr: a}
 		if m.AgeMs >= 0 && !math.IsInf(m.AgeMs, 1) {
-			e.Since = math.Max(1e-3, at-m.AgeMs)
+			e.StartedAt = math.Max(1e-3, at-m.AgeMs)
 		}
 		of = append(of, e)
 	}
 	return of
 }
 
-var states = map[api.State]routing.State{api.State_GONE: routing.Gone, api.State_READY: routing.Ready, api.State_DRAINING: routing.Draining}
+var statesByProto = map[api.State]routing.State{api.State_GONE: routing.Gone, api.State_READY: routing.Ready, api.State_DRAINING: routing.Draining}
--- a/internal/gateway/simadapter/codec.go
+++ b/internal/gateway/simadapter/codec.go
@@ -13,37 +13,37 @@
 	"cobaltpier/internal/routing"
 )
 
-// line is one line of the wire, read part by part. The first fault sticks.
-type line struct {
-	n     int
-	kind  string
-	parts []string
-	at    int
-	err   error
+// inputLine is one line of the wire, read part by part. The first fault sticks.
+type inputLine struct {
+	number   int
+	kind     string
+	parts    []string
+	position int
+	err      error
 }
 
-func (l *line) fault(name, want, got string) {
+func (l *inputLine) fault(name, want, got string) {
 	if l.err == nil {
-		l.err = fmt.Errorf("line %d: %s: %s: want %s, got %q", l.n, l.kind, name, want, got)
+		l.err = fmt.Errorf("line %d: %s: %s: want %s, got %q", l.number, l.kind, name, want, got)
 	}
 }
 
 // text gives the next part; "-" is the absent one and comes back as "".
-func (l *line) text(name string) string {
-	if l.at >= len(l.parts) {
+func (l *inputLine) text(name string) string {
+	if l.position >= len(l.parts) {
 		l.fault(name, "a value", "end of line")
 		return ""
 	}
-	s := l.parts[l.at]
-	l.at++
+	s := l.parts[l.position]
+	l.position++
 	if s == "-" {
 		return ""
 	}
 	return s
 }
 
-// num gives a number, or absent where there is none.
-func (l *line) num(name string, absent float64) float64 {
+// float gives a number, or absent where there is none.
+func (l *inputLine) float(name string, absent float64) float64 {
 	s := l.text(name)
 	if s == "" {
 		return absent
@@ -55,8 +55,8 @@
 	return f
 }
 
-// whole gives a whole number from lo to hi.
-func (l *line) whole(name string, lo, hi int64) int64 {
+// integer gives a whole number from lo to hi.
+func (l *inputLine) integer(name string, lo, hi int64) int64 {
 	s := l.text(name)
 	v, err := strconv.ParseInt(s, 10, 64)
 	if err != nil || v < lo || v > hi {
@@ -66,7 +66,7 @@
 	return v
 }
 
-func (l *line) flag(name string) bool {
+func (l *inputLine) flag(name string) bool {
 	s := l.text(name)
 	if s != "" && s != "0" && s != "1" {
 		l.fault(name, "1 or 0", s)
@@ -74,7 +74,7 @@
 	return s == "1"
 }
 
-func (l *line) bytes(name string) []byte {
+func (l *inputLine) bytes(name string) []byte {
 	s := l.text(name)
 	b, err := hex.DecodeString(s)
 	if err != nil {
@@ -83,7 +83,7 @@
 	return b
 }
 
-func (l *line) choice(name string, of map[string]routing.Outcome) routing.Outcome {
+func (l *inputLine) outcome(name string, of map[string]routing.Outcome) routing.Outcome {
 	s := l.text(name)
 	e, ok := of[s]
 	if !ok {
@@ -92,22 +92,22 @@
 	return e
 }
 
-func (l *line) done() error {
-	if l.err == nil && l.at < len(l.parts) {
-		l.fault("end of line", fmt.Sprintf("%d values", l.at), strings.Join(l.parts[l.at:], " "))
+func (l *inputLine) finish() error {
+	if l.err == nil && l.position < len(l.parts) {
+		l.fault("end of line", fmt.Sprintf("%d values", l.position), strings.Join(l.parts[l.position:], " "))
 	}
 	return l.err
 }
 
-var ends = map[string]routing.Outcome{
+var outcomes = map[string]routing.Outcome{
 	"done": routing.Completed, "err": routing.Failed, "busy": routing.Overloaded, "etimedout": routing.TimedOut,
 	"econnrefused": routing.ConnectionRefused, "econnreset": routing.Reset, "ecanceled": routing.Canceled,
 	"skipped": routing.NotSent,
 }
 
-// report reads a load report over an older one; it tells whether a processor's figures came. Values that
+// loadReport reads a load report over an older one; it tells whether a processor's figures came. Values that
 // are absent or -1 leave the older figure.
-func (l *line) report(fields []string, into *routing.LoadReport) bool {
+func (l *inputLine) loadReport(fields []string, into *routing.LoadReport) bool {
 	s := l.text("telemetry")
 	if s == "" {
 		return false
--- a/internal/gateway/sipserver/front.go
+++ b/internal/gateway/sipserver/front.go
@@ -14,30 +14,30 @@
 	"cobaltpier/internal/protocol/enumserver"
 )
 
-// door drives the ENUM front: datagrams by the reactor, streams by a goroutine each (RFC 7766). The front itself is the
+// enumListener drives the ENUM front: datagrams by the reactor, streams by a goroutine each (RFC 7766). The front itself is the
 // loop's.
-type door struct {
-	g       *Gateway
-	front   *enumserver.Front
-	sockets *reactor.UDPSockets
-	tcp     *net.TCPListener
-	mu      sync.Mutex
-	open    map[*net.TCPConn]struct{}
-	wait    sync.WaitGroup
+type enumListener struct {
+	server     *Gateway
+	enum       *enumserver.Server
+	sockets    *reactor.UDPSockets
+	tcp        *net.TCPListener
+	mu         sync.Mutex
+	conns      map[*net.TCPConn]struct{}
+	goroutines sync.WaitGroup
 }
 
-// mostWrite is how many answers may wait for a slow reader of a stream; beyond it is cut off.
-const mostWrite = 64
+// maxPendingWrites is how many answers may wait for a slow reader of a stream; beyond it is cut off.
+const maxPendingWrites = 64
 
-// openDoor listens for look-ups.
-func (g *Gateway) openDoor() (*door, error) {
-	set := &g.set.Front
-	d := &door{g: g, front: enumserver.New(set.Config, g.edge), open: map[*net.TCPConn]struct{}{}}
+// listenENUM listens for look-ups.
+func (g *Gateway) listenENUM() (*enumListener, error) {
+	set := &g.config.ENUMServer
+	d := &enumListener{server: g, enum: enumserver.New(set.Config, g.agent), conns: map[*net.TCPConn]struct{}{}}
 	var err error
 	d.sockets, err = reactor.Listen([]netip.AddrPort{set.Listen}, 1, func(local, from netip.AddrPort, data []byte) {
 		select {
-		case g.events <- event{kind: call, do: func(now float64) {
-			d.front.Receive(now, from, data, false, func(b []byte) { d.sockets.Send(local, from, b) })
+		case g.events <- event{kind: callback, do: func(now float64) {
+			d.enum.Receive(now, from, data, false, func(b []byte) { d.sockets.Send(local, from, b) })
 		}}:
 		default: // lost, as on the way
 		}
@@ -49,35 +49,35 @@
 		d.sockets.Close()
 		return nil, fmt.Errorf("front: %w", err)
 	}
-	d.wait.Add(1)
+	d.goroutines.Add(1)
 	go d.accept()
 	g.log.Info().Str("addr", set.Listen.String()).Str("apex", set.Apex).Msg("look-ups are answered here")
 	return d, nil
 }
 
-func (d *door) close() {
+func (d *enumListener) close() {
 	d.sockets.Close()
 	d.tcp.Close()
 	d.mu.Lock()
-	for c := range d.open {
+	for c := range d.conns {
 		c.Close()
 	}
 	d.mu.Unlock()
-	d.wait.Wait()
+	d.goroutines.Wait()
 }
 
-func (d *door) accept() {
-	defer d.wait.Done()
+func (d *enumListener) accept() {
+	defer d.goroutines.Done()
 	for {
 		c, err := d.tcp.AcceptTCP()
 		if err != nil {
 			return
 		}
 		d.mu.Lock()
-		full := len(d.open) >= d.g.set.Front.Conns
+		full := len(d.conns) >= d.server.config.ENUMServer.MaxConns
 		if !full {
-			d.open[c] = struct{}{}
-			d.wait.Add(1)
+			d.conns[c] = struct{}{}
+			d.goroutines.Add(1)
 		}
 		d.mu.Unlock()
 		if full {
@@ -89,20 +89,20 @@
 }
 
 // serve reads questions of a stream; answers go out as they come.
-func (d *door) serve(c *net.TCPConn) {
-	defer d.wait.Done()
-	out, done := make(chan []byte, mostWrite), make(chan struct{})
+func (d *enumListener) serve(c *net.TCPConn) {
+	defer d.goroutines.Done()
+	out, done := make(chan []byte, maxPendingWrites), make(chan struct{})
 	defer func() {
 		close(done)
 		c.Close()
 		d.mu.Lock()
-		delete(d.open, c)
+		delete(d.conns, c)
 		d.mu.Unlock()
 	}()
-	idle, conn := time.Duration(d.g.set.Front.Idle*1e6), &dns.Conn{Conn: c}
-	d.wait.Add(1)
+	idle, conn := time.Duration(d.server.config.ENUMServer.IdleTimeout*1e6), &dns.Conn{Conn: c}
+	d.goroutines.Add(1)
 	go func() {
-		defer d.wait.Done()
+		defer d.goroutines.Done()
 		for {
 			select {
 			case b := <-out:
@@ -116,7 +116,7 @@
 			}
 		}
 	}()
-	from := plain(c.RemoteAddr().(*net.TCPAddr).AddrPort())
+	from := unmapped(c.RemoteAddr().(*net.TCPAddr).AddrPort())
 	b := make([]byte, dns.MaxMsgSize)
 	for {
 		c.SetReadDeadline(time.Now().Add(idle))
@@ -125,8 +125,8 @@
 			return
 		}
 		data := bytes.Clone(b[:n])
-		d.g.post(event{kind: call, do: func(now float64) {
-			d.front.Receive(now, from, data, true, func(b []byte) {
+		d.server.enqueue(event{kind: callback, do: func(now float64) {
+			d.enum.Receive(now, from, data, true, func(b []byte) {
 				select {
 				case out <- b:
 				default:
@@ -137,4 +137,4 @@
 	}
 }
 
-func plain(a netip.AddrPort) netip.AddrPort { return netip.AddrPortFrom(a.Addr().Unmap(), a.Port()) }
+func unmapped(a netip.AddrPort) netip.AddrPort { return netip.AddrPortFrom(a.Addr().Unmap(), a.Port()) }
--- a/internal/gateway/sipserver/gateway_test.go
+++ b/internal/gateway/sipserver/gateway_test.go
@@ -61,7 +61,7 @@
 	return k, l.Addr().String()
 }
 
-func config(t *testing.T, list string, host byte, drain, more string) *gatewayconfig.Edge {
+func config(t *testing.T, list string, host byte, drain, more string) *gatewayconfig.Config {
 	t.Helper()
 	s, err := gatewayconfig.Parse("test", []byte(fmt.Sprintf(`
 gateway {
@@ -158,7 +158,7 @@
 	}()
 	invite := func(id string) {
 		who.WriteToUDPAddrPort([]byte(strings.ReplaceAll("INVITE sip:+1418;tgrp=TG-0@127.72.0.1 SIP/2.0\nVia: SIP/2.0/UDP 127.72.0.8:19062;rport;branch=z9hG4bK"+id+
-			"\nFrom: <sip:a@b>;tag="+id+"\nTo: <sip:c@d>\nCall-ID: "+id+"\nCSeq: 1 INVITE\nContact: <sip:127.72.0.8:19062>\nExpires: 9\nContent-Length: 0\n\n", "\n", "\r\n")), set.Self)
+			"\nFrom: <sip:a@b>;tag="+id+"\nTo: <sip:c@d>\nCall-ID: "+id+"\nCSeq: 1 INVITE\nContact: <sip:127.72.0.8:19062>\nExpires: 9\nContent-Length: 0\n\n", "\n", "\r\n")), set.Address)
 	}
 	// until the list has come, calls are refused
 	rung := func(id string) (string, netip.AddrPort) {
--- a/internal/gateway/sipserver/numbers.go
+++ b/internal/gateway/sipserver/numbers.go
@@ -26,25 +26,25 @@
 	"cobaltpier/internal/protocol/portability"
 )
 
-// numbers drives what concerns numbers: the resolver's sockets, the store and the changes of tables. Its state is the
+// numberService drives what concerns numbers: the resolver's sockets, the store and the changes of tables. Its state is the
 // loop's; work that takes time runs beside it and comes back as an event.
-type numbers struct {
-	g       *Gateway
-	set     *gatewayconfig.Numbers
-	has     numberplan.Names
-	store   *tablestore.Store
-	keeper  *tableversions.Keeper
-	first   *numberplan.Table
-	client  *dnsclient.Client
-	finder  *portability.Finder
-	sockets *reactor.UDPSockets
-	ports   []netip.AddrPort
+type numberService struct {
+	server       *Gateway
+	config       *gatewayconfig.Numbers
+	names        numberplan.Names
+	store        *tablestore.Store
+	keeper       *tableversions.Keeper
+	initialTable *numberplan.Table
+	client       *dnsclient.Client
+	finder       *portability.Finder
+	sockets      *reactor.UDPSockets
+	ports        []netip.AddrPort
 }
 
 // openNumbers finds the table that runs and opens the resolver's sockets.
-func (g *Gateway) openNumbers() (*numbers, error) {
-	set := &g.set.Numbers
-	n := &numbers{g: g, set: set, has: g.set.Names()}
+func (g *Gateway) openNumbers() (*numberService, error) {
+	set := &g.config.Numbers
+	n := &numberService{server: g, config: set, names: g.config.Names()}
 	var shelf tableversions.Shelf
 	if set.Store != "" {
 		s, err := tablestore.Open(set.Store)
@@ -57,15 +57,15 @@
 			return nil, err
 		}
 		var problems []error
-		n.first, shelf, problems = shelf.Recover(s.Form, n.has)
+		n.initialTable, shelf, problems = shelf.Recover(s.Form, n.names)
 		for _, p := range problems {
 			g.log.Error().Err(p).Msg("a kept number table is passed over")
 		}
 	}
-	if n.first == nil && set.Table != "" {
+	if n.initialTable == nil && set.Table != "" {
 		t, form, err := tablestore.Load(set.Table)
 		if err == nil {
-			err = t.Fits(n.has)
+			err = t.Fits(n.names)
 		}
 		if err == nil && n.store != nil {
 			var b []byte
@@ -79,14 +79,14 @@
 			n.close()
 			return nil, err
 		}
-		n.first = t
+		n.initialTable = t
 	}
-	if n.first == nil {
+	if n.initialTable == nil {
 		n.close()
 		return nil, errors.New("numbers: no table: the store has none that can be used, and settings name none")
 	}
-	n.keeper = tableversions.New(n, n.first, shelf)
-	g.log.Info().Str("table", n.first.Name).Uint64("version", n.first.Version).Str("sum", n.first.Sum[:16]).Int("rules", n.first.Size()).Msg("number table")
+	n.keeper = tableversions.New(n, n.initialTable, shelf)
+	g.log.Info().Str("table", n.initialTable.Name).Uint64("version", n.initialTable.Version).Str("sum", n.initialTable.Sum[:16]).Int("rules", n.initialTable.Size()).Msg("number table")
 	if set.Apex == "" {
 		return n, nil
 	}
@@ -95,18 +95,18 @@
 		n.close()
 		return nil, fmt.Errorf("numbers: a seed that nobody knows: %w", err)
 	}
-	cfg := set.Resolve
+	cfg := set.DNS
 	cfg.Seed = binary.LittleEndian.Uint64(seed[:])
 	addrs := make([]netip.AddrPort, cfg.Ports)
 	for i := range addrs {
-		addrs[i] = netip.AddrPortFrom(g.set.Self.Addr(), 0)
+		addrs[i] = netip.AddrPortFrom(g.config.Address.Addr(), 0)
 	}
 	var err error
 	ready := make(chan struct{})
 	n.sockets, err = reactor.Listen(addrs, 1, func(local, from netip.AddrPort, data []byte) {
 		<-ready
 		select {
-		case g.events <- event{kind: answer, from: from, local: local, data: data}:
+		case g.events <- event{kind: dnsResponse, from: from, local: local, data: data}:
 		default: // lost, as on the way
 		}
 	})
@@ -121,30 +121,30 @@
 	return n, nil
 }
 
-func (n *numbers) close() {
+func (n *numberService) close() {
 	if n.sockets != nil {
 		n.sockets.Close()
 	}
 	if n.store != nil {
 		if err := n.store.Close(); err != nil {
-			n.g.log.Error().Err(err).Msg("number tables")
+			n.server.log.Error().Err(err).Msg("number tables")
 		}
 	}
 }
 
-// Ask implements edge.Lookup.
-func (n *numbers) Ask(now float64, digits string, within float64, done func(float64, numberplan.Found)) func() {
-	return n.finder.Ask(now, digits, within, done)
+// Resolve implements edge.Lookup.
+func (n *numberService) Resolve(now float64, digits string, within float64, done func(float64, numberplan.Found)) func() {
+	return n.finder.Resolve(now, digits, within, done)
 }
 
 // Wake implements edge.Lookup.
-func (n *numbers) Wake(now float64) { n.client.Wake(now) }
+func (n *numberService) Wake(now float64) { n.client.Step(now) }
 
-// Next implements edge.Lookup.
-func (n *numbers) Next() float64 { return n.client.Next() }
+// NextWakeup implements edge.Lookup.
+func (n *numberService) NextWakeup() float64 { return n.client.NextWakeup() }
 
 // answered takes a datagram of the resolver's ports.
-func (n *numbers) answered(now float64, e event) {
+func (n *numberService) answered(now float64, e event) {
 	for i, p := range n.ports {
 		if p == e.local {
 			n.client.Receive(now, i, e.from, e.data)
@@ -154,19 +154,19 @@
 }
 
 // Query implements resolve.Out.
-func (n *numbers) Query(port int, to netip.AddrPort, data []byte) {
+func (n *numberService) Query(port int, to netip.AddrPort, data []byte) {
 	n.sockets.Send(n.ports[port], to, data)
 }
 
 // Stream implements resolve.Out (RFC 1035 4.2.2): truncated answers are rare, so a goroutine for each will do.
-func (n *numbers) Stream(token uint64, to netip.AddrPort, data []byte, within float64) {
+func (n *numberService) Stream(token uint64, to netip.AddrPort, data []byte, within float64) {
 	go func() {
 		b, err := overTCP(to, data, time.Duration(within*1e6))
 		if err != nil {
-			n.g.log.Debug().Err(err).Stringer("server", to).Msg("look-up by stream")
+			n.server.log.Debug().Err(err).Stringer("server", to).Msg("look-up by stream")
 			b = nil
 		}
-		n.g.post(event{kind: call, do: func(now float64) { n.client.Streamed(now, token, b) }})
+		n.server.enqueue(event{kind: callback, do: func(now float64) { n.client.OnStreamResponse(now, token, b) }})
 	}()
 }
 
@@ -188,7 +188,7 @@
 }
 
 // Check implements tables.Work: beside the loop, for a large table takes longer than a tick.
-func (n *numbers) Check(s tableversions.Source) {
+func (n *numberService) Check(s tableversions.Source) {
 	go func() {
 		var c tableversions.Checked
 		form := s.Form
@@ -196,34 +196,34 @@
 			form, c.Err = n.store.Form(s.Serial)
 		}
 		if c.Err == nil {
-			c = tableversions.Check(form, n.has)
+			c = tableversions.Check(form, n.names)
 		}
-		n.g.post(event{kind: call, do: func(float64) { n.keeper.Checked(c) }})
+		n.server.enqueue(event{kind: callback, do: func(float64) { n.keeper.Checked(c) }})
 	}()
 }
 
 // Keep implements tables.Work.
-func (n *numbers) Keep(c tableversions.Checked, note string, serial uint64, shelf tableversions.Shelf) {
+func (n *numberService) Keep(c tableversions.Checked, note string, serial uint64, shelf tableversions.Shelf) {
 	if n.store == nil {
 		n.keeper.Kept(n.keeper.Shelf.Running+1, nil)
 		return
 	}
 	go func() {
 		got, err := n.store.Keep(c, note, serial, shelf, time.Now())
-		n.g.post(event{kind: call, do: func(float64) { n.keeper.Kept(got, err) }})
+		n.server.enqueue(event{kind: callback, do: func(float64) { n.keeper.Kept(got, err) }})
 	}()
 }
 
 // Swap implements tables.Work.
-func (n *numbers) Swap(t *numberplan.Table) {
-	n.g.edge.Use(t)
-	n.g.log.Info().Str("table", t.Name).Uint64("version", t.Version).Str("sum", t.Sum[:16]).Int("rules", t.Size()).Msg("number table changed")
+func (n *numberService) Swap(t *numberplan.Table) {
+	n.server.agent.SetTable(t)
+	n.server.log.Info().Str("table", t.Name).Uint64("version", t.Version).Str("sum", t.Sum[:16]).Int("rules", t.Size()).Msg("number table changed")
 }
 
 // admin is the service that changes tables.
 type admin struct {
 	api.UnimplementedNumbersServer
-	n   *numbers
+	n   *numberService
 	ctx context.Context // ends with the gateway
 }
 
@@ -231,7 +231,7 @@
 func (a *admin) in(ctx context.Context, do func(done func(error))) error {
 	said := make(chan error, 1)
 	select {
-	case a.n.g.events <- event{kind: call, do: func(float64) { do(func(err error) { said <- err }) }}:
+	case a.n.server.events <- event{kind: callback, do: func(float64) { do(func(err error) { said <- err }) }}:
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-a.ctx.Done():
@@ -250,7 +250,7 @@
 // Put implements the service.
 func (a *admin) Put(ctx context.Context, req *api.PutTable) (*api.TableState, error) {
 	if err := a.in(ctx, func(done func(error)) { a.n.keeper.Put(req.Table, req.Note, done) }); err != nil {
-		return nil, refused(err)
+		return nil, asStatus(err)
 	}
 	return a.state(ctx)
 }
@@ -261,12 +261,12 @@
 		return nil, status.Error(codes.FailedPrecondition, "numbers: without a store nothing is kept to go back to")
 	}
 	if err := a.in(ctx, func(done func(error)) { a.n.keeper.Back(done) }); err != nil {
-		return nil, refused(err)
+		return nil, asStatus(err)
 	}
 	return a.state(ctx)
 }
 
-func refused(err error) error {
+func asStatus(err error) error {
 	if status.Code(err) != codes.Unknown {
 		return err
 	}
@@ -284,7 +284,7 @@
 		k := a.n.keeper
 		t := k.Running
 		s.Running = &api.KeptTable{Serial: k.Shelf.Running, Name: t.Name, Version: t.Version, Sum: t.Sum, Rules: int64(t.Size())}
-		old, n := a.n.g.edge.Tables()
+		old, n := a.n.server.agent.Tables()
 		s.OldTables, s.OldContacts = int32(old), int32(n)
 		done(nil)
 	})
@@ -313,11 +313,11 @@
 }
 
 // serve offers the service until ctx ends.
-func (n *numbers) serve(ctx context.Context, log zerolog.Logger) error {
-	if n.set.Admin == "" {
+func (n *numberService) serve(ctx context.Context, log zerolog.Logger) error {
+	if n.config.Admin == "" {
 		return nil
 	}
-	lis, err := net.Listen("tcp", n.set.Admin)
+	lis, err := net.Listen("tcp", n.config.Admin)
 	if err != nil {
 		return fmt.Errorf("numbers: admin: %w", err)
 	}
--- a/internal/gateway/sipserver/numbers_test.go
+++ b/internal/gateway/sipserver/numbers_test.go
@@ -95,7 +95,7 @@
 		return b
 	}
 	admin := "127.72.0.11:19092"
-	read := func() *gatewayconfig.Edge {
+	read := func() *gatewayconfig.Config {
 		return config(t, list, 11, "0s", fmt.Sprintf(`
 numbers {
   table = %q
--- a/internal/protocol/b2bua/analysis_test.go
+++ b/internal/protocol/b2bua/analysis_test.go
@@ -83,17 +83,17 @@
 	stopped int
 }
 
-func (b *book) Ask(_ float64, digits string, within float64, done func(float64, numberplan.Found)) func() {
+func (b *book) Resolve(_ float64, digits string, within float64, done func(float64, numberplan.Found)) func() {
 	b.asked, b.within, b.done = append(b.asked, digits), append(b.within, within), append(b.done, done)
 	return func() { b.stopped++ }
 }
-func (b *book) Wake(float64)  {}
-func (b *book) Next() float64 { return 1e18 }
+func (b *book) Wake(float64)        {}
+func (b *book) NextWakeup() float64 { return 1e18 }
 
 func numberRig(t *testing.T) (*rig, *book) {
 	r, b := newRig(t), &book{}
-	r.e.cfg.Look, r.e.cfg.Share = b, 0.25
-	r.e.Use(numbers(t, 1))
+	r.e.config.NumberLookup, r.e.config.LookupShare = b, 0.25
+	r.e.SetTable(numbers(t, 1))
 	return r, b
 }
 
@@ -114,7 +114,7 @@
 		t.Fatalf("offered %+v", got)
 	}
 	req := r.sent(switchB, "INVITE sip:+14185550123;npdi;rn=+70115145550000;cic=+1-6789;tgrp=TG-1;")
-	if siptransaction.Field(req.(*sip.Request), siptransaction.Service) != "urn:urn-7:claim" {
+	if siptransaction.HeaderValue(req.(*sip.Request), siptransaction.Service) != "urn:urn-7:claim" {
 		t.Error("the wrong skill")
 	}
 	if n, _ := r.e.Tables(); n != 0 {
@@ -134,7 +134,7 @@
 // Where look-ups may use no time nothing is asked.
 func TestNoShare(t *testing.T) {
 	r, b := numberRig(t)
-	r.e.cfg.Share = 0
+	r.e.config.LookupShare = 0
 	home := -1
 	r.m.offered = func(_ float64, c *routing.Call) { home = c.DestinationID }
 	r.get(caller, callerSays("INVITE", "a1", ""))
@@ -173,11 +173,11 @@
 	r.e.LoadShedder.MaxPending = 5000
 	var sent []string
 	r.m.offered = func(now float64, c *routing.Call) {
-		sent = append(sent, c.CalledNumber+c.HostData.(*callcontrol.Session).SignalingLeg.(*call).route.params)
+		sent = append(sent, c.CalledNumber+c.HostData.(*callcontrol.Session).SignalingLeg.(*call).number.params)
 		r.m.h.Reject(c, 0)
 	}
 	for v := 1; v <= 4; v++ {
-		r.e.Use(numbers(t, v))
+		r.e.SetTable(numbers(t, v))
 		for i := range 250 {
 			r.get(caller, callerSays("INVITE", fmt.Sprintf("%x%d", v, i), ""))
 		}
@@ -186,7 +186,7 @@
 	if old != 3 || n != 750 {
 		t.Fatalf("%d contacts hold %d old tables", n, old)
 	}
-	r.e.Use(numbers(t, 5))
+	r.e.SetTable(numbers(t, 5))
 	for i := range 1000 {
 		b.done[i](r.now, numberplan.Found{Answer: numberplan.NotPorted})
 	}
@@ -207,11 +207,11 @@
 	r.m.offered = func(now float64, c *routing.Call) { r.m.h.StartAttempt(c, r.m.pools[1], c.Deadline-now) }
 	old := func() weak.Pointer[numberplan.Table] {
 		x := numbers(t, 2)
-		r.e.Use(x)
+		r.e.SetTable(x)
 		return weak.Make(x)
 	}()
 	r.get(caller, callerSays("INVITE", "a1", ""))
-	r.e.Use(numbers(t, 3))
+	r.e.SetTable(numbers(t, 3))
 	runtime.GC()
 	if old.Value() == nil {
 		t.Fatal("gone while a contact carries it")
--- a/internal/protocol/b2bua/edge.go
+++ b/internal/protocol/b2bua/edge.go
@@ -27,150 +27,150 @@
 
 //tally:decisions
 
-// Out is what an edge asks of its driver.
-type Out interface {
+// Transport is what an edge asks of its driver.
+type Transport interface {
 	// Send puts a SIP datagram on the wire.
 	Send(to netip.AddrPort, data []byte)
-	// Tell sends a message of at most 256 bytes to another gateway, by its number.
-	Tell(gateway int, data []byte)
+	// SendGossip sends a message of at most 256 bytes to another gateway, by its number.
+	SendGossip(gateway int, data []byte)
 }
 
 // Group is a trunk group (RFC 4904) to an endpoint.
 type Group struct {
-	Name string // tgrp
-	Pool int    // the endpoint's number
-	Size int    // circuits
-	out  int    // in use by this gateway
+	Name          string // tgrp
+	DestinationID int    // the endpoint's number
+	Circuits      int    // circuits
+	inUse         int    // in use by this gateway
 }
 
 // Lookup finds out where numbers were ported to, for tables that ask.
 type Lookup interface {
-	// Ask calls done once within the time given in ms, maybe at once; stop takes the question back.
-	Ask(now float64, digits string, within float64, done func(now float64, found numberplan.Found)) (stop func())
+	// Resolve calls done once within the time given in ms, maybe at once; stop takes the question back.
+	Resolve(now float64, digits string, within float64, done func(now float64, found numberplan.Found)) (stop func())
 	Wake(now float64)
-	Next() float64
+	NextWakeup() float64
 }
 
 // Config is what an edge is told at start.
 type Config struct {
-	Name    string // unique among the gateways; in tags and call ids
-	Self    netip.AddrPort
-	Context string // trunk-context (RFC 4904)
-	Set     *routing.Settings
-	Times   siptransaction.Times
-	Groups  []Group
-	Default string  // the class of a call that names none
-	Margin  float64 // ms: final answers leave so long before the caller's timeout ends
-	Gate    loadshed.Gate
-	Parse   func([]byte) (sip.Message, error) // nil: signal.Parse
-	Table   *numberplan.Table                 // what becomes of numbers; nil: callers name class and trunk group themselves
-	Look    Lookup                            // nil: no question has an answer
-	Share   float64                           // of what is left of a call's timeout: the most that a look-up may use
-	Epoch   time.Time                         // the wall clock when this edge's clock stood at 0, for times of day
+	Name         string // unique among the gateways; in tags and call ids
+	Address      netip.AddrPort
+	TrunkContext string // trunk-context (RFC 4904)
+	Settings     *routing.Settings
+	Times        siptransaction.Timers
+	Groups       []Group
+	DefaultClass string  // the class of a call that names none
+	AnswerMargin float64 // ms: final answers leave so long before the caller's timeout ends
+	LoadShedding loadshed.Gate
+	Parse        func([]byte) (sip.Message, error) // nil: signal.Parse
+	Table        *numberplan.Table                 // what becomes of numbers; nil: callers name class and trunk group themselves
+	NumberLookup Lookup                            // nil: no question has an answer
+	LookupShare  float64                           // of what is left of a call's timeout: the most that a look-up may use
+	Epoch        time.Time                         // the wall clock when this edge's clock stood at 0, for times of day
 	// DisabledGuard switches the guard of one rule off, for tests of the conformance checker; 0: none.
 	DisabledGuard routing.Rule
 }
 
-// Member is one line of the endpoint list.
-type Member struct {
-	ID     string
-	Number int
-	State  routing.State
-	Since  float64 // ms on this edge's clock; 0: long ago
-	Addr   netip.AddrPort
+// ListEntry is one line of the endpoint list.
+type ListEntry struct {
+	ID            string
+	DestinationID int
+	State         routing.State
+	StartedAt     float64 // ms on this edge's clock; 0: long ago
+	Addr          netip.AddrPort
 }
 
 // Counts are what an edge has seen since its start.
 type Counts = callcontrol.Counts
 
-// Fate is the end of a call, for logs.
-type Fate struct {
-	Session string
-	Skill   string
-	Answer  int // the final answer's code
-	Rings   int
-	Took    float64 // ms from its coming to its final answer
-	Table   uint64  // version of the table that it was analysed by, 0: none
-	Route   string  // its name, "": none
+// CallRecord is the end of a call, for logs.
+type CallRecord struct {
+	SessionID  string
+	Class      string
+	Answer     int // the final answer's code
+	Attempts   int
+	DurationMs float64 // ms from its coming to its final answer
+	Table      uint64  // version of the table that it was analysed by, 0: none
+	Route      string  // its name, "": none
 }
 
-// Edge is one gateway.
-type Edge struct {
+// Agent is one gateway.
+type Agent struct {
 	*callcontrol.Controller
-	OnFate func(Fate) // may be nil
+	OnCallEnd func(CallRecord) // may be nil
 
-	cfg      *Config
-	out      Out
-	names    siptransaction.Names
-	sip      *siptransaction.Layer
-	addrs    map[*routing.Endpoint]netip.AddrPort
-	groups   map[int]*Group    // by endpoint
-	byName   map[string]*Group // by tgrp
-	ends     map[string]*end   // dialogs by our tag
-	refusals loadshed.Refusals
-	table    *numberplan.Table
-	tables   map[*numberplan.Table]int // calls without a final answer that carry it
-	drawn    uint64
+	config    *Config
+	transport Transport
+	names     siptransaction.Generator
+	sip       *siptransaction.Layer
+	addresses map[*routing.Endpoint]netip.AddrPort
+	groups    map[int]*Group     // by endpoint
+	byName    map[string]*Group  // by tgrp
+	dialogs   map[string]*dialog // dialogs by our tag
+	refusals  loadshed.Refusals
+	table     *numberplan.Table
+	tables    map[*numberplan.Table]int // calls without a final answer that carry it
+	draws     uint64
 }
 
 // New makes an edge; its module comes from mk.
-func New(cfg *Config, mk routing.PolicyFactory, out Out) *Edge {
-	e := &Edge{Controller: callcontrol.New(&callcontrol.Config{Settings: cfg.Set, AnswerMargin: cfg.Margin, LoadShedding: cfg.Gate, DisabledGuard: cfg.DisabledGuard}), cfg: cfg, out: out,
-		addrs: map[*routing.Endpoint]netip.AddrPort{}, groups: map[int]*Group{}, byName: map[string]*Group{}, ends: map[string]*end{},
+func New(cfg *Config, mk routing.PolicyFactory, out Transport) *Agent {
+	e := &Agent{Controller: callcontrol.New(&callcontrol.Config{Settings: cfg.Settings, AnswerMargin: cfg.AnswerMargin, LoadShedding: cfg.LoadShedding, DisabledGuard: cfg.DisabledGuard}), config: cfg, transport: out,
+		addresses: map[*routing.Endpoint]netip.AddrPort{}, groups: map[int]*Group{}, byName: map[string]*Group{}, dialogs: map[string]*dialog{},
 		table: cfg.Table, tables: map[*numberplan.Table]int{}}
 	h := fnv.New64a()
 	h.Write([]byte(cfg.Name))
-	e.names.Seed = cfg.Set.Seed ^ h.Sum64()
+	e.names.Seed = cfg.Settings.Seed ^ h.Sum64()
 	for i := range cfg.Groups {
 		g := &cfg.Groups[i]
-		e.groups[g.Pool], e.byName[g.Name] = g, g
+		e.groups[g.DestinationID], e.byName[g.Name] = g, g
 	}
 	e.refusals.Retention = 64 * cfg.Times.T1
-	e.sip = siptransaction.NewLayer(cfg.Self, cfg.Times, &e.names, &e.Timers, e, out.Send)
+	e.sip = siptransaction.NewLayer(cfg.Address, cfg.Times, &e.names, &e.Timers, e, out.Send)
 	if cfg.Parse != nil {
 		e.sip.Parse = cfg.Parse
 	}
-	e.Router = mk(cfg.Set, moduleHost{e})
+	e.Router = mk(cfg.Settings, policyHost{e})
 	return e
 }
 
 // Receive takes a datagram of the SIP socket. New calls are offered to the module by the next Wake.
-func (e *Edge) Receive(now float64, from netip.AddrPort, data []byte) {
+func (e *Agent) Receive(now float64, from netip.AddrPort, data []byte) {
 	e.Now = now
 	e.sip.Receive(now, from, data)
 }
 
-// Peer takes another gateway's message.
-func (e *Edge) Peer(now float64, from int, data []byte) {
+// OnPeerMessage takes another gateway's message.
+func (e *Agent) OnPeerMessage(now float64, from int, data []byte) {
 	e.Now, e.sip.Now = now, now
-	if len(data) <= 256 && from >= 0 && from < e.cfg.Set.Gateways && from != e.cfg.Set.GatewayIndex {
+	if len(data) <= 256 && from >= 0 && from < e.config.Settings.Gateways && from != e.config.Settings.GatewayIndex {
 		e.Router.OnGossip(now, from, data)
 	}
 }
 
-// Listed takes an endpoint list, whole or of changes only. What it says of an endpoint counts from now on (rule 3): setups to a
+// OnEndpointList takes an endpoint list, whole or of changes only. What it says of an endpoint counts from now on (rule 3): setups to a
 // endpoint that drains or is gone are not repeated any more.
-func (e *Edge) Listed(now float64, list []Member, whole bool) {
+func (e *Agent) OnEndpointList(now float64, list []ListEntry, whole bool) {
 	e.Now, e.sip.Now = now, now
 	entries := make([]endpointset.Entry[string], len(list))
 	for i, m := range list {
-		entries[i] = endpointset.Entry[string]{ID: m.ID, DestinationID: m.Number, State: m.State, StartedAt: m.Since}
+		entries[i] = endpointset.Entry[string]{ID: m.ID, DestinationID: m.DestinationID, State: m.State, StartedAt: m.StartedAt}
 	}
 	changed := e.Endpoints.Apply(entries, whole)
 	for _, m := range list {
 		p := e.Endpoints.ByID(m.ID)
-		if _, known := e.addrs[p]; !known {
+		if _, known := e.addresses[p]; !known {
 			if g := e.groups[p.DestinationID]; g != nil {
-				p.LoadReport.Capacity, p.LoadReport.Free = float64(g.Size), float64(g.Size)
+				p.LoadReport.Capacity, p.LoadReport.Free = float64(g.Circuits), float64(g.Circuits)
 			}
 		}
-		e.addrs[p] = m.Addr
+		e.addresses[p] = m.Addr
 	}
 	for _, p := range changed {
 		if p.State != routing.Ready {
-			for _, d := range e.ends {
-				if d.leg != nil && d.leg.ring.Endpoint == p && !d.leg.tx.Heard() {
-					d.leg.tx.Quiet()
+			for _, d := range e.dialogs {
+				if d.leg != nil && d.leg.attempt.Endpoint == p && !d.leg.tx.HasResponse() {
+					d.leg.tx.StopRetransmitting()
 				}
 			}
 		}
@@ -178,82 +178,82 @@
 	e.Router.OnEndpoints(now, changed)
 }
 
-// Wake ends a batch: timers that are due run, then what came is offered to the module.
-func (e *Edge) Wake(now float64) {
+// Step ends a batch: timers that are due run, then what came is offered to the module.
+func (e *Agent) Step(now float64) {
 	e.sip.Now = now
 	e.ProcessBatch(now, func() {
-		if e.cfg.Look != nil {
-			e.cfg.Look.Wake(now)
+		if e.config.NumberLookup != nil {
+			e.config.NumberLookup.Wake(now)
 		}
 	})
 }
 
-// Next is when Wake is wanted, on the clock that was handed in.
-func (e *Edge) Next() float64 {
+// NextWakeup is when Wake is wanted, on the clock that was handed in.
+func (e *Agent) NextWakeup() float64 {
 	at := e.Controller.NextWakeup()
-	if e.cfg.Look != nil {
-		at = math.Min(at, e.cfg.Look.Next())
+	if e.config.NumberLookup != nil {
+		at = math.Min(at, e.config.NumberLookup.NextWakeup())
 	}
 	return at
 }
 
-// Release ends all standing calls.
-func (e *Edge) Release(now float64) {
+// ReleaseAll ends all standing calls.
+func (e *Agent) ReleaseAll(now float64) {
 	e.Now, e.sip.Now = now, now
 	var tags []string
-	for tag, d := range e.ends {
+	for tag, d := range e.dialogs {
 		if d.leg == nil {
 			tags = append(tags, tag)
 		}
 	}
 	slices.Sort(tags)
 	for _, tag := range tags {
-		if d := e.ends[tag]; d != nil {
-			d.call.release(routing.Reset, cutReason)
+		if d := e.dialogs[tag]; d != nil {
+			d.call.release(routing.Reset, temporaryFailure)
 		}
 	}
 }
 
-// Open is how much the edge holds: dialogs, transactions and timers.
-func (e *Edge) Open() (dialogs, transactions, timers int) {
-	c, s := e.sip.Open()
-	return len(e.ends), c + s, e.Timers.Len()
+// OpenCounts is how much the edge holds: dialogs, transactions and timers.
+func (e *Agent) OpenCounts() (dialogs, transactions, timers int) {
+	c, s := e.sip.OpenCounts()
+	return len(e.dialogs), c + s, e.Timers.Len()
 }
 
 // ProbeHealth implements routing.Host: OPTIONS (RFC 3261 11).
-func (e *Edge) ProbeHealth(p *routing.Endpoint) {
-	to := e.addrs[p]
+func (e *Agent) ProbeHealth(p *routing.Endpoint) {
+	to := e.addresses[p]
 	req := sip.NewRequest(sip.OPTIONS, sip.Uri{Scheme: "sip", Host: to.Addr().String(), Port: int(to.Port())})
-	e.common(req, &sip.FromHeader{Address: e.uri(""), Params: sip.HeaderParams{{K: "tag", V: e.names.Next()}}},
-		&sip.ToHeader{Address: req.Recipient}, e.names.Next()+"@"+e.cfg.Name, 1)
-	e.sip.Ask(req, to, oc, func(res *sip.Response) {
-		full := res != nil && e.report(p, res)
+	e.addCommonHeaders(req, &sip.FromHeader{Address: e.ownURI(""), Params: sip.HeaderParams{{K: "tag", V: e.names.Next()}}},
+		&sip.ToHeader{Address: req.Recipient}, e.names.Next()+"@"+e.config.Name, 1)
+	e.sip.Send(req, to, overloadControlParams, func(res *sip.Response) {
+		full := res != nil && e.applyLoadReport(p, res)
 		e.Router.OnLoadReport(e.Now, p, res != nil && res.StatusCode < 300, full)
 	})
 }
 
 // SendGossip implements routing.Host.
-func (e *Edge) SendGossip(to int, data []byte) { e.out.Tell(to, data) }
+func (e *Agent) SendGossip(to int, data []byte) { e.transport.SendGossip(to, data) }
 
-// moduleHost is the edge as the module sees it: Wake means something else there.
-type moduleHost struct{ *Edge }
+// policyHost is the edge as the module sees it: Wake means something else there.
+type policyHost struct{ *Agent }
 
 // ScheduleWakeup implements routing.Host.
-func (h moduleHost) ScheduleWakeup(at float64, c *routing.Call) {
+func (h policyHost) ScheduleWakeup(at float64, c *routing.Call) {
 	h.Controller.ScheduleWakeup(at, c)
 }
 
-// Asked implements signal.User.
-func (e *Edge) Asked(s *siptransaction.Server, req *sip.Request) {
+// OnRequest implements signal.User.
+func (e *Agent) OnRequest(s *siptransaction.Server, req *sip.Request) {
 	e.Now = e.sip.Now
 	tag := siptransaction.Tag(req.To().Params)
-	d := e.ends[tag]
+	d := e.dialogs[tag]
 	if d != nil && d.callID != string(*req.CallID()) {
 		d = nil
 	}
 	switch {
 	case req.Method == sip.INVITE && tag == "":
-		e.invited(s, req)
+		e.onInvite(s, req)
 	case req.Method == sip.OPTIONS && tag == "":
 		s.Respond(siptransaction.Response(req, 200, "OK", e.names.Next()))
 	case tag != "" && d == nil:
@@ -272,13 +272,13 @@
 	}
 }
 
-// uri is this edge's own.
-func (e *Edge) uri(user string) sip.Uri {
-	return sip.Uri{Scheme: "sip", User: user, Host: e.cfg.Self.Addr().String(), Port: int(e.cfg.Self.Port())}
+// ownURI is this edge's own.
+func (e *Agent) ownURI(user string) sip.Uri {
+	return sip.Uri{Scheme: "sip", User: user, Host: e.config.Address.Addr().String(), Port: int(e.config.Address.Port())}
 }
 
-// common gives a request the fields that all have (RFC 3261 8.1.1), without its Via.
-func (e *Edge) common(req *sip.Request, from *sip.FromHeader, to *sip.ToHeader, callID string, seq uint32) {
+// addCommonHeaders gives a request the fields that all have (RFC 3261 8.1.1), without its Via.
+func (e *Agent) addCommonHeaders(req *sip.Request, from *sip.FromHeader, to *sip.ToHeader, callID string, seq uint32) {
 	id := sip.CallIDHeader(callID)
 	req.AppendHeader(from)
 	req.AppendHeader(to)
--- a/internal/protocol/b2bua/edge_test.go
+++ b/internal/protocol/b2bua/edge_test.go
@@ -62,7 +62,7 @@
 // rig is an edge with a hand-played module and wire.
 type rig struct {
 	*testing.T
-	e    *Edge
+	e    *Agent
 	m    *mind
 	now  float64
 	out  []packet
@@ -70,14 +70,14 @@
 }
 
 func (r *rig) Send(to netip.AddrPort, data []byte) { r.out = append(r.out, packet{to, string(data)}) }
-func (r *rig) Tell(int, []byte)                    {}
+func (r *rig) SendGossip(int, []byte)              {}
 
 func newRig(t *testing.T) *rig {
 	r := &rig{T: t, m: &mind{}, now: 1e6}
 	set := &routing.Settings{Gateways: 1, Seed: 3, TickInterval: 1, MaxAttempts: 5, CancelEnabled: true, RetryAfterEnabled: true, RetryHoldOff: 500, AnswerGrace: 20,
 		Classes: []*routing.Class{{Name: "shift-lookup", LatencyObjective: 2000, Timeout: 9000, Weight: 1}, {Name: "claim", LatencyObjective: 1000, Timeout: 6000, Weight: 5}}}
-	r.e = New(&Config{Name: "e", Self: self, Context: "x.example", Set: set, Times: siptransaction.Times{T1: 400, T2: 3200, T4: 5000}, Default: "shift-lookup",
-		Groups: []Group{{Name: "TG-0", Pool: 0, Size: 10}, {Name: "TG-1", Pool: 1, Size: 10}}, Gate: loadshed.Gate{MaxPending: 100}},
+	r.e = New(&Config{Name: "e", Address: self, TrunkContext: "x.example", Settings: set, Times: siptransaction.Timers{T1: 400, T2: 3200, T4: 5000}, DefaultClass: "shift-lookup",
+		Groups: []Group{{Name: "TG-0", DestinationID: 0, Circuits: 10}, {Name: "TG-1", DestinationID: 1, Circuits: 10}}, LoadShedding: loadshed.Gate{MaxPending: 100}},
 		func(_ *routing.Settings, h routing.Host) routing.Policy { r.m.h = h; return r.m }, r)
 	r.m.offered = func(now float64, c *routing.Call) { r.m.h.StartAttempt(c, r.m.pools[0], c.Deadline-now) }
 	r.list(routing.Ready)
@@ -85,13 +85,13 @@
 }
 
 func (r *rig) list(a routing.State) {
-	r.e.Listed(r.now, []Member{{ID: "a", Number: 0, State: a, Addr: switchA}, {ID: "b", Number: 1, State: routing.Ready, Addr: switchB}}, true)
+	r.e.OnEndpointList(r.now, []ListEntry{{ID: "a", DestinationID: 0, State: a, Addr: switchA}, {ID: "b", DestinationID: 1, State: routing.Ready, Addr: switchB}}, true)
 }
 
 func (r *rig) pass(ms float64) {
 	for end := r.now + ms; r.now < end; {
 		r.now++
-		r.e.Wake(r.now)
+		r.e.Step(r.now)
 	}
 }
 
@@ -99,7 +99,7 @@
 func (r *rig) get(from netip.AddrPort, text string) {
 	head, body, _ := strings.Cut(text, "\n\n")
 	r.e.Receive(r.now, from, []byte(strings.ReplaceAll(head, "\n", "\r\n")+"\r\n\r\n"+body))
-	r.e.Wake(r.now)
+	r.e.Step(r.now)
 }
 
 func callerSays(method, id, more string) string {
@@ -160,7 +160,7 @@
 		res.AppendHeader(sip.NewHeader(k, v))
 	}
 	r.e.Receive(r.now, from, []byte(res.String()))
-	r.e.Wake(r.now)
+	r.e.Step(r.now)
 }
 
 func (r *rig) heard(want ...string) {
@@ -177,7 +177,7 @@
 	inv := r.sent(switchA, "INVITE sip:+14185550123;tgrp=TG-0;trunk-context=x.example@127.0.0.3")
 	r.pass(151)
 	r.sent(caller, "SIP/2.0 100")
-	if s := siptransaction.Session(inv.(*sip.Request)); s != strings.Repeat("1", 32) {
+	if s := siptransaction.SessionIDOf(inv.(*sip.Request)); s != strings.Repeat("1", 32) {
 		t.Errorf("Session-ID %q on the trunk", s)
 	}
 	r.answer(switchA, inv, 180, "s1", "Cobalt-Load: util=0.5;queue=3;lines=90;free=80")
@@ -210,7 +210,7 @@
 		t.Errorf("held %d, standing %d", w, s)
 	}
 	r.pass(100000)
-	if d, x, timers := r.e.Open(); d+x+timers != 0 {
+	if d, x, timers := r.e.OpenCounts(); d+x+timers != 0 {
 		t.Errorf("left over: %d dialogs, %d transactions, %d timers", d, x, timers)
 	}
 }
@@ -242,7 +242,7 @@
 	r.get(caller, callerSays("INVITE", "2a", ""))
 	inv := r.sent(switchA, "INVITE")
 	r.answer(switchA, inv, 180, "s", "")
-	r.m.h.CancelAttempt(r.e.ends[siptransaction.Tag(inv.From().Params)].leg.ring)
+	r.m.h.CancelAttempt(r.e.dialogs[siptransaction.Tag(inv.From().Params)].leg.attempt)
 	r.sent(switchA, "CANCEL")
 	r.pass(10)
 	if r.count(switchB, "INVITE") != 0 {
@@ -349,8 +349,8 @@
 		r.answer(switchA, r.sent(switchA, "INVITE"), x.code, "s", x.more)
 		r.sent(switchA, "ACK")
 		r.heard(x.want)
-		if res := r.sent(caller, "SIP/2.0 503").(*sip.Response); siptransaction.Wait(siptransaction.Field(res, siptransaction.RetryAfter)) != 300 {
-			t.Errorf("caller told to wait %q", siptransaction.Field(res, siptransaction.RetryAfter))
+		if res := r.sent(caller, "SIP/2.0 503").(*sip.Response); siptransaction.ParseRetryAfter(siptransaction.HeaderValue(res, siptransaction.RetryAfter)) != 300 {
+			t.Errorf("caller told to wait %q", siptransaction.HeaderValue(res, siptransaction.RetryAfter))
 		}
 	}
 }
@@ -388,8 +388,8 @@
 	inv, _ := stand("8a")
 	r.get(switchA, "BYE sip:127.0.0.1 SIP/2.0\nVia: SIP/2.0/UDP 127.0.0.3:5060;branch=z9hG4bKx\nFrom: <sip:x@y>;tag=s8a\nTo: <sip:a@b>;tag="+
 		siptransaction.Tag(inv.From().Params)+"\nCall-ID: "+string(*inv.CallID())+"\nCSeq: 1 BYE\nReason: Q.850;cause=41\nContent-Length: 0")
-	if bye := r.sent(caller, "BYE").(*sip.Request); !strings.Contains(siptransaction.Field(bye, siptransaction.Reason), "cause=41") {
-		t.Errorf("reason %q to the caller", siptransaction.Field(bye, siptransaction.Reason))
+	if bye := r.sent(caller, "BYE").(*sip.Request); !strings.Contains(siptransaction.HeaderValue(bye, siptransaction.Reason), "cause=41") {
+		t.Errorf("reason %q to the caller", siptransaction.HeaderValue(bye, siptransaction.Reason))
 	}
 	r.heard("stood", "ended 0 closed true wait 0", "stood", "ended 5 closed true wait 0")
 	r.get(caller, callerSays("BYE", "8a", ";tag=nobody"))
@@ -441,8 +441,8 @@
 	r.pass(2)
 	r.sent(caller, "SIP/2.0 500")
 	for range 40 { // idle, woken at its beat
-		r.now = r.e.Next()
-		r.e.Wake(r.now)
+		r.now = r.e.NextWakeup()
+		r.e.Step(r.now)
 	}
 	r.get(caller, callerSays("INVITE", "2c", ""))
 	r.pass(8990)
@@ -496,7 +496,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		r := newRig(t)
 		r.e.Receive(r.now, caller, data)
-		r.e.Wake(r.now)
+		r.e.Step(r.now)
 		r.e.Receive(r.now, caller, data)
 		r.pass(5)
 	})
--- a/internal/protocol/b2bua/enquiry_test.go
+++ b/internal/protocol/b2bua/enquiry_test.go
@@ -13,15 +13,15 @@
 func TestEnquiry(t *testing.T) {
 	r, b := numberRig(t)
 	r.m.offered = func(now float64, c *routing.Call) { r.m.h.StartAttempt(c, r.m.pools[1], c.Deadline-now) }
-	var got []Named
-	r.e.Enquire(r.now, "14185550123", "shift-lookup", 2000, func(_ float64, n Named) { got = append(got, n) })
+	var got []EnquiryResult
+	r.e.StartEnquiry(r.now, "14185550123", "shift-lookup", 2000, func(_ float64, n EnquiryResult) { got = append(got, n) })
 	r.pass(1)
 	if len(b.asked) != 1 || len(got) != 0 {
 		t.Fatalf("asked %v, %v", b.asked, got)
 	}
 	b.done[0](r.now, numberplan.Found{Answer: numberplan.Ported, Routing: "+15145550000"})
 	if len(got) != 1 || got[0].Code != 200 || got[0].Addr != switchB || got[0].Group != "TG-1" || got[0].Number != "+14185550123" ||
-		got[0].Params != ";npdi;rn=+70115145550000" || !got[0].Still() {
+		got[0].Params != ";npdi;rn=+70115145550000" || !got[0].Valid() {
 		t.Fatalf("%+v", got)
 	}
 	r.pass(2)
@@ -31,8 +31,8 @@
 	if held, _ := r.e.InProgress(); held != 0 || r.e.Counts.EnquiriesAnswered != 1 || len(r.e.tables) != 0 {
 		t.Errorf("%d held, %+v", held, r.e.Counts)
 	}
-	r.e.Listed(r.now, []Member{{ID: "b", Number: 1, State: routing.Draining, Addr: switchB}}, false)
-	if got[0].Still() {
+	r.e.OnEndpointList(r.now, []ListEntry{{ID: "b", DestinationID: 1, State: routing.Draining, Addr: switchB}}, false)
+	if got[0].Valid() {
 		t.Error("a pool that drains may still be named")
 	}
 }
@@ -40,14 +40,14 @@
 // Rules 2 and 3 hold for enquiries at the same place as for calls, rule 1 whatever the module does.
 func TestEnquiryRules(t *testing.T) {
 	r := newRig(t)
-	var got []Named
-	done := func(_ float64, n Named) { got = append(got, n) }
+	var got []EnquiryResult
+	done := func(_ float64, n EnquiryResult) { got = append(got, n) }
 	r.m.offered = func(now float64, c *routing.Call) {
 		r.m.h.StartAttempt(c, r.m.pools[0], 100)
 		r.m.h.StartAttempt(c, r.m.pools[1], 100)
 		r.m.h.Reject(c, 0)
 	}
-	r.e.Enquire(r.now, "1", "shift-lookup", 2000, done)
+	r.e.StartEnquiry(r.now, "1", "shift-lookup", 2000, done)
 	r.pass(2)
 	if len(got) != 1 || got[0].Code != 200 || r.e.Counts.Blocked != 1 {
 		t.Errorf("two rings and a deferral: %+v, barred %d", got, r.e.Counts.Blocked)
@@ -55,7 +55,7 @@
 	got = nil
 	r.list(routing.Draining)
 	r.m.offered = func(now float64, c *routing.Call) { r.m.h.StartAttempt(c, r.m.pools[0], 100) }
-	r.e.Enquire(r.now, "1", "shift-lookup", 2000, done)
+	r.e.StartEnquiry(r.now, "1", "shift-lookup", 2000, done)
 	r.pass(1990)
 	if len(got) != 0 {
 		t.Errorf("a pool that drains: %+v", got)
@@ -66,7 +66,7 @@
 	}
 	got = nil
 	r.m.offered = func(now float64, c *routing.Call) {}
-	stop := r.e.Enquire(r.now, "1", "shift-lookup", 2000, done)
+	stop := r.e.StartEnquiry(r.now, "1", "shift-lookup", 2000, done)
 	r.pass(1)
 	stop()
 	stop()
@@ -75,8 +75,8 @@
 		t.Errorf("taken back: %+v, heard %v", got, r.m.heard)
 	}
 	r.e.StopAdmitting()
-	r.e.Enquire(r.now, "1", "shift-lookup", 2000, done)
-	r.e.Enquire(r.now, "1", "nothing", 2000, done)
+	r.e.StartEnquiry(r.now, "1", "shift-lookup", 2000, done)
+	r.e.StartEnquiry(r.now, "1", "nothing", 2000, done)
 	r.pass(1)
 	if len(got) != 2 || got[0].Code != 404 || got[1].Code != 503 {
 		t.Errorf("while it drains: %+v", got)
@@ -93,7 +93,7 @@
 	r.m.offered = func(float64, *routing.Call) {}
 	n := map[string]int{}
 	for range 100 {
-		r.e.Enquire(r.now, "1", "shift-lookup", 2000, func(_ float64, x Named) { n[strings.Fields(x.Why)[0]]++ })
+		r.e.StartEnquiry(r.now, "1", "shift-lookup", 2000, func(_ float64, x EnquiryResult) { n[strings.Fields(x.Reason)[0]]++ })
 	}
 	r.pass(1)
 	if n["busy"] != 90 || r.e.Counts.Shed != 90 {
--- a/internal/protocol/b2bua/held.go
+++ b/internal/protocol/b2bua/held.go
@@ -2,36 +2,36 @@
 
 import "cobaltpier/internal/protocol/callcontrol"
 
-// held is a call as the edge holds it: what the call control has, and what became of its number.
-type held struct {
+// session is a call as the edge holds it: what the call control has, and what became of its number.
+type session struct {
 	*callcontrol.Session
-	refuser
-	edge    *Edge
-	session string
-	route   numberAnalysis
+	responder
+	agent     *Agent
+	sessionID string
+	number    numberAnalysis
 }
 
-// refuser is a party that takes answers which are none of the module's.
-type refuser interface {
-	// refuse sends a final answer: code and reason as of SIP.
-	refuse(code int, why string)
+// responder is a party that takes answers which are none of the module's.
+type responder interface {
+	// respond sends a final answer: code and reason as of SIP.
+	respond(code int, why string)
 }
 
-// settle notes a final answer, by its code, and lets go of the number's table; false: it has one already.
-func (k *held) settle(code int) bool {
+// finish notes a final answer, by its code, and lets go of the number's table; false: it has one already.
+func (k *session) finish(code int) bool {
 	if !k.Finish(code >= 300) {
 		return false
 	}
-	k.letGo()
-	if e := k.edge; e.OnFate != nil {
-		e.OnFate(Fate{Session: k.session, Skill: k.Class.Name, Answer: code, Rings: k.Call.Attempts, Took: e.Now - k.ArrivedAt,
-			Table: k.route.version, Route: k.route.name})
+	k.releaseTable()
+	if e := k.agent; e.OnCallEnd != nil {
+		e.OnCallEnd(CallRecord{SessionID: k.sessionID, Class: k.Class.Name, Answer: code, Attempts: k.Call.Attempts, DurationMs: e.Now - k.ArrivedAt,
+			Table: k.number.tableVersion, Route: k.number.routeName})
 	}
 	return true
 }
 
 // SendFailure implements control.Party.
-func (k *held) SendFailure() { k.refuse(500, "Server Internal Error") }
+func (k *session) SendFailure() { k.respond(500, "Server Internal Error") }
 
 // Prepare looks a call's number up before the module gets it.
-func (k *held) Prepare() { k.lookUp() }
+func (k *session) Prepare() { k.startLookup() }
--- a/internal/protocol/b2bua/load.go
+++ b/internal/protocol/b2bua/load.go
@@ -11,8 +11,8 @@
 	"cobaltpier/internal/routing"
 )
 
-// fields of our load header and where their values go; times are milliseconds.
-var fields = map[string]func(*routing.LoadReport, float64){
+// loadReportFields of our load header and where their values go; times are milliseconds.
+var loadReportFields = map[string]func(*routing.LoadReport, float64){
 	"util":  func(r *routing.LoadReport, v float64) { r.Utilization = v },
 	"queue": func(r *routing.LoadReport, v float64) { r.QueueLength = v },
 	"wait":  func(r *routing.LoadReport, v float64) { r.QueueDelay = v },
@@ -20,27 +20,27 @@
 	"free":  func(r *routing.LoadReport, v float64) { r.Free = v },
 }
 
-// report reads what an answer says of an endpoint's load: overload control in our own Via (RFC 7339 4, RFC 7415 3) and the
+// applyLoadReport reads what an answer says of an endpoint's load: overload control in our own Via (RFC 7339 4, RFC 7415 3) and the
 // load header. It tells whether figures of the processor came. What makes no sense is passed over.
-func (e *Edge) report(p *routing.Endpoint, res *sip.Response) bool {
+func (e *Agent) applyLoadReport(p *routing.Endpoint, res *sip.Response) bool {
 	full := false
 	if via := res.Via(); via != nil {
 		v, _ := via.Params.Get("oc")
 		algo, _ := via.Params.Get("oc-algo")
 		validity, stated := via.Params.Get("oc-validity")
-		if n, ok := figure(v); ok && !(stated && validity == "0") { // 0: control has ended (RFC 7339 4.3)
+		if n, ok := parseNumber(v); ok && !(stated && validity == "0") { // 0: control has ended (RFC 7339 4.3)
 			switch strings.Trim(algo, `"`) {
 			case "loss":
 				p.LoadReport.LossFraction, full = min(1, n/100), true
 			case "rate": // what this client may send; the module wants what all may
-				p.LoadReport.RateLimit, full = n*float64(max(1, e.cfg.Set.Gateways)), true
+				p.LoadReport.RateLimit, full = n*float64(max(1, e.config.Settings.Gateways)), true
 			}
 		}
 	}
-	for f := range strings.SplitSeq(siptransaction.Field(res, siptransaction.Load), ";") {
+	for f := range strings.SplitSeq(siptransaction.HeaderValue(res, siptransaction.Load), ";") {
 		k, v, _ := strings.Cut(strings.TrimSpace(f), "=")
-		n, ok := figure(v)
-		if set := fields[k]; set != nil && ok {
+		n, ok := parseNumber(v)
+		if set := loadReportFields[k]; set != nil && ok {
 			set(&p.LoadReport, n)
 			full = full || k != "lines" && k != "free"
 		}
@@ -48,8 +48,8 @@
 	return full
 }
 
-// figure reads a number from 0 up.
-func figure(s string) (float64, bool) {
+// parseNumber reads a number from 0 up.
+func parseNumber(s string) (float64, bool) {
 	n, err := strconv.ParseFloat(s, 64)
 	return n, err == nil && n >= 0 && !math.IsInf(n, 0)
 }
--- a/internal/protocol/binarygateway/any_test.go
+++ b/internal/protocol/binarygateway/any_test.go
@@ -15,9 +15,9 @@
 // that change: nothing falls over, no caller hears two answers for a call, and nothing is left when all have gone.
 func TestAnyMessages(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		r := newRig(t)
-		r.mod.again = true
-		var callers []*wire
+		r := newTestGateway(t)
+		r.policy.retries = true
+		var callers []*testConn
 		ids := rapid.Uint64Range(0, 6)
 		text := rapid.SampledFrom([]string{"", "voice", "video", "1500", "-1", "1e300", "NaN", "dest:0;width:1;via:-1", "dest:1;again:1", "at:a", "at:b", "at:nobody",
 			"width:0", "free:3;size:40;busy:0.5;q:2", "free:x;:;;busy:NaN", "cpu_full", "number_busy", "all_trunks_busy"})
@@ -34,40 +34,40 @@
 			return
 		}
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
-			r.mod.to = []int{rapid.IntRange(0, 1).Draw(rt, "pool")}
-			live := slices.DeleteFunc(slices.Clone(callers), func(w *wire) bool { return w.shut || w.link.closed })
-			lines := slices.DeleteFunc(slices.Clone(r.wires), func(w *wire) bool { return w.shut || w.link.closed })
+			r.policy.targets = []int{rapid.IntRange(0, 1).Draw(rt, "pool")}
+			live := slices.DeleteFunc(slices.Clone(callers), func(w *testConn) bool { return w.closed || w.conn.closed })
+			lines := slices.DeleteFunc(slices.Clone(r.dialed), func(w *testConn) bool { return w.closed || w.conn.closed })
 			switch what := rapid.IntRange(0, 9).Draw(rt, "what"); {
 			case what == 0 || len(live) == 0:
-				callers = append(callers, r.caller())
+				callers = append(callers, r.newClient())
 			case what <= 3:
-				r.setUp(rapid.SampledFrom(live).Draw(rt, "caller"), ids.Draw(rt, "id"))
+				r.receiveSetup(rapid.SampledFrom(live).Draw(rt, "caller"), ids.Draw(rt, "id"))
 			case what == 4:
-				r.says(rapid.SampledFrom(live).Draw(rt, "caller"), kinds.Draw(rt, "kind"), ids.Draw(rt, "id"), some()...)
+				r.receive(rapid.SampledFrom(live).Draw(rt, "caller"), kinds.Draw(rt, "kind"), ids.Draw(rt, "id"), some()...)
 			case what == 5:
-				r.m.OnClosed(r.now, rapid.SampledFrom(live).Draw(rt, "caller").link, ClosedNormally)
+				r.gateway.OnClosed(r.now, rapid.SampledFrom(live).Draw(rt, "caller").conn, ClosedNormally)
 			case what <= 7 && len(lines) > 0:
-				r.says(rapid.SampledFrom(lines).Draw(rt, "line"), kinds.Draw(rt, "kind"), ids.Draw(rt, "id"), some()...)
+				r.receive(rapid.SampledFrom(lines).Draw(rt, "line"), kinds.Draw(rt, "kind"), ids.Draw(rt, "id"), some()...)
 			case what == 8 && len(lines) > 0:
-				r.m.OnClosed(r.now, rapid.SampledFrom(lines).Draw(rt, "line").link, rapid.SampledFrom([]CloseReason{ClosedNormally, ClosedRefused, ClosedReset}).Draw(rt, "how"))
+				r.gateway.OnClosed(r.now, rapid.SampledFrom(lines).Draw(rt, "line").conn, rapid.SampledFrom([]CloseReason{ClosedNormally, ClosedRefused, ClosedReset}).Draw(rt, "how"))
 			default:
-				b := ready("b", addrB, 1)
+				b := readyTarget("b", addrB, 1)
 				b.State = rapid.SampledFrom([]routing.State{routing.Ready, routing.Draining}).Draw(rt, "state")
 				l := []dnsdiscovery.Target{b}
 				if rapid.Bool().Draw(rt, "a is there") {
-					l = append(l, ready("a", addrA, 0))
+					l = append(l, readyTarget("a", addrA, 0))
 				}
-				r.list(2, l...)
+				r.setEndpoints(2, l...)
 			}
-			r.pass(rapid.SampledFrom([]float64{0, 1, 100, 700, 3000}).Draw(rt, "time"))
+			r.advance(rapid.SampledFrom([]float64{0, 1, 100, 700, 3000}).Draw(rt, "time"))
 		}
 		for _, w := range callers {
-			r.m.OnClosed(r.now, w.link, ClosedNormally)
+			r.gateway.OnClosed(r.now, w.conn, ClosedNormally)
 		}
-		r.pass(200)
-		r.list(3)
-		r.pass(50000)
-		if open := r.m.OpenCounts(); open.Calls+open.Upstreams+open.Clients+open.ClientConns > 0 {
+		r.advance(200)
+		r.setEndpoints(3)
+		r.advance(50000)
+		if open := r.gateway.OpenCounts(); open.Calls+open.Upstreams+open.Clients+open.ClientConns > 0 {
 			rt.Errorf("left open: %+v", open)
 		}
 	})
@@ -75,13 +75,13 @@
 
 // The longest setup whose timeout is written shorter than it is said again does not fit any more: it is refused.
 func TestLongestSetUp(t *testing.T) {
-	r := newRig(t)
-	r.mod.to = []int{0}
-	c := r.caller()
+	r := newTestGateway(t)
+	r.policy.targets = []int{0}
+	c := r.newClient()
 	of := []binarymessage.Param{binarymessage.TextParam(binarymessage.Class, "voice"), binarymessage.TextParam(binarymessage.Timeout, "9e5"), binarymessage.TextParam(binarymessage.Number, "1")}
 	room := binarymessage.MaxLength - 9 - 3 - 3*3 - len("voice9e51")
-	r.says(c, binarymessage.Setup, 7, append(of, binarymessage.Param{Code: binarymessage.Description, Value: make([]byte, room)})...)
-	r.wants(c.last(7), binarymessage.Release, binarymessage.Invalid)
-	r.says(c, binarymessage.Setup, 8, append(of, binarymessage.Param{Code: binarymessage.Description, Value: make([]byte, room-64)})...)
-	r.on(8)
+	r.receive(c, binarymessage.Setup, 7, append(of, binarymessage.Param{Code: binarymessage.Description, Value: make([]byte, room)})...)
+	r.expect(c.lastMessage(7), binarymessage.Release, binarymessage.Invalid)
+	r.receive(c, binarymessage.Setup, 8, append(of, binarymessage.Param{Code: binarymessage.Description, Value: make([]byte, room-64)})...)
+	r.connOf(8)
 }
--- a/internal/protocol/binarygateway/world_test.go
+++ b/internal/protocol/binarygateway/world_test.go
@@ -20,13 +20,15 @@
 	"cobaltpier/internal/routing"
 )
 
-func mind(s *routing.Settings, h routing.Host) routing.Policy { return router.New(s, h) }
+func scriptedPolicy(s *routing.Settings, host routing.Host) routing.Policy {
+	return router.New(s, host)
+}
 
 func newWorld(seed uint64, mk routing.PolicyFactory, off routing.Rule) *binarystandin.World {
 	set := &routing.Settings{Gateways: 1, Seed: seed, TickInterval: 1, MaxAttempts: 5, CancelEnabled: true, RetryAfterEnabled: true, MaxRetryAfter: 2000, RetransmitInterval: 400,
 		RetryHoldOff: 300, AnswerGrace: 20, SlowStartFraction: 0.4, SlowStartDuration: 3000, OverloadFactor: 2.5, OverloadWindow: 1000,
 		Classes: []*routing.Class{{Name: "voice", LatencyObjective: 1000, Timeout: 3000, Weight: 1, MeanHoldingTime: 800, Idempotent: true}}}
-	j := binaryconformance.New(binaryconformance.Rules{Slack: 50, Grace: 250, Clear: 300, Told: 1000, ToldElse: 8000})
+	j := binaryconformance.New(binaryconformance.Rules{AnswerGrace: 50, DrainGrace: 250, HoldOff: 300, ReleaseWithin: 1000, ReleaseWithinSilent: 8000})
 	return binarystandin.New(seed, &binarygateway.Config{Settings: set, Connections: deployment.Connections{ConnectTimeout: 500},
 		MaxDescriptors: 256, AnswerMargin: 5, LoadShedding: loadshed.Gate{MaxPending: 500}, DisabledGuard: off}, mk, 3, j)
 }
@@ -42,20 +44,20 @@
 // Whatever callers, switches and the network do, the traffic keeps the rules.
 func TestRulesInTrouble(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(rapid.Uint64().Draw(t, "seed"), mind, 0)
-		w.Faults = binarystandin.Faults{Spoilt: share(t, "spoilt", 0.1), Late: share(t, "late", 0.2), Never: share(t, "never", 0.2), Twice: share(t, "twice", 0.3),
-			Ahead: share(t, "ahead", 0.3), Reset: share(t, "reset", 0.1), Full: share(t, "full", 0.3), Bad: share(t, "bad", 0.2), Cut: share(t, "cut", 0.5),
-			Leaves: share(t, "leaves", 0.5), Hangs: share(t, "hangs", 0.5), Closes: share(t, "closes", 0.1), Stuck: share(t, "stuck", 0.2),
-			Split: rapid.Bool().Draw(t, "split"), Drains: share(t, "drains", 0.3), Deaths: share(t, "deaths", 0.2), Silents: share(t, "silents", 0.2)}
-		w.Stop = 8000
+		w := newWorld(rapid.Uint64().Draw(t, "seed"), scriptedPolicy, 0)
+		w.Faults = binarystandin.Faults{Malformed: share(t, "spoilt", 0.1), Late: share(t, "late", 0.2), Unanswered: share(t, "never", 0.2), Duplicate: share(t, "twice", 0.3),
+			Unsolicited: share(t, "ahead", 0.3), Reset: share(t, "reset", 0.1), Overloaded: share(t, "full", 0.3), Failed: share(t, "bad", 0.2), Cut: share(t, "cut", 0.5),
+			CallerLeaves: share(t, "leaves", 0.5), CallerHangsUp: share(t, "hangs", 0.5), ClientCloses: share(t, "closes", 0.1), Blocked: share(t, "stuck", 0.2),
+			Fragmented: rapid.Bool().Draw(t, "split"), Drains: share(t, "drains", 0.3), Crashes: share(t, "deaths", 0.2), Vanish: share(t, "silents", 0.2)}
+		w.StopAt = 8000
 		w.Run(22000)
-		for i, f := range w.Judge.Findings {
+		for i, f := range w.Checker.Findings {
 			if i < 5 {
 				t.Errorf("%v", f)
 			}
 		}
-		if w.Judge.Totals.SetUps < 20 {
-			t.Errorf("only %d set-ups came", w.Judge.Totals.SetUps)
+		if w.Checker.Totals.SetUps < 20 {
+			t.Errorf("only %d set-ups came", w.Checker.Totals.SetUps)
 		}
 	})
 }
@@ -106,10 +108,10 @@
 			found := map[int]int{}
 			for seed := range uint64(4) {
 				w := newWorld(seed, func(_ *routing.Settings, h routing.Host) routing.Policy { return &reckless{h: h, seed: seed} }, routing.Rule(off))
-				w.Faults = binarystandin.Faults{Late: 0.2, Full: 0.3, Drains: 0.4, Never: 0.2}
-				w.Stop = 6000
+				w.Faults = binarystandin.Faults{Late: 0.2, Overloaded: 0.3, Drains: 0.4, Unanswered: 0.2}
+				w.StopAt = 6000
 				w.Run(12000)
-				for i, f := range w.Judge.Findings {
+				for i, f := range w.Checker.Findings {
 					found[f.Rule]++
 					if off == 0 && i < 3 {
 						t.Error(f)
@@ -126,19 +128,19 @@
 
 // Ids, connections and switches are ever new: what is held afterwards is what is held at the start.
 func TestNothingIsLeft(t *testing.T) {
-	w := newWorld(5, mind, 0)
+	w := newWorld(5, scriptedPolicy, 0)
 	w.Rate = 60
-	w.Faults = binarystandin.Faults{Late: 0.05, Never: 0.02, Twice: 0.1, Reset: 0.02, Cut: 0.2, Leaves: 0.1, Closes: 0.1, Drains: 0.3, Deaths: 0.1, Spoilt: 0.02}
-	w.Stop = 40000
+	w.Faults = binarystandin.Faults{Late: 0.05, Unanswered: 0.02, Duplicate: 0.1, Reset: 0.02, Cut: 0.2, CallerLeaves: 0.1, ClientCloses: 0.1, Drains: 0.3, Crashes: 0.1, Malformed: 0.02}
+	w.StopAt = 40000
 	w.Run(100000)
-	open := w.M.OpenCounts()
+	open := w.Gateway.OpenCounts()
 	if open.Calls > 0 || open.Upstreams > 4 || open.Clients > 1 || open.ClientConns > 4 || open.Timers > 40 {
 		t.Errorf("left open: %+v", open)
 	}
-	if late, ends := w.M.RememberedCounts(); late+ends > 0 {
+	if late, ends := w.Gateway.RememberedCounts(); late+ends > 0 {
 		t.Errorf("%d and %d are remembered", late, ends)
 	}
-	for _, f := range w.Judge.Findings {
+	for _, f := range w.Checker.Findings {
 		t.Error(f)
 	}
 }
@@ -161,13 +163,13 @@
 
 // trafficChecksum plays a run with faults and hashes every message that crosses the gateway's sockets.
 func trafficChecksum(seed uint64) (checksum uint64, messages int) {
-	w := newWorld(seed, mind, 0)
+	w := newWorld(seed, scriptedPolicy, 0)
 	w.Rate = 60
-	w.Faults = binarystandin.Faults{Late: 0.05, Never: 0.02, Twice: 0.1, Ahead: 0.05, Reset: 0.02, Full: 0.1, Bad: 0.1, Cut: 0.2, Leaves: 0.1,
-		Hangs: 0.1, Closes: 0.05, Stuck: 0.1, Split: true, Drains: 0.3, Deaths: 0.1, Silents: 0.1, Spoilt: 0.02}
-	w.Stop = 20000
+	w.Faults = binarystandin.Faults{Late: 0.05, Unanswered: 0.02, Duplicate: 0.1, Unsolicited: 0.05, Reset: 0.02, Overloaded: 0.1, Failed: 0.1, Cut: 0.2, CallerLeaves: 0.1,
+		CallerHangsUp: 0.1, ClientCloses: 0.05, Blocked: 0.1, Fragmented: true, Drains: 0.3, Crashes: 0.1, Vanish: 0.1, Malformed: 0.02}
+	w.StopAt = 20000
 	h := fnv.New64a()
-	w.M.OnMessage = func(conn *binarygateway.Conn, out bool, msg binarymessage.Message) {
+	w.Gateway.OnMessage = func(conn *binarygateway.Conn, out bool, msg binarymessage.Message) {
 		header := binary.LittleEndian.AppendUint64(nil, math.Float64bits(w.Now()))
 		if out {
 			header = append(header, 1)
--- a/internal/protocol/dnsclient/cache.go
+++ b/internal/protocol/dnsclient/cache.go
@@ -10,21 +10,21 @@
 
 // CacheTimes bound what is kept; times are ms.
 type CacheTimes struct {
-	Most     int     // names
-	Least    float64 // an answer is kept at least so long: a TTL of 0 would ask for each call
-	Longest  float64 // and at most
-	Negative float64 // "there is none" is kept at most so long (RFC 2308 5)
-	Stale    float64 // an answer that ran out is served for so long where nothing newer comes (RFC 8767); 0: never
-	Fail     float64 // a name that failed is not asked for again for so long (RFC 9520 3.2)
+	MaxEntries     int     // names
+	MinTTL         float64 // an answer is kept at least so long: a TTL of 0 would ask for each call
+	MaxTTL         float64 // and at most
+	MaxNegativeTTL float64 // "there is none" is kept at most so long (RFC 2308 5)
+	StaleTime      float64 // an answer that ran out is served for so long where nothing newer comes (RFC 8767); 0: never
+	FailureTTL     float64 // a name that failed is not asked for again for so long (RFC 9520 3.2)
 }
 
 // cache keeps answers, those that were used last.
 type cache struct {
 	times CacheTimes
-	of    *simplelru.LRU[string, *kept]
+	of    *simplelru.LRU[string, *entry]
 }
 
-type kept struct {
+type entry struct {
 	rules  []enum.Rule // none: there are none
 	until  float64
 	stale  float64 // it may be served till then
@@ -32,7 +32,7 @@
 }
 
 func newCache(t CacheTimes) *cache {
-	of, err := simplelru.NewLRU[string, *kept](max(1, t.Most), nil)
+	of, err := simplelru.NewLRU[string, *entry](max(1, t.MaxEntries), nil)
 	if err != nil {
 		panic(err) // only for a size below 1
 	}
@@ -40,13 +40,13 @@
 }
 
 // fresh finds an answer whose time is not over; else what is left of it.
-func (c *cache) fresh(now float64, name string) (*kept, bool) {
+func (c *cache) fresh(now float64, name string) (*entry, bool) {
 	k, ok := c.of.Get(name)
 	return k, ok && now < k.until
 }
 
 // stale finds an answer that ran out but may be served.
-func (c *cache) stale(now float64, name string) *kept {
+func (c *cache) stale(now float64, name string) *entry {
 	if k, ok := c.of.Get(name); ok && now < k.stale && k.until > 0 {
 		return k
 	}
@@ -55,23 +55,23 @@
 
 // put keeps an answer; ttl in ms. Without rules it is a negative one.
 func (c *cache) put(now float64, name string, rules []enum.Rule, ttl float64) {
-	ttl = math.Min(ttl, c.times.Longest)
+	ttl = math.Min(ttl, c.times.MaxTTL)
 	if len(rules) == 0 {
-		if ttl = math.Min(ttl, c.times.Negative); ttl <= 0 {
+		if ttl = math.Min(ttl, c.times.MaxNegativeTTL); ttl <= 0 {
 			c.of.Remove(name)
 			return
 		}
 	}
-	ttl = math.Max(ttl, c.times.Least)
-	c.of.Add(name, &kept{rules: rules, until: now + ttl, stale: now + ttl + c.times.Stale})
+	ttl = math.Max(ttl, c.times.MinTTL)
+	c.of.Add(name, &entry{rules: rules, until: now + ttl, stale: now + ttl + c.times.StaleTime})
 }
 
 // fail notes that a question for a name came to nothing.
 func (c *cache) fail(now float64, name string) {
 	k, ok := c.of.Get(name)
 	if !ok {
-		k = &kept{}
+		k = &entry{}
 		c.of.Add(name, k)
 	}
-	k.failed = now + c.times.Fail
+	k.failed = now + c.times.FailureTTL
 }
--- a/internal/protocol/dnsclient/health.go
+++ b/internal/protocol/dnsclient/health.go
@@ -6,16 +6,16 @@
 
 // What a server's silence means. Figures after RFC 6298 for times, as every sender that has no better knowledge uses them.
 const (
-	firstWait = 250.0   // ms: a server that never answered
-	leastWait = 20.0    // ms: below this the machine's own delays decide
-	mostWait  = 1000.0  // ms: longer than this another server is always the better bet
-	fewMisses = 3       // in a row, and
-	silence   = 250.0   // ms without any answer: the server counts as down; a burst that it was late for is no more than late
-	firstAway = 500.0   // ms: a server that is down is tried again after this, doubling
-	mostAway  = 10000.0 // ms
-	lameAway  = 5000.0  // ms: a server that says that it does not know the zone, or is at fault
-	loneAway  = 1000.0  // ms: where no server is up each is tried so often, for nobody else can tell
-	eager     = 0.05    // share of questions that try another server than the best: how else would one learn that it got fast
+	initialTimeout   = 250.0   // ms: a server that never answered
+	minTimeout       = 20.0    // ms: below this the machine's own delays decide
+	maxTimeout       = 1000.0  // ms: longer than this another server is always the better bet
+	downAfterMisses  = 3       // in a row, and
+	downAfterSilence = 250.0   // ms without any answer: the server counts as down; a burst that it was late for is no more than late
+	initialDownTime  = 500.0   // ms: a server that is down is tried again after this, doubling
+	maxDownTime      = 10000.0 // ms
+	lameDownTime     = 5000.0  // ms: a server that says that it does not know the zone, or is at fault
+	allDownRetry     = 1000.0  // ms: where no server is up each is tried so often, for nobody else can tell
+	explorationShare = 0.05    // share of questions that try another server than the best: how else would one learn that it got fast
 )
 
 // Health is what is known of the servers of a zone, and decides which one is asked next. It guards against servers that
@@ -41,18 +41,18 @@
 // NewHealth is the health of so many servers of which nothing is known.
 func NewHealth(servers int) *Health { return &Health{make([]server, servers)} }
 
-// Pick chooses a server for a question that was sent to some already, and how long to wait for its answer; -1: none is
+// Choose chooses a server for a question that was sent to some already, and how long to wait for its answer; -1: none is
 // worth a question now. A server that is down gets one question when its time is over, and no other till that has ended.
-func (h *Health) Pick(now float64, tried []int, draw float64) (server int, wait float64) {
+func (h *Health) Choose(now float64, tried []int, draw float64) (server int, wait float64) {
 	best, cost := -1, math.Inf(1)
 	var up []int
 	for i := range h.servers {
 		s := &h.servers[i]
 		if s.down || s.until > now {
 			if now >= s.until && now >= s.probe && len(tried) == 0 { // it may be back: one question finds out
-				s.probe = now + h.wait(i, 0)
+				s.probe = now + h.timeout(i, 0)
 				s.asked, s.was = now, true
-				return i, h.wait(i, 0)
+				return i, h.timeout(i, 0)
 			}
 			continue
 		}
@@ -63,16 +63,16 @@
 			}
 		}
 		up = append(up, i)
-		c := h.wait(i, 0) * float64(1+3*n) * (1 + float64(s.misses))
+		c := h.timeout(i, 0) * float64(1+3*n) * (1 + float64(s.misses))
 		if c < cost || c == cost && chooseLater(draw, len(up)) {
 			best, cost = i, c
 		}
 	}
-	if len(tried) == 0 && len(up) > 1 && draw < eager {
-		best = up[int(draw/eager*float64(len(up)))%len(up)]
+	if len(tried) == 0 && len(up) > 1 && draw < explorationShare {
+		best = up[int(draw/explorationShare*float64(len(up)))%len(up)]
 	}
 	if best < 0 {
-		return h.lone(now, len(tried))
+		return h.chooseAllDown(now, len(tried))
 	}
 	n := 0
 	for _, t := range tried {
@@ -81,15 +81,15 @@
 		}
 	}
 	h.servers[best].asked, h.servers[best].was = now, true
-	return best, h.wait(best, n)
+	return best, h.timeout(best, n)
 }
 
-// lone chooses where no server is up: the one that was left alone the longest, if that is long enough.
-func (h *Health) lone(now float64, tries int) (server int, wait float64) {
+// chooseAllDown chooses where no server is up: the one that was left alone the longest, if that is long enough.
+func (h *Health) chooseAllDown(now float64, tries int) (server int, wait float64) {
 	best := -1
 	for i := range h.servers {
 		s := &h.servers[i]
-		if tries == 0 && now >= s.probe && (!s.was || now >= s.asked+loneAway) && (best < 0 || s.asked < h.servers[best].asked) {
+		if tries == 0 && now >= s.probe && (!s.was || now >= s.asked+allDownRetry) && (best < 0 || s.asked < h.servers[best].asked) {
 			best = i
 		}
 	}
@@ -97,9 +97,9 @@
 		return -1, 0
 	}
 	s := &h.servers[best]
-	s.probe = now + h.wait(best, 0)
+	s.probe = now + h.timeout(best, 0)
 	s.asked, s.was = now, true
-	return best, h.wait(best, 0)
+	return best, h.timeout(best, 0)
 }
 
 // chooseLater lets equals share: the n-th of them takes the place with a chance of 1/n.
@@ -108,18 +108,18 @@
 	return part*float64(n) < 1
 }
 
-// wait is how long an answer may take before the question goes elsewhere.
-func (h *Health) wait(i, again int) float64 {
+// timeout is how long an answer may take before the question goes elsewhere.
+func (h *Health) timeout(i, again int) float64 {
 	s := &h.servers[i]
-	w := firstWait
+	w := initialTimeout
 	if s.rtt > 0 {
 		w = s.rtt + 4*s.dev
 	}
-	return math.Min(mostWait, math.Max(leastWait, w)*float64(int(1)<<min(again, 6)))
+	return math.Min(maxTimeout, math.Max(minTimeout, w)*float64(int(1)<<min(again, 6)))
 }
 
-// Answered notes an answer that took so long: the server is up.
-func (h *Health) Answered(i int, now, took float64) {
+// OnResponse notes an answer that took so long: the server is up.
+func (h *Health) OnResponse(i int, now, took float64) {
 	s := &h.servers[i]
 	if s.rtt == 0 {
 		s.rtt, s.dev = took, took/2
@@ -128,14 +128,14 @@
 		s.rtt = 0.875*s.rtt + 0.125*took
 	}
 	s.heard, s.misses, s.away, s.probe, s.down = now, 0, 0, 0, false
-	if s.bad < fewMisses {
+	if s.bad < downAfterMisses {
 		s.until = 0
 	}
 }
 
-// Missed notes that no answer came in time to a question that was sent at a time. What was sent before the latest
+// OnTimeout notes that no answer came in time to a question that was sent at a time. What was sent before the latest
 // answer says nothing of the server now.
-func (h *Health) Missed(i int, now, at float64) {
+func (h *Health) OnTimeout(i int, now, at float64) {
 	s := &h.servers[i]
 	if at < s.heard {
 		return
@@ -144,27 +144,27 @@
 		s.first = at
 	}
 	s.misses++
-	if s.misses >= fewMisses && now-s.first >= silence && now >= s.until {
+	if s.misses >= downAfterMisses && now-s.first >= downAfterSilence && now >= s.until {
 		s.down = true
-		s.away = math.Min(mostAway, math.Max(firstAway, 2*s.away))
+		s.away = math.Min(maxDownTime, math.Max(initialDownTime, 2*s.away))
 		s.until, s.probe = now+s.away, 0
 	}
 }
 
-// Lame notes that a server refused, is at fault or knows nothing of the zone. One such answer may be the name's fault;
+// OnLame notes that a server refused, is at fault or knows nothing of the zone. One such answer may be the name's fault;
 // several in a row, of whatever names, and others are asked for a while.
-func (h *Health) Lame(i int, now float64) {
+func (h *Health) OnLame(i int, now float64) {
 	s := &h.servers[i]
-	if s.bad++; s.bad >= fewMisses {
-		s.until, s.probe = now+lameAway, 0
+	if s.bad++; s.bad >= downAfterMisses {
+		s.until, s.probe = now+lameDownTime, 0
 	}
 }
 
-// Sound notes that a server's answer said something of its zone.
-func (h *Health) Sound(i int) { h.servers[i].bad, h.servers[i].until = 0, 0 }
+// OnValid notes that a server's answer said something of its zone.
+func (h *Health) OnValid(i int) { h.servers[i].bad, h.servers[i].until = 0, 0 }
 
-// Up is how many servers are asked at present.
-func (h *Health) Up(now float64) int {
+// UpCount is how many servers are asked at present.
+func (h *Health) UpCount(now float64) int {
 	n := 0
 	for i := range h.servers {
 		if s := &h.servers[i]; !s.down && s.until <= now {
--- a/internal/protocol/dnsclient/resolve.go
+++ b/internal/protocol/dnsclient/resolve.go
@@ -20,8 +20,8 @@
 
 //tally:decisions
 
-// Out is what a client asks of its driver.
-type Out interface {
+// Transport is what a client asks of its driver.
+type Transport interface {
 	// Query sends a datagram from one of the client's ports, by its number from 0.
 	Query(port int, to netip.AddrPort, data []byte)
 	// Stream sends a message over TCP and hands what comes back to Streamed, or nil if nothing does in time.
@@ -76,13 +76,13 @@
 type Client struct {
 	Counts  Counts
 	cfg     Config
-	out     Out
+	out     Transport
 	timers  timerqueue.Queue
 	health  *Health
 	cache   *cache
-	flights map[string]*flight
-	tries   map[try]*sent
-	streams map[uint64]*sent
+	flights map[string]*lookup
+	tries   map[queryAttempt]*outstandingQuery
+	streams map[uint64]*outstandingQuery
 	plain   map[int]bool    // servers that know no EDNS (RFC 6891 7)
 	doubt   map[int]float64 // till then a server is asked by stream: somebody guesses
 	strays  map[int]int     // answers from it that match nothing, since the latest that did
@@ -91,37 +91,37 @@
 	now     float64
 }
 
-// try is all that an answer must match.
-type try struct {
+// queryAttempt is all that an answer must match.
+type queryAttempt struct {
 	port int
 	from netip.AddrPort
 	id   uint16
 }
 
-// sent is one question on its way.
-type sent struct {
-	flight *flight
+// outstandingQuery is one question on its way.
+type outstandingQuery struct {
+	flight *lookup
 	server int
 	at     float64
-	key    try
+	key    queryAttempt
 	name   string // as it was sent: letters by chance large and small
 	timer  *timerqueue.Timer
 	token  uint64
 }
 
-// flight is a name that is asked for.
-type flight struct {
+// lookup is a name that is asked for.
+type lookup struct {
 	name    string
 	key     string
 	tried   []int
-	out     []*sent
-	askers  []*asker
+	out     []*outstandingQuery
+	askers  []*waiter
 	sends   int
 	last    bool // nothing more is sent
 	settled bool
 }
 
-type asker struct {
+type waiter struct {
 	done  func(now float64, a Answer)
 	limit *timerqueue.Timer
 	early *timerqueue.Timer // when stale answers are given
@@ -129,43 +129,43 @@
 }
 
 const (
-	guesses = 8      // answers that match nothing, after which a server is asked by stream
-	doubted = 2000.0 // ms: so long
-	size    = 1232   // octets of an answer by datagram (RFC 6891 6.2.5, as far as no fragments come)
+	maxMismatches  = 8      // answers that match nothing, after which a server is asked by stream
+	streamOnlyTime = 2000.0 // ms: so long
+	maxUDPSize     = 1232   // octets of an answer by datagram (RFC 6891 6.2.5, as far as no fragments come)
 	// ms: answers that come so long after the last question was given up still count. It guards against servers that all
 	// got slower than the waits that were learned.
-	lastWait = 500.0
-	byTCP    = 1000.0 // ms: most that a stream may take
+	lastTimeout   = 500.0
+	streamTimeout = 1000.0 // ms: most that a stream may take
 	// streams open at once: truncated answers would else open as many as there are names asked for
-	mostStreams = 64
+	maxStreams = 64
 )
 
 // New makes a client.
-func New(cfg Config, out Out) *Client {
-	return &Client{cfg: cfg, out: out, health: NewHealth(len(cfg.Servers)), cache: newCache(cfg.Cache), flights: map[string]*flight{},
-		tries: map[try]*sent{}, streams: map[uint64]*sent{}, plain: map[int]bool{}, doubt: map[int]float64{}, strays: map[int]int{}}
+func New(cfg Config, out Transport) *Client {
+	return &Client{cfg: cfg, out: out, health: NewHealth(len(cfg.Servers)), cache: newCache(cfg.Cache), flights: map[string]*lookup{},
+		tries: map[queryAttempt]*outstandingQuery{}, streams: map[uint64]*outstandingQuery{}, plain: map[int]bool{}, doubt: map[int]float64{}, strays: map[int]int{}}
 }
 
-// Next is when Wake is wanted.
-func (c *Client) Next() float64 { return c.timers.Next() }
+// NextWakeup is when Wake is wanted.
+func (c *Client) NextWakeup() float64 { return c.timers.Next() }
 
-// Wake runs what is due.
-func (c *Client) Wake(now float64) {
+// Step runs what is due.
+func (c *Client) Step(now float64) {
 	c.now = now
 	c.timers.Run(now)
 }
 
-// Open is how many names are asked for, and how many are kept.
-func (c *Client) Open() (flights, kept int) { return len(c.flights), c.cache.of.Len() }
+// OpenCounts is how many names are asked for, and how many are kept.
+func (c *Client) OpenCounts() (flights, kept int) { return len(c.flights), c.cache.of.Len() }
 
 func (c *Client) draw() uint64 {
 	c.drawn++
 	return detrand.Hash(c.cfg.Seed, c.drawn)
 }
 
-// Ask asks for a name's rules. done is called once, within the time given, at once where the answer is at hand; stop
+// Query asks for a name's rules. done is called once, within the time given, at once where the answer is at hand; stop
 // takes the question back, and done is not called then.
-func (c *Client) Ask(now float64, name string, within float64, done func(now float64, a Answer)) (stop func()) {
+func (c *Client) Query(now float64, name string, within float64, done func(now float64, a Answer)) (stop func()) {
 	c.now = now
 	c.Counts.Asked++
 	name = strings.ToLower(dns.Fqdn(name))
@@ -182,42 +182,42 @@
 	}
 	stale := c.cache.stale(now, name)
 	if k != nil && now < k.failed { // it came to nothing a moment ago
-		c.give(now, stale, done)
+		c.respondLater(now, stale, done)
 		return func() {}
 	}
 	f := c.flights[name]
 	if f == nil || c.cfg.Alone {
 		if len(c.flights) >= c.cfg.Most || c.cfg.Alone && len(c.tries) >= c.cfg.Most {
 			c.Counts.Full++
-			c.give(now, stale, done)
+			c.respondLater(now, stale, done)
 			return func() {}
 		}
-		f = &flight{name: name, key: name}
+		f = &lookup{name: name, key: name}
 		if c.cfg.Alone {
 			c.seq++
 			f.key += " " + strconv.FormatUint(c.seq, 10)
 		}
-		if !c.send(f) { // no server is worth a question
+		if !c.sendQuery(f) { // no server is worth a question
 			c.Counts.Down++
-			c.give(now, stale, done)
+			c.respondLater(now, stale, done)
 			return func() {}
 		}
 		c.flights[f.key] = f
-	} else if c.health.Up(now) == 0 { // the one that finds out is on its way
+	} else if c.health.UpCount(now) == 0 { // the one that finds out is on its way
 		c.Counts.Down++
-		c.give(now, stale, done)
+		c.respondLater(now, stale, done)
 		return func() {}
 	} else {
 		c.Counts.Shared++
 	}
-	a := &asker{done: done}
+	a := &waiter{done: done}
 	f.askers = append(f.askers, a)
 	a.limit = c.timers.Schedule(now+within, func() {
 		c.Counts.Late++
-		c.tell(a, c.cache.stale(c.now, name))
+		c.notify(a, c.cache.stale(c.now, name))
 	})
 	if stale != nil && c.cfg.StaleAfter < within {
-		a.early = c.timers.Schedule(now+c.cfg.StaleAfter, func() { c.tell(a, c.cache.stale(c.now, name)) })
+		a.early = c.timers.Schedule(now+c.cfg.StaleAfter, func() { c.notify(a, c.cache.stale(c.now, name)) })
 	}
 	return func() {
 		a.over = true
@@ -226,7 +226,7 @@
 	}
 }
 
-func (k *kept) answer(stale bool) Answer {
+func (k *entry) answer(stale bool) Answer {
 	a := Answer{Status: Found, Rules: k.rules, Stale: stale, Cached: true}
 	if len(k.rules) == 0 {
 		a.Status = None
@@ -234,8 +234,8 @@
 	return a
 }
 
-// give answers at once from what is left.
-func (c *Client) give(now float64, stale *kept, done func(float64, Answer)) {
+// respondLater answers at once from what is left.
+func (c *Client) respondLater(now float64, stale *entry, done func(float64, Answer)) {
 	if stale != nil {
 		c.Counts.Stale++
 		done(now, stale.answer(true))
@@ -245,39 +245,39 @@
 	done(now, Answer{Status: Failed})
 }
 
-// tell answers an asker before its name has an answer.
-func (c *Client) tell(a *asker, stale *kept) {
+// notify answers an asker before its name has an answer.
+func (c *Client) notify(a *waiter, stale *entry) {
 	if a.over {
 		return
 	}
 	a.over = true
 	c.timers.Cancel(a.limit)
 	c.timers.Cancel(a.early)
-	c.give(c.now, stale, a.done)
+	c.respondLater(c.now, stale, a.done)
 }
 
-// send sends a flight's next question; false: no server is worth one.
-func (c *Client) send(f *flight) bool {
+// sendQuery sends a flight's next question; false: no server is worth one.
+func (c *Client) sendQuery(f *lookup) bool {
 	r := c.draw()
-	i, wait := c.health.Pick(c.now, f.tried, float64(r>>11)/(1<<53))
+	i, wait := c.health.Choose(c.now, f.tried, float64(r>>11)/(1<<53))
 	if i < 0 {
 		return false
 	}
 	f.tried = append(f.tried, i)
 	f.sends++
 	if c.now < c.doubt[i] {
-		c.stream(f, i)
+		c.sendStreamQuery(f, i)
 		return true
 	}
-	s := &sent{flight: f, server: i, at: c.now, name: c.mixed(f.name)}
+	s := &outstandingQuery{flight: f, server: i, at: c.now, name: c.randomizeCase(f.name)}
 	for {
 		r = c.draw()
-		s.key = try{int(r>>32) % max(1, c.cfg.Ports), c.cfg.Servers[i], uint16(r)}
+		s.key = queryAttempt{int(r>>32) % max(1, c.cfg.Ports), c.cfg.Servers[i], uint16(r)}
 		if c.tries[s.key] == nil {
 			break
 		}
 	}
-	data, err := c.question(s, i)
+	data, err := c.buildQuery(s, i)
 	if err != nil {
 		return false // never: the name was looked at
 	}
@@ -286,44 +286,44 @@
 	c.Counts.Sent++
 	c.out.Query(s.key.port, s.key.from, data)
 	s.timer = c.timers.Schedule(c.now+wait, func() {
-		c.health.Missed(i, c.now, s.at)
-		c.again(f)
+		c.health.OnTimeout(i, c.now, s.at)
+		c.retry(f)
 	})
 	return true
 }
 
-// stream asks a server over TCP.
-func (c *Client) stream(f *flight, i int) {
-	if len(c.streams) >= mostStreams {
+// sendStreamQuery asks a server over TCP.
+func (c *Client) sendStreamQuery(f *lookup, i int) {
+	if len(c.streams) >= maxStreams {
 		c.Counts.Full++
-		c.again(f)
+		c.retry(f)
 		return
 	}
 	c.seq++
-	s := &sent{flight: f, server: i, at: c.now, token: c.seq, name: c.mixed(f.name), key: try{from: c.cfg.Servers[i], id: uint16(c.draw())}}
-	data, err := c.question(s, i)
+	s := &outstandingQuery{flight: f, server: i, at: c.now, token: c.seq, name: c.randomizeCase(f.name), key: queryAttempt{from: c.cfg.Servers[i], id: uint16(c.draw())}}
+	data, err := c.buildQuery(s, i)
 	if err != nil {
 		return
 	}
 	c.streams[s.token] = s
 	f.out = append(f.out, s)
 	c.Counts.Streams++
-	s.timer = c.timers.Schedule(c.now+byTCP, func() { c.Streamed(c.now, s.token, nil) }) // whatever the driver does
-	c.out.Stream(s.token, s.key.from, data, byTCP)
+	s.timer = c.timers.Schedule(c.now+streamTimeout, func() { c.OnStreamResponse(c.now, s.token, nil) }) // whatever the driver does
+	c.out.Stream(s.token, s.key.from, data, streamTimeout)
 }
 
-func (c *Client) question(s *sent, server int) ([]byte, error) {
+func (c *Client) buildQuery(s *outstandingQuery, server int) ([]byte, error) {
 	m := new(dns.Msg)
 	m.SetQuestion(s.name, dns.TypeNAPTR)
 	m.Id = s.key.id
 	if !c.plain[server] {
-		m.SetEdns0(size, false)
+		m.SetEdns0(maxUDPSize, false)
 	}
 	return m.Pack()
 }
 
-// mixed writes a name's letters large or small by chance: one more thing that who guesses must guess.
-func (c *Client) mixed(name string) string {
+// randomizeCase writes a name's letters large or small by chance: one more thing that who guesses must guess.
+func (c *Client) randomizeCase(name string) string {
 	b := []byte(name)
 	r := c.draw()
 	for i, x := range b {
@@ -337,21 +337,21 @@
 	return string(b)
 }
 
-// again asks on, or gives the flight up.
-func (c *Client) again(f *flight) {
+// retry asks on, or gives the flight up.
+func (c *Client) retry(f *lookup) {
 	if f.settled {
 		return
 	}
-	if !f.last && f.sends < c.cfg.Tries && c.send(f) {
+	if !f.last && f.sends < c.cfg.Tries && c.sendQuery(f) {
 		return
 	}
 	if !f.last { // all is sent; answers may only be slow, and whoever asked has its own limit
 		f.last = true
-		c.timers.Schedule(c.now+lastWait, func() { c.again(f) })
+		c.timers.Schedule(c.now+lastTimeout, func() { c.retry(f) })
 		return
 	}
 	c.cache.fail(c.now, f.name)
-	c.settle(f, func(a *asker) Answer {
+	c.finish(f, func(a *waiter) Answer {
 		if k := c.cache.stale(c.now, f.name); k != nil {
 			c.Counts.Stale++
 			return k.answer(true)
@@ -361,8 +361,8 @@
 	})
 }
 
-// settle ends a flight and tells all who asked.
-func (c *Client) settle(f *flight, say func(*asker) Answer) {
+// finish ends a flight and tells all who asked.
+func (c *Client) finish(f *lookup, say func(*waiter) Answer) {
 	f.settled = true
 	delete(c.flights, f.key)
 	for _, s := range f.out {
@@ -388,38 +388,38 @@
 		c.Counts.Strays++
 		return
 	}
-	s := c.tries[try{port, from, uint16(data[0])<<8 | uint16(data[1])}]
+	s := c.tries[queryAttempt{port, from, uint16(data[0])<<8 | uint16(data[1])}]
 	m := new(dns.Msg)
 	if s == nil || m.Unpack(data) != nil || !matches(m, s.name) {
-		c.stray(from)
+		c.onMismatch(from)
 		return
 	}
 	c.strays[s.server] = 0
 	c.timers.Cancel(s.timer)
 	delete(c.tries, s.key)
-	c.health.Answered(s.server, now, now-s.at)
+	c.health.OnResponse(s.server, now, now-s.at)
 	if m.Truncated { // RFC 2181 9: what came is not used
-		c.stream(s.flight, s.server)
+		c.sendStreamQuery(s.flight, s.server)
 		return
 	}
-	c.heard(s, m)
+	c.onResponse(s, m)
 }
 
-// stray notes an answer that matches nothing. Many of one server are somebody's guesses, or the server's answers to
+// onMismatch notes an answer that matches nothing. Many of one server are somebody's guesses, or the server's answers to
 // questions given up: either way the next questions to it go where no guess gets in.
-func (c *Client) stray(from netip.AddrPort) {
+func (c *Client) onMismatch(from netip.AddrPort) {
 	c.Counts.Strays++
 	for i, a := range c.cfg.Servers {
 		if a == from {
-			if c.strays[i]++; c.strays[i] >= guesses {
-				c.strays[i], c.doubt[i] = 0, c.now+doubted
+			if c.strays[i]++; c.strays[i] >= maxMismatches {
+				c.strays[i], c.doubt[i] = 0, c.now+streamOnlyTime
 			}
 		}
 	}
 }
 
-// Streamed takes what a stream brought; nil: nothing.
-func (c *Client) Streamed(now float64, token uint64, data []byte) {
+// OnStreamResponse takes what a stream brought; nil: nothing.
+func (c *Client) OnStreamResponse(now float64, token uint64, data []byte) {
 	c.now = now
 	s := c.streams[token]
 	if s == nil {
@@ -429,12 +429,12 @@
 	c.timers.Cancel(s.timer)
 	m := new(dns.Msg)
 	if data == nil || m.Unpack(data) != nil || m.Id != s.key.id || !matches(m, s.name) {
-		c.health.Missed(s.server, now, s.at)
-		c.again(s.flight)
+		c.health.OnTimeout(s.server, now, s.at)
+		c.retry(s.flight)
 		return
 	}
-	c.health.Answered(s.server, now, now-s.at)
-	c.heard(s, m)
+	c.health.OnResponse(s.server, now, now-s.at)
+	c.onResponse(s, m)
 }
 
 // matches tells whether a message answers the question that was sent, letter by letter.
@@ -443,39 +443,39 @@
 		m.Question[0].Qclass == dns.ClassINET
 }
 
-// heard takes an answer to a question.
-func (c *Client) heard(s *sent, m *dns.Msg) {
+// onResponse takes an answer to a question.
+func (c *Client) onResponse(s *outstandingQuery, m *dns.Msg) {
 	f := s.flight
 	if f.settled {
 		return
 	}
-	rules, ttl, negative, leads := read(m, f.name)
+	rules, ttl, negative, leads := parseRules(m, f.name)
 	switch {
 	case m.Rcode == dns.RcodeFormatError && !c.plain[s.server]:
 		c.plain[s.server] = true
 		f.sends = min(f.sends, c.cfg.Tries-1) // the same question once more, as the server knows it
-		c.again(f)
+		c.retry(f)
 	case m.Rcode == dns.RcodeSuccess && len(rules) > 0:
 		c.Counts.Answered++
-		c.health.Sound(s.server)
+		c.health.OnValid(s.server)
 		c.cache.put(c.now, f.name, rules, ttl)
-		c.settle(f, func(*asker) Answer { return Answer{Status: Found, Rules: rules} })
+		c.finish(f, func(*waiter) Answer { return Answer{Status: Found, Rules: rules} })
 	case (m.Rcode == dns.RcodeSuccess || m.Rcode == dns.RcodeNameError) && !leads && (m.Authoritative || negative >= 0 || m.RecursionAvailable):
 		c.Counts.None++
-		c.health.Sound(s.server)
+		c.health.OnValid(s.server)
 		c.cache.put(c.now, f.name, nil, max(0, negative))
-		c.settle(f, func(*asker) Answer { return Answer{Status: None} })
+		c.finish(f, func(*waiter) Answer { return Answer{Status: None} })
 	default: // a fault, a refusal, or a server that knows nothing of the zone and points elsewhere
 		c.Counts.Lame++
-		c.health.Lame(s.server, c.now)
-		c.again(f)
+		c.health.OnLame(s.server, c.now)
+		c.retry(f)
 	}
 }
 
-// read takes from an answer what answers the question and nothing else: rules of the name or of what it is another name
+// parseRules takes from an answer what answers the question and nothing else: rules of the name or of what it is another name
 // of, and how long they hold in ms; of a negative answer how long it holds (RFC 2308 5), -1 where it does not say. leads
 // says that the answer only points to other servers.
-func read(m *dns.Msg, name string) (rules []enum.Rule, ttl, negative float64, leads bool) {
+func parseRules(m *dns.Msg, name string) (rules []enum.Rule, ttl, negative float64, leads bool) {
 	ttl, negative = 1e12, -1
 	for range 8 { // names of names
 		next := ""
@@ -487,8 +487,8 @@
 			switch rr := rr.(type) {
 			case *dns.NAPTR:
 				if len(rules) <= enum.MostRules { // one too many shows that there are too many
-					rules = append(rules, enum.Rule{Order: rr.Order, Preference: rr.Preference, Flags: text(rr.Flags), Service: text(rr.Service),
-						Regexp: text(rr.Regexp), Replacement: rr.Replacement})
+					rules = append(rules, enum.Rule{Order: rr.Order, Preference: rr.Preference, Flags: textOf(rr.Flags), Service: textOf(rr.Service),
+						Regexp: textOf(rr.Regexp), Replacement: rr.Replacement})
 				}
 				ttl = min(ttl, 1000*float64(h.Ttl))
 			case *dns.CNAME:
@@ -514,9 +514,9 @@
 	return rules, ttl, negative, leads && negative < 0
 }
 
-// text is a character string as it was on the wire: the library hands it on in the form of zone files, with quotes and
+// textOf is a character string as it was on the wire: the library hands it on in the form of zone files, with quotes and
 // backslashes escaped and other octets as \DDD.
-func text(s string) string {
+func textOf(s string) string {
 	if !strings.Contains(s, "\\") {
 		return s
 	}
--- a/internal/protocol/dnsclient/resolve_test.go
+++ b/internal/protocol/dnsclient/resolve_test.go
@@ -38,7 +38,7 @@
 	r := &rig{t: t, sent: make([]int, n), ids: map[uint16]bool{}, ports: map[int]int{}}
 	z := &dnsserver.Zone{Apex: "e164.test.", Seed: 5, Ported: 0.3, None: 0.1, TTL: 60, Routes: []string{"+15145550000", "+15145550001"}}
 	cfg := Config{Ports: 4, Seed: 9, Most: 1000, Tries: 5, StaleAfter: 100,
-		Cache: CacheTimes{Most: 10000, Least: 1000, Longest: 3600e3, Negative: 30e3, Stale: 600e3, Fail: 1000}}
+		Cache: CacheTimes{MaxEntries: 10000, MinTTL: 1000, MaxTTL: 3600e3, MaxNegativeTTL: 30e3, StaleTime: 600e3, FailureTTL: 1000}}
 	for i := range n {
 		r.addrs = append(r.addrs, addr(i))
 		r.servers = append(r.servers, &dnsserver.Server{Zone: z, Seed: uint64(i), Faults: dnsserver.Faults{Delay: 10, Jitter: 4}})
@@ -67,19 +67,19 @@
 	if len(xs) == 0 {
 		return // the client's own bound must do
 	}
-	r.events.Schedule(r.now+xs[0].After, func() { r.c.Streamed(r.now, token, xs[0].Data) })
+	r.events.Schedule(r.now+xs[0].After, func() { r.c.OnStreamResponse(r.now, token, xs[0].Data) })
 }
 
 func (r *rig) run(until float64) {
 	for {
-		at := math.Min(r.events.Next(), r.c.Next())
+		at := math.Min(r.events.Next(), r.c.NextWakeup())
 		if at > until {
 			r.now = until
 			return
 		}
 		r.now = math.Max(at, r.now)
 		r.events.Run(r.now)
-		r.c.Wake(r.now)
+		r.c.Step(r.now)
 	}
 }
 
@@ -95,7 +95,7 @@
 		r.t.Fatal(err)
 	}
 	g := &got{}
-	r.c.Ask(r.now, d, within, func(now float64, a Answer) { *g = got{a, now, g.n + 1} })
+	r.c.Query(r.now, d, within, func(now float64, a Answer) { *g = got{a, now, g.n + 1} })
 	return g
 }
 
@@ -217,7 +217,7 @@
 			if late > 0 || failed > 4 {
 				t.Errorf("of 2000 %d late, %d failed", late, failed)
 			}
-			if f, k := r.c.Open(); f != 0 || k == 0 || len(r.c.tries) != 0 || len(r.c.streams) != 0 {
+			if f, k := r.c.OpenCounts(); f != 0 || k == 0 || len(r.c.tries) != 0 || len(r.c.streams) != 0 {
 				t.Errorf("left over: %d names, %d questions, %d streams", f, len(r.c.tries), len(r.c.streams))
 			}
 			t.Logf("%v datagrams, %d streams, %+v", r.sent, r.streams, r.c.Counts)
@@ -302,7 +302,7 @@
 	r.servers[0].Faults.Delay = 200
 	d, _ := enum.Domain("14185551234", "e164.test.")
 	called := 0
-	stop := r.c.Ask(0, d, 500, func(float64, Answer) { called++ })
+	stop := r.c.Query(0, d, 500, func(float64, Answer) { called++ })
 	g := r.ask("14185551234", 100)
 	stop()
 	r.run(100)
@@ -320,15 +320,15 @@
 
 // The bound on names asked for holds under a flood of names, and those above it fail at once.
 func TestFlood(t *testing.T) {
-	r := newRig(t, 1, func(c *Config) { c.Most, c.Cache.Most = 100, 50 })
+	r := newRig(t, 1, func(c *Config) { c.Most, c.Cache.MaxEntries = 100, 50 })
 	for i := range 1000 {
 		r.ask(fmt.Sprint(14180000000+i), 500)
 	}
-	if f, _ := r.c.Open(); f != 100 || r.c.Counts.Full != 900 || r.sent[0] != 100 {
+	if f, _ := r.c.OpenCounts(); f != 100 || r.c.Counts.Full != 900 || r.sent[0] != 100 {
 		t.Errorf("%d names, %d refused, %d sent", f, r.c.Counts.Full, r.sent[0])
 	}
 	r.run(1000)
-	if f, k := r.c.Open(); f != 0 || k != 50 {
+	if f, k := r.c.OpenCounts(); f != 0 || k != 50 {
 		t.Errorf("after: %d names, %d kept", f, k)
 	}
 }
@@ -346,7 +346,7 @@
 		r.run(r.now + 1)
 		most = max(most, len(r.c.streams))
 	}
-	if most != mostStreams {
+	if most != maxStreams {
 		t.Errorf("%d streams at once", most)
 	}
 	for i, g := range all {
@@ -357,7 +357,7 @@
 }
 
 // pending is the one question that is out.
-func (r *rig) pending() *sent {
+func (r *rig) pending() *outstandingQuery {
 	for _, s := range r.c.tries {
 		return s
 	}
@@ -369,7 +369,7 @@
 }
 
 // reply is an answer to a question, changed by a test.
-func (r *rig) reply(s *sent, change func(m *dns.Msg)) []byte {
+func (r *rig) reply(s *outstandingQuery, change func(m *dns.Msg)) []byte {
 	m := new(dns.Msg)
 	m.SetQuestion(s.name, dns.TypeNAPTR)
 	m.Id, m.Response, m.Authoritative = s.key.id, true, true
@@ -442,7 +442,7 @@
 		r.c.Receive(1, s.key.port, s.key.from, r.reply(s, func(m *dns.Msg) { m.Truncated = true }))
 		s = r.pending()
 		r.now = 2
-		r.c.Streamed(2, s.token, r.reply(s, change))
+		r.c.OnStreamResponse(2, s.token, r.reply(s, change))
 		if (g.Status == Found && g.n == 1) != (change == nil) {
 			t.Errorf("%s: %+v", what, g)
 		}
@@ -576,44 +576,44 @@
 // What counts against a server, and what does not.
 func TestHealth(t *testing.T) {
 	h := NewHealth(2)
-	h.Lame(0, 1)
-	h.Lame(0, 2)
-	if h.Up(3) != 2 {
+	h.OnLame(0, 1)
+	h.OnLame(0, 2)
+	if h.UpCount(3) != 2 {
 		t.Error("lame after two faults: they may be the names'")
 	}
-	h.Sound(0)
-	h.Lame(0, 4)
-	h.Lame(0, 5)
-	if h.Up(6) != 2 {
+	h.OnValid(0)
+	h.OnLame(0, 4)
+	h.OnLame(0, 5)
+	if h.UpCount(6) != 2 {
 		t.Error("lame though a good answer came between")
 	}
-	if h.Lame(0, 7); h.Up(8) != 1 || h.Up(7+lameAway) != 2 {
-		t.Errorf("three faults in a row: %d up, after a while %d", h.Up(8), h.Up(7+lameAway))
+	if h.OnLame(0, 7); h.UpCount(8) != 1 || h.UpCount(7+lameDownTime) != 2 {
+		t.Errorf("three faults in a row: %d up, after a while %d", h.UpCount(8), h.UpCount(7+lameDownTime))
 	}
 	h = NewHealth(1)
-	h.Answered(0, 100, 10)
+	h.OnResponse(0, 100, 10)
 	for range 10 {
-		h.Missed(0, 500, 90)
+		h.OnTimeout(0, 500, 90)
 	}
-	if h.Up(500) != 1 {
+	if h.UpCount(500) != 1 {
 		t.Error("down by what was sent before its latest answer")
 	}
 	for i := range 10 {
-		h.Missed(0, 600, 510+float64(i))
+		h.OnTimeout(0, 600, 510+float64(i))
 	}
-	if h.Up(600) != 1 {
+	if h.UpCount(600) != 1 {
 		t.Error("down within 90 ms: that is a burst that it was late for")
 	}
-	if h.Missed(0, 510+silence, 600); h.Up(510+silence) != 0 {
+	if h.OnTimeout(0, 510+downAfterSilence, 600); h.UpCount(510+downAfterSilence) != 0 {
 		t.Error("up after a dozen misses and 250 ms")
 	}
 	h = NewHealth(1)
-	h.Answered(0, 0, 40)
-	_, first := h.Pick(1, nil, 0.5)
-	if _, again := h.Pick(1, []int{0}, 0.5); again != 2*first {
+	h.OnResponse(0, 0, 40)
+	_, first := h.Choose(1, nil, 0.5)
+	if _, again := h.Choose(1, []int{0}, 0.5); again != 2*first {
 		t.Errorf("waits %v, again %v", first, again)
 	}
-	if _, again := h.Pick(1, []int{0, 0, 0, 0, 0, 0, 0, 0}, 0.5); again != mostWait {
+	if _, again := h.Choose(1, []int{0, 0, 0, 0, 0, 0, 0, 0}, 0.5); again != maxTimeout {
 		t.Errorf("waits %v after many tries", again)
 	}
 }
@@ -672,7 +672,7 @@
 // troubles are drawn.
 func TestNeverAnothersAnswer(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		r := newRig(t, 3, func(c *Config) { c.Seed = rapid.Uint64().Draw(rt, "seed"); c.Cache.Most = 20 })
+		r := newRig(t, 3, func(c *Config) { c.Seed = rapid.Uint64().Draw(rt, "seed"); c.Cache.MaxEntries = 20 })
 		r.servers[0].Zone.TTL = uint32(rapid.IntRange(0, 3).Draw(rt, "ttl"))
 		type q struct {
 			n     string
@@ -708,7 +708,7 @@
 				}
 			}
 		}
-		if f, _ := r.c.Open(); f != 0 || len(r.c.tries) != 0 {
+		if f, _ := r.c.OpenCounts(); f != 0 || len(r.c.tries) != 0 {
 			rt.Fatalf("left over: %d names, %d questions", f, len(r.c.tries))
 		}
 	})
--- a/internal/protocol/enumserver/front_test.go
+++ b/internal/protocol/enumserver/front_test.go
@@ -14,13 +14,13 @@
 // desk is an edge that a test plays.
 type desk struct {
 	asked   []string
-	done    []func(now float64, n b2bua.Named)
+	done    []func(now float64, n b2bua.EnquiryResult)
 	stopped int
 	ready   bool
-	atOnce  *b2bua.Named
+	atOnce  *b2bua.EnquiryResult
 }
 
-func (d *desk) Enquire(now float64, number, skill string, patience float64, done func(float64, b2bua.Named)) func() {
+func (d *desk) StartEnquiry(now float64, number, skill string, patience float64, done func(float64, b2bua.EnquiryResult)) func() {
 	d.asked = append(d.asked, number+" "+skill)
 	if d.atOnce != nil {
 		done(now, *d.atOnce)
@@ -30,14 +30,14 @@
 	return func() { d.stopped++ }
 }
 
-func (d *desk) named() b2bua.Named {
-	return b2bua.Named{Code: 200, Addr: netip.MustParseAddrPort("127.0.0.3:5060"), Group: "TG-0", Number: "+14185551234", Params: ";npdi",
-		Still: func() bool { return d.ready }}
+func (d *desk) named() b2bua.EnquiryResult {
+	return b2bua.EnquiryResult{Code: 200, Addr: netip.MustParseAddrPort("127.0.0.3:5060"), Group: "TG-0", Number: "+14185551234", Params: ";npdi",
+		Valid: func() bool { return d.ready }}
 }
 
 type rig struct {
 	*testing.T
-	f    *Front
+	f    *Server
 	d    *desk
 	got  []*dns.Msg
 	size []int
@@ -97,13 +97,13 @@
 		t.Errorf("%v", m)
 	}
 	for i, c := range []struct {
-		n     b2bua.Named
+		n     b2bua.EnquiryResult
 		rcode int
 		text  string
 	}{
-		{b2bua.Named{Code: 404, Why: "no rule"}, dns.RcodeNameError, ""},
-		{b2bua.Named{Code: 503, Why: "deferred", Wait: 1500}, dns.RcodeServerFailure, "deferred; retry after 1500 ms"},
-		{b2bua.Named{Code: 500, Why: "fault"}, dns.RcodeServerFailure, "fault"},
+		{b2bua.EnquiryResult{Code: 404, Reason: "no rule"}, dns.RcodeNameError, ""},
+		{b2bua.EnquiryResult{Code: 503, Reason: "deferred", RetryAfter: 1500}, dns.RcodeServerFailure, "deferred; retry after 1500 ms"},
+		{b2bua.EnquiryResult{Code: 500, Reason: "fault"}, dns.RcodeServerFailure, "fault"},
 	} {
 		r.got = nil
 		r.d.atOnce = &c.n
@@ -196,8 +196,8 @@
 		t.Errorf("while the pool drains: %d answers, asked %v", len(r.got), r.d.asked)
 	}
 	r.f.Close(r.now)
-	if r.d.stopped != 3 || len(r.got) != 6 || r.got[5].Rcode != dns.RcodeServerFailure || r.f.Open() != 0 {
-		t.Errorf("closed: %d stopped, %d answers, %d open", r.d.stopped, len(r.got), r.f.Open())
+	if r.d.stopped != 3 || len(r.got) != 6 || r.got[5].Rcode != dns.RcodeServerFailure || r.f.OpenCount() != 0 {
+		t.Errorf("closed: %d stopped, %d answers, %d open", r.d.stopped, len(r.got), r.f.OpenCount())
 	}
 }
 
@@ -207,30 +207,30 @@
 	for i := range 300 {
 		r.ask(kiosk, query(name, dns.TypeNAPTR, uint16(i), 0), true)
 	}
-	if r.f.Open() != 100 || len(r.got) != 200 {
-		t.Errorf("%d held, %d failed", r.f.Open(), len(r.got))
+	if r.f.OpenCount() != 100 || len(r.got) != 200 {
+		t.Errorf("%d held, %d failed", r.f.OpenCount(), len(r.got))
 	}
 	for _, d := range r.d.done {
 		d(r.now, r.d.named())
 	}
-	n := b2bua.Named{Code: 404}
+	n := b2bua.EnquiryResult{Code: 404}
 	r.d.atOnce = &n
 	for i := range 200 {
 		r.ask(kiosk, query(name, dns.TypeNAPTR, uint16(1000+i), 0), true)
 	}
-	if r.f.Open() < 150 || r.f.Open() > 151 {
-		t.Errorf("%d remembered", r.f.Open())
+	if r.f.OpenCount() < 150 || r.f.OpenCount() > 151 {
+		t.Errorf("%d remembered", r.f.OpenCount())
 	}
 	r.now += 5001
-	if r.ask(kiosk, query(name, dns.TypeNAPTR, 2000, 0), true); r.f.Open() != 1 {
-		t.Errorf("%d remembered too long", r.f.Open())
+	if r.ask(kiosk, query(name, dns.TypeNAPTR, 2000, 0), true); r.f.OpenCount() != 1 {
+		t.Errorf("%d remembered too long", r.f.OpenCount())
 	}
 }
 
 // A client that asks too much by datagram gets no more than its rate, of the rest half truncated in no more octets than it
 // sent; over TCP it is served. Forged addresses take bounded memory.
 func TestLimits(t *testing.T) {
-	n := b2bua.Named{Code: 404}
+	n := b2bua.EnquiryResult{Code: 404}
 	r := newRig(t, func(c *Config) {
 		c.Limits = Limits{Rate: 10, Burst: 20, Clients: 1000, Nets: []Net{{netip.MustParsePrefix("10.1.0.0/16"), 1000}, {netip.MustParsePrefix("10.2.0.0/16"), 0}}}
 	})
@@ -284,7 +284,7 @@
 		t.Errorf("over TCP: %v", r.got)
 	}
 	for i := range 100000 {
-		r.f.limits.ask(r.now, netip.AddrFrom4([4]byte{byte(20 + i>>16), byte(i >> 8), byte(i), 1}))
+		r.f.limits.check(r.now, netip.AddrFrom4([4]byte{byte(20 + i>>16), byte(i >> 8), byte(i), 1}))
 	}
 	if n := len(r.f.limits.new) + len(r.f.limits.old); n > 1000 {
 		t.Errorf("%d networks remembered", n)
@@ -317,9 +317,9 @@
 		case 0:
 			r.d.atOnce = &n
 		case 1:
-			r.d.atOnce = &b2bua.Named{Code: 404}
+			r.d.atOnce = &b2bua.EnquiryResult{Code: 404}
 		case 2:
-			r.d.atOnce = &b2bua.Named{Code: 503, Why: strings.Repeat("y", 50), Wait: 3}
+			r.d.atOnce = &b2bua.EnquiryResult{Code: 503, Reason: strings.Repeat("y", 50), RetryAfter: 3}
 		}
 		edns := uint16(rapid.SampledFrom([]int{0, 100, 512, 1232, 65535}).Draw(rt, "edns"))
 		q := query(rapid.SampledFrom([]string{name, "1.e164.test.", "e164.test.", "x."}).Draw(rt, "name"), rapid.SampledFrom([]uint16{dns.TypeNAPTR, dns.TypeANY}).Draw(rt, "type"), 1, edns)
--- a/internal/protocol/enumserver/limit.go
+++ b/internal/protocol/enumserver/limit.go
@@ -61,8 +61,8 @@
 	return rate.NewLimiter(rate.Limit(each), int(math.Max(1, burst)))
 }
 
-// ask judges a question from an address.
-func (l *limiter) ask(now float64, from netip.Addr) Verdict {
+// check judges a question from an address.
+func (l *limiter) check(now float64, from netip.Addr) Verdict {
 	from = from.Unmap()
 	each, burst := l.set.Rate, l.set.Burst
 	if r, ok := l.nets.Lookup(from); ok {
@@ -73,13 +73,13 @@
 	}
 	at := time.Unix(0, int64(now*1e6))
 	if each > 0 && !l.client(from, each, burst).AllowN(at, 1) || l.set.Total > 0 && !l.total.AllowN(at, 1) {
-		return l.over()
+		return l.slipOrDrop()
 	}
 	return Answer
 }
 
-// over: every second question too many gets an answer that sends its asker to TCP, and is no larger than the question.
-func (l *limiter) over() Verdict {
+// slipOrDrop: every second question too many gets an answer that sends its asker to TCP, and is no larger than the question.
+func (l *limiter) slipOrDrop() Verdict {
 	l.slips++
 	if l.slips%2 == 1 {
 		return Slip
