--- a/internal/protocol/portability/ported.go
+++ b/internal/protocol/portability/ported.go
@@ -12,17 +12,17 @@
 
 //tally:decisions
 
-// mostSteps is how many domains one look-up goes through (RFC 6116 5.2.1 asks for five at least).
-const mostSteps = 5
+// maxSteps is how many domains one look-up goes through (RFC 6116 5.2.1 asks for five at least).
+const maxSteps = 5
 
-// Asker asks for the rules of a domain; a resolve.Client is one.
-type Asker interface {
-	Ask(now float64, name string, within float64, done func(now float64, a dnsclient.Answer)) (stop func())
+// Resolver asks for the rules of a domain; a resolve.Client is one.
+type Resolver interface {
+	Query(now float64, name string, within float64, done func(now float64, a dnsclient.Answer)) (stop func())
 }
 
 // Finder looks numbers up.
 type Finder struct {
-	Asker    Asker
+	Asker    Resolver
 	Apex     string
 	Services []string // enumservices whose rules count, such as "pstn:tel" (RFC 4769)
 	Counts   Counts
@@ -33,9 +33,9 @@
 	Ported, Same, Silent, Bad, Stale uint64
 }
 
-// Ask looks a number up, digits only. done is called once within the time given, maybe at once; stop takes the question
+// Resolve looks a number up, digits only. done is called once within the time given, maybe at once; stop takes the question
 // back. Rules that make no sense count as silence: what is done then is settled by the number's table.
-func (f *Finder) Ask(now float64, digits string, within float64, done func(now float64, found numberplan.Found)) (stop func()) {
+func (f *Finder) Resolve(now float64, digits string, within float64, done func(now float64, found numberplan.Found)) (stop func()) {
 	name, err := enum.Domain(digits, f.Apex)
 	if err != nil {
 		f.Counts.Bad++
@@ -46,7 +46,7 @@
 	over, undo := false, func() {}
 	var step func(now float64, name string)
 	step = func(now float64, name string) {
-		if seen[name] || len(seen) == mostSteps {
+		if seen[name] || len(seen) == maxSteps {
 			f.Counts.Bad++
 			done(now, numberplan.Found{Answer: numberplan.Silent})
 			return
@@ -59,14 +59,14 @@
 			if a.Stale {
 				f.Counts.Stale++
 			}
-			next, found := f.read("+"+digits, a)
+			next, found := f.interpret("+"+digits, a)
 			if next != "" {
 				step(now, next)
 				return
 			}
 			done(now, found)
 		}
-		undo = f.Asker.Ask(now, name, until-now, take)
+		undo = f.Asker.Query(now, name, until-now, take)
 	}
 	step(now, name)
 	return func() {
@@ -75,8 +75,8 @@
 	}
 }
 
-// read says what an answer comes to: a domain that goes on, or an end.
-func (f *Finder) read(full string, a dnsclient.Answer) (next string, found numberplan.Found) {
+// interpret says what an answer comes to: a domain that goes on, or an end.
+func (f *Finder) interpret(full string, a dnsclient.Answer) (next string, found numberplan.Found) {
 	switch a.Status {
 	case dnsclient.Failed:
 		f.Counts.Silent++
--- a/internal/protocol/portability/ported_test.go
+++ b/internal/protocol/portability/ported_test.go
@@ -18,7 +18,7 @@
 	stopped int
 }
 
-func (b *book) Ask(now float64, name string, within float64, done func(float64, dnsclient.Answer)) func() {
+func (b *book) Query(now float64, name string, within float64, done func(float64, dnsclient.Answer)) func() {
 	b.withins = append(b.withins, within)
 	a, ok := b.of[name]
 	if !ok {
@@ -58,7 +58,7 @@
 	for n, want := range map[string]string{"1": "2 ", "2": "1 +1514", "3": "0 ", "4": "0 ", "5": "2 ", "6": "0 ", "7": "1 +1514", "78": "1 +1514+1-6789", "8": "2 ",
 		"9": "2 ", "0": "2 ", "77": "2 ", "": "2 "} {
 		calls, got := 0, ""
-		f.Ask(0, n, 500, func(_ float64, f numberplan.Found) {
+		f.Resolve(0, n, 500, func(_ float64, f numberplan.Found) {
 			calls++
 			got = fmt.Sprint(int(f.Answer), " ", f.Routing, f.Carrier)
 		})
@@ -73,7 +73,7 @@
 	b := &book{later: true, of: map[string]dnsclient.Answer{"7.p.test.": rules(enum.Rule{Replacement: "2.p.test."}), "2.p.test.": rules(tel(`!^.*$!tel:+1;rn=+2!`))}}
 	f := &Finder{Asker: b, Apex: "p.test", Services: []string{"pstn:tel"}}
 	calls := 0
-	stop := f.Ask(0, "7", 500, func(float64, numberplan.Found) { calls++ })
+	stop := f.Resolve(0, "7", 500, func(float64, numberplan.Found) { calls++ })
 	b.waiting[0]()
 	if len(b.withins) != 2 || b.withins[1] != 400 {
 		t.Errorf("times given: %v", b.withins)
--- a/internal/protocol/siptransaction/layer.go
+++ b/internal/protocol/siptransaction/layer.go
@@ -15,19 +15,19 @@
 
 // User is who speaks over a layer.
 type User interface {
-	// Asked brings a request that is new: no repeat of one, no CANCEL of a transaction that is known (see Called
+	// OnRequest brings a request that is new: no repeat of one, no CANCEL of a transaction that is known (see Called
 	// Off), no ACK.
-	Asked(s *Server, req *sip.Request)
-	// CalledOff says that a CANCEL came for a request that has no final answer yet; the CANCEL is answered already.
-	CalledOff(s *Server, req *sip.Request)
-	// Acked brings the ACK of a 2xx.
-	Acked(req *sip.Request)
-	// Stray brings a 2xx of an INVITE that no transaction waits for: somebody thinks that a call stands.
-	Stray(res *sip.Response, from netip.AddrPort)
+	OnRequest(s *Server, req *sip.Request)
+	// OnCancel says that a CANCEL came for a request that has no final answer yet; the CANCEL is answered already.
+	OnCancel(s *Server, req *sip.Request)
+	// OnAck brings the ACK of a 2xx.
+	OnAck(req *sip.Request)
+	// OnStrayResponse brings a 2xx of an INVITE that no transaction waits for: somebody thinks that a call stands.
+	OnStrayResponse(res *sip.Response, from netip.AddrPort)
 }
 
-// Times are a layer's timers (RFC 3261 17.1.1.1), in milliseconds.
-type Times struct {
+// Timers are a layer's timers (RFC 3261 17.1.1.1), in milliseconds.
+type Timers struct {
 	T1 float64 // the first gap between repeats
 	T2 float64 // the longest gap of anything but an INVITE
 	T4 float64 // so long a message stays in the network
@@ -35,62 +35,62 @@
 
 // Layer holds the transactions of one address.
 type Layer struct {
-	Self   netip.AddrPort
-	Names  *Names
-	Timers *timerqueue.Queue
-	Times  Times
-	Now    float64 // the time as last handed in
-	Bad    int     // datagrams that were no messages
+	Address   netip.AddrPort
+	Generator *Generator
+	Timers    *timerqueue.Queue
+	Times     Timers
+	Now       float64 // the time as last handed in
+	Malformed int     // datagrams that were no messages
 	// Parse reads datagrams; a laboratory may set one that remembers, for messages are only read.
 	Parse func([]byte) (sip.Message, error)
 	// OnRepeat, if set, hears of repeats of a request; they are answered here.
 	OnRepeat func(*Server)
 
 	user    User
-	out     func(to netip.AddrPort, data []byte)
+	send    func(to netip.AddrPort, data []byte)
 	clients map[string]*Client
 	servers map[string]*Server
 	merged  map[string]*Server // by Call-ID, From tag and CSeq (RFC 3261 8.2.2.2)
-	over    ended
-	buf     bytes.Buffer
+	ended   endedTransactions
+	buffer  bytes.Buffer
 }
 
-// ended remembers what was asked and is over, in little space that the garbage collector need not look through: by the
+// endedTransactions remembers what was asked and is over, in little space that the garbage collector need not look through: by the
 // hash of the transaction, the final answer of a request that may be asked again, or 0 for one whose repeats get none
 // any more (RFC 6026 7.1). Two generations, each for as long as a repeat may come.
-type ended struct {
-	new, old map[uint64]int16
-	since    float64
+type endedTransactions struct {
+	recent, previous map[uint64]int16
+	rotatedAt        float64
 }
 
-func (e *ended) turn(now, keep float64) {
-	if now-e.since > keep {
-		e.old, e.new, e.since = e.new, nil, now
+func (e *endedTransactions) rotate(now, keep float64) {
+	if now-e.rotatedAt > keep {
+		e.previous, e.recent, e.rotatedAt = e.recent, nil, now
 	}
 }
 
-func (e *ended) add(now, keep float64, key string, code int) {
-	e.turn(now, keep)
-	if e.new == nil {
-		e.new = make(map[uint64]int16, len(e.old))
+func (e *endedTransactions) add(now, keep float64, key string, code int) {
+	e.rotate(now, keep)
+	if e.recent == nil {
+		e.recent = make(map[uint64]int16, len(e.previous))
 	}
-	e.new[hash(key)] = int16(code)
+	e.recent[hashKey(key)] = int16(code)
 }
 
-func (e *ended) known(now, keep float64, key string) (int, bool) {
-	e.turn(now, keep)
-	if len(e.new)+len(e.old) == 0 {
+func (e *endedTransactions) known(now, keep float64, key string) (int, bool) {
+	e.rotate(now, keep)
+	if len(e.recent)+len(e.previous) == 0 {
 		return 0, false
 	}
-	h := hash(key)
-	if c, ok := e.new[h]; ok {
+	h := hashKey(key)
+	if c, ok := e.recent[h]; ok {
 		return int(c), true
 	}
-	c, ok := e.old[h]
+	c, ok := e.previous[h]
 	return int(c), ok
 }
 
-func hash(s string) uint64 {
+func hashKey(s string) uint64 {
 	h := uint64(14695981039346656037) // FNV-1a, without an allocation
 	for i := range len(s) {
 		h = (h ^ uint64(s[i])) * 1099511628211
@@ -98,68 +98,68 @@
 	return h
 }
 
-// bytes is a message as it goes on the wire.
-func (l *Layer) bytes(m interface{ StringWrite(io.StringWriter) }) []byte {
-	l.buf.Reset()
-	m.StringWrite(&l.buf)
-	return bytes.Clone(l.buf.Bytes())
+// encode is a message as it goes on the wire.
+func (l *Layer) encode(m interface{ StringWrite(io.StringWriter) }) []byte {
+	l.buffer.Reset()
+	m.StringWrite(&l.buffer)
+	return bytes.Clone(l.buffer.Bytes())
 }
 
 // NewLayer makes a layer that answers as self and sends through out.
-func NewLayer(self netip.AddrPort, t Times, names *Names, timers *timerqueue.Queue, user User,
+func NewLayer(self netip.AddrPort, t Timers, names *Generator, timers *timerqueue.Queue, user User,
 	out func(netip.AddrPort, []byte)) *Layer {
-	return &Layer{Parse: Parse, Self: self, Names: names, Timers: timers, Times: t, user: user, out: out,
+	return &Layer{Parse: Parse, Address: self, Generator: names, Timers: timers, Times: t, user: user, send: out,
 		clients: map[string]*Client{}, servers: map[string]*Server{}, merged: map[string]*Server{}}
 }
 
-// Open is the number of transactions held.
-func (l *Layer) Open() (clients, servers int) { return len(l.clients), len(l.servers) }
+// OpenCounts is the number of transactions held.
+func (l *Layer) OpenCounts() (clients, servers int) { return len(l.clients), len(l.servers) }
 
 // Receive takes a datagram. What is no message is counted in Bad and otherwise passed over.
 func (l *Layer) Receive(now float64, from netip.AddrPort, data []byte) {
 	l.Now = now
 	m, err := l.Parse(data)
 	if err != nil {
-		l.Bad++
+		l.Malformed++
 		return
 	}
 	branch, _ := m.Via().Params.Get("branch")
 	switch m := m.(type) {
 	case *sip.Response:
 		if c := l.clients[string(m.CSeq().MethodName)+branch]; c != nil {
-			c.answered(m)
+			c.onResponseReceived(m)
 		} else if m.CSeq().MethodName == sip.INVITE && m.StatusCode >= 200 && m.StatusCode < 300 {
-			l.user.Stray(m, from)
+			l.user.OnStrayResponse(m, from)
 		}
 	case *sip.Request:
 		key := branch + "|" + m.Via().SentBy()
 		switch m.Method {
 		case sip.ACK:
 			if s := l.servers["INVITE"+key]; s != nil && s.final >= 300 {
-				s.acked()
+				s.onAck()
 				return
 			}
-			l.user.Acked(m)
+			l.user.OnAck(m)
 		case sip.CANCEL:
-			l.cancelled(from, m, key)
+			l.onCancel(from, m, key)
 		default:
-			l.asked(from, m, string(m.Method)+key)
+			l.onRequest(from, m, string(m.Method)+key)
 		}
 	}
 }
 
-func (l *Layer) asked(from netip.AddrPort, m *sip.Request, key string) {
+func (l *Layer) onRequest(from netip.AddrPort, m *sip.Request, key string) {
 	if s := l.servers[key]; s != nil {
 		if l.OnRepeat != nil {
 			l.OnRepeat(s)
 		}
-		s.repeated()
+		s.onRetransmission()
 		return
 	}
-	s := &Server{layer: l, key: key, req: m, to: returnTo(from, m.Via())}
-	if code, was := l.over.known(l.Now, 64*l.Times.T1, key); was {
+	s := &Server{layer: l, key: key, request: m, to: responseAddress(from, m.Via())}
+	if code, was := l.ended.known(l.Now, 64*l.Times.T1, key); was {
 		if code != 0 {
-			l.out(s.to, l.bytes(Response(m, code, "OK", l.Names.Next())))
+			l.send(s.to, l.encode(Response(m, code, "OK", l.Generator.Next())))
 		}
 		return
 	}
@@ -167,62 +167,62 @@
 		once := string(*m.CallID()) + "|" + Tag(m.From().Params) + "|" + strconv.Itoa(int(m.CSeq().SeqNo))
 		if l.merged[once] != nil {
 			l.servers[key] = s
-			s.Respond(Response(m, 482, "Loop Detected", l.Names.Next()))
+			s.Respond(Response(m, 482, "Loop Detected", l.Generator.Next()))
 			return
 		}
-		l.merged[once], s.once = s, once
+		l.merged[once], s.mergeKey = s, once
 	}
 	l.servers[key] = s
-	l.user.Asked(s, m)
+	l.user.OnRequest(s, m)
 }
 
-func (l *Layer) cancelled(from netip.AddrPort, m *sip.Request, key string) {
+func (l *Layer) onCancel(from netip.AddrPort, m *sip.Request, key string) {
 	if s := l.servers["CANCEL"+key]; s != nil {
-		s.repeated()
+		s.onRetransmission()
 		return
 	}
-	s := &Server{layer: l, key: "CANCEL" + key, req: m, to: returnTo(from, m.Via())}
-	if _, was := l.over.known(l.Now, 64*l.Times.T1, s.key); was {
-		l.out(s.to, l.bytes(Response(m, 200, "OK", l.Names.Next())))
+	s := &Server{layer: l, key: "CANCEL" + key, request: m, to: responseAddress(from, m.Via())}
+	if _, was := l.ended.known(l.Now, 64*l.Times.T1, s.key); was {
+		l.send(s.to, l.encode(Response(m, 200, "OK", l.Generator.Next())))
 		return
 	}
 	l.servers[s.key] = s
 	invite := l.servers["INVITE"+key]
 	if invite == nil {
-		s.Respond(Response(m, 481, "Call/Transaction Does Not Exist", l.Names.Next()))
+		s.Respond(Response(m, 481, "Call/Transaction Does Not Exist", l.Generator.Next()))
 		return
 	}
-	s.Respond(Response(m, 200, "OK", l.Names.Next()))
+	s.Respond(Response(m, 200, "OK", l.Generator.Next()))
 	if invite.final == 0 {
-		l.user.CalledOff(invite, m)
+		l.user.OnCancel(invite, m)
 	}
 }
 
 // Server is a transaction that somebody asked for.
 type Server struct {
-	User   any // the user's own
-	layer  *Layer
-	key    string
-	once   string
-	req    *sip.Request
-	to     netip.AddrPort
-	final  int    // the final answer, 0 before
-	last   []byte // the latest answer
-	gap    float64
-	timer  *timerqueue.Timer // the next repeat
-	end    *timerqueue.Timer
-	buried bool
-	lost   func() // a 2xx of an INVITE that nobody acknowledged
+	User             any // the user's own
+	layer            *Layer
+	key              string
+	mergeKey         string
+	request          *sip.Request
+	to               netip.AddrPort
+	final            int    // the final answer, 0 before
+	lastResponse     []byte // the latest answer
+	interval         float64
+	timer            *timerqueue.Timer // the next repeat
+	expiry           *timerqueue.Timer
+	archived         bool
+	onUnacknowledged func() // a 2xx of an INVITE that nobody acknowledged
 }
 
 // Request is what was asked.
-func (s *Server) Request() *sip.Request { return s.req }
+func (s *Server) Request() *sip.Request { return s.request }
 
 // Final is the code of the final answer, 0 before it.
 func (s *Server) Final() int { return s.final }
 
-// To is where answers go.
-func (s *Server) To() netip.AddrPort { return s.to }
+// ResponseAddress is where answers go.
+func (s *Server) ResponseAddress() netip.AddrPort { return s.to }
 
 // Respond sends an answer. After a final one nothing is sent any more. A final answer to an INVITE is repeated until
 // its ACK (RFC 3261 17.2.1 and 13.3.1.4).
@@ -231,85 +231,85 @@
 		return
 	}
 	l := s.layer
-	s.last = l.bytes(res)
-	l.out(s.to, s.last)
+	s.lastResponse = l.encode(res)
+	l.send(s.to, s.lastResponse)
 	if res.StatusCode < 200 {
 		return
 	}
 	s.final = res.StatusCode
-	if s.req.Method != sip.INVITE { // timer J: a repeat is answered from what is remembered
+	if s.request.Method != sip.INVITE { // timer J: a repeat is answered from what is remembered
 		if s.final < 300 {
-			s.bury(s.final)
+			s.archive(s.final)
 		} else {
-			s.end = l.Timers.Schedule(l.Now+64*l.Times.T1, s.forget)
+			s.expiry = l.Timers.Schedule(l.Now+64*l.Times.T1, s.discard)
 		}
 		return
 	}
-	s.gap = l.Times.T1
-	s.timer = l.Timers.Schedule(l.Now+s.gap, s.again)
-	s.end = l.Timers.Schedule(l.Now+64*l.Times.T1, s.unacked) // timer H
+	s.interval = l.Times.T1
+	s.timer = l.Timers.Schedule(l.Now+s.interval, s.retransmit)
+	s.expiry = l.Timers.Schedule(l.Now+64*l.Times.T1, s.onTimeout) // timer H
 }
 
-// Refuse sends a final answer and forgets the transaction at once (RFC 3261 8.2.7): for floods, where the user keeps
+// RespondStateless sends a final answer and forgets the transaction at once (RFC 3261 8.2.7): for floods, where the user keeps
 // account of repeats in less space.
-func (s *Server) Refuse(res *sip.Response) {
+func (s *Server) RespondStateless(res *sip.Response) {
 	if s.final != 0 {
 		return
 	}
 	s.final = res.StatusCode
-	s.layer.out(s.to, s.layer.bytes(res))
-	s.forget()
+	s.layer.send(s.to, s.layer.encode(res))
+	s.discard()
 }
 
-// Lost calls back when nobody acknowledged a 2xx within 64 T1.
-func (s *Server) Lost(do func()) { s.lost = do }
+// OnUnacknowledged calls back when nobody acknowledged a 2xx within 64 T1.
+func (s *Server) OnUnacknowledged(do func()) { s.onUnacknowledged = do }
 
-// Acked is told by the user when the ACK of a 2xx came: repeats end.
-func (s *Server) Acked() {
-	s.lost = nil
-	s.bury(0)
+// Acknowledge is told by the user when the ACK of a 2xx came: repeats end.
+func (s *Server) Acknowledge() {
+	s.onUnacknowledged = nil
+	s.archive(0)
 }
 
-func (s *Server) acked() { s.bury(0) }
+func (s *Server) onAck() { s.archive(0) }
 
-// bury forgets a transaction but for its answer.
-func (s *Server) bury(code int) {
-	if s.buried {
+// archive forgets a transaction but for its answer.
+func (s *Server) archive(code int) {
+	if s.archived {
 		return
 	}
-	s.buried = true
+	s.archived = true
 	l := s.layer
-	l.over.add(l.Now, 64*l.Times.T1, s.key, code)
-	s.forget()
+	l.ended.add(l.Now, 64*l.Times.T1, s.key, code)
+	s.discard()
 }
 
-func (s *Server) unacked() {
-	if s.lost != nil {
-		s.lost()
+func (s *Server) onTimeout() {
+	if s.onUnacknowledged != nil {
+		s.onUnacknowledged()
 	}
-	s.forget()
+	s.discard()
 }
 
-func (s *Server) again() {
+func (s *Server) retransmit() {
 	l := s.layer
-	l.out(s.to, s.last)
-	s.gap = min(2*s.gap, l.Times.T2)
-	s.timer = l.Timers.Schedule(l.Now+s.gap, s.again)
+	l.send(s.to, s.lastResponse)
+	s.interval = min(2*s.interval, l.Times.T2)
+	s.timer = l.Timers.Schedule(l.Now+s.interval, s.retransmit)
 }
 
-// repeated answers a repeat of the request with the latest answer; a 2xx goes by its own timer (RFC 6026 7.1).
-func (s *Server) repeated() {
-	if s.last != nil && !(s.req.Method == sip.INVITE && s.final >= 200 && s.final < 300) {
-		s.layer.out(s.to, s.last)
+// onRetransmission answers a repeat of the request with the latest answer; a 2xx goes by its own timer (RFC 6026 7.1).
+func (s *Server) onRetransmission() {
+	if s.lastResponse != nil && !(s.request.Method == sip.INVITE && s.final >= 200 && s.final < 300) {
+		s.layer.send(s.to, s.lastResponse)
 	}
 }
 
-func (s *Server) forget() {
+func (s *Server) discard() {
 	l := s.layer
 	l.Timers.Cancel(s.timer)
-	l.Timers.Cancel(s.end)
+	l.Timers.Cancel(s.expiry)
 	delete(l.servers, s.key)
-	if s.once != "" {
-		delete(l.merged, s.once)
+	if s.mergeKey != "" {
+		delete(l.merged, s.mergeKey)
 	}
 }
--- a/internal/protocol/siptransaction/message.go
+++ b/internal/protocol/siptransaction/message.go
@@ -24,22 +24,22 @@
 	Load       = "Cobalt-Load"         // ours: util, queue, wait, lines, free; see docs/gateway.md
 )
 
-// Names makes the tags, branches and call ids of one process by chance from a seed and a counter.
-type Names struct {
-	Seed uint64
-	n    uint64
+// Generator makes the tags, branches and call ids of one process by chance from a seed and a counter.
+type Generator struct {
+	Seed    uint64
+	counter uint64
 }
 
 // Next is a name that this process has not used before.
-func (s *Names) Next() string {
-	s.n++
-	return strconv.FormatUint(detrand.Hash(s.Seed, s.n), 36)
+func (s *Generator) Next() string {
+	s.counter++
+	return strconv.FormatUint(detrand.Hash(s.Seed, s.counter), 36)
 }
 
-// Chance is a number from 0 to 1 by the same draw.
-func (s *Names) Chance() float64 {
-	s.n++
-	return detrand.Float64(s.Seed, s.n)
+// Float64 is a number from 0 to 1 by the same draw.
+func (s *Generator) Float64() float64 {
+	s.counter++
+	return detrand.Float64(s.Seed, s.counter)
 }
 
 // Parse reads a datagram. A message that lacks what every message must have (RFC 3261 8.1.1) is an error, and so is
@@ -86,11 +86,11 @@
 		if strings.IndexByte(text, '"') < 0 {
 			return plain(name, text)
 		}
-		h, err := plain(name, hide(text))
+		h, err := plain(name, hideQuoted(text))
 		if v, ok := h.(*sip.ViaHeader); ok && v != nil {
 			for i := range v.Params {
 				if strings.IndexByte(v.Params[i].V, 0x1d) >= 0 {
-					v.Params[i].V = unhide.Replace(v.Params[i].V)
+					v.Params[i].V = quotedReplacer.Replace(v.Params[i].V)
 				}
 			}
 		}
@@ -100,11 +100,11 @@
 	return sip.NewParser(sip.WithHeadersParsers(m))
 }
 
-// unhide is read only once made.
-var unhide = strings.NewReplacer("\x1d", `"`, "\x1e", ";", "\x1f", ",")
+// quotedReplacer is read only once made.
+var quotedReplacer = strings.NewReplacer("\x1d", `"`, "\x1e", ";", "\x1f", ",")
 
-// hide puts other bytes in the place of quotes, and of what parts parameters inside them.
-func hide(s string) string {
+// hideQuoted puts other bytes in the place of quotes, and of what parts parameters inside them.
+func hideQuoted(s string) string {
 	b, quoted := []byte(s), false
 	for i, c := range b {
 		switch {
@@ -120,8 +120,8 @@
 	return string(b)
 }
 
-// Field is a header field's value, "" where there is none.
-func Field(m interface{ GetHeader(string) sip.Header }, name string) string {
+// HeaderValue is a header field's value, "" where there is none.
+func HeaderValue(m interface{ GetHeader(string) sip.Header }, name string) string {
 	if h := m.GetHeader(name); h != nil {
 		return h.Value()
 	}
@@ -149,21 +149,21 @@
 	res.AppendHeader(to)
 	res.AppendHeader(req.CallID())
 	res.AppendHeader(req.CSeq())
-	if s := Session(req); s != "" {
-		res.AppendHeader(sip.NewHeader(SessionID, nilID+";remote="+s))
+	if s := SessionIDOf(req); s != "" {
+		res.AppendHeader(sip.NewHeader(SessionID, nilSessionID+";remote="+s))
 	}
 	return res
 }
 
-// Seconds writes a wait in milliseconds as RFC 3261 20.33 has it: whole seconds, rounded up; the exact wait stands
+// FormatRetryAfter writes a wait in milliseconds as RFC 3261 20.33 has it: whole seconds, rounded up; the exact wait stands
 // in a parameter of ours, which the grammar allows.
-func Seconds(ms float64) string {
+func FormatRetryAfter(ms float64) string {
 	s := int((ms + 999) / 1000)
 	return fmt.Sprintf("%d;ms=%d", s, int(ms+0.5))
 }
 
-// Wait reads such a field, in milliseconds; 0 where there is none or it makes no sense.
-func Wait(v string) float64 {
+// ParseRetryAfter reads such a field, in milliseconds; 0 where there is none or it makes no sense.
+func ParseRetryAfter(v string) float64 {
 	parts := strings.Split(v, ";")
 	for _, p := range parts[1:] {
 		if ms, ok := strings.CutPrefix(strings.TrimSpace(p), "ms="); ok {
@@ -181,8 +181,8 @@
 	return float64(n) * 1000
 }
 
-// returnTo is where the answer to a request goes (RFC 3261 18.2.2, RFC 3581).
-func returnTo(from netip.AddrPort, via *sip.ViaHeader) netip.AddrPort {
+// responseAddress is where the answer to a request goes (RFC 3261 18.2.2, RFC 3581).
+func responseAddress(from netip.AddrPort, via *sip.ViaHeader) netip.AddrPort {
 	if via.Params.Has("rport") {
 		return from
 	}
@@ -193,26 +193,26 @@
 	return netip.AddrPortFrom(from.Addr(), uint16(port))
 }
 
-const nilID = "00000000000000000000000000000000"
+const nilSessionID = "00000000000000000000000000000000"
 
-// Session is the call's id (RFC 7989 5): the first of a Session-ID's two that is not the nil one. "" without.
-func Session(m interface{ GetHeader(string) sip.Header }) string {
-	local, rest, _ := strings.Cut(Field(m, SessionID), ";")
-	if local = strings.TrimSpace(local); local != "" && local != nilID {
+// SessionIDOf is the call's id (RFC 7989 5): the first of a Session-ID's two that is not the nil one. "" without.
+func SessionIDOf(m interface{ GetHeader(string) sip.Header }) string {
+	local, rest, _ := strings.Cut(HeaderValue(m, SessionID), ";")
+	if local = strings.TrimSpace(local); local != "" && local != nilSessionID {
 		return local
 	}
 	remote, _ := strings.CutPrefix(strings.TrimSpace(rest), "remote=")
-	if remote == nilID {
+	if remote == nilSessionID {
 		return ""
 	}
 	return remote
 }
 
-// SessionValue is the header's value in a request of a call's own side.
-func SessionValue(id string) string { return id + ";remote=" + nilID }
+// FormatSessionID is the header's value in a request of a call's own side.
+func FormatSessionID(id string) string { return id + ";remote=" + nilSessionID }
 
-// NewSession makes an id: 32 lower-case hex digits (RFC 7989 4.1).
-func NewSession(n *Names) string {
-	a, b := n.Chance(), n.Chance()
+// NewSessionID makes an id: 32 lower-case hex digits (RFC 7989 4.1).
+func NewSessionID(n *Generator) string {
+	a, b := n.Float64(), n.Float64()
 	return fmt.Sprintf("%016x%016x", uint64(a*(1<<53))|1<<63, uint64(b*(1<<53))|1<<62)
 }
--- a/internal/protocol/siptransaction/signal_test.go
+++ b/internal/protocol/siptransaction/signal_test.go
@@ -21,18 +21,18 @@
 	answer                             func(s *Server, req *sip.Request)
 }
 
-func (s *side) Asked(sv *Server, req *sip.Request) {
+func (s *side) OnRequest(sv *Server, req *sip.Request) {
 	s.asked++
 	if s.answer != nil {
 		s.answer(sv, req)
 	}
 }
-func (s *side) CalledOff(sv *Server, req *sip.Request) {
+func (s *side) OnCancel(sv *Server, req *sip.Request) {
 	s.called++
 	sv.Respond(Response(sv.Request(), 487, "Request Terminated", "t"))
 }
-func (s *side) Acked(req *sip.Request)              { s.acked++ }
-func (s *side) Stray(*sip.Response, netip.AddrPort) { s.strays++ }
+func (s *side) OnAck(req *sip.Request)                        { s.acked++ }
+func (s *side) OnStrayResponse(*sip.Response, netip.AddrPort) { s.strays++ }
 
 type flight struct {
 	at   float64
@@ -50,18 +50,18 @@
 		a, b := &side{}, &side{}
 		var wire []flight
 		loss := rapid.SampledFrom([]float64{0, 0.1, 0.4}).Draw(t, "loss")
-		n := &Names{Seed: uint64(rapid.IntRange(0, 1<<30).Draw(t, "seed"))}
+		n := &Generator{Seed: uint64(rapid.IntRange(0, 1<<30).Draw(t, "seed"))}
 		send := func(from netip.AddrPort, to *side) func(netip.AddrPort, []byte) {
 			return func(_ netip.AddrPort, data []byte) {
-				for range 1 + int(n.Chance()*1.2) {
-					if n.Chance() >= loss {
-						wire = append(wire, flight{now + 1 + 30*n.Chance(), to, from, data})
+				for range 1 + int(n.Float64()*1.2) {
+					if n.Float64() >= loss {
+						wire = append(wire, flight{now + 1 + 30*n.Float64(), to, from, data})
 					}
 				}
 			}
 		}
-		a.l = NewLayer(ua, Times{100, 800, 500}, &Names{Seed: 1}, &a.timers, a, send(ua, b))
-		b.l = NewLayer(ub, Times{100, 800, 500}, &Names{Seed: 2}, &b.timers, b, send(ub, a))
+		a.l = NewLayer(ua, Timers{100, 800, 500}, &Generator{Seed: 1}, &a.timers, a, send(ua, b))
+		b.l = NewLayer(ub, Timers{100, 800, 500}, &Generator{Seed: 2}, &b.timers, b, send(ub, a))
 		method := rapid.SampledFrom([]sip.RequestMethod{sip.INVITE, sip.BYE}).Draw(t, "method")
 		code := rapid.SampledFrom([]int{200, 486, 503}).Draw(t, "code")
 		ring, cancel := rapid.Bool().Draw(t, "ring"), rapid.Bool().Draw(t, "cancel")
@@ -82,14 +82,14 @@
 		req.AppendHeader(&id)
 		req.AppendHeader(&sip.CSeqHeader{SeqNo: 1, MethodName: method})
 		var c *Client
-		c = a.l.Ask(req, ub, oc(), func(res *sip.Response) {
+		c = a.l.Send(req, ub, oc(), func(res *sip.Response) {
 			switch {
 			case res == nil:
 				nothing = true
 			case res.StatusCode >= 200:
 				finals = append(finals, res.StatusCode)
 				if res.StatusCode < 300 && method == sip.INVITE {
-					server.Acked() // as the ACK, which no transaction carries, would
+					server.Acknowledge() // as the ACK, which no transaction carries, would
 				}
 			case cancel:
 				c.Cancel()
@@ -125,10 +125,10 @@
 		if (method != sip.INVITE || len(finals) > 0 && finals[0] >= 300) && len(finals) > 1 {
 			t.Fatalf("heard %v", finals)
 		}
-		if ac, as := a.l.Open(); ac+as != 0 {
+		if ac, as := a.l.OpenCounts(); ac+as != 0 {
 			t.Fatalf("the asker still holds %d transactions", ac+as)
 		}
-		if bc, bs := b.l.Open(); bc+bs != 0 {
+		if bc, bs := b.l.OpenCounts(); bc+bs != 0 {
 			t.Fatalf("the asked still holds %d transactions", bc+bs)
 		}
 	})
@@ -155,11 +155,11 @@
 
 func TestWaits(t *testing.T) {
 	for in, want := range map[string]float64{"": 0, "5": 5000, "1;ms=300": 300, " 2 (later);duration=9": 2000, "3(soon)": 3000, "-1": 0, "x": 0, "9999999999999": 0} {
-		if got := Wait(in); got != want {
+		if got := ParseRetryAfter(in); got != want {
 			t.Errorf("%q: %v, want %v", in, got, want)
 		}
 	}
-	if s := Seconds(300); s != "1;ms=300" || Seconds(2000) != "2;ms=2000" {
+	if s := FormatRetryAfter(300); s != "1;ms=300" || FormatRetryAfter(2000) != "2;ms=2000" {
 		t.Errorf("%q", s)
 	}
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -9,16 +9,16 @@
 
 // The lottery draws endpoints by total capacity times the square of the free share, within 2 points in 100.
 func TestLotteryShares(t *testing.T) {
-	h, ps := setup(3)
+	h, ps := newTestHost(3)
 	want := []float64{20 * 0.5 * 0.5, 10 * 0.8 * 0.8, 30 * 0.2 * 0.2}
 	for i, r := range []routing.LoadReport{{RateLimit: 20, Utilization: 0.5}, {RateLimit: 10, Utilization: 0.2}, {RateLimit: 30, Utilization: 0.8}} {
 		ps[i].LoadReport.RateLimit, ps[i].LoadReport.Utilization = r.RateLimit, r.Utilization
-		h.b.OnLoadReport(h.now, ps[i], true, true)
+		h.router.OnLoadReport(h.now, ps[i], true, true)
 	}
 	got := map[*routing.Endpoint]float64{}
 	for i := 0; i < 20000; i++ {
-		h.pass(1000)
-		got[h.stand(h.offer(nil), 20).Endpoint]++
+		h.advance(1000)
+		got[h.establish(h.offerCall(nil), 20).Endpoint]++
 	}
 	all := want[0] + want[1] + want[2]
 	for i, endpoint := range ps {
@@ -30,28 +30,28 @@
 
 // The destination is taken while it has room; a nought report counts as a tenth free after 2 s.
 func TestDestinationFirstAndNoughtAgeing(t *testing.T) {
-	h, ps := setup(2)
+	h, ps := newTestHost(2)
 	for i := 0; i < 50; i++ {
-		h.pass(1000)
-		if attempt := h.stand(h.offer(ps[1]), 20); attempt.Endpoint != ps[1] {
+		h.advance(1000)
+		if attempt := h.establish(h.offerCall(ps[1]), 20); attempt.Endpoint != ps[1] {
 			t.Fatal("the destination had room and was passed over")
 		}
 	}
 	ps[0].LoadReport.Utilization = 1
-	h.b.OnLoadReport(h.now, ps[0], true, true)
-	if f := h.b.freeShare(ps[0]); f != 0 {
+	h.router.OnLoadReport(h.now, ps[0], true, true)
+	if f := h.router.freeShare(ps[0]); f != 0 {
 		t.Errorf("nought report: free share %v, want 0", f)
 	}
 	ps[1].State = routing.Draining
-	h.pass(1000)
-	if call := h.offer(ps[1]); !call.Finished {
+	h.advance(1000)
+	if call := h.offerCall(ps[1]); !call.Finished {
 		t.Error("the only pool reports nought: no tickets anywhere")
 	}
-	h.pass(1100)
-	if call := h.offer(ps[1]); call.InFlight == nil || call.InFlight.Endpoint != ps[0] {
+	h.advance(1100)
+	if call := h.offerCall(ps[1]); call.InFlight == nil || call.InFlight.Endpoint != ps[0] {
 		t.Error("a draining destination must be left for another pool")
 	}
-	if f := h.b.freeShare(ps[0]); f != staleZeroFreeShare {
+	if f := h.router.freeShare(ps[0]); f != staleZeroFreeShare {
 		t.Errorf("nought report of 2 s ago: free share %v, want %v", f, staleZeroFreeShare)
 	}
 }
@@ -71,14 +71,14 @@
 		{"both fail", [2]float64{0.8, 0.8}, false, 250, 400},
 		{"engaged", [2]float64{0.8, 0}, true, 400, 400},
 	} {
-		h, ps := setup(2)
+		h, ps := newTestHost(2)
 		for _, endpoint := range ps {
 			endpoint.LoadReport.Capacity, endpoint.LoadReport.Free = 1000, 800
 		}
 		play := func(n int, fails [2]float64) (home int) {
 			for i := 0; i < n; i++ {
-				h.pass(20)
-				k := h.offer(ps[0])
+				h.advance(20)
+				k := h.offerCall(ps[0])
 				for first := true; k.InFlight != nil && !k.Finished; first = false {
 					attempt, at := k.InFlight, 0
 					if attempt.Endpoint == ps[1] {
@@ -86,12 +86,12 @@
 					} else if first {
 						home++
 					}
-					if h.b.random() >= fails[at] {
-						h.stand(k, 20)
+					if h.router.random() >= fails[at] {
+						h.establish(k, 20)
 						break
 					}
 					attempt.NumberBusy = c.engaged
-					h.end(k, routing.Failed)
+					h.endAttempt(k, routing.Failed)
 				}
 			}
 			return
@@ -109,28 +109,28 @@
 
 // With no endpoint at all a call gets its answer within its timeout, and at once when it can't be served.
 func TestNoPools(t *testing.T) {
-	h, _ := setup(0)
-	if call := h.offer(nil); !call.Finished || len(h.deferred) != 1 {
+	h, _ := newTestHost(0)
+	if call := h.offerCall(nil); !call.Finished || len(h.rejected) != 1 {
 		t.Error("no pool: want the contact deferred at once")
 	}
 }
 
 // An endpoint whose setups wait gets fewer of them and gets them back: no flush, no stall.
 func TestPaceFollowsWait(t *testing.T) {
-	h, ps := setup(1)
+	h, ps := newTestHost(1)
 	ps[0].LoadReport.Capacity, ps[0].LoadReport.Free = 1000, 500
 	count := func(cost float64) int {
-		before := len(h.rings)
+		before := len(h.attempts)
 		for i := 0; i < 400; i++ {
-			h.pass(10)
-			h.offer(ps[0])
-			for _, attempt := range h.rings {
+			h.advance(10)
+			h.offerCall(ps[0])
+			for _, attempt := range h.attempts {
 				if call := attempt.Call; call.InFlight == attempt && !call.Established {
-					h.stand(call, cost)
+					h.establish(call, cost)
 				}
 			}
 		}
-		return len(h.rings) - before
+		return len(h.attempts) - before
 	}
 	calm, pressed, after := count(20), count(3000), count(20)
 	if pressed*3 > calm || after*2 < calm || pressed == 0 {
@@ -140,20 +140,20 @@
 
 // When not all can be served the calls of most value are, whatever came first.
 func TestLineByWorth(t *testing.T) {
-	h, ps := setup(1)
+	h, ps := newTestHost(1)
 	ps[0].LoadReport.Capacity, ps[0].LoadReport.Free = 20, 10
 	small, big := *h.skill, *h.skill
 	big.Weight = 8
 	var got, all [2]int
 	for i := 0; i < 2000; i++ {
-		h.pass(10)
+		h.advance(10)
 		h.skill = &small
 		if i%10 == 0 {
 			h.skill = &big
 		}
-		h.offer(ps[0])
+		h.offerCall(ps[0])
 	}
-	for _, call := range h.all {
+	for _, call := range h.calls {
 		k := 0
 		if call.Class == &big {
 			k = 1
@@ -170,57 +170,57 @@
 
 // A redial is told by the number called: past its first try's target it is worth less.
 func TestRedialIsKnown(t *testing.T) {
-	h, ps := setup(1)
+	h, ps := newTestHost(1)
 	ps[0].State = routing.Draining
-	first := h.offer(ps[0])
-	h.pass(2500)
-	again := h.offer(ps[0])
+	first := h.offerCall(ps[0])
+	h.advance(2500)
+	again := h.offerCall(ps[0])
 	if !first.Finished || again.FirstSeenAt != first.ArrivedAt {
 		t.Fatalf("redial counted from %v, want %v", again.FirstSeenAt, first.ArrivedAt)
 	}
-	if w := h.b.currentWeight(again); w != h.skill.Weight*h.skill.LateWeightFraction {
+	if w := h.router.currentWeight(again); w != h.skill.Weight*h.skill.LateWeightFraction {
 		t.Errorf("late redial worth %v", w)
 	}
 }
 
 // A setup overtaken by a later one is lost: it is called off and says nothing of the wait.
 func TestLostSetUp(t *testing.T) {
-	h, ps := setup(1)
+	h, ps := newTestHost(1)
 	ps[0].LoadReport.Capacity, ps[0].LoadReport.Free = 1000, 500
-	h.stand(h.offer(ps[0]), 20)
-	lost := h.offer(ps[0])
-	h.pass(300)
-	h.stand(h.offer(ps[0]), 20)
+	h.establish(h.offerCall(ps[0]), 20)
+	lost := h.offerCall(ps[0])
+	h.advance(300)
+	h.establish(h.offerCall(ps[0]), 20)
 	if len(h.cancelled) != 1 || h.cancelled[0].Call != lost {
 		t.Fatalf("%d set-ups called off, want the lost one", len(h.cancelled))
 	}
-	if w := stateOf(ps[0]).expectedDelay(h.now, 0); w > h.b.delayObjective {
+	if w := stateOf(ps[0]).expectedDelay(h.now, 0); w > h.router.delayObjective {
 		t.Errorf("a lost set-up counts as a wait of %v", w)
 	}
 }
 
 // A silent endpoint gets one setup at a time; calls cut and an answer after silence mean that it is cold.
 func TestSilenceAndRestart(t *testing.T) {
-	h, ps := setup(1)
+	h, ps := newTestHost(1)
 	ps[0].LoadReport.Capacity, ps[0].LoadReport.Free = 1000, 500
-	standing := h.offer(ps[0])
-	h.stand(standing, 20)
+	standing := h.offerCall(ps[0])
+	h.establish(standing, 20)
 	for i := 0; i < 2; i++ {
-		h.pass(100)
-		h.end(h.offer(ps[0]), routing.TimedOut)
+		h.advance(100)
+		h.endAttempt(h.offerCall(ps[0]), routing.TimedOut)
 	}
-	h.end(standing, routing.Reset)
-	h.pass(100)
-	if call := h.offer(ps[0]); call.InFlight != nil {
+	h.endAttempt(standing, routing.Reset)
+	h.advance(100)
+	if call := h.offerCall(ps[0]); call.InFlight != nil {
 		t.Error("a silent pool was sent a set-up within a second of the last")
 	}
-	h.pass(1500)
-	h.offer(ps[0])
-	call := h.rings[len(h.rings)-1].Call
+	h.advance(1500)
+	h.offerCall(ps[0])
+	call := h.attempts[len(h.attempts)-1].Call
 	if call.InFlight == nil || len(stateOf(ps[0]).inFlight) != 1 {
 		t.Fatalf("%d set-ups under way to a silent pool, want one", len(stateOf(ps[0]).inFlight))
 	}
-	h.stand(call, 20)
+	h.establish(call, 20)
 	if state := stateOf(ps[0]); state.startedAt != h.now {
 		t.Error("a pool that cut contacts and fell silent has started cold when it answers")
 	}
@@ -228,9 +228,9 @@
 
 // What cannot be is not believed: a report of a wait of weeks leaves an endpoint in use.
 func TestImpossibleReport(t *testing.T) {
-	h, ps := setup(1)
+	h, ps := newTestHost(1)
 	ps[0].LoadReport.Capacity, ps[0].LoadReport.Free, ps[0].LoadReport.QueueDelay = 1000, 500, 3e9
-	h.b.OnLoadReport(h.now, ps[0], true, true)
+	h.router.OnLoadReport(h.now, ps[0], true, true)
 	if w := stateOf(ps[0]).expectedDelay(h.now, 0); w != 0 {
 		t.Errorf("wait judged %v", w)
 	}
@@ -238,64 +238,64 @@
 
 // Classes that must not run twice are not tried again once a setup may have run.
 func TestOnlyOnce(t *testing.T) {
-	h, ps := setup(2)
+	h, ps := newTestHost(2)
 	h.skill.Idempotent = false
-	call := h.offer(ps[0])
-	h.end(call, routing.TimedOut)
-	if len(h.abandoned) != 1 || call.Attempts != 1 {
-		t.Errorf("abandoned %d, rings %d", len(h.abandoned), call.Attempts)
-	}
-	call = h.offer(ps[0])
-	h.end(call, routing.ConnectionRefused)
-	if call.Attempts+len(h.b.queue) < 2 {
+	call := h.offerCall(ps[0])
+	h.endAttempt(call, routing.TimedOut)
+	if len(h.failed) != 1 || call.Attempts != 1 {
+		t.Errorf("abandoned %d, rings %d", len(h.failed), call.Attempts)
+	}
+	call = h.offerCall(ps[0])
+	h.endAttempt(call, routing.ConnectionRefused)
+	if call.Attempts+len(h.router.queue) < 2 {
 		t.Error("a set-up that never ran may go elsewhere")
 	}
 }
 
 // Where reports come only by probe, each endpoint is probed every second.
 func TestProbes(t *testing.T) {
-	h, ps := setup(2)
-	h.b.settings.LoadReportsByProbe, h.b.settings.ProbeEnabled = true, true
-	h.b.OnEndpoints(h.now, ps)
-	h.pass(10100)
-	if h.probed < 20 || h.probed > 22 {
-		t.Errorf("%d probes of two pools in 10 s", h.probed)
+	h, ps := newTestHost(2)
+	h.router.settings.LoadReportsByProbe, h.router.settings.ProbeEnabled = true, true
+	h.router.OnEndpoints(h.now, ps)
+	h.advance(10100)
+	if h.probes < 20 || h.probes > 22 {
+		t.Errorf("%d probes of two pools in 10 s", h.probes)
 	}
 }
 
 // A number whose lines are all busy is left alone, but for one try at a time.
 func TestEngagedNumber(t *testing.T) {
-	h, ps := setup(1)
+	h, ps := newTestHost(1)
 	ps[0].LoadReport.Capacity, ps[0].LoadReport.Free = 1000, 500
 	h.number = "hot"
-	call := h.offer(ps[0])
+	call := h.offerCall(ps[0])
 	call.InFlight.NumberBusy = true
-	h.end(call, routing.Failed)
-	if again := h.offer(ps[0]); !call.Finished || !again.Finished || again.Attempts > 0 {
+	h.endAttempt(call, routing.Failed)
+	if again := h.offerCall(ps[0]); !call.Finished || !again.Finished || again.Attempts > 0 {
 		t.Error("an engaged number was rung again at once")
 	}
-	h.pass(busyNumberPause + 100)
-	if one, two := h.offer(ps[0]), h.offer(ps[0]); one.Attempts != 1 || two.Attempts != 0 {
+	h.advance(busyNumberPause + 100)
+	if one, two := h.offerCall(ps[0]), h.offerCall(ps[0]); one.Attempts != 1 || two.Attempts != 0 {
 		t.Errorf("%d and %d rings, want one try", one.Attempts, two.Attempts)
 	}
 	h.number = "other"
-	if call := h.offer(ps[0]); call.Attempts != 1 {
+	if call := h.offerCall(ps[0]); call.Attempts != 1 {
 		t.Error("another number must not suffer")
 	}
 }
 
 // An endpoint that turns a setup away is left alone for a moment, not for the time that a long wait fades.
 func TestTurnedAway(t *testing.T) {
-	h, ps := setup(1)
+	h, ps := newTestHost(1)
 	ps[0].LoadReport.Capacity, ps[0].LoadReport.Free = 1000, 500
-	h.stand(h.offer(ps[0]), 20)
-	h.pass(1000)
-	h.end(h.offer(ps[0]), routing.Overloaded)
-	sent := len(h.rings)
-	if h.offer(ps[0]); len(h.rings) > sent {
+	h.establish(h.offerCall(ps[0]), 20)
+	h.advance(1000)
+	h.endAttempt(h.offerCall(ps[0]), routing.Overloaded)
+	sent := len(h.attempts)
+	if h.offerCall(ps[0]); len(h.attempts) > sent {
 		t.Error("rung again at once")
 	}
-	if h.pass(overloadPause + 300); len(h.rings) == sent {
+	if h.advance(overloadPause + 300); len(h.attempts) == sent {
 		t.Error("still left alone after the pause")
 	}
 }
@@ -303,21 +303,21 @@
 // Settings that are missing give sensible decisions: calls are tried while the endpoint answers.
 func TestOddSettings(t *testing.T) {
 	for _, set := range []routing.Settings{{}, {Classes: []*routing.Class{{}}}, {LoadReportsByProbe: true, RetryAfterEnabled: true}} {
-		h, ps := setup(1)
-		h.b = New(&set, h)
+		h, ps := newTestHost(1)
+		h.router = New(&set, h)
 		ps[0].PolicyState = nil
-		h.b.OnEndpoints(h.now, ps)
+		h.router.OnEndpoints(h.now, ps)
 		for i := 0; i < 20; i++ {
 			h.now += 1000
-			call := h.offer(ps[0])
+			call := h.offerCall(ps[0])
 			if call.InFlight == nil {
 				t.Fatalf("contact %d under %+v: not rung", i, set)
 			}
-			h.stand(call, 20)
+			h.establish(call, 20)
 		}
 		ps[0].State = routing.Gone
-		h.b.OnEndpoints(h.now, ps)
-		if call := h.offer(ps[0]); !call.Finished {
+		h.router.OnEndpoints(h.now, ps)
+		if call := h.offerCall(ps[0]); !call.Finished {
 			t.Errorf("no pool left under %+v: want an answer at once", set)
 		}
 	}
@@ -326,45 +326,45 @@
 // A gateway that stalled finds a backlog: its calls came earlier, its answers tell nothing of the
 // wait.
 func TestBacklog(t *testing.T) {
-	h, ps := setup(1)
+	h, ps := newTestHost(1)
 	ps[0].LoadReport.Capacity, ps[0].LoadReport.Free = 1000, 500
-	h.stand(h.offer(ps[0]), 20)
-	h.pass(100)
-	call := h.offer(ps[0])
-	h.now, h.left = h.now+1800, h.left-1500
-	if late := h.offer(ps[0]); late.ArrivedAt != h.now-1500 {
+	h.establish(h.offerCall(ps[0]), 20)
+	h.advance(100)
+	call := h.offerCall(ps[0])
+	h.now, h.timeLeft = h.now+1800, h.timeLeft-1500
+	if late := h.offerCall(ps[0]); late.ArrivedAt != h.now-1500 {
 		t.Errorf("came %v ago, want 1500", h.now-late.ArrivedAt)
 	}
-	h.stand(call, 1800)
+	h.establish(call, 1800)
 	if w := stateOf(ps[0]).expectedDelay(h.now, 0); w != 0 {
 		t.Errorf("wait judged %v", w)
 	}
 	h.now += 2000
-	slow := h.offer(ps[0])
-	h.pass(5)
-	if h.stand(slow, 1800); stateOf(ps[0]).expectedDelay(h.now, 0) < h.b.delayObjective {
+	slow := h.offerCall(ps[0])
+	h.advance(5)
+	if h.establish(slow, 1800); stateOf(ps[0]).expectedDelay(h.now, 0) < h.router.delayObjective {
 		t.Error("a wait seen by a gateway that did not stand still must count")
 	}
 }
 
 // A wait that surprises is told to others; they heed it where they heard nothing lately, and no nonsense.
 func TestNews(t *testing.T) {
-	h, ps := setup(2)
-	h.b.settings.GossipEnabled, h.b.settings.Gateways = true, 200
-	h.stand(h.offer(ps[1]), 20)
-	if h.pass(1000); len(h.told) > 0 {
+	h, ps := newTestHost(2)
+	h.router.settings.GossipEnabled, h.router.settings.Gateways = true, 200
+	h.establish(h.offerCall(ps[1]), 20)
+	if h.advance(1000); len(h.gossip) > 0 {
 		t.Error("a set-up that stands at once is no news")
 	}
-	h.stand(h.offer(ps[1]), 2000)
-	if len(h.told) == 0 || len(h.told) > gossipFanout {
-		t.Fatalf("%d messages, want up to %d", len(h.told), gossipFanout)
+	h.establish(h.offerCall(ps[1]), 2000)
+	if len(h.gossip) == 0 || len(h.gossip) > gossipFanout {
+		t.Fatalf("%d messages, want up to %d", len(h.gossip), gossipFanout)
 	}
-	other, qs := setup(2)
+	other, qs := newTestHost(2)
 	for _, odd := range [][]byte{nil, {1}, {99, 200}, {99}} {
-		other.b.OnGossip(other.now, -5, odd)
+		other.router.OnGossip(other.now, -5, odd)
 	}
-	other.b.OnGossip(other.now+2000, 1<<30, append(h.told[0], 1))
-	if a, b := stateOf(qs[0]).delay, stateOf(qs[1]).delay; a != 0 || b < other.b.delayObjective {
+	other.router.OnGossip(other.now+2000, 1<<30, append(h.gossip[0], 1))
+	if a, b := stateOf(qs[0]).delay, stateOf(qs[1]).delay; a != 0 || b < other.router.delayObjective {
 		t.Errorf("waits judged %v and %v, want none and a long one", a, b)
 	}
 }
@@ -372,30 +372,30 @@
 // However many gateways there are said to be, calls are tried, and the floors of all stay small together.
 func TestGatewayCounts(t *testing.T) {
 	for _, count := range []int{-1, 0, 1, 300} {
-		h, ps := setup(1)
-		h.b.settings.Gateways = count
+		h, ps := newTestHost(1)
+		h.router.settings.Gateways = count
 		ps[0].LoadReport.Capacity, ps[0].LoadReport.Free = 1000, 500
 		for i := 0; i < 60; i++ {
-			h.pass(3000)
-			if call := h.offer(ps[0]); call.InFlight != nil {
-				h.stand(call, 20)
+			h.advance(3000)
+			if call := h.offerCall(ps[0]); call.InFlight != nil {
+				h.establish(call, 20)
 			}
 		}
-		if len(h.rings) < 30 {
-			t.Errorf("%d gateways: %d of 60 contacts rung", count, len(h.rings))
+		if len(h.attempts) < 30 {
+			t.Errorf("%d gateways: %d of 60 contacts rung", count, len(h.attempts))
 		}
 		for i := 0; i < 100; i++ { // a long press
-			h.pass(100)
-			h.b.setTime(h.now)
-			h.b.recordDelay(stateOf(ps[0]), 9e9)
-			h.b.updateSendRate(ps[0])
+			h.advance(100)
+			h.router.setTime(h.now)
+			h.router.recordDelay(stateOf(ps[0]), 9e9)
+			h.router.updateSendRate(ps[0])
 		}
 		if all := stateOf(
 			ps[0],
 		).sendRate * float64(
 			max(1, count),
 		); !(all > 0) ||
-			all > 0.05*h.b.capacityOf(ps[0])/1000 {
+			all > 0.05*h.router.capacityOf(ps[0])/1000 {
 			t.Errorf("%d gateways: a floor of %v set-ups a ms for all", count, all)
 		}
 	}
@@ -403,17 +403,17 @@
 
 // Setups sent before an endpoint's start say nothing of it, however they end.
 func TestOldSetUpsAfterRestart(t *testing.T) {
-	h, ps := setup(1)
+	h, ps := newTestHost(1)
 	ps[0].LoadReport.Capacity, ps[0].LoadReport.Free = 1000, 500
-	h.stand(h.offer(ps[0]), 20)
-	h.pass(1000)
-	a, b := h.offer(ps[0]), h.offer(ps[0])
-	h.pass(1000)
+	h.establish(h.offerCall(ps[0]), 20)
+	h.advance(1000)
+	a, b := h.offerCall(ps[0]), h.offerCall(ps[0])
+	h.advance(1000)
 	ps[0].StartedAt = h.now
-	h.b.OnEndpoints(h.now, ps)
-	h.pass(1500)
-	h.end(a, routing.TimedOut)
-	h.end(b, routing.TimedOut)
+	h.router.OnEndpoints(h.now, ps)
+	h.advance(1500)
+	h.endAttempt(a, routing.TimedOut)
+	h.endAttempt(b, routing.TimedOut)
 	if state := stateOf(ps[0]); state.unanswered > 0 || state.expectedDelay(h.now, 0) > 0 {
 		t.Errorf("silent %d, wait %v after a restart", state.unanswered, state.expectedDelay(h.now, 0))
 	}
--- a/internal/router/rules_test.go
+++ b/internal/router/rules_test.go
@@ -18,8 +18,8 @@
 	stream := func(seed int64) (ok bool) {
 		ok = true
 		rnd := rand.New(rand.NewSource(seed))
-		h, ps := setup(1 + rnd.Intn(4))
-		h.rule = func(rule int, what string) {
+		h, ps := newTestHost(1 + rnd.Intn(4))
+		h.onBrokenRule = func(rule int, what string) {
 			ok = false
 			t.Logf("seed %d: rule %d at %v: %s", seed, rule, h.now, what)
 		}
@@ -28,31 +28,31 @@
 		}
 		open := map[*routing.Attempt]float64{} // when each attempt out will end or stand
 		for i := 0; i < 2500; i++ {
-			h.pass(5 * float64(1+rnd.Intn(4)))
+			h.advance(5 * float64(1+rnd.Intn(4)))
 			endpoint := ps[rnd.Intn(len(ps))]
 			switch rnd.Intn(60) {
 			case 0:
 				endpoint.State = routing.State(rnd.Intn(3))
-				if h.stopped[endpoint] && endpoint.State == routing.Ready {
-					endpoint.StartedAt, h.start[endpoint], h.sent[endpoint] = h.now, h.now, nil // it comes back cold
+				if h.drained[endpoint] && endpoint.State == routing.Ready {
+					endpoint.StartedAt, h.startedAt[endpoint], h.sentAt[endpoint] = h.now, h.now, nil // it comes back cold
 				}
-				h.stopped[endpoint] = endpoint.State != routing.Ready
-				h.b.OnEndpoints(h.now, []*routing.Endpoint{endpoint})
+				h.drained[endpoint] = endpoint.State != routing.Ready
+				h.router.OnEndpoints(h.now, []*routing.Endpoint{endpoint})
 			case 1:
 				endpoint.LoadReport.Utilization, endpoint.LoadReport.QueueDelay = 2*rnd.Float64(), rnd.ExpFloat64()*1000
 				endpoint.LoadReport.Free = float64(rnd.Intn(100))
-				h.b.OnLoadReport(h.now, endpoint, true, true)
+				h.router.OnLoadReport(h.now, endpoint, true, true)
 			case 2:
-				if call := pick(rnd, h.all); call != nil && !call.Finished && !call.Established && h.out[call] == 0 {
-					call.Finished, h.answered[call] = true, true // the caller leaves early
-					h.b.OnHangup(h.now, call)
+				if call := pick(rnd, h.calls); call != nil && !call.Finished && !call.Established && h.inFlight[call] == 0 {
+					call.Finished, h.finished[call] = true, true // the caller leaves early
+					h.router.OnHangup(h.now, call)
 				}
 			default:
-				h.left = 200 + rnd.Float64()*3000
+				h.timeLeft = 200 + rnd.Float64()*3000
 				h.number = fmt.Sprint(rnd.Intn(400))
-				h.offer(endpoint)
+				h.offerCall(endpoint)
 			}
-			for _, attempt := range h.rings[max(0, len(h.rings)-400):] {
+			for _, attempt := range h.attempts[max(0, len(h.attempts)-400):] {
 				if _, known := open[attempt]; !known && attempt.Call.InFlight == attempt {
 					open[attempt] = h.now + rnd.ExpFloat64()*[]float64{50, 50, 400, 9000}[rnd.Intn(4)]
 				}
@@ -63,7 +63,7 @@
 				}
 			}
 			h.cancelled = nil
-			for _, attempt := range h.rings {
+			for _, attempt := range h.attempts {
 				at, known := open[attempt]
 				switch call := attempt.Call; {
 				case !known:
@@ -75,27 +75,27 @@
 				case rnd.Intn(3) == 0:
 					h.finish(open, attempt, routing.Outcome(1+rnd.Intn(7)))
 				default:
-					h.stand(call, h.now-attempt.SentAt)
+					h.establish(call, h.now-attempt.SentAt)
 					open[attempt] = h.now + rnd.ExpFloat64()*5000
 				}
 			}
 		}
-		h.pass(4000)
-		for _, call := range h.all {
-			if call.InFlight == nil && !h.answered[call] {
-				h.broke(1, "never answered")
+		h.advance(4000)
+		for _, call := range h.calls {
+			if call.InFlight == nil && !h.finished[call] {
+				h.reportBroken(1, "never answered")
 			}
 		}
 		rate := float64(
-			len(h.all),
+			len(h.calls),
 		) / (h.now - 1e6) * 1000 / float64(
 			len(ps),
 		) // what a warm endpoint is sent a second
-		for endpoint, at := range h.start { // rule 4: any window, with one setup for chance
-			for i, from := range h.sent[endpoint] {
+		for endpoint, at := range h.startedAt { // rule 4: any window, with one setup for chance
+			for i, from := range h.sentAt[endpoint] {
 				part := 0.3 + 0.7*(from+1000-at)/14000
-				if n := within(h.sent[endpoint][i:], from+1000); part < 1 && float64(n) > 1+2.5*part*rate {
-					h.broke(4, fmt.Sprintf("%d set-ups in a second to a cold pool", n))
+				if n := within(h.sentAt[endpoint][i:], from+1000); part < 1 && float64(n) > 1+2.5*part*rate {
+					h.reportBroken(4, fmt.Sprintf("%d set-ups in a second to a cold pool", n))
 				}
 			}
 		}
@@ -116,12 +116,12 @@
 		rnd := rand.New(rand.NewSource(seed))
 		pools, gateways := 2+rnd.Intn(8), 5+rnd.Intn(250)
 		lines, every := 200+rnd.Float64()*800, 200+rnd.Float64()*600 // of each endpoint; between calls at a gateway
-		var hs []*bench
+		var hs []*testHost
 		told := make([]float64, gateways)
 		for i := 0; i < gateways; i++ {
-			h, ps := setup(pools)
+			h, ps := newTestHost(pools)
 			h.now += rnd.Float64() * 5 // gateways are not in step
-			h.b.settings.Gateways, h.b.settings.Seed = gateways, uint64(seed)+uint64(i)*7919
+			h.router.settings.Gateways, h.router.settings.Seed = gateways, uint64(seed)+uint64(i)*7919
 			for _, endpoint := range ps {
 				endpoint.LoadReport.Capacity, endpoint.LoadReport.Free = lines, lines/2
 				stateOf(endpoint).tokens = rnd.Float64()
@@ -132,36 +132,36 @@
 		start, end := 1e6+6000.0, 1e6+6000+10000
 		var sent []float64
 		for i, h := range hs {
-			endpoint := h.b.endpoints[0]
+			endpoint := h.router.endpoints[0]
 			endpoint.State = routing.Gone // down before: calls come all the time
-			h.b.OnEndpoints(h.now, []*routing.Endpoint{endpoint})
+			h.router.OnEndpoints(h.now, []*routing.Endpoint{endpoint})
 			next, heard := h.now+rnd.ExpFloat64()*every, false
 			for h.now < end {
 				if rnd.Intn(400) == 0 { // it stalls, and finds what came meanwhile
 					h.now += 1500
 				}
-				h.pass(10)
+				h.advance(10)
 				if !heard && h.now >= start+told[i] {
 					heard, endpoint.State, endpoint.StartedAt = true, routing.Ready, start
-					for _, other := range h.b.destinations {
+					for _, other := range h.router.destinations {
 						if other != endpoint {
 							other.State = routing.Draining // all that comes wants the cold endpoint
 						}
 					}
-					h.b.OnEndpoints(h.now, h.b.destinations)
+					h.router.OnEndpoints(h.now, h.router.destinations)
 				}
 				for ; next < h.now; next += rnd.ExpFloat64() * every {
-					if call := h.offer(h.b.destinations[rnd.Intn(pools)]); call.InFlight != nil && !call.Established {
-						h.stand(call, 20+rnd.Float64()*40)
+					if call := h.offerCall(h.router.destinations[rnd.Intn(pools)]); call.InFlight != nil && !call.Established {
+						h.establish(call, 20+rnd.Float64()*40)
 					}
 				}
-				for _, attempt := range h.rings[max(0, len(h.rings)-50):] {
+				for _, attempt := range h.attempts[max(0, len(h.attempts)-50):] {
 					if call := attempt.Call; call.InFlight == attempt && !call.Established {
-						h.stand(call, 60)
+						h.establish(call, 60)
 					}
 				}
 			}
-			sent = append(sent, h.sent[endpoint]...)
+			sent = append(sent, h.sentAt[endpoint]...)
 		}
 		sort.Float64s(sent)
 		warm := float64(gateways) / every * 1000 / float64(pools) // the load of a place, in setups a second
@@ -197,10 +197,10 @@
 		sent := make([][]float64, cold)
 		for i := range gateways {
 			told, restart := rnd.Float64()*late, start+rnd.Float64()*8000
-			begin := func(at float64, again int) (*bench, []*routing.Endpoint) {
-				h, ps := setup(pools)
+			begin := func(at float64, again int) (*testHost, []*routing.Endpoint) {
+				h, ps := newTestHost(pools)
 				h.now = at
-				h.b.settings.Gateways, h.b.settings.Seed = gateways, uint64(seed)*1e6+uint64(i)*7919+uint64(again)
+				h.router.settings.Gateways, h.router.settings.Seed = gateways, uint64(seed)*1e6+uint64(i)*7919+uint64(again)
 				for _, endpoint := range ps {
 					endpoint.LoadReport.Capacity, endpoint.LoadReport.Free = lines, lines/2
 				}
@@ -210,15 +210,15 @@
 			for k := range cold {
 				ps[k].State = routing.Gone // down before: calls come all the time
 			}
-			h.b.OnEndpoints(h.now, ps[:cold])
+			h.router.OnEndpoints(h.now, ps[:cold])
 			heard, again := false, false
 			next := h.now + rnd.ExpFloat64()*every
 			for h.now < end {
-				h.pass(10)
+				h.advance(10)
 				if !again && h.now >= restart {
 					again = true
 					for k := range cold {
-						sent[k] = append(sent[k], h.sent[ps[k]]...)
+						sent[k] = append(sent[k], h.sentAt[ps[k]]...)
 					}
 					h, ps = begin(h.now+200, 1)
 					next = h.now + rnd.ExpFloat64()*every
@@ -226,33 +226,33 @@
 						for k := range cold {
 							ps[k].State = routing.Gone
 						}
-						h.b.OnEndpoints(h.now, ps[:cold])
+						h.router.OnEndpoints(h.now, ps[:cold])
 					}
 					for k := range cold {
 						if heard { // it is told of the start with its first list
 							ps[k].StartedAt = start
 						}
 					}
-					h.b.OnEndpoints(h.now, ps[:cold])
+					h.router.OnEndpoints(h.now, ps[:cold])
 				}
 				if !heard && h.now >= start+told {
 					heard = true
 					for k := range cold {
 						ps[k].State, ps[k].StartedAt = routing.Ready, start
 					}
-					h.b.OnEndpoints(h.now, ps[:cold])
+					h.router.OnEndpoints(h.now, ps[:cold])
 				}
 				for ; next < h.now; next += rnd.ExpFloat64() * every {
-					h.offer(ps[rnd.Intn(pools)])
+					h.offerCall(ps[rnd.Intn(pools)])
 				}
-				for _, attempt := range h.rings[max(0, len(h.rings)-50):] {
+				for _, attempt := range h.attempts[max(0, len(h.attempts)-50):] {
 					if call := attempt.Call; call.InFlight == attempt && !call.Established && h.now > attempt.SentAt+30 {
-						h.stand(call, 30)
+						h.establish(call, 30)
 					}
 				}
 			}
 			for k := range cold {
-				sent[k] = append(sent[k], h.sent[ps[k]]...)
+				sent[k] = append(sent[k], h.sentAt[ps[k]]...)
 			}
 		}
 		warm := float64(gateways) / every * 1000 / float64(pools) // the load of a place, in setups a second
@@ -288,9 +288,9 @@
 }
 
 // finish ends an attempt and forgets it.
-func (h *bench) finish(open map[*routing.Attempt]float64, attempt *routing.Attempt, end routing.Outcome) {
+func (h *testHost) finish(open map[*routing.Attempt]float64, attempt *routing.Attempt, end routing.Outcome) {
 	delete(open, attempt)
-	h.end(attempt.Call, end)
+	h.endAttempt(attempt.Call, end)
 }
 
 func pick(rnd *rand.Rand, of []*routing.Call) *routing.Call {
--- a/internal/router/testhost_test.go
+++ b/internal/router/testhost_test.go
@@ -6,88 +6,90 @@
 	"cobaltpier/internal/routing"
 )
 
-// wake is a call back that the module asked for.
-type wake struct {
-	at float64
-	c  *routing.Call
+// wakeup is a call back that the module asked for.
+type wakeup struct {
+	at   float64
+	call *routing.Call
 }
 
-// bench is a host that writes down what it is asked, and a slow plain model of the rules beside it.
-type bench struct {
+// testHost is a host that writes down what it is asked, and a slow plain model of the rules beside it.
+type testHost struct {
 	now                 float64
-	b                   *Router
+	router              *Router
 	skill               *routing.Class
 	number              string
-	left                float64
-	all                 []*routing.Call
-	rings, cancelled    []*routing.Attempt
-	deferred, abandoned []*routing.Call
-	probed              int
-	told                [][]byte
-	wakes               []wake
-	rule                func(rule int, what string) // hears of a broken rule
-	answered            map[*routing.Call]bool
-	out                 map[*routing.Call]int
-	notTill             map[*routing.Call]float64
-	stopped             map[*routing.Endpoint]bool
-	start               map[*routing.Endpoint]float64
-	sent                map[*routing.Endpoint][]float64
+	timeLeft            float64
+	calls               []*routing.Call
+	attempts, cancelled []*routing.Attempt
+	rejected, failed    []*routing.Call
+	probes              int
+	gossip              [][]byte
+	wakeups             []wakeup
+	onBrokenRule        func(rule int, what string) // hears of a broken rule
+	finished            map[*routing.Call]bool
+	inFlight            map[*routing.Call]int
+	retryNotBefore      map[*routing.Call]float64
+	drained             map[*routing.Endpoint]bool
+	startedAt           map[*routing.Endpoint]float64
+	sentAt              map[*routing.Endpoint][]float64
 }
 
-func (h *bench) broke(rule int, what string) {
-	if h.rule != nil {
-		h.rule(rule, what)
+func (h *testHost) reportBroken(rule int, what string) {
+	if h.onBrokenRule != nil {
+		h.onBrokenRule(rule, what)
 	}
 }
 
 // StartAttempt checks rules 1, 2, 3 and 5 by the plain model, and notes the send for rule 4.
-func (h *bench) StartAttempt(call *routing.Call, endpoint *routing.Endpoint, _ float64) {
-	if h.answered[call] || h.now > call.Deadline {
-		h.broke(1, "sent after the answer or the patience")
+func (h *testHost) StartAttempt(call *routing.Call, endpoint *routing.Endpoint, _ float64) {
+	if h.finished[call] || h.now > call.Deadline {
+		h.reportBroken(1, "sent after the answer or the patience")
 	}
-	if h.out[call]++; h.out[call] > 1 {
-		h.broke(2, "two rings out")
+	if h.inFlight[call]++; h.inFlight[call] > 1 {
+		h.reportBroken(2, "two rings out")
 	}
-	if h.stopped[endpoint] {
-		h.broke(3, "sent to a pool that drains or is gone")
+	if h.drained[endpoint] {
+		h.reportBroken(3, "sent to a pool that drains or is gone")
 	}
-	if h.now < h.notTill[call] {
-		h.broke(5, "sent before the clear wait was over")
+	if h.now < h.retryNotBefore[call] {
+		h.reportBroken(5, "sent before the clear wait was over")
 	}
-	h.sent[endpoint] = append(h.sent[endpoint], h.now)
+	h.sentAt[endpoint] = append(h.sentAt[endpoint], h.now)
 	call.InFlight = &routing.Attempt{Call: call, Endpoint: endpoint, SentAt: h.now}
-	h.rings = append(h.rings, call.InFlight)
+	h.attempts = append(h.attempts, call.InFlight)
 }
 
-func (h *bench) answer(call *routing.Call) {
-	if h.answered[call] || h.out[call] > 0 {
-		h.broke(1, "answered twice or with a ring out")
+func (h *testHost) finishCall(call *routing.Call) {
+	if h.finished[call] || h.inFlight[call] > 0 {
+		h.reportBroken(1, "answered twice or with a ring out")
 	}
-	if h.now > call.Deadline+h.b.settings.AnswerGrace {
-		h.broke(1, "answered too late")
+	if h.now > call.Deadline+h.router.settings.AnswerGrace {
+		h.reportBroken(1, "answered too late")
 	}
-	h.answered[call], call.Finished = true, true
+	h.finished[call], call.Finished = true, true
 }
 
-func (h *bench) Reject(call *routing.Call, _ float64) {
-	h.answer(call)
-	h.deferred = append(h.deferred, call)
+func (h *testHost) Reject(call *routing.Call, _ float64) {
+	h.finishCall(call)
+	h.rejected = append(h.rejected, call)
 }
 
-func (h *bench) Fail(
+func (h *testHost) Fail(
 	call *routing.Call,
 ) {
-	h.answer(call)
-	h.abandoned = append(h.abandoned, call)
+	h.finishCall(call)
+	h.failed = append(h.failed, call)
 }
-func (h *bench) CancelAttempt(attempt *routing.Attempt) { h.cancelled = append(h.cancelled, attempt) }
-func (h *bench) ProbeHealth(*routing.Endpoint)          { h.probed++ }
-func (h *bench) SendGossip(to int, data []byte)         { h.told = append(h.told, data) }
-func (h *bench) ScheduleWakeup(at float64, call *routing.Call) {
-	h.wakes = append(h.wakes, wake{at, call})
+func (h *testHost) CancelAttempt(attempt *routing.Attempt) {
+	h.cancelled = append(h.cancelled, attempt)
+}
+func (h *testHost) ProbeHealth(*routing.Endpoint)  { h.probes++ }
+func (h *testHost) SendGossip(to int, data []byte) { h.gossip = append(h.gossip, data) }
+func (h *testHost) ScheduleWakeup(at float64, call *routing.Call) {
+	h.wakeups = append(h.wakeups, wakeup{at, call})
 }
 
-func newPool(i int) *routing.Endpoint {
+func newTestEndpoint(i int) *routing.Endpoint {
 	n := math.NaN()
 	return &routing.Endpoint{
 		DestinationID: i,
@@ -97,10 +99,10 @@
 	}
 }
 
-func setup(pools int) (*bench, []*routing.Endpoint) {
-	h := &bench{now: 1e6, left: 3000, answered: map[*routing.Call]bool{}, out: map[*routing.Call]int{},
-		notTill: map[*routing.Call]float64{}, stopped: map[*routing.Endpoint]bool{},
-		start: map[*routing.Endpoint]float64{}, sent: map[*routing.Endpoint][]float64{}}
+func newTestHost(pools int) (*testHost, []*routing.Endpoint) {
+	h := &testHost{now: 1e6, timeLeft: 3000, finished: map[*routing.Call]bool{}, inFlight: map[*routing.Call]int{},
+		retryNotBefore: map[*routing.Call]float64{}, drained: map[*routing.Endpoint]bool{},
+		startedAt: map[*routing.Endpoint]float64{}, sentAt: map[*routing.Endpoint][]float64{}}
 	h.skill = &routing.Class{
 		LatencyObjective:   2000,
 		Timeout:            9000,
@@ -109,7 +111,7 @@
 		MeanHoldingTime:    10000,
 		Idempotent:         true,
 	}
-	h.b = New(
+	h.router = New(
 		&routing.Settings{
 			Gateways:          1,
 			Seed:              7,
@@ -128,58 +130,58 @@
 	)
 	var ps []*routing.Endpoint
 	for i := 0; i < pools; i++ {
-		ps = append(ps, newPool(i))
+		ps = append(ps, newTestEndpoint(i))
 	}
-	h.b.OnEndpoints(h.now, ps)
+	h.router.OnEndpoints(h.now, ps)
 	return h, ps
 }
 
-// pass lets time go by, in ticks, with the call backs that fall due.
-func (h *bench) pass(ms float64) {
+// advance lets time go by, in ticks, with the call backs that fall due.
+func (h *testHost) advance(ms float64) {
 	for end := h.now + ms; h.now < end; {
-		h.now = math.Min(end, h.now+h.b.settings.TickInterval)
-		due := h.wakes
-		h.wakes = nil
+		h.now = math.Min(end, h.now+h.router.settings.TickInterval)
+		due := h.wakeups
+		h.wakeups = nil
 		for _, w := range due {
 			if w.at <= h.now {
-				h.b.OnWakeup(h.now, w.c)
+				h.router.OnWakeup(h.now, w.call)
 			} else {
-				h.wakes = append(h.wakes, w)
+				h.wakeups = append(h.wakeups, w)
 			}
 		}
 	}
 }
 
-func (h *bench) offer(home *routing.Endpoint) *routing.Call {
+func (h *testHost) offerCall(home *routing.Endpoint) *routing.Call {
 	call := &routing.Call{
 		Class:        h.skill,
 		Destination:  home,
 		ArrivedAt:    h.now,
-		Deadline:     h.now + h.left,
+		Deadline:     h.now + h.timeLeft,
 		CalledNumber: h.number,
 	}
-	h.all = append(h.all, call)
-	h.b.OnCall(h.now, call)
+	h.calls = append(h.calls, call)
+	h.router.OnCall(h.now, call)
 	return call
 }
 
-// stand lets the call's attempt stand after cost.
-func (h *bench) stand(call *routing.Call, cost float64) *routing.Attempt {
+// establish lets the call's attempt stand after cost.
+func (h *testHost) establish(call *routing.Call, cost float64) *routing.Attempt {
 	attempt := call.InFlight
 	attempt.Latency, call.Established = cost, true
-	h.answered[call] = true
-	h.b.OnAnswer(h.now, attempt)
+	h.finished[call] = true
+	h.router.OnAnswer(h.now, attempt)
 	return attempt
 }
 
-// end lets the call's attempt end.
-func (h *bench) end(call *routing.Call, end routing.Outcome) {
+// endAttempt lets the call's attempt end.
+func (h *testHost) endAttempt(call *routing.Call, end routing.Outcome) {
 	attempt := call.InFlight
 	attempt.Outcome, attempt.Latency, call.InFlight = end, h.now-attempt.SentAt, nil
-	h.out[call]--
+	h.inFlight[call]--
 	if end == routing.TimedOut || end == routing.Reset || end == routing.Canceled {
-		h.notTill[call] = h.now + h.b.settings.RetryHoldOff
+		h.retryNotBefore[call] = h.now + h.router.settings.RetryHoldOff
 	}
 	call.Finished = call.Finished || call.Established
-	h.b.OnAttemptEnd(h.now, attempt, call.Established)
+	h.router.OnAttemptEnd(h.now, attempt, call.Established)
 }
