--- a/ci_test.go
+++ b/ci_test.go
@@ -53,7 +53,8 @@
 		var out, says strings.Builder
 		cmd.Stdout, cmd.Stderr = &out, &says
 		err := cmd.Run()
-		if failed := err != nil; failed != (c.skip == "" && c.list != "") || strings.TrimSpace(out.String()) != c.skip || !strings.Contains(says.String(), c.says) {
+		if failed := err != nil; failed != (c.skip == "" && c.list != "") || strings.TrimSpace(out.String()) != c.skip ||
+			!strings.Contains(says.String(), c.says) {
 			t.Errorf("%s: %v, passes over %q, says %q", c.what, err, out.String(), says.String())
 		}
 	}
--- a/internal/cli/edgecli/edgecmd.go
+++ b/internal/cli/edgecli/edgecmd.go
@@ -29,12 +29,17 @@
 
 // New is the command.
 func New() *cobra.Command {
-	root := &cobra.Command{Use: "cobalt-edge", Short: "A gateway: takes calls by SIP and sets them up over trunk groups",
+	root := &cobra.Command{
+		Use:   "cobalt-edge",
+		Short: "A gateway: takes calls by SIP and sets them up over trunk groups",
 		Long: `cobalt-edge takes calls by SIP over UDP, asks the decision module about each, and sets it up at a core switch over a
 trunk group. The pool list tells it of the switches; answers of the switches tell it of their load.
 
 Signals: SIGTERM or SIGINT drains (no new contact, all held ones answered, status 0); a second one ends it at once
-(status 1).`, SilenceUsage: true, SilenceErrors: true}
+(status 1).`,
+		SilenceUsage:  true,
+		SilenceErrors: true,
+	}
 	root.AddCommand(run(), check(), onPlatform(), numbercli.New())
 	return root
 }
@@ -97,7 +102,8 @@
 	return c
 }
 
-// open hides that a writer can be closed: the log's end would else close standard error, and with it why the gateway ended.
+// open hides that a writer can be closed: the log's end would else close standard error, and with it why the gateway
+// ended.
 type open struct{ io.Writer }
 
 // collect is the collector's percentage where GOGC sets none: a gateway holds little and makes much garbage, and the
@@ -106,14 +112,26 @@
 
 func check() *cobra.Command {
 	var config string
-	c := &cobra.Command{Use: "check", Short: "Check a settings file and say what is wrong with it, with file and line", Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use:   "check",
+		Short: "Check a settings file and say what is wrong with it, with file and line",
+		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			s, err := gatewayconfig.Load(config)
 			if err == nil {
-				fmt.Fprintf(cmd.OutOrStdout(), "%s: gateway %s on %s, %d groups, %d skills: fine\n", config, s.Name, s.Address, len(s.Groups), len(s.Settings.Classes))
+				fmt.Fprintf(
+					cmd.OutOrStdout(),
+					"%s: gateway %s on %s, %d groups, %d skills: fine\n",
+					config,
+					s.Name,
+					s.Address,
+					len(s.Groups),
+					len(s.Settings.Classes),
+				)
 			}
 			return err
-		}}
+		},
+	}
 	c.Flags().StringVarP(&config, "config", "c", "edge.hcl", "the settings")
 	return c
 }
--- a/internal/cli/edgecli/platform.go
+++ b/internal/cli/edgecli/platform.go
@@ -25,7 +25,10 @@
 
 func onPlatform() *cobra.Command {
 	var level string
-	c := &cobra.Command{Use: "platform", Short: "Run a gateway on the platform, by the file that " + configVar + " names", Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use:   "platform",
+		Short: "Run a gateway on the platform, by the file that " + configVar + " names",
+		Args:  cobra.NoArgs,
 		Long: `Runs a gateway that speaks the platform's protocol, on the one address that its configuration names, within the
 limits that stand there. Nothing else is opened: no SIP, no ENUM, no gRPC.
 
@@ -68,8 +71,16 @@
 					}
 				}
 			}()
-			return binaryserver.Run(cmd.Context(), file, cfg, func(s *routing.Settings, h routing.Host) routing.Policy { return router.New(s, h) }, log, told)
-		}}
+			return binaryserver.Run(
+				cmd.Context(),
+				file,
+				cfg,
+				func(s *routing.Settings, h routing.Host) routing.Policy { return router.New(s, h) },
+				log,
+				told,
+			)
+		},
+	}
 	c.Flags().StringVar(&level, "log-level", "info", "trace (each message), debug, info, warn or error")
 	return c
 }
--- a/internal/cli/labcli/design.go
+++ b/internal/cli/labcli/design.go
@@ -13,7 +13,10 @@
 
 func design() *cobra.Command {
 	var seeds int
-	c := &cobra.Command{Use: "design", Short: "Compare a quiet day with the design: destination first, and the lottery's shares", Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use:   "design",
+		Short: "Compare a quiet day with the design: destination first, and the lottery's shares",
+		Args:  cobra.NoArgs,
 		Long: `Plays a quiet day in virtual time, once with all switches and once with one that drains, and compares the traffic with
 the design: the share of first rings at the destination, and how often each pool was drawn beside what its tickets (total
 capacity times the square of relative capacity, by the reports that each gateway had) make.`,
@@ -41,7 +44,8 @@
 				}
 			}
 			return nil
-		}}
+		},
+	}
 	c.Flags().IntVar(&seeds, "seeds", 1, "so many days")
 	return c
 }
--- a/internal/cli/labcli/digits.go
+++ b/internal/cli/labcli/digits.go
@@ -17,20 +17,34 @@
 func digitsCmd() *cobra.Command {
 	var sizes []int
 	var rounds int
-	c := &cobra.Command{Use: "digits", Short: "Measure the digit trie beside a map of prefixes and a sorted search", Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use:   "digits",
+		Short: "Measure the digit trie beside a map of prefixes and a sorted search",
+		Args:  cobra.NoArgs,
 		Long: `Builds each of three ways to find the longest prefix from the same prefixes (areas, exchanges and ported numbers of full
 length), and lets them find the same numbers by turns. Memory of the plain ways is what the heap grew by, the prefixes'
 own texts left out. Ratios are of the same round.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			out := cmd.OutOrStdout()
-			fmt.Fprintf(out, "%9s %-7s %9s %9s %9s %8s   %s\n", "prefixes", "way", "build ms", "B/prefix", "ns/look", "allocs", "time beside the trie, with the 95 % interval")
+			fmt.Fprintf(
+				out,
+				"%9s %-7s %9s %9s %9s %8s   %s\n",
+				"prefixes",
+				"way",
+				"build ms",
+				"B/prefix",
+				"ns/look",
+				"allocs",
+				"time beside the trie, with the 95 % interval",
+			)
 			for _, n := range sizes {
 				if err := measureDigits(out, n, rounds); err != nil {
 					return err
 				}
 			}
 			return nil
-		}}
+		},
+	}
 	c.Flags().IntSliceVar(&sizes, "sizes", []int{1000, 100000, 1000000}, "how many prefixes")
 	c.Flags().IntVar(&rounds, "rounds", 15, "turns of each way")
 	return c
--- a/internal/cli/labcli/fleet.go
+++ b/internal/cli/labcli/fleet.go
@@ -33,8 +33,18 @@
 	Sum                                 string
 }
 
-var figureNames = []string{"service, whole day", "service, worst 10 s", "service, worst skill", "service, worst customer", "late", "cut", "unserved",
-	"wait p50, ms", "wait p99, ms", "cold budget used"}
+var figureNames = []string{
+	"service, whole day",
+	"service, worst 10 s",
+	"service, worst skill",
+	"service, worst customer",
+	"late",
+	"cut",
+	"unserved",
+	"wait p50, ms",
+	"wait p99, ms",
+	"cold budget used",
+}
 
 func (f *figures) list() []float64 {
 	return []float64{f.Whole, f.Worst10s, f.Skill, f.Customer, f.Late, f.Cut, f.Unserved, f.P50, f.P99, f.Cold}
@@ -42,8 +52,23 @@
 
 func figuresOf(seed uint64, r *virtualrun.Result) *figures {
 	s := r.Service
-	return &figures{Seed: seed, Whole: s.Whole, Worst10s: s.Worst10s, Skill: s.SkillShare, Customer: s.CustomerShare, Late: float64(s.Late), Cut: float64(s.Cut),
-		Unserved: float64(s.Unserved), P50: at(s.Waits, 0.5), P99: at(s.Waits, 0.99), Cold: r.Totals.ColdUse, Broken: len(r.Findings), Sum: fmt.Sprintf("%016x", r.Sum)}
+	return &figures{
+		Seed:     seed,
+		Whole:    s.Whole,
+		Worst10s: s.Worst10s,
+		Skill:    s.SkillShare,
+		Customer: s.CustomerShare,
+		Late:     float64(s.Late),
+		Cut:      float64(s.Cut),
+		Unserved: float64(
+			s.Unserved,
+		),
+		P50:    at(s.Waits, 0.5),
+		P99:    at(s.Waits, 0.99),
+		Cold:   r.Totals.ColdUse,
+		Broken: len(r.Findings),
+		Sum:    fmt.Sprintf("%016x", r.Sum),
+	}
 }
 
 func interrupted(cmd *cobra.Command) (context.Context, context.CancelFunc) {
@@ -56,7 +81,10 @@
 	var module, page, pictures, calls string
 	var asJSON bool
 	var set []string
-	c := &cobra.Command{Use: "fleet DAY", Short: "Play days in virtual time, any number of gateways, several days at once", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{
+		Use:   "fleet DAY",
+		Short: "Play days in virtual time, any number of gateways, several days at once",
+		Args:  cobra.ExactArgs(1),
 		Long: `Plays days in virtual time: the same edges and switches as on sockets, driven by one scheduler. The same seed gives the same
 capture to the byte (the sum that is printed), on any number of cores.`,
 		Example: "  cobalt-lab fleet large --report day.html\n  cobalt-lab fleet trouble --seeds 20 --set gateways.count=64 --set load.rate=300",
@@ -106,7 +134,11 @@
 				}
 				row := line(&processrun.Result{Service: r.Service, Findings: r.Findings, Totals: r.Totals})
 				fmt.Fprintf(out, "%5d  %s  %016x  %s\n", seed, row, r.Sum, r.Spent.Round(10*time.Millisecond))
-				d := report.Day{Name: fmt.Sprintf("%s, seed %d", s.Name, seed), Lines: []string{serviceHead, row}, Plots: report.Plots(r.Series)}
+				d := report.Day{
+					Name:  fmt.Sprintf("%s, seed %d", s.Name, seed),
+					Lines: []string{serviceHead, row},
+					Plots: report.Plots(r.Series),
+				}
 				for k, f := range r.Findings {
 					if k < 5 {
 						fmt.Fprintln(out, "  ", f)
@@ -116,7 +148,13 @@
 				doc.Days = append(doc.Days, d)
 			}
 			if !asJSON {
-				fmt.Fprintf(out, "%d contacts in %s: %.0f a second of real time\n", callers, spent.Round(time.Millisecond), float64(callers)/spent.Seconds())
+				fmt.Fprintf(
+					out,
+					"%d contacts in %s: %.0f a second of real time\n",
+					callers,
+					spent.Round(time.Millisecond),
+					float64(callers)/spent.Seconds(),
+				)
 			}
 			if err := write(page, pictures, doc); err != nil {
 				return err
@@ -125,20 +163,32 @@
 				return processrun.ErrBroken
 			}
 			return ctx.Err()
-		}}
+		},
+	}
 	c.Flags().IntVar(&seeds, "seeds", 1, "so many days, with seeds one after the other")
 	c.Flags().Uint64Var(&first, "seed", 0, "the first seed, in place of the script's")
 	c.Flags().StringVar(&module, "module", "brain", "what decides: brain, or the baselines lottery and random")
 	c.Flags().StringVar(&page, "report", "", "write an HTML page with plots to this file")
 	c.Flags().StringVar(&pictures, "pictures", "", "write the plots as PNG files into this folder")
-	c.Flags().StringVar(&calls, "trace", "", "replay the calls of this trace in place of the script's load; nobody dials again")
+	c.Flags().StringVar(
+		&calls,
+		"trace",
+		"",
+		"replay the calls of this trace in place of the script's load; nobody dials again",
+	)
 	c.Flags().BoolVar(&asJSON, "json", false, "a line of JSON for each day")
 	c.Flags().StringArrayVar(&set, "set", nil, "change a value of the script, such as pools.count=6")
 	return c
 }
 
 func describe(s *scenariofile.Script) string {
-	return fmt.Sprintf("%d gateways, %d switches, %g contacts a second for %s.", s.Gateways.Count, s.Pools.Count, s.Load.Rate, time.Duration(s.Length*1e6))
+	return fmt.Sprintf(
+		"%d gateways, %d switches, %g contacts a second for %s.",
+		s.Gateways.Count,
+		s.Pools.Count,
+		s.Load.Rate,
+		time.Duration(s.Length*1e6),
+	)
 }
 
 // write writes a report and its pictures, where they are wanted.
@@ -201,7 +251,10 @@
 	var common []string
 	var page, sweep string
 	a, b := &side{}, &side{}
-	c := &cobra.Command{Use: "compare DAY", Short: "Two settings, modules or builds on the same seeds: differences with intervals", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{
+		Use:   "compare DAY",
+		Short: "Two settings, modules or builds on the same seeds: differences with intervals",
+		Args:  cobra.ExactArgs(1),
 		Long: `Plays the same days with two sides and takes the differences day by day, with the interval that holds the true mean. It says
 that a side is higher only where the interval does not hold nought. A side is a module (--a, --b), changed settings (--a-set,
 --b-set), another build of cobalt-lab (--a-program, --b-program), or all of them. --sweep plays one setting at several values
@@ -220,10 +273,16 @@
 				}
 				sides = nil
 				for _, v := range strings.Split(values, ",") {
-					sides = append(sides, &side{module: b.module, program: b.program, set: append(append([]string{}, b.set...), name+"="+v)})
+					sides = append(
+						sides,
+						&side{module: b.module, program: b.program, set: append(append([]string{}, b.set...), name+"="+v)},
+					)
 				}
 			}
-			doc := report.Page{Title: "Comparison on days of " + args[0], Notes: []string{"Figures are of simulated switches. A: " + a.String()}}
+			doc := report.Page{
+				Title: "Comparison on days of " + args[0],
+				Notes: []string{"Figures are of simulated switches. A: " + a.String()},
+			}
 			base, err := playSide(ctx, out, args[0], a, common, first, seeds)
 			if err != nil {
 				return err
@@ -252,7 +311,8 @@
 				doc.Notes = append(doc.Notes, "B: "+x.String())
 			}
 			return write(page, "", doc)
-		}}
+		},
+	}
 	f := c.Flags()
 	f.IntVar(&seeds, "seeds", 8, "so many days, with seeds one after the other")
 	f.Uint64Var(&first, "seed", 1, "the first seed")
@@ -270,10 +330,28 @@
 }
 
 // playSide plays the days of one side and returns their figures in the order of their seeds.
-func playSide(ctx context.Context, out io.Writer, name string, x *side, common []string, first uint64, seeds int) ([]*figures, error) {
+func playSide(
+	ctx context.Context,
+	out io.Writer,
+	name string,
+	x *side,
+	common []string,
+	first uint64,
+	seeds int,
+) ([]*figures, error) {
 	set := append(append([]string{}, common...), x.set...)
 	if x.program != "" {
-		args := []string{"fleet", name, "--json", "--seeds", fmt.Sprint(seeds), "--seed", fmt.Sprint(first), "--module", x.module}
+		args := []string{
+			"fleet",
+			name,
+			"--json",
+			"--seeds",
+			fmt.Sprint(seeds),
+			"--seed",
+			fmt.Sprint(first),
+			"--module",
+			x.module,
+		}
 		for _, v := range set {
 			args = append(args, "--set", v)
 		}
@@ -319,7 +397,10 @@
 	var o search.Options
 	var dir, module string
 	var shrink int
-	c := &cobra.Command{Use: "hunt", Short: "Look for days that break a rule or serve callers worst, and cut them down", Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use:   "hunt",
+		Short: "Look for days that break a rule or serve callers worst, and cut them down",
+		Args:  cobra.NoArgs,
 		Long: `Draws small days by chance (sizes, settings, troubles), goes on from the worst by small changes, and cuts what breaks a rule
 down to the smallest day that still breaks it. Finds are written at once as JSON days, which "cobalt-lab fleet FILE" plays
 again; a hunt that is stopped keeps what it had. Those in lab/hunt/corpus are played by the tests.`,
@@ -344,7 +425,13 @@
 				}
 			}
 			res := search.Run(ctx, o)
-			fmt.Fprintf(out, "%d days played, %d broke a rule, cold budgets used to %.0f %% at most\n", res.Days, len(res.Broken), 100*res.Cold)
+			fmt.Fprintf(
+				out,
+				"%d days played, %d broke a rule, cold budgets used to %.0f %% at most\n",
+				res.Days,
+				len(res.Broken),
+				100*res.Cold,
+			)
 			if res.At != nil {
 				if err := save(filepath.Join(dir, "cold.json"), res.At); err != nil {
 					return err
@@ -356,17 +443,37 @@
 					continue
 				}
 				seen[f.Rule] = true
-				small := search.Shrink(f.Script, func(s *scenariofile.Script) bool { return search.Judge(s, o.Play(s)).Rule == f.Rule }, shrink)
+				small := search.Shrink(
+					f.Script,
+					func(s *scenariofile.Script) bool { return search.Judge(s, o.Play(s)).Rule == f.Rule },
+					shrink,
+				)
 				r := o.Play(small)
-				fmt.Fprintf(out, "rule %d, cut down: %d gateways, %d switches, %.1f s, %d troubles: %v\n", f.Rule, small.Gateways.Count, small.Pools.Count,
-					small.Length/1000, len(small.Troubles), search.Judge(small, r).What)
+				fmt.Fprintf(
+					out,
+					"rule %d, cut down: %d gateways, %d switches, %.1f s, %d troubles: %v\n",
+					f.Rule,
+					small.Gateways.Count,
+					small.Pools.Count,
+					small.Length/1000,
+					len(small.Troubles),
+					search.Judge(small, r).What,
+				)
 				if err := save(filepath.Join(dir, fmt.Sprintf("rule%d-small.json", f.Rule)), small); err != nil {
 					return err
 				}
 			}
 			for i, f := range res.Worst {
 				if i < 3 {
-					fmt.Fprintf(out, "bad service %.3f: seed %d, %d gateways, %d switches, %v\n", 1-f.Score, f.Script.Seed, f.Script.Gateways.Count, f.Script.Pools.Count, names(f.Script))
+					fmt.Fprintf(
+						out,
+						"bad service %.3f: seed %d, %d gateways, %d switches, %v\n",
+						1-f.Score,
+						f.Script.Seed,
+						f.Script.Gateways.Count,
+						f.Script.Pools.Count,
+						names(f.Script),
+					)
 					if err := save(filepath.Join(dir, fmt.Sprintf("service-%d.json", i+1)), f.Script); err != nil {
 						return err
 					}
@@ -379,7 +486,8 @@
 				return processrun.ErrBroken
 			}
 			return nil
-		}}
+		},
+	}
 	c.Flags().IntVar(&o.Days, "days", 1000, "days to play")
 	c.Flags().Uint64Var(&o.Seed, "seed", 1, "of the hunt")
 	c.Flags().BoolVar(&o.Large, "large", false, "days of 10 to 40 gateways")
--- a/internal/cli/labcli/labcmd.go
+++ b/internal/cli/labcli/labcmd.go
@@ -29,15 +29,38 @@
 
 // New is the command.
 func New() *cobra.Command {
-	root := &cobra.Command{Use: "cobalt-lab", Short: "The laboratory: stand-ins of switches and callers, days of trouble, verdicts",
+	root := &cobra.Command{
+		Use:   "cobalt-lab",
+		Short: "The laboratory: stand-ins of switches and callers, days of trouble, verdicts",
 		Long: `cobalt-lab puts days on: stand-ins of core switches, callers and the pool list, gateways as processes of their own (or in
 virtual time), and a checker that judges the five rules from the traffic alone. The switches are models; their figures
 are of simulated servers.
 
-Start with "cobalt-lab try". Status 0: all went well; 1: something failed; 3: a rule was broken.`, SilenceUsage: true, SilenceErrors: true}
+Start with "cobalt-lab try". Status 0: all went well; 1: something failed; 3: a rule was broken.`,
+		SilenceUsage:  true,
+		SilenceErrors: true,
+	}
 	edge := edgecli.New()
 	edge.Use, edge.Hidden = "edge", true
-	root.AddCommand(try(), dayCmd(), show(), judge(), throughput(), design(), echo(), fleetCmd(), compare(), huntCmd(), loadCmd(), traceCmd(), numbercli.New(), digitsCmd(), swap(), lookups(), edge)
+	root.AddCommand(
+		try(),
+		dayCmd(),
+		show(),
+		judge(),
+		throughput(),
+		design(),
+		echo(),
+		fleetCmd(),
+		compare(),
+		huntCmd(),
+		loadCmd(),
+		traceCmd(),
+		numbercli.New(),
+		digitsCmd(),
+		swap(),
+		lookups(),
+		edge,
+	)
 	return root
 }
 
@@ -69,32 +92,49 @@
 	c.Flags().BoolVar(&f.virtual, "virtual", false, "in virtual time: no sockets, the same seed gives the same day")
 	c.Flags().IntVar(&f.seeds, "seeds", 1, "so many days, with seeds one after the other")
 	c.Flags().Uint64Var(&f.seed, "seed", 0, "the first seed, in place of the script's")
-	c.Flags().StringVar(&f.module, "module", "brain", "what decides: brain, or the baselines lottery and random; several with commas")
+	c.Flags().StringVar(
+		&f.module,
+		"module",
+		"brain",
+		"what decides: brain, or the baselines lottery and random; several with commas",
+	)
 	c.Flags().StringVar(&f.capture, "capture", "", "keep the traffic in this file (see cobalt-lab show)")
 	c.Flags().StringVar(&f.dir, "dir", "", "keep the gateways' settings and logs there")
 	c.Flags().IntVar(&f.port, "port", 15060, "SIP port of the addresses in 127.0.0.0/8; port+10 and port+20 are used too")
-	c.Flags().StringVar(&f.trace, "trace", "", "replay the calls of this trace in place of the script's load; nobody dials again")
+	c.Flags().StringVar(
+		&f.trace,
+		"trace",
+		"",
+		"replay the calls of this trace in place of the script's load; nobody dials again",
+	)
 	c.Flags().StringArrayVar(&f.set, "set", nil, "change a value of the script, such as pools.count=6 or 'net.loss=0.01'")
 	c.Flags().StringVar(&f.level, "log", "info", "log level of the gateways")
 }
 
 func try() *cobra.Command {
 	var f dayFlags
-	c := &cobra.Command{Use: "try", Short: "Put on a short day that comes with the program, with real sockets and processes", Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use:   "try",
+		Short: "Put on a short day that comes with the program, with real sockets and processes",
+		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			s, err := scenario.Day("try", f.set...)
 			if err != nil {
 				return err
 			}
 			return f.run(cmd, s)
-		}}
+		},
+	}
 	f.add(c)
 	return c
 }
 
 func dayCmd() *cobra.Command {
 	var f dayFlags
-	c := &cobra.Command{Use: "day SCRIPT.hcl", Short: "Put on a day from a script, or one that comes with the program", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{
+		Use:     "day SCRIPT.hcl",
+		Short:   "Put on a day from a script, or one that comes with the program",
+		Args:    cobra.ExactArgs(1),
 		Example: "  cobalt-lab day trouble --seeds 10\n  cobalt-lab day my.hcl --virtual --module brain,lottery,random",
 		Long:    "Puts on a day from a script, prints how callers were served and the verdict on the five rules.\n\nTroubles that a script may name:\n" + kinds(),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -103,7 +143,8 @@
 				return err
 			}
 			return f.run(cmd, s)
-		}}
+		},
+	}
 	f.add(c)
 	return c
 }
@@ -160,7 +201,12 @@
 	return nil
 }
 
-func (f *dayFlags) one(ctx context.Context, out io.Writer, s *scenariofile.Script, module string) (*processrun.Result, error) {
+func (f *dayFlags) one(
+	ctx context.Context,
+	out io.Writer,
+	s *scenariofile.Script,
+	module string,
+) (*processrun.Result, error) {
 	mk := virtualrun.Module(module)
 	if mk == nil {
 		return nil, fmt.Errorf("module %q: want brain, lottery or random", module)
@@ -172,11 +218,26 @@
 	if err != nil {
 		return nil, fmt.Errorf("own program: %w", err)
 	}
-	o := processrun.Options{Port: f.port, Capture: f.capture, Dir: f.dir, Edge: []string{self, "edge", "run"}, Module: module, Level: f.level}
+	o := processrun.Options{
+		Port:    f.port,
+		Capture: f.capture,
+		Dir:     f.dir,
+		Edge:    []string{self, "edge", "run"},
+		Module:  module,
+		Level:   f.level,
+	}
 	if f.seeds == 1 {
 		o.Say = func(s string) { fmt.Fprintln(out, s) }
-		fmt.Fprintf(out, "day %q, seed %d: %d gateways, %d switches, %g contacts a second for %s\n", s.Name, s.Seed, s.Gateways.Count, s.Pools.Count,
-			s.Load.Rate, time.Duration(s.Length*1e6))
+		fmt.Fprintf(
+			out,
+			"day %q, seed %d: %d gateways, %d switches, %g contacts a second for %s\n",
+			s.Name,
+			s.Seed,
+			s.Gateways.Count,
+			s.Pools.Count,
+			s.Load.Rate,
+			time.Duration(s.Length*1e6),
+		)
 	}
 	return processrun.Run(ctx, s, o)
 }
@@ -200,7 +261,13 @@
 			return nil, err
 		}
 	}
-	return &processrun.Result{Service: r.Service, Findings: r.Findings, Totals: r.Totals, Tables: r.Tables, Kiosks: r.Kiosks}, nil
+	return &processrun.Result{
+		Service:  r.Service,
+		Findings: r.Findings,
+		Totals:   r.Totals,
+		Tables:   r.Tables,
+		Kiosks:   r.Kiosks,
+	}, nil
 }
 
 const serviceHead = "whole  worst10s  worst skill            worst customer         offered   late    cut  unserved  p50 ms  p99 ms  cold  behind  rules"
@@ -211,8 +278,24 @@
 	if r.Broken() {
 		rules = verdicts(r)
 	}
-	return fmt.Sprintf("%.3f     %.3f  %-15s %.3f  %-15.15s %.3f  %7d %6d %6d  %8d  %6.0f  %6.0f  %3.0f%%  %4.0fms  %s", s.Whole, s.Worst10s, s.Skill, s.SkillShare, s.Customer,
-		s.CustomerShare, s.Offered, s.Late, s.Cut, s.Unserved, at(s.Waits, 0.5), at(s.Waits, 0.99), 100*r.Totals.ColdUse, r.Late, rules)
+	return fmt.Sprintf(
+		"%.3f     %.3f  %-15s %.3f  %-15.15s %.3f  %7d %6d %6d  %8d  %6.0f  %6.0f  %3.0f%%  %4.0fms  %s",
+		s.Whole,
+		s.Worst10s,
+		s.Skill,
+		s.SkillShare,
+		s.Customer,
+		s.CustomerShare,
+		s.Offered,
+		s.Late,
+		s.Cut,
+		s.Unserved,
+		at(s.Waits, 0.5),
+		at(s.Waits, 0.99),
+		100*r.Totals.ColdUse,
+		r.Late,
+		rules,
+	)
 }
 
 func at(sorted []float64, q float64) float64 {
@@ -242,19 +325,53 @@
 	return strings.Join(parts, ", ")
 }
 
-var ruleNames = [...]string{"", "one final answer for each contact, in time, nothing after", "never two rings out", "drains are kept",
-	"no cold switch is pushed over", "the release is awaited"}
+var ruleNames = [...]string{
+	"",
+	"one final answer for each contact, in time, nothing after",
+	"never two rings out",
+	"drains are kept",
+	"no cold switch is pushed over",
+	"the release is awaited",
+}
 
 func tell(out io.Writer, r *processrun.Result) {
 	s := r.Service
 	fmt.Fprintf(out, "\nService, of simulated switches (value that stood in time and was not cut, over value offered):\n")
-	fmt.Fprintf(out, "  whole day        %.3f\n  worst 10 s       %.3f\n  worst skill      %.3f  %s\n  worst customer   %.3f  %s\n", s.Whole, s.Worst10s,
-		s.SkillShare, s.Skill, s.CustomerShare, s.Customer)
-	fmt.Fprintf(out, "  callers          %d: %d stood in time, %d late, %d cut, %d unserved\n", s.Offered, s.Stood, s.Late, s.Cut, s.Unserved)
+	fmt.Fprintf(
+		out,
+		"  whole day        %.3f\n  worst 10 s       %.3f\n  worst skill      %.3f  %s\n  worst customer   %.3f  %s\n",
+		s.Whole,
+		s.Worst10s,
+		s.SkillShare,
+		s.Skill,
+		s.CustomerShare,
+		s.Customer,
+	)
+	fmt.Fprintf(
+		out,
+		"  callers          %d: %d stood in time, %d late, %d cut, %d unserved\n",
+		s.Offered,
+		s.Stood,
+		s.Late,
+		s.Cut,
+		s.Unserved,
+	)
 	fmt.Fprintf(out, "  waits            p50 %.0f ms, p99 %.0f ms\n", at(s.Waits, 0.5), at(s.Waits, 0.99))
-	fmt.Fprintf(out, "  on the wire      %d datagrams, %d contacts, %d rings, %d repeats\n", r.Totals.Datagrams, r.Totals.Contacts, r.Totals.Rings, r.Totals.Repeats)
+	fmt.Fprintf(
+		out,
+		"  on the wire      %d datagrams, %d contacts, %d rings, %d repeats\n",
+		r.Totals.Datagrams,
+		r.Totals.Contacts,
+		r.Totals.Rings,
+		r.Totals.Repeats,
+	)
 	if r.Late > 0 {
-		fmt.Fprintf(out, "  stand-ins        at most %.0f ms behind the clock, %d datagrams lost by sockets\n", r.Late, r.Lost)
+		fmt.Fprintf(
+			out,
+			"  stand-ins        at most %.0f ms behind the clock, %d datagrams lost by sockets\n",
+			r.Late,
+			r.Lost,
+		)
 	}
 	fmt.Fprintf(out, "\nThe five rules, judged from the traffic:\n")
 	var n [6]int
@@ -278,15 +395,31 @@
 	}
 	if s := r.Kiosks; s.Visits > 0 {
 		sort.Float64s(s.Waits)
-		fmt.Fprintf(out, "\nKiosks: %d came and asked by ENUM, %d times; %d had a switch named, %d of them stood, %d were cut; %d questions had no answer\n  from coming to the name: p50 %.0f ms, p99 %.0f ms\n",
-			s.Visits, r.Totals.Looks, s.Named, s.Stood, s.Cut, s.Silent, at(s.Waits, 0.5), at(s.Waits, 0.99))
+		fmt.Fprintf(
+			out,
+			"\nKiosks: %d came and asked by ENUM, %d times; %d had a switch named, %d of them stood, %d were cut; %d questions had no answer\n  from coming to the name: p50 %.0f ms, p99 %.0f ms\n",
+			s.Visits,
+			r.Totals.Looks,
+			s.Named,
+			s.Stood,
+			s.Cut,
+			s.Silent,
+			at(s.Waits, 0.5),
+			at(s.Waits, 0.99),
+		)
 	}
 	if t := r.Tables; t != nil {
 		verdict := "all"
 		if n := len(t.Findings); n > 0 {
 			verdict = fmt.Sprintf("NOT %d of them", n)
 		}
-		fmt.Fprintf(out, "\nNumbers: %d contacts were set up by %d tables, %s wholly by one that was in force when they came\n", t.Contacts, t.Versions, verdict)
+		fmt.Fprintf(
+			out,
+			"\nNumbers: %d contacts were set up by %d tables, %s wholly by one that was in force when they came\n",
+			t.Contacts,
+			t.Versions,
+			verdict,
+		)
 		if t.Records > 0 {
 			fmt.Fprintf(out, "  the records of %d of them were held against the wire\n", t.Records)
 		}
@@ -346,7 +479,13 @@
 			for _, v := range k.Findings {
 				fmt.Fprintln(cmd.OutOrStdout(), v)
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%d contacts, %d rings, %d findings\n", k.Totals.Contacts, k.Totals.Rings, len(k.Findings))
+			fmt.Fprintf(
+				cmd.OutOrStdout(),
+				"%d contacts, %d rings, %d findings\n",
+				k.Totals.Contacts,
+				k.Totals.Rings,
+				len(k.Findings),
+			)
 			if len(k.Findings) > 0 {
 				return processrun.ErrBroken
 			}
--- a/internal/cli/labcli/load.go
+++ b/internal/cli/labcli/load.go
@@ -40,7 +40,10 @@
 
 func loadCmd() *cobra.Command {
 	var f loadFlags
-	c := &cobra.Command{Use: "load", Short: "Send planned or recorded calls to gateways, open loop, and measure their waits", Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use:   "load",
+		Short: "Send planned or recorded calls to gateways, open loop, and measure their waits",
+		Args:  cobra.NoArgs,
 		Long: `Sends calls at the times they are planned for, whatever becomes of those before. Waits count from the intended time of each
 call: when a gateway stands still, all that was meant to come meanwhile counts with its whole wait (no coordinated
 omission). Beside them stand the waits from the time of sending. The generator measures its own lateness; a run in which
@@ -54,7 +57,8 @@
 			ctx, cancel := interrupted(cmd)
 			defer cancel()
 			return f.run(ctx, cmd.OutOrStdout())
-		}}
+		},
+	}
 	fl := c.Flags()
 	fl.StringVar(&f.planFile, "plan", "", "HCL file that says what comes; without it and --trace, --rate for --for")
 	fl.StringVar(&f.traceFile, "trace", "", "a recorded trace in place of a plan")
@@ -107,8 +111,18 @@
 		}
 		of = p.Calls()
 	default:
-		p := &workload.Plan{Seed: 1, Rate: f.rate, Length: float64(f.span) / 1e6, Shape: "steady", Gateways: max(1, len(f.targets)), Drift: 15000, Groups: []string{"TG-0"},
-			Numbers: 100000, Skills: []workload.Skill{{Name: "shift-lookup", Share: 1, Hold: 500, Patience: 9000}}, Customers: []workload.Share{{Name: "load.example", Share: 1}}}
+		p := &workload.Plan{
+			Seed:      1,
+			Rate:      f.rate,
+			Length:    float64(f.span) / 1e6,
+			Shape:     "steady",
+			Gateways:  max(1, len(f.targets)),
+			Drift:     15000,
+			Groups:    []string{"TG-0"},
+			Numbers:   100000,
+			Skills:    []workload.Skill{{Name: "shift-lookup", Share: 1, Hold: 500, Patience: 9000}},
+			Customers: []workload.Share{{Name: "load.example", Share: 1}},
+		}
 		of = p.Calls()
 	}
 	if f.speed <= 0 {
@@ -149,7 +163,10 @@
 	}
 	var still *loadgen.Still
 	if f.check && f.shard < 0 {
-		still = &loadgen.Still{Delay: 40 * time.Millisecond, Pauses: []loadgen.Pause{{From: f.span / 4, For: f.span / 20}, {From: f.span * 2 / 3, For: f.span / 60}}}
+		still = &loadgen.Still{
+			Delay:  40 * time.Millisecond,
+			Pauses: []loadgen.Pause{{From: f.span / 4, For: f.span / 20}, {From: f.span * 2 / 3, For: f.span / 60}},
+		}
 		at := netip.MustParseAddrPort("127.61.1.1:5060")
 		if err := still.Serve(at, start); err != nil {
 			return err
@@ -163,8 +180,13 @@
 	if !f.raw {
 		fmt.Fprintf(out, "plan: %s\n", calltrace.Summary(calls))
 		if f.speed != 1 {
-			fmt.Fprintf(out, "speed %g: times of coming divided by %g; holds and patience %s; targets stay what they are\n", f.speed, f.speed,
-				map[bool]string{true: "divided too", false: "as recorded"}[f.all])
+			fmt.Fprintf(
+				out,
+				"speed %g: times of coming divided by %g; holds and patience %s; targets stay what they are\n",
+				f.speed,
+				f.speed,
+				map[bool]string{true: "divided too", false: "as recorded"}[f.all],
+			)
 		}
 	}
 	var res *loadgen.Result
@@ -191,7 +213,15 @@
 	if f.raw {
 		return writeRaw(out, res)
 	}
-	fmt.Fprintf(out, "%d planned, %d stood, %d refused, %d unanswered, %d set-ups repeated\n", res.Planned, res.Stood, res.Refused, res.Unanswered, res.Repeats)
+	fmt.Fprintf(
+		out,
+		"%d planned, %d stood, %d refused, %d unanswered, %d set-ups repeated\n",
+		res.Planned,
+		res.Stood,
+		res.Refused,
+		res.Unanswered,
+		res.Repeats,
+	)
 	if res.Past > 0 {
 		fmt.Fprintf(out, "%d waits were past the histograms' range of ten minutes and count at its end\n", res.Past)
 	}
@@ -242,7 +272,14 @@
 }
 
 func writeRaw(out io.Writer, r *loadgen.Result) error {
-	x := raw{Planned: r.Planned, Stood: r.Stood, Refused: r.Refused, Unanswered: r.Unanswered, Repeats: r.Repeats, Past: r.Past}
+	x := raw{
+		Planned:    r.Planned,
+		Stood:      r.Stood,
+		Refused:    r.Refused,
+		Unanswered: r.Unanswered,
+		Repeats:    r.Repeats,
+		Past:       r.Past,
+	}
 	for _, h := range []struct {
 		from *hdrhistogram.Histogram
 		to   *[]byte
@@ -284,8 +321,26 @@
 	if err != nil {
 		return nil, fmt.Errorf("own program: %w", err)
 	}
-	base := []string{"load", "--raw", "--processes", fmt.Sprint(f.processes), "--from", f.self, "--context", f.context, "--start", fmt.Sprint(start.UnixNano()),
-		"--speed", fmt.Sprint(f.speed), "--rate", fmt.Sprint(f.rate), "--for", f.span.String(), "--to", strings.Join(f.targets, ",")}
+	base := []string{
+		"load",
+		"--raw",
+		"--processes",
+		fmt.Sprint(f.processes),
+		"--from",
+		f.self,
+		"--context",
+		f.context,
+		"--start",
+		fmt.Sprint(start.UnixNano()),
+		"--speed",
+		fmt.Sprint(f.speed),
+		"--rate",
+		fmt.Sprint(f.rate),
+		"--for",
+		f.span.String(),
+		"--to",
+		strings.Join(f.targets, ","),
+	}
 	for _, x := range [][2]string{{"--plan", f.planFile}, {"--trace", f.traceFile}} {
 		if x[1] != "" {
 			base = append(base, x[0], x[1])
--- a/internal/cli/labcli/lookups.go
+++ b/internal/cli/labcli/lookups.go
@@ -19,8 +19,10 @@
 func lookups() *cobra.Command {
 	var seeds int
 	var set []string
-	c := &cobra.Command{Use: "lookups", Short: "What trouble of the DNS servers costs in service, with and without cache, stale answers and shared look-ups",
-		Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use:   "lookups",
+		Short: "What trouble of the DNS servers costs in service, with and without cache, stale answers and shared look-ups",
+		Args:  cobra.NoArgs,
 		Long: `Plays a day in virtual time on which each number's portability is looked up and a number without an answer is deferred,
 with each trouble of the DNS servers alone, and each of: all as it is; nothing kept; nothing served stale; look-ups of one number not
 shared. The same seeds for all. "lost" is the part of the look-ups that had no answer; "sent" datagrams and streams for each look-up.
@@ -29,7 +31,8 @@
 			ctx, cancel := signal.NotifyContext(cmd.Context(), syscall.SIGINT, syscall.SIGTERM)
 			defer cancel()
 			return lookupTable(ctx, cmd, seeds, set)
-		}}
+		},
+	}
 	c.Flags().IntVar(&seeds, "seeds", 5, "days of each kind")
 	c.Flags().StringArrayVar(&set, "set", nil, "change a value of the day, such as load.rate=300")
 	return c
@@ -37,25 +40,71 @@
 
 func lookupTable(ctx context.Context, cmd *cobra.Command, seeds int, set []string) error {
 	out := cmd.OutOrStdout()
-	troubles := []scenariofile.Trouble{{}, {Kind: "names_silent", Part: 0.5}, {Kind: "names_silent", Part: 1}, {Kind: "names_slow", Part: 0.5, Size: 0.3},
-		{Kind: "names_slow", Part: 1, Size: 0.3}, {Kind: "names_lossy", Part: 1, Size: 0.5}, {Kind: "names_spoofed", Part: 1, Size: 20},
-		{Kind: "names_cut", Part: 1, Size: 1}, {Kind: "names_lame", Part: 0.5}, {Kind: "names_lame", Part: 1}, {Kind: "names_wrong", Part: 1, Size: 0.5}}
+	troubles := []scenariofile.Trouble{
+		{},
+		{Kind: "names_silent", Part: 0.5},
+		{Kind: "names_silent", Part: 1},
+		{Kind: "names_slow", Part: 0.5, Size: 0.3},
+		{
+			Kind: "names_slow",
+			Part: 1,
+			Size: 0.3,
+		},
+		{Kind: "names_lossy", Part: 1, Size: 0.5},
+		{Kind: "names_spoofed", Part: 1, Size: 20},
+		{
+			Kind: "names_cut",
+			Part: 1,
+			Size: 1,
+		},
+		{Kind: "names_lame", Part: 0.5},
+		{Kind: "names_lame", Part: 1},
+		{Kind: "names_wrong", Part: 1, Size: 0.5},
+	}
 	modes := []struct {
 		name   string
 		change func(*scenariofile.Numbers)
-	}{{"as it is", func(*scenariofile.Numbers) {}}, {"no cache", func(n *scenariofile.Numbers) { n.Cache = false }},
-		{"no stale", func(n *scenariofile.Numbers) { n.Stale = 0 }}, {"not shared", func(n *scenariofile.Numbers) { n.Alone = true }}}
+	}{
+		{"as it is", func(*scenariofile.Numbers) {}},
+		{"no cache", func(n *scenariofile.Numbers) { n.Cache = false }},
+		{
+			"no stale",
+			func(n *scenariofile.Numbers) { n.Stale = 0 },
+		},
+		{"not shared", func(n *scenariofile.Numbers) { n.Alone = true }},
+	}
 	type figures struct {
 		service, lost, sent, p99 []float64
 	}
 	cells := make([]figures, len(troubles)*len(modes))
 	for i := range cells {
 		c := &cells[i]
-		c.service, c.lost, c.sent, c.p99 = make([]float64, seeds), make([]float64, seeds), make([]float64, seeds), make([]float64, seeds)
+		c.service, c.lost, c.sent, c.p99 = make(
+			[]float64,
+			seeds,
+		), make(
+			[]float64,
+			seeds,
+		), make(
+			[]float64,
+			seeds,
+		), make(
+			[]float64,
+			seeds,
+		)
 	}
 	broken := make([]int, len(cells)*seeds)
-	base := append([]string{`length="24s"`, "gateways.count=4", "load.rate=300", "load.numbers=6000", "numbers.popular=4", `numbers.silent="refuse"`,
-		`numbers.ttl="3s"`}, set...)
+	base := append(
+		[]string{
+			`length="24s"`,
+			"gateways.count=4",
+			"load.rate=300",
+			"load.numbers=6000",
+			"numbers.popular=4",
+			`numbers.silent="refuse"`,
+			`numbers.ttl="3s"`,
+		},
+		set...)
 	if _, err := scenario.Day("numbers", base...); err != nil {
 		return err
 	}
@@ -76,13 +125,31 @@
 		l := r.LookUps
 		c := &cells[cell]
 		c.service[seed], c.p99[seed] = r.Service.Whole, at(r.Service.Waits, 0.99)
-		c.lost[seed], c.sent[seed] = float64(l.Failed)/float64(max(1, l.Asked)), float64(l.Sent+l.Streams)/float64(max(1, l.Asked))
+		c.lost[seed], c.sent[seed] = float64(
+			l.Failed,
+		)/float64(
+			max(1, l.Asked),
+		), float64(
+			l.Sent+l.Streams,
+		)/float64(
+			max(1, l.Asked),
+		)
 		broken[i] = len(r.Findings) + len(r.Tables.Findings)
 	})
 	if !all {
 		return ctx.Err()
 	}
-	fmt.Fprintf(out, "%-20s %-11s %8s %7s %7s %8s  %s\n", "trouble, part", "mode", "service", "lost", "sent", "p99 ms", "service beside \"as it is\", 95 % interval")
+	fmt.Fprintf(
+		out,
+		"%-20s %-11s %8s %7s %7s %8s  %s\n",
+		"trouble, part",
+		"mode",
+		"service",
+		"lost",
+		"sent",
+		"p99 ms",
+		"service beside \"as it is\", 95 % interval",
+	)
 	wrong := 0
 	for i := range cells {
 		c, t := &cells[i], troubles[i/len(modes)]
@@ -98,7 +165,17 @@
 		for _, n := range broken[i*seeds : (i+1)*seeds] {
 			wrong += n
 		}
-		fmt.Fprintf(out, "%-20s %-11s %8.4f %6.2f%% %7.3f %8.0f  %s\n", name, modes[i%len(modes)].name, mean(c.service), 100*mean(c.lost), mean(c.sent), mean(c.p99), beside)
+		fmt.Fprintf(
+			out,
+			"%-20s %-11s %8.4f %6.2f%% %7.3f %8.0f  %s\n",
+			name,
+			modes[i%len(modes)].name,
+			mean(c.service),
+			100*mean(c.lost),
+			mean(c.sent),
+			mean(c.p99),
+			beside,
+		)
 	}
 	fmt.Fprintf(out, "broken rules and contacts by a wrong table: %d in %d days\n", wrong, len(broken))
 	if wrong > 0 {
--- a/internal/cli/labcli/record.go
+++ b/internal/cli/labcli/record.go
@@ -72,7 +72,8 @@
 			r.of = append(r.of, c)
 		}
 	case *sip.Response:
-		if c := r.calls[d.From+branch]; c != nil && m.CSeq().MethodName == sip.INVITE && m.StatusCode >= 200 && c.Answer == 0 {
+		if c := r.calls[d.From+branch]; c != nil && m.CSeq().MethodName == sip.INVITE && m.StatusCode >= 200 &&
+			c.Answer == 0 {
 			c.Answer, c.WaitMs = uint32(m.StatusCode), at-c.AtMs
 			if m.StatusCode < 300 {
 				r.stood[id] = at
@@ -88,7 +89,13 @@
 		return nil, fmt.Errorf("trace: %w", err)
 	}
 	defer f.Close()
-	r := &recorder{nodes: map[string]*api.Node{}, gates: map[string]uint32{}, calls: map[string]*api.Call{}, stood: map[string]float64{}, byID: map[string]*api.Call{}}
+	r := &recorder{
+		nodes: map[string]*api.Node{},
+		gates: map[string]uint32{},
+		calls: map[string]*api.Call{},
+		stood: map[string]float64{},
+		byID:  map[string]*api.Call{},
+	}
 	if err := capture.Read(f, r.add); err != nil {
 		return nil, err
 	}
@@ -97,7 +104,10 @@
 
 func captureTrace() *cobra.Command {
 	var out string
-	c := &cobra.Command{Use: "record CAPTURE", Short: "Make a trace of a capture: each try of a caller, with its answer and wait", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{
+		Use:   "record CAPTURE",
+		Short: "Make a trace of a capture: each try of a caller, with its answer and wait",
+		Args:  cobra.ExactArgs(1),
 		Long: `Makes a trace of what callers sent in a capture. Redials stand in it as calls of their own: replayed against callers that dial
 again, they would come twice, so "cobalt-lab day --trace" lets nobody dial again.`,
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -119,7 +129,8 @@
 				return saveTrace(out, of)
 			}
 			return nil
-		}}
+		},
+	}
 	c.Flags().StringVarP(&out, "out", "o", "", "write the trace to this file")
 	return c
 }
--- a/internal/cli/labcli/swap.go
+++ b/internal/cli/labcli/swap.go
@@ -19,7 +19,10 @@
 // swap measures what a large table costs, and how long a loop is held up while one is checked beside it.
 func swap() *cobra.Command {
 	var size, rounds int
-	c := &cobra.Command{Use: "swap", Short: "What a large number table costs, and whether a loop is held up while one is checked beside it", Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use:   "swap",
+		Short: "What a large number table costs, and whether a loop is held up while one is checked beside it",
+		Args:  cobra.NoArgs,
 		Long: `Makes a table of many prefixes with 200 routes and checks it as a gateway does, again and again, while a loop of one goroutine
 wants to run every millisecond, analyses ten numbers each time and notes how late it is. The same loop runs alone as long
 before; the differences are what the check and the collector take.`,
@@ -42,8 +45,20 @@
 				return err
 			}
 			form = nil
-			fmt.Fprintf(out, "%d prefixes: %.1f MiB compact (%.1f octets each), compiled in %.0f ms, %.1f MiB in memory (%.1f octets each)\n", size, mib(len(packed)),
-				float64(len(packed))/float64(size), float64(took)/1e6, mib(int(after)-int(before)), float64(int64(after)-int64(before))/float64(size))
+			fmt.Fprintf(
+				out,
+				"%d prefixes: %.1f MiB compact (%.1f octets each), compiled in %.0f ms, %.1f MiB in memory (%.1f octets each)\n",
+				size,
+				mib(len(packed)),
+				float64(
+					len(packed),
+				)/float64(
+					size,
+				),
+				float64(took)/1e6,
+				mib(int(after)-int(before)),
+				float64(int64(after)-int64(before))/float64(size),
+			)
 			of := prefixbaseline.Draw(min(size, 1<<16))
 			check := func() {
 				for range rounds {
@@ -59,10 +74,19 @@
 				name string
 				late []float64
 			}{{"alone", alone}, {fmt.Sprintf("beside %d checks", rounds), with}} {
-				fmt.Fprintf(out, "%-20s %10.3f %10.3f %10.3f %10.3f\n", x.name, at(x.late, 0.5), at(x.late, 0.99), at(x.late, 0.999), at(x.late, 1))
+				fmt.Fprintf(
+					out,
+					"%-20s %10.3f %10.3f %10.3f %10.3f\n",
+					x.name,
+					at(x.late, 0.5),
+					at(x.late, 0.99),
+					at(x.late, 0.999),
+					at(x.late, 1),
+				)
 			}
 			return nil
-		}}
+		},
+	}
 	c.Flags().IntVar(&size, "size", 1000000, "prefixes")
 	c.Flags().IntVar(&rounds, "rounds", 5, "checks")
 	return c
@@ -84,8 +108,14 @@
 		if err != nil {
 			return nil, err
 		}
-		form.Routes = append(form.Routes, &api.NumberRoute{Name: name, Choices: []*api.NumberChoice{{Group: fmt.Sprint("TG-", i), Weight: 1}}})
-		form.Plans[0].Rules = append(form.Plans[0].Rules, &api.NumberRule{Packed: packed, Then: &api.NumberAction{Do: &api.NumberAction_Route{Route: name}}})
+		form.Routes = append(
+			form.Routes,
+			&api.NumberRoute{Name: name, Choices: []*api.NumberChoice{{Group: fmt.Sprint("TG-", i), Weight: 1}}},
+		)
+		form.Plans[0].Rules = append(
+			form.Plans[0].Rules,
+			&api.NumberRule{Packed: packed, Then: &api.NumberAction{Do: &api.NumberAction_Route{Route: name}}},
+		)
 	}
 	return form, nil
 }
--- a/internal/cli/labcli/throughput.go
+++ b/internal/cli/labcli/throughput.go
@@ -58,7 +58,13 @@
 }
 
 func (l *oneList) Follow(_ *api.FollowRequest, stream grpc.ServerStreamingServer[api.Update]) error {
-	if err := stream.Send(&api.Update{Version: 1, Whole: true, Members: []*api.Member{{Id: "rush", State: api.State_READY, AgeMs: -1, Addr: l.at}}}); err != nil {
+	if err := stream.Send(
+		&api.Update{
+			Version: 1,
+			Whole:   true,
+			Members: []*api.Member{{Id: "rush", State: api.State_READY, AgeMs: -1, Addr: l.at}},
+		},
+	); err != nil {
 		return err
 	}
 	<-stream.Context().Done()
@@ -77,12 +83,16 @@
 
 func throughput() *cobra.Command {
 	var f throughputFlags
-	c := &cobra.Command{Use: "throughput", Short: "How many contacts a second one gateway carries on one core, beside a bare echo", Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use:   "throughput",
+		Short: "How many contacts a second one gateway carries on one core, beside a bare echo",
+		Args:  cobra.NoArgs,
 		Long: `Runs one gateway process on one core with callers and a switch that do next to nothing, and raises the rate until not
 all contacts stand, or the gateway repeats set-ups because it answers too slowly itself. A bare echo on the same reactor
 and one core is measured in the same way before and after it. Then: the time that the gateway adds at half of its rate, the
 memory of held contacts, and with --soak a long run that shows growth.`,
-		RunE: func(cmd *cobra.Command, _ []string) error { return f.run(cmd.OutOrStdout()) }}
+		RunE: func(cmd *cobra.Command, _ []string) error { return f.run(cmd.OutOrStdout()) },
+	}
 	c.Flags().IntVar(&f.port, "port", 17060, "port of the addresses in 127.0.0.0/8")
 	c.Flags().DurationVar(&f.step, "step", 4*time.Second, "how long each rate is kept")
 	c.Flags().Float64Var(&f.most, "most", 30000, "the highest rate tried, contacts a second")
@@ -152,7 +162,11 @@
 	go server.Serve(lis)
 	defer server.Stop()
 	file := filepath.Join(dir, "edge.hcl")
-	if err := os.WriteFile(file, []byte(fmt.Sprintf(rushSettings, at(1), netip.AddrPortFrom(at(1).Addr(), uint16(f.port+10)), lis.Addr())), 0o644); err != nil {
+	if err := os.WriteFile(
+		file,
+		[]byte(fmt.Sprintf(rushSettings, at(1), netip.AddrPortFrom(at(1).Addr(), uint16(f.port+10)), lis.Addr())),
+		0o644,
+	); err != nil {
 		return fmt.Errorf("throughput: %w", err)
 	}
 	args := []string{"edge", "run", "--config", file}
@@ -172,10 +186,31 @@
 	time.Sleep(time.Second)
 	rig.Run(saturation.Load{Rate: 200, For: 3 * time.Second}) // the module learns that its endpoint answers at once
 	best := 0.0
-	fmt.Fprintf(out, "%8s %8s %8s %8s %9s %9s %9s %8s\n", "rate", "sent", "stood", "repeats", "p50 µs", "p99 µs", "p99.9 µs", "late")
+	fmt.Fprintf(
+		out,
+		"%8s %8s %8s %8s %9s %9s %9s %8s\n",
+		"rate",
+		"sent",
+		"stood",
+		"repeats",
+		"p50 µs",
+		"p99 µs",
+		"p99.9 µs",
+		"late",
+	)
 	show := func(rate float64, r *saturation.Result) {
-		fmt.Fprintf(out, "%8.0f %8d %8d %8d %9d %9d %9d %8s\n", rate, r.Sent, r.Stood, r.Repeats, r.Added.ValueAtQuantile(50), r.Added.ValueAtQuantile(99),
-			r.Added.ValueAtQuantile(99.9), r.Late.Round(100*time.Microsecond))
+		fmt.Fprintf(
+			out,
+			"%8.0f %8d %8d %8d %9d %9d %9d %8s\n",
+			rate,
+			r.Sent,
+			r.Stood,
+			r.Repeats,
+			r.Added.ValueAtQuantile(50),
+			r.Added.ValueAtQuantile(99),
+			r.Added.ValueAtQuantile(99.9),
+			r.Late.Round(100*time.Microsecond),
+		)
 	}
 	for rate := 500.0; rate <= f.most; rate *= 1.25 {
 		r := rig.Run(saturation.Load{Rate: rate, For: f.step})
@@ -192,12 +227,25 @@
 	}
 	mean := (before + after) / 2
 	fmt.Fprintf(out, "bare echo again: %.0f\n", after)
-	fmt.Fprintf(out, "gateway, one core: %.0f contacts a second, %.0f datagrams a second in and out; echo %.0f in and out; ratio %.2f (aim 0.33)\n",
-		best, 12*best, 2*mean, 12*best/(2*mean))
+	fmt.Fprintf(
+		out,
+		"gateway, one core: %.0f contacts a second, %.0f datagrams a second in and out; echo %.0f in and out; ratio %.2f (aim 0.33)\n",
+		best,
+		12*best,
+		2*mean,
+		12*best/(2*mean),
+	)
 	r := rig.Run(saturation.Load{Rate: best / 2, For: 2 * f.step})
-	fmt.Fprintf(out, "at half of that, set-up from caller to switch: p50 %.2f ms, p99 %.2f ms (aim 2), p99.9 %.2f ms; answer back: p50 %.2f, p99 %.2f, p99.9 %.2f\n",
-		ms(r.Added.ValueAtQuantile(50)), ms(r.Added.ValueAtQuantile(99)), ms(r.Added.ValueAtQuantile(99.9)),
-		ms(r.Back.ValueAtQuantile(50)), ms(r.Back.ValueAtQuantile(99)), ms(r.Back.ValueAtQuantile(99.9)))
+	fmt.Fprintf(
+		out,
+		"at half of that, set-up from caller to switch: p50 %.2f ms, p99 %.2f ms (aim 2), p99.9 %.2f ms; answer back: p50 %.2f, p99 %.2f, p99.9 %.2f\n",
+		ms(r.Added.ValueAtQuantile(50)),
+		ms(r.Added.ValueAtQuantile(99)),
+		ms(r.Added.ValueAtQuantile(99.9)),
+		ms(r.Back.ValueAtQuantile(50)),
+		ms(r.Back.ValueAtQuantile(99)),
+		ms(r.Back.ValueAtQuantile(99.9)),
+	)
 	time.Sleep(30 * time.Second) // transactions of the runs before end
 	empty := rss(edge.Process.Pid)
 	held := min(1000, best/2)
@@ -216,7 +264,14 @@
 		}
 	}
 	n := held * f.hold.Seconds()
-	fmt.Fprintf(out, "memory: %.1f MiB before, %.1f MiB at most with %.0f contacts held: %.1f KiB each (aim 20)\n", empty/1024, full/1024, n, (full-empty)/n)
+	fmt.Fprintf(
+		out,
+		"memory: %.1f MiB before, %.1f MiB at most with %.0f contacts held: %.1f KiB each (aim 20)\n",
+		empty/1024,
+		full/1024,
+		n,
+		(full-empty)/n,
+	)
 	if f.soak > 0 {
 		fmt.Fprintf(out, "%8s %10s %10s\n", "minute", "memory MiB", "stood")
 		for from := time.Duration(0); from < f.soak; from += time.Minute {
--- a/internal/cli/numbercli/numbercmd.go
+++ b/internal/cli/numbercli/numbercmd.go
@@ -39,7 +39,10 @@
 
 func check() *cobra.Command {
 	var config string
-	c := &cobra.Command{Use: "check TABLE", Short: "Compile a table and say what is wrong with it, with file and line", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{
+		Use:     "check TABLE",
+		Short:   "Compile a table and say what is wrong with it, with file and line",
+		Args:    cobra.ExactArgs(1),
 		Example: "  cobalt-edge number check staff.hcl --config edge.hcl",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			t, _, err := tablestore.Load(args[0])
@@ -59,11 +62,27 @@
 				fmt.Fprintf(cmd.ErrOrStderr(), "%s: warning: %s\n", args[0], w)
 			}
 			n := t.Names()
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: table %s, version %d, sum %s, %d prefixes: fine\n  needs skills %v, customers %v, groups %v\n", args[0],
-				t.Name, t.Version, t.Sum[:16], t.Size(), n.Skills, n.Customers, n.Groups)
+			fmt.Fprintf(
+				cmd.OutOrStdout(),
+				"%s: table %s, version %d, sum %s, %d prefixes: fine\n  needs skills %v, customers %v, groups %v\n",
+				args[0],
+				t.Name,
+				t.Version,
+				t.Sum[:16],
+				t.Size(),
+				n.Skills,
+				n.Customers,
+				n.Groups,
+			)
 			return nil
-		}}
-	c.Flags().StringVar(&config, "config", "", "also check that a gateway with these settings has all that the table names")
+		},
+	}
+	c.Flags().StringVar(
+		&config,
+		"config",
+		"",
+		"also check that a gateway with these settings has all that the table names",
+	)
 	return c
 }
 
@@ -71,7 +90,10 @@
 	var at, ported, to string
 	var draw float64
 	var silent bool
-	x := &cobra.Command{Use: "explain [TABLE] NUMBER", Short: "Print each step of a number's analysis and why", Args: cobra.RangeArgs(1, 2),
+	x := &cobra.Command{
+		Use:   "explain [TABLE] NUMBER",
+		Short: "Print each step of a number's analysis and why",
+		Args:  cobra.RangeArgs(1, 2),
 		Example: `  cobalt-lab number explain staff.hcl +14185551234 --at 2026-12-03T14:00:00-05:00 --ported +15145559999
   cobalt-edge number explain +14185551234 --to 127.0.0.1:5090`,
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -102,7 +124,8 @@
 				fmt.Fprintln(cmd.OutOrStdout(), s)
 			}
 			return err
-		}}
+		},
+	}
 	x.Flags().StringVar(&at, "at", "", "time, such as 2026-12-03T14:00:00-05:00; empty: now")
 	x.Flags().Float64Var(&draw, "draw", 0, "0 to 1, for weights")
 	x.Flags().StringVar(&ported, "ported", "", "portability's answer: this routing number; empty: not ported")
@@ -113,14 +136,18 @@
 
 func compile() *cobra.Command {
 	var out string
-	c := &cobra.Command{Use: "compile TABLE.hcl --out FILE", Short: "Check a table and write its compact form", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{
+		Use:   "compile TABLE.hcl --out FILE",
+		Short: "Check a table and write its compact form",
+		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			_, form, err := tablestore.Load(args[0])
 			if err != nil {
 				return err
 			}
 			return write(cmd.OutOrStdout(), out, form)
-		}}
+		},
+	}
 	c.Flags().StringVarP(&out, "out", "o", "", "the compact form's file")
 	c.MarkFlagRequired("out")
 	return c
@@ -147,8 +174,11 @@
 
 func diff() *cobra.Command {
 	var most int
-	c := &cobra.Command{Use: "diff OLD NEW", Short: "Say what changes between two tables, by what they do", Args: cobra.ExactArgs(2),
-		Long: "Says what changes between two tables, by what they do and not by how they are written. Status 0: nothing; 1: something.",
+	c := &cobra.Command{
+		Use:   "diff OLD NEW",
+		Short: "Say what changes between two tables, by what they do",
+		Args:  cobra.ExactArgs(2),
+		Long:  "Says what changes between two tables, by what they do and not by how they are written. Status 0: nothing; 1: something.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var of [2]*api.NumberTable
 			for i, a := range args {
@@ -170,15 +200,21 @@
 				return ErrDiffer
 			}
 			return nil
-		}}
+		},
+	}
 	c.Flags().IntVar(&most, "most", 200, "print no more than so many")
 	return c
 }
 
 func importCSV() *cobra.Command {
 	var out, plan string
-	c := &cobra.Command{Use: "import TABLE PREFIXES.csv --plan PLAN --out FILE", Short: "Add prefixes of a CSV file, one \"prefix,route\" a line, to a plan",
-		Args: cobra.ExactArgs(2), Example: "  cobalt-lab number import staff.hcl ranges.csv --plan exchanges --out staff.table",
+	c := &cobra.Command{
+		Use:   "import TABLE PREFIXES.csv --plan PLAN --out FILE",
+		Short: "Add prefixes of a CSV file, one \"prefix,route\" a line, to a plan",
+		Args: cobra.ExactArgs(
+			2,
+		),
+		Example: "  cobalt-lab number import staff.hcl ranges.csv --plan exchanges --out staff.table",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var form *api.NumberTable
 			src, err := os.ReadFile(args[0])
@@ -205,7 +241,8 @@
 				return err
 			}
 			return write(cmd.OutOrStdout(), out, form)
-		}}
+		},
+	}
 	c.Flags().StringVar(&plan, "plan", "start", "the plan that they are added to")
 	c.Flags().StringVarP(&out, "out", "o", "", "the compact form's file")
 	c.MarkFlagRequired("out")
@@ -255,7 +292,11 @@
 }
 
 func dial(ctx context.Context, to string, do func(context.Context, api.NumbersClient) error) error {
-	conn, err := grpc.NewClient(to, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithDefaultCallOptions(grpc.MaxCallSendMsgSize(numberplan.MostOctets)))
+	conn, err := grpc.NewClient(
+		to,
+		grpc.WithTransportCredentials(insecure.NewCredentials()),
+		grpc.WithDefaultCallOptions(grpc.MaxCallSendMsgSize(numberplan.MostOctets)),
+	)
 	if err != nil {
 		return fmt.Errorf("gateway at %s: %w", to, err)
 	}
@@ -270,13 +311,25 @@
 
 func told(cmd *cobra.Command, s *api.TableState) {
 	r := s.GetRunning()
-	fmt.Fprintf(cmd.OutOrStdout(), "running: %s version %d, number %d, sum %.16s, %d prefixes; %d contacts still carry %d older tables\n", r.GetName(), r.GetVersion(),
-		r.GetSerial(), r.GetSum(), r.GetRules(), s.GetOldContacts(), s.GetOldTables())
+	fmt.Fprintf(
+		cmd.OutOrStdout(),
+		"running: %s version %d, number %d, sum %.16s, %d prefixes; %d contacts still carry %d older tables\n",
+		r.GetName(),
+		r.GetVersion(),
+		r.GetSerial(),
+		r.GetSum(),
+		r.GetRules(),
+		s.GetOldContacts(),
+		s.GetOldTables(),
+	)
 }
 
 func put() *cobra.Command {
 	var to, note string
-	c := &cobra.Command{Use: "put TABLE --to ADDR", Short: "Put a table in service at a gateway that runs", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{
+		Use:   "put TABLE --to ADDR",
+		Short: "Put a table in service at a gateway that runs",
+		Args:  cobra.ExactArgs(1),
 		Long: `Sends a table to a gateway that runs. The gateway compiles and checks it beside the running one, keeps it in its store and
 swaps: new contacts get it, those held keep theirs to their end. A bad table changes nothing, and the answer says why.`,
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -295,7 +348,8 @@
 				}
 				return err
 			})
-		}}
+		},
+	}
 	c.Flags().StringVar(&to, "to", "", "the gateway's numbers.admin address")
 	c.Flags().StringVar(&note, "note", "", "kept with the table")
 	c.MarkFlagRequired("to")
@@ -304,7 +358,10 @@
 
 func back() *cobra.Command {
 	var to string
-	c := &cobra.Command{Use: "back --to ADDR", Short: "Return to the table that ran before the present one", Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use:   "back --to ADDR",
+		Short: "Return to the table that ran before the present one",
+		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return dial(cmd.Context(), to, func(ctx context.Context, c api.NumbersClient) error {
 				s, err := c.Back(ctx, &api.BackRequest{})
@@ -313,7 +370,8 @@
 				}
 				return err
 			})
-		}}
+		},
+	}
 	c.Flags().StringVar(&to, "to", "", "the gateway's numbers.admin address")
 	c.MarkFlagRequired("to")
 	return c
@@ -330,8 +388,18 @@
 				}
 				told(cmd, s)
 				for _, k := range s.Kept {
-					fmt.Fprintf(cmd.OutOrStdout(), "%6d  %s  %s version %d, sum %.16s, %d prefixes  %s%s\n", k.Serial, time.Unix(k.AtUnix, 0).UTC().Format(time.DateTime),
-						k.Name, k.Version, k.Sum, k.Rules, k.Note, map[bool]string{true: "  FAULT: " + k.Fault}[k.Fault != ""])
+					fmt.Fprintf(
+						cmd.OutOrStdout(),
+						"%6d  %s  %s version %d, sum %.16s, %d prefixes  %s%s\n",
+						k.Serial,
+						time.Unix(k.AtUnix, 0).UTC().Format(time.DateTime),
+						k.Name,
+						k.Version,
+						k.Sum,
+						k.Rules,
+						k.Note,
+						map[bool]string{true: "  FAULT: " + k.Fault}[k.Fault != ""],
+					)
 				}
 				return nil
 			})
--- a/internal/cli/numbercli/numbercmd_test.go
+++ b/internal/cli/numbercli/numbercmd_test.go
@@ -36,8 +36,8 @@
 	return out.String(), err
 }
 
-// A table goes from HCL and CSV to its compact form and is checked, explained and compared there; bad input says file and
-// line and leaves no file.
+// A table goes from HCL and CSV to its compact form and is checked, explained and compared there; bad input says file
+// and line and leaves no file.
 func TestFiles(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name, text string) string {
@@ -47,7 +47,16 @@
 		}
 		return f
 	}
-	hcl, csv, out := file("t.hcl", table), file("p.csv", "# areas\n+1418,b\n1514, b\n\n1613,a\n"), filepath.Join(dir, "t.table")
+	hcl, csv, out := file(
+		"t.hcl",
+		table,
+	), file(
+		"p.csv",
+		"# areas\n+1418,b\n1514, b\n\n1613,a\n",
+	), filepath.Join(
+		dir,
+		"t.table",
+	)
 	if _, err := run("import", hcl, csv, "--out", out); err != nil {
 		t.Fatal(err)
 	}
@@ -58,7 +67,8 @@
 		t.Errorf("%s, %v", s, err)
 	}
 	s, err := run("diff", hcl, out)
-	if !errors.Is(err, ErrDiffer) || s != "+ rule start/1418: route b\n+ rule start/1514: route b\n+ rule start/1613: route a\n" {
+	if !errors.Is(err, ErrDiffer) ||
+		s != "+ rule start/1418: route b\n+ rule start/1514: route b\n+ rule start/1613: route a\n" {
 		t.Errorf("%s, %v", s, err)
 	}
 	if s, err := run("diff", out, out); err != nil || s != "" {
@@ -77,10 +87,23 @@
 			t.Errorf("%q: a file was written", text)
 		}
 	}
-	if _, err := run("import", hcl, csv, "--plan", "x", "--out", out); err == nil || !strings.Contains(err.Error(), `no plan "x"`) {
+	if _, err := run(
+		"import",
+		hcl,
+		csv,
+		"--plan",
+		"x",
+		"--out",
+		out,
+	); err == nil ||
+		!strings.Contains(err.Error(), `no plan "x"`) {
 		t.Error(err)
 	}
-	if _, err := run("check", file("x.table", "nothing")); err == nil || !strings.Contains(err.Error(), "neither HCL nor the compact form") {
+	if _, err := run(
+		"check",
+		file("x.table", "nothing"),
+	); err == nil ||
+		!strings.Contains(err.Error(), "neither HCL nor the compact form") {
 		t.Error(err)
 	}
 	edge := file("edge.hcl", `
--- a/internal/conformance/binaryconformance/judge.go
+++ b/internal/conformance/binaryconformance/judge.go
@@ -1,6 +1,6 @@
-// Package binaryconformance judges the rules of the platform from what crossed a gateway's sockets alone: messages as they were
-// written or read there, connections as they came and went, and the lists that were delivered. It knows nothing of the
-// gateway's state. Rule 4 needs all gateways together and is judged by package check and on the bench.
+// Package binaryconformance judges the rules of the platform from what crossed a gateway's sockets alone: messages as
+// they were written or read there, connections as they came and went, and the lists that were delivered. It knows
+// nothing of the gateway's state. Rule 4 needs all gateways together and is judged by package check and on the bench.
 package binaryconformance
 
 //tally:standin
@@ -275,7 +275,8 @@
 		if c.finalAnswer == 0 && !c.callerGone && at > c.deadline+k.Rules.AnswerGrace {
 			k.report(1, id, "never answered")
 		}
-		if c.finalAnswer == binarymessage.Answer && !c.released && !c.callerGone && k.clientConnected && at > math.Max(c.endedAt, k.connectedSince)+k.Rules.ReleaseWithin {
+		if c.finalAnswer == binarymessage.Answer && !c.released && !c.callerGone && k.clientConnected &&
+			at > math.Max(c.endedAt, k.connectedSince)+k.Rules.ReleaseWithin {
 			k.report(6, id, "was over at %.0f ms, and its caller was not told", c.endedAt)
 		}
 	}
--- a/internal/conformance/binaryconformance/judge_test.go
+++ b/internal/conformance/binaryconformance/judge_test.go
@@ -20,7 +20,10 @@
 
 func (t *tape) wait(ms float64) *tape { t.at += ms; return t }
 func (t *tape) setUp() *tape {
-	t.OnClientMessage(t.at, binarymessage.Append(nil, binarymessage.Setup, 7, binarymessage.TextParam(binarymessage.Timeout, "2000")))
+	t.OnClientMessage(
+		t.at,
+		binarymessage.Append(nil, binarymessage.Setup, 7, binarymessage.TextParam(binarymessage.Timeout, "2000")),
+	)
 	return t
 }
 func (t *tape) ring(who string, line int) *tape {
@@ -28,15 +31,30 @@
 	return t
 }
 func (t *tape) off(who string, line int) *tape {
-	t.OnMessageToEndpoint(t.at, who, line, binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal)))
+	t.OnMessageToEndpoint(
+		t.at,
+		who,
+		line,
+		binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal)),
+	)
 	return t
 }
 func (t *tape) stands(who string, line int) *tape {
-	t.OnEndpointMessage(t.at, who, line, binarymessage.Append(nil, binarymessage.Answer, 7, binarymessage.TextParam(binarymessage.Description, "x")))
+	t.OnEndpointMessage(
+		t.at,
+		who,
+		line,
+		binarymessage.Append(nil, binarymessage.Answer, 7, binarymessage.TextParam(binarymessage.Description, "x")),
+	)
 	return t
 }
 func (t *tape) ends(who string, line int, cause byte) *tape {
-	t.OnEndpointMessage(t.at, who, line, binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.CauseParam(cause)))
+	t.OnEndpointMessage(
+		t.at,
+		who,
+		line,
+		binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.CauseParam(cause)),
+	)
 	return t
 }
 func (t *tape) answer() *tape {
@@ -44,7 +62,10 @@
 	return t
 }
 func (t *tape) release() *tape {
-	t.OnMessageToClient(t.at, binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Congested)))
+	t.OnMessageToClient(
+		t.at,
+		binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Congested)),
+	)
 	return t
 }
 
--- a/internal/conformance/check.go
+++ b/internal/conformance/check.go
@@ -1,6 +1,6 @@
-// Package conformance judges the five rules from a capture alone: what crossed the gateways' sockets, the lists that were
-// delivered to them, and the starts of the switches. It knows nothing of any program's state. A call is followed by
-// its Session-ID (RFC 7989) through all its legs.
+// Package conformance judges the five rules from a capture alone: what crossed the gateways' sockets, the lists that
+// were delivered to them, and the starts of the switches. It knows nothing of any program's state. A call is followed
+// by its Session-ID (RFC 7989) through all its legs.
 package conformance
 
 //tally:standin
@@ -111,10 +111,21 @@
 
 // New makes a checker.
 func New() *Checker {
-	return &Checker{Parse: siptransaction.Parse, rules: &api.Rules{}, nodes: map[string]*api.Node{}, contacts: map[string]*contact{},
-		byTx: map[string]*ring{}, byDialog: map[string]*ring{}, answers: map[string]*contact{},
-		listed: map[string]map[string]*place{}, stopped: map[string]bool{}, killed: map[string]float64{},
-		starts: map[string][]*start{}, looks: map[string]*look{}, named: map[string][]float64{}}
+	return &Checker{
+		Parse:    siptransaction.Parse,
+		rules:    &api.Rules{},
+		nodes:    map[string]*api.Node{},
+		contacts: map[string]*contact{},
+		byTx:     map[string]*ring{},
+		byDialog: map[string]*ring{},
+		answers:  map[string]*contact{},
+		listed:   map[string]map[string]*place{},
+		stopped:  map[string]bool{},
+		killed:   map[string]float64{},
+		starts:   map[string][]*start{},
+		looks:    map[string]*look{},
+		named:    map[string][]float64{},
+	}
 }
 
 func (k *Checker) broke(rule int, c *contact, what string, args ...any) {
@@ -204,7 +215,8 @@
 				}
 			}
 		}
-	case "edge-kill", "edge-start": // what it held is no longer its duty; a repeat that reaches the next process is new there
+	case "edge-kill",
+		"edge-start": // what it held is no longer its duty; a repeat that reaches the next process is new there
 		k.looksOf(at, m)
 		if m.What == "edge-kill" {
 			k.killed[m.Who] = at
@@ -418,7 +430,11 @@
 		if kill, killed := k.killed[c.edge]; killed && c.came <= kill && (c.final == "" || c.at > kill) {
 			continue // what a gateway held when it was killed is no longer its duty
 		}
-		if due := math.Min(c.until, whenSet(c.left)+1000); c.final == "" && k.last > due+k.rules.SlackMs && !k.stopped[c.edge] {
+		if due := math.Min(
+			c.until,
+			whenSet(c.left)+1000,
+		); c.final == "" && k.last > due+k.rules.SlackMs &&
+			!k.stopped[c.edge] {
 			k.broke(1, c, "never answered; due at %.0f ms", due)
 		}
 	}
@@ -475,8 +491,16 @@
 		}
 		if sum > most+math.Sqrt(most*s.model.SetupMs)+s.model.SetupMs && told > sum*2/3 {
 			k.last = x.at
-			k.broke(4, &contact{edge: "all", id: s.who}, "%.0f ms of work in %.0f ms to %s, %.0f ms after its start: %.0f allowed",
-				sum, k.rules.TipMs, k.name(addr), x.at-s.at, most)
+			k.broke(
+				4,
+				&contact{edge: "all", id: s.who},
+				"%.0f ms of work in %.0f ms to %s, %.0f ms after its start: %.0f allowed",
+				sum,
+				k.rules.TipMs,
+				k.name(addr),
+				x.at-s.at,
+				most,
+			)
 			return
 		}
 	}
--- a/internal/conformance/check_test.go
+++ b/internal/conformance/check_test.go
@@ -56,7 +56,10 @@
 		start, tag = fmt.Sprintf("SIP/2.0 %d X", code), fmt.Sprintf(";tag=t%d", code)
 	}
 	m := start + "\r\nVia: SIP/2.0/UDP 127.0.0.9:1;branch=z9hG4bK" + b + "\r\nFrom: <sip:a@b>;tag=f" + b + "\r\nTo: <sip:1@x>" + tag +
-		"\r\nCall-ID: " + b + "\r\nCSeq: 1 " + method + "\r\nSession-ID: " + strings.Repeat(c, 32) + "\r\nExpires: 9\r\nContent-Length: 0\r\n\r\n"
+		"\r\nCall-ID: " + b + "\r\nCSeq: 1 " + method + "\r\nSession-ID: " + strings.Repeat(
+		c,
+		32,
+	) + "\r\nExpires: 9\r\nContent-Length: 0\r\n\r\n"
 	return t.add(at, &api.Datagram{From: from, To: to, Data: []byte(m)})
 }
 
@@ -74,7 +77,10 @@
 }
 
 func (t *tape) pushed(told float64, from, gap float64) *tape {
-	t.add(1000, &api.Mark{What: "start", Who: "one", Start: &api.Start{ColdShare: 0.5, WarmMs: 10000, SetupMs: 50, RepeatMs: 10}})
+	t.add(
+		1000,
+		&api.Mark{What: "start", Who: "one", Start: &api.Start{ColdShare: 0.5, WarmMs: 10000, SetupMs: 50, RepeatMs: 10}},
+	)
 	if told < from {
 		t.list(told, one, "ready", 1000)
 	}
--- a/internal/conformance/kiosks.go
+++ b/internal/conformance/kiosks.go
@@ -32,7 +32,8 @@
 	fresh        = 200.0  // ms: a kiosk calls the endpoint that was named within this
 )
 
-// lookup judges what passes between a kiosk and a gateway's front. An answer that names an endpoint is an attempt: rules 1, 3 and 4 hold for it.
+// lookup judges what passes between a kiosk and a gateway's front. An answer that names an endpoint is an attempt:
+// rules 1, 3 and 4 hold for it.
 func (k *Checker) lookup(at float64, d *api.Datagram, from, to *api.Node) {
 	m := new(dns.Msg)
 	if m.Unpack(d.Data) != nil || len(m.Question) != 1 {
@@ -90,8 +91,8 @@
 	k.named[client+" "+x.to] = append(k.named[client+" "+x.to], at)
 }
 
-// looksOf lets a mark of an edge excuse look-ups as it does calls: what a killed process held is lost, and one that stood
-// still could not answer.
+// looksOf lets a mark of an edge excuse look-ups as it does calls: what a killed process held is lost, and one that
+// stood still could not answer.
 func (k *Checker) looksOf(at float64, m *api.Mark) {
 	for id, x := range k.looks {
 		switch {
@@ -141,6 +142,13 @@
 	}
 	k.named[key] = of
 	if at-latest > fresh {
-		k.broke(3, &contact{edge: edge, id: siptransaction.SessionIDOf(r)}, "%v calls %s, %.0f ms after it was named", ap, k.name(d.To), at-latest)
+		k.broke(
+			3,
+			&contact{edge: edge, id: siptransaction.SessionIDOf(r)},
+			"%v calls %s, %.0f ms after it was named",
+			ap,
+			k.name(d.To),
+			at-latest,
+		)
 	}
 }
--- a/internal/conformance/kiosks_test.go
+++ b/internal/conformance/kiosks_test.go
@@ -15,8 +15,13 @@
 		return &api.Record{What: &api.Record_Node{Node: &api.Node{Addr: addr, Role: role, Name: name}}}
 	}
 	list := func(at float64, state string) *api.Record {
-		return &api.Record{At: at, What: &api.Record_Listing{Listing: &api.Listing{Edge: "e", Entries: []*api.Entry{{Id: "m", State: state, Addr: "127.0.0.3:5060"},
-			{Id: "n", State: "ready", Addr: "127.0.0.4:5060"}}}}}
+		return &api.Record{
+			At: at,
+			What: &api.Record_Listing{
+				Listing: &api.Listing{Edge: "e", Entries: []*api.Entry{{Id: "m", State: state, Addr: "127.0.0.3:5060"},
+					{Id: "n", State: "ready", Addr: "127.0.0.4:5060"}}},
+			},
+		}
 	}
 	const kiosk, front, phone = "127.0.0.1:1", "127.0.0.2:53", "127.0.0.1:2"
 	pass := func(at float64, from, to string, id uint16, pool string, change func(*dns.Msg)) *api.Record {
@@ -24,8 +29,15 @@
 		m.SetQuestion("1.kiosk.test.", dns.TypeNAPTR)
 		m.Id, m.Response = id, from == front
 		if pool != "" {
-			m.Answer = []dns.RR{&dns.NAPTR{Hdr: dns.RR_Header{Name: "1.kiosk.test.", Rrtype: dns.TypeNAPTR, Class: dns.ClassINET}, Flags: "u", Service: "E2U+sip",
-				Regexp: "!^.*$!sip:+1;tgrp=TG-0@" + pool + "!", Replacement: "."}}
+			m.Answer = []dns.RR{
+				&dns.NAPTR{
+					Hdr:         dns.RR_Header{Name: "1.kiosk.test.", Rrtype: dns.TypeNAPTR, Class: dns.ClassINET},
+					Flags:       "u",
+					Service:     "E2U+sip",
+					Regexp:      "!^.*$!sip:+1;tgrp=TG-0@" + pool + "!",
+					Replacement: ".",
+				},
+			}
 		}
 		if change != nil {
 			change(m)
@@ -40,8 +52,16 @@
 	answer := func(at float64, id uint16, pool string) *api.Record { return pass(at, front, kiosk, id, pool, nil) }
 	call := func(at float64, session string) *api.Record {
 		text := "INVITE sip:+1@127.0.0.3 SIP/2.0\nVia: SIP/2.0/UDP " + phone + ";branch=z9hG4bK" + session + "\nFrom: <sip:a@b>;tag=1\nTo: <sip:c@d>\nCall-ID: " + session +
-			"\nCSeq: 1 INVITE\nSession-ID: " + strings.Repeat(session, 32) + ";remote=00000000000000000000000000000000\nContent-Length: 0\n\n"
-		return &api.Record{At: at, What: &api.Record_Datagram{Datagram: &api.Datagram{From: phone, To: "127.0.0.3:5060", Data: []byte(strings.ReplaceAll(text, "\n", "\r\n"))}}}
+			"\nCSeq: 1 INVITE\nSession-ID: " + strings.Repeat(
+			session,
+			32,
+		) + ";remote=00000000000000000000000000000000\nContent-Length: 0\n\n"
+		return &api.Record{
+			At: at,
+			What: &api.Record_Datagram{
+				Datagram: &api.Datagram{From: phone, To: "127.0.0.3:5060", Data: []byte(strings.ReplaceAll(text, "\n", "\r\n"))},
+			},
+		}
 	}
 	const a, b = "127.0.0.3:5060", "127.0.0.4:5060"
 	for name, c := range map[string]struct {
@@ -64,8 +84,19 @@
 		"two calls of one answer":            {[]*api.Record{ask(10, 1), answer(20, 1, a), call(30, "a"), call(31, "b")}, "calls"},
 	} {
 		k := New()
-		head := []*api.Record{{What: &api.Record_Rules{Rules: &api.Rules{SlackMs: 20, GraceMs: 250, ClearMs: 500, TipMultiple: 2.5, TipMs: 1000}}},
-			node(kiosk, "kiosk", "e"), node(phone, "kiosk-phone", "e"), node(front, "front", "e"), node(a, "switch", "s"), node(b, "switch", "s2"), list(0, "ready")}
+		head := []*api.Record{
+			{What: &api.Record_Rules{Rules: &api.Rules{SlackMs: 20, GraceMs: 250, ClearMs: 500, TipMultiple: 2.5, TipMs: 1000}}},
+			node(
+				kiosk,
+				"kiosk",
+				"e",
+			),
+			node(phone, "kiosk-phone", "e"),
+			node(front, "front", "e"),
+			node(a, "switch", "s"),
+			node(b, "switch", "s2"),
+			list(0, "ready"),
+		}
 		for _, r := range append(head, c.of...) {
 			k.Add(r)
 		}
--- a/internal/conformance/tables.go
+++ b/internal/conformance/tables.go
@@ -12,9 +12,9 @@
 	"cobaltpier/internal/protocol/siptransaction"
 )
 
-// Tables judges from a capture whether each call was analysed wholly by one number table, and by one that was in
-// force when it came. The laboratory's tables put a mark of their own in front of every number, in a step of its own; marks are
-// four digits that Mark makes of a version.
+// Tables judges from a capture whether each call was analysed wholly by one number table, and by one that was in force
+// when it came. The laboratory's tables put a mark of their own in front of every number, in a step of its own; marks
+// are four digits that Mark makes of a version.
 type Tables struct {
 	Mark     func(version uint64) string
 	Blur     float64 // ms
@@ -51,8 +51,16 @@
 
 // NewTables makes a checker.
 func NewTables(mark func(uint64) string) *Tables {
-	return &Tables{Mark: mark, Parse: siptransaction.Parse, nodes: map[string]*api.Node{}, force: map[string]*force{}, came: map[string]moment{},
-		marks: map[string]string{}, used: map[uint64]bool{}, byMark: map[string]uint64{}}
+	return &Tables{
+		Mark:   mark,
+		Parse:  siptransaction.Parse,
+		nodes:  map[string]*api.Node{},
+		force:  map[string]*force{},
+		came:   map[string]moment{},
+		marks:  map[string]string{},
+		used:   map[uint64]bool{},
+		byMark: map[string]uint64{},
+	}
 }
 
 // Add takes the next record.
@@ -153,7 +161,10 @@
 	}
 	k.Records++
 	if want := k.Mark(version); mark != want {
-		k.Findings = append(k.Findings, fmt.Sprintf("%s %s: its record says table %d, mark %s; it was set up with %s", edge, session, version, want, mark))
+		k.Findings = append(
+			k.Findings,
+			fmt.Sprintf("%s %s: its record says table %d, mark %s; it was set up with %s", edge, session, version, want, mark),
+		)
 	}
 }
 
@@ -185,7 +196,10 @@
 		mark := digitsOf(req.Recipient.User)
 		if was, rung := k.marks[id]; rung {
 			if was != mark {
-				k.Findings = append(k.Findings, fmt.Sprintf("%.1f ms, %s: set up with mark %s, before that with %s", at, id, mark, was))
+				k.Findings = append(
+					k.Findings,
+					fmt.Sprintf("%.1f ms, %s: set up with mark %s, before that with %s", at, id, mark, was),
+				)
 			}
 			return
 		}
@@ -199,7 +213,16 @@
 		k.used[version] = true
 		k.Versions = len(k.used)
 		if !k.may(k.at(from.Name), version, came) {
-			k.Findings = append(k.Findings, fmt.Sprintf("%.1f ms, %s: came at %.1f ms, and was analysed by table %d, which was not in force then", at, id, came.at, version))
+			k.Findings = append(
+				k.Findings,
+				fmt.Sprintf(
+					"%.1f ms, %s: came at %.1f ms, and was analysed by table %d, which was not in force then",
+					at,
+					id,
+					came.at,
+					version,
+				),
+			)
 		}
 	}
 }
--- a/internal/conformance/tables_test.go
+++ b/internal/conformance/tables_test.go
@@ -20,7 +20,12 @@
 	invite := func(at float64, from, to, user, session string) *api.Record {
 		text := "INVITE sip:" + user + "@" + to + " SIP/2.0\nVia: SIP/2.0/UDP " + from + ";branch=z9hG4bK" + session + user + "\nFrom: <sip:a@b>;tag=1\nTo: <sip:c@d>\nCall-ID: " +
 			session + "\nCSeq: 1 INVITE\nSession-ID: " + strings.Repeat(session, 32)[:32] + ";remote=00000000000000000000000000000000\nContent-Length: 0\n\n"
-		return &api.Record{At: at, What: &api.Record_Datagram{Datagram: &api.Datagram{From: from, To: to, Data: []byte(strings.ReplaceAll(text, "\n", "\r\n"))}}}
+		return &api.Record{
+			At: at,
+			What: &api.Record_Datagram{
+				Datagram: &api.Datagram{From: from, To: to, Data: []byte(strings.ReplaceAll(text, "\n", "\r\n"))},
+			},
+		}
 	}
 	caller := func(at float64, session string) *api.Record { return invite(at, "c:1", "e:1", "+1418", session) }
 	ring := func(at float64, user, session string) *api.Record { return invite(at, "e:1", "s:1", user, session) }
@@ -45,7 +50,12 @@
 		}
 		got := strings.Join(k.Findings, "; ")
 		if c.want == "" {
-			if k.Record("e", strings.Repeat("a", 32), k.byMark[k.marks["e "+strings.Repeat("a", 32)]]); len(k.Findings) != 0 || k.Records != 1 {
+			if k.Record(
+				"e",
+				strings.Repeat("a", 32),
+				k.byMark[k.marks["e "+strings.Repeat("a", 32)]],
+			); len(k.Findings) != 0 ||
+				k.Records != 1 {
 				t.Errorf("%s: %v, %d records", name, k.Findings, k.Records)
 			}
 			if k.Record("e", strings.Repeat("a", 32), 99); len(k.Findings) != 1 {
--- a/internal/decision/connlimit/connlimit_test.go
+++ b/internal/decision/connlimit/connlimit_test.go
@@ -32,10 +32,36 @@
 
 // TestChooseEviction: silent connections go first, then idle ones; one with a pending response never.
 func TestChooseEviction(t *testing.T) {
-	busy, stands := ConnState{ReceivedMessage: true, LastUsedAt: 1, PendingCalls: 1}, ConnState{ReceivedMessage: true, LastUsedAt: 2, EstablishedCalls: 1}
-	idle, later, silent := ConnState{ReceivedMessage: true, LastUsedAt: 500}, ConnState{ReceivedMessage: true, LastUsedAt: 600}, ConnState{OpenedAt: 700, LastUsedAt: 700}
+	busy, stands := ConnState{
+		ReceivedMessage: true,
+		LastUsedAt:      1,
+		PendingCalls:    1,
+	}, ConnState{
+		ReceivedMessage:  true,
+		LastUsedAt:       2,
+		EstablishedCalls: 1,
+	}
+	idle, later, silent := ConnState{
+		ReceivedMessage: true,
+		LastUsedAt:      500,
+	}, ConnState{
+		ReceivedMessage: true,
+		LastUsedAt:      600,
+	}, ConnState{
+		OpenedAt:   700,
+		LastUsedAt: 700,
+	}
 	fresh := ConnState{OpenedAt: 990, LastUsedAt: 990}
-	begun, further := ConnState{LastUsedAt: 100, PartialMessage: true, PartialSince: 1000}, ConnState{ReceivedMessage: true, LastUsedAt: 100, PartialMessage: true, PartialSince: 1000}
+	begun, further := ConnState{
+		LastUsedAt:     100,
+		PartialMessage: true,
+		PartialSince:   1000,
+	}, ConnState{
+		ReceivedMessage: true,
+		LastUsedAt:      100,
+		PartialMessage:  true,
+		PartialSince:    1000,
+	}
 	unsent := ConnState{ReceivedMessage: true, LastUsedAt: 1, HasUnsentData: true}
 	for _, c := range []struct {
 		of   []ConnState
--- a/internal/decision/enum/enum.go
+++ b/internal/decision/enum/enum.go
@@ -1,6 +1,7 @@
-// Package enum is what ENUM (RFC 6116) makes of numbers and of NAPTR records, without any look-up: the domain of a number,
-// and where a set of rules leads. Rules of a domain are tried by order and preference; a rule that fits ends the search
-// of its order (RFC 3403 4.1). Regular expressions run in linear time whatever they say, and are bounded in length.
+// Package enum is what ENUM (RFC 6116) makes of numbers and of NAPTR records, without any look-up: the domain of a
+// number, and where a set of rules leads. Rules of a domain are tried by order and preference; a rule that fits ends
+// the search of its order (RFC 3403 4.1). Regular expressions run in linear time whatever they say, and are bounded in
+// length.
 package enum
 
 import (
@@ -83,8 +84,13 @@
 	}
 	rules = slices.Clone(rules)
 	slices.SortStableFunc(rules, func(a, b Rule) int {
-		return cmp.Or(cmp.Compare(a.Order, b.Order), cmp.Compare(a.Preference, b.Preference), strings.Compare(a.Service, b.Service),
-			strings.Compare(a.Regexp, b.Regexp), strings.Compare(a.Replacement, b.Replacement))
+		return cmp.Or(
+			cmp.Compare(a.Order, b.Order),
+			cmp.Compare(a.Preference, b.Preference),
+			strings.Compare(a.Service, b.Service),
+			strings.Compare(a.Regexp, b.Regexp),
+			strings.Compare(a.Replacement, b.Replacement),
+		)
 	})
 	found := ErrNoRule
 	for _, r := range rules {
--- a/internal/decision/loadshed/loadshed_test.go
+++ b/internal/decision/loadshed/loadshed_test.go
@@ -10,7 +10,10 @@
 // a cheaper one of the same batch is taken.
 func TestAdmit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := &Gate{MaxPending: rapid.IntRange(1, 50).Draw(t, "most"), RatePerSecond: rapid.SampledFrom([]float64{0, 1, 5, 100}).Draw(t, "rate")}
+		g := &Gate{
+			MaxPending:    rapid.IntRange(1, 50).Draw(t, "most"),
+			RatePerSecond: rapid.SampledFrom([]float64{0, 1, 5, 100}).Draw(t, "rate"),
+		}
 		held, now, all := 0, 1.0, 0
 		for range 20 {
 			now += rapid.Float64Range(0, 5000).Draw(t, "gap")
@@ -30,7 +33,8 @@
 			if held+n > g.MaxPending {
 				t.Fatalf("%d taken with %d held of %d", n, held, g.MaxPending)
 			}
-			if all += n; g.RatePerSecond > 0 && float64(all) > g.RatePerSecond*now/1000+2*max(2, g.RatePerSecond*burstWindow/1000)+1 {
+			if all += n; g.RatePerSecond > 0 &&
+				float64(all) > g.RatePerSecond*now/1000+2*max(2, g.RatePerSecond*burstWindow/1000)+1 {
 				t.Fatalf("%d taken in %.0f ms at %v a second", all, now, g.RatePerSecond)
 			}
 			held = max(0, held+n-rapid.IntRange(0, 30).Draw(t, "ended"))
--- a/internal/decision/numberplan/compile.go
+++ b/internal/decision/numberplan/compile.go
@@ -94,7 +94,9 @@
 func Unpack(b []byte) (*api.NumberTable, error) {
 	rest, ok := strings.CutPrefix(string(b), magic)
 	if !ok {
-		return nil, errors.New("number table: neither HCL nor the compact form: want a file that ends in .hcl, or one that number compile made")
+		return nil, errors.New(
+			"number table: neither HCL nor the compact form: want a file that ends in .hcl, or one that number compile made",
+		)
 	}
 	form := &api.NumberTable{}
 	if err := proto.Unmarshal([]byte(rest), form); err != nil {
@@ -130,9 +132,22 @@
 }
 
 func compile(form *api.NumberTable, fault func(of proto.Message, key, format string, args ...any)) *Table {
-	t := &Table{Name: form.Name, Version: form.Version, Country: form.Country, plans: map[string]*plan{}, routes: map[string]*route{}}
-	c := &compiler{t: t, fault: fault, periods: map[string]*Period{}, days: map[string]map[string]bool{}, zones: map[string]*time.Location{"": time.UTC},
-		leads: map[string][]lead{}, used: map[string]bool{}}
+	t := &Table{
+		Name:    form.Name,
+		Version: form.Version,
+		Country: form.Country,
+		plans:   map[string]*plan{},
+		routes:  map[string]*route{},
+	}
+	c := &compiler{
+		t:       t,
+		fault:   fault,
+		periods: map[string]*Period{},
+		days:    map[string]map[string]bool{},
+		zones:   map[string]*time.Location{"": time.UTC},
+		leads:   map[string][]lead{},
+		used:    map[string]bool{},
+	}
 	var err error
 	if t.Sum, err = Sum(form); err != nil { // text that is no UTF-8
 		fault(form, "", "%v", err)
@@ -191,7 +206,14 @@
 }
 
 func (c *compiler) period(x *api.NumberPeriod) {
-	p := &Period{Name: x.Name, Except: map[string]bool{}, Only: map[string]bool{}, anyDays: len(x.Weekdays) == 0, From: int(x.From), To: int(x.To)}
+	p := &Period{
+		Name:    x.Name,
+		Except:  map[string]bool{},
+		Only:    map[string]bool{},
+		anyDays: len(x.Weekdays) == 0,
+		From:    int(x.From),
+		To:      int(x.To),
+	}
 	if p.Zone = c.zones[x.Zone]; p.Zone == nil {
 		z, err := time.LoadLocation(x.Zone)
 		if err != nil {
@@ -391,7 +413,10 @@
 		}
 		return of, span{from: m[1], to: m[2]}, nil
 	case strings.Trim(k.Prefix, "0123456789") != "" || len(k.Prefix) > mostDigits:
-		return nil, span{}, fmt.Errorf("rule %q: want a prefix of digits, or a range such as \"5145550000-5145559999\"", k.Prefix)
+		return nil, span{}, fmt.Errorf(
+			"rule %q: want a prefix of digits, or a range such as \"5145550000-5145559999\"",
+			k.Prefix,
+		)
 	}
 	return []string{k.Prefix}, span{}, nil
 }
@@ -425,8 +450,12 @@
 		case q.Ported == nil || q.Same == nil || q.Silent == nil:
 			c.fault(x, "", "portability: want ported, same and silent")
 		default:
-			a.ask = &question{silence: time.Duration(math.Round(q.WithinMs * 1e6)), ported: c.action(from, q.Ported, 1), same: c.action(from, q.Same, 1),
-				silent: c.action(from, q.Silent, 1)}
+			a.ask = &question{
+				silence: time.Duration(math.Round(q.WithinMs * 1e6)),
+				ported:  c.action(from, q.Ported, 1),
+				same:    c.action(from, q.Same, 1),
+				silent:  c.action(from, q.Silent, 1),
+			}
 		}
 	default:
 		c.fault(x, "", "a rule without an action")
--- a/internal/decision/numberplan/diff.go
+++ b/internal/decision/numberplan/diff.go
@@ -32,7 +32,11 @@
 // Diff tells what changes between two tables, by what they do and not by how they are written: a range is the prefixes
 // that it stands for, and where a rule was written does not matter.
 func Diff(a, b *api.NumberTable) []Change {
-	out := pairs("table", []said{{"country", a.Country}, {"entry", a.Entry}}, []said{{"country", b.Country}, {"entry", b.Entry}})
+	out := pairs(
+		"table",
+		[]said{{"country", a.Country}, {"entry", a.Entry}},
+		[]said{{"country", b.Country}, {"entry", b.Entry}},
+	)
 	days := func(t *api.NumberTable) (of []said) {
 		for _, d := range t.Days {
 			of = append(of, said{d.Name, strings.Join(d.Dates, " ")})
@@ -45,8 +49,25 @@
 			for i, d := range p.Weekdays {
 				names[i] = weekdays[((d%7)+7)%7]
 			}
-			of = append(of, said{p.Name, strings.TrimSpace(fmt.Sprintf("%s %02d:%02d-%02d:%02d %s except %v only %v", strings.Join(names, ","), p.From/60, p.From%60, p.To/60,
-				p.To%60, p.Zone, p.Except, p.Only))})
+			of = append(
+				of,
+				said{
+					p.Name,
+					strings.TrimSpace(
+						fmt.Sprintf(
+							"%s %02d:%02d-%02d:%02d %s except %v only %v",
+							strings.Join(names, ","),
+							p.From/60,
+							p.From%60,
+							p.To/60,
+							p.To%60,
+							p.Zone,
+							p.Except,
+							p.Only,
+						),
+					),
+				},
+			)
 		}
 		return
 	}
@@ -56,7 +77,10 @@
 			for _, c := range r.Choices {
 				s = append(s, fmt.Sprintf("%s %v", c.Group, c.Weight))
 			}
-			of = append(of, said{r.Name, fmt.Sprintf("skill %q customer %q groups %s", r.Skill, r.Customer, strings.Join(s, ", "))})
+			of = append(
+				of,
+				said{r.Name, fmt.Sprintf("skill %q customer %q groups %s", r.Skill, r.Customer, strings.Join(s, ", "))},
+			)
 		}
 		return
 	}
@@ -99,7 +123,10 @@
 			all = append(all, part{d, text, i})
 		}
 	}
-	slices.SortFunc(all, func(a, b part) int { return cmp.Or(strings.Compare(a.prefix, b.prefix), cmp.Compare(a.order, b.order)) })
+	slices.SortFunc(
+		all,
+		func(a, b part) int { return cmp.Or(strings.Compare(a.prefix, b.prefix), cmp.Compare(a.order, b.order)) },
+	)
 	var of []said
 	for i := 0; i < len(all); {
 		j := i + 1
@@ -123,7 +150,13 @@
 		return fmt.Sprintf("refuse %d %s", do.Refuse.GetCode(), do.Refuse.GetWhy())
 	case *api.NumberAction_Ask:
 		q := do.Ask
-		return fmt.Sprintf("portability within %v ms: ported %s, same %s, silent %s", q.GetWithinMs(), does(q.GetPorted()), does(q.GetSame()), does(q.GetSilent()))
+		return fmt.Sprintf(
+			"portability within %v ms: ported %s, same %s, silent %s",
+			q.GetWithinMs(),
+			does(q.GetPorted()),
+			does(q.GetSame()),
+			does(q.GetSilent()),
+		)
 	}
 	return "nothing"
 }
--- a/internal/decision/numberplan/form_test.go
+++ b/internal/decision/numberplan/form_test.go
@@ -42,8 +42,25 @@
 		t.Fatalf("%v, %s %s", err, x.Sum, y.Sum)
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		c := Call{Dialled: rapid.SampledFrom([]string{"+1418", "+1514", "+1", "0", "+33"}).Draw(t, "prefix") + rapid.StringMatching(`[0-9]{0,9}`).Draw(t, "rest"),
-			At: time.Unix(rapid.Int64Range(1.7e9, 1.9e9).Draw(t, "at"), 0), Draw: rapid.Float64Range(0, 0.999).Draw(t, "draw"), Explain: true}
+		c := Call{
+			Dialled: rapid.SampledFrom(
+				[]string{"+1418", "+1514", "+1", "0", "+33"},
+			).Draw(
+				t,
+				"prefix",
+			) + rapid.StringMatching(
+				`[0-9]{0,9}`,
+			).Draw(
+				t,
+				"rest",
+			),
+			At: time.Unix(
+				rapid.Int64Range(1.7e9, 1.9e9).Draw(t, "at"),
+				0,
+			),
+			Draw:    rapid.Float64Range(0, 0.999).Draw(t, "draw"),
+			Explain: true,
+		}
 		a, o := x.Begin(c)
 		b, p := y.Begin(c)
 		if result(o) != result(p) || !slices.Equal(a.Steps, b.Steps) {
@@ -117,7 +134,8 @@
 	}
 }
 
-// Any set of prefixes comes out of its packing as it went in, sorted; and a trie of them finds what a walk over all finds.
+// Any set of prefixes comes out of its packing as it went in, sorted; and a trie of them finds what a walk over all
+// finds.
 func TestPacked(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		of := rapid.SliceOfDistinct(rapid.StringMatching(`[0-4]{1,6}|[0-9]{1,40}`), rapid.ID[string]).Draw(t, "prefixes")
@@ -149,7 +167,10 @@
 	b.Routes[1].Choices[0].Weight = 2
 	b.Periods = b.Periods[:2]
 	b.Days[0].Dates = append(b.Days[0].Dates, "2026-12-26")
-	b.Plans[0].Rules = append(b.Plans[0].Rules, &api.NumberRule{Prefix: "33", Then: &api.NumberAction{Do: &api.NumberAction_Route{Route: "night"}}})
+	b.Plans[0].Rules = append(
+		b.Plans[0].Rules,
+		&api.NumberRule{Prefix: "33", Then: &api.NumberAction{Do: &api.NumberAction_Route{Route: "night"}}},
+	)
 	var got []string
 	for _, c := range Diff(a, b) {
 		got = append(got, c.String())
--- a/internal/decision/numberplan/number.go
+++ b/internal/decision/numberplan/number.go
@@ -1,7 +1,8 @@
-// Package numberplan decides what becomes of a number that was dialled: by the longest prefix, the time of day, portability
-// and weights, through plans that lead on to each other, to a route. A call carries one table from its first digit to
-// its end, however often the tables change meanwhile. Package number knows no wire, no clock and no look-up: a step that
-// needs one returns a question, and the analysis goes on with the answer, its absence or its time-out.
+// Package numberplan decides what becomes of a number that was dialled: by the longest prefix, the time of day,
+// portability and weights, through plans that lead on to each other, to a route. A call carries one table from its
+// first digit to its end, however often the tables change meanwhile. Package number knows no wire, no clock and no
+// look-up: a step that needs one returns a question, and the analysis goes on with the answer, its absence or its
+// time-out.
 package numberplan
 
 import (
@@ -140,8 +141,9 @@
 	text    bool
 }
 
-// Normal makes digits of what was dialled: "+" and "00" are international, a leading 0 is dropped from a national number,
-// which gets the country's digits; spaces, dashes, dots and brackets are passed over. Anything else is an error.
+// Normal makes digits of what was dialled: "+" and "00" are international, a leading 0 is dropped from a national
+// number, which gets the country's digits; spaces, dashes, dots and brackets are passed over. Anything else is an
+// error.
 func Normal(dialled, country string) (string, error) {
 	var b strings.Builder
 	plus := false
@@ -187,7 +189,15 @@
 
 // Begin starts the analysis of a number. The first outcome comes with it.
 func (t *Table) Begin(c Call) (*Analysis, Outcome) {
-	a := &Analysis{Table: t, at: c.At, draw: c.Draw, looked: c.Looked, carrier: c.Carrier, text: c.Explain, now: action{plan: t.entry}}
+	a := &Analysis{
+		Table:   t,
+		at:      c.At,
+		draw:    c.Draw,
+		looked:  c.Looked,
+		carrier: c.Carrier,
+		text:    c.Explain,
+		now:     action{plan: t.entry},
+	}
 	n, err := Normal(c.Dialled, t.Country)
 	if err != nil {
 		a.say("%v", err)
@@ -303,7 +313,14 @@
 
 // take chooses among a route's trunk groups by their weights.
 func (a *Analysis) take(r *route) *Route {
-	out := &Route{Name: r.name, Skill: r.skill, Customer: r.customer, Number: "+" + a.number, Looked: a.looked && !a.silent, Carrier: a.carrier}
+	out := &Route{
+		Name:     r.name,
+		Skill:    r.skill,
+		Customer: r.customer,
+		Number:   "+" + a.number,
+		Looked:   a.looked && !a.silent,
+		Carrier:  a.carrier,
+	}
 	if a.called != "" {
 		out.Number, out.Routing = "+"+a.called, "+"+a.number
 	}
@@ -330,8 +347,8 @@
 	anyDays bool
 }
 
-// Holds tells whether a time lies in the period. It goes by the wall clock there: an hour that occurs twice belongs twice,
-// one that never occurs does not. A part past midnight belongs to the day on which it began.
+// Holds tells whether a time lies in the period. It goes by the wall clock there: an hour that occurs twice belongs
+// twice, one that never occurs does not. A part past midnight belongs to the day on which it began.
 func (p *Period) Holds(at time.Time) bool {
 	t := at.In(p.Zone)
 	minute := t.Hour()*60 + t.Minute()
--- a/internal/decision/numberplan/read.go
+++ b/internal/decision/numberplan/read.go
@@ -24,8 +24,12 @@
 		return nil, nil, err
 	}
 	r := &reader{at: map[proto.Message]*hclconfig.Block{}}
-	form := &api.NumberTable{Name: b.Text("name", name), Version: uint64(b.Int("version", 0, 0, 1<<40)), Country: b.Text("country", ""),
-		Entry: b.Text("entry", "start")}
+	form := &api.NumberTable{
+		Name:    b.Text("name", name),
+		Version: uint64(b.Int("version", 0, 0, 1<<40)),
+		Country: b.Text("country", ""),
+		Entry:   b.Text("entry", "start"),
+	}
 	r.at[form] = b
 	zone := b.Text("zone", "")
 	for _, c := range b.Blocks("days", 1) {
@@ -62,8 +66,13 @@
 		x := &api.NumberPlan{Name: c.Labels[0]}
 		r.at[x] = c
 		for _, k := range c.Blocks("rule", 1) {
-			y := &api.NumberRule{Prefix: strings.TrimPrefix(k.Labels[0], "+"), When: k.Text("when", ""), Strip: int32(k.Int("strip", 0, 0, mostDigits)),
-				Add: k.Text("add", ""), Where: k.Where()}
+			y := &api.NumberRule{
+				Prefix: strings.TrimPrefix(k.Labels[0], "+"),
+				When:   k.Text("when", ""),
+				Strip:  int32(k.Int("strip", 0, 0, mostDigits)),
+				Add:    k.Text("add", ""),
+				Where:  k.Where(),
+			}
 			y.Then = r.action(k, true)
 			r.at[y] = k
 			x.Rules = append(x.Rules, y)
@@ -128,7 +137,12 @@
 		}
 	}
 	if n != 1 {
-		b.Fault("", "want one of plan, route, refuse%s, got %d", map[bool]string{true: ", portability { ... }", false: ""}[mayAsk], n)
+		b.Fault(
+			"",
+			"want one of plan, route, refuse%s, got %d",
+			map[bool]string{true: ", portability { ... }", false: ""}[mayAsk],
+			n,
+		)
 	}
 	return a
 }
--- a/internal/decision/prefixtrie/digits.go
+++ b/internal/decision/prefixtrie/digits.go
@@ -1,6 +1,6 @@
-// Package prefixtrie finds the longest of many prefixes that a telephone number begins with. The trie is made for that: ten
-// ways a node, children counted by bits, prefixes that nothing follows kept as bare values, single ways run together, and
-// what is left of a prefix that is alone on its way in one node. It is built once and only read after.
+// Package prefixtrie finds the longest of many prefixes that a telephone number begins with. The trie is made for that:
+// ten ways a node, children counted by bits, prefixes that nothing follows kept as bare values, single ways run
+// together, and what is left of a prefix that is alone on its way in one node. It is built once and only read after.
 package prefixtrie
 
 import (
@@ -91,7 +91,8 @@
 // near is the most prefixes of a part that is made as a whole, so that it lies together in memory.
 const near = 64
 
-// grow makes a part breadth first, so that a node's kids lie together, and of a large one each part that is small as a whole.
+// grow makes a part breadth first, so that a node's kids lie together, and of a large one each part that is small as a
+// whole.
 func (t *Trie) grow(p part) {
 	queue := []part{p}
 	for head := 0; head < len(queue); head++ {
@@ -150,8 +151,8 @@
 	return
 }
 
-// shared is how many digits from a depth on all of some prefixes share before any of them ends, as far as worth a chain:
-// one digit less than they share, for the last one may be where a prefix ends.
+// shared is how many digits from a depth on all of some prefixes share before any of them ends, as far as worth a
+// chain: one digit less than they share, for the last one may be where a prefix ends.
 func shared(of []Prefix, depth int) int {
 	a, b := of[0].Digits, of[len(of)-1].Digits // sorted: what these share all share
 	n := 0
@@ -164,8 +165,8 @@
 	return n
 }
 
-// Find is the value of the longest prefix that a number begins with, and how many digits it has; false without one. What
-// is no digit ends the number.
+// Find is the value of the longest prefix that a number begins with, and how many digits it has; false without one.
+// What is no digit ends the number.
 func (t *Trie) Find(number string) (value uint32, length int, ok bool) {
 	value, ok = t.any, t.hasAny
 	if len(t.nodes) == 0 {
--- a/internal/decision/prefixtrie/digits_test.go
+++ b/internal/decision/prefixtrie/digits_test.go
@@ -28,7 +28,11 @@
 // one another, and long ones with runs.
 func TestBesidePlain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		word := rapid.OneOf(rapid.StringMatching(`[0-3]{0,6}`), rapid.StringMatching(`1418555[0-9]{0,9}`), rapid.StringMatching(`[0-9]{12,15}`))
+		word := rapid.OneOf(
+			rapid.StringMatching(`[0-3]{0,6}`),
+			rapid.StringMatching(`1418555[0-9]{0,9}`),
+			rapid.StringMatching(`[0-9]{12,15}`),
+		)
 		m := plain{}
 		for _, d := range rapid.SliceOfN(word, 0, 60).Draw(t, "prefixes") {
 			m[d] = uint32(len(m) + 1)
--- a/internal/decision/tableversions/tables.go
+++ b/internal/decision/tableversions/tables.go
@@ -1,6 +1,6 @@
-// Package tableversions decides how the number table of a running gateway changes: one change at a time, checked and kept before
-// it counts, a bad one changing nothing. It does no work itself: it asks for work, and is told how that went; so it
-// knows no file, no clock and no goroutine. Package tablefile has the files.
+// Package tableversions decides how the number table of a running gateway changes: one change at a time, checked and
+// kept before it counts, a bad one changing nothing. It does no work itself: it asks for work, and is told how that
+// went; so it knows no file, no clock and no goroutine. Package tablefile has the files.
 package tableversions
 
 import (
@@ -74,14 +74,18 @@
 	return Shelf{serial, before[max(0, len(before)-MostKept):]}
 }
 
-// Keeps tells whether a serial stays in the store: what the shelf has, and of those that were gone back from the latest.
+// Keeps tells whether a serial stays in the store: what the shelf has, and of those that were gone back from the
+// latest.
 func (s Shelf) Keeps(serial, latest uint64) bool {
 	return serial == s.Running || slices.Contains(s.Before, serial) || serial+MostKept > latest
 }
 
-// Recover finds what runs after a start: what the shelf says, or, where that can't be read or does not fit the gateway any
-// more, the latest before it that can. problems say what was passed over; nil and no problems: nothing is kept.
-func (s Shelf) Recover(form func(serial uint64) ([]byte, error), has numberplan.Names) (run *numberplan.Table, then Shelf, problems []error) {
+// Recover finds what runs after a start: what the shelf says, or, where that can't be read or does not fit the gateway
+// any more, the latest before it that can. problems say what was passed over; nil and no problems: nothing is kept.
+func (s Shelf) Recover(
+	form func(serial uint64) ([]byte, error),
+	has numberplan.Names,
+) (run *numberplan.Table, then Shelf, problems []error) {
 	if s.Running == 0 {
 		return nil, Shelf{}, nil
 	}
--- a/internal/decision/tableversions/tables_test.go
+++ b/internal/decision/tableversions/tables_test.go
@@ -10,8 +10,8 @@
 	"cobaltpier/internal/decision/numberplan"
 )
 
-// A shelf beside a plain list of what ran: new ones go on, going back takes off, no more is kept than may be, and what it has
-// always stays in the store. The keeper's changes, with files, are tested in package tablefile.
+// A shelf beside a plain list of what ran: new ones go on, going back takes off, no more is kept than may be, and what
+// it has always stays in the store. The keeper's changes, with files, are tested in package tablefile.
 func TestShelf(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s Shelf
@@ -43,8 +43,12 @@
 			}
 		}
 	})
-	if run, then, problems := (Shelf{3, []uint64{1, 2}}).Recover(func(uint64) ([]byte, error) { return nil, errors.New("gone") }, numberplan.Names{}); run != nil ||
-		then.Running != 0 || len(problems) != 3 {
+	if run, then, problems := (Shelf{3, []uint64{1, 2}}).Recover(
+		func(uint64) ([]byte, error) { return nil, errors.New("gone") },
+		numberplan.Names{},
+	); run != nil ||
+		then.Running != 0 ||
+		len(problems) != 3 {
 		t.Errorf("nothing can be read: %v, %v, %v", run, then, problems)
 	}
 }
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -22,8 +22,8 @@
 	"hold_back": func(r *routing.LoadReport, v float64) { r.LossFraction = v },
 }
 
-// SetLoadReportField puts a value of a load report, by its name in the settings, in its place; a negative one is not known. It tells
-// whether it was one of the processor's.
+// SetLoadReportField puts a value of a load report, by its name in the settings, in its place; a negative one is not
+// known. It tells whether it was one of the processor's.
 func SetLoadReportField(report *routing.LoadReport, field string, value float64) bool {
 	set := loadReportFields[field]
 	if set == nil || !(value >= 0) {
@@ -112,17 +112,34 @@
 		return nil, nil, err
 	}
 	settings := &routing.Settings{
-		Gateways: object.Balancers, GatewayIndex: object.Me, Seed: seed, TickInterval: object.Tick,
-		MaxAttempts: object.Allowed.MaxAttempts, ProbeEnabled: object.Allowed.Probes, GossipEnabled: object.Allowed.Peers,
-		CancelEnabled: object.Allowed.Cancel, RetryAfterEnabled: object.Allowed.RetryAfter, MaxRetryAfter: object.Allowed.MaxRetryAfter,
-		LoadReportsByProbe: object.Stats.How == "on_probe", RetransmitInterval: object.FamilyInfo.Retransmit,
-		AnswerGrace: object.Rules.AnswerSlack, SlowStartFraction: object.Rules.ColdShare,
-		SlowStartDuration: object.Rules.WarmWithin, OverloadFactor: object.Rules.TipMultiple, OverloadWindow: object.Rules.Fall,
-		RetryHoldOff: object.FamilyInfo.ClearWait,
+		Gateways:           object.Balancers,
+		GatewayIndex:       object.Me,
+		Seed:               seed,
+		TickInterval:       object.Tick,
+		MaxAttempts:        object.Allowed.MaxAttempts,
+		ProbeEnabled:       object.Allowed.Probes,
+		GossipEnabled:      object.Allowed.Peers,
+		CancelEnabled:      object.Allowed.Cancel,
+		RetryAfterEnabled:  object.Allowed.RetryAfter,
+		MaxRetryAfter:      object.Allowed.MaxRetryAfter,
+		LoadReportsByProbe: object.Stats.How == "on_probe",
+		RetransmitInterval: object.FamilyInfo.Retransmit,
+		AnswerGrace:        object.Rules.AnswerSlack,
+		SlowStartFraction:  object.Rules.ColdShare,
+		SlowStartDuration:  object.Rules.WarmWithin,
+		OverloadFactor:     object.Rules.TipMultiple,
+		OverloadWindow:     object.Rules.Fall,
+		RetryHoldOff:       object.FamilyInfo.ClearWait,
 	}
 	for i, lane := range object.Lanes {
-		class := &routing.Class{Name: lane.Name, LatencyObjective: lane.Aim, Timeout: lane.HardLimit, LateWeightFraction: lane.LateWorth, Weight: 1,
-			Idempotent: lane.Semantics == "pure" || lane.Semantics == ""}
+		class := &routing.Class{
+			Name:               lane.Name,
+			LatencyObjective:   lane.Aim,
+			Timeout:            lane.HardLimit,
+			LateWeightFraction: lane.LateWorth,
+			Weight:             1,
+			Idempotent:         lane.Semantics == "pure" || lane.Semantics == "",
+		}
 		if lane.Worth != nil {
 			class.Weight = *lane.Worth
 		}
@@ -161,5 +178,9 @@
 	if err := unmarshal(text, &object); err != nil {
 		return Connections{}, err
 	}
-	return Connections{ConnectTimeout: object.Allowed.ConnectTimeout, IdleTimeout: object.Allowed.ConnIdle, MaxPendingCalls: object.Allowed.MostHeld}, nil
+	return Connections{
+		ConnectTimeout:  object.Allowed.ConnectTimeout,
+		IdleTimeout:     object.Allowed.ConnIdle,
+		MaxPendingCalls: object.Allowed.MostHeld,
+	}, nil
 }
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -18,11 +18,19 @@
 		t.Fatal(err)
 	}
 	if s.Gateways != 4 || s.GatewayIndex != 2 || s.Seed != 7 || s.MaxAttempts != 5 || !s.CancelEnabled || !s.GossipEnabled || s.ProbeEnabled || !s.RetryAfterEnabled || !s.LoadReportsByProbe ||
-		s.RetryHoldOff != 500 || s.RetransmitInterval != 400 || s.OverloadWindow != 1000 || s.AnswerGrace != 20 || len(fields) != 2 || len(s.Tenants) != 1 {
+		s.RetryHoldOff != 500 || s.RetransmitInterval != 400 ||
+		s.OverloadWindow != 1000 ||
+		s.AnswerGrace != 20 ||
+		len(fields) != 2 ||
+		len(s.Tenants) != 1 {
 		t.Errorf("%+v %v", s, fields)
 	}
 	a, b := s.Classes[0], s.Classes[1]
-	if a.Weight != 1 || !a.Idempotent || a.MeanHoldingTime != 9800 || !a.AllowedDestinations[1] || a.AllowedDestinations[2] || b.Weight != 8 || b.Idempotent || b.AllowedDestinations != nil {
+	if a.Weight != 1 || !a.Idempotent || a.MeanHoldingTime != 9800 || !a.AllowedDestinations[1] ||
+		a.AllowedDestinations[2] ||
+		b.Weight != 8 ||
+		b.Idempotent ||
+		b.AllowedDestinations != nil {
 		t.Errorf("%+v %+v", a, b)
 	}
 	l, err := DecodeConnections([]byte(sample))
@@ -36,7 +44,9 @@
 
 func TestFigure(t *testing.T) {
 	var r routing.LoadReport
-	if SetLoadReportField(&r, "free", 3) || SetLoadReportField(&r, "size", 40) || !SetLoadReportField(&r, "busy", 0.5) || SetLoadReportField(&r, "q", -1) || SetLoadReportField(&r, "nothing", 1) {
+	if SetLoadReportField(&r, "free", 3) || SetLoadReportField(&r, "size", 40) || !SetLoadReportField(&r, "busy", 0.5) ||
+		SetLoadReportField(&r, "q", -1) ||
+		SetLoadReportField(&r, "nothing", 1) {
 		t.Error("which figures are the processor's")
 	}
 	if r.Free != 3 || r.Capacity != 40 || r.Utilization != 0.5 || r.QueueLength != 0 {
--- a/internal/detrand/detrand.go
+++ b/internal/detrand/detrand.go
@@ -7,8 +7,8 @@
 	"hash/fnv"
 )
 
-// mixer is the multiplier of MurmurHash3's finalizer. FNV leaves the last byte of a counter in the low bits; multiplying
-// spreads it.
+// mixer is the multiplier of MurmurHash3's finalizer. FNV leaves the last byte of a counter in the low bits;
+// multiplying spreads it.
 const mixer = 0xff51afd7ed558ccd
 
 // Hash is the draw as 64 bits: the hash of the values in their order.
--- a/internal/emulator/baseline/baseline.go
+++ b/internal/emulator/baseline/baseline.go
@@ -1,5 +1,5 @@
-// Package baseline holds other ways to choose an endpoint, kept only to measure the project's decisions against: the plain
-// design without departures, and chance. They keep the rules that their host enforces, and no others.
+// Package baseline holds other ways to choose an endpoint, kept only to measure the project's decisions against: the
+// plain design without departures, and chance. They keep the rules that their host enforces, and no others.
 package baseline
 
 //tally:standin
@@ -62,7 +62,8 @@
 }
 
 func (b *Plain) choose(c *routing.Call) *routing.Endpoint {
-	if !b.uniform && c.Destination != nil && c.Destination.State == routing.Ready && c.Attempts == 0 && b.freeShare(c.Destination) > 0 {
+	if !b.uniform && c.Destination != nil && c.Destination.State == routing.Ready && c.Attempts == 0 &&
+		b.freeShare(c.Destination) > 0 {
 		return c.Destination
 	}
 	total := 0.0
--- a/internal/emulator/binarystandin/standin.go
+++ b/internal/emulator/binarystandin/standin.go
@@ -1,5 +1,5 @@
-// Package binarystandin has stand-ins of what a gateway on the platform talks to, in virtual time: switches and callers with
-// seeded faults, around the machine itself. What crosses its sockets is handed to a judge.
+// Package binarystandin has stand-ins of what a gateway on the platform talks to, in virtual time: switches and callers
+// with seeded faults, around the machine itself. What crosses its sockets is handed to a judge.
 package binarystandin
 
 //tally:standin
@@ -91,7 +91,16 @@
 
 // New makes a world of so many switches.
 func New(seed uint64, cfg *binarygateway.Config, mk routing.PolicyFactory, n int, j *binaryconformance.Checker) *World {
-	w := &World{Checker: j, seed: seed, now: 1e6, byAddr: map[netip.AddrPort]*Endpoint{}, byConn: map[*binarygateway.Conn]*conn{}, Rate: 20, HoldingTime: 800, AnswerTime: 30}
+	w := &World{
+		Checker:     j,
+		seed:        seed,
+		now:         1e6,
+		byAddr:      map[netip.AddrPort]*Endpoint{},
+		byConn:      map[*binarygateway.Conn]*conn{},
+		Rate:        20,
+		HoldingTime: 800,
+		AnswerTime:  30,
+	}
 	cfg.FromUnixMillis = func(unix float64) float64 { return unix }
 	w.Gateway = binarygateway.New(w.now, cfg, mk, w)
 	for range n {
@@ -139,7 +148,10 @@
 	l := &dnsdiscovery.List{Serial: w.serial, Complete: true}
 	for _, s := range w.endpoints {
 		if s.state != routing.Gone {
-			l.Targets = append(l.Targets, dnsdiscovery.Target{ID: s.id, Addr: s.addr, DestinationID: s.destination, State: s.state})
+			l.Targets = append(
+				l.Targets,
+				dnsdiscovery.Target{ID: s.id, Addr: s.addr, DestinationID: s.destination, State: s.state},
+			)
 		}
 		w.Checker.OnEndpointState(w.now, s.id, s.state == routing.Ready)
 	}
@@ -253,9 +265,18 @@
 	w.calls++
 	id := detrand.Hash(w.seed, 0xca11, w.calls)
 	patience := 1500 + 1500*w.Chance()
-	c.send(binarymessage.Setup, id, binarymessage.TextParam(binarymessage.Class, "voice"), binarymessage.TextParam(binarymessage.Timeout, strconv.Itoa(int(patience))),
-		binarymessage.TextParam(binarymessage.Number, "n"+strconv.FormatUint(id%50, 10)), binarymessage.TextParam(binarymessage.Figures, "dest:"+strconv.Itoa(int(id%4))+";width:1;via:-1"),
-		binarymessage.TextParam(binarymessage.Description, "offer"))
+	c.send(
+		binarymessage.Setup,
+		id,
+		binarymessage.TextParam(binarymessage.Class, "voice"),
+		binarymessage.TextParam(binarymessage.Timeout, strconv.Itoa(int(patience))),
+		binarymessage.TextParam(
+			binarymessage.Number,
+			"n"+strconv.FormatUint(id%50, 10),
+		),
+		binarymessage.TextParam(binarymessage.Figures, "dest:"+strconv.Itoa(int(id%4))+";width:1;via:-1"),
+		binarymessage.TextParam(binarymessage.Description, "offer"),
+	)
 	c.pendingCalls = append(c.pendingCalls, id)
 	if w.happens(w.Faults.CallerLeaves) {
 		w.after(w.Chance()*3*w.AnswerTime, func() {
@@ -443,7 +464,14 @@
 		return
 	case w.happens(f.Overloaded):
 		delete(s.pending, id)
-		c.send(binarymessage.Release, id, binarymessage.CauseParam(binarymessage.NoCircuit), binarymessage.TextParam(binarymessage.Note, "cpu_full"), binarymessage.TextParam(binarymessage.QueueDelay, "50"), report)
+		c.send(
+			binarymessage.Release,
+			id,
+			binarymessage.CauseParam(binarymessage.NoCircuit),
+			binarymessage.TextParam(binarymessage.Note, "cpu_full"),
+			binarymessage.TextParam(binarymessage.QueueDelay, "50"),
+			report,
+		)
 		return
 	case w.happens(f.Failed):
 		delete(s.pending, id)
--- a/internal/emulator/callers/caller.go
+++ b/internal/emulator/callers/caller.go
@@ -1,6 +1,6 @@
-// Package callers is a stand-in for the callers of one gateway: SIP user agents that come at planned times, wait as long
-// as their timeout lasts, hang up when they are done, and dial again by themselves. Arrivals are planned ahead and do
-// not wait for answers. No I/O, no clock.
+// Package callers is a stand-in for the callers of one gateway: SIP user agents that come at planned times, wait as
+// long as their timeout lasts, hang up when they are done, and dial again by themselves. Arrivals are planned ahead and
+// do not wait for answers. No I/O, no clock.
 package callers
 
 //tally:standin
@@ -84,7 +84,13 @@
 }
 
 // New makes callers that dial an edge.
-func New(m Manners, self, edge netip.AddrPort, times siptransaction.Timers, seed uint64, send func(netip.AddrPort, []byte)) *Callers {
+func New(
+	m Manners,
+	self, edge netip.AddrPort,
+	times siptransaction.Timers,
+	seed uint64,
+	send func(netip.AddrPort, []byte),
+) *Callers {
 	c := &Callers{Manners: m, edge: edge, open: map[string]*try{}, bySess: map[string]*try{}}
 	c.names.Seed = seed
 	c.sip = siptransaction.NewLayer(self, times, &c.names, &c.timers, c, send)
@@ -153,7 +159,13 @@
 	}
 	wait := math.Floor(math.Min(left, s.Try)/1000) * 1000 // Expires counts whole seconds
 	s.Tries++
-	t := &try{of: c, story: s, callID: c.names.Next() + "@caller", tag: c.names.Next(), session: siptransaction.NewSessionID(&c.names)}
+	t := &try{
+		of:      c,
+		story:   s,
+		callID:  c.names.Next() + "@caller",
+		tag:     c.names.Next(),
+		session: siptransaction.NewSessionID(&c.names),
+	}
 	s.Session = t.session
 	c.open[t.tag], c.bySess[t.session] = t, t
 	r := c.request(t, sip.INVITE, 1)
--- a/internal/emulator/calltrace/trace.go
+++ b/internal/emulator/calltrace/trace.go
@@ -384,7 +384,14 @@
 	if span > 0 {
 		rate = float64(len(of)-1) / span * 1000
 	}
-	return fmt.Sprintf("%d calls in %.1f s, %.1f a second, at %d gateways; by skill: %s", len(of), span/1000, rate, len(gates), strings.Join(names, ", "))
+	return fmt.Sprintf(
+		"%d calls in %.1f s, %.1f a second, at %d gateways; by skill: %s",
+		len(of),
+		span/1000,
+		rate,
+		len(gates),
+		strings.Join(names, ", "),
+	)
 }
 
 // Fingerprint names a trace's calls.
--- a/internal/emulator/calltrace/trace_test.go
+++ b/internal/emulator/calltrace/trace_test.go
@@ -16,7 +16,16 @@
 func calls(n int) []*api.Call {
 	var of []*api.Call
 	for i := range n {
-		of = append(of, &api.Call{AtMs: float64(i) * 1.5, Number: "+14185550" + strings.Repeat("7", i%4), Skill: "shift-lookup", HoldMs: 1000, PatienceMs: 9000})
+		of = append(
+			of,
+			&api.Call{
+				AtMs:       float64(i) * 1.5,
+				Number:     "+14185550" + strings.Repeat("7", i%4),
+				Skill:      "shift-lookup",
+				HoldMs:     1000,
+				PatienceMs: 9000,
+			},
+		)
 	}
 	return of
 }
@@ -86,7 +95,9 @@
 	if err != nil || len(of) != 2 || of[0].Number != "+1514" || of[1].AtMs != 20 {
 		t.Errorf("%v, %v", of, err)
 	}
-	of, err = FromJSON(strings.NewReader("{\"at_ms\": 1.5, \"number\": \"+1\", \"gateway\": 3}\n\n{\"at_ms\": 0, \"number\": \"+2\"}\n"))
+	of, err = FromJSON(
+		strings.NewReader("{\"at_ms\": 1.5, \"number\": \"+1\", \"gateway\": 3}\n\n{\"at_ms\": 0, \"number\": \"+2\"}\n"),
+	)
 	if err != nil || len(of) != 2 || of[1].Gateway != 3 {
 		t.Errorf("%v, %v", of, err)
 	}
@@ -103,7 +114,10 @@
 			t.Errorf("%q: %v, want %s", in, err, want)
 		}
 	}
-	if _, err := FromJSON(strings.NewReader("{\"at_ms\": 1}\n{\"at\": 1}\n")); err == nil || !strings.Contains(err.Error(), `line 2: "at" is not known`) {
+	if _, err := FromJSON(
+		strings.NewReader("{\"at_ms\": 1}\n{\"at\": 1}\n"),
+	); err == nil ||
+		!strings.Contains(err.Error(), `line 2: "at" is not known`) {
 		t.Errorf("json: %v", err)
 	}
 }
@@ -129,7 +143,8 @@
 		}
 	}
 	a := Anonymise(of, "k", 5)
-	if a[0].Number[:5] != "+1418" || a[3].Number == of[3].Number || a[3].Number != a[7].Number || len(a[3].Number) != len(of[3].Number) {
+	if a[0].Number[:5] != "+1418" || a[3].Number == of[3].Number || a[3].Number != a[7].Number ||
+		len(a[3].Number) != len(of[3].Number) {
 		t.Errorf("anonymise: %q of %q", a[3].Number, of[3].Number)
 	}
 	if Anonymise(of, "other", 5)[3].Number == a[3].Number {
--- a/internal/emulator/coreswitch/core.go
+++ b/internal/emulator/coreswitch/core.go
@@ -1,5 +1,5 @@
-// Package coreswitch is a stand-in for a core switch: SIP over UDP in front of a processor with one line that is modelled in
-// time. It has no I/O and no clock. Its figures are of a model, not of a real switch.
+// Package coreswitch is a stand-in for a core switch: SIP over UDP in front of a processor with one line that is
+// modelled in time. It has no I/O and no clock. Its figures are of a model, not of a real switch.
 package coreswitch
 
 //tally:standin
@@ -312,7 +312,11 @@
 		return
 	}
 	res := s.loaded(siptransaction.Response(c.req, 200, "OK", c.tag))
-	res.AppendHeader(&sip.ContactHeader{Address: sip.Uri{Scheme: "sip", Host: s.sip.Address.Addr().String(), Port: int(s.sip.Address.Port())}})
+	res.AppendHeader(
+		&sip.ContactHeader{
+			Address: sip.Uri{Scheme: "sip", Host: s.sip.Address.Addr().String(), Port: int(s.sip.Address.Port())},
+		},
+	)
 	if b := c.req.Body(); len(b) > 0 {
 		res.AppendHeader(sip.NewHeader("Content-Type", "application/sdp"))
 		res.SetBody(b)
@@ -414,7 +418,12 @@
 		sum += s.now - math.Max(s.since, s.busySince)
 	}
 	noisy := func(v float64) float64 { return math.Max(0, v*(1+s.Noise*(2*s.names.Float64()-1))) }
-	r := shown{at: s.now + s.Delay, util: math.Min(1, noisy(sum/span)), wait: noisy(s.wait()), queue: int(noisy(float64(len(s.first))) + 0.5)}
+	r := shown{
+		at:    s.now + s.Delay,
+		util:  math.Min(1, noisy(sum/span)),
+		wait:  noisy(s.wait()),
+		queue: int(noisy(float64(len(s.first))) + 0.5),
+	}
 	full := 1000 / (s.Setup + s.Answer + s.Release)
 	r.rate = noisy(full * s.speed())
 	r.loss = math.Max(0, math.Min(100, 100*noisy(s.wait()/s.WaitLimit)))
--- a/internal/emulator/dnsserver/names.go
+++ b/internal/emulator/dnsserver/names.go
@@ -1,6 +1,6 @@
-// Package dnsserver is a stand-in for authoritative ENUM and portability servers, without I/O: a question comes in, answers
-// and when they leave come out. A zone is made by chance from a seed, so that a million numbers need no memory, and a
-// server can be made to fail in the ways that servers and those between do.
+// Package dnsserver is a stand-in for authoritative ENUM and portability servers, without I/O: a question comes in,
+// answers and when they leave come out. A zone is made by chance from a seed, so that a million numbers need no memory,
+// and a server can be made to fail in the ways that servers and those between do.
 package dnsserver
 
 //tally:standin
@@ -62,7 +62,9 @@
 	rn := z.Routing(number)
 	switch {
 	case rn == "":
-		return []enum.Rule{{Order: 10, Preference: 10, Flags: "u", Service: "E2U+pstn:tel", Regexp: `!^(.*)$!tel:\1;npdi!`}}, true
+		return []enum.Rule{
+			{Order: 10, Preference: 10, Flags: "u", Service: "E2U+pstn:tel", Regexp: `!^(.*)$!tel:\1;npdi!`},
+		}, true
 	case !led && z.of(number, 3) < z.Leads:
 		d, _ := enum.Domain(number, "led."+z.Apex)
 		return []enum.Rule{{Order: 10, Preference: 10, Replacement: d}}, true
@@ -127,8 +129,10 @@
 	if s.draw() < f.Spoof {
 		lie := m.Copy()
 		lie.Rcode = dns.RcodeSuccess
-		lie.Answer = []dns.RR{record(m.Question[0].Name, enum.Rule{Order: 1, Preference: 1, Flags: "u", Service: "E2U+pstn:tel",
-			Regexp: "!^.*$!tel:+19005550666;npdi;rn=+19005550666!"}, 86400)}
+		lie.Answer = []dns.RR{
+			record(m.Question[0].Name, enum.Rule{Order: 1, Preference: 1, Flags: "u", Service: "E2U+pstn:tel",
+				Regexp: "!^.*$!tel:+19005550666;npdi;rn=+19005550666!"}, 86400),
+		}
 		for range f.Guesses {
 			lie.Id = uint16(s.draw() * 65536)
 			if lie.Id == m.Id {
@@ -194,8 +198,16 @@
 	}
 	m.Authoritative = true
 	rules, there := s.Zone.rules(strings.ToLower(name))
-	soa := &dns.SOA{Hdr: header(s.Zone.Apex, dns.TypeSOA, 3600), Ns: "ns." + s.Zone.Apex, Mbox: "host." + s.Zone.Apex, Serial: 1,
-		Refresh: 3600, Retry: 600, Expire: 86400, Minttl: s.Zone.TTL}
+	soa := &dns.SOA{
+		Hdr:     header(s.Zone.Apex, dns.TypeSOA, 3600),
+		Ns:      "ns." + s.Zone.Apex,
+		Mbox:    "host." + s.Zone.Apex,
+		Serial:  1,
+		Refresh: 3600,
+		Retry:   600,
+		Expire:  86400,
+		Minttl:  s.Zone.TTL,
+	}
 	switch {
 	case !there:
 		m.Rcode, m.Ns = dns.RcodeNameError, []dns.RR{soa}
@@ -208,7 +220,13 @@
 		}
 	}
 	if f.Poison {
-		r := enum.Rule{Order: 1, Preference: 1, Flags: "u", Service: "E2U+pstn:tel", Regexp: "!^.*$!tel:+19005550666;npdi;rn=+19005550666!"}
+		r := enum.Rule{
+			Order:      1,
+			Preference: 1,
+			Flags:      "u",
+			Service:    "E2U+pstn:tel",
+			Regexp:     "!^.*$!tel:+19005550666;npdi;rn=+19005550666!",
+		}
 		m.Answer = append(m.Answer, record("1.2.3."+s.Zone.Apex, r, 86400))
 		m.Extra = append(m.Extra, record(name, r, 86400))
 	}
@@ -229,6 +247,13 @@
 		next = "."
 	}
 	esc := strings.NewReplacer(`\`, `\\`, `"`, `\"`)
-	return &dns.NAPTR{Hdr: header(name, dns.TypeNAPTR, ttl), Order: r.Order, Preference: r.Preference, Flags: esc.Replace(r.Flags),
-		Service: esc.Replace(r.Service), Regexp: esc.Replace(r.Regexp), Replacement: next}
+	return &dns.NAPTR{
+		Hdr:         header(name, dns.TypeNAPTR, ttl),
+		Order:       r.Order,
+		Preference:  r.Preference,
+		Flags:       esc.Replace(r.Flags),
+		Service:     esc.Replace(r.Service),
+		Regexp:      esc.Replace(r.Regexp),
+		Replacement: next,
+	}
 }
--- a/internal/emulator/enumclient/kiosk.go
+++ b/internal/emulator/enumclient/kiosk.go
@@ -1,5 +1,6 @@
-// Package enumclient is a stand-in for the kiosks of one gateway: each call asks by ENUM which endpoint to call, repeats the
-// question while no answer comes, and calls the endpoint that is named. Calls are planned ahead. No I/O, no clock.
+// Package enumclient is a stand-in for the kiosks of one gateway: each call asks by ENUM which endpoint to call,
+// repeats the question while no answer comes, and calls the endpoint that is named. Calls are planned ahead. No I/O, no
+// clock.
 package enumclient
 
 //tally:standin
@@ -60,7 +61,13 @@
 
 // New makes kiosks that send questions by datagram, and by stream where an answer was truncated.
 func New(m Manners, seed uint64, send, stream func([]byte)) *Kiosks {
-	return &Kiosks{Manners: m, send: send, stream: stream, names: siptransaction.Generator{Seed: seed}, open: map[uint16]*ask{}}
+	return &Kiosks{
+		Manners: m,
+		send:    send,
+		stream:  stream,
+		names:   siptransaction.Generator{Seed: seed},
+		open:    map[uint16]*ask{},
+	}
 }
 
 // Plan adds a visit.
--- a/internal/emulator/loadgen/load.go
+++ b/internal/emulator/loadgen/load.go
@@ -1,5 +1,5 @@
-// Package loadgen sends planned calls to gateways at the times they were planned for, whatever becomes of those before, and
-// measures waits from the intended times: a gateway that stalls does not slow the load, and what would have come
+// Package loadgen sends planned calls to gateways at the times they were planned for, whatever becomes of those before,
+// and measures waits from the intended times: a gateway that stalls does not slow the load, and what would have come
 // meanwhile is counted with its whole wait. It watches its own lateness, and says when it was itself the bottleneck.
 package loadgen
 
@@ -133,7 +133,13 @@
 	if o.Start.IsZero() {
 		o.Start = time.Now().Add(50 * time.Millisecond)
 	}
-	r := &runner{o: o, conn: conn, calls: make([]call, len(calls)), res: NewResult(), id: strconv.FormatInt(time.Now().UnixNano()%1e9, 36)}
+	r := &runner{
+		o:     o,
+		conn:  conn,
+		calls: make([]call, len(calls)),
+		res:   NewResult(),
+		id:    strconv.FormatInt(time.Now().UnixNano()%1e9, 36),
+	}
 	read := make(chan struct{})
 	go func() { defer close(read); r.read() }()
 	r.res.Planned = int64(len(calls))
@@ -247,7 +253,8 @@
 		return
 	}
 	id := field(d, "Call-ID")
-	if !bytes.HasPrefix(d, []byte("SIP/2.0 ")) || !bytes.HasPrefix(id, []byte(r.id)) || !bytes.HasSuffix(field(d, "CSeq"), []byte("INVITE")) {
+	if !bytes.HasPrefix(d, []byte("SIP/2.0 ")) || !bytes.HasPrefix(id, []byte(r.id)) ||
+		!bytes.HasSuffix(field(d, "CSeq"), []byte("INVITE")) {
 		return
 	}
 	i, err := strconv.ParseInt(string(id[len(r.id)+1:]), 16, 64)
@@ -338,17 +345,37 @@
 	case "ACK":
 		branch = n + "a"
 	}
-	b = fmt.Appendf(b, "@%s SIP/2.0\r\nVia: SIP/2.0/UDP %s;rport;branch=z9hG4bK%s\r\nFrom: <sip:staff@%s>;tag=%s\r\nTo: ", at, r.conn.LocalAddr(), branch, k.Customer, n)
+	b = fmt.Appendf(
+		b,
+		"@%s SIP/2.0\r\nVia: SIP/2.0/UDP %s;rport;branch=z9hG4bK%s\r\nFrom: <sip:staff@%s>;tag=%s\r\nTo: ",
+		at,
+		r.conn.LocalAddr(),
+		branch,
+		k.Customer,
+		n,
+	)
 	if to == nil {
 		b = fmt.Appendf(b, "<sip:%s@%s>", k.Number, at)
 	} else {
 		b = append(b, to...)
 	}
-	b = fmt.Appendf(b, "\r\nCall-ID: %s\r\nCSeq: %d %s\r\nContact: <sip:%s>\r\nMax-Forwards: 70\r\nSession-ID: %032x;remote=%032x\r\n", n, seq, method, r.conn.LocalAddr(),
-		uint64(k.n)+1<<40, 0)
+	b = fmt.Appendf(
+		b,
+		"\r\nCall-ID: %s\r\nCSeq: %d %s\r\nContact: <sip:%s>\r\nMax-Forwards: 70\r\nSession-ID: %032x;remote=%032x\r\n",
+		n,
+		seq,
+		method,
+		r.conn.LocalAddr(),
+		uint64(k.n)+1<<40,
+		0,
+	)
 	if method == "INVITE" {
-		b = fmt.Appendf(b, "P-Preferred-Service: urn:urn-7:%s\r\nExpires: %d\r\nContent-Type: application/sdp\r\nContent-Length: 3\r\n\r\nv=0", k.Skill,
-			int(math.Ceil(k.PatienceMs/1000)))
+		b = fmt.Appendf(
+			b,
+			"P-Preferred-Service: urn:urn-7:%s\r\nExpires: %d\r\nContent-Type: application/sdp\r\nContent-Length: 3\r\n\r\nv=0",
+			k.Skill,
+			int(math.Ceil(k.PatienceMs/1000)),
+		)
 	} else {
 		b = append(b, "Content-Length: 0\r\n\r\n"...)
 	}
--- a/internal/emulator/loadgen/load_test.go
+++ b/internal/emulator/loadgen/load_test.go
@@ -14,7 +14,10 @@
 func every(n int, gap float64) []*api.Call {
 	var of []*api.Call
 	for i := range n {
-		of = append(of, &api.Call{AtMs: float64(i) * gap, Number: "+1", Skill: "a", Customer: "x", HoldMs: 20, PatienceMs: 5000})
+		of = append(
+			of,
+			&api.Call{AtMs: float64(i) * gap, Number: "+1", Skill: "a", Customer: "x", HoldMs: 20, PatienceMs: 5000},
+		)
 	}
 	return of
 }
@@ -30,7 +33,11 @@
 	}
 	defer s.Close()
 	calls := every(600, 2) // 1.2 s
-	r, err := Run(context.Background(), calls, Options{Self: netip.MustParseAddrPort("127.73.0.1:19063"), Targets: []netip.AddrPort{at}, Start: start})
+	r, err := Run(
+		context.Background(),
+		calls,
+		Options{Self: netip.MustParseAddrPort("127.73.0.1:19063"), Targets: []netip.AddrPort{at}, Start: start},
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,8 +63,15 @@
 	for _, c := range calls {
 		c.PatienceMs = 300
 	}
-	r, err := Run(context.Background(), calls, Options{Self: netip.MustParseAddrPort("127.73.0.3:19063"), Targets: []netip.AddrPort{netip.MustParseAddrPort("127.73.0.4:19063")},
-		T1: 100 * time.Millisecond})
+	r, err := Run(
+		context.Background(),
+		calls,
+		Options{
+			Self:    netip.MustParseAddrPort("127.73.0.3:19063"),
+			Targets: []netip.AddrPort{netip.MustParseAddrPort("127.73.0.4:19063")},
+			T1:      100 * time.Millisecond,
+		},
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/emulator/prefixbaseline/prefixes.go
+++ b/internal/emulator/prefixbaseline/prefixes.go
@@ -1,5 +1,5 @@
-// Package prefixbaseline has plain ways to find the longest prefix of a number, to measure the trie beside, and draws prefixes
-// as number plans have them.
+// Package prefixbaseline has plain ways to find the longest prefix of a number, to measure the trie beside, and draws
+// prefixes as number plans have them.
 package prefixbaseline
 
 //tally:standin
--- a/internal/emulator/processrun/day.go
+++ b/internal/emulator/processrun/day.go
@@ -1,5 +1,5 @@
-// Package processrun puts a script's day on with gateways that are processes of their own: real sockets, a real endpoint list
-// stream, signals. Switches, callers and the wire are the stage's, by the wall clock.
+// Package processrun puts a script's day on with gateways that are processes of their own: real sockets, a real
+// endpoint list stream, signals. Switches, callers and the wire are the stage's, by the wall clock.
 package processrun
 
 //tally:standin
@@ -89,7 +89,12 @@
 
 // Run puts a day on; it ends early when ctx does.
 func Run(ctx context.Context, s *scenariofile.Script, o Options) (res *Result, err error) {
-	r := &runner{o: o, follow: map[string]chan *api.Update{}, joined: make(chan string, 4096), relays: map[netip.AddrPort]int{}}
+	r := &runner{
+		o:      o,
+		follow: map[string]chan *api.Update{},
+		joined: make(chan string, 4096),
+		relays: map[netip.AddrPort]int{},
+	}
 	temp := o.Dir == ""
 	if temp {
 		if r.o.Dir, err = os.MkdirTemp("", "cobalt-day-"); err != nil {
@@ -333,20 +338,58 @@
 	var b strings.Builder
 	p := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
 	ms := func(v float64) string { return time.Duration(v * 1e6).String() }
-	p("gateway {\n  name = %q\n  sip = %q\n  peer = %q\n  trunk_context = %q\n  gateways = %d\n  number = %d\n  seed = %d", g.Name, g.Addr, g.Peer,
-		c.TrunkContext, c.Settings.Gateways, g.Number, c.Settings.Seed%(1<<53))
-	p("  tick = %q\n  margin = %q\n  most_held = %d\n  most_rate = %g\n  drain_within = \"5s\"\n  peers = [", ms(s.Gateways.Tick), ms(c.AnswerMargin), c.LoadShedding.MaxPending, c.LoadShedding.RatePerSecond)
+	p(
+		"gateway {\n  name = %q\n  sip = %q\n  peer = %q\n  trunk_context = %q\n  gateways = %d\n  number = %d\n  seed = %d",
+		g.Name,
+		g.Addr,
+		g.Peer,
+		c.TrunkContext,
+		c.Settings.Gateways,
+		g.Number,
+		c.Settings.Seed%(1<<53),
+	)
+	p(
+		"  tick = %q\n  margin = %q\n  most_held = %d\n  most_rate = %g\n  drain_within = \"5s\"\n  peers = [",
+		ms(s.Gateways.Tick),
+		ms(c.AnswerMargin),
+		c.LoadShedding.MaxPending,
+		c.LoadShedding.RatePerSecond,
+	)
 	for _, o := range st.Gateways {
 		p("    %q,", netip.AddrPortFrom(o.Addr.Addr(), uint16(r.o.Port+20)))
 	}
 	p("  ]\n}\nlist {\n  addr = %q\n}\nlog {\n  level = %q\n}", r.list.Addr(), r.o.Level)
-	p("allow {\n  max_rings = %d\n  probe = %t\n  tell = %t\n  cancel = %t\n  name_wait = %t\n  max_wait = %q\n}", c.Settings.MaxAttempts, c.Settings.ProbeEnabled,
-		c.Settings.GossipEnabled, c.Settings.CancelEnabled, c.Settings.RetryAfterEnabled, ms(c.Settings.MaxRetryAfter))
+	p(
+		"allow {\n  max_rings = %d\n  probe = %t\n  tell = %t\n  cancel = %t\n  name_wait = %t\n  max_wait = %q\n}",
+		c.Settings.MaxAttempts,
+		c.Settings.ProbeEnabled,
+		c.Settings.GossipEnabled,
+		c.Settings.CancelEnabled,
+		c.Settings.RetryAfterEnabled,
+		ms(c.Settings.MaxRetryAfter),
+	)
 	p("timers {\n  t1 = %q\n  t2 = %q\n  t4 = %q\n}", ms(c.Times.T1), ms(c.Times.T2), ms(c.Times.T4))
-	p("rules {\n  slack = %q\n  clear_wait = %q\n  cold_share = %g\n  warm_within = %q\n  tip_multiple = %g\n  tip_time = %q\n}", ms(c.Settings.AnswerGrace),
-		ms(c.Settings.RetryHoldOff), c.Settings.SlowStartFraction, ms(c.Settings.SlowStartDuration), c.Settings.OverloadFactor, ms(c.Settings.OverloadWindow))
+	p(
+		"rules {\n  slack = %q\n  clear_wait = %q\n  cold_share = %g\n  warm_within = %q\n  tip_multiple = %g\n  tip_time = %q\n}",
+		ms(c.Settings.AnswerGrace),
+		ms(
+			c.Settings.RetryHoldOff,
+		),
+		c.Settings.SlowStartFraction,
+		ms(c.Settings.SlowStartDuration),
+		c.Settings.OverloadFactor,
+		ms(c.Settings.OverloadWindow),
+	)
 	for _, k := range c.Settings.Classes {
-		p("skill %q {\n  target = %q\n  patience = %q\n  value = %g\n  late_value = %g\n  hold = %q\n}", k.Name, ms(k.LatencyObjective), ms(k.Timeout), k.Weight, k.LateWeightFraction, ms(k.MeanHoldingTime))
+		p(
+			"skill %q {\n  target = %q\n  patience = %q\n  value = %g\n  late_value = %g\n  hold = %q\n}",
+			k.Name,
+			ms(k.LatencyObjective),
+			ms(k.Timeout),
+			k.Weight,
+			k.LateWeightFraction,
+			ms(k.MeanHoldingTime),
+		)
 	}
 	for _, k := range c.Settings.Tenants {
 		p("customer %q {\n}", k.Name)
@@ -359,8 +402,18 @@
 	}
 	if g.FrontAt != nil {
 		f := st.FrontConfig()
-		p("front {\n  listen = %q\n  apex = %q\n  skill = %q\n  negative = %d\n  patience = %q\n  repeat = %q\n  gain = %g\n  most = %d\n  keep = %d", g.Front, f.Apex, f.Skill,
-			f.Negative, ms(f.Patience), ms(f.Repeat), f.Gain, f.Most, f.Keep)
+		p(
+			"front {\n  listen = %q\n  apex = %q\n  skill = %q\n  negative = %d\n  patience = %q\n  repeat = %q\n  gain = %g\n  most = %d\n  keep = %d",
+			g.Front,
+			f.Apex,
+			f.Skill,
+			f.Negative,
+			ms(f.Patience),
+			ms(f.Repeat),
+			f.Gain,
+			f.Most,
+			f.Keep,
+		)
 		p("  rate = %g\n  burst = %g\n  clients = %d", f.Limits.Rate, f.Limits.Burst, f.Limits.Clients)
 		for _, n := range f.Limits.Nets {
 			p("  client %q {\n    rate = %g\n  }", n.Prefix, n.Rate)
@@ -453,7 +506,16 @@
 		if w.Now >= next && r.o.Say != nil {
 			next += 5000
 			sv := r.st.Service()
-			r.o.Say(fmt.Sprintf("%6.1f s  %d callers planned, %d stood in time, %d late, %d cut", w.Now/1000, sv.Offered, sv.Stood, sv.Late, sv.Cut))
+			r.o.Say(
+				fmt.Sprintf(
+					"%6.1f s  %d callers planned, %d stood in time, %d late, %d cut",
+					w.Now/1000,
+					sv.Offered,
+					sv.Stood,
+					sv.Late,
+					sv.Cut,
+				),
+			)
 		}
 		w.At(w.Now+100, tick)
 	}
--- a/internal/emulator/processrun/numbers.go
+++ b/internal/emulator/processrun/numbers.go
@@ -59,7 +59,8 @@
 	for _, a := range n.Addrs {
 		servers = append(servers, fmt.Sprintf("%q", a))
 	}
-	return fmt.Sprintf(`numbers {
+	return fmt.Sprintf(
+		`numbers {
   table = %q
   store = %q
   admin = %q
@@ -79,8 +80,23 @@
   stale = %q
   fail = %q
 }
-`, r.tableFile(), filepath.Join(r.o.Dir, r.st.Gateways[i].Name+".tables"), r.admin(i), s.Share, scenario.Apex, strings.Join(servers, ", "),
-		c.Most, c.Tries, ms(c.StaleAfter), c.Cache.MaxEntries, ms(c.Cache.MinTTL), ms(c.Cache.MaxTTL), ms(c.Cache.MaxNegativeTTL), ms(c.Cache.StaleTime), ms(c.Cache.FailureTTL))
+`,
+		r.tableFile(),
+		filepath.Join(r.o.Dir, r.st.Gateways[i].Name+".tables"),
+		r.admin(i),
+		s.Share,
+		scenario.Apex,
+		strings.Join(servers, ", "),
+		c.Most,
+		c.Tries,
+		ms(c.StaleAfter),
+		c.Cache.MaxEntries,
+		ms(c.Cache.MinTTL),
+		ms(c.Cache.MaxTTL),
+		ms(c.Cache.MaxNegativeTTL),
+		ms(c.Cache.StaleTime),
+		ms(c.Cache.FailureTTL),
+	)
 }
 
 // Table implements stage.Fleet: a gateway that is down or stalls gets the next one.
--- a/internal/emulator/report/report.go
+++ b/internal/emulator/report/report.go
@@ -81,8 +81,23 @@
 	return nil
 }
 
-var colours = []color.RGBA{{0x1f, 0x77, 0xb4, 255}, {0xd6, 0x27, 0x28, 255}, {0x2c, 0xa0, 0x2c, 255}, {0xff, 0x7f, 0x0e, 255}, {0x94, 0x67, 0xbd, 255},
-	{0x8c, 0x56, 0x4b, 255}, {0xe3, 0x77, 0xc2, 255}, {0x55, 0x55, 0x55, 255}, {0xbc, 0xbd, 0x22, 255}, {0x17, 0xbe, 0xcf, 255}}
+var colours = []color.RGBA{
+	{0x1f, 0x77, 0xb4, 255},
+	{0xd6, 0x27, 0x28, 255},
+	{0x2c, 0xa0, 0x2c, 255},
+	{0xff, 0x7f, 0x0e, 255},
+	{0x94, 0x67, 0xbd, 255},
+	{
+		0x8c,
+		0x56,
+		0x4b,
+		255,
+	},
+	{0xe3, 0x77, 0xc2, 255},
+	{0x55, 0x55, 0x55, 255},
+	{0xbc, 0xbd, 0x22, 255},
+	{0x17, 0xbe, 0xcf, 255},
+}
 
 func base(title, y string, s *virtualrun.Series, top float64) *plot.Plot {
 	p := plot.New()
@@ -103,7 +118,9 @@
 		box.Color = color.NRGBA{0xff, 0xc1, 0x07, 0x30}
 		box.LineStyle.Width = 0
 		p.Add(box)
-		label, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: a + 0.2, Y: top * (0.02 + 0.07*float64(i%4))}}, Labels: []string{t.Kind}})
+		label, err := plotter.NewLabels(
+			plotter.XYLabels{XYs: plotter.XYs{{X: a + 0.2, Y: top * (0.02 + 0.07*float64(i%4))}}, Labels: []string{t.Kind}},
+		)
 		if err == nil {
 			p.Add(label)
 		}
--- a/internal/emulator/report/report_test.go
+++ b/internal/emulator/report/report_test.go
@@ -37,12 +37,20 @@
 		t.Errorf("sums on one core %x, on four %x", one, four)
 	}
 	var b bytes.Buffer
-	page := Page{Title: "t", Days: []Day{{Name: "d", Lines: []string{"<x>"}, Plots: Plots(r.Series)}}, Pairs: []Pair{{"service", stats.Compare([]float64{1, 2, 3}, []float64{2, 3, 5}, 0.95)}}}
+	page := Page{
+		Title: "t",
+		Days:  []Day{{Name: "d", Lines: []string{"<x>"}, Plots: Plots(r.Series)}},
+		Pairs: []Pair{{"service", stats.Compare([]float64{1, 2, 3}, []float64{2, 3, 5}, 0.95)}},
+	}
 	if err := Write(&b, page); err != nil {
 		t.Fatal(err)
 	}
 	text := b.String()
-	if n := strings.Count(text, "<svg"); n != 6 || strings.Contains(text, "<x>") || strings.Contains(text, "http://") && strings.Contains(text, "src=") {
+	if n := strings.Count(
+		text,
+		"<svg",
+	); n != 6 || strings.Contains(text, "<x>") ||
+		strings.Contains(text, "http://") && strings.Contains(text, "src=") {
 		t.Errorf("%d pictures in %d bytes", n, len(text))
 	}
 	for _, p := range Plots(r.Series) {
@@ -76,10 +84,15 @@
 // Student's interval of known differences, and verdicts that say no more than the noise allows.
 func TestStats(t *testing.T) {
 	p := stats.Compare([]float64{0, 0, 0, 0}, []float64{1, 2, 3, 4}, 0.95) // sd 1.291, t(3) 3.182
-	if math.Abs(p.Mean-2.5) > 1e-12 || math.Abs(p.Low-0.446) > 1e-3 || math.Abs(p.High-4.554) > 1e-3 || p.Verdict() != "B is higher" {
+	if math.Abs(p.Mean-2.5) > 1e-12 || math.Abs(p.Low-0.446) > 1e-3 || math.Abs(p.High-4.554) > 1e-3 ||
+		p.Verdict() != "B is higher" {
 		t.Errorf("%+v", p)
 	}
-	if v := stats.Compare([]float64{0, 0, 0}, []float64{1, -1, 0.1}, 0.95).Verdict(); v != "no difference beyond the noise" {
+	if v := stats.Compare(
+		[]float64{0, 0, 0},
+		[]float64{1, -1, 0.1},
+		0.95,
+	).Verdict(); v != "no difference beyond the noise" {
 		t.Error(v)
 	}
 	if v := stats.Compare([]float64{1}, []float64{2}, 0.95).Verdict(); v != "too few days to tell" {
--- a/internal/emulator/saturation/rush.go
+++ b/internal/emulator/saturation/rush.go
@@ -1,6 +1,6 @@
-// Package saturation drives one gateway as hard as it goes: callers and a switch that do next to nothing for each message, so
-// that the gateway is what is measured. Arrivals are sent by the clock and do not wait for answers. Beside it a bare
-// echo on the same reactor tells what the machine's sockets give.
+// Package saturation drives one gateway as hard as it goes: callers and a switch that do next to nothing for each
+// message, so that the gateway is what is measured. Arrivals are sent by the clock and do not wait for answers. Beside
+// it a bare echo on the same reactor tells what the machine's sockets give.
 package saturation
 
 //tally:standin
@@ -285,7 +285,10 @@
 			r.mu.Unlock()
 			reply("180 Ringing", "")
 			r.answered[id].Store(r.now())
-			reply("200 OK", "\r\nContact: <sip:"+r.trunk.LocalAddr().String()+">\r\nCobalt-Load: util=0.1;queue=0;lines=1000000;free=900000")
+			reply(
+				"200 OK",
+				"\r\nContact: <sip:"+r.trunk.LocalAddr().String()+">\r\nCobalt-Load: util=0.1;queue=0;lines=1000000;free=900000",
+			)
 		case 'B':
 			reply("200 OK", "")
 		}
@@ -293,7 +296,11 @@
 }
 
 // Echo sends so many datagrams a second of a usual size to an echo and counts what comes back, with the times.
-func Echo(echo netip.AddrPort, rate float64, span time.Duration) (sent, back int64, times *hdrhistogram.Histogram, err error) {
+func Echo(
+	echo netip.AddrPort,
+	rate float64,
+	span time.Duration,
+) (sent, back int64, times *hdrhistogram.Histogram, err error) {
 	c, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(echo))
 	if err != nil {
 		return 0, 0, nil, fmt.Errorf("rush: echo: %w", err)
--- a/internal/emulator/scenario/design.go
+++ b/internal/emulator/scenario/design.go
@@ -13,8 +13,8 @@
 )
 
 // Shares compares what the wire shows with the design (S2-082110): first attempts go to the destination; of calls whose
-// destination takes nothing, endpoints are drawn with tickets of total capacity times the square of relative capacity. The
-// latter is computed from the load reports that each gateway had received when it sent.
+// destination takes nothing, endpoints are drawn with tickets of total capacity times the square of relative capacity.
+// The latter is computed from the load reports that each gateway had received when it sent.
 type Shares struct {
 	Home, First int       // first attempts at the destination, and all whose destination was there
 	Drawn       []int     // by endpoint, of calls whose destination drains
@@ -29,8 +29,18 @@
 
 // NewShares follows a stage whose endpoint away drains from the start, -1: none.
 func NewShares(st *Stage, away int) *Shares {
-	s := &Shares{homes: map[string]int{}, util: map[string]map[int]float64{}, pools: map[string]int{}, away: away,
-		Drawn: make([]int, len(st.places)), Expected: make([]float64, len(st.places)), Variance: make([]float64, len(st.places))}
+	s := &Shares{
+		homes: map[string]int{},
+		util:  map[string]map[int]float64{},
+		pools: map[string]int{},
+		away:  away,
+		Drawn: make(
+			[]int,
+			len(st.places),
+		),
+		Expected: make([]float64, len(st.places)),
+		Variance: make([]float64, len(st.places)),
+	}
 	for _, p := range st.places {
 		s.pools[p.addr.String()] = p.number
 		s.lines = append(s.lines, float64(p.model.Lines))
@@ -129,7 +139,13 @@
 
 func (s *Shares) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "first rings at the destination: %d of %d, %.3f\n", s.Home, s.First, float64(s.Home)/math.Max(1, float64(s.First)))
+	fmt.Fprintf(
+		&b,
+		"first rings at the destination: %d of %d, %.3f\n",
+		s.Home,
+		s.First,
+		float64(s.Home)/math.Max(1, float64(s.First)),
+	)
 	for i, n := range s.Drawn {
 		if s.Variance[i] > 0 {
 			fmt.Fprintf(&b, "pool %d: drawn %d, by the formula %.1f, %+.1f standard deviations\n", i, n, s.Expected[i],
--- a/internal/emulator/scenario/kiosks.go
+++ b/internal/emulator/scenario/kiosks.go
@@ -36,8 +36,12 @@
 		g.FrontAt = w.Add(&simulation.Node{Addr: g.Front, Name: g.Name, Region: g.Region, Tapped: true})
 		st.node(g.Front, "front", g.Name)
 		send := func(data []byte) { w.Send(at, g.Front, data) }
-		g.Kiosks = enumclient.New(enumclient.Manners{Apex: KioskApex, Wait: s.Kiosks.Wait, Repeats: s.Kiosks.Repeats, Asks: s.Kiosks.Asks, Pause: 900},
-			s.Seed*37+uint64(i), send, send)
+		g.Kiosks = enumclient.New(
+			enumclient.Manners{Apex: KioskApex, Wait: s.Kiosks.Wait, Repeats: s.Kiosks.Repeats, Asks: s.Kiosks.Asks, Pause: 900},
+			s.Seed*37+uint64(i),
+			send,
+			send,
+		)
 		g.Kiosks.Call = func(now float64, v *enumclient.Visit, user string, to netip.AddrPort) {
 			st.kioskCalls(g, now, v, user, to)
 		}
@@ -68,26 +72,58 @@
 	p := g.phones[to]
 	if p == nil {
 		at := netip.AddrPortFrom(g.kiosks.Addr.Addr(), g.kiosks.Addr.Port()+uint16(100+len(g.phones)))
-		c := callers.New(callers.Manners{Context: Context, Parse: st.Parse, Silence: st.Script.Callers.Silence}, at, to, st.Script.Pools.Model.Times,
-			st.Script.Seed*41+uint64(at.Port())+uint64(g.Number)<<20, func(dst netip.AddrPort, data []byte) {
+		c := callers.New(
+			callers.Manners{Context: Context, Parse: st.Parse, Silence: st.Script.Callers.Silence},
+			at,
+			to,
+			st.Script.Pools.Model.Times,
+			st.Script.Seed*41+uint64(at.Port())+uint64(g.Number)<<20,
+			func(dst netip.AddrPort, data []byte) {
 				st.record(&api.Record_Datagram{Datagram: &api.Datagram{From: at.String(), To: dst.String(), Data: data}})
 				w.Send(at, dst, data)
-			})
+			},
+		)
 		p = &phone{c, w.Add(&simulation.Node{Addr: at, Name: g.Name, Region: g.Region, Machine: c})}
 		g.phones[to] = p
 		st.node(at, "kiosk-phone", g.Name)
 	}
 	number, rest, _ := strings.Cut(user, ";")
 	skill := st.Script.Skills[0]
-	p.Plan(&callers.Arrival{At: now, Number: number + ";" + rest, Skill: skill.Name, Customer: st.Script.Payers[0].Name, Hold: v.Hold, Target: skill.Target,
-		Patience: skill.Patience, Try: skill.Try, Value: 1})
+	p.Plan(
+		&callers.Arrival{
+			At:       now,
+			Number:   number + ";" + rest,
+			Skill:    skill.Name,
+			Customer: st.Script.Payers[0].Name,
+			Hold:     v.Hold,
+			Target:   skill.Target,
+			Patience: skill.Patience,
+			Try:      skill.Try,
+			Value:    1,
+		},
+	)
 	p.node.Due()
 }
 
 // FrontConfig is how the gateways answer look-ups.
 func (st *Stage) FrontConfig() enumserver.Config {
-	return enumserver.Config{Apex: KioskApex, Skill: st.Script.Skills[0].Name, Negative: 30, Patience: 3000, Repeat: 5000, Gain: 8, Most: 2000, Keep: 10000, Context: Context,
-		Limits: enumserver.Limits{Rate: 50, Burst: 100, Clients: 10000, Nets: []enumserver.Net{{Prefix: netip.MustParsePrefix("127.90.0.0/16"), Rate: 5000}}}}
+	return enumserver.Config{
+		Apex:     KioskApex,
+		Skill:    st.Script.Skills[0].Name,
+		Negative: 30,
+		Patience: 3000,
+		Repeat:   5000,
+		Gain:     8,
+		Most:     2000,
+		Keep:     10000,
+		Context:  Context,
+		Limits: enumserver.Limits{
+			Rate:    50,
+			Burst:   100,
+			Clients: 10000,
+			Nets:    []enumserver.Net{{Prefix: netip.MustParsePrefix("127.90.0.0/16"), Rate: 5000}},
+		},
+	}
 }
 
 // KioskService is what became of the kiosks' calls.
--- a/internal/emulator/scenario/numbers.go
+++ b/internal/emulator/scenario/numbers.go
@@ -39,7 +39,14 @@
 	if !st.Script.Analyses() {
 		return
 	}
-	zone := &dnsserver.Zone{Apex: Apex, Seed: st.Script.Seed*31 + 7, Ported: s.Ported, None: s.None, Leads: s.Leads, TTL: uint32(s.TTL / 1000)}
+	zone := &dnsserver.Zone{
+		Apex:   Apex,
+		Seed:   st.Script.Seed*31 + 7,
+		Ported: s.Ported,
+		None:   s.None,
+		Leads:  s.Leads,
+		TTL:    uint32(s.TTL / 1000),
+	}
 	for i := range st.Script.Pools.Count {
 		zone.Routes = append(zone.Routes, fmt.Sprintf("+1999%03d0000", i))
 	}
@@ -47,7 +54,14 @@
 	n := st.Names
 	n.Alter = func(i int, do func(*dnsserver.Server)) { do(n.Servers[i]) }
 	for i := range s.Servers {
-		n.Servers = append(n.Servers, &dnsserver.Server{Zone: zone, Seed: st.Script.Seed + uint64(i)*13, Faults: dnsserver.Faults{Delay: s.Delay, Jitter: s.Jitter}})
+		n.Servers = append(
+			n.Servers,
+			&dnsserver.Server{
+				Zone:   zone,
+				Seed:   st.Script.Seed + uint64(i)*13,
+				Faults: dnsserver.Faults{Delay: s.Delay, Jitter: s.Jitter},
+			},
+		)
 		n.Addrs = append(n.Addrs, addr(8, i, int(st.Gateways[0].Addr.Port())))
 	}
 	if s.Change > 0 {
@@ -89,12 +103,20 @@
 	}
 	exchange := &api.NumberPlan{Name: "exchange"}
 	form := &api.NumberTable{Name: "lab", Version: version, Country: "1", Entry: "start", Plans: []*api.NumberPlan{
-		{Name: "start", Rules: []*api.NumberRule{{Prefix: "1418", Then: &api.NumberAction{Do: &api.NumberAction_Ask{Ask: &api.NumberQuestion{
-			WithinMs: st.Script.Numbers.Within, Ported: act("mark"), Same: act("mark"), Silent: silent}}}}}},
-		{Name: "mark", Rules: []*api.NumberRule{{Add: mark, Then: act("exchange")}}}, exchange}}
+		{
+			Name: "start",
+			Rules: []*api.NumberRule{{Prefix: "1418", Then: &api.NumberAction{Do: &api.NumberAction_Ask{Ask: &api.NumberQuestion{
+				WithinMs: st.Script.Numbers.Within, Ported: act("mark"), Same: act("mark"), Silent: silent}}}}},
+		},
+		{Name: "mark", Rules: []*api.NumberRule{{Add: mark, Then: act("exchange")}}},
+		exchange,
+	}}
 	for i := range st.Script.Pools.Count {
 		name := Group(i)
-		form.Routes = append(form.Routes, &api.NumberRoute{Name: name, Choices: []*api.NumberChoice{{Group: name, Weight: 1}}})
+		form.Routes = append(
+			form.Routes,
+			&api.NumberRoute{Name: name, Choices: []*api.NumberChoice{{Group: name, Weight: 1}}},
+		)
 		for _, prefix := range []string{"1418", "1999"} {
 			exchange.Rules = append(exchange.Rules, &api.NumberRule{Prefix: fmt.Sprintf("%s%s%03d", mark, prefix, i),
 				Then: &api.NumberAction{Do: &api.NumberAction_Route{Route: name}}})
@@ -121,8 +143,23 @@
 // Resolve is how the gateways look up.
 func (st *Stage) Resolve(seed uint64) dnsclient.Config {
 	s := st.Script.Numbers
-	c := dnsclient.Config{Servers: st.Names.Addrs, Ports: 2, Seed: seed, Most: 1000, Tries: 4, StaleAfter: 100, Alone: s.Alone,
-		Cache: dnsclient.CacheTimes{MaxEntries: 100000, MinTTL: 1000, MaxTTL: 3600e3, MaxNegativeTTL: 60e3, StaleTime: s.Stale, FailureTTL: s.Fail}}
+	c := dnsclient.Config{
+		Servers:    st.Names.Addrs,
+		Ports:      2,
+		Seed:       seed,
+		Most:       1000,
+		Tries:      4,
+		StaleAfter: 100,
+		Alone:      s.Alone,
+		Cache: dnsclient.CacheTimes{
+			MaxEntries:     100000,
+			MinTTL:         1000,
+			MaxTTL:         3600e3,
+			MaxNegativeTTL: 60e3,
+			StaleTime:      s.Stale,
+			FailureTTL:     s.Fail,
+		},
+	}
 	if !s.Cache {
 		c.Cache = dnsclient.CacheTimes{MaxEntries: 1, FailureTTL: s.Fail}
 	}
--- a/internal/emulator/scenario/numbers_test.go
+++ b/internal/emulator/scenario/numbers_test.go
@@ -10,7 +10,10 @@
 )
 
 // numbersDay plays a short day on which numbers are analysed and tables change every second.
-func numbersDay(t *testing.T, change func(*scenariofile.Script)) (*Stage, *Virtual, *conformance.Checker, *conformance.Tables) {
+func numbersDay(
+	t *testing.T,
+	change func(*scenariofile.Script),
+) (*Stage, *Virtual, *conformance.Checker, *conformance.Tables) {
 	t.Helper()
 	s, err := Day("numbers", `length="14s"`, "load.rate=200", "gateways.count=4", "pools.count=3")
 	if err != nil {
@@ -38,8 +41,12 @@
 // table that was in force when it came, all rules are kept, and nobody keeps an old table when the day is over.
 func TestTablesChange(t *testing.T) {
 	st, v, _, tables := numbersDay(t, func(s *scenariofile.Script) {
-		s.Troubles = []scenariofile.Trouble{{Kind: "restart", At: 4000, For: 1000, Part: 0.25}, {Kind: "stall", At: 6000, For: 3000, Part: 0.5, Size: 0.8},
-			{Kind: "names_silent", At: 8000, For: 3000, Part: 1}, {Kind: "deploy", At: 3000, For: 2000, Part: 0.3}}
+		s.Troubles = []scenariofile.Trouble{
+			{Kind: "restart", At: 4000, For: 1000, Part: 0.25},
+			{Kind: "stall", At: 6000, For: 3000, Part: 0.5, Size: 0.8},
+			{Kind: "names_silent", At: 8000, For: 3000, Part: 1},
+			{Kind: "deploy", At: 3000, For: 2000, Part: 0.3},
+		}
 	})
 	for i, f := range tables.Findings {
 		if i < 5 {
@@ -66,7 +73,10 @@
 		{Kind: "names_cut", Size: 1}, {Kind: "names_lame"}, {Kind: "names_wrong", Size: 1}} {
 		t.Run(c.Kind, func(t *testing.T) {
 			c.At, c.For, c.Part = 3000, 7000, 1
-			st, v, _, tables := numbersDay(t, func(s *scenariofile.Script) { s.Troubles = []scenariofile.Trouble{c}; s.Numbers.Change = 3000 })
+			st, v, _, tables := numbersDay(
+				t,
+				func(s *scenariofile.Script) { s.Troubles = []scenariofile.Trouble{c}; s.Numbers.Change = 3000 },
+			)
 			if len(tables.Findings) > 0 {
 				t.Error(tables.Findings[0])
 			}
@@ -75,7 +85,8 @@
 			if sv.Whole < 0.98 {
 				t.Errorf("service %.3f", sv.Whole)
 			}
-			if c.Kind == "names_spoofed" && l.Strays == 0 || c.Kind == "names_cut" && l.Streams == 0 || c.Kind == "names_silent" && l.Down+l.Failed == 0 {
+			if c.Kind == "names_spoofed" && l.Strays == 0 || c.Kind == "names_cut" && l.Streams == 0 ||
+				c.Kind == "names_silent" && l.Down+l.Failed == 0 {
 				t.Errorf("the trouble was not felt: %+v", l)
 			}
 			for _, b := range v.Edges {
@@ -87,14 +98,18 @@
 	}
 }
 
-// Kiosks ask which switch to call while switches drain and are replaced, one dies, gateways are killed and stand still and datagrams
-// are lost: one answer a look-up, none that names a switch known to drain, no call to one that was not just named, and cold
-// switches are not pushed over by callers and kiosks together.
+// Kiosks ask which switch to call while switches drain and are replaced, one dies, gateways are killed and stand still
+// and datagrams are lost: one answer a look-up, none that names a switch known to drain, no call to one that was not
+// just named, and cold switches are not pushed over by callers and kiosks together.
 func TestKiosks(t *testing.T) {
 	st, v, k, _ := numbersDay(t, func(s *scenariofile.Script) {
 		s.Kiosks = scenariofile.Kiosks{Rate: 120, Hold: 4000, Loss: 0.05, Wait: 800, Repeats: 2, Asks: 2}
-		s.Troubles = []scenariofile.Trouble{{Kind: "deploy", At: 3000, For: 3000, Part: 0.67}, {Kind: "silent", At: 7000, For: 2000, Part: 0.3},
-			{Kind: "restart", At: 5000, For: 1000, Part: 0.25}, {Kind: "stall", At: 9000, For: 2000, Part: 0.5, Size: 0.8}}
+		s.Troubles = []scenariofile.Trouble{
+			{Kind: "deploy", At: 3000, For: 3000, Part: 0.67},
+			{Kind: "silent", At: 7000, For: 2000, Part: 0.3},
+			{Kind: "restart", At: 5000, For: 1000, Part: 0.25},
+			{Kind: "stall", At: 9000, For: 2000, Part: 0.5, Size: 0.8},
+		}
 	})
 	sv := st.KioskService()
 	sv.Waits = nil
--- a/internal/emulator/scenario/stage.go
+++ b/internal/emulator/scenario/stage.go
@@ -1,5 +1,6 @@
-// Package scenario puts a script's day on: switches, callers, the endpoint list and the wire between them and the gateways.
-// The gateways themselves are the very edge machines in virtual time, or processes of their own behind real sockets.
+// Package scenario puts a script's day on: switches, callers, the endpoint list and the wire between them and the
+// gateways. The gateways themselves are the very edge machines in virtual time, or processes of their own behind real
+// sockets.
 package scenario
 
 //tally:standin
@@ -101,7 +102,8 @@
 	return build(s, port, 0, record)
 }
 
-// NewReal builds a stage whose gateways are behind sockets; records of different sockets may stand out of order by blur ms.
+// NewReal builds a stage whose gateways are behind sockets; records of different sockets may stand out of order by blur
+// ms.
 func NewReal(s *scenariofile.Script, port int, blur float64, record func(*api.Record)) *Stage {
 	return build(s, port, blur, record)
 }
@@ -113,21 +115,51 @@
 	w.Link = st.link
 	w.Tap = func(at float64, from, to netip.AddrPort, data []byte) {
 		if st.Record != nil {
-			st.Record(&api.Record{At: at, What: &api.Record_Datagram{Datagram: &api.Datagram{From: from.String(), To: to.String(), Data: data}}})
+			st.Record(
+				&api.Record{
+					At:   at,
+					What: &api.Record_Datagram{Datagram: &api.Datagram{From: from.String(), To: to.String(), Data: data}},
+				},
+			)
 		}
 	}
 	r := s.Rules
-	st.record(&api.Record_Rules{Rules: &api.Rules{SlackMs: r.Slack, GraceMs: r.Grace, ClearMs: r.Clear, TipMultiple: r.TipTimes, TipMs: r.TipWindow, BlurMs: blur}})
+	st.record(
+		&api.Record_Rules{
+			Rules: &api.Rules{
+				SlackMs:     r.Slack,
+				GraceMs:     r.Grace,
+				ClearMs:     r.Clear,
+				TipMultiple: r.TipTimes,
+				TipMs:       r.TipWindow,
+				BlurMs:      blur,
+			},
+		},
+	)
 	for i := 0; i < s.Gateways.Count; i++ {
 		region := s.Regions[i%len(s.Regions)]
-		g := &Gateway{Number: i, Name: fmt.Sprintf("edge-%d", i), Region: region, Addr: addr(1, i, port), Peer: addr(1, i, port+10)}
+		g := &Gateway{
+			Number: i,
+			Name:   fmt.Sprintf("edge-%d", i),
+			Region: region,
+			Addr:   addr(1, i, port),
+			Peer:   addr(1, i, port+10),
+		}
 		g.Node = w.Add(&simulation.Node{Addr: g.Addr, Name: g.Name, Region: region, Tick: s.Gateways.Tick, Tapped: true})
 		from := addr(2, i, port)
 		c := s.Callers
-		g.Callers = callers.New(callers.Manners{Redials: c.Redials, Pause: c.Pause, Grows: c.Grows, Honour: c.Honour, MaxWait: c.MaxWait,
-			Context: Context, Silence: c.Silence, Parse: st.Parse}, from, g.Addr, s.Pools.Model.Times, s.Seed+uint64(i)*7919+1,
-			func(to netip.AddrPort, data []byte) { w.Send(from, to, data) })
-		g.callers = w.Add(&simulation.Node{Addr: from, Name: fmt.Sprintf("callers-%d", i), Region: region, Machine: g.Callers})
+		g.Callers = callers.New(
+			callers.Manners{Redials: c.Redials, Pause: c.Pause, Grows: c.Grows, Honour: c.Honour, MaxWait: c.MaxWait,
+				Context: Context, Silence: c.Silence, Parse: st.Parse},
+			from,
+			g.Addr,
+			s.Pools.Model.Times,
+			s.Seed+uint64(i)*7919+1,
+			func(to netip.AddrPort, data []byte) { w.Send(from, to, data) },
+		)
+		g.callers = w.Add(
+			&simulation.Node{Addr: from, Name: fmt.Sprintf("callers-%d", i), Region: region, Machine: g.Callers},
+		)
 		st.Gateways = append(st.Gateways, g)
 		st.node(g.Addr, "edge", g.Name)
 		st.node(from, "caller", g.callers.Name)
@@ -271,7 +303,12 @@
 	}
 	p.node.Due()
 	if cold {
-		st.Mark("start", p.node.Name, "", &api.Start{ColdShare: p.model.ColdShare, WarmMs: p.model.Warm, SetupMs: p.model.Setup, RepeatMs: p.model.Repeat})
+		st.Mark(
+			"start",
+			p.node.Name,
+			"",
+			&api.Start{ColdShare: p.model.ColdShare, WarmMs: p.model.Warm, SetupMs: p.model.Setup, RepeatMs: p.model.Repeat},
+		)
 	}
 }
 
@@ -346,7 +383,10 @@
 			age, since = st.World.Now-m.AgeMs, m.AgeMs
 		}
 		out.Members = append(out.Members, &api.Member{Id: m.Id, Number: m.Number, State: m.State, AgeMs: age, Addr: m.Addr})
-		l.Entries = append(l.Entries, &api.Entry{Id: m.Id, Number: m.Number, State: stateName[m.State], Since: since, Addr: m.Addr})
+		l.Entries = append(
+			l.Entries,
+			&api.Entry{Id: m.Id, Number: m.Number, State: stateName[m.State], Since: since, Addr: m.Addr},
+		)
 	}
 	st.record(&api.Record_Listing{Listing: l})
 	st.Fleet.List(g.Number, out)
@@ -475,8 +515,21 @@
 			hold = k.Hold
 		}
 		g := st.Gateways[int(c.Gateway)%len(st.Gateways)]
-		g.Callers.Plan(&callers.Arrival{At: c.AtMs, Number: c.Number, Skill: k.Name, Customer: c.Customer, Group: c.Group, Hold: hold, Target: k.Target,
-			Patience: patience, Try: math.Min(k.Try, patience), Value: k.Value, Late: k.Late})
+		g.Callers.Plan(
+			&callers.Arrival{
+				At:       c.AtMs,
+				Number:   c.Number,
+				Skill:    k.Name,
+				Customer: c.Customer,
+				Group:    c.Group,
+				Hold:     hold,
+				Target:   k.Target,
+				Patience: patience,
+				Try:      math.Min(k.Try, patience),
+				Value:    k.Value,
+				Late:     k.Late,
+			},
+		)
 	}
 	for _, g := range st.Gateways {
 		g.callers.Due()
@@ -509,14 +562,31 @@
 // Settings are what the decision module of a gateway is told.
 func (st *Stage) Settings(g *Gateway) *routing.Settings {
 	s := st.Script
-	set := &routing.Settings{Gateways: s.Gateways.Count, GatewayIndex: g.Number, Seed: s.Seed*1000003 + uint64(g.Number), TickInterval: s.Gateways.Tick,
-		MaxAttempts: s.Gateways.MaxRings, ProbeEnabled: s.Gateways.Probe, GossipEnabled: s.Gateways.Tell, CancelEnabled: s.Gateways.Cancel,
-		RetryAfterEnabled: s.Gateways.NameWait, MaxRetryAfter: float64(s.Gateways.MaxWait), RetransmitInterval: s.Pools.Model.Times.T1,
-		AnswerGrace: s.Rules.Slack, SlowStartFraction: s.Rules.ColdShare, SlowStartDuration: s.Rules.WarmWithin, OverloadFactor: s.Rules.TipTimes,
-		OverloadWindow: s.Rules.TipWindow, RetryHoldOff: s.Rules.Clear}
+	set := &routing.Settings{
+		Gateways:           s.Gateways.Count,
+		GatewayIndex:       g.Number,
+		Seed:               s.Seed*1000003 + uint64(g.Number),
+		TickInterval:       s.Gateways.Tick,
+		MaxAttempts:        s.Gateways.MaxRings,
+		ProbeEnabled:       s.Gateways.Probe,
+		GossipEnabled:      s.Gateways.Tell,
+		CancelEnabled:      s.Gateways.Cancel,
+		RetryAfterEnabled:  s.Gateways.NameWait,
+		MaxRetryAfter:      float64(s.Gateways.MaxWait),
+		RetransmitInterval: s.Pools.Model.Times.T1,
+		AnswerGrace:        s.Rules.Slack,
+		SlowStartFraction:  s.Rules.ColdShare,
+		SlowStartDuration:  s.Rules.WarmWithin,
+		OverloadFactor:     s.Rules.TipTimes,
+		OverloadWindow:     s.Rules.TipWindow,
+		RetryHoldOff:       s.Rules.Clear,
+	}
 	for _, k := range s.Skills {
-		set.Classes = append(set.Classes, &routing.Class{Name: k.Name, LatencyObjective: k.Target, Timeout: k.Patience, Weight: k.Value,
-			LateWeightFraction: k.Late, MeanHoldingTime: k.Hold, Idempotent: true})
+		set.Classes = append(
+			set.Classes,
+			&routing.Class{Name: k.Name, LatencyObjective: k.Target, Timeout: k.Patience, Weight: k.Value,
+				LateWeightFraction: k.Late, MeanHoldingTime: k.Hold, Idempotent: true},
+		)
 	}
 	for _, c := range s.Payers {
 		set.Tenants = append(set.Tenants, &routing.Tenant{Name: c.Name})
@@ -527,8 +597,17 @@
 // Config is what a gateway's edge is told.
 func (st *Stage) Config(g *Gateway) *b2bua.Config {
 	s := st.Script
-	c := &b2bua.Config{Name: g.Name, Address: g.Addr, TrunkContext: Context, Settings: st.Settings(g), Times: s.Pools.Model.Times,
-		Parse: st.Parse, DefaultClass: s.Skills[0].Name, AnswerMargin: s.Gateways.Margin, LoadShedding: loadshed.Gate{MaxPending: s.Gateways.Held, RatePerSecond: s.Gateways.MostRate}}
+	c := &b2bua.Config{
+		Name:         g.Name,
+		Address:      g.Addr,
+		TrunkContext: Context,
+		Settings:     st.Settings(g),
+		Times:        s.Pools.Model.Times,
+		Parse:        st.Parse,
+		DefaultClass: s.Skills[0].Name,
+		AnswerMargin: s.Gateways.Margin,
+		LoadShedding: loadshed.Gate{MaxPending: s.Gateways.Held, RatePerSecond: s.Gateways.MostRate},
+	}
 	c.DisabledGuard = st.DisabledGuard
 	for _, p := range st.places {
 		c.Groups = append(c.Groups, b2bua.Group{Name: Group(p.number), DestinationID: p.number, Circuits: p.model.Lines})
--- a/internal/emulator/scenario/stage_test.go
+++ b/internal/emulator/scenario/stage_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestDesignShares is the product test of the design: on a quiet day calls attempt at their destination, and those whose
-// destination drains are drawn by the formula.
+// TestDesignShares is the product test of the design: on a quiet day calls attempt at their destination, and those
+// whose destination drains are drawn by the formula.
 func TestDesignShares(t *testing.T) {
 	s, err := Day("quiet")
 	if err != nil {
@@ -125,13 +125,17 @@
 	}
 }
 
-// TestListSilent: the endpoint list says nothing for a minute, while an endpoint drains and is replaced and gateways stand still;
-// they go on with what they have.
+// TestListSilent: the endpoint list says nothing for a minute, while an endpoint drains and is replaced and gateways
+// stand still; they go on with what they have.
 func TestListSilent(t *testing.T) {
 	s := short(t)
 	s.Length = 70000
 	s.Load.Rate = 30
-	s.Troubles = append(s.Troubles, scenariofile.Trouble{Kind: "listless", At: 1000, For: 60000}, scenariofile.Trouble{Kind: "stall", At: 5000, For: 3000, Part: 0.4, Size: 2})
+	s.Troubles = append(
+		s.Troubles,
+		scenariofile.Trouble{Kind: "listless", At: 1000, For: 60000},
+		scenariofile.Trouble{Kind: "stall", At: 5000, For: 3000, Part: 0.4, Size: 2},
+	)
 	if k := judged(s, mind, 0); len(k.Findings) > 0 || k.Totals.Rings < 300 {
 		t.Errorf("%d rings, findings %v", k.Totals.Rings, k.Findings)
 	}
--- a/internal/emulator/scenariofile/bench.go
+++ b/internal/emulator/scenariofile/bench.go
@@ -88,12 +88,26 @@
 }
 
 // benchKinds are the bench's troubles in our words.
-var benchKinds = map[string]string{"burst": "burst", "hot_caller": "uneven", "slow": "slow", "shared_slow": "slow_all", "neighbour": "other", "origin_slow": "lines",
-	"vanish": "silent", "hang": "silent", "crash": "silent", "ageing": "ageing", "deploy": "deploy", "mass_restart": "region", "balancer_stall": "stall",
-	"balancer_roll": "restart", "peer_down": "mute"}
+var benchKinds = map[string]string{
+	"burst":          "burst",
+	"hot_caller":     "uneven",
+	"slow":           "slow",
+	"shared_slow":    "slow_all",
+	"neighbour":      "other",
+	"origin_slow":    "lines",
+	"vanish":         "silent",
+	"hang":           "silent",
+	"crash":          "silent",
+	"ageing":         "ageing",
+	"deploy":         "deploy",
+	"mass_restart":   "region",
+	"balancer_stall": "stall",
+	"balancer_roll":  "restart",
+	"peer_down":      "mute",
+}
 
-// FromBench reads a day file that the bench prints. The bench's world and ours are two models: the second result says what
-// was not taken over, so that nobody takes one's figures for the other's.
+// FromBench reads a day file that the bench prints. The bench's world and ours are two models: the second result says
+// what was not taken over, so that nobody takes one's figures for the other's.
 func FromBench(src []byte) (*Script, []string, error) {
 	var d benchDay
 	if err := json.Unmarshal(src, &d); err != nil {
@@ -111,17 +125,66 @@
 	tier, kind := d.Tiers[0], d.Tiers[0].Kinds[0]
 	var notes []string
 	note := func(format string, args ...any) { notes = append(notes, fmt.Sprintf(format, args...)) }
-	s := &Script{Name: d.Site, Seed: d.Noise % (1 << 31), Length: ms(d.Length), Regions: d.Zones,
-		Gateways: Gateways{Count: len(d.Balancers), Held: max(1, d.Allow.MaxOpen), MaxRings: d.Allow.MaxAttempts, MaxWait: int(ms(d.Clients.MaxRetryUs)),
-			Tick: math.Max(0.1, ms(d.Tick)), Margin: 30, Cancel: d.Allow.Cancel, Tell: d.Allow.Peers, Probe: d.Allow.Probes, NameWait: d.Allow.RetryAfter},
-		Rules: Rules{Slack: 20, Grace: ms(d.DrainGrace), Clear: ms(d.Fam.Release), ColdShare: tier.StatedFrom, WarmWithin: ms(tier.StatedCold),
-			TipTimes: d.FallMultiple, TipWindow: ms(d.FallFor)},
-		Net:  Net{Same: ms(d.Net.Same), Cross: ms(d.Net.Cross), Caller: math.Max(0.05, ms(d.Net.Client)), Peer: ms(d.Allow.PeerDelay), Jitter: d.Net.Jitter, PeerLoss: 0.01},
-		Load: Load{Rate: d.Traffic.Load * d.Fam.Capacity, Drift: math.Max(100, ms(d.Fam.Drift)), Skew: math.Min(1, d.Fam.DriftCv), Numbers: 20000},
-		Callers: Callers{Redials: d.Clients.Retries, Pause: ms(d.Clients.BackoffUs), Grows: d.Clients.Backoff == "exp", Honour: d.Clients.Honour,
-			MaxWait: ms(d.Clients.MaxRetryUs), Silence: 1000},
-		List: List{NoticeLo: ms(d.Discovery.Notice) / 2, NoticeHi: ms(d.Discovery.Notice), SilentLo: ms(d.Discovery.SilentNotice), SilentHi: ms(d.Discovery.SilentNotice),
-			AddLo: ms(d.Discovery.Add), AddHi: ms(d.Discovery.Add), Spread: ms(d.Discovery.Spread)},
+	s := &Script{
+		Name:    d.Site,
+		Seed:    d.Noise % (1 << 31),
+		Length:  ms(d.Length),
+		Regions: d.Zones,
+		Gateways: Gateways{
+			Count:    len(d.Balancers),
+			Held:     max(1, d.Allow.MaxOpen),
+			MaxRings: d.Allow.MaxAttempts,
+			MaxWait:  int(ms(d.Clients.MaxRetryUs)),
+			Tick: math.Max(
+				0.1,
+				ms(d.Tick),
+			),
+			Margin:   30,
+			Cancel:   d.Allow.Cancel,
+			Tell:     d.Allow.Peers,
+			Probe:    d.Allow.Probes,
+			NameWait: d.Allow.RetryAfter,
+		},
+		Rules: Rules{
+			Slack:      20,
+			Grace:      ms(d.DrainGrace),
+			Clear:      ms(d.Fam.Release),
+			ColdShare:  tier.StatedFrom,
+			WarmWithin: ms(tier.StatedCold),
+			TipTimes:   d.FallMultiple,
+			TipWindow:  ms(d.FallFor),
+		},
+		Net: Net{
+			Same:     ms(d.Net.Same),
+			Cross:    ms(d.Net.Cross),
+			Caller:   math.Max(0.05, ms(d.Net.Client)),
+			Peer:     ms(d.Allow.PeerDelay),
+			Jitter:   d.Net.Jitter,
+			PeerLoss: 0.01,
+		},
+		Load: Load{
+			Rate:    d.Traffic.Load * d.Fam.Capacity,
+			Drift:   math.Max(100, ms(d.Fam.Drift)),
+			Skew:    math.Min(1, d.Fam.DriftCv),
+			Numbers: 20000,
+		},
+		Callers: Callers{
+			Redials: d.Clients.Retries,
+			Pause:   ms(d.Clients.BackoffUs),
+			Grows:   d.Clients.Backoff == "exp",
+			Honour:  d.Clients.Honour,
+			MaxWait: ms(d.Clients.MaxRetryUs),
+			Silence: 1000,
+		},
+		List: List{
+			NoticeLo: ms(d.Discovery.Notice) / 2,
+			NoticeHi: ms(d.Discovery.Notice),
+			SilentLo: ms(d.Discovery.SilentNotice),
+			SilentHi: ms(d.Discovery.SilentNotice),
+			AddLo:    ms(d.Discovery.Add),
+			AddHi:    ms(d.Discovery.Add),
+			Spread:   ms(d.Discovery.Spread),
+		},
 	}
 	total := 0.0
 	for _, v := range d.Servers {
@@ -132,7 +195,9 @@
 		s.Pools.Sizes = append(s.Pools.Sizes, v.Speed/mean)
 		s.Pools.Regions = append(s.Pools.Regions, v.Zone)
 	}
-	work := float64(len(d.Servers)) * 1000 / d.Fam.Capacity // of a call at a mean switch that is wholly busy at the capacity, ms
+	work := float64(
+		len(d.Servers),
+	) * 1000 / d.Fam.Capacity // of a call at a mean switch that is wholly busy at the capacity, ms
 	lines := 2000
 	if len(d.Fam.Size) > 0 {
 		lines = d.Fam.Size[0]
@@ -143,10 +208,31 @@
 		retry = 500
 	}
 	s.Pools.Count = len(d.Servers)
-	s.Pools.Model = coreswitch.Model{Setup: 0.6 * work, Answer: 0.22 * work, Release: 0.18 * work, Repeat: d.Fam.Repeat * 0.6 * work, Reject: d.Fam.Reject * 0.6 * work,
-		Probe: ms(tier.ProbeWork), Lines: lines, WaitLimit: ms(d.Fam.Queue), NamesWait: d.Fam.TellsWait, WorksOn: !d.Fam.CancelDrops, ErrorRate: kind.ErrorRate,
-		ColdShare: kind.ColdFrom, Warm: ms(kind.Cold), TipTimes: d.FallMultiple, TipWindow: ms(d.FallFor), Refresh: math.Max(1, ms(tier.ReportPeriod)),
-		Delay: ms(tier.ReportDelay), Noise: tier.ReportNoise, Times: siptransaction.Timers{T1: retry, T2: 8 * retry, T4: 5000}}
+	s.Pools.Model = coreswitch.Model{
+		Setup:   0.6 * work,
+		Answer:  0.22 * work,
+		Release: 0.18 * work,
+		Repeat:  d.Fam.Repeat * 0.6 * work,
+		Reject:  d.Fam.Reject * 0.6 * work,
+		Probe: ms(
+			tier.ProbeWork,
+		),
+		Lines:     lines,
+		WaitLimit: ms(d.Fam.Queue),
+		NamesWait: d.Fam.TellsWait,
+		WorksOn:   !d.Fam.CancelDrops,
+		ErrorRate: kind.ErrorRate,
+		ColdShare: kind.ColdFrom,
+		Warm:      ms(kind.Cold),
+		TipTimes:  d.FallMultiple,
+		TipWindow: ms(d.FallFor),
+		Refresh:   math.Max(1, ms(tier.ReportPeriod)),
+		Delay: ms(
+			tier.ReportDelay,
+		),
+		Noise: tier.ReportNoise,
+		Times: siptransaction.Timers{T1: retry, T2: 8 * retry, T4: 5000},
+	}
 	names := map[string]string{"util": "util", "queue": "queue", "latency_ms": "wait", "qps": "rate", "eps": "loss"}
 	for _, f := range tier.ReportFields {
 		if n := names[f]; n != "" {
@@ -159,9 +245,23 @@
 			hold = ms(d.Fam.Hold[i])
 		}
 		try := math.Max(1000, math.Round(d.Clients.TryShare*ms(c.Deadline)/1000)*1000)
-		s.Skills = append(s.Skills, Skill{Name: c.Name, Share: c.Share, Target: ms(c.Aim), Patience: ms(c.Deadline), Try: try, Value: c.Worth, Late: c.LateWorth, Hold: hold})
+		s.Skills = append(
+			s.Skills,
+			Skill{
+				Name:     c.Name,
+				Share:    c.Share,
+				Target:   ms(c.Aim),
+				Patience: ms(c.Deadline),
+				Try:      try,
+				Value:    c.Worth,
+				Late:     c.LateWorth,
+				Hold:     hold,
+			},
+		)
 	}
-	note("a set-up, its answer and its release are 60, 22 and 18 %% of a call's work, and patience of a try is in whole seconds")
+	note(
+		"a set-up, its answer and its release are 60, 22 and 18 %% of a call's work, and patience of a try is in whole seconds",
+	)
 	for _, t := range d.Tenants {
 		s.Payers = append(s.Payers, Payer{t.Name, t.Share})
 	}
--- a/internal/emulator/scenariofile/script.go
+++ b/internal/emulator/scenariofile/script.go
@@ -158,8 +158,12 @@
 
 // Read takes a script from settings.
 func Read(b *hclconfig.Block) (*Script, error) {
-	s := &Script{Name: b.Text("name", "day"), Seed: uint64(b.Int("seed", 1, 0, 1<<31)), Length: b.Ms("length", 60000, 1000, day),
-		Regions: b.Texts("regions")}
+	s := &Script{
+		Name:    b.Text("name", "day"),
+		Seed:    uint64(b.Int("seed", 1, 0, 1<<31)),
+		Length:  b.Ms("length", 60000, 1000, day),
+		Regions: b.Texts("regions"),
+	}
 	if len(s.Regions) == 0 {
 		s.Regions = []string{"one"}
 	}
@@ -170,17 +174,26 @@
 		Cancel: g.Flag("may_cancel", true), Tell: g.Flag("may_tell", true), Probe: g.Flag("may_probe", false),
 		NameWait: g.Flag("names_wait", true)}
 	r := b.One("rules")
-	s.Rules = Rules{Slack: r.Ms("slack", 20, 0, 1000), Grace: r.Ms("grace", 250, 0, 10000), Clear: r.Ms("clear_wait", 500, 0, 10000),
-		ColdShare: r.Num("cold_share", 0.36, 0.01, 1), WarmWithin: r.Ms("warm_within", 14000, 0, day),
-		TipTimes: r.Num("tip_multiple", 2.5, 0, 100), TipWindow: r.Ms("tip_time", 1000, 1, day)}
+	s.Rules = Rules{
+		Slack:      r.Ms("slack", 20, 0, 1000),
+		Grace:      r.Ms("grace", 250, 0, 10000),
+		Clear:      r.Ms("clear_wait", 500, 0, 10000),
+		ColdShare:  r.Num("cold_share", 0.36, 0.01, 1),
+		WarmWithin: r.Ms("warm_within", 14000, 0, day),
+		TipTimes:   r.Num("tip_multiple", 2.5, 0, 100),
+		TipWindow:  r.Ms("tip_time", 1000, 1, day),
+	}
 	n := b.One("net")
 	s.Net = Net{Same: n.Ms("same", 5, 0, 1000), Cross: n.Ms("cross", 14, 0, 1000), Caller: n.Ms("caller", 0.1, 0, 1000),
 		Peer: n.Ms("peer", 6, 0, 1000), Jitter: n.Num("jitter", 0.2, 0, 1), Loss: n.Num("loss", 0, 0, 1),
 		Double: n.Num("double", 0, 0, 1), PeerLoss: n.Num("peer_loss", 0.01, 0, 1)}
 	for _, k := range b.Blocks("skill", 1) {
-		s.Skills = append(s.Skills, Skill{Name: k.Labels[0], Share: k.Num("share", 1, 0, 1), Target: k.Ms("target", 2000, 1, day),
-			Patience: k.Ms("patience", 9000, 1000, day), Try: k.Ms("try", 3000, 1000, day), Value: k.Num("value", 1, 0, 1e6),
-			Late: k.Num("late", 0.1, 0, 1), Hold: k.Ms("hold", 9000, 1, day)})
+		s.Skills = append(
+			s.Skills,
+			Skill{Name: k.Labels[0], Share: k.Num("share", 1, 0, 1), Target: k.Ms("target", 2000, 1, day),
+				Patience: k.Ms("patience", 9000, 1000, day), Try: k.Ms("try", 3000, 1000, day), Value: k.Num("value", 1, 0, 1e6),
+				Late: k.Num("late", 0.1, 0, 1), Hold: k.Ms("hold", 9000, 1, day)},
+		)
 	}
 	if len(s.Skills) == 0 {
 		s.Skills = []Skill{{"shift-lookup", 1, 2000, 9000, 3000, 1, 0.1, 9000}}
@@ -194,13 +207,41 @@
 	p := b.One("pools")
 	retry := p.Ms("retransmit", 400, 10, 60000)
 	s.Pools = Pools{Count: p.Int("count", 4, 1, 1000), Spread: p.Num("spread", 0.15, 0, 0.9), Model: coreswitch.Model{
-		Setup: p.Num("setup_ms", 6.4, 0.001, 1000), Answer: p.Num("answer_ms", 2.4, 0, 1000), Release: p.Num("release_ms", 1.9, 0, 1000),
-		Repeat: p.Num("repeat_ms", 1, 0, 1000), Reject: p.Num("reject_ms", 0.8, 0, 1000), Probe: p.Num("probe_ms", 0.3, 0, 1000),
-		Lines: p.Int("lines", 2000, 1, 1<<20), WaitLimit: p.Ms("wait_limit", 2500, 1, day), NamesWait: p.Flag("names_wait", true),
-		WorksOn: p.Flag("works_on", false), ErrorRate: p.Num("error_rate", 0.0005, 0, 1), ColdShare: s.Rules.ColdShare,
-		Warm: p.Ms("warm", 12000, 0, day), TipTimes: s.Rules.TipTimes, TipWindow: s.Rules.TipWindow,
-		Refresh: p.Ms("refresh", 400, 1, day), Delay: p.Ms("report_delay", 120, 0, day), Noise: p.Num("noise", 0.08, 0, 1),
-		Times: siptransaction.Timers{T1: retry, T2: 8 * retry, T4: 5000}}}
+		Setup: p.Num(
+			"setup_ms",
+			6.4,
+			0.001,
+			1000,
+		),
+		Answer:  p.Num("answer_ms", 2.4, 0, 1000),
+		Release: p.Num("release_ms", 1.9, 0, 1000),
+		Repeat: p.Num(
+			"repeat_ms",
+			1,
+			0,
+			1000,
+		),
+		Reject: p.Num("reject_ms", 0.8, 0, 1000),
+		Probe:  p.Num("probe_ms", 0.3, 0, 1000),
+		Lines: p.Int(
+			"lines",
+			2000,
+			1,
+			1<<20,
+		),
+		WaitLimit: p.Ms("wait_limit", 2500, 1, day),
+		NamesWait: p.Flag("names_wait", true),
+		WorksOn:   p.Flag("works_on", false),
+		ErrorRate: p.Num("error_rate", 0.0005, 0, 1),
+		ColdShare: s.Rules.ColdShare,
+		Warm:      p.Ms("warm", 12000, 0, day),
+		TipTimes:  s.Rules.TipTimes,
+		TipWindow: s.Rules.TipWindow,
+		Refresh:   p.Ms("refresh", 400, 1, day),
+		Delay:     p.Ms("report_delay", 120, 0, day),
+		Noise:     p.Num("noise", 0.08, 0, 1),
+		Times:     siptransaction.Timers{T1: retry, T2: 8 * retry, T4: 5000},
+	}}
 	s.Pools.Model.Reports = p.Texts("reports")
 	if len(s.Pools.Model.Reports) == 0 {
 		s.Pools.Model.Reports = []string{"util", "queue"}
@@ -214,22 +255,56 @@
 	s.Load = Load{Rate: l.Num("rate", 300, 0, 1e6), Drift: l.Ms("drift", 15000, 100, day), Skew: l.Num("skew", 0.3, 0, 1),
 		Numbers: l.Int("numbers", 20000, 1, 1<<30)}
 	c := b.One("callers")
-	s.Callers = Callers{Redials: c.Int("redials", 2, 0, 100), Pause: c.Ms("pause", 900, 0, day), Grows: c.Flag("grows", true),
-		Honour: c.Num("honour", 0.6, 0, 1), MaxWait: c.Ms("max_wait", 2000, 0, day), Silence: c.Ms("silence", 1000, 0, day)}
+	s.Callers = Callers{
+		Redials: c.Int("redials", 2, 0, 100),
+		Pause:   c.Ms("pause", 900, 0, day),
+		Grows:   c.Flag("grows", true),
+		Honour:  c.Num("honour", 0.6, 0, 1),
+		MaxWait: c.Ms("max_wait", 2000, 0, day),
+		Silence: c.Ms("silence", 1000, 0, day),
+	}
 	d := b.One("list")
 	s.List = List{NoticeLo: d.Ms("notice_least", 700, 0, day), NoticeHi: d.Ms("notice_most", 5000, 0, day),
 		SilentLo: d.Ms("silent_least", 5200, 0, day), SilentHi: d.Ms("silent_most", 13000, 0, day),
 		AddLo: d.Ms("add_least", 900, 0, day), AddHi: d.Ms("add_most", 2400, 0, day), Spread: d.Ms("spread", 300, 0, day)}
 	for _, n := range b.Blocks("numbers", 0) {
-		s.Numbers = Numbers{On: true, Change: n.Ms("change", 0, 0, day), Ported: n.Num("ported", 0.3, 0, 1), None: n.Num("none", 0.05, 0, 1),
-			Leads: n.Num("leads", 0.1, 0, 1), TTL: n.Ms("ttl", 60000, 0, day), Delay: n.Ms("delay", 3, 0, day), Jitter: n.Ms("jitter", 4, 0, day),
-			Servers: n.Int("servers", 2, 1, 50), Within: n.Ms("within", 400, 1, 60000), Share: n.Num("lookup_share", 0.3, 0, 1),
-			Cache: n.Flag("cache", true), Alone: n.Flag("alone", false), Stale: n.Ms("stale", 600e3, 0, day), Fail: n.Ms("fail", 1000, 0, day),
-			Popular: n.Num("popular", 1, 1, 100), Refuse: n.Text("silent", "route", "route", "refuse") == "refuse"}
+		s.Numbers = Numbers{
+			On:     true,
+			Change: n.Ms("change", 0, 0, day),
+			Ported: n.Num("ported", 0.3, 0, 1),
+			None:   n.Num("none", 0.05, 0, 1),
+			Leads: n.Num(
+				"leads",
+				0.1,
+				0,
+				1,
+			),
+			TTL:     n.Ms("ttl", 60000, 0, day),
+			Delay:   n.Ms("delay", 3, 0, day),
+			Jitter:  n.Ms("jitter", 4, 0, day),
+			Servers: n.Int("servers", 2, 1, 50),
+			Within:  n.Ms("within", 400, 1, 60000),
+			Share:   n.Num("lookup_share", 0.3, 0, 1),
+			Cache: n.Flag(
+				"cache",
+				true,
+			),
+			Alone:   n.Flag("alone", false),
+			Stale:   n.Ms("stale", 600e3, 0, day),
+			Fail:    n.Ms("fail", 1000, 0, day),
+			Popular: n.Num("popular", 1, 1, 100),
+			Refuse:  n.Text("silent", "route", "route", "refuse") == "refuse",
+		}
 	}
 	for _, n := range b.Blocks("kiosks", 0) {
-		s.Kiosks = Kiosks{Rate: n.Num("rate", 100, 0, 1e6), Hold: n.Ms("hold", 5000, 1, day), Loss: n.Num("loss", 0, 0, 1), Wait: n.Ms("wait", 1000, 1, day),
-			Repeats: n.Int("repeats", 1, 0, 10), Asks: n.Int("asks", 2, 0, 10)}
+		s.Kiosks = Kiosks{
+			Rate:    n.Num("rate", 100, 0, 1e6),
+			Hold:    n.Ms("hold", 5000, 1, day),
+			Loss:    n.Num("loss", 0, 0, 1),
+			Wait:    n.Ms("wait", 1000, 1, day),
+			Repeats: n.Int("repeats", 1, 0, 10),
+			Asks:    n.Int("asks", 2, 0, 10),
+		}
 	}
 	for _, t := range b.Blocks("trouble", 1) {
 		x := Trouble{Kind: t.Labels[0], At: t.Ms("at", hclconfig.Required, 0, day), For: t.Ms("for", 10000, 0, day),
--- a/internal/emulator/scenariofile/script_test.go
+++ b/internal/emulator/scenariofile/script_test.go
@@ -25,7 +25,8 @@
 	}
 	m := s.Pools.Model
 	if s.Gateways.Count != 3 || s.Net.Cross != 12 || s.Pools.Count != 2 || s.Load.Rate != 54 || s.Rules.Clear != 500 || m.Times.T1 != 400 || len(s.Troubles) != 2 ||
-		s.Troubles[1].Region != "b" || s.Troubles[0].Part != 0.5 || strings.Join(m.Reports, " ") != "util queue" {
+		s.Troubles[1].Region != "b" || s.Troubles[0].Part != 0.5 ||
+		strings.Join(m.Reports, " ") != "util queue" {
 		t.Errorf("%+v", s)
 	}
 	if w := m.Setup + m.Answer + m.Release; w < 33.3 || w > 33.4 { // 30 calls a second at a mean switch
--- a/internal/emulator/search/hunt.go
+++ b/internal/emulator/search/hunt.go
@@ -1,5 +1,5 @@
-// Package search looks for days on which a rule breaks or callers are served worst: it draws small days by chance, goes on
-// from the worst ones by small changes, and cuts what it finds down to the least that still shows it.
+// Package search looks for days on which a rule breaks or callers are served worst: it draws small days by chance, goes
+// on from the worst ones by small changes, and cuts what it finds down to the least that still shows it.
 package search
 
 //tally:standin
@@ -50,8 +50,27 @@
 var kinds = []struct {
 	name   string
 	lo, hi float64
-}{{"burst", 1.2, 3}, {"uneven", 0.2, 0.7}, {"slow", 1.5, 6}, {"slow_all", 1.2, 3}, {"other", 0.2, 0.8}, {"lines", 0.2, 0.8}, {"silent", 1, 1},
-	{"ageing", 2, 10}, {"deploy", 1, 1}, {"region", 1, 1}, {"stall", 0.3, 2.5}, {"restart", 1, 1}, {"mute", 1, 1}, {"loss", 0.01, 0.2}, {"listless", 1, 1}}
+}{
+	{"burst", 1.2, 3},
+	{"uneven", 0.2, 0.7},
+	{"slow", 1.5, 6},
+	{"slow_all", 1.2, 3},
+	{"other", 0.2, 0.8},
+	{"lines", 0.2, 0.8},
+	{"silent", 1, 1},
+	{
+		"ageing",
+		2,
+		10,
+	},
+	{"deploy", 1, 1},
+	{"region", 1, 1},
+	{"stall", 0.3, 2.5},
+	{"restart", 1, 1},
+	{"mute", 1, 1},
+	{"loss", 0.01, 0.2},
+	{"listless", 1, 1},
+}
 
 // Draw makes a small day by chance.
 func Draw(seed uint64, large bool) *scenariofile.Script {
@@ -94,30 +113,68 @@
 }{{"names_silent", 1, 1}, {"names_slow", 0.05, 2}, {"names_lossy", 0.1, 0.9}, {"names_spoofed", 1, 40}, {"names_cut", 0.1, 1}, {"names_lame", 1, 1},
 	{"names_wrong", 0.1, 1}}
 
-// numbers lets a day's gateways analyse numbers, with tables that change and DNS servers that fail, and maybe kiosks that ask
-// in place of a part of the callers.
+// numbers lets a day's gateways analyse numbers, with tables that change and DNS servers that fail, and maybe kiosks
+// that ask in place of a part of the callers.
 func numbers(n *siptransaction.Generator, s *scenariofile.Script) {
 	in := func(lo, hi float64) float64 { return lo + (hi-lo)*n.Float64() }
 	some := func(of ...float64) float64 { return of[int(n.Float64()*float64(len(of)))] }
-	s.Numbers = scenariofile.Numbers{On: true, Change: some(0, 300, 1000, 3000), Ported: in(0, 0.6), None: in(0, 0.3), Leads: in(0, 0.6), TTL: some(0, 1000, 60000),
-		Delay: in(0, 40), Jitter: in(0, 60), Servers: 1 + int(n.Float64()*3), Within: in(50, 2500), Share: in(0.05, 0.9), Popular: some(1, 3, 8), Cache: n.Float64() < 0.8,
-		Refuse: n.Float64() < 0.5, Stale: some(0, 600e3), Fail: some(0, 1000)}
+	s.Numbers = scenariofile.Numbers{
+		On:     true,
+		Change: some(0, 300, 1000, 3000),
+		Ported: in(0, 0.6),
+		None:   in(0, 0.3),
+		Leads:  in(0, 0.6),
+		TTL:    some(0, 1000, 60000),
+		Delay: in(
+			0,
+			40,
+		),
+		Jitter:  in(0, 60),
+		Servers: 1 + int(n.Float64()*3),
+		Within:  in(50, 2500),
+		Share:   in(0.05, 0.9),
+		Popular: some(1, 3, 8),
+		Cache:   n.Float64() < 0.8,
+		Refuse:  n.Float64() < 0.5,
+		Stale:   some(0, 600e3),
+		Fail:    some(0, 1000),
+	}
 	for range int(n.Float64() * 3) {
 		k := namesKinds[int(n.Float64()*float64(len(namesKinds)))]
-		s.Troubles = append(s.Troubles, scenariofile.Trouble{Kind: k.name, At: 500 + n.Float64()*s.Length*0.6, For: 300 + n.Float64()*s.Length*0.5, Part: 0.1 + 0.9*n.Float64(),
-			Size: in(k.lo, k.hi)})
+		s.Troubles = append(
+			s.Troubles,
+			scenariofile.Trouble{
+				Kind: k.name,
+				At:   500 + n.Float64()*s.Length*0.6,
+				For:  300 + n.Float64()*s.Length*0.5,
+				Part: 0.1 + 0.9*n.Float64(),
+				Size: in(k.lo, k.hi),
+			},
+		)
 	}
 	if n.Float64() < 0.6 {
 		part := in(0.1, 0.9)
-		s.Kiosks = scenariofile.Kiosks{Rate: s.Load.Rate * part, Hold: in(1000, 6000), Loss: some(0, 0.02, 0.2), Wait: in(200, 1500), Repeats: int(n.Float64() * 4),
-			Asks: int(n.Float64() * 4)}
+		s.Kiosks = scenariofile.Kiosks{
+			Rate:    s.Load.Rate * part,
+			Hold:    in(1000, 6000),
+			Loss:    some(0, 0.02, 0.2),
+			Wait:    in(200, 1500),
+			Repeats: int(n.Float64() * 4),
+			Asks:    int(n.Float64() * 4),
+		}
 		s.Load.Rate *= 1 - part
 	}
 }
 
 func trouble(n *siptransaction.Generator, s *scenariofile.Script) scenariofile.Trouble {
 	k := kinds[int(n.Float64()*float64(len(kinds)))]
-	t := scenariofile.Trouble{Kind: k.name, At: 500 + n.Float64()*s.Length*0.6, For: 300 + n.Float64()*s.Length*0.5, Part: 0.1 + 0.8*n.Float64(), Size: k.lo + (k.hi-k.lo)*n.Float64()}
+	t := scenariofile.Trouble{
+		Kind: k.name,
+		At:   500 + n.Float64()*s.Length*0.6,
+		For:  300 + n.Float64()*s.Length*0.5,
+		Part: 0.1 + 0.8*n.Float64(),
+		Size: k.lo + (k.hi-k.lo)*n.Float64(),
+	}
 	if k.name == "region" || k.name == "lines" {
 		t.Region = s.Regions[int(n.Float64()*float64(len(s.Regions)))]
 	}
@@ -238,8 +295,8 @@
 	return of[:min(most, len(of))]
 }
 
-// Shrink cuts a day down while it still shows what was found: fewer troubles, gateways and switches, shorter, less load,
-// plainer settings. same tells whether a day still shows it. It plays at most so many days.
+// Shrink cuts a day down while it still shows what was found: fewer troubles, gateways and switches, shorter, less
+// load, plainer settings. same tells whether a day still shows it. It plays at most so many days.
 func Shrink(s *scenariofile.Script, same func(*scenariofile.Script) bool, most int) *scenariofile.Script {
 	plain := Plain()
 	for again := true; again && most > 0; {
--- a/internal/emulator/search/hunt_test.go
+++ b/internal/emulator/search/hunt_test.go
@@ -74,7 +74,15 @@
 		t.Fatalf("%d days, %d finds, %d told", r.Days, len(r.Broken), told)
 	}
 	small := Shrink(r.Broken[0].Script, func(s *scenariofile.Script) bool { return Judge(s, faulty(s)).Rule == 2 }, 1000)
-	if len(small.Troubles) != 1 || small.Troubles[0].Kind != "stall" || small.Gateways.Count != 2 || small.Pools.Count != 1 || small.Length > 5000 {
-		t.Errorf("cut down to %d gateways, %d switches, %v ms, %v", small.Gateways.Count, small.Pools.Count, small.Length, small.Troubles)
+	if len(small.Troubles) != 1 || small.Troubles[0].Kind != "stall" || small.Gateways.Count != 2 ||
+		small.Pools.Count != 1 ||
+		small.Length > 5000 {
+		t.Errorf(
+			"cut down to %d gateways, %d switches, %v ms, %v",
+			small.Gateways.Count,
+			small.Pools.Count,
+			small.Length,
+			small.Troubles,
+		)
 	}
 }
--- a/internal/emulator/simulation/world.go
+++ b/internal/emulator/simulation/world.go
@@ -1,6 +1,6 @@
-// Package simulation brings machines without I/O together: a scheduler, a lossy and delaying wire between them, and a tap at
-// the gateways' sockets. It runs in virtual time, where a day takes as long as its work and the same seed gives the
-// same run, or by the wall clock with some of the nodes behind real sockets.
+// Package simulation brings machines without I/O together: a scheduler, a lossy and delaying wire between them, and a
+// tap at the gateways' sockets. It runs in virtual time, where a day takes as long as its work and the same seed gives
+// the same run, or by the wall clock with some of the nodes behind real sockets.
 package simulation
 
 //tally:standin
--- a/internal/emulator/stats/stats.go
+++ b/internal/emulator/stats/stats.go
@@ -43,7 +43,18 @@
 	if n < 2 {
 		return p
 	}
-	half := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(n - 1)}.Quantile(0.5+confidence/2) * stat.StdDev(d, nil) / math.Sqrt(float64(n))
+	half := distuv.StudentsT{
+		Mu:    0,
+		Sigma: 1,
+		Nu:    float64(n - 1),
+	}.Quantile(
+		0.5+confidence/2,
+	) * stat.StdDev(
+		d,
+		nil,
+	) / math.Sqrt(
+		float64(n),
+	)
 	p.Low, p.High = p.Mean-half, p.Mean+half
 	return p
 }
@@ -62,6 +73,17 @@
 }
 
 func (p Paired) String() string {
-	return fmt.Sprintf("A %.4f  B %.4f  B-A %+.4f [%+.4f, %+.4f] at %.0f %%, %d pairs (%d up, %d down): %s", p.A, p.B, p.Mean, p.Low, p.High,
-		100*p.Confidence, p.N, p.Better, p.Worse, p.Verdict())
+	return fmt.Sprintf(
+		"A %.4f  B %.4f  B-A %+.4f [%+.4f, %+.4f] at %.0f %%, %d pairs (%d up, %d down): %s",
+		p.A,
+		p.B,
+		p.Mean,
+		p.Low,
+		p.High,
+		100*p.Confidence,
+		p.N,
+		p.Better,
+		p.Worse,
+		p.Verdict(),
+	)
 }
--- a/internal/emulator/virtualrun/fleet.go
+++ b/internal/emulator/virtualrun/fleet.go
@@ -1,5 +1,5 @@
-// Package virtualrun plays days in virtual time and measures them: the same edges and switches as on sockets, any number of
-// gateways, the same seed the same day. Days that do not touch run side by side, one a core.
+// Package virtualrun plays days in virtual time and measures them: the same edges and switches as on sockets, any
+// number of gateways, the same seed the same day. Days that do not touch run side by side, one a core.
 package virtualrun
 
 //tally:standin
@@ -156,8 +156,10 @@
 
 func newTap(s *scenariofile.Script) *seriesTap {
 	n := int(math.Ceil(s.Length / 1000))
-	return &seriesTap{s: &Series{Seconds: n, Rings: map[string][]float64{}, Ends: map[string][]float64{}, Troubles: s.Troubles},
-		names: map[string]*api.Node{}}
+	return &seriesTap{
+		s:     &Series{Seconds: n, Rings: map[string][]float64{}, Ends: map[string][]float64{}, Troubles: s.Troubles},
+		names: map[string]*api.Node{},
+	}
 }
 
 func (t *seriesTap) count(m map[string][]float64, key string, at float64) {
@@ -172,7 +174,14 @@
 }
 
 // ends names what a switch's answer makes of an attempt.
-var ends = map[string]string{"200": "stood", "486": "no line", "487": "called off", "500": "failed", "503": "processor full", "600": "engaged"}
+var ends = map[string]string{
+	"200": "stood",
+	"486": "no line",
+	"487": "called off",
+	"500": "failed",
+	"503": "processor full",
+	"600": "engaged",
+}
 
 func (t *seriesTap) add(r *api.Record) {
 	switch v := r.What.(type) {
--- a/internal/emulator/workload/plan.go
+++ b/internal/emulator/workload/plan.go
@@ -1,5 +1,5 @@
-// Package workload draws calls ahead from a seed: when each is meant to come, where and what for. What is planned does not
-// depend on any answer.
+// Package workload draws calls ahead from a seed: when each is meant to come, where and what for. What is planned does
+// not depend on any answer.
 package workload
 
 //tally:standin
@@ -49,12 +49,25 @@
 // Read takes a plan from settings.
 func Read(b *hclconfig.Block) (*Plan, error) {
 	const day = 24 * 3600 * 1000.0
-	p := &Plan{Seed: uint64(b.Int("seed", 1, 0, 1<<31)), Rate: b.Num("rate", 100, 0.001, 1e6), Length: b.Ms("length", 30000, 1, day),
-		Shape: b.Text("shape", "steady", Shapes...), Swing: b.Num("swing", 0.8, 0, 20), Every: b.Ms("every", 5000, 1, day),
-		Gateways: b.Int("gateways", 1, 1, 100000), Uneven: b.Num("uneven", 0, 0, 1), Drift: b.Ms("drift", 15000, 1, day),
-		Groups: b.Texts("groups"), Skew: b.Num("skew", 0, 0, 1), Numbers: b.Int("numbers", 100000, 1, 1<<30)}
+	p := &Plan{
+		Seed:     uint64(b.Int("seed", 1, 0, 1<<31)),
+		Rate:     b.Num("rate", 100, 0.001, 1e6),
+		Length:   b.Ms("length", 30000, 1, day),
+		Shape:    b.Text("shape", "steady", Shapes...),
+		Swing:    b.Num("swing", 0.8, 0, 20),
+		Every:    b.Ms("every", 5000, 1, day),
+		Gateways: b.Int("gateways", 1, 1, 100000),
+		Uneven:   b.Num("uneven", 0, 0, 1),
+		Drift:    b.Ms("drift", 15000, 1, day),
+		Groups:   b.Texts("groups"),
+		Skew:     b.Num("skew", 0, 0, 1),
+		Numbers:  b.Int("numbers", 100000, 1, 1<<30),
+	}
 	for _, k := range b.Blocks("skill", 1) {
-		p.Skills = append(p.Skills, Skill{k.Labels[0], k.Num("share", 1, 0, 1), k.Ms("hold", 3000, 0, day), k.Ms("patience", 9000, 1000, day)})
+		p.Skills = append(
+			p.Skills,
+			Skill{k.Labels[0], k.Num("share", 1, 0, 1), k.Ms("hold", 3000, 0, day), k.Ms("patience", 9000, 1000, day)},
+		)
 	}
 	if len(p.Skills) == 0 {
 		p.Skills = []Skill{{"shift-lookup", 1, 3000, 9000}}
@@ -124,11 +137,19 @@
 			segment, homes = k, part(len(p.Groups), p.Skew)
 		}
 		skill := p.Skills[Pick(n.Float64(), len(p.Skills), func(i int) float64 { return p.Skills[i].Share })]
-		of = append(of, &api.Call{AtMs: at, Gateway: uint32(Pick(n.Float64(), len(gates), func(i int) float64 { return gates[i] })),
-			Number: fmt.Sprintf("+1418%07d", int(n.Float64()*float64(p.Numbers))), Skill: skill.Name,
-			Customer: p.Customers[Pick(n.Float64(), len(p.Customers), func(i int) float64 { return p.Customers[i].Share })].Name,
-			Group:    p.Groups[Pick(n.Float64(), len(homes), func(i int) float64 { return homes[i] })],
-			HoldMs:   -math.Log(1-n.Float64()) * skill.Hold, PatienceMs: skill.Patience})
+		of = append(
+			of,
+			&api.Call{
+				AtMs:       at,
+				Gateway:    uint32(Pick(n.Float64(), len(gates), func(i int) float64 { return gates[i] })),
+				Number:     fmt.Sprintf("+1418%07d", int(n.Float64()*float64(p.Numbers))),
+				Skill:      skill.Name,
+				Customer:   p.Customers[Pick(n.Float64(), len(p.Customers), func(i int) float64 { return p.Customers[i].Share })].Name,
+				Group:      p.Groups[Pick(n.Float64(), len(homes), func(i int) float64 { return homes[i] })],
+				HoldMs:     -math.Log(1-n.Float64()) * skill.Hold,
+				PatienceMs: skill.Patience,
+			},
+		)
 	}
 }
 
--- a/internal/gateway/binaryconfig/config.go
+++ b/internal/gateway/binaryconfig/config.go
@@ -1,5 +1,5 @@
-// Package binaryconfig reads what the platform hands a gateway at its start: one JSON object, checked as a whole. A fault is
-// told with the field's name.
+// Package binaryconfig reads what the platform hands a gateway at its start: one JSON object, checked as a whole. A
+// fault is told with the field's name.
 package binaryconfig
 
 import (
@@ -120,7 +120,8 @@
 	if c.Connections, err = deployment.DecodeConnections(w.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if c.Settings.GossipEnabled && c.PeerListen.IsValid() && (len(c.Peers) != c.Settings.Gateways || c.Settings.GatewayIndex < 0 || c.Settings.GatewayIndex >= len(c.Peers)) {
+	if c.Settings.GossipEnabled && c.PeerListen.IsValid() &&
+		(len(c.Peers) != c.Settings.Gateways || c.Settings.GatewayIndex < 0 || c.Settings.GatewayIndex >= len(c.Peers)) {
 		return nil, fmt.Errorf("peers: want the addresses of all %d gateways, got %d", c.Settings.Gateways, len(c.Peers))
 	}
 	for i, raw := range w.Known.Items {
--- a/internal/gateway/binaryconfig/config_test.go
+++ b/internal/gateway/binaryconfig/config_test.go
@@ -23,18 +23,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Name != "n3" || c.Listen.String() != "127.0.0.4:5070" || c.Limits != (Limits{0.5, 32, 256}) || len(c.Peers) != 2 || c.Nameserver.Port() != 5353 {
+	if c.Name != "n3" || c.Listen.String() != "127.0.0.4:5070" || c.Limits != (Limits{0.5, 32, 256}) ||
+		len(c.Peers) != 2 ||
+		c.Nameserver.Port() != 5353 {
 		t.Errorf("%+v", c)
 	}
 	s := c.Settings
-	if s.Seed != 0x8c1f30d27a5be964 || s.GatewayIndex != 1 || s.RetryHoldOff != 250 || s.Classes[0].Name != "voice" || s.Classes[0].MeanHoldingTime != 100 || !s.GossipEnabled {
+	if s.Seed != 0x8c1f30d27a5be964 || s.GatewayIndex != 1 || s.RetryHoldOff != 250 || s.Classes[0].Name != "voice" ||
+		s.Classes[0].MeanHoldingTime != 100 ||
+		!s.GossipEnabled {
 		t.Errorf("settings %+v", s)
 	}
 	if c.Connections.ConnectTimeout != 400 || len(c.Fields) != 2 {
 		t.Errorf("links %+v, fields %v", c.Connections, c.Fields)
 	}
 	k := c.Known
-	if len(k) != 2 || !k[0].Complete || k[1].Serial != 41 || k[1].Targets[0].State != routing.Draining || k[1].Targets[0].StartedAt != 1700000000000 || k[0].Targets[0].DestinationID != 2 {
+	if len(k) != 2 || !k[0].Complete || k[1].Serial != 41 || k[1].Targets[0].State != routing.Draining ||
+		k[1].Targets[0].StartedAt != 1700000000000 ||
+		k[0].Targets[0].DestinationID != 2 {
 		t.Errorf("known %+v", k)
 	}
 }
@@ -90,7 +96,10 @@
 		{`[]`, "settings"},
 	} {
 		text := `{"name":"n","listen":"127.0.0.1:1","seed":"1","limits":{"memory_mb":32,"sockets":64},"nameserver":"127.0.0.1:2","settings":` + c[0] + `}`
-		if _, err := Parse([]byte(text)); err == nil || !strings.Contains(err.Error(), c[1]) || strings.Contains(err.Error(), "\n") {
+		if _, err := Parse(
+			[]byte(text),
+		); err == nil || !strings.Contains(err.Error(), c[1]) ||
+			strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v, want %s", c[0], err, c[1])
 		}
 	}
--- a/internal/gateway/binaryserver/customers_test.go
+++ b/internal/gateway/binaryserver/customers_test.go
@@ -30,8 +30,15 @@
 		b, _ := json.Marshal(name)
 		lanes = append(lanes, fmt.Sprintf(`{"name":%s,%s}`, b, c.lane))
 	}
-	doc["settings"] = json.RawMessage(fmt.Sprintf(`{"allowed":{%s},"balancers":1,"me":0,"familyInfo":{"clearWait":50},"lanes":[%s],"rules":{%s},"stats":{%s}}`,
-		c.allowed, strings.Join(lanes, ","), c.rules, c.stats))
+	doc["settings"] = json.RawMessage(
+		fmt.Sprintf(
+			`{"allowed":{%s},"balancers":1,"me":0,"familyInfo":{"clearWait":50},"lanes":[%s],"rules":{%s},"stats":{%s}}`,
+			c.allowed,
+			strings.Join(lanes, ","),
+			c.rules,
+			c.stats,
+		),
+	)
 	doc["limits"] = map[string]any{"cores": 0.1, "memory_mb": 32, "sockets": c.sockets}
 }
 
@@ -56,21 +63,51 @@
 	} {
 		t.Run(c.what, func(t *testing.T) {
 			a, b := newCore(t, "s-0"), newCore(t, "s-1")
-			s := startStation(t, newNames(t, 1, a, b), func(set *routing.Settings, h routing.Host) routing.Policy { return router.New(set, h) }, c.change, a, b)
+			s := startStation(
+				t,
+				newNames(t, 1, a, b),
+				func(set *routing.Settings, h routing.Host) routing.Policy { return router.New(set, h) },
+				c.change,
+				a,
+				b,
+			)
 			p := s.dial()
 			p.ready()
 			for i, class := range c.classes {
 				id := uint64(2000 + i)
-				p.c.Write(binarymessage.Append(nil, binarymessage.Setup, id, binarymessage.TextParam(binarymessage.Class, class), binarymessage.TextParam(binarymessage.Timeout, c.wait),
-					binarymessage.TextParam(binarymessage.Number, fmt.Sprint(i)), binarymessage.TextParam(binarymessage.Figures, "dest:1;width:1;via:-1"), binarymessage.TextParam(binarymessage.Description, "offer")))
+				p.c.Write(
+					binarymessage.Append(
+						nil,
+						binarymessage.Setup,
+						id,
+						binarymessage.TextParam(binarymessage.Class, class),
+						binarymessage.TextParam(binarymessage.Timeout, c.wait),
+						binarymessage.TextParam(
+							binarymessage.Number,
+							fmt.Sprint(i),
+						),
+						binarymessage.TextParam(binarymessage.Figures, "dest:1;width:1;via:-1"),
+						binarymessage.TextParam(binarymessage.Description, "offer"),
+					),
+				)
 				released := func() bool { _, _, n := finals(p.got[id]); return n > 0 }
 				if !p.hear(2*time.Second, released) {
 					t.Errorf("class %q: %x", class, p.got[id])
 				}
 			}
-			p.c.Write(binarymessage.Append(nil, binarymessage.Setup, 9000, binarymessage.TextParam(binarymessage.Class, "voice"), binarymessage.TextParam(binarymessage.Timeout, c.wait),
-				binarymessage.TextParam(binarymessage.Number, "1"), binarymessage.TextParam(binarymessage.Description, "offer")))
-			if !p.hear(time.Second, func() bool { return len(p.got[9000]) > 0 }) || p.got[9000][0].Type() != binarymessage.Release {
+			p.c.Write(
+				binarymessage.Append(
+					nil,
+					binarymessage.Setup,
+					9000,
+					binarymessage.TextParam(binarymessage.Class, "voice"),
+					binarymessage.TextParam(binarymessage.Timeout, c.wait),
+					binarymessage.TextParam(binarymessage.Number, "1"),
+					binarymessage.TextParam(binarymessage.Description, "offer"),
+				),
+			)
+			if !p.hear(time.Second, func() bool { return len(p.got[9000]) > 0 }) ||
+				p.got[9000][0].Type() != binarymessage.Release {
 				t.Errorf("a class that this customer does not have: %x", p.got[9000])
 			}
 		})
