--- a/internal/gateway/binaryserver/leave_test.go
+++ b/internal/gateway/binaryserver/leave_test.go
@@ -67,12 +67,14 @@
 		late.c.Write(two[:len(two)-1])
 		s.signals <- Shutdown
 		soon.c.Write(one[11:])
-		if !soon.hear(time.Second, func() bool { return len(soon.got[600]) > 0 }) || soon.got[600][0].Type() != binarymessage.Answer {
+		if !soon.hear(time.Second, func() bool { return len(soon.got[600]) > 0 }) ||
+			soon.got[600][0].Type() != binarymessage.Answer {
 			t.Errorf("half read, and whole soon after: %x", soon.got[600])
 		}
 		time.Sleep(800 * time.Millisecond)
 		late.c.Write(two[len(two)-1:])
-		if !late.hear(time.Second, func() bool { return len(late.got[602]) > 0 }) || late.got[602][0].Cause() != binarymessage.Congested {
+		if !late.hear(time.Second, func() bool { return len(late.got[602]) > 0 }) ||
+			late.got[602][0].Cause() != binarymessage.Congested {
 			t.Errorf("whole when nothing is taken any more: %x", late.got[602])
 		}
 		var end sync.WaitGroup
@@ -89,7 +91,8 @@
 	})
 }
 
-// Told to go twice, and to read its configuration meanwhile, a gateway goes once; told within its start it goes as well.
+// Told to go twice, and to read its configuration meanwhile, a gateway goes once; told within its start it goes as
+// well.
 func TestLeaveTwice(t *testing.T) {
 	clean(t, func(t *testing.T) {
 		a, b := newCore(t, "s-0"), newCore(t, "s-1")
@@ -103,7 +106,8 @@
 		s.signals <- Reload
 		time.Sleep(350 * time.Millisecond)
 		p.c.Write(ask(700)) // its destination is s-0, which the new name server does not name
-		if !p.hear(time.Second, func() bool { return len(p.got[700]) > 0 }) || p.got[700][0].Text(binarymessage.Description) != "answer of s-1" {
+		if !p.hear(time.Second, func() bool { return len(p.got[700]) > 0 }) ||
+			p.got[700][0].Text(binarymessage.Description) != "answer of s-1" {
 			t.Errorf("%q", p.got[700])
 		}
 		for range 15 { // it does not stay the longer
@@ -147,8 +151,16 @@
 				}
 			}
 		}()
-		p.c.Write(binarymessage.Append(nil, binarymessage.Setup, 800, binarymessage.TextParam(binarymessage.Class, "voice"), binarymessage.TextParam(binarymessage.Number, "1"),
-			binarymessage.TextParam(binarymessage.Timeout, "9000"))) // it waits longer than the gateway may stay
+		p.c.Write(
+			binarymessage.Append(
+				nil,
+				binarymessage.Setup,
+				800,
+				binarymessage.TextParam(binarymessage.Class, "voice"),
+				binarymessage.TextParam(binarymessage.Number, "1"),
+				binarymessage.TextParam(binarymessage.Timeout, "9000"),
+			),
+		) // it waits longer than the gateway may stay
 		s.signals <- Shutdown
 		err := p.rest(6 * time.Second)
 		close(stop)
@@ -188,8 +200,8 @@
 	})
 }
 
-// Callers that asked once and keep their connections hold all places while the name server says nothing: who comes now is
-// let in and served, and a gateway that has just started passes its test.
+// Callers that asked once and keep their connections hold all places while the name server says nothing: who comes now
+// is let in and served, and a gateway that has just started passes its test.
 func TestIdleCrowdWithoutList(t *testing.T) {
 	clean(t, func(t *testing.T) {
 		a := newCore(t, "s-0")
@@ -214,7 +226,8 @@
 		p := s.dial()
 		p.ready()
 		p.c.Write(ask(900))
-		if !p.hear(2*time.Second, func() bool { return len(p.got[900]) > 0 }) || p.got[900][0].Type() != binarymessage.Answer {
+		if !p.hear(2*time.Second, func() bool { return len(p.got[900]) > 0 }) ||
+			p.got[900][0].Type() != binarymessage.Answer {
 			t.Errorf("a usual caller got %x, connection open %v", p.got[900], p.open)
 		}
 	})
--- a/internal/gateway/binaryserver/serve_test.go
+++ b/internal/gateway/binaryserver/serve_test.go
@@ -46,7 +46,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &core{t: t, id: id, l: l, cons: map[net.Conn]func(byte, uint64, ...binarymessage.Param){}, open: map[uint64]bool{}, hold: 50 * time.Millisecond}
+	c := &core{
+		t:    t,
+		id:   id,
+		l:    l,
+		cons: map[net.Conn]func(byte, uint64, ...binarymessage.Param){},
+		open: map[uint64]bool{},
+		hold: 50 * time.Millisecond,
+	}
 	c.all.Add(1)
 	go func() {
 		defer c.all.Done()
@@ -133,11 +140,19 @@
 				mu.Unlock()
 			case "half":
 				mu.Lock()
-				n.Write(binarymessage.Append(nil, binarymessage.Answer, id, binarymessage.TextParam(binarymessage.Description, "answer"))[:9])
+				n.Write(
+					binarymessage.Append(nil, binarymessage.Answer, id, binarymessage.TextParam(binarymessage.Description, "answer"))[:9],
+				)
 				mu.Unlock()
 				n.Close()
 			case "full":
-				say(binarymessage.Release, id, binarymessage.CauseParam(binarymessage.NoCircuit), binarymessage.TextParam(binarymessage.Note, "cpu_full"), load)
+				say(
+					binarymessage.Release,
+					id,
+					binarymessage.CauseParam(binarymessage.NoCircuit),
+					binarymessage.TextParam(binarymessage.Note, "cpu_full"),
+					load,
+				)
 			case "never":
 			default:
 				say(binarymessage.Answer, id, binarymessage.TextParam(binarymessage.Description, "answer of "+c.id), load)
@@ -220,11 +235,32 @@
 		q := m.Question[0].Name
 		for s, priority := range n.list {
 			h := s.id + ".east.hosts."
-			m.Answer = append(m.Answer, &dns.SRV{Hdr: dns.RR_Header{Name: q, Rrtype: dns.TypeSRV, Class: 1}, Priority: priority, Port: s.addr().Port(), Target: h})
-			m.Extra = append(m.Extra, &dns.A{Hdr: dns.RR_Header{Name: h, Rrtype: dns.TypeA, Class: 1}, A: net.IPv4(127, 0, 0, 1)},
-				&dns.TXT{Hdr: dns.RR_Header{Name: h, Rrtype: dns.TypeTXT, Class: 1}, Txt: []string{"kind=std", "cell=" + s.id[len(s.id)-1:], "started=0"}})
+			m.Answer = append(
+				m.Answer,
+				&dns.SRV{
+					Hdr:      dns.RR_Header{Name: q, Rrtype: dns.TypeSRV, Class: 1},
+					Priority: priority,
+					Port:     s.addr().Port(),
+					Target:   h,
+				},
+			)
+			m.Extra = append(
+				m.Extra,
+				&dns.A{Hdr: dns.RR_Header{Name: h, Rrtype: dns.TypeA, Class: 1}, A: net.IPv4(127, 0, 0, 1)},
+				&dns.TXT{
+					Hdr: dns.RR_Header{Name: h, Rrtype: dns.TypeTXT, Class: 1},
+					Txt: []string{"kind=std", "cell=" + s.id[len(s.id)-1:], "started=0"},
+				},
+			)
+		}
+		m.Ns = []dns.RR{
+			&dns.SOA{
+				Hdr:    dns.RR_Header{Name: "farm.lan.", Rrtype: dns.TypeSOA, Class: 1},
+				Ns:     "a.",
+				Mbox:   "b.",
+				Serial: n.serial,
+			},
 		}
-		m.Ns = []dns.RR{&dns.SOA{Hdr: dns.RR_Header{Name: "farm.lan.", Rrtype: dns.TypeSOA, Class: 1}, Ns: "a.", Mbox: "b.", Serial: n.serial}}
 		silent := n.silent
 		n.mu.Unlock()
 		if out, err := m.Pack(); err == nil && !silent {
@@ -264,20 +300,55 @@
 
 func newStation(t *testing.T, ns *names, of ...*core) *station {
 	t.Helper()
-	return startStation(t, ns, func(set *routing.Settings, h routing.Host) routing.Policy { return router.New(set, h) }, func(map[string]any) {}, of...)
+	return startStation(
+		t,
+		ns,
+		func(set *routing.Settings, h routing.Host) routing.Policy { return router.New(set, h) },
+		func(map[string]any) {},
+		of...)
 }
 
-func startStation(t *testing.T, ns *names, mk routing.PolicyFactory, change func(map[string]any), of ...*core) *station {
+func startStation(
+	t *testing.T,
+	ns *names,
+	mk routing.PolicyFactory,
+	change func(map[string]any),
+	of ...*core,
+) *station {
 	t.Helper()
-	s := &station{T: t, addr: freePort(t), file: filepath.Join(t.TempDir(), "config.json"), signals: make(chan Signal, 4), ended: make(chan error, 1)}
+	s := &station{
+		T:       t,
+		addr:    freePort(t),
+		file:    filepath.Join(t.TempDir(), "config.json"),
+		signals: make(chan Signal, 4),
+		ended:   make(chan error, 1),
+	}
 	var targets []map[string]any
 	for _, c := range of {
-		targets = append(targets, map[string]any{"uid": c.id, "endpoint": c.addr().String(), "pod_group": int(c.id[len(c.id)-1] - '0'), "state": "ready"})
+		targets = append(
+			targets,
+			map[string]any{
+				"uid":       c.id,
+				"endpoint":  c.addr().String(),
+				"pod_group": int(c.id[len(c.id)-1] - '0'),
+				"state":     "ready",
+			},
+		)
+	}
+	s.doc = map[string]any{
+		"name":       "n0",
+		"listen":     s.addr,
+		"seed":       "8c1f30d27a5be964",
+		"nameserver": ns.addr(),
+		"limits":     map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256},
+		"known": map[string]any{
+			"no":    1,
+			"items": []any{map[string]any{"no": 1, "roster": map[string]any{"all": true, "targets": targets}}},
+		},
+		"settings": json.RawMessage(
+			`{"allowed":{"cancel":true,"retryAfter":true,"maxRetryAfter":2000,"maxAttempts":5,"connectTimeout":300},"balancers":1,"me":0,"familyInfo":{"callLength":[50],"clearWait":100,"retransmit":200},"lanes":[{"name":"voice","aim":1000,"hardLimit":2000,"lateWorth":0.1,"worth":1}],"rules":{"answerSlack":5,"coldShare":0.4,"warmWithin":1000,"tipMultiple":2.5,"fall":1000},"stats":{"fields":["free","size","busy","q"],"how":"inline"}}`,
+		),
 	}
-	s.doc = map[string]any{"name": "n0", "listen": s.addr, "seed": "8c1f30d27a5be964", "nameserver": ns.addr(),
-		"limits":   map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256},
-		"known":    map[string]any{"no": 1, "items": []any{map[string]any{"no": 1, "roster": map[string]any{"all": true, "targets": targets}}}},
-		"settings": json.RawMessage(`{"allowed":{"cancel":true,"retryAfter":true,"maxRetryAfter":2000,"maxAttempts":5,"connectTimeout":300},"balancers":1,"me":0,"familyInfo":{"callLength":[50],"clearWait":100,"retransmit":200},"lanes":[{"name":"voice","aim":1000,"hardLimit":2000,"lateWorth":0.1,"worth":1}],"rules":{"answerSlack":5,"coldShare":0.4,"warmWithin":1000,"tipMultiple":2.5,"fall":1000},"stats":{"fields":["free","size","busy","q"],"how":"inline"}}`)}
 	change(s.doc)
 	s.write()
 	cfg, err := binaryconfig.Load(s.file)
@@ -335,9 +406,20 @@
 
 // ask is a caller's setup.
 func ask(id uint64, of ...binarymessage.Param) []byte {
-	return binarymessage.Append(nil, binarymessage.Setup, id, append([]binarymessage.Param{binarymessage.TextParam(binarymessage.Class, "voice"), binarymessage.TextParam(binarymessage.Timeout, "1500"),
-		binarymessage.TextParam(binarymessage.Number, fmt.Sprintf("%x", id)), binarymessage.TextParam(binarymessage.Figures, fmt.Sprintf("dest:%d;width:1;via:-1", id%2)),
-		binarymessage.TextParam(binarymessage.Description, "offer")}, of...)...)
+	return binarymessage.Append(
+		nil,
+		binarymessage.Setup,
+		id,
+		append([]binarymessage.Param{
+			binarymessage.TextParam(binarymessage.Class, "voice"),
+			binarymessage.TextParam(binarymessage.Timeout, "1500"),
+			binarymessage.TextParam(
+				binarymessage.Number,
+				fmt.Sprintf("%x", id),
+			),
+			binarymessage.TextParam(binarymessage.Figures, fmt.Sprintf("dest:%d;width:1;via:-1", id%2)),
+			binarymessage.TextParam(binarymessage.Description, "offer"),
+		}, of...)...)
 }
 
 // hear reads until enough says so, or for a time.
@@ -363,7 +445,9 @@
 func (p *phone) ready() {
 	p.t.Helper()
 	p.c.Write(binarymessage.Append(nil, binarymessage.HealthCheck, 9, binarymessage.CauseParam(0)))
-	if !p.hear(3*time.Second, func() bool { return len(p.got[9]) > 0 }) || p.got[9][0].Type() != binarymessage.HealthResult || p.got[9][0].Cause() != 1 {
+	if !p.hear(3*time.Second, func() bool { return len(p.got[9]) > 0 }) ||
+		p.got[9][0].Type() != binarymessage.HealthResult ||
+		p.got[9][0].Cause() != 1 {
 		p.t.Fatalf("the test was answered with %x", p.got[9])
 	}
 	delete(p.got, 9)
@@ -453,7 +537,16 @@
 	odd := func(id uint64, of ...binarymessage.Param) []byte {
 		return binarymessage.Append(nil, binarymessage.Setup, id, of...)
 	}
-	class, wait, number := binarymessage.TextParam(binarymessage.Class, "voice"), binarymessage.TextParam(binarymessage.Timeout, "900"), binarymessage.TextParam(binarymessage.Number, "1")
+	class, wait, number := binarymessage.TextParam(
+		binarymessage.Class,
+		"voice",
+	), binarymessage.TextParam(
+		binarymessage.Timeout,
+		"900",
+	), binarymessage.TextParam(
+		binarymessage.Number,
+		"1",
+	)
 	for what, wire := range map[string][]byte{
 		"no message":         []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
 		"nothing":            nil,
@@ -494,14 +587,15 @@
 		})
 		id := uint64(len(what)) + 5000 + detrand.Hash(uint64(len(wire)))%1000
 		usual.c.Write(ask(id))
-		if !usual.hear(2*time.Second, func() bool { return len(usual.got[id]) > 0 }) || usual.got[id][0].Type() != binarymessage.Answer {
+		if !usual.hear(2*time.Second, func() bool { return len(usual.got[id]) > 0 }) ||
+			usual.got[id][0].Type() != binarymessage.Answer {
 			t.Errorf("%s: a usual caller got %x", what, usual.got[id])
 		}
 	}
 }
 
-// Hundreds of setups at once, or taken back at once, or again as soon as they are rejected: each has one answer or none is
-// owed, and a usual caller has its own in time.
+// Hundreds of setups at once, or taken back at once, or again as soon as they are rejected: each has one answer or none
+// is owed, and a usual caller has its own in time.
 func TestFloods(t *testing.T) {
 	a, b := newCore(t, "s-0"), newCore(t, "s-1")
 	s := newStation(t, newNames(t, 1, a, b), a, b)
@@ -515,7 +609,9 @@
 		for i := range uint64(many) {
 			wire = append(wire, ask(first+i)...)
 			if back {
-				wire = append(wire, binarymessage.Append(nil, binarymessage.Release, first+i, binarymessage.CauseParam(binarymessage.Normal))...)
+				wire = append(
+					wire,
+					binarymessage.Append(nil, binarymessage.Release, first+i, binarymessage.CauseParam(binarymessage.Normal))...)
 			}
 		}
 		go p.c.Write(wire)
@@ -565,7 +661,8 @@
 	m.h.SendGossip(from, make([]byte, 257))
 }
 
-// Other gateways are known by the addresses that their messages come from; what comes from elsewhere counts for nothing.
+// Other gateways are known by the addresses that their messages come from; what comes from elsewhere counts for
+// nothing.
 func TestPeers(t *testing.T) {
 	a := newCore(t, "s-0")
 	peer, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
@@ -584,8 +681,12 @@
 		return &told{Policy: router.New(set, h), h: h, heard: heard}
 	}, func(doc map[string]any) {
 		doc["peer_listen"], doc["peers"] = own, []string{own, peer.LocalAddr().String()}
-		doc["settings"] = json.RawMessage(strings.Replace(string(doc["settings"].(json.RawMessage)), `"balancers":1`, `"balancers":2`, 1))
-		doc["settings"] = json.RawMessage(strings.Replace(string(doc["settings"].(json.RawMessage)), `"cancel":true`, `"cancel":true,"peers":true`, 1))
+		doc["settings"] = json.RawMessage(
+			strings.Replace(string(doc["settings"].(json.RawMessage)), `"balancers":1`, `"balancers":2`, 1),
+		)
+		doc["settings"] = json.RawMessage(
+			strings.Replace(string(doc["settings"].(json.RawMessage)), `"cancel":true`, `"cancel":true,"peers":true`, 1),
+		)
 	}, a)
 	s.dial().ready()
 	to := net.UDPAddrFromAddrPort(netip.MustParseAddrPort(own))
@@ -625,7 +726,8 @@
 	}
 	p := s.dial()
 	p.c.Write(ask(4242))
-	if !p.hear(2*time.Second, func() bool { return len(p.got[4242]) > 0 }) || p.got[4242][0].Type() != binarymessage.Answer {
+	if !p.hear(2*time.Second, func() bool { return len(p.got[4242]) > 0 }) ||
+		p.got[4242][0].Type() != binarymessage.Answer {
 		t.Errorf("a usual caller among a silent crowd got %x, connection open %v", p.got[4242], p.open)
 	}
 }
@@ -684,12 +786,15 @@
 	time.Sleep(300 * time.Millisecond)
 	q := s.dial() // connections keep coming
 	q.c.Write(append(ask(600), binarymessage.Append(nil, binarymessage.HealthCheck, 601, binarymessage.CauseParam(0))...))
-	if !q.hear(time.Second, func() bool { return len(q.got[600]) > 0 && len(q.got[601]) > 0 }) || q.got[600][0].Type() != binarymessage.Answer || q.got[601][0].Cause() != 0 {
+	if !q.hear(time.Second, func() bool { return len(q.got[600]) > 0 && len(q.got[601]) > 0 }) ||
+		q.got[600][0].Type() != binarymessage.Answer ||
+		q.got[601][0].Cause() != 0 {
 		t.Errorf("after 0.3 s: %x", q.got)
 	}
 	time.Sleep(550 * time.Millisecond)
 	p.c.Write(ask(602))
-	if !p.hear(time.Second, func() bool { return len(p.got[602]) > 0 }) || p.got[602][0].Type() != binarymessage.Release || p.got[602][0].Cause() != binarymessage.Congested {
+	if !p.hear(time.Second, func() bool { return len(p.got[602]) > 0 }) || p.got[602][0].Type() != binarymessage.Release ||
+		p.got[602][0].Cause() != binarymessage.Congested {
 		t.Errorf("after 0.85 s: %x", p.got[602])
 	}
 	select {
@@ -724,7 +829,8 @@
 	if !p.hear(3*time.Second, func() bool { return len(p.got[700]) > 1 }) {
 		t.Errorf("the release of a call that stood did not pass: %x", p.got[700])
 	}
-	if !p.hear(2*time.Second, func() bool { return !p.open && len(p.got[702]) > 0 }) || p.got[702][0].Type() != binarymessage.Release {
+	if !p.hear(2*time.Second, func() bool { return !p.open && len(p.got[702]) > 0 }) ||
+		p.got[702][0].Type() != binarymessage.Release {
 		t.Errorf("a call that no switch answers got %x, open %v", p.got[702], p.open)
 	}
 }
@@ -738,7 +844,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	err = Run(context.Background(), s.file, cfg, func(set *routing.Settings, h routing.Host) routing.Policy { return router.New(set, h) }, zerolog.Nop(), nil)
+	err = Run(
+		context.Background(),
+		s.file,
+		cfg,
+		func(set *routing.Settings, h routing.Host) routing.Policy { return router.New(set, h) },
+		zerolog.Nop(),
+		nil,
+	)
 	if err == nil || !strings.Contains(err.Error(), s.addr) {
 		t.Errorf("%v", err)
 	}
--- a/internal/gateway/gatewayconfig/settings.go
+++ b/internal/gateway/gatewayconfig/settings.go
@@ -98,7 +98,10 @@
 	s.Tick = g.Ms("tick", 0, 0, 1000)
 	set.TickInterval = s.Tick
 	s.AnswerMargin = g.Ms("margin", 30, 0, 60000)
-	s.LoadShedding = loadshed.Gate{MaxPending: g.Int("most_held", 20000, 1, 1<<24), RatePerSecond: g.Num("most_rate", 0, 0, 1e6)}
+	s.LoadShedding = loadshed.Gate{
+		MaxPending:    g.Int("most_held", 20000, 1, 1<<24),
+		RatePerSecond: g.Num("most_rate", 0, 0, 1e6),
+	}
 	s.QueueSize = g.Int("queue", 8192, 16, 1<<20)
 	s.DrainTimeout = g.Ms("drain_within", 30000, 0, dayMillis)
 	s.DefaultClass = g.Text("default_skill", "")
@@ -124,7 +127,12 @@
 	set.MaxRetryAfter = m.Ms("max_wait", 2000, 0, dayMillis)
 	set.LoadReportsByProbe = m.Flag("reports_by_probe", false)
 	if set.GossipEnabled && len(s.Peers) != set.Gateways {
-		g.Fault("peers", "peers: want the addresses of all %d gateways where allow.tell is set, got %d", set.Gateways, len(s.Peers))
+		g.Fault(
+			"peers",
+			"peers: want the addresses of all %d gateways where allow.tell is set, got %d",
+			set.Gateways,
+			len(s.Peers),
+		)
 	}
 	t := b.One("timers")
 	t1 := t.Ms("t1", 500, 10, 60000)
@@ -138,8 +146,20 @@
 	set.OverloadFactor = r.Num("tip_multiple", hclconfig.Required, 0, 1000)
 	set.OverloadWindow = r.Ms("tip_time", hclconfig.Required, 1, dayMillis)
 	for _, k := range b.Blocks("skill", 1) {
-		x := &routing.Class{Name: k.Labels[0], LatencyObjective: k.Ms("target", hclconfig.Required, 1, dayMillis), Timeout: k.Ms("patience", hclconfig.Required, 1, dayMillis),
-			Weight: k.Num("value", 1, 0, 1e9), LateWeightFraction: k.Num("late_value", 0, 0, 1), MeanHoldingTime: k.Ms("hold", 0, 0, dayMillis), Idempotent: k.Flag("repeat", true)}
+		x := &routing.Class{
+			Name:             k.Labels[0],
+			LatencyObjective: k.Ms("target", hclconfig.Required, 1, dayMillis),
+			Timeout:          k.Ms("patience", hclconfig.Required, 1, dayMillis),
+			Weight: k.Num(
+				"value",
+				1,
+				0,
+				1e9,
+			),
+			LateWeightFraction: k.Num("late_value", 0, 0, 1),
+			MeanHoldingTime:    k.Ms("hold", 0, 0, dayMillis),
+			Idempotent:         k.Flag("repeat", true),
+		}
 		if x.LatencyObjective > x.Timeout {
 			k.Fault("target", "target: want no more than patience")
 		}
@@ -188,10 +208,25 @@
 	if len(s.Numbers.Services) == 0 {
 		s.Numbers.Services = []string{"pstn:tel"}
 	}
-	r := dnsclient.Config{Ports: e.Int("ports", 8, 1, 64), Most: e.Int("most", 1000, 1, 1<<20), Tries: e.Int("tries", 4, 1, 20),
-		StaleAfter: e.Ms("stale_after", 200, 0, dayMillis)}
-	r.Cache = dnsclient.CacheTimes{MaxEntries: e.Int("keep", 100000, 1, 1<<24), MinTTL: e.Ms("least", 1000, 0, dayMillis), MaxTTL: e.Ms("longest", dayMillis, 0, 7*dayMillis),
-		MaxNegativeTTL: e.Ms("negative", 900e3, 0, dayMillis), StaleTime: e.Ms("stale", 3600e3, 0, 7*dayMillis), FailureTTL: e.Ms("fail", 1000, 0, 300e3)}
+	r := dnsclient.Config{
+		Ports:      e.Int("ports", 8, 1, 64),
+		Most:       e.Int("most", 1000, 1, 1<<20),
+		Tries:      e.Int("tries", 4, 1, 20),
+		StaleAfter: e.Ms("stale_after", 200, 0, dayMillis),
+	}
+	r.Cache = dnsclient.CacheTimes{
+		MaxEntries: e.Int("keep", 100000, 1, 1<<24),
+		MinTTL:     e.Ms("least", 1000, 0, dayMillis),
+		MaxTTL:     e.Ms("longest", dayMillis, 0, 7*dayMillis),
+		MaxNegativeTTL: e.Ms(
+			"negative",
+			900e3,
+			0,
+			dayMillis,
+		),
+		StaleTime:  e.Ms("stale", 3600e3, 0, 7*dayMillis),
+		FailureTTL: e.Ms("fail", 1000, 0, 300e3),
+	}
 	for _, a := range e.Texts("servers") {
 		x, err := netip.ParseAddrPort(a)
 		if err != nil {
@@ -224,8 +259,12 @@
 	c.MaxConns, c.IdleTimeout = f.Int("streams", 256, 1, 1<<16), f.Ms("stream_idle", 10000, 100, 600000)
 	c.Gain = f.Num("gain", 6, 1, 1000)
 	c.Most, c.Keep = f.Int("most", 2000, 1, 1<<20), f.Int("keep", 10000, 1, 1<<20)
-	c.Limits = enumserver.Limits{Rate: f.Num("rate", 50, 0, 1e6), Burst: f.Num("burst", 100, 1, 1e6), Total: f.Num("total_rate", 0, 0, 1e7),
-		Clients: f.Int("clients", 100000, 2, 1<<24)}
+	c.Limits = enumserver.Limits{
+		Rate:    f.Num("rate", 50, 0, 1e6),
+		Burst:   f.Num("burst", 100, 1, 1e6),
+		Total:   f.Num("total_rate", 0, 0, 1e7),
+		Clients: f.Int("clients", 100000, 2, 1<<24),
+	}
 	for _, n := range f.Blocks("client", 1) {
 		p, err := netip.ParsePrefix(n.Labels[0])
 		if err != nil {
--- a/internal/gateway/gatewayconfig/settings_test.go
+++ b/internal/gateway/gatewayconfig/settings_test.go
@@ -40,7 +40,9 @@
 		t.Fatal(err)
 	}
 	if s.Settings.Gateways != 2 || s.Settings.GatewayIndex != 1 || s.Settings.RetryHoldOff != 500 || s.Settings.SlowStartDuration != 14000 || s.DefaultClass != "shift-lookup" ||
-		s.Settings.Classes[0].Timeout != 9000 || s.Groups[0].Circuits != 100 || !s.Settings.GossipEnabled || s.Settings.RetransmitInterval != 500 {
+		s.Settings.Classes[0].Timeout != 9000 || s.Groups[0].Circuits != 100 ||
+		!s.Settings.GossipEnabled ||
+		s.Settings.RetransmitInterval != 500 {
 		t.Errorf("settings %+v of %+v", s, s.Settings)
 	}
 }
@@ -68,7 +70,9 @@
 	}
 	f := s.ENUMServer
 	if !s.Numbers.Enabled() || s.LookupShare != 0.3 || len(s.Numbers.DNS.Servers) != 1 || s.Numbers.DNS.Cache.FailureTTL != 1000 || s.Numbers.Services[0] != "pstn:tel" ||
-		f.Skill != "shift-lookup" || f.TTL != 0 || f.Patience != 3000 || f.Context != "x.example" || len(f.Limits.Nets) != 1 || f.Limits.Nets[0].Rate != 0 {
+		f.Skill != "shift-lookup" || f.TTL != 0 || f.Patience != 3000 || f.Context != "x.example" ||
+		len(f.Limits.Nets) != 1 ||
+		f.Limits.Nets[0].Rate != 0 {
 		t.Errorf("%+v, %+v", s.Numbers, f)
 	}
 	for _, x := range []struct{ from, to, want string }{
--- a/internal/gateway/grpcdiscovery/listing.go
+++ b/internal/gateway/grpcdiscovery/listing.go
@@ -1,5 +1,5 @@
-// Package grpcdiscovery follows the endpoint list over a gRPC stream (api/list.proto). A stream that breaks is opened again with
-// the version that was had; meanwhile whoever follows keeps the old list.
+// Package grpcdiscovery follows the endpoint list over a gRPC stream (api/list.proto). A stream that breaks is opened
+// again with the version that was had; meanwhile whoever follows keeps the old list.
 package grpcdiscovery
 
 import (
@@ -27,7 +27,12 @@
 )
 
 // Follow calls got with every update, in order, until ctx ends. state hears of connections and breaks; it may be nil.
-func Follow(ctx context.Context, addr, gateway string, onUpdate func(*api.Update), onState func(up bool, err error)) error {
+func Follow(
+	ctx context.Context,
+	addr, gateway string,
+	onUpdate func(*api.Update),
+	onState func(up bool, err error),
+) error {
 	conn, err := grpc.NewClient(addr, grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: 10 * time.Second, Timeout: 5 * time.Second}))
 	if err != nil {
@@ -94,4 +99,8 @@
 	return of
 }
 
-var statesByProto = map[api.State]routing.State{api.State_GONE: routing.Gone, api.State_READY: routing.Ready, api.State_DRAINING: routing.Draining}
+var statesByProto = map[api.State]routing.State{
+	api.State_GONE:     routing.Gone,
+	api.State_READY:    routing.Ready,
+	api.State_DRAINING: routing.Draining,
+}
--- a/internal/gateway/reactor/reactor.go
+++ b/internal/gateway/reactor/reactor.go
@@ -44,15 +44,21 @@
 
 // Listen opens the addresses. got is called from the pollers, for one address always from the same one; the data is
 // its own. An address that can't be had is an error that names it.
-func Listen(addrs []netip.AddrPort, pollers int, got func(local, from netip.AddrPort, data []byte)) (*UDPSockets, error) {
+func Listen(
+	addrs []netip.AddrPort,
+	pollers int,
+	got func(local, from netip.AddrPort, data []byte),
+) (*UDPSockets, error) {
 	silenceLibraryLog()
 	s := &UDPSockets{conns: map[netip.AddrPort]*net.UDPConn{}, batchConns: map[netip.AddrPort]*ipv4.PacketConn{}}
 	var names []string
 	for _, a := range addrs {
 		names = append(names, a.String())
 	}
-	s.engine = nbio.NewEngine(nbio.Config{Name: "cobalt", Network: "udp", Addrs: names, NPoller: pollers, ReadBufferSize: 1 << 16,
-		ListenUDP: s.listen})
+	s.engine = nbio.NewEngine(
+		nbio.Config{Name: "cobalt", Network: "udp", Addrs: names, NPoller: pollers, ReadBufferSize: 1 << 16,
+			ListenUDP: s.listen},
+	)
 	s.engine.OnData(func(c *nbio.Conn, data []byte) {
 		from, ok := c.RemoteAddr().(*net.UDPAddr)
 		local, ok2 := c.LocalAddr().(*net.UDPAddr)
@@ -138,8 +144,9 @@
 	}
 }
 
-// shutdownEngine stops an engine. The library's poller forgets a stop that comes before it has begun to run, and would be waited for
-// without end: so this waits for a second at most. Whoever closes so soon after the start is about to exit.
+// shutdownEngine stops an engine. The library's poller forgets a stop that comes before it has begun to run, and would
+// be waited for without end: so this waits for a second at most. Whoever closes so soon after the start is about to
+// exit.
 func shutdownEngine(e *nbio.Engine) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
--- a/internal/gateway/reactor/reactor_test.go
+++ b/internal/gateway/reactor/reactor_test.go
@@ -10,7 +10,11 @@
 func TestSockets(t *testing.T) {
 	a, b := netip.MustParseAddrPort("127.0.0.1:0"), netip.MustParseAddrPort("127.71.0.2:19061")
 	got := make(chan string, 16)
-	s, err := Listen([]netip.AddrPort{b}, 1, func(local, from netip.AddrPort, data []byte) { got <- local.String() + " " + string(data) })
+	s, err := Listen(
+		[]netip.AddrPort{b},
+		1,
+		func(local, from netip.AddrPort, data []byte) { got <- local.String() + " " + string(data) },
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/reactor/stream.go
+++ b/internal/gateway/reactor/stream.go
@@ -77,7 +77,11 @@
 func ServeStreams(addr netip.AddrPort, maxAccepted int, dialTimeout float64, h Handler) (*Streams, error) {
 	silenceLibraryLog()
 	nbio.MaxOpenFiles = min(nbio.MaxOpenFiles, maxOpenFiles)
-	s := &Streams{handler: h, slots: make(chan struct{}, maxAccepted), dialTimeout: time.Duration((dialTimeout + dialGrace) * 1e6)}
+	s := &Streams{
+		handler:     h,
+		slots:       make(chan struct{}, maxAccepted),
+		dialTimeout: time.Duration((dialTimeout + dialGrace) * 1e6),
+	}
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	// The library's own listener is not used: where descriptors have run out it accepts without a pause, and it hands a
 	// connection that was closed meanwhile to the poller.
@@ -94,7 +98,10 @@
 		}
 	})
 	s.engine.OnClose(s.closed)
-	l, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(addr)) // first: an engine that is stopped as it starts may never end
+	l, err := net.ListenTCP(
+		"tcp",
+		net.TCPAddrFromAddrPort(addr),
+	) // first: an engine that is stopped as it starts may never end
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
@@ -155,8 +162,8 @@
 	}
 }
 
-// StopAccept ends the taking of connections: those whose callers have connected are still accepted, and then the listener
-// closes. It does not wait for that; Accepting tells.
+// StopAccept ends the taking of connections: those whose callers have connected are still accepted, and then the
+// listener closes. It does not wait for that; Accepting tells.
 func (s *Streams) StopAccept() {
 	s.stopAccepting.Store(true)
 	s.listener.SetDeadline(time.Now())
@@ -179,8 +186,8 @@
 	})
 }
 
-// adopt hands a connection to the poller. Only then is it told of: what is written before could neither wait for room in
-// the socket nor be counted as left.
+// adopt hands a connection to the poller. Only then is it told of: what is written before could neither wait for room
+// in the socket nor be counted as left.
 func (s *Streams) adopt(stream *Stream, conn net.Conn) {
 	c, err := nbio.NBConn(conn)
 	if err != nil {
@@ -226,8 +233,8 @@
 	}
 }
 
-// Dial opens a stream; Connected or Closed follows. The library's own dial reads the first four bytes of an address that
-// may have sixteen, and so reaches another machine; the standard one connects, and the poller takes over.
+// Dial opens a stream; Connected or Closed follows. The library's own dial reads the first four bytes of an address
+// that may have sixteen, and so reaches another machine; the standard one connects, and the poller takes over.
 func (s *Streams) Dial(stream *Stream, to netip.AddrPort) {
 	ctx, cancel := context.WithTimeout(s.ctx, s.dialTimeout)
 	stream.cancel = cancel
--- a/internal/gateway/reactor/stream_test.go
+++ b/internal/gateway/reactor/stream_test.go
@@ -368,7 +368,8 @@
 	e.accepted[0].CloseWrite()
 }
 
-// What was written before the end of writing is read by the other side, and then the end; what it still sends does no harm.
+// What was written before the end of writing is read by the other side, and then the end; what it still sends does no
+// harm.
 func TestCloseWrite(t *testing.T) {
 	s, e := serve(t, 2)
 	c, err := net.Dial("tcp", s.Local.String())
--- a/internal/gateway/simadapter/benchwire_test.go
+++ b/internal/gateway/simadapter/benchwire_test.go
@@ -117,7 +117,8 @@
 // A panic in the module goes out as a fault that names its cause, and ends that instance alone.
 func TestPanicIsTold(t *testing.T) {
 	_, out, err := run(t, start+"knock	gateway-3	0	-	1	a	panic	0	1	0	0	-1	0	-	1\neob\n")
-	if err != nil || !strings.HasPrefix(out, "give_in	gateway-3	no such number at ") || !strings.HasSuffix(out, "\nready\n") {
+	if err != nil || !strings.HasPrefix(out, "give_in	gateway-3	no such number at ") ||
+		!strings.HasSuffix(out, "\nready\n") {
 		t.Errorf("error %v, wrote %.80q", err, out)
 	}
 }
--- a/internal/gateway/simadapter/host.go
+++ b/internal/gateway/simadapter/host.go
@@ -301,7 +301,10 @@
 		number := int(v.integer("nodeNo", -1, 1<<32))
 		state := routing.State(v.integer("lifecycle", 0, 2))
 		v.float("capacityHint", 1)
-		entries = append(entries, endpointset.Entry[int64]{ID: id, DestinationID: number, State: state, StartedAt: v.float("onlineSince", 0)})
+		entries = append(
+			entries,
+			endpointset.Entry[int64]{ID: id, DestinationID: number, State: state, StartedAt: v.float("onlineSince", 0)},
+		)
 		if err := v.finish(); err != nil {
 			return err
 		}
--- a/internal/gateway/sipserver/front.go
+++ b/internal/gateway/sipserver/front.go
@@ -14,8 +14,8 @@
 	"cobaltpier/internal/protocol/enumserver"
 )
 
-// enumListener drives the ENUM front: datagrams by the reactor, streams by a goroutine each (RFC 7766). The front itself is the
-// loop's.
+// enumListener drives the ENUM front: datagrams by the reactor, streams by a goroutine each (RFC 7766). The front
+// itself is the loop's.
 type enumListener struct {
 	server     *Gateway
 	enum       *enumserver.Server
--- a/internal/gateway/sipserver/gateway.go
+++ b/internal/gateway/sipserver/gateway.go
@@ -1,5 +1,6 @@
 // Package sipserver drives one edge by the wall clock: one loop owns the edge's state, and all that came since the last
-// tick is one batch. Sockets, the endpoint list, signals and logs reach it through one bounded queue and never hold it up.
+// tick is one batch. Sockets, the endpoint list, signals and logs reach it through one bounded queue and never hold it
+// up.
 package sipserver
 
 import (
@@ -68,7 +69,13 @@
 }
 
 // Run runs an edge until ctx's parent says so: the first value on stop lets it drain, the second ends it at once.
-func Run(ctx context.Context, set *gatewayconfig.Config, mk routing.PolicyFactory, log zerolog.Logger, stop <-chan struct{}) (Outcome, error) {
+func Run(
+	ctx context.Context,
+	set *gatewayconfig.Config,
+	mk routing.PolicyFactory,
+	log zerolog.Logger,
+	stop <-chan struct{},
+) (Outcome, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	g := &Gateway{config: set, log: log, events: make(chan event, set.QueueSize), startedAt: time.Now()}
@@ -134,21 +141,135 @@
 	if g.enumListener != nil {
 		g.enumListener.enum.Close(g.now())
 		f := g.enumListener.enum.Counts
-		log.Info().Uint64("asked", f.Asked).Uint64("named", f.Named).Uint64("none", f.None).Uint64("failed", f.Failed).Uint64("repeats", f.Repeats).
-			Uint64("refused", f.Refused).Uint64("slipped", f.Slipped).Uint64("dropped", f.Dropped).Uint64("truncated", f.Truncated).Msg("look-ups answered")
+		log.Info().Uint64(
+			"asked",
+			f.Asked,
+		).Uint64(
+			"named",
+			f.Named,
+		).Uint64(
+			"none",
+			f.None,
+		).Uint64(
+			"failed",
+			f.Failed,
+		).Uint64(
+			"repeats",
+			f.Repeats,
+		).
+			Uint64(
+				"refused",
+				f.Refused,
+			).Uint64(
+			"slipped",
+			f.Slipped,
+		).Uint64(
+			"dropped",
+			f.Dropped,
+		).Uint64(
+			"truncated",
+			f.Truncated,
+		).Msg(
+			"look-ups answered",
+		)
 	}
 	if g.numbers != nil && g.numbers.client != nil {
 		l, p := g.numbers.client.Counts, g.numbers.finder.Counts
-		log.Info().Uint64("asked", l.Asked).Uint64("cached", l.Cached).Uint64("stale", l.Stale).Uint64("shared", l.Shared).Uint64("sent", l.Sent).
-			Uint64("streams", l.Streams).Uint64("failed", l.Failed).Uint64("late", l.Late).Uint64("strays", l.Strays).Uint64("lame", l.Lame).
-			Uint64("ported", p.Ported).Uint64("same", p.Same).Uint64("silent", p.Silent).Uint64("bad", p.Bad).Msg("look-ups made")
+		log.Info().Uint64(
+			"asked",
+			l.Asked,
+		).Uint64(
+			"cached",
+			l.Cached,
+		).Uint64(
+			"stale",
+			l.Stale,
+		).Uint64(
+			"shared",
+			l.Shared,
+		).Uint64(
+			"sent",
+			l.Sent,
+		).
+			Uint64(
+				"streams",
+				l.Streams,
+			).Uint64(
+			"failed",
+			l.Failed,
+		).Uint64(
+			"late",
+			l.Late,
+		).Uint64(
+			"strays",
+			l.Strays,
+		).Uint64(
+			"lame",
+			l.Lame,
+		).
+			Uint64(
+				"ported",
+				p.Ported,
+			).Uint64(
+			"same",
+			p.Same,
+		).Uint64(
+			"silent",
+			p.Silent,
+		).Uint64(
+			"bad",
+			p.Bad,
+		).Msg(
+			"look-ups made",
+		)
 	}
 	cancel()
 	<-done
 	c := g.agent.Counts
-	log.Info().Uint64("taken", c.Accepted).Uint64("stood", c.Answered).Uint64("deferred", c.Rejected).Uint64("abandoned", c.Failed).
-		Uint64("turned", c.Shed).Uint64("rings", c.Attempts).Uint64("overdue", c.Overdue).Uint64("barred", c.Blocked).
-		Uint64("asked", c.Lookups).Uint64("unrouted", c.Unrouted).Uint64("queue_lost", g.droppedEvents).Uint64("send_lost", sockets.Lost.Load()).Bool("drained", out == Drained).Msg("gateway ended")
+	log.Info().Uint64(
+		"taken",
+		c.Accepted,
+	).Uint64(
+		"stood",
+		c.Answered,
+	).Uint64(
+		"deferred",
+		c.Rejected,
+	).Uint64(
+		"abandoned",
+		c.Failed,
+	).
+		Uint64(
+			"turned",
+			c.Shed,
+		).Uint64(
+		"rings",
+		c.Attempts,
+	).Uint64(
+		"overdue",
+		c.Overdue,
+	).Uint64(
+		"barred",
+		c.Blocked,
+	).
+		Uint64(
+			"asked",
+			c.Lookups,
+		).Uint64(
+		"unrouted",
+		c.Unrouted,
+	).Uint64(
+		"queue_lost",
+		g.droppedEvents,
+	).Uint64(
+		"send_lost",
+		sockets.Lost.Load(),
+	).Bool(
+		"drained",
+		out == Drained,
+	).Msg(
+		"gateway ended",
+	)
 	return out, nil
 }
 
@@ -188,7 +309,11 @@
 // SendGossip implements edge.Out: two bytes say who sends, then the message.
 func (g *Gateway) SendGossip(to int, data []byte) {
 	if to < len(g.config.Peers) && len(data) <= 256 {
-		g.datagrams.Send(g.config.PeerListen, g.config.Peers[to], append(binary.BigEndian.AppendUint16(nil, uint16(g.config.Settings.GatewayIndex)), data...))
+		g.datagrams.Send(
+			g.config.PeerListen,
+			g.config.Peers[to],
+			append(binary.BigEndian.AppendUint16(nil, uint16(g.config.Settings.GatewayIndex)), data...),
+		)
 	}
 }
 
@@ -282,6 +407,10 @@
 	case callback:
 		e.do(now)
 	case endpointList:
-		g.agent.OnEndpointList(now, grpcdiscovery.Entries(e.list, clockOrigin+float64(e.at.Sub(g.startedAt))/1e6), e.list.Whole)
+		g.agent.OnEndpointList(
+			now,
+			grpcdiscovery.Entries(e.list, clockOrigin+float64(e.at.Sub(g.startedAt))/1e6),
+			e.list.Whole,
+		)
 	}
 }
--- a/internal/gateway/sipserver/gateway_test.go
+++ b/internal/gateway/sipserver/gateway_test.go
@@ -133,8 +133,8 @@
 	return v
 }
 
-// TestLife runs a gateway on real sockets: a call is set up at the endpoint that the list names, the gateway drains while it
-// is not answered yet and while it stands, answers and releases it, and ends with nothing left over.
+// TestLife runs a gateway on real sockets: a call is set up at the endpoint that the list names, the gateway drains
+// while it is not answered yet and while it stands, answers and releases it, and ends with nothing left over.
 func TestLife(t *testing.T) {
 	now := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, now) }) // after the list has stopped
@@ -157,8 +157,17 @@
 		over <- end{out, err}
 	}()
 	invite := func(id string) {
-		who.WriteToUDPAddrPort([]byte(strings.ReplaceAll("INVITE sip:+1418;tgrp=TG-0@127.72.0.1 SIP/2.0\nVia: SIP/2.0/UDP 127.72.0.8:19062;rport;branch=z9hG4bK"+id+
-			"\nFrom: <sip:a@b>;tag="+id+"\nTo: <sip:c@d>\nCall-ID: "+id+"\nCSeq: 1 INVITE\nContact: <sip:127.72.0.8:19062>\nExpires: 9\nContent-Length: 0\n\n", "\n", "\r\n")), set.Address)
+		who.WriteToUDPAddrPort(
+			[]byte(
+				strings.ReplaceAll(
+					"INVITE sip:+1418;tgrp=TG-0@127.72.0.1 SIP/2.0\nVia: SIP/2.0/UDP 127.72.0.8:19062;rport;branch=z9hG4bK"+id+
+						"\nFrom: <sip:a@b>;tag="+id+"\nTo: <sip:c@d>\nCall-ID: "+id+"\nCSeq: 1 INVITE\nContact: <sip:127.72.0.8:19062>\nExpires: 9\nContent-Length: 0\n\n",
+					"\n",
+					"\r\n",
+				),
+			),
+			set.Address,
+		)
 	}
 	// until the list has come, calls are refused
 	rung := func(id string) (string, netip.AddrPort) {
@@ -176,8 +185,25 @@
 	time.Sleep(50 * time.Millisecond)
 	invite("two")
 	read(t, who, "SIP/2.0 503", "Call-ID: two")
-	sw.WriteToUDPAddrPort([]byte("SIP/2.0 200 OK\r\nVia: "+line(msg, "Via")+"\r\nFrom: "+line(msg, "From")+"\r\nTo: "+line(msg, "To")+";tag=s\r\nCall-ID: "+
-		line(msg, "Call-ID")+"\r\nCSeq: 1 INVITE\r\nContact: <sip:127.72.0.9:19062>\r\nContent-Length: 0\r\n\r\n"), from)
+	sw.WriteToUDPAddrPort(
+		[]byte(
+			"SIP/2.0 200 OK\r\nVia: "+line(
+				msg,
+				"Via",
+			)+"\r\nFrom: "+line(
+				msg,
+				"From",
+			)+"\r\nTo: "+line(
+				msg,
+				"To",
+			)+";tag=s\r\nCall-ID: "+
+				line(
+					msg,
+					"Call-ID",
+				)+"\r\nCSeq: 1 INVITE\r\nContact: <sip:127.72.0.9:19062>\r\nContent-Length: 0\r\n\r\n",
+		),
+		from,
+	)
 	read(t, sw, "ACK", "")
 	read(t, who, "SIP/2.0 200", "")
 	read(t, who, "BYE", "") // its time to drain is over
@@ -198,7 +224,14 @@
 		over <- end{out, err}
 	}()
 	rung("three")
-	if _, err := Run(context.Background(), set, mind, zerolog.Nop(), nil); err == nil || !strings.Contains(err.Error(), "another program has the address") {
+	if _, err := Run(
+		context.Background(),
+		set,
+		mind,
+		zerolog.Nop(),
+		nil,
+	); err == nil ||
+		!strings.Contains(err.Error(), "another program has the address") {
 		t.Errorf("address in use: %v", err)
 	}
 	stop <- struct{}{}
--- a/internal/gateway/sipserver/numbers.go
+++ b/internal/gateway/sipserver/numbers.go
@@ -26,8 +26,8 @@
 	"cobaltpier/internal/protocol/portability"
 )
 
-// numberService drives what concerns numbers: the resolver's sockets, the store and the changes of tables. Its state is the
-// loop's; work that takes time runs beside it and comes back as an event.
+// numberService drives what concerns numbers: the resolver's sockets, the store and the changes of tables. Its state is
+// the loop's; work that takes time runs beside it and comes back as an event.
 type numberService struct {
 	server       *Gateway
 	config       *gatewayconfig.Numbers
@@ -86,7 +86,21 @@
 		return nil, errors.New("numbers: no table: the store has none that can be used, and settings name none")
 	}
 	n.keeper = tableversions.New(n, n.initialTable, shelf)
-	g.log.Info().Str("table", n.initialTable.Name).Uint64("version", n.initialTable.Version).Str("sum", n.initialTable.Sum[:16]).Int("rules", n.initialTable.Size()).Msg("number table")
+	g.log.Info().Str(
+		"table",
+		n.initialTable.Name,
+	).Uint64(
+		"version",
+		n.initialTable.Version,
+	).Str(
+		"sum",
+		n.initialTable.Sum[:16],
+	).Int(
+		"rules",
+		n.initialTable.Size(),
+	).Msg(
+		"number table",
+	)
 	if set.Apex == "" {
 		return n, nil
 	}
@@ -133,7 +147,12 @@
 }
 
 // Resolve implements edge.Lookup.
-func (n *numberService) Resolve(now float64, digits string, within float64, done func(float64, numberplan.Found)) func() {
+func (n *numberService) Resolve(
+	now float64,
+	digits string,
+	within float64,
+	done func(float64, numberplan.Found),
+) func() {
 	return n.finder.Resolve(now, digits, within, done)
 }
 
@@ -217,7 +236,21 @@
 // Swap implements tables.Work.
 func (n *numberService) Swap(t *numberplan.Table) {
 	n.server.agent.SetTable(t)
-	n.server.log.Info().Str("table", t.Name).Uint64("version", t.Version).Str("sum", t.Sum[:16]).Int("rules", t.Size()).Msg("number table changed")
+	n.server.log.Info().Str(
+		"table",
+		t.Name,
+	).Uint64(
+		"version",
+		t.Version,
+	).Str(
+		"sum",
+		t.Sum[:16],
+	).Int(
+		"rules",
+		t.Size(),
+	).Msg(
+		"number table changed",
+	)
 }
 
 // admin is the service that changes tables.
@@ -283,7 +316,13 @@
 	err := a.in(ctx, func(done func(error)) {
 		k := a.n.keeper
 		t := k.Running
-		s.Running = &api.KeptTable{Serial: k.Shelf.Running, Name: t.Name, Version: t.Version, Sum: t.Sum, Rules: int64(t.Size())}
+		s.Running = &api.KeptTable{
+			Serial:  k.Shelf.Running,
+			Name:    t.Name,
+			Version: t.Version,
+			Sum:     t.Sum,
+			Rules:   int64(t.Size()),
+		}
 		old, n := a.n.server.agent.Tables()
 		s.OldTables, s.OldContacts = int32(old), int32(n)
 		done(nil)
@@ -309,7 +348,10 @@
 	if req.AtUnix != 0 {
 		at = time.Unix(req.AtUnix, 0)
 	}
-	return &api.Explained{Steps: t.Explain(numberplan.Call{Dialled: req.Number, At: at}, req.Ported, req.Silent), Sum: t.Sum}, nil
+	return &api.Explained{
+		Steps: t.Explain(numberplan.Call{Dialled: req.Number, At: at}, req.Ported, req.Silent),
+		Sum:   t.Sum,
+	}, nil
 }
 
 // serve offers the service until ctx ends.
--- a/internal/gateway/sipserver/numbers_test.go
+++ b/internal/gateway/sipserver/numbers_test.go
@@ -70,7 +70,10 @@
 	}
 	defer who.Close()
 	zone := &dnsserver.Zone{Apex: "e164.test.", Seed: 1, Ported: 1, TTL: 60, Routes: []string{"+15145550000"}}
-	server, err := dnsserver.Serve(&dnsserver.Server{Zone: zone, Faults: dnsserver.Faults{Cut: 1}}, netip.MustParseAddrPort("127.72.0.20:0"))
+	server, err := dnsserver.Serve(
+		&dnsserver.Server{Zone: zone, Faults: dnsserver.Faults{Cut: 1}},
+		netip.MustParseAddrPort("127.72.0.20:0"),
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -130,9 +133,17 @@
 		for range 60 {
 			calls++
 			id := fmt.Sprint("n", calls)
-			who.WriteToUDPAddrPort([]byte(strings.ReplaceAll("INVITE sip:+1418555"+id[1:]+"@127.72.0.11 SIP/2.0\nVia: SIP/2.0/UDP 127.72.0.18:19062;rport;branch=z9hG4bK"+id+
-				"\nFrom: <sip:a@b>;tag="+id+"\nTo: <sip:c@d>\nCall-ID: "+id+"\nCSeq: 1 INVITE\nContact: <sip:127.72.0.18:19062>\nExpires: 1\nContent-Length: 0\n\n", "\n", "\r\n")),
-				netip.MustParseAddrPort("127.72.0.11:19062"))
+			who.WriteToUDPAddrPort(
+				[]byte(
+					strings.ReplaceAll(
+						"INVITE sip:+1418555"+id[1:]+"@127.72.0.11 SIP/2.0\nVia: SIP/2.0/UDP 127.72.0.18:19062;rport;branch=z9hG4bK"+id+
+							"\nFrom: <sip:a@b>;tag="+id+"\nTo: <sip:c@d>\nCall-ID: "+id+"\nCSeq: 1 INVITE\nContact: <sip:127.72.0.18:19062>\nExpires: 1\nContent-Length: 0\n\n",
+						"\n",
+						"\r\n",
+					),
+				),
+				netip.MustParseAddrPort("127.72.0.11:19062"),
+			)
 			if _, _, ok := within(sw, 300*time.Millisecond, "INVITE "+begins, ";npdi;rn=+15145550000;"); ok {
 				return
 			}
@@ -161,7 +172,11 @@
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		if len(m.Answer) != 1 || !strings.Contains(m.Answer[0].String(), ";npdi;rn=+15145550000;tgrp=TG-0;trunk-context=x.example@127.72.0.19:19062!") {
+		if len(m.Answer) != 1 ||
+			!strings.Contains(
+				m.Answer[0].String(),
+				";npdi;rn=+15145550000;tgrp=TG-0;trunk-context=x.example@127.72.0.19:19062!",
+			) {
 			t.Errorf("a look-up by %s: %v", net, m)
 		}
 	}
@@ -177,7 +192,11 @@
 	}
 	defer conn.Close()
 	c, ctx := api.NewNumbersClient(conn), context.Background()
-	if _, err := c.Put(ctx, &api.PutTable{Table: form(table(2, "TG-9"))}); err == nil || !strings.Contains(err.Error(), `trunk group "TG-9"`) {
+	if _, err := c.Put(
+		ctx,
+		&api.PutTable{Table: form(table(2, "TG-9"))},
+	); err == nil ||
+		!strings.Contains(err.Error(), `trunk group "TG-9"`) {
 		t.Errorf("a bad table: %v", err)
 	}
 	call("sip:+71418555")
@@ -204,9 +223,17 @@
 		t.Errorf("back from the first: %v", err)
 	}
 	server.Change(func(s *dnsserver.Server) { s.Faults = dnsserver.Faults{Silent: true} })
-	who.WriteToUDPAddrPort([]byte(strings.ReplaceAll("INVITE sip:+14189999999@127.72.0.11 SIP/2.0\nVia: SIP/2.0/UDP 127.72.0.18:19062;rport;branch=z9hG4bKlast"+
-		"\nFrom: <sip:a@b>;tag=l\nTo: <sip:c@d>\nCall-ID: last\nCSeq: 1 INVITE\nContact: <sip:127.72.0.18:19062>\nExpires: 9\nContent-Length: 0\n\n", "\n", "\r\n")),
-		netip.MustParseAddrPort("127.72.0.11:19062"))
+	who.WriteToUDPAddrPort(
+		[]byte(
+			strings.ReplaceAll(
+				"INVITE sip:+14189999999@127.72.0.11 SIP/2.0\nVia: SIP/2.0/UDP 127.72.0.18:19062;rport;branch=z9hG4bKlast"+
+					"\nFrom: <sip:a@b>;tag=l\nTo: <sip:c@d>\nCall-ID: last\nCSeq: 1 INVITE\nContact: <sip:127.72.0.18:19062>\nExpires: 9\nContent-Length: 0\n\n",
+				"\n",
+				"\r\n",
+			),
+		),
+		netip.MustParseAddrPort("127.72.0.11:19062"),
+	)
 	if _, _, ok := within(who, 10*time.Second, "SIP/2.0 504 no answer", "Call-ID: last"); !ok {
 		t.Error("a look-up without an answer does not end as the table says")
 	}
--- a/internal/gateway/tablestore/store.go
+++ b/internal/gateway/tablestore/store.go
@@ -76,7 +76,13 @@
 
 // Keep writes a table as the running one. Serial 0: a new one, which gets the next number; another: one that is kept
 // already and runs again. shelf is what was on it before, which a start may have found less of than the file says.
-func (s *Store) Keep(c tableversions.Checked, note string, serial uint64, shelf tableversions.Shelf, at time.Time) (uint64, error) {
+func (s *Store) Keep(
+	c tableversions.Checked,
+	note string,
+	serial uint64,
+	shelf tableversions.Shelf,
+	at time.Time,
+) (uint64, error) {
 	err := s.db.Update(func(tx *bbolt.Tx) error {
 		if serial == 0 {
 			n, err := tx.Bucket(forms).NextSequence()
@@ -85,8 +91,10 @@
 			}
 			serial = n
 			sum := sha256.Sum256(c.Form)
-			kept, err := proto.Marshal(&api.KeptTable{Serial: n, Name: c.Table.Name, Version: c.Table.Version, Sum: hex.EncodeToString(sum[:]),
-				AtUnix: at.Unix(), Note: note, Rules: int64(c.Table.Size())})
+			kept, err := proto.Marshal(
+				&api.KeptTable{Serial: n, Name: c.Table.Name, Version: c.Table.Version, Sum: hex.EncodeToString(sum[:]),
+					AtUnix: at.Unix(), Note: note, Rules: int64(c.Table.Size())},
+			)
 			if err != nil {
 				return err
 			}
@@ -136,7 +144,13 @@
 			return fmt.Errorf("%w: number %d: %w", ErrDamaged, serial, err)
 		}
 		if sum := sha256.Sum256(b); hex.EncodeToString(sum[:]) != kept.Sum {
-			return fmt.Errorf("%w: number %d, %s version %d: its checksum is not what was kept", ErrDamaged, serial, kept.Name, kept.Version)
+			return fmt.Errorf(
+				"%w: number %d, %s version %d: its checksum is not what was kept",
+				ErrDamaged,
+				serial,
+				kept.Name,
+				kept.Version,
+			)
 		}
 		form = append([]byte(nil), b...)
 		return nil
@@ -178,8 +192,8 @@
 	return of, nil
 }
 
-// Load reads and compiles a table of a file, of HCL or of the compact form; every fault is told, with file and line where
-// there are lines.
+// Load reads and compiles a table of a file, of HCL or of the compact form; every fault is told, with file and line
+// where there are lines.
 func Load(file string) (*numberplan.Table, *api.NumberTable, error) {
 	src, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/gateway/tablestore/store_test.go
+++ b/internal/gateway/tablestore/store_test.go
@@ -19,7 +19,16 @@
 type fataler interface{ Fatal(...any) }
 
 func formOf(t fataler, version int, group string) []byte {
-	_, f, err := numberplan.Parse("t.hcl", []byte(fmt.Sprintf("name = \"t\"\nversion = %d\nroute \"r\" {\n group %q {\n }\n}\nplan \"start\" {\n rule \"\" {\n route = \"r\"\n }\n}\n", version, group)))
+	_, f, err := numberplan.Parse(
+		"t.hcl",
+		[]byte(
+			fmt.Sprintf(
+				"name = \"t\"\nversion = %d\nroute \"r\" {\n group %q {\n }\n}\nplan \"start\" {\n rule \"\" {\n route = \"r\"\n }\n}\n",
+				version,
+				group,
+			),
+		),
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -137,8 +146,8 @@
 	}
 }
 
-// A change that comes while the one before is checked waits; of several that wait the latest goes on, and the others hear
-// that they were overtaken.
+// A change that comes while the one before is checked waits; of several that wait the latest goes on, and the others
+// hear that they were overtaken.
 func TestWhileCompiling(t *testing.T) {
 	b := newBench(t)
 	said := map[int]error{}
@@ -150,8 +159,12 @@
 	}
 	for b.step() {
 	}
-	if said[1] != nil || !errors.Is(said[2], tableversions.ErrOvertaken) || !errors.Is(said[3], tableversions.ErrOvertaken) || said[4] != nil || len(said) != 4 ||
-		b.k.Running.Version != 4 || len(b.swapped) != 2 {
+	if said[1] != nil || !errors.Is(said[2], tableversions.ErrOvertaken) ||
+		!errors.Is(said[3], tableversions.ErrOvertaken) ||
+		said[4] != nil ||
+		len(said) != 4 ||
+		b.k.Running.Version != 4 ||
+		len(b.swapped) != 2 {
 		t.Errorf("%v, runs %d", said, b.k.Running.Version)
 	}
 }
@@ -218,10 +231,16 @@
 	if err := b.put(formOf(t, 3, "TG-1")); err != nil {
 		t.Fatal(err)
 	}
-	if run, then, problems := recovered(has); run.Version != 3 || then.Running != 3 || !slices.Equal(then.Before, []uint64{1, 2}) || problems != nil {
+	if run, then, problems := recovered(
+		has,
+	); run.Version != 3 || then.Running != 3 || !slices.Equal(then.Before, []uint64{1, 2}) ||
+		problems != nil {
 		t.Errorf("%v, %v, %v", run, then, problems)
 	}
-	if run, then, problems := recovered(numberplan.Names{Groups: []string{"TG-0"}}); run.Version != 2 || then.Running != 2 || !slices.Equal(then.Before, []uint64{1}) || len(problems) != 1 {
+	if run, then, problems := recovered(
+		numberplan.Names{Groups: []string{"TG-0"}},
+	); run.Version != 2 || then.Running != 2 || !slices.Equal(then.Before, []uint64{1}) ||
+		len(problems) != 1 {
 		t.Errorf("%v, %v, %v", run, then, problems)
 	}
 	// going on after a start that passed one over goes on from what was found, also after the next start
@@ -252,7 +271,8 @@
 			}
 		}
 	}
-	if list, err := b.s.List(); err != nil || len(list) > 2*tableversions.MostKept+1 || len(list) < tableversions.MostKept {
+	if list, err := b.s.List(); err != nil || len(list) > 2*tableversions.MostKept+1 ||
+		len(list) < tableversions.MostKept {
 		t.Errorf("%d are kept, %v", len(list), err)
 	}
 }
--- a/internal/hclconfig/conf.go
+++ b/internal/hclconfig/conf.go
@@ -97,7 +97,10 @@
 }
 
 func (b *Block) fault(at hcl.Range, format string, args ...any) {
-	b.file.diags = append(b.file.diags, &hcl.Diagnostic{Severity: hcl.DiagError, Summary: fmt.Sprintf(format, args...), Subject: &at})
+	b.file.diags = append(
+		b.file.diags,
+		&hcl.Diagnostic{Severity: hcl.DiagError, Summary: fmt.Sprintf(format, args...), Subject: &at},
+	)
 }
 
 // Fault adds a fault of the value of a name, or of the block where that is not there.
@@ -331,7 +334,8 @@
 }
 
 // Override puts another value in the place of one, or where there is none, before anything was read: path is the name,
-// with the names of the blocks before it and dots between ("endpoints.count"); text is the value as a file would have it.
+// with the names of the blocks before it and dots between ("endpoints.count"); text is the value as a file would have
+// it.
 func (b *Block) Override(path, text string) error {
 	expr, diags := hclsyntax.ParseExpression([]byte(text), path, hcl.InitialPos)
 	if diags.HasErrors() {
--- a/internal/protocol/b2bua/analysis.go
+++ b/internal/protocol/b2bua/analysis.go
@@ -35,8 +35,8 @@
 	return
 }
 
-// startAnalysis begins the analysis of a call's number. What the table refuses at once is answered here and needs no state;
-// a question goes out only when the intake has taken the call, so that a flood asks for nothing.
+// startAnalysis begins the analysis of a call's number. What the table refuses at once is answered here and needs no
+// state; a question goes out only when the intake has taken the call, so that a flood asks for nothing.
 func (k *session) startAnalysis(user, params string) bool {
 	e := k.agent
 	p, err := enum.Params(params)
@@ -45,8 +45,16 @@
 		return false
 	}
 	e.draws++
-	a, o := e.table.Begin(numberplan.Call{Dialled: user, Looked: p.Looked, Routing: p.Routing, Carrier: p.Carrier, At: e.config.Epoch.Add(time.Duration(e.Now * float64(time.Millisecond))),
-		Draw: detrand.Float64(e.names.Seed, e.draws)})
+	a, o := e.table.Begin(
+		numberplan.Call{
+			Dialled: user,
+			Looked:  p.Looked,
+			Routing: p.Routing,
+			Carrier: p.Carrier,
+			At:      e.config.Epoch.Add(time.Duration(e.Now * float64(time.Millisecond))),
+			Draw:    detrand.Float64(e.names.Seed, e.draws),
+		},
+	)
 	k.number.analysis, k.number.tableVersion = a, a.Table.Version
 	e.tables[a.Table]++
 	if o.Refusal != nil {
--- a/internal/protocol/b2bua/analysis_test.go
+++ b/internal/protocol/b2bua/analysis_test.go
@@ -110,7 +110,8 @@
 	r.pass(200)
 	r.sent(caller, "SIP/2.0 100")
 	b.done[0](r.now, numberplan.Found{Answer: numberplan.Ported, Routing: "+15145550000", Carrier: "+1-6789"})
-	if got == nil || got.Class.Name != "claim" || got.DestinationID != 1 || got.Destination != r.m.pools[1] || got.Deadline != got.ArrivedAt+6000 {
+	if got == nil || got.Class.Name != "claim" || got.DestinationID != 1 || got.Destination != r.m.pools[1] ||
+		got.Deadline != got.ArrivedAt+6000 {
 		t.Fatalf("offered %+v", got)
 	}
 	req := r.sent(switchB, "INVITE sip:+14185550123;npdi;rn=+70115145550000;cic=+1-6789;tgrp=TG-1;")
@@ -230,8 +231,8 @@
 	}
 }
 
-// What a table refuses is answered at once and asks for nothing, and so is a number that is none; a route that this edge
-// does not have is a fault of its own.
+// What a table refuses is answered at once and asks for nothing, and so is a number that is none; a route that this
+// edge does not have is a fault of its own.
 func TestRefused(t *testing.T) {
 	r, b := numberRig(t)
 	r.m.offered = func(float64, *routing.Call) { t.Error("offered") }
@@ -267,7 +268,8 @@
 	r.list(routing.Draining)
 	b.done[0](r.now, numberplan.Found{Answer: numberplan.Silent})
 	r.pass(1)
-	if len(r.m.heard) != 1 || !strings.HasPrefix(r.m.heard[0], fmt.Sprintf("ended %d", routing.NotSent)) || r.e.Counts.Blocked != 1 {
+	if len(r.m.heard) != 1 || !strings.HasPrefix(r.m.heard[0], fmt.Sprintf("ended %d", routing.NotSent)) ||
+		r.e.Counts.Blocked != 1 {
 		t.Errorf("rule 3: heard %v, barred %d", r.m.heard, r.e.Counts.Blocked)
 	}
 	for _, p := range r.out {
--- a/internal/protocol/b2bua/caller.go
+++ b/internal/protocol/b2bua/caller.go
@@ -61,12 +61,26 @@
 		s.Respond(siptransaction.Response(req, 400, "Missing Contact", e.names.Next()))
 		return
 	}
-	c := &routing.Call{Class: skill, Tenant: e.Tenants[req.From().Address.Host], CalledNumber: user, ArrivedAt: e.Now, DestinationID: -1}
+	c := &routing.Call{
+		Class:         skill,
+		Tenant:        e.Tenants[req.From().Address.Host],
+		CalledNumber:  user,
+		ArrivedAt:     e.Now,
+		DestinationID: -1,
+	}
 	if g := e.byName[numberParameter(params, "tgrp")]; g != nil {
 		c.DestinationID = g.DestinationID
 	}
-	k := &call{session: &session{Session: e.NewSession(c, siptransaction.ParseRetryAfter(siptransaction.HeaderValue(req, "Expires"))), agent: e, sessionID: siptransaction.SessionIDOf(req)}, invite: req, server: s,
-		tenantHost: req.From().Address.Host}
+	k := &call{
+		session: &session{
+			Session:   e.NewSession(c, siptransaction.ParseRetryAfter(siptransaction.HeaderValue(req, "Expires"))),
+			agent:     e,
+			sessionID: siptransaction.SessionIDOf(req),
+		},
+		invite:     req,
+		server:     s,
+		tenantHost: req.From().Address.Host,
+	}
 	k.SignalingLeg, k.responder, s.User = k, k, k
 	k.SetDeadline()
 	if k.sessionID == "" {
@@ -181,7 +195,9 @@
 	e.AddEstablished(1)
 	e.Counts.Answered++
 	e.dialogs[k.tag] = &dialog{agent: e, call: k, callID: string(*k.invite.CallID()), tag: k.tag}
-	k.server.OnUnacknowledged(func() { k.release(routing.Completed, normalClearing) }) // RFC 3261 13.3.1.4: no ACK ever came
+	k.server.OnUnacknowledged(
+		func() { k.release(routing.Completed, normalClearing) },
+	) // RFC 3261 13.3.1.4: no ACK ever came
 }
 
 // OnCancel implements signal.User: the caller is gone before its answer.
@@ -217,7 +233,11 @@
 		return
 	}
 	how, why := routing.Completed, normalClearing
-	if v := siptransaction.HeaderValue(req, siptransaction.Reason); strings.Contains(v, "Q.850") && !strings.Contains(v, "cause=16") {
+	if v := siptransaction.HeaderValue(
+		req,
+		siptransaction.Reason,
+	); strings.Contains(v, "Q.850") &&
+		!strings.Contains(v, "cause=16") {
 		how, why = routing.Reset, v
 	}
 	k := d.call
--- a/internal/protocol/b2bua/edge.go
+++ b/internal/protocol/b2bua/edge.go
@@ -115,9 +115,24 @@
 
 // New makes an edge; its module comes from mk.
 func New(cfg *Config, mk routing.PolicyFactory, out Transport) *Agent {
-	e := &Agent{Controller: callcontrol.New(&callcontrol.Config{Settings: cfg.Settings, AnswerMargin: cfg.AnswerMargin, LoadShedding: cfg.LoadShedding, DisabledGuard: cfg.DisabledGuard}), config: cfg, transport: out,
-		addresses: map[*routing.Endpoint]netip.AddrPort{}, groups: map[int]*Group{}, byName: map[string]*Group{}, dialogs: map[string]*dialog{},
-		table: cfg.Table, tables: map[*numberplan.Table]int{}}
+	e := &Agent{
+		Controller: callcontrol.New(
+			&callcontrol.Config{
+				Settings:      cfg.Settings,
+				AnswerMargin:  cfg.AnswerMargin,
+				LoadShedding:  cfg.LoadShedding,
+				DisabledGuard: cfg.DisabledGuard,
+			},
+		),
+		config:    cfg,
+		transport: out,
+		addresses: map[*routing.Endpoint]netip.AddrPort{},
+		groups:    map[int]*Group{},
+		byName:    map[string]*Group{},
+		dialogs:   map[string]*dialog{},
+		table:     cfg.Table,
+		tables:    map[*numberplan.Table]int{},
+	}
 	h := fnv.New64a()
 	h.Write([]byte(cfg.Name))
 	e.names.Seed = cfg.Settings.Seed ^ h.Sum64()
@@ -148,13 +163,18 @@
 	}
 }
 
-// OnEndpointList takes an endpoint list, whole or of changes only. What it says of an endpoint counts from now on (rule 3): setups to a
-// endpoint that drains or is gone are not repeated any more.
+// OnEndpointList takes an endpoint list, whole or of changes only. What it says of an endpoint counts from now on (rule
+// 3): setups to a endpoint that drains or is gone are not repeated any more.
 func (e *Agent) OnEndpointList(now float64, list []ListEntry, whole bool) {
 	e.Now, e.sip.Now = now, now
 	entries := make([]endpointset.Entry[string], len(list))
 	for i, m := range list {
-		entries[i] = endpointset.Entry[string]{ID: m.ID, DestinationID: m.DestinationID, State: m.State, StartedAt: m.StartedAt}
+		entries[i] = endpointset.Entry[string]{
+			ID:            m.ID,
+			DestinationID: m.DestinationID,
+			State:         m.State,
+			StartedAt:     m.StartedAt,
+		}
 	}
 	changed := e.Endpoints.Apply(entries, whole)
 	for _, m := range list {
@@ -224,8 +244,13 @@
 func (e *Agent) ProbeHealth(p *routing.Endpoint) {
 	to := e.addresses[p]
 	req := sip.NewRequest(sip.OPTIONS, sip.Uri{Scheme: "sip", Host: to.Addr().String(), Port: int(to.Port())})
-	e.addCommonHeaders(req, &sip.FromHeader{Address: e.ownURI(""), Params: sip.HeaderParams{{K: "tag", V: e.names.Next()}}},
-		&sip.ToHeader{Address: req.Recipient}, e.names.Next()+"@"+e.config.Name, 1)
+	e.addCommonHeaders(
+		req,
+		&sip.FromHeader{Address: e.ownURI(""), Params: sip.HeaderParams{{K: "tag", V: e.names.Next()}}},
+		&sip.ToHeader{Address: req.Recipient},
+		e.names.Next()+"@"+e.config.Name,
+		1,
+	)
 	e.sip.Send(req, to, overloadControlParams, func(res *sip.Response) {
 		full := res != nil && e.applyLoadReport(p, res)
 		e.Router.OnLoadReport(e.Now, p, res != nil && res.StatusCode < 300, full)
--- a/internal/protocol/b2bua/edge_test.go
+++ b/internal/protocol/b2bua/edge_test.go
@@ -74,18 +74,51 @@
 
 func newRig(t *testing.T) *rig {
 	r := &rig{T: t, m: &mind{}, now: 1e6}
-	set := &routing.Settings{Gateways: 1, Seed: 3, TickInterval: 1, MaxAttempts: 5, CancelEnabled: true, RetryAfterEnabled: true, RetryHoldOff: 500, AnswerGrace: 20,
-		Classes: []*routing.Class{{Name: "shift-lookup", LatencyObjective: 2000, Timeout: 9000, Weight: 1}, {Name: "claim", LatencyObjective: 1000, Timeout: 6000, Weight: 5}}}
-	r.e = New(&Config{Name: "e", Address: self, TrunkContext: "x.example", Settings: set, Times: siptransaction.Timers{T1: 400, T2: 3200, T4: 5000}, DefaultClass: "shift-lookup",
-		Groups: []Group{{Name: "TG-0", DestinationID: 0, Circuits: 10}, {Name: "TG-1", DestinationID: 1, Circuits: 10}}, LoadShedding: loadshed.Gate{MaxPending: 100}},
-		func(_ *routing.Settings, h routing.Host) routing.Policy { r.m.h = h; return r.m }, r)
+	set := &routing.Settings{
+		Gateways:          1,
+		Seed:              3,
+		TickInterval:      1,
+		MaxAttempts:       5,
+		CancelEnabled:     true,
+		RetryAfterEnabled: true,
+		RetryHoldOff:      500,
+		AnswerGrace:       20,
+		Classes: []*routing.Class{
+			{Name: "shift-lookup", LatencyObjective: 2000, Timeout: 9000, Weight: 1},
+			{Name: "claim", LatencyObjective: 1000, Timeout: 6000, Weight: 5},
+		},
+	}
+	r.e = New(
+		&Config{
+			Name:         "e",
+			Address:      self,
+			TrunkContext: "x.example",
+			Settings:     set,
+			Times:        siptransaction.Timers{T1: 400, T2: 3200, T4: 5000},
+			DefaultClass: "shift-lookup",
+			Groups: []Group{
+				{Name: "TG-0", DestinationID: 0, Circuits: 10},
+				{Name: "TG-1", DestinationID: 1, Circuits: 10},
+			},
+			LoadShedding: loadshed.Gate{MaxPending: 100},
+		},
+		func(_ *routing.Settings, h routing.Host) routing.Policy { r.m.h = h; return r.m },
+		r,
+	)
 	r.m.offered = func(now float64, c *routing.Call) { r.m.h.StartAttempt(c, r.m.pools[0], c.Deadline-now) }
 	r.list(routing.Ready)
 	return r
 }
 
 func (r *rig) list(a routing.State) {
-	r.e.OnEndpointList(r.now, []ListEntry{{ID: "a", DestinationID: 0, State: a, Addr: switchA}, {ID: "b", DestinationID: 1, State: routing.Ready, Addr: switchB}}, true)
+	r.e.OnEndpointList(
+		r.now,
+		[]ListEntry{
+			{ID: "a", DestinationID: 0, State: a, Addr: switchA},
+			{ID: "b", DestinationID: 1, State: routing.Ready, Addr: switchB},
+		},
+		true,
+	)
 }
 
 func (r *rig) pass(ms float64) {
@@ -113,7 +146,13 @@
 	}
 	return method + " sip:+14185550123;tgrp=TG-0;trunk-context=x.example@127.0.0.1 SIP/2.0\nVia: SIP/2.0/UDP 127.0.0.2:5060;rport;branch=z9hG4bK" + branch +
 		"\nFrom: <sip:staff@epicerie.example>;tag=c" + id + "\nTo: <sip:+14185550123@127.0.0.1>" + more + "\nCall-ID: " + id + "\nCSeq: " + n +
-		"\nContact: <sip:127.0.0.2:5060>\nMax-Forwards: 70\nSession-ID: " + strings.Repeat(id[:1], 32) + ";remote=" + strings.Repeat("0", 32) +
+		"\nContact: <sip:127.0.0.2:5060>\nMax-Forwards: 70\nSession-ID: " + strings.Repeat(
+		id[:1],
+		32,
+	) + ";remote=" + strings.Repeat(
+		"0",
+		32,
+	) +
 		"\nExpires: 9\nContent-Length: 0"
 }
 
@@ -154,7 +193,9 @@
 func (r *rig) answer(from netip.AddrPort, to sip.Message, code int, tag, more string) {
 	res := siptransaction.Response(to.(*sip.Request), code, "X", tag)
 	if code == 200 && to.(*sip.Request).Method == sip.INVITE {
-		res.AppendHeader(&sip.ContactHeader{Address: sip.Uri{Scheme: "sip", Host: from.Addr().String(), Port: int(from.Port())}})
+		res.AppendHeader(
+			&sip.ContactHeader{Address: sip.Uri{Scheme: "sip", Host: from.Addr().String(), Port: int(from.Port())}},
+		)
 	}
 	if k, v, ok := strings.Cut(more, ": "); ok {
 		res.AppendHeader(sip.NewHeader(k, v))
@@ -229,7 +270,8 @@
 	}
 }
 
-// CANCEL and 200 cross: the call that stood is acknowledged and released, and nothing attempts before the retry hold-off.
+// CANCEL and 200 cross: the call that stood is acknowledged and released, and nothing attempts before the retry
+// hold-off.
 func TestCancelCrosses200(t *testing.T) {
 	r := newRig(t)
 	r.m.ended = func(now float64, x *routing.Attempt) { r.m.h.ScheduleWakeup(now+1, x.Call) }
@@ -349,7 +391,9 @@
 		r.answer(switchA, r.sent(switchA, "INVITE"), x.code, "s", x.more)
 		r.sent(switchA, "ACK")
 		r.heard(x.want)
-		if res := r.sent(caller, "SIP/2.0 503").(*sip.Response); siptransaction.ParseRetryAfter(siptransaction.HeaderValue(res, siptransaction.RetryAfter)) != 300 {
+		if res := r.sent(caller, "SIP/2.0 503").(*sip.Response); siptransaction.ParseRetryAfter(
+			siptransaction.HeaderValue(res, siptransaction.RetryAfter),
+		) != 300 {
 			t.Errorf("caller told to wait %q", siptransaction.HeaderValue(res, siptransaction.RetryAfter))
 		}
 	}
@@ -386,9 +430,19 @@
 	r.get(caller, callerSays("BYE", "7a", tag))
 	r.answer(switchA, r.sent(switchA, "BYE"), 481, "", "")
 	inv, _ := stand("8a")
-	r.get(switchA, "BYE sip:127.0.0.1 SIP/2.0\nVia: SIP/2.0/UDP 127.0.0.3:5060;branch=z9hG4bKx\nFrom: <sip:x@y>;tag=s8a\nTo: <sip:a@b>;tag="+
-		siptransaction.Tag(inv.From().Params)+"\nCall-ID: "+string(*inv.CallID())+"\nCSeq: 1 BYE\nReason: Q.850;cause=41\nContent-Length: 0")
-	if bye := r.sent(caller, "BYE").(*sip.Request); !strings.Contains(siptransaction.HeaderValue(bye, siptransaction.Reason), "cause=41") {
+	r.get(
+		switchA,
+		"BYE sip:127.0.0.1 SIP/2.0\nVia: SIP/2.0/UDP 127.0.0.3:5060;branch=z9hG4bKx\nFrom: <sip:x@y>;tag=s8a\nTo: <sip:a@b>;tag="+
+			siptransaction.Tag(
+				inv.From().Params,
+			)+"\nCall-ID: "+string(
+			*inv.CallID(),
+		)+"\nCSeq: 1 BYE\nReason: Q.850;cause=41\nContent-Length: 0",
+	)
+	if bye := r.sent(caller, "BYE").(*sip.Request); !strings.Contains(
+		siptransaction.HeaderValue(bye, siptransaction.Reason),
+		"cause=41",
+	) {
 		t.Errorf("reason %q to the caller", siptransaction.HeaderValue(bye, siptransaction.Reason))
 	}
 	r.heard("stood", "ended 0 closed true wait 0", "stood", "ended 5 closed true wait 0")
--- a/internal/protocol/b2bua/enquiry.go
+++ b/internal/protocol/b2bua/enquiry.go
@@ -26,10 +26,15 @@
 	done    func(now float64, n EnquiryResult)
 }
 
-// StartEnquiry asks for the endpoint that a call of a class with a number, as it would be dialled, would be sent to at this moment. done is called once,
-// within timeout ms; what the module decides counts for drains and cold budgets as an attempt does. stop takes the question
-// back.
-func (e *Agent) StartEnquiry(now float64, number, class string, timeout float64, done func(now float64, n EnquiryResult)) (stop func()) {
+// StartEnquiry asks for the endpoint that a call of a class with a number, as it would be dialled, would be sent to at
+// this moment. done is called once, within timeout ms; what the module decides counts for drains and cold budgets as an
+// attempt does. stop takes the question back.
+func (e *Agent) StartEnquiry(
+	now float64,
+	number, class string,
+	timeout float64,
+	done func(now float64, n EnquiryResult),
+) (stop func()) {
 	e.Now, e.sip.Now = now, now
 	k := e.Classes[class]
 	if k == nil {
@@ -96,8 +101,8 @@
 // isOut implements control.Party.
 func (q *enquiry) HasAttempt() bool { return q.attempt != nil }
 
-// SendSetup implements control.Party: the answer is the attempt. Whoever asked calls the endpoint itself, so it is over for us; the module
-// counts it as one that was sent and taken.
+// SendSetup implements control.Party: the answer is the attempt. Whoever asked calls the endpoint itself, so it is over
+// for us; the module counts it as one that was sent and taken.
 func (q *enquiry) SendSetup(r *routing.Attempt, _ float64) bool {
 	e := q.agent
 	g := e.groups[r.Endpoint.DestinationID]
@@ -111,8 +116,11 @@
 		q.attempt = nil
 		q.EndAttempt(r, routing.Completed, true)
 	})
-	q.done(e.Now, EnquiryResult{Code: 200, Addr: e.addresses[p], Group: g.Name, Number: q.CalledNumber, Params: q.number.params,
-		Valid: func() bool { return p.State == routing.Ready }})
+	q.done(
+		e.Now,
+		EnquiryResult{Code: 200, Addr: e.addresses[p], Group: g.Name, Number: q.CalledNumber, Params: q.number.params,
+			Valid: func() bool { return p.State == routing.Ready }},
+	)
 	return true
 }
 
--- a/internal/protocol/b2bua/enquiry_test.go
+++ b/internal/protocol/b2bua/enquiry_test.go
@@ -21,7 +21,8 @@
 	}
 	b.done[0](r.now, numberplan.Found{Answer: numberplan.Ported, Routing: "+15145550000"})
 	if len(got) != 1 || got[0].Code != 200 || got[0].Addr != switchB || got[0].Group != "TG-1" || got[0].Number != "+14185550123" ||
-		got[0].Params != ";npdi;rn=+70115145550000" || !got[0].Valid() {
+		got[0].Params != ";npdi;rn=+70115145550000" ||
+		!got[0].Valid() {
 		t.Fatalf("%+v", got)
 	}
 	r.pass(2)
@@ -93,7 +94,13 @@
 	r.m.offered = func(float64, *routing.Call) {}
 	n := map[string]int{}
 	for range 100 {
-		r.e.StartEnquiry(r.now, "1", "shift-lookup", 2000, func(_ float64, x EnquiryResult) { n[strings.Fields(x.Reason)[0]]++ })
+		r.e.StartEnquiry(
+			r.now,
+			"1",
+			"shift-lookup",
+			2000,
+			func(_ float64, x EnquiryResult) { n[strings.Fields(x.Reason)[0]]++ },
+		)
 	}
 	r.pass(1)
 	if n["busy"] != 90 || r.e.Counts.Shed != 90 {
--- a/internal/protocol/b2bua/held.go
+++ b/internal/protocol/b2bua/held.go
@@ -24,8 +24,17 @@
 	}
 	k.releaseTable()
 	if e := k.agent; e.OnCallEnd != nil {
-		e.OnCallEnd(CallRecord{SessionID: k.sessionID, Class: k.Class.Name, Answer: code, Attempts: k.Call.Attempts, DurationMs: e.Now - k.ArrivedAt,
-			Table: k.number.tableVersion, Route: k.number.routeName})
+		e.OnCallEnd(
+			CallRecord{
+				SessionID:  k.sessionID,
+				Class:      k.Class.Name,
+				Answer:     code,
+				Attempts:   k.Call.Attempts,
+				DurationMs: e.Now - k.ArrivedAt,
+				Table:      k.number.tableVersion,
+				Route:      k.number.routeName,
+			},
+		)
 	}
 	return true
 }
--- a/internal/protocol/b2bua/load.go
+++ b/internal/protocol/b2bua/load.go
@@ -20,8 +20,8 @@
 	"free":  func(r *routing.LoadReport, v float64) { r.Free = v },
 }
 
-// applyLoadReport reads what an answer says of an endpoint's load: overload control in our own Via (RFC 7339 4, RFC 7415 3) and the
-// load header. It tells whether figures of the processor came. What makes no sense is passed over.
+// applyLoadReport reads what an answer says of an endpoint's load: overload control in our own Via (RFC 7339 4, RFC
+// 7415 3) and the load header. It tells whether figures of the processor came. What makes no sense is passed over.
 func (e *Agent) applyLoadReport(p *routing.Endpoint, res *sip.Response) bool {
 	full := false
 	if via := res.Via(); via != nil {
--- a/internal/protocol/b2bua/trunk.go
+++ b/internal/protocol/b2bua/trunk.go
@@ -13,7 +13,8 @@
 // overloadControlParams says in a Via which kinds of overload control this edge heeds (RFC 7339 4.1, RFC 7415).
 var overloadControlParams = sip.HeaderParams{{K: "oc"}, {K: "oc-algo", V: `"loss,rate"`}}
 
-// outboundLeg is one attempt on the wire. It outlives the attempt where the switch may still think that the call goes on.
+// outboundLeg is one attempt on the wire. It outlives the attempt where the switch may still think that the call goes
+// on.
 type outboundLeg struct {
 	call            *call
 	attempt         *routing.Attempt
@@ -31,8 +32,8 @@
 	circuitReleased bool // its circuit is free
 }
 
-// SendSetup implements control.Party: it sends a setup over a trunk group and gives up after limit ms. A group without a free
-// circuit takes none.
+// SendSetup implements control.Party: it sends a setup over a trunk group and gives up after limit ms. A group without
+// a free circuit takes none.
 func (k *call) SendSetup(r *routing.Attempt, limit float64) bool {
 	e := k.agent
 	g := e.groups[r.Endpoint.DestinationID]
@@ -48,9 +49,16 @@
 	k.leg = l
 	l.invite = sip.NewRequest(sip.INVITE, sip.Uri{Scheme: "sip", Host: to.Addr().String(), Port: int(to.Port()),
 		User: k.CalledNumber + k.number.params + ";tgrp=" + g.Name + ";trunk-context=" + e.config.TrunkContext})
-	e.addCommonHeaders(l.invite, &sip.FromHeader{Address: sip.Uri{Scheme: "sip", User: "anonymous", Host: k.tenantHost},
-		Params: sip.HeaderParams{{K: "tag", V: tag}}},
-		&sip.ToHeader{Address: sip.Uri{Scheme: "sip", User: k.CalledNumber, Host: to.Addr().String(), Port: int(to.Port())}}, id, 1)
+	e.addCommonHeaders(
+		l.invite,
+		&sip.FromHeader{Address: sip.Uri{Scheme: "sip", User: "anonymous", Host: k.tenantHost},
+			Params: sip.HeaderParams{{K: "tag", V: tag}}},
+		&sip.ToHeader{
+			Address: sip.Uri{Scheme: "sip", User: k.CalledNumber, Host: to.Addr().String(), Port: int(to.Port())},
+		},
+		id,
+		1,
+	)
 	l.invite.AppendHeader(&sip.ContactHeader{Address: e.ownURI("")})
 	l.invite.AppendHeader(sip.NewHeader(siptransaction.SessionID, siptransaction.FormatSessionID(k.sessionID)))
 	l.invite.AppendHeader(sip.NewHeader(siptransaction.Service, servicePrefix+k.Class.Name))
@@ -132,7 +140,9 @@
 		how := routing.Failed
 		switch code {
 		case 503: // the processor is too busy
-			how, l.attempt.RetryAfter = routing.Overloaded, siptransaction.ParseRetryAfter(siptransaction.HeaderValue(res, siptransaction.RetryAfter))
+			how, l.attempt.RetryAfter = routing.Overloaded, siptransaction.ParseRetryAfter(
+				siptransaction.HeaderValue(res, siptransaction.RetryAfter),
+			)
 		case 486: // no line free at this endpoint
 			how, l.attempt.AtCapacity = routing.Overloaded, true
 		case 600: // all lines of the number are busy, at any endpoint
@@ -210,9 +220,9 @@
 	l.call.agent.sip.Send(req, l.to, nil, func(*sip.Response) {})
 }
 
-// OnStrayResponse implements signal.User: a switch says that a call stands which nobody here knows of, a setup of a process
-// before this one, or one whose dialog was released since. It is acknowledged and released, so that no line stays
-// taken; only where the list has a switch.
+// OnStrayResponse implements signal.User: a switch says that a call stands which nobody here knows of, a setup of a
+// process before this one, or one whose dialog was released since. It is acknowledged and released, so that no line
+// stays taken; only where the list has a switch.
 func (e *Agent) OnStrayResponse(res *sip.Response, from netip.AddrPort) {
 	e.Now = e.sip.Now
 	known := false
--- a/internal/protocol/binarygateway/any_test.go
+++ b/internal/protocol/binarygateway/any_test.go
@@ -19,14 +19,60 @@
 		r.policy.retries = true
 		var callers []*testConn
 		ids := rapid.Uint64Range(0, 6)
-		text := rapid.SampledFrom([]string{"", "voice", "video", "1500", "-1", "1e300", "NaN", "dest:0;width:1;via:-1", "dest:1;again:1", "at:a", "at:b", "at:nobody",
-			"width:0", "free:3;size:40;busy:0.5;q:2", "free:x;:;;busy:NaN", "cpu_full", "number_busy", "all_trunks_busy"})
-		codes := []byte{binarymessage.Class, binarymessage.Timeout, binarymessage.Number, binarymessage.Figures, binarymessage.RetryAfter, binarymessage.Note, binarymessage.QueueDelay, binarymessage.Report, binarymessage.Cause, binarymessage.Description}
-		kinds := rapid.SampledFrom([]byte{binarymessage.Setup, binarymessage.Progress, binarymessage.Answer, binarymessage.Release, binarymessage.ReleaseComplete, binarymessage.LoadState, binarymessage.HealthCheck, binarymessage.HealthResult, 99})
+		text := rapid.SampledFrom(
+			[]string{
+				"",
+				"voice",
+				"video",
+				"1500",
+				"-1",
+				"1e300",
+				"NaN",
+				"dest:0;width:1;via:-1",
+				"dest:1;again:1",
+				"at:a",
+				"at:b",
+				"at:nobody",
+				"width:0",
+				"free:3;size:40;busy:0.5;q:2",
+				"free:x;:;;busy:NaN",
+				"cpu_full",
+				"number_busy",
+				"all_trunks_busy",
+			},
+		)
+		codes := []byte{
+			binarymessage.Class,
+			binarymessage.Timeout,
+			binarymessage.Number,
+			binarymessage.Figures,
+			binarymessage.RetryAfter,
+			binarymessage.Note,
+			binarymessage.QueueDelay,
+			binarymessage.Report,
+			binarymessage.Cause,
+			binarymessage.Description,
+		}
+		kinds := rapid.SampledFrom(
+			[]byte{
+				binarymessage.Setup,
+				binarymessage.Progress,
+				binarymessage.Answer,
+				binarymessage.Release,
+				binarymessage.ReleaseComplete,
+				binarymessage.LoadState,
+				binarymessage.HealthCheck,
+				binarymessage.HealthResult,
+				99,
+			},
+		)
 		some := func() (of []binarymessage.Param) {
 			for _, c := range rapid.SliceOfNDistinct(rapid.SampledFrom(codes), 0, 5, rapid.ID[byte]).Draw(rt, "codes") {
 				if c == binarymessage.Cause {
-					of = append(of, binarymessage.CauseParam(rapid.SampledFrom([]byte{0, 16, 17, 34, 41, 42, 47, 102}).Draw(rt, "cause")))
+					of = append(
+						of,
+						binarymessage.CauseParam(rapid.SampledFrom([]byte{0, 16, 17, 34, 41, 42, 47, 102}).Draw(rt, "cause")),
+					)
 					continue
 				}
 				of = append(of, binarymessage.TextParam(c, text.Draw(rt, "text")))
@@ -49,7 +95,11 @@
 			case what <= 7 && len(lines) > 0:
 				r.receive(rapid.SampledFrom(lines).Draw(rt, "line"), kinds.Draw(rt, "kind"), ids.Draw(rt, "id"), some()...)
 			case what == 8 && len(lines) > 0:
-				r.gateway.OnClosed(r.now, rapid.SampledFrom(lines).Draw(rt, "line").conn, rapid.SampledFrom([]CloseReason{ClosedNormally, ClosedRefused, ClosedReset}).Draw(rt, "how"))
+				r.gateway.OnClosed(
+					r.now,
+					rapid.SampledFrom(lines).Draw(rt, "line").conn,
+					rapid.SampledFrom([]CloseReason{ClosedNormally, ClosedRefused, ClosedReset}).Draw(rt, "how"),
+				)
 			default:
 				b := readyTarget("b", addrB, 1)
 				b.State = rapid.SampledFrom([]routing.State{routing.Ready, routing.Draining}).Draw(rt, "state")
@@ -78,10 +128,22 @@
 	r := newTestGateway(t)
 	r.policy.targets = []int{0}
 	c := r.newClient()
-	of := []binarymessage.Param{binarymessage.TextParam(binarymessage.Class, "voice"), binarymessage.TextParam(binarymessage.Timeout, "9e5"), binarymessage.TextParam(binarymessage.Number, "1")}
+	of := []binarymessage.Param{
+		binarymessage.TextParam(binarymessage.Class, "voice"),
+		binarymessage.TextParam(binarymessage.Timeout, "9e5"),
+		binarymessage.TextParam(binarymessage.Number, "1"),
+	}
 	room := binarymessage.MaxLength - 9 - 3 - 3*3 - len("voice9e51")
-	r.receive(c, binarymessage.Setup, 7, append(of, binarymessage.Param{Code: binarymessage.Description, Value: make([]byte, room)})...)
+	r.receive(
+		c,
+		binarymessage.Setup,
+		7,
+		append(of, binarymessage.Param{Code: binarymessage.Description, Value: make([]byte, room)})...)
 	r.expect(c.lastMessage(7), binarymessage.Release, binarymessage.Invalid)
-	r.receive(c, binarymessage.Setup, 8, append(of, binarymessage.Param{Code: binarymessage.Description, Value: make([]byte, room-64)})...)
+	r.receive(
+		c,
+		binarymessage.Setup,
+		8,
+		append(of, binarymessage.Param{Code: binarymessage.Description, Value: make([]byte, room-64)})...)
 	r.connOf(8)
 }
--- a/internal/protocol/binarygateway/endpointlist.go
+++ b/internal/protocol/binarygateway/endpointlist.go
@@ -6,9 +6,9 @@
 	"cobaltpier/internal/routing"
 )
 
-// OnEndpointList takes an endpoint list. It counts at once (rule 3): setups that wait here for an endpoint that drains or
-// is gone are withdrawn. Connections to an endpoint that is gone are closed, and its calls have ended with it. One with
-// a new ID is another endpoint, whatever its address.
+// OnEndpointList takes an endpoint list. It counts at once (rule 3): setups that wait here for an endpoint that drains
+// or is gone are withdrawn. Connections to an endpoint that is gone are closed, and its calls have ended with it. One
+// with a new ID is another endpoint, whatever its address.
 func (g *Gateway) OnEndpointList(now float64, list *dnsdiscovery.List) {
 	g.Now = now
 	changed := g.Endpoints.Apply(g.endpointEntries(list), list.Complete)
--- a/internal/protocol/binarygateway/gateway.go
+++ b/internal/protocol/binarygateway/gateway.go
@@ -175,7 +175,8 @@
 	g.Step(now)
 }
 
-// CloseClientWrites closes the sending side of all client connections. Clients send setups that cross it again elsewhere.
+// CloseClientWrites closes the sending side of all client connections. Clients send setups that cross it again
+// elsewhere.
 func (g *Gateway) CloseClientWrites() {
 	for _, conn := range g.clientConns {
 		conn.writeClosed = true
--- a/internal/protocol/binarygateway/outboundleg.go
+++ b/internal/protocol/binarygateway/outboundleg.go
@@ -24,8 +24,8 @@
 	answeredLate bool
 }
 
-// setupMessage is the client's setup as it goes to the endpoint: class, called number and description unchanged, and for
-// how many ms this gateway waits.
+// setupMessage is the client's setup as it goes to the endpoint: class, called number and description unchanged, and
+// for how many ms this gateway waits.
 func (l *outboundLeg) setupMessage() []byte {
 	received := binarymessage.Message(l.call.setup)
 	g := l.upstream.gateway
--- a/internal/protocol/binarygateway/platform_test.go
+++ b/internal/protocol/binarygateway/platform_test.go
@@ -19,7 +19,9 @@
 	r.receiveSetup(c, 7)
 	w := r.connOf(7)
 	m := w.lastMessage(7)
-	if w.address != addrA || m.Text(binarymessage.Class) != "voice" || m.Text(binarymessage.Number) != "7f3a9c21e0b4d655" || m.Text(binarymessage.Description) != "v=0" {
+	if w.address != addrA || m.Text(binarymessage.Class) != "voice" ||
+		m.Text(binarymessage.Number) != "7f3a9c21e0b4d655" ||
+		m.Text(binarymessage.Description) != "v=0" {
 		t.Errorf("to %v: %q", w.address, m)
 	}
 	if _, there := m.Get(binarymessage.Figures); there {
@@ -28,14 +30,28 @@
 	if left, _ := parseNumber(m.Text(binarymessage.Timeout)); left < 2990 || left > 3000 {
 		t.Errorf("the gateway waits %v ms", left)
 	}
-	r.receive(w, binarymessage.Answer, 7, testDescription, binarymessage.TextParam(binarymessage.Report, "free:3;size:40;busy:0.5;q:2"))
+	r.receive(
+		w,
+		binarymessage.Answer,
+		7,
+		testDescription,
+		binarymessage.TextParam(binarymessage.Report, "free:3;size:40;busy:0.5;q:2"),
+	)
 	r.expect(c.lastMessage(7), binarymessage.Answer, 0)
 	if d := c.lastMessage(7).Text(binarymessage.Description); d != "v=0 answer" {
 		t.Errorf("the caller got %q", d)
 	}
 	r.receive(w, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal))
 	r.expect(c.lastMessage(7), binarymessage.Release, binarymessage.Normal)
-	if want := []string{"offered", "report 0 free 3 of 40", "stood", "ended 0 closed true agent false engaged false wait 0"}; !slices.Equal(r.policy.events, want) {
+	if want := []string{
+		"offered",
+		"report 0 free 3 of 40",
+		"stood",
+		"ended 0 closed true agent false engaged false wait 0",
+	}; !slices.Equal(
+		r.policy.events,
+		want,
+	) {
 		t.Errorf("the module heard %q", r.policy.events)
 	}
 	if calls := r.gateway.OpenCounts().Calls; calls != 0 {
@@ -73,8 +89,8 @@
 	}
 }
 
-// The answer to an attempt that was given up comes when another attempt of the call stands at the same switch: a release there
-// would cut the call. At another switch it is released.
+// The answer to an attempt that was given up comes when another attempt of the call stands at the same switch: a
+// release there would cut the call. At another switch it is released.
 func TestLateAnswerOfAnEarlierRing(t *testing.T) {
 	for _, second := range []int{0, 1} {
 		r := newTestGateway(t)
@@ -140,7 +156,11 @@
 	r.step()
 	c := r.newClient()
 	r.receiveSetup(c, 7)
-	r.setEndpoints(2, dnsdiscovery.Target{ID: "a", Addr: addrA, DestinationID: 0, State: routing.Draining}, readyTarget("b", addrB, 1))
+	r.setEndpoints(
+		2,
+		dnsdiscovery.Target{ID: "a", Addr: addrA, DestinationID: 0, State: routing.Draining},
+		readyTarget("b", addrB, 1),
+	)
 	r.step()
 	for _, w := range r.dialed {
 		w.blocked = false
@@ -229,7 +249,11 @@
 		c := r.newClient()
 		w := r.stood(c, 7)
 		if told {
-			r.setEndpoints(2, dnsdiscovery.Target{ID: "a", Addr: addrA, DestinationID: 0, State: routing.Draining}, readyTarget("b", addrB, 1))
+			r.setEndpoints(
+				2,
+				dnsdiscovery.Target{ID: "a", Addr: addrA, DestinationID: 0, State: routing.Draining},
+				readyTarget("b", addrB, 1),
+			)
 		}
 		r.holdDials = true
 		for _, o := range r.linesTo(addrA) {
@@ -248,8 +272,8 @@
 	}
 }
 
-// Where all its lines were closed in order it lives on too, but a call may end there unheard: its caller is told before it
-// would count as left standing.
+// Where all its lines were closed in order it lives on too, but a call may end there unheard: its caller is told before
+// it would count as left standing.
 func TestDrainsWithoutLine(t *testing.T) {
 	r := newTestGateway(t)
 	c := r.newClient()
@@ -403,7 +427,13 @@
 	r := newTestGateway(t)
 	c := r.newClient()
 	at := func(id uint64, who string) {
-		r.receive(c, binarymessage.Setup, id, binarymessage.TextParam(binarymessage.Class, "voice"), binarymessage.TextParam(binarymessage.Figures, "at:"+who))
+		r.receive(
+			c,
+			binarymessage.Setup,
+			id,
+			binarymessage.TextParam(binarymessage.Class, "voice"),
+			binarymessage.TextParam(binarymessage.Figures, "at:"+who),
+		)
 	}
 	var line *testConn
 	for _, w := range r.dialed {
@@ -427,7 +457,12 @@
 	if n != 1 || c.lastMessage(8) != nil {
 		t.Errorf("the switch heard %d releases, the caller got %x", n, c.lastMessage(8))
 	}
-	r.receive(line, binarymessage.Release, 9, binarymessage.CauseParam(binarymessage.Failure)) // it ended before its caller told of it
+	r.receive(
+		line,
+		binarymessage.Release,
+		9,
+		binarymessage.CauseParam(binarymessage.Failure),
+	) // it ended before its caller told of it
 	at(9, "a")
 	r.expect(c.lastMessage(9), binarymessage.Release, binarymessage.Failure)
 	at(10, "nobody")
@@ -440,7 +475,8 @@
 	}
 }
 
-// An open id again: the newcomer's connection is closed, the call that was there goes on, unless both are one connection's.
+// An open id again: the newcomer's connection is closed, the call that was there goes on, unless both are one
+// connection's.
 func TestSameID(t *testing.T) {
 	r := newTestGateway(t)
 	r.policy.targets = []int{0, 0}
@@ -547,7 +583,11 @@
 	c, d := r.newClient(), r.newClient()
 	c.blocked = true
 	for i := range uint64(20000) {
-		r.gateway.OnData(r.now, c.conn, binarymessage.Append(nil, binarymessage.HealthCheck, i+1, binarymessage.CauseParam(0)))
+		r.gateway.OnData(
+			r.now,
+			c.conn,
+			binarymessage.Append(nil, binarymessage.HealthCheck, i+1, binarymessage.CauseParam(0)),
+		)
 		if r.gateway.Step(r.now); c.closed {
 			break
 		}
@@ -606,8 +646,15 @@
 	c := r.newClient()
 	r.receive(c, binarymessage.HealthCheck, 5, binarymessage.CauseParam(0))
 	r.advance(6000)
-	b := binarymessage.Append(nil, binarymessage.Setup, 7, binarymessage.TextParam(binarymessage.Class, "voice"), binarymessage.TextParam(binarymessage.Timeout, "3000"),
-		binarymessage.TextParam(binarymessage.Number, "1"), binarymessage.TextParam(binarymessage.Description, "v=0"))
+	b := binarymessage.Append(
+		nil,
+		binarymessage.Setup,
+		7,
+		binarymessage.TextParam(binarymessage.Class, "voice"),
+		binarymessage.TextParam(binarymessage.Timeout, "3000"),
+		binarymessage.TextParam(binarymessage.Number, "1"),
+		binarymessage.TextParam(binarymessage.Description, "v=0"),
+	)
 	r.gateway.OnData(r.now, c.conn, b[:10])
 	r.advance(900)
 	r.gateway.OnData(r.now, c.conn, b[10:20])
@@ -659,7 +706,12 @@
 	w := r.stood(c, 7)
 	c.blocked = true
 	r.receive(c, binarymessage.HealthCheck, 5, binarymessage.CauseParam(0))
-	r.receive(w, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal)) // its release waits in the queue
+	r.receive(
+		w,
+		binarymessage.Release,
+		7,
+		binarymessage.CauseParam(binarymessage.Normal),
+	) // its release waits in the queue
 	r.policy.targets = []int{0}
 	r.receiveSetup(c, 8)
 	w = r.connOf(8)
@@ -729,7 +781,11 @@
 			if closes {
 				r.gateway.OnClosed(r.now, c.conn, ClosedNormally)
 			} else {
-				r.gateway.OnData(r.now, c.conn, binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal)))
+				r.gateway.OnData(
+					r.now,
+					c.conn,
+					binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal)),
+				)
 			}
 			r.holdDials = false
 			for _, w := range r.dialed {
@@ -755,10 +811,18 @@
 	r := newTestGateway(t)
 	r.policy.targets = []int{0}
 	c := r.newClient()
-	r.gateway.OnData(r.now, c.conn, binarymessage.Append(nil, binarymessage.Setup, 7, binarymessage.TextParam(binarymessage.Class, "voice"),
-		binarymessage.TextParam(binarymessage.Timeout, "3000"), binarymessage.TextParam(binarymessage.Number, "1")))
+	r.gateway.OnData(
+		r.now,
+		c.conn,
+		binarymessage.Append(nil, binarymessage.Setup, 7, binarymessage.TextParam(binarymessage.Class, "voice"),
+			binarymessage.TextParam(binarymessage.Timeout, "3000"), binarymessage.TextParam(binarymessage.Number, "1")),
+	)
 	r.gateway.ProcessBatch(r.now, nil) // it has been tried, and is in its line's queue
-	r.gateway.OnData(r.now, c.conn, binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal)))
+	r.gateway.OnData(
+		r.now,
+		c.conn,
+		binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal)),
+	)
 	r.advance(100)
 	for _, w := range r.dialed {
 		if w.lastMessage(7) != nil {
@@ -787,8 +851,8 @@
 	}
 }
 
-// Before the process goes: what is held is answered, and then callers' connections end in order; what comes after that is
-// not taken, and nothing is written any more.
+// Before the process goes: what is held is answered, and then callers' connections end in order; what comes after that
+// is not taken, and nothing is written any more.
 func TestCloseWrite(t *testing.T) {
 	r := newTestGateway(t)
 	r.policy.targets = []int{0, 0}
@@ -820,21 +884,37 @@
 	}
 }
 
-// What crosses on the way is settled once: releases of both sides, a caller's close and the switch's answer in one batch,
-// whichever comes first.
+// What crosses on the way is settled once: releases of both sides, a caller's close and the switch's answer in one
+// batch, whichever comes first.
 func TestCrossings(t *testing.T) {
 	r := newTestGateway(t)
 	c, d := r.newClient(), r.newClient()
 	w := r.stood(c, 7)
-	r.gateway.OnData(r.now, c.conn, binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal)))
-	r.gateway.OnData(r.now, w.conn, binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal)))
+	r.gateway.OnData(
+		r.now,
+		c.conn,
+		binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal)),
+	)
+	r.gateway.OnData(
+		r.now,
+		w.conn,
+		binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal)),
+	)
 	r.step()
 	if c.count(7, binarymessage.Release) != 0 || w.count(7, binarymessage.Release) != 1 {
 		t.Errorf("the caller's release first: the caller got %x, the switch %x", c.messages, w.messages)
 	}
 	w = r.stood(c, 8)
-	r.gateway.OnData(r.now, w.conn, binarymessage.Append(nil, binarymessage.Release, 8, binarymessage.CauseParam(binarymessage.Normal)))
-	r.gateway.OnData(r.now, c.conn, binarymessage.Append(nil, binarymessage.Release, 8, binarymessage.CauseParam(binarymessage.Normal)))
+	r.gateway.OnData(
+		r.now,
+		w.conn,
+		binarymessage.Append(nil, binarymessage.Release, 8, binarymessage.CauseParam(binarymessage.Normal)),
+	)
+	r.gateway.OnData(
+		r.now,
+		c.conn,
+		binarymessage.Append(nil, binarymessage.Release, 8, binarymessage.CauseParam(binarymessage.Normal)),
+	)
 	r.step()
 	if c.count(8, binarymessage.Release) != 1 || w.count(8, binarymessage.Release) != 0 {
 		t.Errorf("the switch's release first: the caller got %x, the switch %x", c.messages, w.messages)
@@ -853,7 +933,8 @@
 			r.gateway.OnClosed(r.now, e.conn, ClosedReset)
 		}
 		r.advance(100)
-		if w.count(id, binarymessage.Release) == 0 || c.lastMessage(id) != nil || d.lastMessage(id) != nil || e.lastMessage(id) != nil {
+		if w.count(id, binarymessage.Release) == 0 || c.lastMessage(id) != nil || d.lastMessage(id) != nil ||
+			e.lastMessage(id) != nil {
 			t.Errorf("close first %v: the switch got %x", closesFirst, w.messages)
 		}
 	}
@@ -862,8 +943,8 @@
 	}
 }
 
-// A switch is killed behind its accept while a call stands, an attempt is out and a give-up is in the socket: the attempt ends as
-// one that may have run, the give-up as what it is, and the call is over for its caller.
+// A switch is killed behind its accept while a call stands, an attempt is out and a give-up is in the socket: the
+// attempt ends as one that may have run, the give-up as what it is, and the call is over for its caller.
 func TestKilledWithAllThree(t *testing.T) {
 	r := newTestGateway(t)
 	c := r.newClient()
@@ -878,7 +959,11 @@
 	for _, o := range r.linesTo(addrA) {
 		o.blocked = true
 	}
-	r.gateway.OnData(r.now, c.conn, binarymessage.Append(nil, binarymessage.Release, 9, binarymessage.CauseParam(binarymessage.Normal))) // its give-up is in the socket
+	r.gateway.OnData(
+		r.now,
+		c.conn,
+		binarymessage.Append(nil, binarymessage.Release, 9, binarymessage.CauseParam(binarymessage.Normal)),
+	) // its give-up is in the socket
 	r.step()
 	r.holdDials = true
 	r.policy.events = nil
--- a/internal/protocol/binarygateway/rig_test.go
+++ b/internal/protocol/binarygateway/rig_test.go
@@ -18,7 +18,8 @@
 	clientAddr = netip.MustParseAddr("127.0.0.9")
 )
 
-// scriptedPolicy is a module that a test plays by hand: it attempts the endpoints of to in turn and gives up when there is none left.
+// scriptedPolicy is a module that a test plays by hand: it attempts the endpoints of to in turn and gives up when there
+// is none left.
 type scriptedPolicy struct {
 	host      routing.Host
 	endpoints map[int]*routing.Endpoint
@@ -51,14 +52,32 @@
 }
 func (m *scriptedPolicy) OnAnswer(float64, *routing.Attempt) { m.events = append(m.events, "stood") }
 func (m *scriptedPolicy) OnAttemptEnd(now float64, attempt *routing.Attempt, closed bool) {
-	m.events = append(m.events, fmt.Sprintf("ended %d closed %v agent %v engaged %v wait %v", attempt.Outcome, closed, attempt.AtCapacity, attempt.NumberBusy, attempt.RetryAfter))
+	m.events = append(
+		m.events,
+		fmt.Sprintf(
+			"ended %d closed %v agent %v engaged %v wait %v",
+			attempt.Outcome,
+			closed,
+			attempt.AtCapacity,
+			attempt.NumberBusy,
+			attempt.RetryAfter,
+		),
+	)
 	if m.retries && !closed && !attempt.Call.Finished {
 		m.host.ScheduleWakeup(now+500, attempt.Call)
 	}
 }
 func (m *scriptedPolicy) OnHangup(float64, *routing.Call) { m.events = append(m.events, "left") }
 func (m *scriptedPolicy) OnLoadReport(_ float64, endpoint *routing.Endpoint, ok, full bool) {
-	m.events = append(m.events, fmt.Sprintf("report %d free %v of %v", endpoint.DestinationID, endpoint.LoadReport.Free, endpoint.LoadReport.Capacity))
+	m.events = append(
+		m.events,
+		fmt.Sprintf(
+			"report %d free %v of %v",
+			endpoint.DestinationID,
+			endpoint.LoadReport.Free,
+			endpoint.LoadReport.Capacity,
+		),
+	)
 }
 func (m *scriptedPolicy) OnGossip(_ float64, from int, b []byte) {
 	m.events = append(m.events, fmt.Sprintf("told %d %s", from, b))
@@ -118,13 +137,36 @@
 
 func newTestGateway(t *testing.T) *testGateway {
 	r := &testGateway{T: t, policy: &scriptedPolicy{endpoints: map[int]*routing.Endpoint{}}, now: 1e6}
-	set := &routing.Settings{Gateways: 2, GatewayIndex: 0, Seed: 3, TickInterval: 1, MaxAttempts: 5, CancelEnabled: true, RetryAfterEnabled: true, RetryHoldOff: 500, AnswerGrace: 20,
-		Classes: []*routing.Class{{Name: "voice", LatencyObjective: 2000, Timeout: 9000, Weight: 1, Idempotent: true}}}
-	r.gateway = New(r.now, &Config{Settings: set, Connections: deployment.Connections{ConnectTimeout: 500}, MaxDescriptors: 256,
-		AnswerMargin: 5, LoadShedding: loadshed.Gate{MaxPending: 1000}, FromUnixMillis: func(unix float64) float64 { return unix }}, func(_ *routing.Settings, h routing.Host) routing.Policy {
-		r.policy.host = h
-		return r.policy
-	}, r)
+	set := &routing.Settings{
+		Gateways:          2,
+		GatewayIndex:      0,
+		Seed:              3,
+		TickInterval:      1,
+		MaxAttempts:       5,
+		CancelEnabled:     true,
+		RetryAfterEnabled: true,
+		RetryHoldOff:      500,
+		AnswerGrace:       20,
+		Classes: []*routing.Class{
+			{Name: "voice", LatencyObjective: 2000, Timeout: 9000, Weight: 1, Idempotent: true},
+		},
+	}
+	r.gateway = New(
+		r.now,
+		&Config{
+			Settings:       set,
+			Connections:    deployment.Connections{ConnectTimeout: 500},
+			MaxDescriptors: 256,
+			AnswerMargin:   5,
+			LoadShedding:   loadshed.Gate{MaxPending: 1000},
+			FromUnixMillis: func(unix float64) float64 { return unix },
+		},
+		func(_ *routing.Settings, h routing.Host) routing.Policy {
+			r.policy.host = h
+			return r.policy
+		},
+		r,
+	)
 	r.setEndpoints(1, readyTarget("a", addrA, 0), readyTarget("b", addrB, 1))
 	r.step()
 	return r
@@ -175,9 +217,20 @@
 
 // receiveSetup brings a caller's setup.
 func (r *testGateway) receiveSetup(w *testConn, call uint64, of ...binarymessage.Param) {
-	r.receive(w, binarymessage.Setup, call, append([]binarymessage.Param{binarymessage.TextParam(binarymessage.Class, "voice"), binarymessage.TextParam(binarymessage.Timeout, "3000"),
-		binarymessage.TextParam(binarymessage.Number, "7f3a9c21e0b4d655"), binarymessage.TextParam(binarymessage.Figures, "dest:0;width:1;via:-1"),
-		binarymessage.TextParam(binarymessage.Description, "v=0")}, of...)...)
+	r.receive(
+		w,
+		binarymessage.Setup,
+		call,
+		append([]binarymessage.Param{
+			binarymessage.TextParam(binarymessage.Class, "voice"),
+			binarymessage.TextParam(binarymessage.Timeout, "3000"),
+			binarymessage.TextParam(
+				binarymessage.Number,
+				"7f3a9c21e0b4d655",
+			),
+			binarymessage.TextParam(binarymessage.Figures, "dest:0;width:1;via:-1"),
+			binarymessage.TextParam(binarymessage.Description, "v=0"),
+		}, of...)...)
 }
 
 // lastMessage is the latest message that a link was sent for a call, nil: none.
--- a/internal/protocol/binarygateway/setup.go
+++ b/internal/protocol/binarygateway/setup.go
@@ -112,8 +112,8 @@
 	return n, err == nil && n >= 0 && !math.IsInf(n, 0)
 }
 
-// applyLoadReport reads the load report of a message, if it has one, over the endpoint's older one; complete: with figures
-// of the processor. Fields that make no sense are passed over.
+// applyLoadReport reads the load report of a message, if it has one, over the endpoint's older one; complete: with
+// figures of the processor. Fields that make no sense are passed over.
 func applyLoadReport(endpoint *routing.Endpoint, message binarymessage.Message) (reported, complete bool) {
 	report, reported := message.Get(binarymessage.Report)
 	if !reported {
--- a/internal/protocol/binarygateway/upstream.go
+++ b/internal/protocol/binarygateway/upstream.go
@@ -136,8 +136,8 @@
 	conn.scheduleFlush()
 }
 
-// assignConn sends a setup on the connection with the fewest setups in flight, since one that breaks takes all of its own
-// along. Where none is up the setup waits for the next, but no longer than opening one may take.
+// assignConn sends a setup on the connection with the fewest setups in flight, since one that breaks takes all of its
+// own along. Where none is up the setup waits for the next, but no longer than opening one may take.
 func (u *upstream) assignConn(leg *outboundLeg) {
 	g := u.gateway
 	conn := u.leastUsedConn()
@@ -155,8 +155,8 @@
 	conn.enqueue(outgoingMessage{data: leg.setupMessage(), leg: leg})
 }
 
-// leastUsedConn is the connection with the fewest setups in flight of those that can take one, by turns among equals; nil:
-// none can.
+// leastUsedConn is the connection with the fewest setups in flight of those that can take one, by turns among equals;
+// nil: none can.
 func (u *upstream) leastUsedConn() *Conn {
 	var best *Conn
 	u.nextConn++
--- a/internal/protocol/binarygateway/world_test.go
+++ b/internal/protocol/binarygateway/world_test.go
@@ -25,12 +25,42 @@
 }
 
 func newWorld(seed uint64, mk routing.PolicyFactory, off routing.Rule) *binarystandin.World {
-	set := &routing.Settings{Gateways: 1, Seed: seed, TickInterval: 1, MaxAttempts: 5, CancelEnabled: true, RetryAfterEnabled: true, MaxRetryAfter: 2000, RetransmitInterval: 400,
-		RetryHoldOff: 300, AnswerGrace: 20, SlowStartFraction: 0.4, SlowStartDuration: 3000, OverloadFactor: 2.5, OverloadWindow: 1000,
-		Classes: []*routing.Class{{Name: "voice", LatencyObjective: 1000, Timeout: 3000, Weight: 1, MeanHoldingTime: 800, Idempotent: true}}}
-	j := binaryconformance.New(binaryconformance.Rules{AnswerGrace: 50, DrainGrace: 250, HoldOff: 300, ReleaseWithin: 1000, ReleaseWithinSilent: 8000})
-	return binarystandin.New(seed, &binarygateway.Config{Settings: set, Connections: deployment.Connections{ConnectTimeout: 500},
-		MaxDescriptors: 256, AnswerMargin: 5, LoadShedding: loadshed.Gate{MaxPending: 500}, DisabledGuard: off}, mk, 3, j)
+	set := &routing.Settings{
+		Gateways:           1,
+		Seed:               seed,
+		TickInterval:       1,
+		MaxAttempts:        5,
+		CancelEnabled:      true,
+		RetryAfterEnabled:  true,
+		MaxRetryAfter:      2000,
+		RetransmitInterval: 400,
+		RetryHoldOff:       300,
+		AnswerGrace:        20,
+		SlowStartFraction:  0.4,
+		SlowStartDuration:  3000,
+		OverloadFactor:     2.5,
+		OverloadWindow:     1000,
+		Classes: []*routing.Class{
+			{Name: "voice", LatencyObjective: 1000, Timeout: 3000, Weight: 1, MeanHoldingTime: 800, Idempotent: true},
+		},
+	}
+	j := binaryconformance.New(
+		binaryconformance.Rules{
+			AnswerGrace:         50,
+			DrainGrace:          250,
+			HoldOff:             300,
+			ReleaseWithin:       1000,
+			ReleaseWithinSilent: 8000,
+		},
+	)
+	return binarystandin.New(
+		seed,
+		&binarygateway.Config{Settings: set, Connections: deployment.Connections{ConnectTimeout: 500},
+			MaxDescriptors: 256, AnswerMargin: 5, LoadShedding: loadshed.Gate{MaxPending: 500}, DisabledGuard: off},
+		mk,
+		3,
+		j,
+	)
 }
 
 // share draws a share of something going wrong: often none.
@@ -45,10 +75,36 @@
 func TestRulesInTrouble(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(rapid.Uint64().Draw(t, "seed"), scriptedPolicy, 0)
-		w.Faults = binarystandin.Faults{Malformed: share(t, "spoilt", 0.1), Late: share(t, "late", 0.2), Unanswered: share(t, "never", 0.2), Duplicate: share(t, "twice", 0.3),
-			Unsolicited: share(t, "ahead", 0.3), Reset: share(t, "reset", 0.1), Overloaded: share(t, "full", 0.3), Failed: share(t, "bad", 0.2), Cut: share(t, "cut", 0.5),
-			CallerLeaves: share(t, "leaves", 0.5), CallerHangsUp: share(t, "hangs", 0.5), ClientCloses: share(t, "closes", 0.1), Blocked: share(t, "stuck", 0.2),
-			Fragmented: rapid.Bool().Draw(t, "split"), Drains: share(t, "drains", 0.3), Crashes: share(t, "deaths", 0.2), Vanish: share(t, "silents", 0.2)}
+		w.Faults = binarystandin.Faults{
+			Malformed:  share(t, "spoilt", 0.1),
+			Late:       share(t, "late", 0.2),
+			Unanswered: share(t, "never", 0.2),
+			Duplicate:  share(t, "twice", 0.3),
+			Unsolicited: share(
+				t,
+				"ahead",
+				0.3,
+			),
+			Reset:      share(t, "reset", 0.1),
+			Overloaded: share(t, "full", 0.3),
+			Failed:     share(t, "bad", 0.2),
+			Cut:        share(t, "cut", 0.5),
+			CallerLeaves: share(
+				t,
+				"leaves",
+				0.5,
+			),
+			CallerHangsUp: share(t, "hangs", 0.5),
+			ClientCloses:  share(t, "closes", 0.1),
+			Blocked:       share(t, "stuck", 0.2),
+			Fragmented: rapid.Bool().Draw(
+				t,
+				"split",
+			),
+			Drains:  share(t, "drains", 0.3),
+			Crashes: share(t, "deaths", 0.2),
+			Vanish:  share(t, "silents", 0.2),
+		}
 		w.StopAt = 8000
 		w.Run(22000)
 		for i, f := range w.Checker.Findings {
@@ -107,7 +163,11 @@
 		t.Run(fmt.Sprint(off), func(t *testing.T) {
 			found := map[int]int{}
 			for seed := range uint64(4) {
-				w := newWorld(seed, func(_ *routing.Settings, h routing.Host) routing.Policy { return &reckless{h: h, seed: seed} }, routing.Rule(off))
+				w := newWorld(
+					seed,
+					func(_ *routing.Settings, h routing.Host) routing.Policy { return &reckless{h: h, seed: seed} },
+					routing.Rule(off),
+				)
 				w.Faults = binarystandin.Faults{Late: 0.2, Overloaded: 0.3, Drains: 0.4, Unanswered: 0.2}
 				w.StopAt = 6000
 				w.Run(12000)
@@ -130,7 +190,18 @@
 func TestNothingIsLeft(t *testing.T) {
 	w := newWorld(5, scriptedPolicy, 0)
 	w.Rate = 60
-	w.Faults = binarystandin.Faults{Late: 0.05, Unanswered: 0.02, Duplicate: 0.1, Reset: 0.02, Cut: 0.2, CallerLeaves: 0.1, ClientCloses: 0.1, Drains: 0.3, Crashes: 0.1, Malformed: 0.02}
+	w.Faults = binarystandin.Faults{
+		Late:         0.05,
+		Unanswered:   0.02,
+		Duplicate:    0.1,
+		Reset:        0.02,
+		Cut:          0.2,
+		CallerLeaves: 0.1,
+		ClientCloses: 0.1,
+		Drains:       0.3,
+		Crashes:      0.1,
+		Malformed:    0.02,
+	}
 	w.StopAt = 40000
 	w.Run(100000)
 	open := w.Gateway.OpenCounts()
@@ -145,8 +216,8 @@
 	}
 }
 
-// Two runs with the same seed exchange the same messages at the same times, byte for byte. The checksum is logged, so that
-// a change which must not alter behaviour can be compared with the commit before it.
+// Two runs with the same seed exchange the same messages at the same times, byte for byte. The checksum is logged, so
+// that a change which must not alter behaviour can be compared with the commit before it.
 func TestSameSeedSameTraffic(t *testing.T) {
 	for seed := range uint64(3) {
 		first, messages := trafficChecksum(seed)
@@ -165,8 +236,25 @@
 func trafficChecksum(seed uint64) (checksum uint64, messages int) {
 	w := newWorld(seed, scriptedPolicy, 0)
 	w.Rate = 60
-	w.Faults = binarystandin.Faults{Late: 0.05, Unanswered: 0.02, Duplicate: 0.1, Unsolicited: 0.05, Reset: 0.02, Overloaded: 0.1, Failed: 0.1, Cut: 0.2, CallerLeaves: 0.1,
-		CallerHangsUp: 0.1, ClientCloses: 0.05, Blocked: 0.1, Fragmented: true, Drains: 0.3, Crashes: 0.1, Vanish: 0.1, Malformed: 0.02}
+	w.Faults = binarystandin.Faults{
+		Late:          0.05,
+		Unanswered:    0.02,
+		Duplicate:     0.1,
+		Unsolicited:   0.05,
+		Reset:         0.02,
+		Overloaded:    0.1,
+		Failed:        0.1,
+		Cut:           0.2,
+		CallerLeaves:  0.1,
+		CallerHangsUp: 0.1,
+		ClientCloses:  0.05,
+		Blocked:       0.1,
+		Fragmented:    true,
+		Drains:        0.3,
+		Crashes:       0.1,
+		Vanish:        0.1,
+		Malformed:     0.02,
+	}
 	w.StopAt = 20000
 	h := fnv.New64a()
 	w.Gateway.OnMessage = func(conn *binarygateway.Conn, out bool, msg binarymessage.Message) {
--- a/internal/protocol/binarymessage/message.go
+++ b/internal/protocol/binarymessage/message.go
@@ -173,8 +173,8 @@
 // Reader finds messages in a stream. It holds no more than one incomplete message.
 type Reader struct{ partial []byte }
 
-// Feed takes the next bytes and hands on each complete message, valid only during the call; handle returns false to stop.
-// An error is final: the limits of the messages can't be found any more.
+// Feed takes the next bytes and hands on each complete message, valid only during the call; handle returns false to
+// stop. An error is final: the limits of the messages can't be found any more.
 func (r *Reader) Feed(data []byte, handle func(Message) bool) error {
 	for {
 		message, rest, err := r.next(data)
--- a/internal/protocol/binarymessage/message_test.go
+++ b/internal/protocol/binarymessage/message_test.go
@@ -48,8 +48,11 @@
 }
 
 func TestFields(t *testing.T) {
-	m, err := Parse(Append(nil, Release, 0x7f3a9c21e0b4d655, CauseParam(Congested), TextParam(RetryAfter, "300"), TextParam(Note, "")))
-	if err != nil || m.Type() != Release || m.Call() != 0x7f3a9c21e0b4d655 || m.Cause() != 42 || m.Text(RetryAfter) != "300" {
+	m, err := Parse(
+		Append(nil, Release, 0x7f3a9c21e0b4d655, CauseParam(Congested), TextParam(RetryAfter, "300"), TextParam(Note, "")),
+	)
+	if err != nil || m.Type() != Release || m.Call() != 0x7f3a9c21e0b4d655 || m.Cause() != 42 ||
+		m.Text(RetryAfter) != "300" {
 		t.Errorf("%x: %v", []byte(m), err)
 	}
 	if _, there := m.Get(Note); !there {
@@ -58,7 +61,15 @@
 	if _, there := m.Get(Class); there {
 		t.Error("a parameter is there that is not")
 	}
-	if got := Append(nil, HealthCheck, 1, CauseParam(0)); !bytes.Equal(got, []byte{0, 13, 52, 0, 0, 0, 0, 0, 0, 0, 1, 43, 0, 1, 0}) {
+	if got := Append(
+		nil,
+		HealthCheck,
+		1,
+		CauseParam(0),
+	); !bytes.Equal(
+		got,
+		[]byte{0, 13, 52, 0, 0, 0, 0, 0, 0, 0, 1, 43, 0, 1, 0},
+	) {
 		t.Errorf("a test is % d", got)
 	}
 }
--- a/internal/protocol/callcontrol/callcontrol.go
+++ b/internal/protocol/callcontrol/callcontrol.go
@@ -85,8 +85,8 @@
 }
 
 // EarliestArrival is the earliest time at which the events of this batch may have arrived. A process that stalled reads
-// at once what came meanwhile, while its callers' timeouts ran. It guards rule 1 against stalls of any cause; a call that
-// came just at the end of a stall gets less time than its caller has.
+// at once what came meanwhile, while its callers' timeouts ran. It guards rule 1 against stalls of any cause; a call
+// that came just at the end of a stall gets less time than its caller has.
 func (c *Controller) EarliestArrival() float64 {
 	if c.lastBatchAt > 0 && c.Now-c.lastBatchAt > 2*heartbeatInterval {
 		return c.lastBatchAt
--- a/internal/protocol/callcontrol/session.go
+++ b/internal/protocol/callcontrol/session.go
@@ -129,8 +129,8 @@
 	return true
 }
 
-// EndAttempt records the end of an attempt, unless that was done, and reports it to the policy; finished: its call needs
-// no answer any more.
+// EndAttempt records the end of an attempt, unless that was done, and reports it to the policy; finished: its call
+// needs no answer any more.
 func (s *Session) EndAttempt(attempt *routing.Attempt, outcome routing.Outcome, finished bool) {
 	if s.Ended(attempt) {
 		return
--- a/internal/protocol/dnsclient/health.go
+++ b/internal/protocol/dnsclient/health.go
@@ -4,7 +4,8 @@
 
 //tally:decisions
 
-// What a server's silence means. Figures after RFC 6298 for times, as every sender that has no better knowledge uses them.
+// What a server's silence means. Figures after RFC 6298 for times, as every sender that has no better knowledge uses
+// them.
 const (
 	initialTimeout   = 250.0   // ms: a server that never answered
 	minTimeout       = 20.0    // ms: below this the machine's own delays decide
@@ -41,8 +42,9 @@
 // NewHealth is the health of so many servers of which nothing is known.
 func NewHealth(servers int) *Health { return &Health{make([]server, servers)} }
 
-// Choose chooses a server for a question that was sent to some already, and how long to wait for its answer; -1: none is
-// worth a question now. A server that is down gets one question when its time is over, and no other till that has ended.
+// Choose chooses a server for a question that was sent to some already, and how long to wait for its answer; -1: none
+// is worth a question now. A server that is down gets one question when its time is over, and no other till that has
+// ended.
 func (h *Health) Choose(now float64, tried []int, draw float64) (server int, wait float64) {
 	best, cost := -1, math.Inf(1)
 	var up []int
@@ -89,7 +91,8 @@
 	best := -1
 	for i := range h.servers {
 		s := &h.servers[i]
-		if tries == 0 && now >= s.probe && (!s.was || now >= s.asked+allDownRetry) && (best < 0 || s.asked < h.servers[best].asked) {
+		if tries == 0 && now >= s.probe && (!s.was || now >= s.asked+allDownRetry) &&
+			(best < 0 || s.asked < h.servers[best].asked) {
 			best = i
 		}
 	}
@@ -151,8 +154,8 @@
 	}
 }
 
-// OnLame notes that a server refused, is at fault or knows nothing of the zone. One such answer may be the name's fault;
-// several in a row, of whatever names, and others are asked for a while.
+// OnLame notes that a server refused, is at fault or knows nothing of the zone. One such answer may be the name's
+// fault; several in a row, of whatever names, and others are asked for a while.
 func (h *Health) OnLame(i int, now float64) {
 	s := &h.servers[i]
 	if s.bad++; s.bad >= downAfterMisses {
--- a/internal/protocol/dnsclient/resolve.go
+++ b/internal/protocol/dnsclient/resolve.go
@@ -1,6 +1,7 @@
-// Package dnsclient asks DNS servers for NAPTR records (RFC 1035, RFC 6891) without I/O: datagrams, answers over streams and
-// the time come in through methods, questions go out through Out. Which server is asked, how long its answer is waited
-// for and what is kept are decisions of this package. What was asked for by several at once goes out once.
+// Package dnsclient asks DNS servers for NAPTR records (RFC 1035, RFC 6891) without I/O: datagrams, answers over
+// streams and the time come in through methods, questions go out through Out. Which server is asked, how long its
+// answer is waited for and what is kept are decisions of this package. What was asked for by several at once goes out
+// once.
 //
 // An answer counts only if it comes from the server that was asked, to the port that asked, with the id, the question
 // and even the case of its letters that were sent, all drawn by chance; and of it only what answers the question.
@@ -142,8 +143,18 @@
 
 // New makes a client.
 func New(cfg Config, out Transport) *Client {
-	return &Client{cfg: cfg, out: out, health: NewHealth(len(cfg.Servers)), cache: newCache(cfg.Cache), flights: map[string]*lookup{},
-		tries: map[queryAttempt]*outstandingQuery{}, streams: map[uint64]*outstandingQuery{}, plain: map[int]bool{}, doubt: map[int]float64{}, strays: map[int]int{}}
+	return &Client{
+		cfg:     cfg,
+		out:     out,
+		health:  NewHealth(len(cfg.Servers)),
+		cache:   newCache(cfg.Cache),
+		flights: map[string]*lookup{},
+		tries:   map[queryAttempt]*outstandingQuery{},
+		streams: map[uint64]*outstandingQuery{},
+		plain:   map[int]bool{},
+		doubt:   map[int]float64{},
+		strays:  map[int]int{},
+	}
 }
 
 // NextWakeup is when Wake is wanted.
@@ -300,7 +311,14 @@
 		return
 	}
 	c.seq++
-	s := &outstandingQuery{flight: f, server: i, at: c.now, token: c.seq, name: c.randomizeCase(f.name), key: queryAttempt{from: c.cfg.Servers[i], id: uint16(c.draw())}}
+	s := &outstandingQuery{
+		flight: f,
+		server: i,
+		at:     c.now,
+		token:  c.seq,
+		name:   c.randomizeCase(f.name),
+		key:    queryAttempt{from: c.cfg.Servers[i], id: uint16(c.draw())},
+	}
 	data, err := c.buildQuery(s, i)
 	if err != nil {
 		return
@@ -308,7 +326,10 @@
 	c.streams[s.token] = s
 	f.out = append(f.out, s)
 	c.Counts.Streams++
-	s.timer = c.timers.Schedule(c.now+streamTimeout, func() { c.OnStreamResponse(c.now, s.token, nil) }) // whatever the driver does
+	s.timer = c.timers.Schedule(
+		c.now+streamTimeout,
+		func() { c.OnStreamResponse(c.now, s.token, nil) },
+	) // whatever the driver does
 	c.out.Stream(s.token, s.key.from, data, streamTimeout)
 }
 
@@ -405,8 +426,8 @@
 	c.onResponse(s, m)
 }
 
-// onMismatch notes an answer that matches nothing. Many of one server are somebody's guesses, or the server's answers to
-// questions given up: either way the next questions to it go where no guess gets in.
+// onMismatch notes an answer that matches nothing. Many of one server are somebody's guesses, or the server's answers
+// to questions given up: either way the next questions to it go where no guess gets in.
 func (c *Client) onMismatch(from netip.AddrPort) {
 	c.Counts.Strays++
 	for i, a := range c.cfg.Servers {
@@ -472,9 +493,9 @@
 	}
 }
 
-// parseRules takes from an answer what answers the question and nothing else: rules of the name or of what it is another name
-// of, and how long they hold in ms; of a negative answer how long it holds (RFC 2308 5), -1 where it does not say. leads
-// says that the answer only points to other servers.
+// parseRules takes from an answer what answers the question and nothing else: rules of the name or of what it is
+// another name of, and how long they hold in ms; of a negative answer how long it holds (RFC 2308 5), -1 where it does
+// not say. leads says that the answer only points to other servers.
 func parseRules(m *dns.Msg, name string) (rules []enum.Rule, ttl, negative float64, leads bool) {
 	ttl, negative = 1e12, -1
 	for range 8 { // names of names
@@ -487,8 +508,11 @@
 			switch rr := rr.(type) {
 			case *dns.NAPTR:
 				if len(rules) <= enum.MostRules { // one too many shows that there are too many
-					rules = append(rules, enum.Rule{Order: rr.Order, Preference: rr.Preference, Flags: textOf(rr.Flags), Service: textOf(rr.Service),
-						Regexp: textOf(rr.Regexp), Replacement: rr.Replacement})
+					rules = append(
+						rules,
+						enum.Rule{Order: rr.Order, Preference: rr.Preference, Flags: textOf(rr.Flags), Service: textOf(rr.Service),
+							Regexp: textOf(rr.Regexp), Replacement: rr.Replacement},
+					)
 				}
 				ttl = min(ttl, 1000*float64(h.Ttl))
 			case *dns.CNAME:
@@ -514,8 +538,8 @@
 	return rules, ttl, negative, leads && negative < 0
 }
 
-// textOf is a character string as it was on the wire: the library hands it on in the form of zone files, with quotes and
-// backslashes escaped and other octets as \DDD.
+// textOf is a character string as it was on the wire: the library hands it on in the form of zone files, with quotes
+// and backslashes escaped and other octets as \DDD.
 func textOf(s string) string {
 	if !strings.Contains(s, "\\") {
 		return s
--- a/internal/protocol/dnsclient/resolve_test.go
+++ b/internal/protocol/dnsclient/resolve_test.go
@@ -36,12 +36,35 @@
 
 func newRig(t testing.TB, n int, change func(*Config)) *rig {
 	r := &rig{t: t, sent: make([]int, n), ids: map[uint16]bool{}, ports: map[int]int{}}
-	z := &dnsserver.Zone{Apex: "e164.test.", Seed: 5, Ported: 0.3, None: 0.1, TTL: 60, Routes: []string{"+15145550000", "+15145550001"}}
-	cfg := Config{Ports: 4, Seed: 9, Most: 1000, Tries: 5, StaleAfter: 100,
-		Cache: CacheTimes{MaxEntries: 10000, MinTTL: 1000, MaxTTL: 3600e3, MaxNegativeTTL: 30e3, StaleTime: 600e3, FailureTTL: 1000}}
+	z := &dnsserver.Zone{
+		Apex:   "e164.test.",
+		Seed:   5,
+		Ported: 0.3,
+		None:   0.1,
+		TTL:    60,
+		Routes: []string{"+15145550000", "+15145550001"},
+	}
+	cfg := Config{
+		Ports:      4,
+		Seed:       9,
+		Most:       1000,
+		Tries:      5,
+		StaleAfter: 100,
+		Cache: CacheTimes{
+			MaxEntries:     10000,
+			MinTTL:         1000,
+			MaxTTL:         3600e3,
+			MaxNegativeTTL: 30e3,
+			StaleTime:      600e3,
+			FailureTTL:     1000,
+		},
+	}
 	for i := range n {
 		r.addrs = append(r.addrs, addr(i))
-		r.servers = append(r.servers, &dnsserver.Server{Zone: z, Seed: uint64(i), Faults: dnsserver.Faults{Delay: 10, Jitter: 4}})
+		r.servers = append(
+			r.servers,
+			&dnsserver.Server{Zone: z, Seed: uint64(i), Faults: dnsserver.Faults{Delay: 10, Jitter: 4}},
+		)
 	}
 	cfg.Servers = r.addrs
 	if change != nil {
@@ -120,7 +143,8 @@
 	n := r.ported()
 	a, b := r.ask(n, 500), r.ask(n, 500)
 	r.run(100)
-	if a.n != 1 || b.n != 1 || a.Status != Found || len(a.Rules) != 2 || r.sent[0]+r.sent[1] != 1 || r.c.Counts.Shared != 1 {
+	if a.n != 1 || b.n != 1 || a.Status != Found || len(a.Rules) != 2 || r.sent[0]+r.sent[1] != 1 ||
+		r.c.Counts.Shared != 1 {
 		t.Fatalf("%+v %+v, sent %v", a, b, r.sent)
 	}
 	res, err := enum.Apply("+"+n, a.Rules, "pstn:tel")
@@ -250,8 +274,8 @@
 	}
 }
 
-// All servers are dead for 30 s: what is kept is served though it ran out, the rest fails at once but for the few that find out
-// whether a server is back; 1.5 s after one is all is as before.
+// All servers are dead for 30 s: what is kept is served though it ran out, the rest fails at once but for the few that
+// find out whether a server is back; 1.5 s after one is all is as before.
 func TestAllDead(t *testing.T) {
 	r := newRig(t, 2, nil)
 	r.servers[0].Zone.TTL = 1
@@ -385,8 +409,13 @@
 }
 
 func naptr(name string) dns.RR {
-	return &dns.NAPTR{Hdr: dns.RR_Header{Name: name, Rrtype: dns.TypeNAPTR, Class: dns.ClassINET, Ttl: 60}, Flags: "u", Service: "E2U+sip",
-		Regexp: "!^.*$!sip:a@x!", Replacement: "."}
+	return &dns.NAPTR{
+		Hdr:         dns.RR_Header{Name: name, Rrtype: dns.TypeNAPTR, Class: dns.ClassINET, Ttl: 60},
+		Flags:       "u",
+		Service:     "E2U+sip",
+		Regexp:      "!^.*$!sip:a@x!",
+		Replacement: ".",
+	}
 }
 
 // silent is a rig whose servers say nothing: a test answers.
@@ -452,11 +481,18 @@
 	}
 }
 
-// What is read of an answer: names of names are followed; a zone's end of another zone says nothing, and who only points
-// elsewhere has not said that there is none.
+// What is read of an answer: names of names are followed; a zone's end of another zone says nothing, and who only
+// points elsewhere has not said that there is none.
 func TestRead(t *testing.T) {
 	soa := func(zone string) []dns.RR {
-		return []dns.RR{&dns.SOA{Hdr: dns.RR_Header{Name: zone, Rrtype: dns.TypeSOA, Class: dns.ClassINET, Ttl: 60}, Ns: "n.", Mbox: "m.", Minttl: 60}}
+		return []dns.RR{
+			&dns.SOA{
+				Hdr:    dns.RR_Header{Name: zone, Rrtype: dns.TypeSOA, Class: dns.ClassINET, Ttl: 60},
+				Ns:     "n.",
+				Mbox:   "m.",
+				Minttl: 60,
+			},
+		}
 	}
 	cname := func(from, to string) dns.RR {
 		return &dns.CNAME{Hdr: dns.RR_Header{Name: from, Rrtype: dns.TypeCNAME, Class: dns.ClassINET, Ttl: 60}, Target: to}
@@ -493,8 +529,8 @@
 	}
 }
 
-// How long what is kept: no shorter and no longer than the bounds, whatever the TTL; a name that failed is left alone for a
-// while, and asked for again after it.
+// How long what is kept: no shorter and no longer than the bounds, whatever the TTL; a name that failed is left alone
+// for a while, and asked for again after it.
 func TestKept(t *testing.T) {
 	for _, c := range []struct{ ttl, kept float64 }{{0, 1000}, {60, 60e3}, {1e6, 3600e3}} {
 		r := silent(t, nil)
@@ -683,9 +719,21 @@
 		for i := range rapid.IntRange(10, 120).Draw(rt, "steps") {
 			if rapid.IntRange(0, 4).Draw(rt, "trouble") == 0 {
 				u := func(k uint64) float64 { return detrand.Float64(uint64(i), k, r.c.cfg.Seed) }
-				r.servers[int(3*u(0))].Faults = dnsserver.Faults{Silent: u(1) < 0.2, Delay: 300 * u(2), Jitter: 300 * u(3), Loss: u(4) * u(4),
-					WrongID: u(5) * u(5), Spoof: u(6) * u(6), Guesses: int(30 * u(7)), Cut: u(8) * u(8), NoStream: u(9) < 0.3,
-					Lame: u(10) < 0.1, Refer: u(11) < 0.1, ServFail: u(12) < 0.1, Poison: u(13) < 0.5}
+				r.servers[int(3*u(0))].Faults = dnsserver.Faults{
+					Silent:   u(1) < 0.2,
+					Delay:    300 * u(2),
+					Jitter:   300 * u(3),
+					Loss:     u(4) * u(4),
+					WrongID:  u(5) * u(5),
+					Spoof:    u(6) * u(6),
+					Guesses:  int(30 * u(7)),
+					Cut:      u(8) * u(8),
+					NoStream: u(9) < 0.3,
+					Lame:     u(10) < 0.1,
+					Refer:    u(11) < 0.1,
+					ServFail: u(12) < 0.1,
+					Poison:   u(13) < 0.5,
+				}
 			}
 			n := fmt.Sprint(14180000000 + rapid.IntRange(0, 40).Draw(rt, "number"))
 			within := rapid.Float64Range(1, 800).Draw(rt, "within")
--- a/internal/protocol/dnsdiscovery/client.go
+++ b/internal/protocol/dnsdiscovery/client.go
@@ -1,9 +1,9 @@
-// Package dnsdiscovery follows the platform's list of endpoints: the events known at the start, then the complete list by
-// DNS (RFC 1035, RFC 2782), polled at an interval. It has no I/O and no clock.
+// Package dnsdiscovery follows the platform's list of endpoints: the events known at the start, then the complete list
+// by DNS (RFC 1035, RFC 2782), polled at an interval. It has no I/O and no clock.
 //
 // Responses may be lost, fail, be truncated, or come under another ID, from elsewhere or with an older list. So a query
-// is sent at each interval whatever became of the one before, a response to any of the latest queries counts, and a list
-// counts only if it is complete and its serial is not below that of the list before.
+// is sent at each interval whatever became of the one before, a response to any of the latest queries counts, and a
+// list counts only if it is complete and its serial is not below that of the list before.
 package dnsdiscovery
 
 import (
--- a/internal/protocol/dnsdiscovery/client_test.go
+++ b/internal/protocol/dnsdiscovery/client_test.go
@@ -20,7 +20,8 @@
 	if err := m.Unpack(q); err != nil {
 		t.Fatal(err)
 	}
-	if m.RecursionDesired || len(m.Question) != 1 || m.Question[0].Name != "_data._tcp.farm.lan." || m.Question[0].Qtype != dns.TypeSRV {
+	if m.RecursionDesired || len(m.Question) != 1 || m.Question[0].Name != "_data._tcp.farm.lan." ||
+		m.Question[0].Qtype != dns.TypeSRV {
 		t.Errorf("the question is %v", m)
 	}
 	m.Response, m.Compress = true, true
@@ -28,7 +29,10 @@
 		return dns.RR_Header{Name: name, Rrtype: kind, Class: dns.ClassINET}
 	}
 	for i, host := range []string{"s-00c41f7a.east.hosts.", "s-00c41f7b.west.hosts."} {
-		m.Answer = append(m.Answer, &dns.SRV{Hdr: head(queryName, dns.TypeSRV), Priority: uint16(i), Weight: 40, Port: 5070, Target: host})
+		m.Answer = append(
+			m.Answer,
+			&dns.SRV{Hdr: head(queryName, dns.TypeSRV), Priority: uint16(i), Weight: 40, Port: 5070, Target: host},
+		)
 		m.Extra = append(m.Extra, &dns.A{Hdr: head(host, dns.TypeA), A: net.IPv4(127, 0, 1, byte(9+i))},
 			&dns.TXT{Hdr: head(host, dns.TypeTXT), Txt: []string{"kind=std", "cell=2", "started=1700000000000"}})
 	}
@@ -50,7 +54,8 @@
 		t.Fatalf("%+v %v", list, err)
 	}
 	a, b := list.Targets[0], list.Targets[1]
-	if a.ID != "s-00c41f7a" || a.Addr.String() != "127.0.1.9:5070" || a.State != routing.Ready || a.DestinationID != 2 || a.StartedAt != 1700000000000 {
+	if a.ID != "s-00c41f7a" || a.Addr.String() != "127.0.1.9:5070" || a.State != routing.Ready || a.DestinationID != 2 ||
+		a.StartedAt != 1700000000000 {
 		t.Errorf("%+v", a)
 	}
 	if b.State != routing.Draining {
--- a/internal/protocol/enumserver/front.go
+++ b/internal/protocol/enumserver/front.go
@@ -1,6 +1,7 @@
-// Package enumserver answers ENUM look-ups (RFC 6116) of kiosks without I/O: a number's domain is asked for, and the answer
-// names the endpoint that the gateway's decisions give at this moment. Messages come in with a way to reply; what a question asks goes
-// into an enquiry, and its answer goes out, once. Whatever comes by datagram is bounded: by client, in all, and in what is sent for what came.
+// Package enumserver answers ENUM look-ups (RFC 6116) of kiosks without I/O: a number's domain is asked for, and the
+// answer names the endpoint that the gateway's decisions give at this moment. Messages come in with a way to reply;
+// what a question asks goes into an enquiry, and its answer goes out, once. Whatever comes by datagram is bounded: by
+// client, in all, and in what is sent for what came.
 package enumserver
 
 import (
@@ -19,7 +20,12 @@
 
 // Enquirer is what decides: an edge.
 type Enquirer interface {
-	StartEnquiry(now float64, number, skill string, patience float64, done func(now float64, n b2bua.EnquiryResult)) (stop func())
+	StartEnquiry(
+		now float64,
+		number, skill string,
+		patience float64,
+		done func(now float64, n b2bua.EnquiryResult),
+	) (stop func())
 }
 
 // Config is what a front is told. Times are ms.
@@ -149,7 +155,9 @@
 	if len(data) < 12 || data[2]&0x80 != 0 || !stream {
 		return // by datagram: whoever forges gets nothing sent
 	}
-	out := &dns.Msg{MsgHdr: dns.MsgHdr{Id: uint16(data[0])<<8 | uint16(data[1]), Response: true, Rcode: dns.RcodeFormatError}}
+	out := &dns.Msg{
+		MsgHdr: dns.MsgHdr{Id: uint16(data[0])<<8 | uint16(data[1]), Response: true, Rcode: dns.RcodeFormatError},
+	}
 	f.send(replyTo{msg: m, send: send}, out)
 }
 
@@ -241,8 +249,22 @@
 		uri := fmt.Sprintf("sip:%s%s;tgrp=%s;trunk-context=%s@%s", n.Number, n.Params, n.Group, f.cfg.Context, n.Addr)
 		out := f.newResponse(r)
 		out.Authoritative = true
-		out.Answer = []dns.RR{&dns.NAPTR{Hdr: dns.RR_Header{Name: r.msg.Question[0].Name, Rrtype: dns.TypeNAPTR, Class: dns.ClassINET, Ttl: f.cfg.TTL},
-			Order: 10, Preference: 10, Flags: "u", Service: "E2U+sip", Regexp: "!^.*$!" + strings.ReplaceAll(uri, `\`, "") + "!", Replacement: "."}}
+		out.Answer = []dns.RR{
+			&dns.NAPTR{
+				Hdr: dns.RR_Header{
+					Name:   r.msg.Question[0].Name,
+					Rrtype: dns.TypeNAPTR,
+					Class:  dns.ClassINET,
+					Ttl:    f.cfg.TTL,
+				},
+				Order:       10,
+				Preference:  10,
+				Flags:       "u",
+				Service:     "E2U+sip",
+				Regexp:      "!^.*$!" + strings.ReplaceAll(uri, `\`, "") + "!",
+				Replacement: ".",
+			},
+		}
 		f.send(r, out)
 	case n.Code == 404 || n.Code == 484 || n.Code == 410 || n.Code == 604:
 		f.respondEmpty(r, dns.RcodeNameError)
@@ -261,13 +283,24 @@
 	}
 }
 
-// respondEmpty says that there is no such number, or nothing of that type, with the time for which that holds (RFC 2308).
+// respondEmpty says that there is no such number, or nothing of that type, with the time for which that holds (RFC
+// 2308).
 func (f *Server) respondEmpty(r replyTo, code int) {
 	f.Counts.None++
 	out := f.newResponse(r)
 	out.Authoritative, out.Rcode = true, code
-	out.Ns = []dns.RR{&dns.SOA{Hdr: dns.RR_Header{Name: f.cfg.Apex, Rrtype: dns.TypeSOA, Class: dns.ClassINET, Ttl: f.cfg.Negative}, Ns: "ns." + f.cfg.Apex,
-		Mbox: "hostmaster." + f.cfg.Apex, Serial: 1, Refresh: 3600, Retry: 600, Expire: 86400, Minttl: f.cfg.Negative}}
+	out.Ns = []dns.RR{
+		&dns.SOA{
+			Hdr:     dns.RR_Header{Name: f.cfg.Apex, Rrtype: dns.TypeSOA, Class: dns.ClassINET, Ttl: f.cfg.Negative},
+			Ns:      "ns." + f.cfg.Apex,
+			Mbox:    "hostmaster." + f.cfg.Apex,
+			Serial:  1,
+			Refresh: 3600,
+			Retry:   600,
+			Expire:  86400,
+			Minttl:  f.cfg.Negative,
+		},
+	}
 	f.send(r, out)
 }
 
--- a/internal/protocol/enumserver/front_test.go
+++ b/internal/protocol/enumserver/front_test.go
@@ -20,7 +20,12 @@
 	atOnce  *b2bua.EnquiryResult
 }
 
-func (d *desk) StartEnquiry(now float64, number, skill string, patience float64, done func(float64, b2bua.EnquiryResult)) func() {
+func (d *desk) StartEnquiry(
+	now float64,
+	number, skill string,
+	patience float64,
+	done func(float64, b2bua.EnquiryResult),
+) func() {
 	d.asked = append(d.asked, number+" "+skill)
 	if d.atOnce != nil {
 		done(now, *d.atOnce)
@@ -31,8 +36,14 @@
 }
 
 func (d *desk) named() b2bua.EnquiryResult {
-	return b2bua.EnquiryResult{Code: 200, Addr: netip.MustParseAddrPort("127.0.0.3:5060"), Group: "TG-0", Number: "+14185551234", Params: ";npdi",
-		Valid: func() bool { return d.ready }}
+	return b2bua.EnquiryResult{
+		Code:   200,
+		Addr:   netip.MustParseAddrPort("127.0.0.3:5060"),
+		Group:  "TG-0",
+		Number: "+14185551234",
+		Params: ";npdi",
+		Valid:  func() bool { return d.ready },
+	}
 }
 
 type rig struct {
@@ -45,7 +56,18 @@
 }
 
 func newRig(t *testing.T, change func(*Config)) *rig {
-	c := Config{Apex: "e164.test", Skill: "shift-lookup", TTL: 0, Negative: 30, Patience: 2000, Repeat: 5000, Gain: 8, Most: 100, Keep: 150, Context: "x.example"}
+	c := Config{
+		Apex:     "e164.test",
+		Skill:    "shift-lookup",
+		TTL:      0,
+		Negative: 30,
+		Patience: 2000,
+		Repeat:   5000,
+		Gain:     8,
+		Most:     100,
+		Keep:     150,
+		Context:  "x.example",
+	}
 	if change != nil {
 		change(&c)
 	}
@@ -92,7 +114,8 @@
 	r.d.done[0](1100, r.d.named())
 	m := r.got[0]
 	n, ok := m.Answer[0].(*dns.NAPTR)
-	if !ok || m.Id != 7 || !m.Authoritative || n.Hdr.Ttl != 0 || n.Hdr.Name != strings.ToUpper(name) || n.Flags != "u" || n.Service != "E2U+sip" ||
+	if !ok || m.Id != 7 || !m.Authoritative || n.Hdr.Ttl != 0 || n.Hdr.Name != strings.ToUpper(name) || n.Flags != "u" ||
+		n.Service != "E2U+sip" ||
 		n.Regexp != "!^.*$!sip:+14185551234;npdi;tgrp=TG-0;trunk-context=x.example@127.0.0.3:5060!" {
 		t.Errorf("%v", m)
 	}
@@ -158,7 +181,8 @@
 	} {
 		r.got = nil
 		r.ask(kiosk, c.m, false)
-		if c.want < 0 && len(r.got) != 0 || c.want >= 0 && (len(r.got) != 1 || r.got[0].Rcode != c.want || len(r.got[0].Answer) != 0) {
+		if c.want < 0 && len(r.got) != 0 ||
+			c.want >= 0 && (len(r.got) != 1 || r.got[0].Rcode != c.want || len(r.got[0].Answer) != 0) {
 			t.Errorf("%s: %v", what, r.got)
 		}
 	}
@@ -167,7 +191,13 @@
 	}
 	r.got = nil
 	r.f.Receive(0, kiosk, []byte{0, 1, 2}, true, func([]byte) { t.Error("answered three octets") })
-	r.f.Receive(0, kiosk, append([]byte{0, 9, 0, 0}, make([]byte, 3)...), false, func([]byte) { t.Error("answered damage by datagram") })
+	r.f.Receive(
+		0,
+		kiosk,
+		append([]byte{0, 9, 0, 0}, make([]byte, 3)...),
+		false,
+		func([]byte) { t.Error("answered damage by datagram") },
+	)
 }
 
 // A question that is repeated while it waits is one call, and gets its answer; repeated after, the same answer, but not
@@ -227,12 +257,17 @@
 	}
 }
 
-// A client that asks too much by datagram gets no more than its rate, of the rest half truncated in no more octets than it
-// sent; over TCP it is served. Forged addresses take bounded memory.
+// A client that asks too much by datagram gets no more than its rate, of the rest half truncated in no more octets than
+// it sent; over TCP it is served. Forged addresses take bounded memory.
 func TestLimits(t *testing.T) {
 	n := b2bua.EnquiryResult{Code: 404}
 	r := newRig(t, func(c *Config) {
-		c.Limits = Limits{Rate: 10, Burst: 20, Clients: 1000, Nets: []Net{{netip.MustParsePrefix("10.1.0.0/16"), 1000}, {netip.MustParsePrefix("10.2.0.0/16"), 0}}}
+		c.Limits = Limits{
+			Rate:    10,
+			Burst:   20,
+			Clients: 1000,
+			Nets:    []Net{{netip.MustParsePrefix("10.1.0.0/16"), 1000}, {netip.MustParsePrefix("10.2.0.0/16"), 0}},
+		}
 	})
 	r.d.atOnce = &n
 	flood := func(from string, count int) (answered, slipped, refused int) {
@@ -280,7 +315,12 @@
 		t.Errorf("a refused network: %d answered, %d refused", a, x)
 	}
 	r.got = nil
-	if r.ask(netip.MustParseAddrPort("10.0.0.1:1"), query(name, dns.TypeNAPTR, 1, 0), true); len(r.got) != 1 || r.got[0].Truncated {
+	if r.ask(
+		netip.MustParseAddrPort("10.0.0.1:1"),
+		query(name, dns.TypeNAPTR, 1, 0),
+		true,
+	); len(r.got) != 1 ||
+		r.got[0].Truncated {
 		t.Errorf("over TCP: %v", r.got)
 	}
 	for i := range 100000 {
@@ -295,7 +335,11 @@
 	for i := range 2000 {
 		r.now++
 		r.got = nil
-		r.ask(netip.AddrPortFrom(netip.AddrFrom4([4]byte{30, byte(i >> 8), byte(i), 1}), 1), query(name, dns.TypeNAPTR, 1, 0), false)
+		r.ask(
+			netip.AddrPortFrom(netip.AddrFrom4([4]byte{30, byte(i >> 8), byte(i), 1}), 1),
+			query(name, dns.TypeNAPTR, 1, 0),
+			false,
+		)
 		if len(r.got) > 0 && !r.got[0].Truncated {
 			answered++
 		}
@@ -322,7 +366,12 @@
 			r.d.atOnce = &b2bua.EnquiryResult{Code: 503, Reason: strings.Repeat("y", 50), RetryAfter: 3}
 		}
 		edns := uint16(rapid.SampledFrom([]int{0, 100, 512, 1232, 65535}).Draw(rt, "edns"))
-		q := query(rapid.SampledFrom([]string{name, "1.e164.test.", "e164.test.", "x."}).Draw(rt, "name"), rapid.SampledFrom([]uint16{dns.TypeNAPTR, dns.TypeANY}).Draw(rt, "type"), 1, edns)
+		q := query(
+			rapid.SampledFrom([]string{name, "1.e164.test.", "e164.test.", "x."}).Draw(rt, "name"),
+			rapid.SampledFrom([]uint16{dns.TypeNAPTR, dns.TypeANY}).Draw(rt, "type"),
+			1,
+			edns,
+		)
 		b, _ := q.Pack()
 		r.ask(kiosk, q, false)
 		if len(r.got) != 1 {
--- a/internal/protocol/enumserver/limit.go
+++ b/internal/protocol/enumserver/limit.go
@@ -49,7 +49,12 @@
 }
 
 func newLimiter(set Limits) *limiter {
-	l := &limiter{set: set, nets: &bart.Table[float64]{}, new: map[netip.Prefix]*rate.Limiter{}, total: bucket(set.Total, set.Total/10)}
+	l := &limiter{
+		set:   set,
+		nets:  &bart.Table[float64]{},
+		new:   map[netip.Prefix]*rate.Limiter{},
+		total: bucket(set.Total, set.Total/10),
+	}
 	for _, n := range set.Nets {
 		l.nets.Insert(n.Prefix.Masked(), n.Rate)
 	}
@@ -78,7 +83,8 @@
 	return Answer
 }
 
-// slipOrDrop: every second question too many gets an answer that sends its asker to TCP, and is no larger than the question.
+// slipOrDrop: every second question too many gets an answer that sends its asker to TCP, and is no larger than the
+// question.
 func (l *limiter) slipOrDrop() Verdict {
 	l.slips++
 	if l.slips%2 == 1 {
--- a/internal/protocol/portability/ported.go
+++ b/internal/protocol/portability/ported.go
@@ -1,5 +1,5 @@
-// Package portability finds out where a number was ported to: by ENUM (RFC 6116), with routing numbers in the form of RFC
-// 4694. It follows rules that lead on to other domains, within a bound and never round in a loop. It knows no wire.
+// Package portability finds out where a number was ported to: by ENUM (RFC 6116), with routing numbers in the form of
+// RFC 4694. It follows rules that lead on to other domains, within a bound and never round in a loop. It knows no wire.
 package portability
 
 import (
@@ -33,9 +33,14 @@
 	Ported, Same, Silent, Bad, Stale uint64
 }
 
-// Resolve looks a number up, digits only. done is called once within the time given, maybe at once; stop takes the question
-// back. Rules that make no sense count as silence: what is done then is settled by the number's table.
-func (f *Finder) Resolve(now float64, digits string, within float64, done func(now float64, found numberplan.Found)) (stop func()) {
+// Resolve looks a number up, digits only. done is called once within the time given, maybe at once; stop takes the
+// question back. Rules that make no sense count as silence: what is done then is settled by the number's table.
+func (f *Finder) Resolve(
+	now float64,
+	digits string,
+	within float64,
+	done func(now float64, found numberplan.Found),
+) (stop func()) {
 	name, err := enum.Domain(digits, f.Apex)
 	if err != nil {
 		f.Counts.Bad++
--- a/internal/protocol/portability/ported_test.go
+++ b/internal/protocol/portability/ported_test.go
@@ -70,7 +70,13 @@
 
 // All steps together have the time that was given, and a question that was taken back is not answered.
 func TestTime(t *testing.T) {
-	b := &book{later: true, of: map[string]dnsclient.Answer{"7.p.test.": rules(enum.Rule{Replacement: "2.p.test."}), "2.p.test.": rules(tel(`!^.*$!tel:+1;rn=+2!`))}}
+	b := &book{
+		later: true,
+		of: map[string]dnsclient.Answer{
+			"7.p.test.": rules(enum.Rule{Replacement: "2.p.test."}),
+			"2.p.test.": rules(tel(`!^.*$!tel:+1;rn=+2!`)),
+		},
+	}
 	f := &Finder{Asker: b, Apex: "p.test", Services: []string{"pstn:tel"}}
 	calls := 0
 	stop := f.Resolve(0, "7", 500, func(float64, numberplan.Found) { calls++ })
--- a/internal/protocol/siptransaction/client.go
+++ b/internal/protocol/siptransaction/client.go
@@ -49,7 +49,8 @@
 	return c
 }
 
-// SendAck sends the ACK of a 2xx, a transaction of its own without an answer (RFC 3261 13.2.2.4), and returns its bytes.
+// SendAck sends the ACK of a 2xx, a transaction of its own without an answer (RFC 3261 13.2.2.4), and returns its
+// bytes.
 func (l *Layer) SendAck(req *sip.Request, to netip.AddrPort) []byte {
 	req.PrependHeader(&sip.ViaHeader{ProtocolName: "SIP", ProtocolVersion: "2.0", Transport: "UDP",
 		Host: l.Address.Addr().String(), Port: int(l.Address.Port()),
--- a/internal/protocol/siptransaction/layer.go
+++ b/internal/protocol/siptransaction/layer.go
@@ -55,9 +55,9 @@
 	buffer  bytes.Buffer
 }
 
-// endedTransactions remembers what was asked and is over, in little space that the garbage collector need not look through: by the
-// hash of the transaction, the final answer of a request that may be asked again, or 0 for one whose repeats get none
-// any more (RFC 6026 7.1). Two generations, each for as long as a repeat may come.
+// endedTransactions remembers what was asked and is over, in little space that the garbage collector need not look
+// through: by the hash of the transaction, the final answer of a request that may be asked again, or 0 for one whose
+// repeats get none any more (RFC 6026 7.1). Two generations, each for as long as a repeat may come.
 type endedTransactions struct {
 	recent, previous map[uint64]int16
 	rotatedAt        float64
@@ -250,8 +250,8 @@
 	s.expiry = l.Timers.Schedule(l.Now+64*l.Times.T1, s.onTimeout) // timer H
 }
 
-// RespondStateless sends a final answer and forgets the transaction at once (RFC 3261 8.2.7): for floods, where the user keeps
-// account of repeats in less space.
+// RespondStateless sends a final answer and forgets the transaction at once (RFC 3261 8.2.7): for floods, where the
+// user keeps account of repeats in less space.
 func (s *Server) RespondStateless(res *sip.Response) {
 	if s.final != 0 {
 		return
--- a/internal/protocol/siptransaction/message.go
+++ b/internal/protocol/siptransaction/message.go
@@ -1,5 +1,5 @@
-// Package siptransaction runs SIP transactions (RFC 3261 section 17, RFC 6026) without I/O: datagrams and the time come in,
-// datagrams go out through a function, and timers run when the time is handed in. Messages are those of the sip
+// Package siptransaction runs SIP transactions (RFC 3261 section 17, RFC 6026) without I/O: datagrams and the time come
+// in, datagrams go out through a function, and timers run when the time is handed in. Messages are those of the sip
 // library; the transaction machines are ours, so that the same ones run on sockets and in virtual time.
 package siptransaction
 
@@ -155,8 +155,8 @@
 	return res
 }
 
-// FormatRetryAfter writes a wait in milliseconds as RFC 3261 20.33 has it: whole seconds, rounded up; the exact wait stands
-// in a parameter of ours, which the grammar allows.
+// FormatRetryAfter writes a wait in milliseconds as RFC 3261 20.33 has it: whole seconds, rounded up; the exact wait
+// stands in a parameter of ours, which the grammar allows.
 func FormatRetryAfter(ms float64) string {
 	s := int((ms + 999) / 1000)
 	return fmt.Sprintf("%d;ms=%d", s, int(ms+0.5))
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -56,8 +56,7 @@
 	}
 }
 
-// A destination that fails most setups at once is passed by while others do not, still tried, and comes
-// back; where all
+// A destination that fails most setups at once is passed by while others do not, still tried, and comes back; where all
 // fail alike, or numbers are engaged, it keeps its calls.
 func TestFailingPool(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/router/rules_test.go
+++ b/internal/router/rules_test.go
@@ -106,11 +106,10 @@
 	}
 }
 
-// TestFleetAndColdPool puts many modules beside one endpoint that starts cold, on generated inputs, and
-// counts
-// what they send it together in every window that tips it. They hear of the start at different times, some
-// were restarted with an old list, some stand still and find a backlog, and the endpoint was down for long
-// before: no time earns a burst.
+// TestFleetAndColdPool puts many modules beside one endpoint that starts cold, on generated inputs, and counts what
+// they send it together in every window that tips it. They hear of the start at different times, some were restarted
+// with an old list, some stand still and find a backlog, and the endpoint was down for long before: no time earns a
+// burst.
 func TestFleetAndColdPool(t *testing.T) {
 	fleet := func(seed int64) bool {
 		rnd := rand.New(rand.NewSource(seed))
@@ -180,11 +179,10 @@
 	}
 }
 
-// TestFewGatewaysAndColdPools has twenty or thirty modules beside endpoints that start cold in one step,
-// while
-// all gateways are restarted, a few at a time, and forget what they sent. They are told of the start at once
-// or late. In no window that tips
-// an endpoint do all of them send it more than N + 2 root N + 2, N being what the settings allow it then.
+// TestFewGatewaysAndColdPools has twenty or thirty modules beside endpoints that start cold in one step, while all
+// gateways are restarted, a few at a time, and forget what they sent. They are told of the start at once or late. In no
+// window that tips an endpoint do all of them send it more than N + 2 root N + 2, N being what the settings allow it
+// then.
 func TestFewGatewaysAndColdPools(t *testing.T) {
 	worst := 0.0
 	for seed := int64(1); seed <= 24; seed++ {
--- a/layout_test.go
+++ b/layout_test.go
@@ -82,8 +82,14 @@
 // else.
 func ringOf(pkg string) int {
 	switch path := strings.TrimPrefix(pkg, "cobaltpier/internal/"); {
-	case strings.HasPrefix(path, "decision/"), path == "routing", path == "router", path == "detrand", path == "timerqueue",
-		path == "deployment", path == "hclconfig", path == "decaysum":
+	case strings.HasPrefix(path, "decision/"),
+		path == "routing",
+		path == "router",
+		path == "detrand",
+		path == "timerqueue",
+		path == "deployment",
+		path == "hclconfig",
+		path == "decaysum":
 		return 1
 	case strings.HasPrefix(path, "protocol/"):
 		return 2
@@ -91,7 +97,8 @@
 	return 3
 }
 
-// forbiddenInside are packages of the standard library that need a clock, a socket or a file: rings 1 and 2 import none.
+// forbiddenInside are packages of the standard library that need a clock, a socket or a file: rings 1 and 2 import
+// none.
 var forbiddenInside = []string{"net", "os", "net/http", "os/exec", "os/signal", "syscall", "log"}
 
 // TestImportsPointInwards checks that decisions import no protocol machine or driver, and protocol machines no driver.
