--- a/ci_test.go
+++ b/ci_test.go
@@ -17,7 +17,8 @@
 	dir := t.TempDir()
 	for name, text := range map[string]string{
 		"go.mod": "module red\n\ngo 1.24\n",
-		"a/a_test.go": "package a\n\nimport \"testing\"\n\nfunc TestBad(t *testing.T) { t.Error() }\nfunc TestWorse(t *testing.T) { t.Error() }\n" +
+		"a/a_test.go": "package a\n\nimport \"testing\"\n\nfunc TestBad(t *testing.T) { t.Error() }\nfunc TestWorse(t " +
+			"*testing.T) { t.Error() }\n" +
 			"func TestGood(*testing.T) {}\nfunc TestBoth(t *testing.T) { t.Error() }\n",
 		"b/b_test.go": "package b\n\nimport \"testing\"\n\nfunc TestBoth(*testing.T) {}\n",
 	} {
--- a/internal/cli/edgecli/edgecmd_test.go
+++ b/internal/cli/edgecli/edgecmd_test.go
@@ -65,7 +65,8 @@
 		t.Fatal(err)
 	}
 	defer taken.Close()
-	for src, want := range map[string]string{text: "another program has the address", text + "numbers {\n table = \"nowhere.hcl\"\n}\n": "another program has the address",
+	for src, want := range map[string]string{text: "another program has the address", text +
+		"numbers {\n table = \"nowhere.hcl\"\n}\n": "another program has the address",
 		"gateway {": "edge.hcl:1"} {
 		f := filepath.Join(t.TempDir(), "edge.hcl")
 		if err := os.WriteFile(f, []byte(src), 0o600); err != nil {
--- a/internal/cli/labcli/fleet.go
+++ b/internal/cli/labcli/fleet.go
@@ -87,7 +87,8 @@
 		Args:  cobra.ExactArgs(1),
 		Long: `Plays days in virtual time: the same edges and switches as on sockets, driven by one scheduler. The same seed gives the same
 capture to the byte (the sum that is printed), on any number of cores.`,
-		Example: "  cobalt-lab fleet large --report day.html\n  cobalt-lab fleet trouble --seeds 20 --set gateways.count=64 --set load.rate=300",
+		Example: "  cobalt-lab fleet large --report day.html\n  cobalt-lab fleet trouble --seeds 20 --set " +
+			"gateways.count=64 --set load.rate=300",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			ctx, cancel := interrupted(cmd)
 			defer cancel()
@@ -259,7 +260,8 @@
 that a side is higher only where the interval does not hold nought. A side is a module (--a, --b), changed settings (--a-set,
 --b-set), another build of cobalt-lab (--a-program, --b-program), or all of them. --sweep plays one setting at several values
 against A.`,
-		Example: "  cobalt-lab compare trouble --b lottery --seeds 10\n  cobalt-lab compare trouble --b-set gateways.may_cancel=false --seeds 20 --report cancel.html\n" +
+		Example: "  cobalt-lab compare trouble --b lottery --seeds 10\n  cobalt-lab compare trouble --b-set " +
+			"gateways.may_cancel=false --seeds 20 --report cancel.html\n" +
 			"  cobalt-lab compare trouble --sweep net.loss=0,0.01,0.05 --seeds 8",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			ctx, cancel := interrupted(cmd)
--- a/internal/cli/labcli/labcmd.go
+++ b/internal/cli/labcli/labcmd.go
@@ -136,7 +136,8 @@
 		Short:   "Put on a day from a script, or one that comes with the program",
 		Args:    cobra.ExactArgs(1),
 		Example: "  cobalt-lab day trouble --seeds 10\n  cobalt-lab day my.hcl --virtual --module brain,lottery,random",
-		Long:    "Puts on a day from a script, prints how callers were served and the verdict on the five rules.\n\nTroubles that a script may name:\n" + kinds(),
+		Long: "Puts on a day from a script, prints how callers were served and the verdict on the five rules.\n\n" +
+			"Troubles that a script may name:\n" + kinds(),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			s, err := scenario.Load(args[0], f.set...)
 			if err != nil {
@@ -270,7 +271,8 @@
 	}, nil
 }
 
-const serviceHead = "whole  worst10s  worst skill            worst customer         offered   late    cut  unserved  p50 ms  p99 ms  cold  behind  rules"
+const serviceHead = "whole  worst10s  worst skill            worst customer         offered   late    cut  " +
+	"unserved  p50 ms  p99 ms  cold  behind  rules"
 
 func line(r *processrun.Result) string {
 	s := r.Service
@@ -397,7 +399,8 @@
 		sort.Float64s(s.Waits)
 		fmt.Fprintf(
 			out,
-			"\nKiosks: %d came and asked by ENUM, %d times; %d had a switch named, %d of them stood, %d were cut; %d questions had no answer\n  from coming to the name: p50 %.0f ms, p99 %.0f ms\n",
+			"\nKiosks: %d came and asked by ENUM, %d times; %d had a switch named, %d of them stood, %d were cut; %d "+
+				"questions had no answer\n  from coming to the name: p50 %.0f ms, p99 %.0f ms\n",
 			s.Visits,
 			r.Totals.Looks,
 			s.Named,
--- a/internal/cli/labcli/load.go
+++ b/internal/cli/labcli/load.go
@@ -51,7 +51,8 @@
 
 --check runs against a stand-in that pauses on purpose and compares what is reported with the true waits, which its
 schedule gives.`,
-		Example: "  cobalt-lab load --plan thursday.hcl --to 127.0.0.1:5060 --processes 2\n  cobalt-lab load --trace monday.trc --speed 2 --to 127.0.0.1:5060\n" +
+		Example: "  cobalt-lab load --plan thursday.hcl --to 127.0.0.1:5060 --processes 2\n  cobalt-lab load --trace " +
+			"monday.trc --speed 2 --to 127.0.0.1:5060\n" +
 			"  cobalt-lab load --check --rate 1000 --for 30s",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, cancel := interrupted(cmd)
@@ -299,7 +300,8 @@
 		return nil, fmt.Errorf("load: a part's result: %w", err)
 	}
 	r := loadgen.NewResult()
-	r.Planned, r.Stood, r.Refused, r.Unanswered, r.Repeats, r.Past = x.Planned, x.Stood, x.Refused, x.Unanswered, x.Repeats, x.Past
+	r.Planned, r.Stood, r.Refused, r.Unanswered, r.Repeats, r.Past = x.Planned, x.Stood, x.Refused, x.Unanswered,
+		x.Repeats, x.Past
 	for _, h := range []struct {
 		from []byte
 		to   *hdrhistogram.Histogram
--- a/internal/cli/labcli/throughput.go
+++ b/internal/cli/labcli/throughput.go
@@ -229,7 +229,8 @@
 	fmt.Fprintf(out, "bare echo again: %.0f\n", after)
 	fmt.Fprintf(
 		out,
-		"gateway, one core: %.0f contacts a second, %.0f datagrams a second in and out; echo %.0f in and out; ratio %.2f (aim 0.33)\n",
+		"gateway, one core: %.0f contacts a second, %.0f datagrams a second in and out; echo %.0f in and out; ratio "+
+			"%.2f (aim 0.33)\n",
 		best,
 		12*best,
 		2*mean,
@@ -238,7 +239,8 @@
 	r := rig.Run(saturation.Load{Rate: best / 2, For: 2 * f.step})
 	fmt.Fprintf(
 		out,
-		"at half of that, set-up from caller to switch: p50 %.2f ms, p99 %.2f ms (aim 2), p99.9 %.2f ms; answer back: p50 %.2f, p99 %.2f, p99.9 %.2f\n",
+		"at half of that, set-up from caller to switch: p50 %.2f ms, p99 %.2f ms (aim 2), p99.9 %.2f ms; answer back: "+
+			"p50 %.2f, p99 %.2f, p99.9 %.2f\n",
 		ms(r.Added.ValueAtQuantile(50)),
 		ms(r.Added.ValueAtQuantile(99)),
 		ms(r.Added.ValueAtQuantile(99.9)),
--- a/internal/cli/labcli/trace.go
+++ b/internal/cli/labcli/trace.go
@@ -22,7 +22,8 @@
 and what was read is written all the same.`,
 	}
 	var out string
-	work := func(use, short string, args cobra.PositionalArgs, do func(in [][]*api.Call) ([]*api.Call, error), flags func(*cobra.Command)) {
+	work := func(use, short string, args cobra.PositionalArgs, do func(in [][]*api.Call) ([]*api.Call, error),
+		flags func(*cobra.Command)) {
 		k := &cobra.Command{Use: use, Short: short, Args: args, RunE: func(cmd *cobra.Command, files []string) error {
 			var in [][]*api.Call
 			var damage []error
--- a/internal/cli/numbercli/numbercmd.go
+++ b/internal/cli/numbercli/numbercmd.go
@@ -178,7 +178,8 @@
 		Use:   "diff OLD NEW",
 		Short: "Say what changes between two tables, by what they do",
 		Args:  cobra.ExactArgs(2),
-		Long:  "Says what changes between two tables, by what they do and not by how they are written. Status 0: nothing; 1: something.",
+		Long: "Says what changes between two tables, by what they do and not by how they are written. Status 0: " +
+			"nothing; 1: something.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var of [2]*api.NumberTable
 			for i, a := range args {
--- a/internal/cli/numbercli/numbercmd_test.go
+++ b/internal/cli/numbercli/numbercmd_test.go
@@ -77,7 +77,8 @@
 	if s, err := run("check", hcl); err != nil || !strings.Contains(s, `warning: route "b" is never used`) {
 		t.Errorf("%s, %v", s, err)
 	}
-	for text, want := range map[string]string{"1418,b\n15x4,b\n": "bad.csv:2: want", "1418\n": "bad.csv:1: want", "1418,b\n1418,b\n": "stands here twice", "1418,c\n": `no route "c"`,
+	for text, want := range map[string]string{"1418,b\n15x4,b\n": "bad.csv:2: want", "1418\n": "bad.csv:1: want",
+		"1418,b\n1418,b\n": "stands here twice", "1418,c\n": `no route "c"`,
 		",b\n": "bad.csv:1: want"} {
 		bad, none := file("bad.csv", text), filepath.Join(dir, "none")
 		if _, err := run("import", hcl, bad, "--out", none); err == nil || !strings.Contains(err.Error(), want) {
--- a/internal/conformance/binaryconformance/judge_test.go
+++ b/internal/conformance/binaryconformance/judge_test.go
@@ -75,21 +75,28 @@
 		of   *tape
 		want int
 	}{
-		"a call":                    {begin().setUp().ring("a", 1).wait(50).stands("a", 1).answer().wait(500).ends("a", 1, binarymessage.Normal).release(), 0},
-		"refused":                   {begin().setUp().release(), 0},
-		"tried twice":               {begin().setUp().ring("a", 1).ends("a", 1, binarymessage.NoCircuit).ring("b", 2).stands("b", 2).answer().ends("b", 2, binarymessage.Normal).release(), 0},
-		"the clear wait kept":       {begin().setUp().ring("a", 1).off("a", 1).wait(500).ring("b", 2).ends("b", 2, binarymessage.Fault).release(), 0},
+		"a call": {begin().setUp().ring("a", 1).wait(50).stands("a", 1).answer().wait(500).ends("a", 1,
+			binarymessage.Normal).release(), 0},
+		"refused": {begin().setUp().release(), 0},
+		"tried twice": {begin().setUp().ring("a", 1).ends("a", 1, binarymessage.NoCircuit).ring("b", 2).
+			stands("b", 2).answer().ends("b", 2, binarymessage.Normal).release(), 0},
+		"the clear wait kept": {begin().setUp().ring("a", 1).off("a", 1).wait(500).ring("b", 2).ends("b", 2,
+			binarymessage.Fault).release(), 0},
 		"never answered":            {begin().setUp().wait(3000), 1},
 		"answered late":             {begin().setUp().wait(2051).release(), 1},
 		"answered twice":            {begin().setUp().release().release(), 1},
 		"served without a switch":   {begin().setUp().answer(), 1},
 		"a set-up after the answer": {begin().setUp().release().ring("a", 1), 1},
-		"released twice":            {begin().setUp().ring("a", 1).stands("a", 1).answer().ends("a", 1, binarymessage.Normal).release().release(), 1},
-		"a set-up nobody sent":      {begin().ring("a", 1), 1},
-		"two rings":                 {begin().setUp().ring("a", 1).ring("b", 2).off("a", 1).off("b", 2).release(), 2},
-		"the clear wait not kept":   {begin().setUp().ring("a", 1).off("a", 1).wait(499).ring("b", 2).ends("b", 2, binarymessage.Fault).release(), 5},
-		"the same after a reset":    {begin().setUp().ring("a", 1).ends("a", 1, binarymessage.Failure).wait(499).ring("b", 2).ends("b", 2, binarymessage.Fault).release(), 5},
-		"over, and nobody told":     {begin().setUp().ring("a", 1).stands("a", 1).answer().ends("a", 1, binarymessage.Normal).wait(2000), 6},
+		"released twice": {begin().setUp().ring("a", 1).stands("a", 1).answer().ends("a", 1,
+			binarymessage.Normal).release().release(), 1},
+		"a set-up nobody sent": {begin().ring("a", 1), 1},
+		"two rings":            {begin().setUp().ring("a", 1).ring("b", 2).off("a", 1).off("b", 2).release(), 2},
+		"the clear wait not kept": {begin().setUp().ring("a", 1).off("a", 1).wait(499).ring("b", 2).ends("b", 2,
+			binarymessage.Fault).release(), 5},
+		"the same after a reset": {begin().setUp().ring("a", 1).ends("a", 1, binarymessage.Failure).wait(499).ring("b", 2).
+			ends("b", 2, binarymessage.Fault).release(), 5},
+		"over, and nobody told": {begin().setUp().ring("a", 1).stands("a", 1).answer().ends("a", 1, binarymessage.Normal).
+			wait(2000), 6},
 	} {
 		c.of.Finish(c.of.at)
 		if got := c.of.Findings; (c.want == 0) != (len(got) == 0) || c.want > 0 && got[0].Rule != c.want {
--- a/internal/conformance/tables_test.go
+++ b/internal/conformance/tables_test.go
@@ -18,8 +18,10 @@
 		return &api.Record{At: at, What: &api.Record_Mark{Mark: &api.Mark{What: what, Who: "e", Text: fmt.Sprint(version)}}}
 	}
 	invite := func(at float64, from, to, user, session string) *api.Record {
-		text := "INVITE sip:" + user + "@" + to + " SIP/2.0\nVia: SIP/2.0/UDP " + from + ";branch=z9hG4bK" + session + user + "\nFrom: <sip:a@b>;tag=1\nTo: <sip:c@d>\nCall-ID: " +
-			session + "\nCSeq: 1 INVITE\nSession-ID: " + strings.Repeat(session, 32)[:32] + ";remote=00000000000000000000000000000000\nContent-Length: 0\n\n"
+		text := "INVITE sip:" + user + "@" + to + " SIP/2.0\nVia: SIP/2.0/UDP " + from + ";branch=z9hG4bK" + session +
+			user + "\nFrom: <sip:a@b>;tag=1\nTo: <sip:c@d>\nCall-ID: " +
+			session + "\nCSeq: 1 INVITE\nSession-ID: " + strings.Repeat(session, 32)[:32] +
+			";remote=00000000000000000000000000000000\nContent-Length: 0\n\n"
 		return &api.Record{
 			At: at,
 			What: &api.Record_Datagram{
@@ -33,19 +35,29 @@
 		of   []*api.Record
 		want string
 	}{
-		"the table in force":             {[]*api.Record{say(0, "table-in", 1), caller(1, "a"), ring(2, "+10011418;npdi", "a")}, ""},
-		"by its routing number":          {[]*api.Record{say(0, "table-in", 1), caller(1, "a"), ring(2, "+1418;npdi;rn=+10011999;tgrp=x", "a")}, ""},
-		"changed while it was analysed":  {[]*api.Record{say(0, "table-in", 1), caller(1, "a"), say(2, "table-sent", 2), say(3, "table-in", 2), ring(4, "+10011418", "a")}, ""},
-		"sent and not yet in":            {[]*api.Record{say(0, "table-in", 1), say(2, "table-sent", 2), caller(3, "a"), ring(4, "+10021418", "a")}, ""},
-		"one that came later":            {[]*api.Record{say(0, "table-in", 1), caller(1, "a"), say(2, "table-sent", 2), say(3, "table-in", 2), ring(4, "+10021418", "a")}, "not in force then"},
-		"found after it stood still":     {[]*api.Record{say(0, "table-in", 1), say(0, "edge-stop", 0), caller(1, "a"), say(2, "table-sent", 2), say(3, "edge-go", 0), say(3, "table-in", 2), ring(4, "+10021418", "a")}, ""},
-		"an old one":                     {[]*api.Record{say(0, "table-in", 1), say(2, "table-sent", 2), say(3, "table-in", 2), caller(30, "a"), ring(40, "+10011418", "a")}, "not in force then"},
-		"one that came after it":         {[]*api.Record{say(0, "table-in", 1), caller(1, "a"), ring(2, "+10021418", "a")}, "of no table"},
-		"another one on the second ring": {[]*api.Record{say(0, "table-in", 1), say(0, "table-sent", 2), caller(1, "a"), ring(2, "+10011418", "a"), ring(3, "+10021418", "a")}, "before that with 1001"},
-		"none":                           {[]*api.Record{say(0, "table-in", 1), caller(1, "a"), ring(2, "+1418", "a")}, "of no table"},
+		"the table in force": {[]*api.Record{say(0, "table-in", 1), caller(1, "a"), ring(2, "+10011418;npdi",
+			"a")}, ""},
+		"by its routing number": {[]*api.Record{say(0, "table-in", 1), caller(1, "a"), ring(2,
+			"+1418;npdi;rn=+10011999;tgrp=x", "a")}, ""},
+		"changed while it was analysed": {[]*api.Record{say(0, "table-in", 1), caller(1, "a"), say(2, "table-sent", 2),
+			say(3, "table-in", 2), ring(4, "+10011418", "a")}, ""},
+		"sent and not yet in": {[]*api.Record{say(0, "table-in", 1), say(2, "table-sent", 2), caller(3, "a"),
+			ring(4, "+10021418", "a")}, ""},
+		"one that came later": {[]*api.Record{say(0, "table-in", 1), caller(1, "a"), say(2, "table-sent", 2),
+			say(3, "table-in", 2), ring(4, "+10021418", "a")}, "not in force then"},
+		"found after it stood still": {[]*api.Record{say(0, "table-in", 1), say(0, "edge-stop", 0), caller(1, "a"),
+			say(2, "table-sent", 2), say(3, "edge-go", 0), say(3, "table-in", 2), ring(4, "+10021418", "a")}, ""},
+		"an old one": {[]*api.Record{say(0, "table-in", 1), say(2, "table-sent", 2), say(3, "table-in",
+			2), caller(30, "a"), ring(40, "+10011418", "a")}, "not in force then"},
+		"one that came after it": {[]*api.Record{say(0, "table-in", 1), caller(1, "a"), ring(2, "+10021418", "a")},
+			"of no table"},
+		"another one on the second ring": {[]*api.Record{say(0, "table-in", 1), say(0, "table-sent", 2), caller(1, "a"),
+			ring(2, "+10011418", "a"), ring(3, "+10021418", "a")}, "before that with 1001"},
+		"none": {[]*api.Record{say(0, "table-in", 1), caller(1, "a"), ring(2, "+1418", "a")}, "of no table"},
 	} {
 		k := NewTables(mark)
-		for _, r := range append([]*api.Record{node("c:1", "caller", "c"), node("e:1", "edge", "e"), node("s:1", "switch", "s")}, c.of...) {
+		for _, r := range append([]*api.Record{node("c:1", "caller", "c"), node("e:1", "edge", "e"), node("s:1", "switch",
+			"s")}, c.of...) {
 			k.Add(r)
 		}
 		got := strings.Join(k.Findings, "; ")
--- a/internal/decision/enum/enum_test.go
+++ b/internal/decision/enum/enum_test.go
@@ -27,7 +27,8 @@
 			t.Errorf("%q has a domain", n)
 		}
 	}
-	for _, d := range []string{"e164.arpa", "1.e164.org.", "12.e164.arpa.", "x.1.e164.arpa", ".e164.arpa", strings.Repeat("1.", 41) + "e164.arpa"} {
+	for _, d := range []string{"e164.arpa", "1.e164.org.", "12.e164.arpa.", "x.1.e164.arpa", ".e164.arpa",
+		strings.Repeat("1.", 41) + "e164.arpa"} {
 		if n, err := Number(d, "e164.arpa"); err == nil {
 			t.Errorf("%q is number %q", d, n)
 		}
@@ -43,16 +44,19 @@
 		want  Result
 		err   error
 	}{
-		{"order before preference", []Rule{sip(2, 1, "!^.*$!sip:b@x!"), sip(1, 9, "!^.*$!sip:a@x!")}, Result{URI: "sip:a@x"}, nil},
+		{"order before preference", []Rule{sip(2, 1, "!^.*$!sip:b@x!"), sip(1, 9, "!^.*$!sip:a@x!")},
+			Result{URI: "sip:a@x"}, nil},
 		{"preference", []Rule{sip(1, 9, "!^.*$!sip:b@x!"), sip(1, 2, "!^.*$!sip:a@x!")}, Result{URI: "sip:a@x"}, nil},
-		{"one that fits not is passed over", []Rule{sip(1, 1, `!^\+33.*$!sip:b@x!`), sip(2, 1, "!^.*$!sip:a@x!")}, Result{URI: "sip:a@x"}, nil},
+		{"one that fits not is passed over", []Rule{sip(1, 1, `!^\+33.*$!sip:b@x!`), sip(2, 1, "!^.*$!sip:a@x!")},
+			Result{URI: "sip:a@x"}, nil},
 		{"groups", []Rule{sip(1, 1, `!^\+1(418)(.*)$!sip:\2@\1.x!`)}, Result{URI: "sip:5551234@418.x"}, nil},
 		{"escaped delimiter", []Rule{sip(1, 1, `/^.*$/sip:a\/b@x/`)}, Result{URI: "sip:a/b@x"}, nil},
 		{"another service", []Rule{{1, 1, "u", "E2U+mailto", "!^.*$!mailto:a@x!", ""}}, Result{}, ErrNoRule},
 		{"several services", []Rule{{1, 1, "U", "E2U+mailto+sip", "!^.*$!sip:a@x!", ""}}, Result{URI: "sip:a@x"}, nil},
 		{"old service form", []Rule{{1, 1, "u", "sip+E2U", "!^.*$!sip:a@x!", ""}}, Result{}, ErrNoRule},
 		{"non-terminal", []Rule{{1, 1, "", "", "", "4.3.2.1.Example.com."}}, Result{Next: "4.3.2.1.example.com."}, nil},
-		{"non-terminal by expression", []Rule{{1, 1, "", "", `!^\+1(.).*$!\1.example.com!`, ""}}, Result{Next: "4.example.com."}, nil},
+		{"non-terminal by expression", []Rule{{1, 1, "", "", `!^\+1(.).*$!\1.example.com!`, ""}},
+			Result{Next: "4.example.com."}, nil},
 		{"non-terminal to nowhere", []Rule{{1, 1, "", "", "", "."}}, Result{}, ErrBad},
 		{"unknown flag", []Rule{{1, 1, "q", "E2U+sip", "!^.*$!sip:a@x!", ""}}, Result{}, ErrBad},
 		{"no delimiter", []Rule{sip(1, 1, "!^.*$!sip:a")}, Result{}, ErrBad},
@@ -62,7 +66,8 @@
 		{"made to run for ever", []Rule{sip(1, 1, `!^((((.*)*)*)*)*x$!sip:a!`)}, Result{}, ErrNoRule},
 		{"made to take all memory", []Rule{sip(1, 1, `!^((.{1000}){1000}){1000}$!sip:a!`)}, Result{}, ErrBad},
 		{"counts in counts", []Rule{sip(1, 1, `!^(((((.{9}){9}){9}){9}){9})$!sip:a!`)}, Result{}, ErrBad},
-		{"a bad one does not hide a good one", []Rule{sip(1, 1, `!^(.*$!sip:a!`), sip(1, 2, "!^.*$!sip:b!")}, Result{URI: "sip:b"}, nil},
+		{"a bad one does not hide a good one", []Rule{sip(1, 1, `!^(.*$!sip:a!`), sip(1, 2, "!^.*$!sip:b!")},
+			Result{URI: "sip:b"}, nil},
 		{"too many", slices.Repeat([]Rule{sip(1, 1, "!^.*$!sip:a@x!")}, MostRules+1), Result{}, ErrBad},
 		{"as many as may be", slices.Repeat([]Rule{sip(1, 1, "!^.*$!sip:a@x!")}, MostRules), Result{URI: "sip:a@x"}, nil},
 		{"the longest way to fit", []Rule{sip(1, 1, `!^\+1(4|41)!sip:\1@x!`)}, Result{URI: "sip:41@x"}, nil},
@@ -89,7 +94,8 @@
 	}{
 		{"tel:+14185551234;npdi;rn=+15145550000", "+14185551234", Ported{Looked: true, Routing: "+15145550000"}, false},
 		{"tel:+14185551234;npdi", "+14185551234", Ported{Looked: true}, false},
-		{"TEL:+1-418-555-1234;NPDI;rn=5145550000;rn-context=+1;cic=+1-6789", "+1-418-555-1234", Ported{true, "+15145550000", "+1-6789"}, false},
+		{"TEL:+1-418-555-1234;NPDI;rn=5145550000;rn-context=+1;cic=+1-6789", "+1-418-555-1234", Ported{true, "+15145550000",
+			"+1-6789"}, false},
 		{"tel:+1418;npdi;rn=1;rn=2", "", Ported{}, true},
 		{"tel:+1418;rn=abc", "", Ported{}, true},
 		{"tel:+1418;rn=", "", Ported{}, true},
--- a/internal/decision/numberplan/compile.go
+++ b/internal/decision/numberplan/compile.go
@@ -528,7 +528,8 @@
 	for _, k := range []struct {
 		what      string
 		want, has []string
-	}{{"skill", want.Skills, has.Skills}, {"customer", want.Customers, has.Customers}, {"trunk group", want.Groups, has.Groups}} {
+	}{{"skill", want.Skills, has.Skills}, {"customer", want.Customers, has.Customers}, {"trunk group", want.Groups,
+		has.Groups}} {
 		for _, n := range k.want {
 			if !slices.Contains(k.has, n) {
 				missing = append(missing, fmt.Sprintf("%s %q", k.what, n))
--- a/internal/decision/numberplan/form_test.go
+++ b/internal/decision/numberplan/form_test.go
@@ -75,30 +75,41 @@
 		change func(*api.NumberTable)
 		want   string
 	}{
-		"no such route": {func(f *api.NumberTable) { f.Plans[0].Rules[4].Then.Do = &api.NumberAction_Route{Route: "x"} }, `t.hcl:57: route: no route "x"`},
-		"no action":     {func(f *api.NumberTable) { f.Plans[0].Rules[4].Then = nil }, "a rule without an action"},
-		"empty action":  {func(f *api.NumberTable) { f.Plans[0].Rules[4].Then = &api.NumberAction{} }, "a rule without an action"},
-		"question":      {func(f *api.NumberTable) { f.Plans[1].Rules[0].Then.GetAsk().Silent = nil }, "want ported, same and silent"},
+		"no such route": {func(f *api.NumberTable) { f.Plans[0].Rules[4].Then.Do = &api.NumberAction_Route{Route: "x"} },
+			`t.hcl:57: route: no route "x"`},
+		"no action": {func(f *api.NumberTable) { f.Plans[0].Rules[4].Then = nil }, "a rule without an action"},
+		"empty action": {func(f *api.NumberTable) { f.Plans[0].Rules[4].Then = &api.NumberAction{} },
+			"a rule without an action"},
+		"question": {func(f *api.NumberTable) { f.Plans[1].Rules[0].Then.GetAsk().Silent = nil },
+			"want ported, same and silent"},
 		"question twice": {func(f *api.NumberTable) {
 			q := f.Plans[1].Rules[0].Then
 			q.GetAsk().Same = proto.Clone(q).(*api.NumberAction)
 		}, "asked for in what follows"},
-		"no time":         {func(f *api.NumberTable) { f.Plans[1].Rules[0].Then.GetAsk().WithinMs = 0 }, "within: want 1 to 60000"},
-		"bad day":         {func(f *api.NumberTable) { f.Days[0].Dates[0] = "Christmas" }, `days "holidays": dates: want days`},
-		"bad weekday":     {func(f *api.NumberTable) { f.Periods[0].Weekdays[0] = 7 }, `period "thursday": days: want 0 to 6`},
-		"bad minute":      {func(f *api.NumberTable) { f.Periods[0].To = 1440 }, "want minutes of a day"},
-		"bad zone":        {func(f *api.NumberTable) { f.Periods[0].Zone = "Mars" }, `no time zone "Mars"`},
-		"bad weight":      {func(f *api.NumberTable) { f.Routes[0].Choices[0].Weight = -1 }, `group "TG-0": want a weight`},
-		"no groups":       {func(f *api.NumberTable) { f.Routes[0].Choices = nil }, `want at least one group`},
-		"bad code":        {func(f *api.NumberTable) { f.Plans[0].Rules[2].Then.GetRefuse().Code = 200 }, "code: want 400 to 699"},
-		"bad add":         {func(f *api.NumberTable) { f.Plans[0].Rules[0].Add = "x" }, "add: want"},
-		"bad strip":       {func(f *api.NumberTable) { f.Plans[0].Rules[0].Strip = -1 }, "strip: want 0 to"},
-		"bad prefix":      {func(f *api.NumberTable) { f.Plans[0].Rules[0].Prefix = "1x" }, "want a prefix of digits"},
-		"long prefix":     {func(f *api.NumberTable) { f.Plans[0].Rules[0].Prefix = strings.Repeat("1", 41) }, "want a prefix of digits"},
-		"damaged packing": {func(f *api.NumberTable) { f.Plans[0].Rules[0].Packed = []byte{0, 3, 0x1f, 0} }, "packed prefixes: damaged after 0"},
-		"out of order":    {func(f *api.NumberTable) { f.Plans[0].Rules[0].Packed = []byte{0, 1, 0x20, 0, 1, 0x10} }, "out of order after 1"},
-		"twice":           {func(f *api.NumberTable) { f.Routes = append(f.Routes, f.Routes[0]) }, `route "rosters" stands here twice`},
-		"no UTF-8":        {func(f *api.NumberTable) { f.Name = "\xff" }, "UTF-8"},
+		"no time": {func(f *api.NumberTable) { f.Plans[1].Rules[0].Then.GetAsk().WithinMs = 0 },
+			"within: want 1 to 60000"},
+		"bad day": {func(f *api.NumberTable) { f.Days[0].Dates[0] = "Christmas" },
+			`days "holidays": dates: want days`},
+		"bad weekday": {func(f *api.NumberTable) { f.Periods[0].Weekdays[0] = 7 },
+			`period "thursday": days: want 0 to 6`},
+		"bad minute": {func(f *api.NumberTable) { f.Periods[0].To = 1440 }, "want minutes of a day"},
+		"bad zone":   {func(f *api.NumberTable) { f.Periods[0].Zone = "Mars" }, `no time zone "Mars"`},
+		"bad weight": {func(f *api.NumberTable) { f.Routes[0].Choices[0].Weight = -1 }, `group "TG-0": want a weight`},
+		"no groups":  {func(f *api.NumberTable) { f.Routes[0].Choices = nil }, `want at least one group`},
+		"bad code": {func(f *api.NumberTable) { f.Plans[0].Rules[2].Then.GetRefuse().Code = 200 },
+			"code: want 400 to 699"},
+		"bad add":    {func(f *api.NumberTable) { f.Plans[0].Rules[0].Add = "x" }, "add: want"},
+		"bad strip":  {func(f *api.NumberTable) { f.Plans[0].Rules[0].Strip = -1 }, "strip: want 0 to"},
+		"bad prefix": {func(f *api.NumberTable) { f.Plans[0].Rules[0].Prefix = "1x" }, "want a prefix of digits"},
+		"long prefix": {func(f *api.NumberTable) { f.Plans[0].Rules[0].Prefix = strings.Repeat("1", 41) },
+			"want a prefix of digits"},
+		"damaged packing": {func(f *api.NumberTable) { f.Plans[0].Rules[0].Packed = []byte{0, 3, 0x1f, 0} },
+			"packed prefixes: damaged after 0"},
+		"out of order": {func(f *api.NumberTable) { f.Plans[0].Rules[0].Packed = []byte{0, 1, 0x20, 0, 1, 0x10} },
+			"out of order after 1"},
+		"twice": {func(f *api.NumberTable) { f.Routes = append(f.Routes, f.Routes[0]) },
+			`route "rosters" stands here twice`},
+		"no UTF-8": {func(f *api.NumberTable) { f.Name = "\xff" }, "UTF-8"},
 		"overlap": {func(f *api.NumberTable) {
 			r := proto.Clone(f.Plans[0].Rules[2]).(*api.NumberRule)
 			r.Prefix = "14185550100-14185550299"
@@ -106,9 +117,11 @@
 		}, "range 14185550100-14185550299 overlaps 14185550000-14185550199 t.hcl:49 in part"},
 		"long way": {func(f *api.NumberTable) {
 			for i := range 40 {
-				f.Plans = append(f.Plans, &api.NumberPlan{Name: fmt.Sprint("p", i), Rules: []*api.NumberRule{{Then: &api.NumberAction{Do: &api.NumberAction_Plan{Plan: fmt.Sprint("p", i+1)}}}}})
+				f.Plans = append(f.Plans, &api.NumberPlan{Name: fmt.Sprint("p", i),
+					Rules: []*api.NumberRule{{Then: &api.NumberAction{Do: &api.NumberAction_Plan{Plan: fmt.Sprint("p", i+1)}}}}})
 			}
-			f.Plans = append(f.Plans, &api.NumberPlan{Name: "p40", Rules: []*api.NumberRule{{Then: &api.NumberAction{Do: &api.NumberAction_Route{Route: "night"}}}}})
+			f.Plans = append(f.Plans, &api.NumberPlan{Name: "p40",
+				Rules: []*api.NumberRule{{Then: &api.NumberAction{Do: &api.NumberAction_Route{Route: "night"}}}}})
 			f.Plans[0].Rules[4].Then.Do = &api.NumberAction_Plan{Plan: "p0"}
 		}, "plans in a row are too many"},
 	} {
--- a/internal/decision/prefixtrie/digits_test.go
+++ b/internal/decision/prefixtrie/digits_test.go
@@ -48,7 +48,8 @@
 		if trie.Len() != len(m) {
 			t.Fatalf("%d of %d prefixes", trie.Len(), len(m))
 		}
-		for _, n := range rapid.SliceOfN(rapid.OneOf(word, rapid.StringMatching(`[0-3]{0,8}[+x]?[0-9]{0,3}`)), 1, 40).Draw(t, "numbers") {
+		for _, n := range rapid.SliceOfN(rapid.OneOf(word, rapid.StringMatching(`[0-3]{0,8}[+x]?[0-9]{0,3}`)), 1, 40).
+			Draw(t, "numbers") {
 			v, l, ok := trie.Find(n)
 			pv, pl, pok := m.Find(n)
 			if v != pv && ok || l != pl || ok != pok {
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -17,7 +17,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Gateways != 4 || s.GatewayIndex != 2 || s.Seed != 7 || s.MaxAttempts != 5 || !s.CancelEnabled || !s.GossipEnabled || s.ProbeEnabled || !s.RetryAfterEnabled || !s.LoadReportsByProbe ||
+	if s.Gateways != 4 || s.GatewayIndex != 2 || s.Seed != 7 || s.MaxAttempts != 5 || !s.CancelEnabled ||
+		!s.GossipEnabled || s.ProbeEnabled || !s.RetryAfterEnabled || !s.LoadReportsByProbe ||
 		s.RetryHoldOff != 500 || s.RetransmitInterval != 400 ||
 		s.OverloadWindow != 1000 ||
 		s.AnswerGrace != 20 ||
--- a/internal/emulator/processrun/day.go
+++ b/internal/emulator/processrun/day.go
@@ -370,7 +370,8 @@
 	)
 	p("timers {\n  t1 = %q\n  t2 = %q\n  t4 = %q\n}", ms(c.Times.T1), ms(c.Times.T2), ms(c.Times.T4))
 	p(
-		"rules {\n  slack = %q\n  clear_wait = %q\n  cold_share = %g\n  warm_within = %q\n  tip_multiple = %g\n  tip_time = %q\n}",
+		"rules {\n  slack = %q\n  clear_wait = %q\n  cold_share = %g\n  warm_within = %q\n  tip_multiple = %g\n  "+
+			"tip_time = %q\n}",
 		ms(c.Settings.AnswerGrace),
 		ms(
 			c.Settings.RetryHoldOff,
@@ -403,7 +404,8 @@
 	if g.FrontAt != nil {
 		f := st.FrontConfig()
 		p(
-			"front {\n  listen = %q\n  apex = %q\n  skill = %q\n  negative = %d\n  patience = %q\n  repeat = %q\n  gain = %g\n  most = %d\n  keep = %d",
+			"front {\n  listen = %q\n  apex = %q\n  skill = %q\n  negative = %d\n  patience = %q\n  repeat = %q\n  gain = "+
+				"%g\n  most = %d\n  keep = %d",
 			g.Front,
 			f.Apex,
 			f.Skill,
--- a/internal/emulator/scenario/numbers_test.go
+++ b/internal/emulator/scenario/numbers_test.go
@@ -69,7 +69,8 @@
 // Each trouble of the DNS servers, all of them at once: callers are served, the rules kept, and what the resolver holds
 // is bounded and let go.
 func TestNamesTroubles(t *testing.T) {
-	for _, c := range []scenariofile.Trouble{{Kind: "names_silent"}, {Kind: "names_slow", Size: 2}, {Kind: "names_lossy", Size: 0.6}, {Kind: "names_spoofed", Size: 20},
+	for _, c := range []scenariofile.Trouble{{Kind: "names_silent"}, {Kind: "names_slow", Size: 2}, {Kind: "names_lossy",
+		Size: 0.6}, {Kind: "names_spoofed", Size: 20},
 		{Kind: "names_cut", Size: 1}, {Kind: "names_lame"}, {Kind: "names_wrong", Size: 1}} {
 		t.Run(c.Kind, func(t *testing.T) {
 			c.At, c.For, c.Part = 3000, 7000, 1
--- a/internal/emulator/scenariofile/bench.go
+++ b/internal/emulator/scenariofile/bench.go
@@ -116,7 +116,8 @@
 	switch {
 	case d.V != 1:
 		return nil, nil, fmt.Errorf("bench day: want \"v\": 1, got %d", d.V)
-	case len(d.Servers) == 0 || len(d.Balancers) == 0 || len(d.Classes) == 0 || len(d.Tiers) == 0 || len(d.Tiers[0].Kinds) == 0 || len(d.Zones) == 0:
+	case len(d.Servers) == 0 || len(d.Balancers) == 0 || len(d.Classes) == 0 || len(d.Tiers) == 0 ||
+		len(d.Tiers[0].Kinds) == 0 || len(d.Zones) == 0:
 		return nil, nil, fmt.Errorf("bench day: want servers, balancers, classes, zones and a tier with a kind")
 	case !(d.Fam.Capacity > 0) || !(d.Length > 0):
 		return nil, nil, fmt.Errorf("bench day: want a capacity and a length above 0")
@@ -260,7 +261,8 @@
 		)
 	}
 	note(
-		"a set-up, its answer and its release are 60, 22 and 18 %% of a call's work, and patience of a try is in whole seconds",
+		"a set-up, its answer and its release are 60, 22 and 18 %% of a call's work, and patience of a try is in whole " +
+			"seconds",
 	)
 	for _, t := range d.Tenants {
 		s.Payers = append(s.Payers, Payer{t.Name, t.Share})
--- a/internal/emulator/scenariofile/script_test.go
+++ b/internal/emulator/scenariofile/script_test.go
@@ -24,7 +24,8 @@
 		t.Fatal(err)
 	}
 	m := s.Pools.Model
-	if s.Gateways.Count != 3 || s.Net.Cross != 12 || s.Pools.Count != 2 || s.Load.Rate != 54 || s.Rules.Clear != 500 || m.Times.T1 != 400 || len(s.Troubles) != 2 ||
+	if s.Gateways.Count != 3 || s.Net.Cross != 12 || s.Pools.Count != 2 || s.Load.Rate != 54 || s.Rules.Clear != 500 ||
+		m.Times.T1 != 400 || len(s.Troubles) != 2 ||
 		s.Troubles[1].Region != "b" || s.Troubles[0].Part != 0.5 ||
 		strings.Join(m.Reports, " ") != "util queue" {
 		t.Errorf("%+v", s)
@@ -35,7 +36,8 @@
 	if !strings.Contains(strings.Join(notes, "; "), `"odd"`) {
 		t.Errorf("notes %v", notes)
 	}
-	for _, bad := range []string{"{", `{"v":2}`, `{"v":1}`, strings.Replace(benchForm, `"capacity":60`, `"capacity":0`, 1)} {
+	for _, bad := range []string{"{", `{"v":2}`, `{"v":1}`, strings.Replace(benchForm, `"capacity":60`, `"capacity":0`,
+		1)} {
 		if _, _, err := FromBench([]byte(bad)); err == nil {
 			t.Errorf("%.30q: no error", bad)
 		}
--- a/internal/emulator/search/hunt.go
+++ b/internal/emulator/search/hunt.go
@@ -110,7 +110,8 @@
 var namesKinds = []struct {
 	name   string
 	lo, hi float64
-}{{"names_silent", 1, 1}, {"names_slow", 0.05, 2}, {"names_lossy", 0.1, 0.9}, {"names_spoofed", 1, 40}, {"names_cut", 0.1, 1}, {"names_lame", 1, 1},
+}{{"names_silent", 1, 1}, {"names_slow", 0.05, 2}, {"names_lossy", 0.1, 0.9}, {"names_spoofed", 1, 40}, {"names_cut",
+	0.1, 1}, {"names_lame", 1, 1},
 	{"names_wrong", 0.1, 1}}
 
 // numbers lets a day's gateways analyse numbers, with tables that change and DNS servers that fail, and maybe kiosks
--- a/internal/emulator/virtualrun/fleet.go
+++ b/internal/emulator/virtualrun/fleet.go
@@ -113,7 +113,8 @@
 	v := scenario.NewVirtual(st, mk)
 	st.World.Run(s.Length + After)
 	k.Finish()
-	res.Service, res.Findings, res.Totals, res.Tables, res.LookUps, res.Kiosks = st.Service(), k.Findings, k.Totals, tables, v.LookUps(), st.KioskService()
+	res.Service, res.Findings, res.Totals, res.Tables, res.LookUps, res.Kiosks = st.Service(), k.Findings, k.Totals,
+		tables, v.LookUps(), st.KioskService()
 	if ser != nil {
 		res.Series = ser.done(st, k.Cold)
 	}
--- a/internal/emulator/workload/plan.go
+++ b/internal/emulator/workload/plan.go
@@ -140,11 +140,12 @@
 		of = append(
 			of,
 			&api.Call{
-				AtMs:       at,
-				Gateway:    uint32(Pick(n.Float64(), len(gates), func(i int) float64 { return gates[i] })),
-				Number:     fmt.Sprintf("+1418%07d", int(n.Float64()*float64(p.Numbers))),
-				Skill:      skill.Name,
-				Customer:   p.Customers[Pick(n.Float64(), len(p.Customers), func(i int) float64 { return p.Customers[i].Share })].Name,
+				AtMs:    at,
+				Gateway: uint32(Pick(n.Float64(), len(gates), func(i int) float64 { return gates[i] })),
+				Number:  fmt.Sprintf("+1418%07d", int(n.Float64()*float64(p.Numbers))),
+				Skill:   skill.Name,
+				Customer: p.Customers[Pick(n.Float64(), len(p.Customers),
+					func(i int) float64 { return p.Customers[i].Share })].Name,
 				Group:      p.Groups[Pick(n.Float64(), len(homes), func(i int) float64 { return homes[i] })],
 				HoldMs:     -math.Log(1-n.Float64()) * skill.Hold,
 				PatienceMs: skill.Patience,
--- a/internal/gateway/binaryserver/customers_test.go
+++ b/internal/gateway/binaryserver/customers_test.go
@@ -53,12 +53,17 @@
 // with all that may be switched off switched off, calls of every class pass, and what was never named is refused.
 func TestOtherCustomers(t *testing.T) {
 	for _, c := range []customer{
-		{"one class with an odd name", []string{"Ångström 1;dest:0 \"x\""}, `"aim":700,"hardLimit":1500,"lateWorth":0.5,"worth":0.01,"semantics":"pure"`,
-			`"cancel":true,"maxAttempts":7,"connectTimeout":250`, `"answerSlack":5`, `"fields":["size","free"],"how":"inline"`, 256, "1500"},
+		{"one class with an odd name", []string{"Ångström 1;dest:0 \"x\""},
+			`"aim":700,"hardLimit":1500,"lateWorth":0.5,"worth":0.01,"semantics":"pure"`,
+			`"cancel":true,"maxAttempts":7,"connectTimeout":250`, `"answerSlack":5`, `"fields":["size","free"],"how":"inline"`,
+			256, "1500"},
 		{"forty classes", manyClasses(), `"aim":2500,"hardLimit":9000,"lateWorth":0,"worth":100,"semantics":"side_effect"`,
-			`"retryAfter":true,"maxRetryAfter":10,"maxAttempts":1`, `"answerSlack":50,"coldShare":0.9,"warmWithin":60000,"tipMultiple":9,"fall":100`, `"how":"off"`, 1024, "8000"},
-		{"tiny limits", []string{"0", " "}, `"aim":150,"hardLimit":400`, `"maxAttempts":1,"mostHeld":1,"connectTimeout":40,"connIdle":100`,
-			`"answerSlack":1,"coldShare":0.1,"warmWithin":1,"tipMultiple":0.5,"fall":1`, `"fields":[],"how":"on_probe"`, 32, "400"},
+			`"retryAfter":true,"maxRetryAfter":10,"maxAttempts":1`,
+			`"answerSlack":50,"coldShare":0.9,"warmWithin":60000,"tipMultiple":9,"fall":100`, `"how":"off"`, 1024, "8000"},
+		{"tiny limits", []string{"0", " "}, `"aim":150,"hardLimit":400`,
+			`"maxAttempts":1,"mostHeld":1,"connectTimeout":40,"connIdle":100`,
+			`"answerSlack":1,"coldShare":0.1,"warmWithin":1,"tipMultiple":0.5,"fall":1`, `"fields":[],"how":"on_probe"`, 32,
+			"400"},
 		{"all off", []string{"only"}, `"aim":1000,"hardLimit":2000`, ``, ``, ``, 64, "2000"},
 	} {
 		t.Run(c.what, func(t *testing.T) {
--- a/internal/gateway/binaryserver/serve_test.go
+++ b/internal/gateway/binaryserver/serve_test.go
@@ -141,7 +141,8 @@
 			case "half":
 				mu.Lock()
 				n.Write(
-					binarymessage.Append(nil, binarymessage.Answer, id, binarymessage.TextParam(binarymessage.Description, "answer"))[:9],
+					binarymessage.Append(nil, binarymessage.Answer, id, binarymessage.TextParam(binarymessage.Description,
+						"answer"))[:9],
 				)
 				mu.Unlock()
 				n.Close()
@@ -559,12 +560,14 @@
 		"patience below 0":   odd(1<<41+4, class, binarymessage.TextParam(binarymessage.Timeout, "-5"), number),
 		"patience endless":   odd(1<<41+5, class, binarymessage.TextParam(binarymessage.Timeout, "1e300"), number),
 		"no number":          odd(1<<41+6, class, wait),
-		"figures too large":  odd(1<<41+7, class, wait, number, binarymessage.TextParam(binarymessage.Figures, "dest:99999999999999999999")),
-		"figures no number":  odd(1<<41+8, class, wait, number, binarymessage.TextParam(binarymessage.Figures, "width:many")),
-		"no id":              odd(0, class, wait, number),
-		"unknown switch":     odd(1<<41+9, class, wait, number, binarymessage.TextParam(binarymessage.Figures, "at:s-nowhere")),
-		"one id twice":       append(ask(1<<41+10), ask(1<<41+10, binarymessage.TextParam(binarymessage.Note, "x"))...),
-		"odd type":           binarymessage.Append(nil, 200, 5),
+		"figures too large": odd(1<<41+7, class, wait, number, binarymessage.TextParam(binarymessage.Figures,
+			"dest:99999999999999999999")),
+		"figures no number": odd(1<<41+8, class, wait, number, binarymessage.TextParam(binarymessage.Figures, "width:many")),
+		"no id":             odd(0, class, wait, number),
+		"unknown switch": odd(1<<41+9, class, wait, number, binarymessage.TextParam(binarymessage.Figures,
+			"at:s-nowhere")),
+		"one id twice": append(ask(1<<41+10), ask(1<<41+10, binarymessage.TextParam(binarymessage.Note, "x"))...),
+		"odd type":     binarymessage.Append(nil, 200, 5),
 	} {
 		t.Run(what, func(t *testing.T) {
 			p := s.dial()
--- a/internal/gateway/gatewayconfig/settings_test.go
+++ b/internal/gateway/gatewayconfig/settings_test.go
@@ -39,7 +39,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Settings.Gateways != 2 || s.Settings.GatewayIndex != 1 || s.Settings.RetryHoldOff != 500 || s.Settings.SlowStartDuration != 14000 || s.DefaultClass != "shift-lookup" ||
+	if s.Settings.Gateways != 2 || s.Settings.GatewayIndex != 1 || s.Settings.RetryHoldOff != 500 ||
+		s.Settings.SlowStartDuration != 14000 || s.DefaultClass != "shift-lookup" ||
 		s.Settings.Classes[0].Timeout != 9000 || s.Groups[0].Circuits != 100 ||
 		!s.Settings.GossipEnabled ||
 		s.Settings.RetransmitInterval != 500 {
@@ -69,7 +70,8 @@
 		t.Fatal(err)
 	}
 	f := s.ENUMServer
-	if !s.Numbers.Enabled() || s.LookupShare != 0.3 || len(s.Numbers.DNS.Servers) != 1 || s.Numbers.DNS.Cache.FailureTTL != 1000 || s.Numbers.Services[0] != "pstn:tel" ||
+	if !s.Numbers.Enabled() || s.LookupShare != 0.3 || len(s.Numbers.DNS.Servers) != 1 ||
+		s.Numbers.DNS.Cache.FailureTTL != 1000 || s.Numbers.Services[0] != "pstn:tel" ||
 		f.Skill != "shift-lookup" || f.TTL != 0 || f.Patience != 3000 || f.Context != "x.example" ||
 		len(f.Limits.Nets) != 1 ||
 		f.Limits.Nets[0].Rate != 0 {
@@ -103,19 +105,23 @@
 func TestFaults(t *testing.T) {
 	for _, x := range []struct{ from, to, want string }{
 		{`clear_wait = "500ms"`, `clear_wait = 500`, `edge.hcl:14: clear_wait: want a duration from "0s" to "1m0s"`},
-		{`clear_wait = "500ms"`, `clear_wait = "soon"`, `edge.hcl:14: clear_wait: want a duration from "0s" to "1m0s", got "soon"`},
+		{`clear_wait = "500ms"`, `clear_wait = "soon"`,
+			`edge.hcl:14: clear_wait: want a duration from "0s" to "1m0s", got "soon"`},
 		{`cold_share = 0.36`, `cold_share = 1.36`, `edge.hcl:15: cold_share: want a number from 0.001 to 1, got 1.36`},
 		{`cold_share = 0.36`, ``, `edge.hcl:13: rules: want cold_share = a number from 0.001 to 1`},
 		{`number = 1`, `number = 2`, `edge.hcl:7: number: want one below gateways = 2, got 2`},
 		{`number = 1`, `number = 0.5`, `edge.hcl:7: number: want a whole number, got 0.5`},
-		{`tip_time = "1s"`, `tip_tyme = "1s"`, `edge.hcl:18: unknown key "tip_tyme"; known here: clear_wait, cold_share, slack, tip_multiple, tip_time, warm_within`},
+		{`tip_time = "1s"`, `tip_tyme = "1s"`,
+			`edge.hcl:18: unknown key "tip_tyme"; known here: clear_wait, cold_share, slack, tip_multiple, tip_time, warm_within`},
 		{`list {`, `lists {`, `edge.hcl:10: unknown block "lists"`},
 		{`"127.0.0.2:5070"]`, `"nowhere"]`, `edge.hcl:8: peers: want addresses such as "127.0.0.1:5070", got "nowhere"`},
-		{`, "127.0.0.2:5070"]`, `]`, `edge.hcl:8: peers: want the addresses of all 2 gateways where allow.tell is set, got 1`},
+		{`, "127.0.0.2:5070"]`, `]`,
+			`edge.hcl:8: peers: want the addresses of all 2 gateways where allow.tell is set, got 1`},
 		{`target = "2s"`, `target = "20s"`, `edge.hcl:21: target: want no more than patience`},
 		{`skill "shift-lookup"`, `skill`, `edge.hcl:20: skill: want 1 names behind it, got 0`},
 		{`name = "e"`, `name = ""`, `edge.hcl:2: name: want a string that is not empty`},
-		{`sip = "127.0.0.1:5060"`, `sip = "localhost"`, `edge.hcl:3: sip: want an address such as "127.0.0.1:5060", got "localhost"`},
+		{`sip = "127.0.0.1:5060"`, `sip = "localhost"`,
+			`edge.hcl:3: sip: want an address such as "127.0.0.1:5060", got "localhost"`},
 		{`size = 100`, `size = 100 +`, `edge.hcl:26`},
 		{`size = 100
 }`, `size = 100
--- a/internal/gateway/sipserver/gateway_test.go
+++ b/internal/gateway/sipserver/gateway_test.go
@@ -149,7 +149,8 @@
 		t.Fatal(err)
 	}
 	defer who.Close()
-	k.send <- &api.Update{Version: 3, Whole: true, Members: []*api.Member{{Id: "m", State: api.State_READY, AgeMs: -1, Addr: "127.72.0.9:19062"}}}
+	k.send <- &api.Update{Version: 3, Whole: true, Members: []*api.Member{{Id: "m", State: api.State_READY, AgeMs: -1,
+		Addr: "127.72.0.9:19062"}}}
 	set := config(t, addr, 1, "200ms", "")
 	stop, over := make(chan struct{}, 4), make(chan end, 1)
 	go func() {
@@ -161,7 +162,8 @@
 			[]byte(
 				strings.ReplaceAll(
 					"INVITE sip:+1418;tgrp=TG-0@127.72.0.1 SIP/2.0\nVia: SIP/2.0/UDP 127.72.0.8:19062;rport;branch=z9hG4bK"+id+
-						"\nFrom: <sip:a@b>;tag="+id+"\nTo: <sip:c@d>\nCall-ID: "+id+"\nCSeq: 1 INVITE\nContact: <sip:127.72.0.8:19062>\nExpires: 9\nContent-Length: 0\n\n",
+						"\nFrom: <sip:a@b>;tag="+id+"\nTo: <sip:c@d>\nCall-ID: "+id+
+						"\nCSeq: 1 INVITE\nContact: <sip:127.72.0.8:19062>\nExpires: 9\nContent-Length: 0\n\n",
 					"\n",
 					"\r\n",
 				),
@@ -218,7 +220,8 @@
 	}
 	// the second signal
 	set = config(t, addr, 1, "60s", "")
-	k.send <- &api.Update{Version: 3, Whole: true, Members: []*api.Member{{Id: "m", State: api.State_READY, AgeMs: -1, Addr: "127.72.0.9:19062"}}}
+	k.send <- &api.Update{Version: 3, Whole: true, Members: []*api.Member{{Id: "m", State: api.State_READY, AgeMs: -1,
+		Addr: "127.72.0.9:19062"}}}
 	go func() {
 		out, err := Run(context.Background(), set, mind, zerolog.Nop(), stop)
 		over <- end{out, err}
@@ -250,8 +253,10 @@
 		out, err := Run(context.Background(), set, mind, zerolog.Nop(), stop)
 		over <- end{out, err}
 	}()
-	k.send <- &api.Update{Version: 7, Whole: true, Members: []*api.Member{{Id: "m", State: api.State_READY, AgeMs: -1, Addr: "127.72.0.9:19062"}}}
-	k.send <- &api.Update{Version: 8, Members: []*api.Member{{Id: "m", State: api.State_DRAINING, AgeMs: -1, Addr: "127.72.0.9:19062"}}}
+	k.send <- &api.Update{Version: 7, Whole: true, Members: []*api.Member{{Id: "m", State: api.State_READY, AgeMs: -1,
+		Addr: "127.72.0.9:19062"}}}
+	k.send <- &api.Update{Version: 8, Members: []*api.Member{{Id: "m", State: api.State_DRAINING, AgeMs: -1,
+		Addr: "127.72.0.9:19062"}}}
 	for len(k.send) > 0 {
 		time.Sleep(10 * time.Millisecond)
 	}
--- a/internal/gateway/sipserver/numbers_test.go
+++ b/internal/gateway/sipserver/numbers_test.go
@@ -120,7 +120,8 @@
 	}
 	stop, over := make(chan struct{}, 4), make(chan end, 1)
 	run := func() {
-		k.send <- &api.Update{Version: 3, Whole: true, Members: []*api.Member{{Id: "m", State: api.State_READY, AgeMs: -1, Addr: "127.72.0.19:19062"}}}
+		k.send <- &api.Update{Version: 3, Whole: true, Members: []*api.Member{{Id: "m", State: api.State_READY, AgeMs: -1,
+			Addr: "127.72.0.19:19062"}}}
 		go func() {
 			out, err := Run(context.Background(), read(), mind, zerolog.Nop(), stop)
 			over <- end{out, err}
@@ -137,7 +138,8 @@
 				[]byte(
 					strings.ReplaceAll(
 						"INVITE sip:+1418555"+id[1:]+"@127.72.0.11 SIP/2.0\nVia: SIP/2.0/UDP 127.72.0.18:19062;rport;branch=z9hG4bK"+id+
-							"\nFrom: <sip:a@b>;tag="+id+"\nTo: <sip:c@d>\nCall-ID: "+id+"\nCSeq: 1 INVITE\nContact: <sip:127.72.0.18:19062>\nExpires: 1\nContent-Length: 0\n\n",
+							"\nFrom: <sip:a@b>;tag="+id+"\nTo: <sip:c@d>\nCall-ID: "+id+
+							"\nCSeq: 1 INVITE\nContact: <sip:127.72.0.18:19062>\nExpires: 1\nContent-Length: 0\n\n",
 						"\n",
 						"\r\n",
 					),
@@ -227,7 +229,8 @@
 		[]byte(
 			strings.ReplaceAll(
 				"INVITE sip:+14189999999@127.72.0.11 SIP/2.0\nVia: SIP/2.0/UDP 127.72.0.18:19062;rport;branch=z9hG4bKlast"+
-					"\nFrom: <sip:a@b>;tag=l\nTo: <sip:c@d>\nCall-ID: last\nCSeq: 1 INVITE\nContact: <sip:127.72.0.18:19062>\nExpires: 9\nContent-Length: 0\n\n",
+					"\nFrom: <sip:a@b>;tag=l\nTo: <sip:c@d>\nCall-ID: last\nCSeq: 1 INVITE\nContact: <sip:127.72.0.18:19062>\n"+
+					"Expires: 9\nContent-Length: 0\n\n",
 				"\n",
 				"\r\n",
 			),
--- a/internal/gateway/tablestore/store_test.go
+++ b/internal/gateway/tablestore/store_test.go
@@ -23,7 +23,8 @@
 		"t.hcl",
 		[]byte(
 			fmt.Sprintf(
-				"name = \"t\"\nversion = %d\nroute \"r\" {\n group %q {\n }\n}\nplan \"start\" {\n rule \"\" {\n route = \"r\"\n }\n}\n",
+				"name = \"t\"\nversion = %d\nroute \"r\" {\n group %q {\n }\n}\nplan \"start\" {\n rule \"\" {\n route = "+
+					"\"r\"\n }\n}\n",
 				version,
 				group,
 			),
--- a/internal/protocol/b2bua/analysis_test.go
+++ b/internal/protocol/b2bua/analysis_test.go
@@ -236,7 +236,8 @@
 func TestRefused(t *testing.T) {
 	r, b := numberRig(t)
 	r.m.offered = func(float64, *routing.Call) { t.Error("offered") }
-	for number, want := range map[string]string{"+19115550123": "SIP/2.0 410 not here", "+15145550123": "SIP/2.0 404", "+1CALLME": "SIP/2.0 484",
+	for number, want := range map[string]string{"+19115550123": "SIP/2.0 410 not here", "+15145550123": "SIP/2.0 404",
+		"+1CALLME":     "SIP/2.0 484",
 		"+16135550123": "SIP/2.0 500", "+1418555;npdi;npdi": "SIP/2.0 400"} {
 		r.get(caller, strings.Replace(callerSays("INVITE", "z"+want[8:11], ""), "+14185550123", number, 1))
 		r.sent(caller, want)
--- a/internal/protocol/b2bua/edge_test.go
+++ b/internal/protocol/b2bua/edge_test.go
@@ -144,8 +144,10 @@
 	if method == "BYE" || method == "ACK" {
 		branch += method
 	}
-	return method + " sip:+14185550123;tgrp=TG-0;trunk-context=x.example@127.0.0.1 SIP/2.0\nVia: SIP/2.0/UDP 127.0.0.2:5060;rport;branch=z9hG4bK" + branch +
-		"\nFrom: <sip:staff@epicerie.example>;tag=c" + id + "\nTo: <sip:+14185550123@127.0.0.1>" + more + "\nCall-ID: " + id + "\nCSeq: " + n +
+	return method + " sip:+14185550123;tgrp=TG-0;trunk-context=x.example@127.0.0.1 SIP/2.0\nVia: SIP/2.0/UDP " +
+		"127.0.0.2:5060;rport;branch=z9hG4bK" + branch +
+		"\nFrom: <sip:staff@epicerie.example>;tag=c" + id + "\nTo: <sip:+14185550123@127.0.0.1>" + more + "\nCall-ID: " +
+		id + "\nCSeq: " + n +
 		"\nContact: <sip:127.0.0.2:5060>\nMax-Forwards: 70\nSession-ID: " + strings.Repeat(
 		id[:1],
 		32,
@@ -432,7 +434,8 @@
 	inv, _ := stand("8a")
 	r.get(
 		switchA,
-		"BYE sip:127.0.0.1 SIP/2.0\nVia: SIP/2.0/UDP 127.0.0.3:5060;branch=z9hG4bKx\nFrom: <sip:x@y>;tag=s8a\nTo: <sip:a@b>;tag="+
+		"BYE sip:127.0.0.1 SIP/2.0\nVia: SIP/2.0/UDP 127.0.0.3:5060;branch=z9hG4bKx\nFrom: <sip:x@y>;tag=s8a\nTo: "+
+			"<sip:a@b>;tag="+
 			siptransaction.Tag(
 				inv.From().Params,
 			)+"\nCall-ID: "+string(
@@ -539,12 +542,16 @@
 // No datagram makes the edge fall: cut short, long, random, hostile. Seeds of our own; go test -fuzz goes on from them.
 func FuzzReceive(f *testing.F) {
 	invite := strings.ReplaceAll(callerSays("INVITE", "1a", ""), "\n", "\r\n") + "\r\n\r\n"
-	for _, s := range []string{invite, invite[:60], invite[:len(invite)-40], strings.Repeat("A", 65535), "\x00\xff\r\n\r\n",
+	for _, s := range []string{invite, invite[:60], invite[:len(invite)-40], strings.Repeat("A", 65535),
+		"\x00\xff\r\n\r\n",
 		strings.Replace(invite, "\r\n", "\r\n"+strings.Repeat("Via: SIP/2.0/UDP 1.2.3.4:5;branch=z9hG4bKv\r\n", 1500), 1),
-		strings.Replace(invite, "CSeq: 1", "CSeq: 99999999999", 1), strings.Replace(invite, "Content-Length: 0", "Content-Length: 4000000000", 1),
+		strings.Replace(invite, "CSeq: 1", "CSeq: 99999999999", 1), strings.Replace(invite, "Content-Length: 0",
+			"Content-Length: 4000000000", 1),
 		strings.Replace(invite, "branch=", "branch=\"a,b;c\";branch=", 1), strings.Replace(invite, "INVITE", "BYE", 2),
-		"SIP/2.0 200 OK\r\nVia: SIP/2.0/UDP 127.0.0.1:5060;branch=z9hG4bKq\r\nFrom: <sip:a@b>\r\nTo: <sip:a@b>\r\nCall-ID: 1\r\nCSeq: 1 INVITE\r\n\r\n",
-		strings.Replace(invite, "Expires: 9", "Expires: -9", 1), strings.Replace(invite, "Contact: <sip:127.0.0.2:5060>\r\n", "", 1)} {
+		"SIP/2.0 200 OK\r\nVia: SIP/2.0/UDP 127.0.0.1:5060;branch=z9hG4bKq\r\nFrom: <sip:a@b>\r\nTo: <sip:a@b>\r\n" +
+			"Call-ID: 1\r\nCSeq: 1 INVITE\r\n\r\n",
+		strings.Replace(invite, "Expires: 9", "Expires: -9", 1), strings.Replace(invite,
+			"Contact: <sip:127.0.0.2:5060>\r\n", "", 1)} {
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/internal/protocol/b2bua/enquiry_test.go
+++ b/internal/protocol/b2bua/enquiry_test.go
@@ -20,7 +20,8 @@
 		t.Fatalf("asked %v, %v", b.asked, got)
 	}
 	b.done[0](r.now, numberplan.Found{Answer: numberplan.Ported, Routing: "+15145550000"})
-	if len(got) != 1 || got[0].Code != 200 || got[0].Addr != switchB || got[0].Group != "TG-1" || got[0].Number != "+14185550123" ||
+	if len(got) != 1 || got[0].Code != 200 || got[0].Addr != switchB || got[0].Group != "TG-1" ||
+		got[0].Number != "+14185550123" ||
 		got[0].Params != ";npdi;rn=+70115145550000" ||
 		!got[0].Valid() {
 		t.Fatalf("%+v", got)
--- a/internal/protocol/binarygateway/platform_test.go
+++ b/internal/protocol/binarygateway/platform_test.go
@@ -972,7 +972,8 @@
 	}
 	r.refuse(addrA, 100)
 	r.expect(c.lastMessage(7), binarymessage.Release, binarymessage.Failure)
-	for _, want := range []string{"ended 5 closed false agent false engaged false wait 0", "ended 6 closed true agent false engaged false wait 0"} {
+	for _, want := range []string{"ended 5 closed false agent false engaged false wait 0",
+		"ended 6 closed true agent false engaged false wait 0"} {
 		if !slices.Contains(r.policy.events, want) {
 			t.Errorf("the module heard %q, not %q", r.policy.events, want)
 		}
--- a/internal/protocol/dnsclient/resolve.go
+++ b/internal/protocol/dnsclient/resolve.go
@@ -66,8 +66,10 @@
 
 // Add adds another's counts.
 func (c *Counts) Add(o *Counts) {
-	for _, x := range []struct{ to, of *uint64 }{{&c.Asked, &o.Asked}, {&c.Cached, &o.Cached}, {&c.Stale, &o.Stale}, {&c.Shared, &o.Shared},
-		{&c.Sent, &o.Sent}, {&c.Streams, &o.Streams}, {&c.Answered, &o.Answered}, {&c.None, &o.None}, {&c.Failed, &o.Failed}, {&c.Late, &o.Late},
+	for _, x := range []struct{ to, of *uint64 }{{&c.Asked, &o.Asked}, {&c.Cached, &o.Cached}, {&c.Stale, &o.Stale},
+		{&c.Shared, &o.Shared},
+		{&c.Sent, &o.Sent}, {&c.Streams, &o.Streams}, {&c.Answered, &o.Answered}, {&c.None, &o.None}, {&c.Failed,
+			&o.Failed}, {&c.Late, &o.Late},
 		{&c.Full, &o.Full}, {&c.Strays, &o.Strays}, {&c.Lame, &o.Lame}, {&c.Down, &o.Down}} {
 		*x.to += *x.of
 	}
@@ -481,7 +483,8 @@
 		c.health.OnValid(s.server)
 		c.cache.put(c.now, f.name, rules, ttl)
 		c.finish(f, func(*waiter) Answer { return Answer{Status: Found, Rules: rules} })
-	case (m.Rcode == dns.RcodeSuccess || m.Rcode == dns.RcodeNameError) && !leads && (m.Authoritative || negative >= 0 || m.RecursionAvailable):
+	case (m.Rcode == dns.RcodeSuccess || m.Rcode == dns.RcodeNameError) && !leads && (m.Authoritative || negative >= 0 ||
+		m.RecursionAvailable):
 		c.Counts.None++
 		c.health.OnValid(s.server)
 		c.cache.put(c.now, f.name, nil, max(0, negative))
--- a/internal/protocol/dnsclient/resolve_test.go
+++ b/internal/protocol/dnsclient/resolve_test.go
@@ -184,21 +184,22 @@
 // Each trouble of one of two servers: answers come within the time, from the other one, and none is false.
 func TestTroubles(t *testing.T) {
 	for name, f := range map[string]dnsserver.Faults{
-		"silent":      {Silent: true},
-		"slow":        {Delay: 900},
-		"lossy":       {Delay: 10, Loss: 0.7},
-		"wrong id":    {Delay: 10, WrongID: 1},
-		"spoofed":     {Delay: 10, Spoof: 1, Guesses: 50},
-		"truncated":   {Delay: 10, Cut: 1},
-		"no stream":   {Delay: 10, Cut: 1, NoStream: true},
-		"lame":        {Delay: 10, Lame: true},
-		"refers":      {Delay: 10, Refer: true},
-		"servfail":    {Delay: 10, ServFail: true},
-		"no edns":     {Delay: 10, NoEDNS: true},
-		"flat":        {Delay: 10, Flat: true},
-		"poison":      {Delay: 10, Poison: true},
-		"no trouble":  {Delay: 10},
-		"all at once": {Delay: 20, Jitter: 100, Loss: 0.3, Spoof: 0.5, Guesses: 4, Cut: 0.3, WrongID: 0.2, NoEDNS: true, Poison: true},
+		"silent":     {Silent: true},
+		"slow":       {Delay: 900},
+		"lossy":      {Delay: 10, Loss: 0.7},
+		"wrong id":   {Delay: 10, WrongID: 1},
+		"spoofed":    {Delay: 10, Spoof: 1, Guesses: 50},
+		"truncated":  {Delay: 10, Cut: 1},
+		"no stream":  {Delay: 10, Cut: 1, NoStream: true},
+		"lame":       {Delay: 10, Lame: true},
+		"refers":     {Delay: 10, Refer: true},
+		"servfail":   {Delay: 10, ServFail: true},
+		"no edns":    {Delay: 10, NoEDNS: true},
+		"flat":       {Delay: 10, Flat: true},
+		"poison":     {Delay: 10, Poison: true},
+		"no trouble": {Delay: 10},
+		"all at once": {Delay: 20, Jitter: 100, Loss: 0.3, Spoof: 0.5, Guesses: 4, Cut: 0.3, WrongID: 0.2, NoEDNS: true,
+			Poison: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, 2, nil)
@@ -463,7 +464,8 @@
 
 // Over TCP too an answer must match, and have the id that was sent.
 func TestStreamMatches(t *testing.T) {
-	for what, change := range map[string]func(m *dns.Msg){"another id": func(m *dns.Msg) { m.Id++ }, "another name": func(m *dns.Msg) { m.Question[0].Name = "1.e164.test." },
+	for what, change := range map[string]func(m *dns.Msg){"another id": func(m *dns.Msg) { m.Id++ },
+		"another name":  func(m *dns.Msg) { m.Question[0].Name = "1.e164.test." },
 		"the right one": nil} {
 		r := silent(t, func(c *Config) { c.Tries = 1 })
 		g := r.ask("14185551234", 5000)
@@ -515,7 +517,8 @@
 		}, Failed},
 		"pointed elsewhere": {func(m *dns.Msg) {
 			m.Answer, m.Authoritative, m.RecursionAvailable = nil, false, true
-			m.Ns = []dns.RR{&dns.NS{Hdr: dns.RR_Header{Name: "e164.test.", Rrtype: dns.TypeNS, Class: dns.ClassINET, Ttl: 60}, Ns: "n.test."}}
+			m.Ns = []dns.RR{&dns.NS{Hdr: dns.RR_Header{Name: "e164.test.", Rrtype: dns.TypeNS, Class: dns.ClassINET, Ttl: 60},
+				Ns: "n.test."}}
 		}, Failed},
 		"a fault": {func(m *dns.Msg) { m.Rcode = dns.RcodeServerFailure }, Failed},
 	} {
--- a/internal/protocol/enumserver/front_test.go
+++ b/internal/protocol/enumserver/front_test.go
@@ -125,7 +125,8 @@
 		text  string
 	}{
 		{b2bua.EnquiryResult{Code: 404, Reason: "no rule"}, dns.RcodeNameError, ""},
-		{b2bua.EnquiryResult{Code: 503, Reason: "deferred", RetryAfter: 1500}, dns.RcodeServerFailure, "deferred; retry after 1500 ms"},
+		{b2bua.EnquiryResult{Code: 503, Reason: "deferred", RetryAfter: 1500}, dns.RcodeServerFailure,
+			"deferred; retry after 1500 ms"},
 		{b2bua.EnquiryResult{Code: 500, Reason: "fault"}, dns.RcodeServerFailure, "fault"},
 	} {
 		r.got = nil
--- a/internal/protocol/portability/ported_test.go
+++ b/internal/protocol/portability/ported_test.go
@@ -55,7 +55,8 @@
 	}
 	b.of["0.p.test."] = rules(enum.Rule{Replacement: "far0.test."})
 	f := &Finder{Asker: b, Apex: "p.test", Services: []string{"pstn:tel"}}
-	for n, want := range map[string]string{"1": "2 ", "2": "1 +1514", "3": "0 ", "4": "0 ", "5": "2 ", "6": "0 ", "7": "1 +1514", "78": "1 +1514+1-6789", "8": "2 ",
+	for n, want := range map[string]string{"1": "2 ", "2": "1 +1514", "3": "0 ", "4": "0 ", "5": "2 ", "6": "0 ",
+		"7": "1 +1514", "78": "1 +1514+1-6789", "8": "2 ",
 		"9": "2 ", "0": "2 ", "77": "2 ", "": "2 "} {
 		calls, got := 0, ""
 		f.Resolve(0, n, 500, func(_ float64, f numberplan.Found) {
--- a/internal/protocol/siptransaction/signal_test.go
+++ b/internal/protocol/siptransaction/signal_test.go
@@ -138,7 +138,8 @@
 
 // A quoted value in a Via, with what parts parameters inside it, is read and written as it is.
 func TestQuotedVia(t *testing.T) {
-	text := "OPTIONS sip:a SIP/2.0\r\nVia: SIP/2.0/UDP 1.2.3.4:5060;oc;oc-algo=\"loss,rate;x\";branch=z9hG4bKq, SIP/2.0/UDP 5.6.7.8;branch=z9hG4bKr\r\n" +
+	text := "OPTIONS sip:a SIP/2.0\r\nVia: SIP/2.0/UDP 1.2.3.4:5060;oc;oc-algo=\"loss,rate;x\";branch=z9hG4bKq, " +
+		"SIP/2.0/UDP 5.6.7.8;branch=z9hG4bKr\r\n" +
 		"From: <sip:a@b>;tag=1\r\nTo: <sip:a@b>\r\nCall-ID: 1\r\nCSeq: 1 OPTIONS\r\n\r\n"
 	m, err := Parse([]byte(text))
 	if err != nil {
@@ -157,7 +158,8 @@
 }
 
 func TestWaits(t *testing.T) {
-	for in, want := range map[string]float64{"": 0, "5": 5000, "1;ms=300": 300, " 2 (later);duration=9": 2000, "3(soon)": 3000, "-1": 0, "x": 0, "9999999999999": 0} {
+	for in, want := range map[string]float64{"": 0, "5": 5000, "1;ms=300": 300, " 2 (later);duration=9": 2000,
+		"3(soon)": 3000, "-1": 0, "x": 0, "9999999999999": 0} {
 		if got := ParseRetryAfter(in); got != want {
 			t.Errorf("%q: %v, want %v", in, got, want)
 		}
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -11,7 +11,8 @@
 func TestLotteryShares(t *testing.T) {
 	h, ps := newTestHost(3)
 	want := []float64{20 * 0.5 * 0.5, 10 * 0.8 * 0.8, 30 * 0.2 * 0.2}
-	for i, r := range []routing.LoadReport{{RateLimit: 20, Utilization: 0.5}, {RateLimit: 10, Utilization: 0.2}, {RateLimit: 30, Utilization: 0.8}} {
+	for i, r := range []routing.LoadReport{{RateLimit: 20, Utilization: 0.5}, {RateLimit: 10, Utilization: 0.2},
+		{RateLimit: 30, Utilization: 0.8}} {
 		ps[i].LoadReport.RateLimit, ps[i].LoadReport.Utilization = r.RateLimit, r.Utilization
 		h.router.OnLoadReport(h.now, ps[i], true, true)
 	}
@@ -301,7 +302,8 @@
 
 // Settings that are missing give sensible decisions: calls are tried while the endpoint answers.
 func TestOddSettings(t *testing.T) {
-	for _, set := range []routing.Settings{{}, {Classes: []*routing.Class{{}}}, {LoadReportsByProbe: true, RetryAfterEnabled: true}} {
+	for _, set := range []routing.Settings{{}, {Classes: []*routing.Class{{}}}, {LoadReportsByProbe: true,
+		RetryAfterEnabled: true}} {
 		h, ps := newTestHost(1)
 		h.router = New(&set, h)
 		ps[0].PolicyState = nil
