--- a/internal/cli/labcli/fleet.go
+++ b/internal/cli/labcli/fleet.go
@@ -60,14 +60,12 @@
 		Customer: s.CustomerShare,
 		Late:     float64(s.Late),
 		Cut:      float64(s.Cut),
-		Unserved: float64(
-			s.Unserved,
-		),
-		P50:    at(s.Waits, 0.5),
-		P99:    at(s.Waits, 0.99),
-		Cold:   r.Totals.ColdUse,
-		Broken: len(r.Findings),
-		Sum:    fmt.Sprintf("%016x", r.Sum),
+		Unserved: float64(s.Unserved),
+		P50:      at(s.Waits, 0.5),
+		P99:      at(s.Waits, 0.99),
+		Cold:     r.Totals.ColdUse,
+		Broken:   len(r.Findings),
+		Sum:      fmt.Sprintf("%016x", r.Sum),
 	}
 }
 
--- a/internal/cli/labcli/lookups.go
+++ b/internal/cli/labcli/lookups.go
@@ -79,19 +79,8 @@
 	cells := make([]figures, len(troubles)*len(modes))
 	for i := range cells {
 		c := &cells[i]
-		c.service, c.lost, c.sent, c.p99 = make(
-			[]float64,
-			seeds,
-		), make(
-			[]float64,
-			seeds,
-		), make(
-			[]float64,
-			seeds,
-		), make(
-			[]float64,
-			seeds,
-		)
+		c.service, c.lost, c.sent, c.p99 = make([]float64, seeds), make([]float64, seeds), make([]float64, seeds),
+			make([]float64, seeds)
 	}
 	broken := make([]int, len(cells)*seeds)
 	base := append(
@@ -125,15 +114,8 @@
 		l := r.LookUps
 		c := &cells[cell]
 		c.service[seed], c.p99[seed] = r.Service.Whole, at(r.Service.Waits, 0.99)
-		c.lost[seed], c.sent[seed] = float64(
-			l.Failed,
-		)/float64(
-			max(1, l.Asked),
-		), float64(
-			l.Sent+l.Streams,
-		)/float64(
-			max(1, l.Asked),
-		)
+		c.lost[seed], c.sent[seed] = float64(l.Failed)/float64(max(1, l.Asked)), float64(l.Sent+l.Streams)/float64(max(1,
+			l.Asked))
 		broken[i] = len(r.Findings) + len(r.Tables.Findings)
 	})
 	if !all {
--- a/internal/cli/labcli/swap.go
+++ b/internal/cli/labcli/swap.go
@@ -49,11 +49,7 @@
 				"%d prefixes: %.1f MiB compact (%.1f octets each), compiled in %.0f ms, %.1f MiB in memory (%.1f octets each)\n",
 				size,
 				mib(len(packed)),
-				float64(
-					len(packed),
-				)/float64(
-					size,
-				),
+				float64(len(packed))/float64(size),
 				float64(took)/1e6,
 				mib(int(after)-int(before)),
 				float64(int64(after)-int64(before))/float64(size),
--- a/internal/cli/numbercli/numbercmd.go
+++ b/internal/cli/numbercli/numbercmd.go
@@ -210,11 +210,9 @@
 func importCSV() *cobra.Command {
 	var out, plan string
 	c := &cobra.Command{
-		Use:   "import TABLE PREFIXES.csv --plan PLAN --out FILE",
-		Short: "Add prefixes of a CSV file, one \"prefix,route\" a line, to a plan",
-		Args: cobra.ExactArgs(
-			2,
-		),
+		Use:     "import TABLE PREFIXES.csv --plan PLAN --out FILE",
+		Short:   "Add prefixes of a CSV file, one \"prefix,route\" a line, to a plan",
+		Args:    cobra.ExactArgs(2),
 		Example: "  cobalt-lab number import staff.hcl ranges.csv --plan exchanges --out staff.table",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var form *api.NumberTable
--- a/internal/cli/numbercli/numbercmd_test.go
+++ b/internal/cli/numbercli/numbercmd_test.go
@@ -47,16 +47,8 @@
 		}
 		return f
 	}
-	hcl, csv, out := file(
-		"t.hcl",
-		table,
-	), file(
-		"p.csv",
-		"# areas\n+1418,b\n1514, b\n\n1613,a\n",
-	), filepath.Join(
-		dir,
-		"t.table",
-	)
+	hcl, csv, out := file("t.hcl", table), file("p.csv", "# areas\n+1418,b\n1514, b\n\n1613,a\n"), filepath.Join(dir,
+		"t.table")
 	if _, err := run("import", hcl, csv, "--out", out); err != nil {
 		t.Fatal(err)
 	}
@@ -100,10 +92,7 @@
 		!strings.Contains(err.Error(), `no plan "x"`) {
 		t.Error(err)
 	}
-	if _, err := run(
-		"check",
-		file("x.table", "nothing"),
-	); err == nil ||
+	if _, err := run("check", file("x.table", "nothing")); err == nil ||
 		!strings.Contains(err.Error(), "neither HCL nor the compact form") {
 		t.Error(err)
 	}
--- a/internal/conformance/check.go
+++ b/internal/conformance/check.go
@@ -429,10 +429,7 @@
 		if kill, killed := k.killed[c.edge]; killed && c.came <= kill && (c.final == "" || c.at > kill) {
 			continue // what a gateway held when it was killed is no longer its duty
 		}
-		if due := math.Min(
-			c.until,
-			whenSet(c.left)+1000,
-		); c.final == "" && k.last > due+k.rules.SlackMs &&
+		if due := math.Min(c.until, whenSet(c.left)+1000); c.final == "" && k.last > due+k.rules.SlackMs &&
 			!k.stopped[c.edge] {
 			k.broke(1, c, "never answered; due at %.0f ms", due)
 		}
--- a/internal/conformance/check_test.go
+++ b/internal/conformance/check_test.go
@@ -58,10 +58,8 @@
 	}
 	m := start + "\r\nVia: SIP/2.0/UDP 127.0.0.9:1;branch=z9hG4bK" + b + "\r\nFrom: <sip:a@b>;tag=f" + b +
 		"\r\nTo: <sip:1@x>" + tag +
-		"\r\nCall-ID: " + b + "\r\nCSeq: 1 " + method + "\r\nSession-ID: " + strings.Repeat(
-		c,
-		32,
-	) + "\r\nExpires: 9\r\nContent-Length: 0\r\n\r\n"
+		"\r\nCall-ID: " + b + "\r\nCSeq: 1 " + method + "\r\nSession-ID: " + strings.Repeat(c, 32) +
+		"\r\nExpires: 9\r\nContent-Length: 0\r\n\r\n"
 	return t.add(at, &api.Datagram{From: from, To: to, Data: []byte(m)})
 }
 
@@ -119,7 +117,8 @@
 		{"held when killed", begin().call(1, "a").add(2, &api.Mark{What: "edge-kill", Who: "edge"}).add(9500,
 			&api.Mark{What: "trouble"}), 0},
 		{"two rings out", begin().call(1, "a").ring(2, one, "a", "r").ring(3, two, "a", "s").final(9, 503, "a"), 2},
-		{"a repeat is no second ring", begin().call(1, "a").ring(2, one, "a", "r").ring(402, one, "a", "r").reply(500, 486, "a", "r").ring(501, two, "a", "s").final(900, 503, "a"), 0},
+		{"a repeat is no second ring", begin().call(1, "a").ring(2, one, "a", "r").ring(402, one, "a", "r").reply(500, 486,
+			"a", "r").ring(501, two, "a", "s").final(900, 503, "a"), 0},
 		{"CANCEL does not end a ring", begin().call(1, "a").ring(2, one, "a", "r").msg(3, edgeAt, one, "CANCEL", 0, "a",
 			"r").ring(800, two, "a", "s").final(900, 503, "a"), 2},
 		{"to a drained pool", begin().call(1, "a").list(100, one, "draining", 0).ring(351, one, "a", "r").final(900, 503,
--- a/internal/conformance/kiosks_test.go
+++ b/internal/conformance/kiosks_test.go
@@ -53,10 +53,8 @@
 	call := func(at float64, session string) *api.Record {
 		text := "INVITE sip:+1@127.0.0.3 SIP/2.0\nVia: SIP/2.0/UDP " + phone + ";branch=z9hG4bK" + session +
 			"\nFrom: <sip:a@b>;tag=1\nTo: <sip:c@d>\nCall-ID: " + session +
-			"\nCSeq: 1 INVITE\nSession-ID: " + strings.Repeat(
-			session,
-			32,
-		) + ";remote=00000000000000000000000000000000\nContent-Length: 0\n\n"
+			"\nCSeq: 1 INVITE\nSession-ID: " + strings.Repeat(session, 32) + ";remote=00000000000000000000000000000000\n" +
+			"Content-Length: 0\n\n"
 		return &api.Record{
 			At: at,
 			What: &api.Record_Datagram{
@@ -93,11 +91,7 @@
 		k := New()
 		head := []*api.Record{
 			{What: &api.Record_Rules{Rules: &api.Rules{SlackMs: 20, GraceMs: 250, ClearMs: 500, TipMultiple: 2.5, TipMs: 1000}}},
-			node(
-				kiosk,
-				"kiosk",
-				"e",
-			),
+			node(kiosk, "kiosk", "e"),
 			node(phone, "kiosk-phone", "e"),
 			node(front, "front", "e"),
 			node(a, "switch", "s"),
--- a/internal/conformance/tables_test.go
+++ b/internal/conformance/tables_test.go
@@ -62,11 +62,7 @@
 		}
 		got := strings.Join(k.Findings, "; ")
 		if c.want == "" {
-			if k.Record(
-				"e",
-				strings.Repeat("a", 32),
-				k.byMark[k.marks["e "+strings.Repeat("a", 32)]],
-			); len(k.Findings) != 0 ||
+			if k.Record("e", strings.Repeat("a", 32), k.byMark[k.marks["e "+strings.Repeat("a", 32)]]); len(k.Findings) != 0 ||
 				k.Records != 1 {
 				t.Errorf("%s: %v, %d records", name, k.Findings, k.Records)
 			}
--- a/internal/decision/numberplan/compile.go
+++ b/internal/decision/numberplan/compile.go
@@ -413,10 +413,8 @@
 		}
 		return of, span{from: m[1], to: m[2]}, nil
 	case strings.Trim(k.Prefix, "0123456789") != "" || len(k.Prefix) > mostDigits:
-		return nil, span{}, fmt.Errorf(
-			"rule %q: want a prefix of digits, or a range such as \"5145550000-5145559999\"",
-			k.Prefix,
-		)
+		return nil, span{}, fmt.Errorf("rule %q: want a prefix of digits, or a range such as \"5145550000-5145559999\"",
+			k.Prefix)
 	}
 	return []string{k.Prefix}, span{}, nil
 }
--- a/internal/decision/numberplan/form_test.go
+++ b/internal/decision/numberplan/form_test.go
@@ -43,21 +43,10 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		c := Call{
-			Dialled: rapid.SampledFrom(
-				[]string{"+1418", "+1514", "+1", "0", "+33"},
-			).Draw(
-				t,
-				"prefix",
-			) + rapid.StringMatching(
+			Dialled: rapid.SampledFrom([]string{"+1418", "+1514", "+1", "0", "+33"}).Draw(t, "prefix") + rapid.StringMatching(
 				`[0-9]{0,9}`,
-			).Draw(
-				t,
-				"rest",
-			),
-			At: time.Unix(
-				rapid.Int64Range(1.7e9, 1.9e9).Draw(t, "at"),
-				0,
-			),
+			).Draw(t, "rest"),
+			At:      time.Unix(rapid.Int64Range(1.7e9, 1.9e9).Draw(t, "at"), 0),
 			Draw:    rapid.Float64Range(0, 0.999).Draw(t, "draw"),
 			Explain: true,
 		}
--- a/internal/decision/numberplan/number_test.go
+++ b/internal/decision/numberplan/number_test.go
@@ -130,13 +130,8 @@
 
 func TestAnalysis(t *testing.T) {
 	x := parse(t)
-	thursday, sunday, holiday := when(
-		"2026-12-03T14:00:00-05:00",
-	), when(
-		"2026-12-06T23:30:00-05:00",
-	), when(
-		"2026-12-25T14:00:00-05:00",
-	)
+	thursday, sunday, holiday := when("2026-12-03T14:00:00-05:00"), when("2026-12-06T23:30:00-05:00"),
+		when("2026-12-25T14:00:00-05:00")
 	for _, c := range []struct {
 		number string
 		at     time.Time
@@ -175,11 +170,8 @@
 			t.Errorf("%q: answered with nothing asked: %v", c.number, result(again))
 		}
 	}
-	if _, o := x.Begin(
-		Call{Dialled: "+15145551234", Looked: true, Routing: "+1 613 555 0000", At: sunday},
-	); result(
-		o,
-	) != "TG-2 +15145551234;rn=+16135550000" {
+	if _, o := x.Begin(Call{Dialled: "+15145551234", Looked: true, Routing: "+1 613 555 0000",
+		At: sunday}); result(o) != "TG-2 +15145551234;rn=+16135550000" {
 		t.Errorf("a routing number found before: %s", result(o))
 	}
 	if _, o := x.Begin(Call{Dialled: "+15145551234", Looked: true, Routing: "x", At: sunday}); o.Refusal == nil {
--- a/internal/decision/tableversions/tables.go
+++ b/internal/decision/tableversions/tables.go
@@ -82,10 +82,8 @@
 
 // Recover finds what runs after a start: what the shelf says, or, where that can't be read or does not fit the gateway
 // any more, the latest before it that can. problems say what was passed over; nil and no problems: nothing is kept.
-func (s Shelf) Recover(
-	form func(serial uint64) ([]byte, error),
-	has numberplan.Names,
-) (run *numberplan.Table, then Shelf, problems []error) {
+func (s Shelf) Recover(form func(serial uint64) ([]byte, error), has numberplan.Names) (run *numberplan.Table,
+	then Shelf, problems []error) {
 	if s.Running == 0 {
 		return nil, Shelf{}, nil
 	}
--- a/internal/emulator/binarystandin/standin.go
+++ b/internal/emulator/binarystandin/standin.go
@@ -269,10 +269,7 @@
 		id,
 		binarymessage.TextParam(binarymessage.Class, "voice"),
 		binarymessage.TextParam(binarymessage.Timeout, strconv.Itoa(int(patience))),
-		binarymessage.TextParam(
-			binarymessage.Number,
-			"n"+strconv.FormatUint(id%50, 10),
-		),
+		binarymessage.TextParam(binarymessage.Number, "n"+strconv.FormatUint(id%50, 10)),
 		binarymessage.TextParam(binarymessage.Figures, "dest:"+strconv.Itoa(int(id%4))+";width:1;via:-1"),
 		binarymessage.TextParam(binarymessage.Description, "offer"),
 	)
--- a/internal/emulator/calltrace/trace_test.go
+++ b/internal/emulator/calltrace/trace_test.go
@@ -114,9 +114,7 @@
 			t.Errorf("%q: %v, want %s", in, err, want)
 		}
 	}
-	if _, err := FromJSON(
-		strings.NewReader("{\"at_ms\": 1}\n{\"at\": 1}\n"),
-	); err == nil ||
+	if _, err := FromJSON(strings.NewReader("{\"at_ms\": 1}\n{\"at\": 1}\n")); err == nil ||
 		!strings.Contains(err.Error(), `line 2: "at" is not known`) {
 		t.Errorf("json: %v", err)
 	}
--- a/internal/emulator/processrun/day.go
+++ b/internal/emulator/processrun/day.go
@@ -373,9 +373,7 @@
 		"rules {\n  slack = %q\n  clear_wait = %q\n  cold_share = %g\n  warm_within = %q\n  tip_multiple = %g\n  "+
 			"tip_time = %q\n}",
 		ms(c.Settings.AnswerGrace),
-		ms(
-			c.Settings.RetryHoldOff,
-		),
+		ms(c.Settings.RetryHoldOff),
 		c.Settings.SlowStartFraction,
 		ms(c.Settings.SlowStartDuration),
 		c.Settings.OverloadFactor,
--- a/internal/emulator/report/report_test.go
+++ b/internal/emulator/report/report_test.go
@@ -46,10 +46,7 @@
 		t.Fatal(err)
 	}
 	text := b.String()
-	if n := strings.Count(
-		text,
-		"<svg",
-	); n != 6 || strings.Contains(text, "<x>") ||
+	if n := strings.Count(text, "<svg"); n != 6 || strings.Contains(text, "<x>") ||
 		strings.Contains(text, "http://") && strings.Contains(text, "src=") {
 		t.Errorf("%d pictures in %d bytes", n, len(text))
 	}
@@ -88,11 +85,8 @@
 		p.Verdict() != "B is higher" {
 		t.Errorf("%+v", p)
 	}
-	if v := stats.Compare(
-		[]float64{0, 0, 0},
-		[]float64{1, -1, 0.1},
-		0.95,
-	).Verdict(); v != "no difference beyond the noise" {
+	if v := stats.Compare([]float64{0, 0, 0}, []float64{1, -1, 0.1}, 0.95).
+		Verdict(); v != "no difference beyond the noise" {
 		t.Error(v)
 	}
 	if v := stats.Compare([]float64{1}, []float64{2}, 0.95).Verdict(); v != "too few days to tell" {
--- a/internal/emulator/saturation/rush.go
+++ b/internal/emulator/saturation/rush.go
@@ -298,11 +298,8 @@
 }
 
 // Echo sends so many datagrams a second of a usual size to an echo and counts what comes back, with the times.
-func Echo(
-	echo netip.AddrPort,
-	rate float64,
-	span time.Duration,
-) (sent, back int64, times *hdrhistogram.Histogram, err error) {
+func Echo(echo netip.AddrPort, rate float64, span time.Duration) (sent, back int64, times *hdrhistogram.Histogram,
+	err error) {
 	c, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(echo))
 	if err != nil {
 		return 0, 0, nil, fmt.Errorf("rush: echo: %w", err)
--- a/internal/emulator/scenario/design.go
+++ b/internal/emulator/scenario/design.go
@@ -30,14 +30,11 @@
 // NewShares follows a stage whose endpoint away drains from the start, -1: none.
 func NewShares(st *Stage, away int) *Shares {
 	s := &Shares{
-		homes: map[string]int{},
-		util:  map[string]map[int]float64{},
-		pools: map[string]int{},
-		away:  away,
-		Drawn: make(
-			[]int,
-			len(st.places),
-		),
+		homes:    map[string]int{},
+		util:     map[string]map[int]float64{},
+		pools:    map[string]int{},
+		away:     away,
+		Drawn:    make([]int, len(st.places)),
 		Expected: make([]float64, len(st.places)),
 		Variance: make([]float64, len(st.places)),
 	}
--- a/internal/emulator/scenario/numbers.go
+++ b/internal/emulator/scenario/numbers.go
@@ -210,7 +210,7 @@
 	st := b.v.Stage
 	l := &lookUps{box: b}
 	l.client = dnsclient.New(st.Resolve(st.Script.Seed*97+uint64(b.g.Number)+b.births<<32), l)
-	l.Finder = &portability.Finder{Asker: l.client, Apex: Apex, Services: []string{"pstn:tel"}}
+	l.Finder = &portability.Finder{Resolver: l.client, Apex: Apex, Services: []string{"pstn:tel"}}
 	return l
 }
 
--- a/internal/emulator/scenario/numbers_test.go
+++ b/internal/emulator/scenario/numbers_test.go
@@ -10,10 +10,8 @@
 )
 
 // numbersDay plays a short day on which numbers are analysed and tables change every second.
-func numbersDay(
-	t *testing.T,
-	change func(*scenariofile.Script),
-) (*Stage, *Virtual, *conformance.Checker, *conformance.Tables) {
+func numbersDay(t *testing.T, change func(*scenariofile.Script)) (*Stage, *Virtual, *conformance.Checker,
+	*conformance.Tables) {
 	t.Helper()
 	s, err := Day("numbers", `length="14s"`, "load.rate=200", "gateways.count=4", "pools.count=3")
 	if err != nil {
--- a/internal/emulator/scenario/virtual.go
+++ b/internal/emulator/scenario/virtual.go
@@ -55,9 +55,8 @@
 	b.pending = nil
 	if st := b.v.Stage; st.Names != nil {
 		b.look = b.lookUps()
-		cfg.NumberLookup, cfg.Table, cfg.LookupShare, cfg.Epoch = b.look, st.Table(
-			st.Names.Version,
-		).Table, st.Script.Numbers.Share, epoch
+		cfg.NumberLookup, cfg.Table, cfg.LookupShare, cfg.Epoch = b.look, st.Table(st.Names.Version).Table,
+			st.Script.Numbers.Share, epoch
 		st.TableIn(b.g.Number, st.Names.Version)
 	}
 	b.Agent = b2bua.New(cfg, b.v.Make, b)
--- a/internal/emulator/scenariofile/bench.go
+++ b/internal/emulator/scenariofile/bench.go
@@ -136,10 +136,7 @@
 			Held:     max(1, d.Allow.MaxOpen),
 			MaxRings: d.Allow.MaxAttempts,
 			MaxWait:  int(ms(d.Clients.MaxRetryUs)),
-			Tick: math.Max(
-				0.1,
-				ms(d.Tick),
-			),
+			Tick:     math.Max(0.1, ms(d.Tick)),
 			Margin:   30,
 			Cancel:   d.Allow.Cancel,
 			Tell:     d.Allow.Peers,
@@ -196,9 +193,7 @@
 		s.Pools.Sizes = append(s.Pools.Sizes, v.Speed/mean)
 		s.Pools.Regions = append(s.Pools.Regions, v.Zone)
 	}
-	work := float64(
-		len(d.Servers),
-	) * 1000 / d.Fam.Capacity // of a call at a mean switch that is wholly busy at the capacity, ms
+	work := float64(len(d.Servers)) * 1000 / d.Fam.Capacity // of a call at a mean switch that is wholly busy at the capacity, ms
 	lines := 2000
 	if len(d.Fam.Size) > 0 {
 		lines = d.Fam.Size[0]
@@ -210,14 +205,12 @@
 	}
 	s.Pools.Count = len(d.Servers)
 	s.Pools.Model = coreswitch.Model{
-		Setup:   0.6 * work,
-		Answer:  0.22 * work,
-		Release: 0.18 * work,
-		Repeat:  d.Fam.Repeat * 0.6 * work,
-		Reject:  d.Fam.Reject * 0.6 * work,
-		Probe: ms(
-			tier.ProbeWork,
-		),
+		Setup:     0.6 * work,
+		Answer:    0.22 * work,
+		Release:   0.18 * work,
+		Repeat:    d.Fam.Repeat * 0.6 * work,
+		Reject:    d.Fam.Reject * 0.6 * work,
+		Probe:     ms(tier.ProbeWork),
 		Lines:     lines,
 		WaitLimit: ms(d.Fam.Queue),
 		NamesWait: d.Fam.TellsWait,
@@ -228,11 +221,9 @@
 		TipTimes:  d.FallMultiple,
 		TipWindow: ms(d.FallFor),
 		Refresh:   math.Max(1, ms(tier.ReportPeriod)),
-		Delay: ms(
-			tier.ReportDelay,
-		),
-		Noise: tier.ReportNoise,
-		Times: siptransaction.Timers{T1: retry, T2: 8 * retry, T4: 5000},
+		Delay:     ms(tier.ReportDelay),
+		Noise:     tier.ReportNoise,
+		Times:     siptransaction.Timers{T1: retry, T2: 8 * retry, T4: 5000},
 	}
 	names := map[string]string{"util": "util", "queue": "queue", "latency_ms": "wait", "qps": "rate", "eps": "loss"}
 	for _, f := range tier.ReportFields {
--- a/internal/emulator/scenariofile/script.go
+++ b/internal/emulator/scenariofile/script.go
@@ -285,10 +285,7 @@
 			Servers: n.Int("servers", 2, 1, 50),
 			Within:  n.Ms("within", 400, 1, 60000),
 			Share:   n.Num("lookup_share", 0.3, 0, 1),
-			Cache: n.Flag(
-				"cache",
-				true,
-			),
+			Cache:   n.Flag("cache", true),
 			Alone:   n.Flag("alone", false),
 			Stale:   n.Ms("stale", 600e3, 0, day),
 			Fail:    n.Ms("fail", 1000, 0, day),
--- a/internal/emulator/search/hunt.go
+++ b/internal/emulator/search/hunt.go
@@ -120,16 +120,13 @@
 	in := func(lo, hi float64) float64 { return lo + (hi-lo)*n.Float64() }
 	some := func(of ...float64) float64 { return of[int(n.Float64()*float64(len(of)))] }
 	s.Numbers = scenariofile.Numbers{
-		On:     true,
-		Change: some(0, 300, 1000, 3000),
-		Ported: in(0, 0.6),
-		None:   in(0, 0.3),
-		Leads:  in(0, 0.6),
-		TTL:    some(0, 1000, 60000),
-		Delay: in(
-			0,
-			40,
-		),
+		On:      true,
+		Change:  some(0, 300, 1000, 3000),
+		Ported:  in(0, 0.6),
+		None:    in(0, 0.3),
+		Leads:   in(0, 0.6),
+		TTL:     some(0, 1000, 60000),
+		Delay:   in(0, 40),
 		Jitter:  in(0, 60),
 		Servers: 1 + int(n.Float64()*3),
 		Within:  in(50, 2500),
--- a/internal/emulator/stats/stats.go
+++ b/internal/emulator/stats/stats.go
@@ -47,14 +47,7 @@
 		Mu:    0,
 		Sigma: 1,
 		Nu:    float64(n - 1),
-	}.Quantile(
-		0.5+confidence/2,
-	) * stat.StdDev(
-		d,
-		nil,
-	) / math.Sqrt(
-		float64(n),
-	)
+	}.Quantile(0.5+confidence/2) * stat.StdDev(d, nil) / math.Sqrt(float64(n))
 	p.Low, p.High = p.Mean-half, p.Mean+half
 	return p
 }
--- a/internal/gateway/binaryconfig/config_test.go
+++ b/internal/gateway/binaryconfig/config_test.go
@@ -95,9 +95,7 @@
 	} {
 		text := `{"name":"n","listen":"127.0.0.1:1","seed":"1","limits":{"memory_mb":32,"sockets":64},` +
 			`"nameserver":"127.0.0.1:2","settings":` + c[0] + `}`
-		if _, err := Parse(
-			[]byte(text),
-		); err == nil || !strings.Contains(err.Error(), c[1]) ||
+		if _, err := Parse([]byte(text)); err == nil || !strings.Contains(err.Error(), c[1]) ||
 			strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v, want %s", c[0], err, c[1])
 		}
--- a/internal/gateway/binaryserver/customers_test.go
+++ b/internal/gateway/binaryserver/customers_test.go
@@ -87,10 +87,7 @@
 						id,
 						binarymessage.TextParam(binarymessage.Class, class),
 						binarymessage.TextParam(binarymessage.Timeout, c.wait),
-						binarymessage.TextParam(
-							binarymessage.Number,
-							fmt.Sprint(i),
-						),
+						binarymessage.TextParam(binarymessage.Number, fmt.Sprint(i)),
 						binarymessage.TextParam(binarymessage.Figures, "dest:1;width:1;via:-1"),
 						binarymessage.TextParam(binarymessage.Description, "offer"),
 					),
--- a/internal/gateway/binaryserver/serve_test.go
+++ b/internal/gateway/binaryserver/serve_test.go
@@ -418,10 +418,7 @@
 		append([]binarymessage.Param{
 			binarymessage.TextParam(binarymessage.Class, "voice"),
 			binarymessage.TextParam(binarymessage.Timeout, "1500"),
-			binarymessage.TextParam(
-				binarymessage.Number,
-				fmt.Sprintf("%x", id),
-			),
+			binarymessage.TextParam(binarymessage.Number, fmt.Sprintf("%x", id)),
 			binarymessage.TextParam(binarymessage.Figures, fmt.Sprintf("dest:%d;width:1;via:-1", id%2)),
 			binarymessage.TextParam(binarymessage.Description, "offer"),
 		}, of...)...)
@@ -543,16 +540,8 @@
 	odd := func(id uint64, of ...binarymessage.Param) []byte {
 		return binarymessage.Append(nil, binarymessage.Setup, id, of...)
 	}
-	class, wait, number := binarymessage.TextParam(
-		binarymessage.Class,
-		"voice",
-	), binarymessage.TextParam(
-		binarymessage.Timeout,
-		"900",
-	), binarymessage.TextParam(
-		binarymessage.Number,
-		"1",
-	)
+	class, wait, number := binarymessage.TextParam(binarymessage.Class, "voice"),
+		binarymessage.TextParam(binarymessage.Timeout, "900"), binarymessage.TextParam(binarymessage.Number, "1")
 	for what, wire := range map[string][]byte{
 		"no message":         []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
 		"nothing":            nil,
@@ -793,7 +782,8 @@
 	s.signals <- Shutdown
 	time.Sleep(300 * time.Millisecond)
 	q := s.dial() // connections keep coming
-	_, _ = q.c.Write(append(ask(600), binarymessage.Append(nil, binarymessage.HealthCheck, 601, binarymessage.CauseParam(0))...))
+	_, _ = q.c.Write(append(ask(600), binarymessage.Append(nil, binarymessage.HealthCheck, 601,
+		binarymessage.CauseParam(0))...))
 	if !q.hear(time.Second, func() bool { return len(q.got[600]) > 0 && len(q.got[601]) > 0 }) ||
 		q.got[600][0].Type() != binarymessage.Answer ||
 		q.got[601][0].Cause() != 0 {
--- a/internal/gateway/reactor/reactor.go
+++ b/internal/gateway/reactor/reactor.go
@@ -44,11 +44,8 @@
 
 // Listen opens the addresses. got is called from the pollers, for one address always from the same one; the data is
 // its own. An address that can't be had is an error that names it.
-func Listen(
-	addrs []netip.AddrPort,
-	pollers int,
-	got func(local, from netip.AddrPort, data []byte),
-) (*UDPSockets, error) {
+func Listen(addrs []netip.AddrPort, pollers int, got func(local, from netip.AddrPort, data []byte)) (*UDPSockets,
+	error) {
 	silenceLibraryLog()
 	s := &UDPSockets{conns: map[netip.AddrPort]*net.UDPConn{}, batchConns: map[netip.AddrPort]*ipv4.PacketConn{}}
 	var names []string
--- a/internal/gateway/reactor/stream.go
+++ b/internal/gateway/reactor/stream.go
@@ -98,10 +98,8 @@
 		}
 	})
 	s.engine.OnClose(s.closed)
-	l, err := net.ListenTCP(
-		"tcp",
-		net.TCPAddrFromAddrPort(addr),
-	) // first: an engine that is stopped as it starts may never end
+	l, err := net.ListenTCP("tcp",
+		net.TCPAddrFromAddrPort(addr)) // first: an engine that is stopped as it starts may never end
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
--- a/internal/gateway/sipserver/front.go
+++ b/internal/gateway/sipserver/enumlistener.go
@@ -17,7 +17,7 @@
 // enumListener drives the ENUM front: datagrams by the reactor, streams by a goroutine each (RFC 7766). The front
 // itself is the loop's.
 type enumListener struct {
-	server     *Gateway
+	server     *Server
 	enum       *enumserver.Server
 	sockets    *reactor.UDPSockets
 	tcp        *net.TCPListener
@@ -30,7 +30,7 @@
 const maxPendingWrites = 64
 
 // listenENUM listens for look-ups.
-func (g *Gateway) listenENUM() (*enumListener, error) {
+func (g *Server) listenENUM() (*enumListener, error) {
 	set := &g.config.ENUMServer
 	d := &enumListener{server: g, enum: enumserver.New(set.Config, g.agent), conns: map[*net.TCPConn]struct{}{}}
 	var err error
--- a/internal/gateway/sipserver/numbers.go
+++ b/internal/gateway/sipserver/numbers.go
@@ -29,7 +29,7 @@
 // numberService drives what concerns numbers: the resolver's sockets, the store and the changes of tables. Its state is
 // the loop's; work that takes time runs beside it and comes back as an event.
 type numberService struct {
-	server       *Gateway
+	server       *Server
 	config       *gatewayconfig.Numbers
 	names        numberplan.Names
 	store        *tablestore.Store
@@ -41,98 +41,120 @@
 	ports        []netip.AddrPort
 }
 
-// openNumbers finds the table that runs and opens the resolver's sockets.
-func (g *Gateway) openNumbers() (*numberService, error) {
-	set := &g.config.Numbers
-	n := &numberService{server: g, config: set, names: g.config.Names()}
+// openNumbers finds the table to run and opens the DNS client's sockets.
+func (s *Server) openNumbers() (*numberService, error) {
+	n := &numberService{server: s, config: &s.config.Numbers, names: s.config.Names()}
+	err := n.openTable()
+	if err == nil && n.config.Apex != "" {
+		err = n.openDNS()
+	}
+	if err != nil {
+		n.close()
+		return nil, err
+	}
+	return n, nil
+}
+
+// openTable finds the table to run: the latest in the store that can be used, else the one that the configuration names.
+func (n *numberService) openTable() error {
 	var shelf tableversions.Shelf
-	if set.Store != "" {
-		s, err := tablestore.Open(set.Store)
-		if err != nil {
-			return nil, err
-		}
-		n.store = s
-		if shelf, err = s.Shelf(); err != nil {
-			n.close()
-			return nil, err
-		}
-		var problems []error
-		n.initialTable, shelf, problems = shelf.Recover(s.Form, n.names)
-		for _, p := range problems {
-			g.log.Error().Err(p).Msg("a kept number table is passed over")
+	if n.config.Store != "" {
+		var err error
+		if shelf, err = n.recoverTable(); err != nil {
+			return err
 		}
 	}
-	if n.initialTable == nil && set.Table != "" {
-		t, form, err := tablestore.Load(set.Table)
-		if err == nil {
-			err = t.Fits(n.names)
+	if n.initialTable == nil && n.config.Table != "" {
+		var err error
+		if shelf, err = n.loadTable(shelf); err != nil {
+			return err
 		}
-		if err == nil && n.store != nil {
-			var b []byte
-			if b, err = numberplan.Pack(form); err == nil {
-				var serial uint64
-				serial, err = n.store.Keep(tableversions.Checked{Table: t, Form: b}, "from "+set.Table, 0, shelf, time.Now())
-				shelf = shelf.Take(serial)
-			}
-		}
-		if err != nil {
-			n.close()
-			return nil, err
-		}
-		n.initialTable = t
 	}
 	if n.initialTable == nil {
-		n.close()
-		return nil, errors.New("numbers: no table: the store has none that can be used, and settings name none")
+		return errors.New("numbers: no table: the store has none that can be used, and settings name none")
 	}
 	n.keeper = tableversions.New(n, n.initialTable, shelf)
-	g.log.Info().Str(
-		"table",
-		n.initialTable.Name,
-	).Uint64(
-		"version",
-		n.initialTable.Version,
-	).Str(
-		"sum",
-		n.initialTable.Sum[:16],
-	).Int(
-		"rules",
-		n.initialTable.Size(),
-	).Msg(
-		"number table",
-	)
-	if set.Apex == "" {
-		return n, nil
+	table := n.initialTable
+	n.server.log.Info().Str("table", table.Name).Uint64("version", table.Version).
+		Str("checksum", table.Sum[:shownChecksum]).Int("rules", table.Size()).Msg("number table")
+	return nil
+}
+
+// shownChecksum is how many digits of a table's checksum stand in the log.
+const shownChecksum = 16
+
+func (n *numberService) recoverTable() (tableversions.Shelf, error) {
+	store, err := tablestore.Open(n.config.Store)
+	if err != nil {
+		return tableversions.Shelf{}, err
+	}
+	n.store = store
+	shelf, err := store.Shelf()
+	if err != nil {
+		return shelf, err
+	}
+	var problems []error
+	n.initialTable, shelf, problems = shelf.Recover(store.Form, n.names)
+	for _, problem := range problems {
+		n.server.log.Error().Err(problem).Msg("stored number table not used")
+	}
+	return shelf, nil
+}
+
+// loadTable reads the table file of the configuration, and keeps it in the store if there is one.
+func (n *numberService) loadTable(shelf tableversions.Shelf) (tableversions.Shelf, error) {
+	table, form, err := tablestore.Load(n.config.Table)
+	if err != nil {
+		return shelf, err
+	}
+	if err := table.Fits(n.names); err != nil {
+		return shelf, err
+	}
+	n.initialTable = table
+	if n.store == nil {
+		return shelf, nil
+	}
+	packed, err := numberplan.Pack(form)
+	if err != nil {
+		return shelf, err
 	}
+	checked := tableversions.Checked{Table: table, Form: packed}
+	serial, err := n.store.Keep(checked, "from "+n.config.Table, 0, shelf, time.Now())
+	if err != nil {
+		return shelf, err
+	}
+	return shelf.Take(serial), nil
+}
+
+// openDNS opens the DNS client's sockets.
+func (n *numberService) openDNS() error {
 	var seed [8]byte
 	if _, err := rand.Read(seed[:]); err != nil {
-		n.close()
-		return nil, fmt.Errorf("numbers: a seed that nobody knows: %w", err)
+		return fmt.Errorf("numbers: a seed that nobody knows: %w", err)
 	}
-	cfg := set.DNS
-	cfg.Seed = binary.LittleEndian.Uint64(seed[:])
-	addrs := make([]netip.AddrPort, cfg.Ports)
-	for i := range addrs {
-		addrs[i] = netip.AddrPortFrom(g.config.Address.Addr(), 0)
+	config := n.config.DNS
+	config.Seed = binary.LittleEndian.Uint64(seed[:])
+	addresses := make([]netip.AddrPort, config.Ports)
+	for i := range addresses {
+		addresses[i] = netip.AddrPortFrom(n.server.config.Address.Addr(), 0)
 	}
-	var err error
 	ready := make(chan struct{})
-	n.sockets, err = reactor.Listen(addrs, 1, func(local, from netip.AddrPort, data []byte) {
+	var err error
+	n.sockets, err = reactor.Listen(addresses, 1, func(local, from netip.AddrPort, data []byte) {
 		<-ready
 		select {
-		case g.events <- event{kind: dnsResponse, from: from, local: local, data: data}:
-		default: // lost, as on the way
+		case n.server.events <- event{kind: dnsResponse, from: from, local: local, data: data}:
+		default: // dropped, as the network may drop it
 		}
 	})
 	if err != nil {
-		n.close()
-		return nil, fmt.Errorf("numbers: ports for look-ups: %w", err)
+		return fmt.Errorf("numbers: ports for look-ups: %w", err)
 	}
 	n.ports = n.sockets.Local()
 	close(ready)
-	n.client = dnsclient.New(cfg, n)
-	n.finder = &portability.Finder{Asker: n.client, Apex: set.Apex, Services: set.Services}
-	return n, nil
+	n.client = dnsclient.New(config, n)
+	n.finder = &portability.Finder{Resolver: n.client, Apex: n.config.Apex, Services: n.config.Services}
+	return nil
 }
 
 func (n *numberService) close() {
@@ -146,7 +168,7 @@
 	}
 }
 
-// Resolve implements edge.Lookup.
+// Resolve implements b2bua.Lookup.
 func (n *numberService) Resolve(
 	now float64,
 	digits string,
@@ -156,10 +178,10 @@
 	return n.finder.Resolve(now, digits, within, done)
 }
 
-// Wake implements edge.Lookup.
+// Wake implements b2bua.Lookup.
 func (n *numberService) Wake(now float64) { n.client.Step(now) }
 
-// NextWakeup implements edge.Lookup.
+// NextWakeup implements b2bua.Lookup.
 func (n *numberService) NextWakeup() float64 { return n.client.NextWakeup() }
 
 // answered takes a datagram of the resolver's ports.
@@ -172,12 +194,12 @@
 	}
 }
 
-// Query implements resolve.Out.
+// Query implements dnsclient.Transport.
 func (n *numberService) Query(port int, to netip.AddrPort, data []byte) {
 	n.sockets.Send(n.ports[port], to, data)
 }
 
-// Stream implements resolve.Out (RFC 1035 4.2.2): truncated answers are rare, so a goroutine for each will do.
+// Stream implements dnsclient.Transport (RFC 1035 4.2.2): truncated answers are rare, so a goroutine for each will do.
 func (n *numberService) Stream(token uint64, to netip.AddrPort, data []byte, within float64) {
 	go func() {
 		b, err := overTCP(to, data, time.Duration(within*1e6))
@@ -236,21 +258,8 @@
 // Swap implements tables.Work.
 func (n *numberService) Swap(t *numberplan.Table) {
 	n.server.agent.SetTable(t)
-	n.server.log.Info().Str(
-		"table",
-		t.Name,
-	).Uint64(
-		"version",
-		t.Version,
-	).Str(
-		"sum",
-		t.Sum[:16],
-	).Int(
-		"rules",
-		t.Size(),
-	).Msg(
-		"number table changed",
-	)
+	n.server.log.Info().Str("table", t.Name).Uint64("version", t.Version).Str("sum", t.Sum[:16]).Int("rules", t.Size()).
+		Msg("number table changed")
 }
 
 // admin is the service that changes tables.
--- a/internal/gateway/sipserver/numbers_test.go
+++ b/internal/gateway/sipserver/numbers_test.go
@@ -194,10 +194,7 @@
 	}
 	defer conn.Close()
 	c, ctx := api.NewNumbersClient(conn), context.Background()
-	if _, err := c.Put(
-		ctx,
-		&api.PutTable{Table: form(table(2, "TG-9"))},
-	); err == nil ||
+	if _, err := c.Put(ctx, &api.PutTable{Table: form(table(2, "TG-9"))}); err == nil ||
 		!strings.Contains(err.Error(), `trunk group "TG-9"`) {
 		t.Errorf("a bad table: %v", err)
 	}
--- a/internal/gateway/sipserver/gateway_test.go
+++ b/internal/gateway/sipserver/server_test.go
@@ -189,16 +189,8 @@
 	read(t, who, "SIP/2.0 503", "Call-ID: two")
 	_, _ = sw.WriteToUDPAddrPort(
 		[]byte(
-			"SIP/2.0 200 OK\r\nVia: "+line(
-				msg,
-				"Via",
-			)+"\r\nFrom: "+line(
-				msg,
-				"From",
-			)+"\r\nTo: "+line(
-				msg,
-				"To",
-			)+";tag=s\r\nCall-ID: "+
+			"SIP/2.0 200 OK\r\nVia: "+line(msg, "Via")+"\r\nFrom: "+line(msg, "From")+"\r\nTo: "+line(msg, "To")+
+				";tag=s\r\nCall-ID: "+
 				line(
 					msg,
 					"Call-ID",
--- a/internal/gateway/tablestore/store_test.go
+++ b/internal/gateway/tablestore/store_test.go
@@ -232,15 +232,13 @@
 	if err := b.put(formOf(t, 3, "TG-1")); err != nil {
 		t.Fatal(err)
 	}
-	if run, then, problems := recovered(
-		has,
-	); run.Version != 3 || then.Running != 3 || !slices.Equal(then.Before, []uint64{1, 2}) ||
+	if run, then, problems := recovered(has); run.Version != 3 || then.Running != 3 || !slices.Equal(then.Before,
+		[]uint64{1, 2}) ||
 		problems != nil {
 		t.Errorf("%v, %v, %v", run, then, problems)
 	}
-	if run, then, problems := recovered(
-		numberplan.Names{Groups: []string{"TG-0"}},
-	); run.Version != 2 || then.Running != 2 || !slices.Equal(then.Before, []uint64{1}) ||
+	if run, then, problems := recovered(numberplan.Names{Groups: []string{"TG-0"}}); run.Version != 2 ||
+		then.Running != 2 || !slices.Equal(then.Before, []uint64{1}) ||
 		len(problems) != 1 {
 		t.Errorf("%v, %v, %v", run, then, problems)
 	}
--- a/internal/protocol/b2bua/caller.go
+++ b/internal/protocol/b2bua/caller.go
@@ -233,10 +233,7 @@
 		return
 	}
 	how, why := routing.Completed, normalClearing
-	if v := siptransaction.HeaderValue(
-		req,
-		siptransaction.Reason,
-	); strings.Contains(v, "Q.850") &&
+	if v := siptransaction.HeaderValue(req, siptransaction.Reason); strings.Contains(v, "Q.850") &&
 		!strings.Contains(v, "cause=16") {
 		how, why = routing.Reset, v
 	}
--- a/internal/protocol/b2bua/edge_test.go
+++ b/internal/protocol/b2bua/edge_test.go
@@ -148,13 +148,8 @@
 		"127.0.0.2:5060;rport;branch=z9hG4bK" + branch +
 		"\nFrom: <sip:staff@epicerie.example>;tag=c" + id + "\nTo: <sip:+14185550123@127.0.0.1>" + more + "\nCall-ID: " +
 		id + "\nCSeq: " + n +
-		"\nContact: <sip:127.0.0.2:5060>\nMax-Forwards: 70\nSession-ID: " + strings.Repeat(
-		id[:1],
-		32,
-	) + ";remote=" + strings.Repeat(
-		"0",
-		32,
-	) +
+		"\nContact: <sip:127.0.0.2:5060>\nMax-Forwards: 70\nSession-ID: " + strings.Repeat(id[:1], 32) + ";remote=" +
+		strings.Repeat("0", 32) +
 		"\nExpires: 9\nContent-Length: 0"
 }
 
@@ -393,9 +388,7 @@
 		r.answer(switchA, r.sent(switchA, "INVITE"), x.code, "s", x.more)
 		r.sent(switchA, "ACK")
 		r.heard(x.want)
-		if res := r.sent(caller, "SIP/2.0 503").(*sip.Response); siptransaction.ParseRetryAfter(
-			siptransaction.HeaderValue(res, siptransaction.RetryAfter),
-		) != 300 {
+		if res := r.sent(caller, "SIP/2.0 503").(*sip.Response); siptransaction.ParseRetryAfter(siptransaction.HeaderValue(res, siptransaction.RetryAfter)) != 300 {
 			t.Errorf("caller told to wait %q", siptransaction.HeaderValue(res, siptransaction.RetryAfter))
 		}
 	}
@@ -436,16 +429,11 @@
 		switchA,
 		"BYE sip:127.0.0.1 SIP/2.0\nVia: SIP/2.0/UDP 127.0.0.3:5060;branch=z9hG4bKx\nFrom: <sip:x@y>;tag=s8a\nTo: "+
 			"<sip:a@b>;tag="+
-			siptransaction.Tag(
-				inv.From().Params,
-			)+"\nCall-ID: "+string(
+			siptransaction.Tag(inv.From().Params)+"\nCall-ID: "+string(
 			*inv.CallID(),
 		)+"\nCSeq: 1 BYE\nReason: Q.850;cause=41\nContent-Length: 0",
 	)
-	if bye := r.sent(caller, "BYE").(*sip.Request); !strings.Contains(
-		siptransaction.HeaderValue(bye, siptransaction.Reason),
-		"cause=41",
-	) {
+	if bye := r.sent(caller, "BYE").(*sip.Request); !strings.Contains(siptransaction.HeaderValue(bye, siptransaction.Reason), "cause=41") {
 		t.Errorf("reason %q to the caller", siptransaction.HeaderValue(bye, siptransaction.Reason))
 	}
 	r.heard("stood", "ended 0 closed true wait 0", "stood", "ended 5 closed true wait 0")
--- a/internal/protocol/b2bua/trunk.go
+++ b/internal/protocol/b2bua/trunk.go
@@ -140,9 +140,8 @@
 		how := routing.Failed
 		switch code {
 		case 503: // the processor is too busy
-			how, l.attempt.RetryAfter = routing.Overloaded, siptransaction.ParseRetryAfter(
-				siptransaction.HeaderValue(res, siptransaction.RetryAfter),
-			)
+			how, l.attempt.RetryAfter = routing.Overloaded, siptransaction.ParseRetryAfter(siptransaction.HeaderValue(res,
+				siptransaction.RetryAfter))
 		case 486: // no line free at this endpoint
 			how, l.attempt.AtCapacity = routing.Overloaded, true
 		case 600: // all lines of the number are busy, at any endpoint
--- a/internal/protocol/binarygateway/platform_test.go
+++ b/internal/protocol/binarygateway/platform_test.go
@@ -48,10 +48,7 @@
 		"report 0 free 3 of 40",
 		"stood",
 		"ended 0 closed true agent false engaged false wait 0",
-	}; !slices.Equal(
-		r.policy.events,
-		want,
-	) {
+	}; !slices.Equal(r.policy.events, want) {
 		t.Errorf("the module heard %q", r.policy.events)
 	}
 	if calls := r.gateway.OpenCounts().Calls; calls != 0 {
--- a/internal/protocol/binarygateway/world_test.go
+++ b/internal/protocol/binarygateway/world_test.go
@@ -76,34 +76,23 @@
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(rapid.Uint64().Draw(t, "seed"), scriptedPolicy, 0)
 		w.Faults = binarystandin.Faults{
-			Malformed:  share(t, "spoilt", 0.1),
-			Late:       share(t, "late", 0.2),
-			Unanswered: share(t, "never", 0.2),
-			Duplicate:  share(t, "twice", 0.3),
-			Unsolicited: share(
-				t,
-				"ahead",
-				0.3,
-			),
-			Reset:      share(t, "reset", 0.1),
-			Overloaded: share(t, "full", 0.3),
-			Failed:     share(t, "bad", 0.2),
-			Cut:        share(t, "cut", 0.5),
-			CallerLeaves: share(
-				t,
-				"leaves",
-				0.5,
-			),
+			Malformed:     share(t, "spoilt", 0.1),
+			Late:          share(t, "late", 0.2),
+			Unanswered:    share(t, "never", 0.2),
+			Duplicate:     share(t, "twice", 0.3),
+			Unsolicited:   share(t, "ahead", 0.3),
+			Reset:         share(t, "reset", 0.1),
+			Overloaded:    share(t, "full", 0.3),
+			Failed:        share(t, "bad", 0.2),
+			Cut:           share(t, "cut", 0.5),
+			CallerLeaves:  share(t, "leaves", 0.5),
 			CallerHangsUp: share(t, "hangs", 0.5),
 			ClientCloses:  share(t, "closes", 0.1),
 			Blocked:       share(t, "stuck", 0.2),
-			Fragmented: rapid.Bool().Draw(
-				t,
-				"split",
-			),
-			Drains:  share(t, "drains", 0.3),
-			Crashes: share(t, "deaths", 0.2),
-			Vanish:  share(t, "silents", 0.2),
+			Fragmented:    rapid.Bool().Draw(t, "split"),
+			Drains:        share(t, "drains", 0.3),
+			Crashes:       share(t, "deaths", 0.2),
+			Vanish:        share(t, "silents", 0.2),
 		}
 		w.StopAt = 8000
 		w.Run(22000)
--- a/internal/protocol/binarymessage/message_test.go
+++ b/internal/protocol/binarymessage/message_test.go
@@ -66,10 +66,7 @@
 		HealthCheck,
 		1,
 		CauseParam(0),
-	); !bytes.Equal(
-		got,
-		[]byte{0, 13, 52, 0, 0, 0, 0, 0, 0, 0, 1, 43, 0, 1, 0},
-	) {
+	); !bytes.Equal(got, []byte{0, 13, 52, 0, 0, 0, 0, 0, 0, 0, 1, 43, 0, 1, 0}) {
 		t.Errorf("a test is % d", got)
 	}
 }
--- a/internal/protocol/callcontrol/callcontrol.go
+++ b/internal/protocol/callcontrol/callcontrol.go
@@ -19,19 +19,19 @@
 
 // Counts are what a gateway has counted since its start.
 type Counts struct {
-	Accepted uint64 // calls that were admitted
-	Shed     uint64 // calls that were not
-	Answered uint64 // calls that were established
-	Rejected uint64
-	Failed   uint64
-	HungUp   uint64 // calls whose callers did not wait
-	Attempts uint64
-	Overdue  uint64 // calls that the policy had not answered by their deadline
-	Blocked  uint64 // attempts that would have broken a rule
-
-	Lookups           uint64 // of called numbers
-	Unrouted          uint64 // numbers that the number table refuses
-	EnquiriesAnswered uint64 // ENUM queries answered with an endpoint
+	Accepted uint64 `json:"accepted"` // calls that were admitted
+	Shed     uint64 `json:"shed"`     // calls that were not
+	Answered uint64 `json:"answered"` // calls that were established
+	Rejected uint64 `json:"rejected"`
+	Failed   uint64 `json:"failed"`
+	HungUp   uint64 `json:"hung_up"` // calls whose callers did not wait
+	Attempts uint64 `json:"attempts"`
+	Overdue  uint64 `json:"overdue"` // calls that the policy had not answered by their deadline
+	Blocked  uint64 `json:"blocked"` // attempts that would have broken a rule
+
+	Lookups           uint64 `json:"lookups"`            // of called numbers
+	Unrouted          uint64 `json:"unrouted"`           // numbers that the number table refuses
+	EnquiriesAnswered uint64 `json:"enquiries_answered"` // ENUM queries answered with an endpoint
 }
 
 // Config is the configuration of a Controller.
--- a/internal/protocol/enumserver/front.go
+++ b/internal/protocol/enumserver/front.go
@@ -45,7 +45,16 @@
 
 // Counts are what a front has seen.
 type Counts struct {
-	Asked, Named, None, Failed, Repeats, Refused, Slipped, Dropped, Truncated, Bad uint64
+	Asked     uint64 `json:"asked"`
+	Named     uint64 `json:"named"` // queries answered with an endpoint
+	None      uint64 `json:"none"`  // queries for numbers without one
+	Failed    uint64 `json:"failed"`
+	Repeats   uint64 `json:"repeats"`
+	Refused   uint64 `json:"refused"` // queries refused by a limit
+	Slipped   uint64 `json:"slipped"` // queries over a limit that were answered as truncated
+	Dropped   uint64 `json:"dropped"` // queries over a limit that were not answered
+	Truncated uint64 `json:"truncated"`
+	Bad       uint64 `json:"bad"` // malformed messages
 }
 
 // Server answers. One goroutine owns it.
--- a/internal/protocol/enumserver/front_test.go
+++ b/internal/protocol/enumserver/front_test.go
@@ -316,11 +316,7 @@
 		t.Errorf("a refused network: %d answered, %d refused", a, x)
 	}
 	r.got = nil
-	if r.ask(
-		netip.MustParseAddrPort("10.0.0.1:1"),
-		query(name, dns.TypeNAPTR, 1, 0),
-		true,
-	); len(r.got) != 1 ||
+	if r.ask(netip.MustParseAddrPort("10.0.0.1:1"), query(name, dns.TypeNAPTR, 1, 0), true); len(r.got) != 1 ||
 		r.got[0].Truncated {
 		t.Errorf("over TCP: %v", r.got)
 	}
--- a/internal/protocol/portability/ported.go
+++ b/internal/protocol/portability/ported.go
@@ -22,7 +22,7 @@
 
 // Finder looks numbers up.
 type Finder struct {
-	Asker    Resolver
+	Resolver Resolver
 	Apex     string
 	Services []string // enumservices whose rules count, such as "pstn:tel" (RFC 4769)
 	Counts   Counts
@@ -30,7 +30,11 @@
 
 // Counts are what a finder has seen.
 type Counts struct {
-	Ported, Same, Silent, Bad, Stale uint64
+	Ported uint64 `json:"ported"`
+	Same   uint64 `json:"same"`   // numbers that were not ported
+	Silent uint64 `json:"silent"` // look-ups without an answer
+	Bad    uint64 `json:"bad"`    // records that make no sense
+	Stale  uint64 `json:"stale"`
 }
 
 // Resolve looks a number up, digits only. done is called once within the time given, maybe at once; stop takes the
@@ -71,7 +75,7 @@
 			}
 			done(now, found)
 		}
-		undo = f.Asker.Query(now, name, until-now, take)
+		undo = f.Resolver.Query(now, name, until-now, take)
 	}
 	step(now, name)
 	return func() {
--- a/internal/protocol/portability/ported_test.go
+++ b/internal/protocol/portability/ported_test.go
@@ -54,7 +54,7 @@
 		b.of[fmt.Sprintf("far%d.test.", i)] = rules(enum.Rule{Replacement: fmt.Sprintf("far%d.test.", i+1)})
 	}
 	b.of["0.p.test."] = rules(enum.Rule{Replacement: "far0.test."})
-	f := &Finder{Asker: b, Apex: "p.test", Services: []string{"pstn:tel"}}
+	f := &Finder{Resolver: b, Apex: "p.test", Services: []string{"pstn:tel"}}
 	for n, want := range map[string]string{"1": "2 ", "2": "1 +1514", "3": "0 ", "4": "0 ", "5": "2 ", "6": "0 ",
 		"7": "1 +1514", "78": "1 +1514+1-6789", "8": "2 ",
 		"9": "2 ", "0": "2 ", "77": "2 ", "": "2 "} {
@@ -78,7 +78,7 @@
 			"2.p.test.": rules(tel(`!^.*$!tel:+1;rn=+2!`)),
 		},
 	}
-	f := &Finder{Asker: b, Apex: "p.test", Services: []string{"pstn:tel"}}
+	f := &Finder{Resolver: b, Apex: "p.test", Services: []string{"pstn:tel"}}
 	calls := 0
 	stop := f.Resolve(0, "7", 500, func(float64, numberplan.Found) { calls++ })
 	b.waiting[0]()
--- a/internal/protocol/siptransaction/signal_test.go
+++ b/internal/protocol/siptransaction/signal_test.go
@@ -149,9 +149,7 @@
 	if v, _ := m.Via().Params.Get("oc-algo"); v != `"loss,rate;x"` || len(vias) != 2 {
 		t.Errorf("oc-algo %q in %d Vias", v, len(vias))
 	}
-	if b, _ := m.Via().Params.Get(
-		"branch",
-	); b != "z9hG4bKq" ||
+	if b, _ := m.Via().Params.Get("branch"); b != "z9hG4bKq" ||
 		!strings.Contains(m.String(), `oc-algo="loss,rate;x";branch=z9hG4bKq`) {
 		t.Errorf("branch %q of %s", b, m.String())
 	}
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -391,11 +391,7 @@
 			h.router.recordDelay(stateOf(ps[0]), 9e9)
 			h.router.updateSendRate(ps[0])
 		}
-		if all := stateOf(
-			ps[0],
-		).sendRate * float64(
-			max(1, count),
-		); !(all > 0) ||
+		if all := stateOf(ps[0]).sendRate * float64(max(1, count)); !(all > 0) ||
 			all > 0.05*h.router.capacityOf(ps[0])/1000 {
 			t.Errorf("%d gateways: a floor of %v set-ups a ms for all", count, all)
 		}
--- a/internal/router/rules_test.go
+++ b/internal/router/rules_test.go
@@ -86,12 +86,9 @@
 				h.reportBroken(1, "never answered")
 			}
 		}
-		rate := float64(
-			len(h.calls),
-		) / (h.now - 1e6) * 1000 / float64(
-			len(ps),
-		) // what a warm endpoint is sent a second
-		for endpoint, at := range h.startedAt { // rule 4: any window, with one setup for chance
+		rate := float64(len(h.calls)) / (h.now - 1e6) * 1000 / float64(len(ps)) // what a warm endpoint is sent a second
+		// rule 4: any window, with one setup for chance
+		for endpoint, at := range h.startedAt {
 			for i, from := range h.sentAt[endpoint] {
 				part := 0.3 + 0.7*(from+1000-at)/14000
 				if n := within(h.sentAt[endpoint][i:], from+1000); part < 1 && float64(n) > 1+2.5*part*rate {
--- a/internal/router/testhost_test.go
+++ b/internal/router/testhost_test.go
@@ -74,9 +74,7 @@
 	h.rejected = append(h.rejected, call)
 }
 
-func (h *testHost) Fail(
-	call *routing.Call,
-) {
+func (h *testHost) Fail(call *routing.Call) {
 	h.finishCall(call)
 	h.failed = append(h.failed, call)
 }
