--- a/internal/conformance/check.go
+++ b/internal/conformance/check.go
@@ -48,7 +48,7 @@
 type Checker struct {
 	Findings []Finding
 	Totals   Totals
-	Parse    func([]byte) (sip.Message, error) // signal.Parse, or one that remembers
+	Parse    func([]byte) (sip.Message, error) // siptransaction.Parse, or one that remembers
 	Keep     bool                              // keep how cold budgets were used
 	Cold     []Cold                            // with Keep: after Finish
 	rules    *api.Rules
@@ -75,7 +75,7 @@
 	at       float64 // when it left
 	out      []*ring
 	clear    float64 // rule 5: no send before this
-	left     float64 // the caller called off
+	left     float64 // the caller canceled
 	rings    int
 }
 
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -1,5 +1,5 @@
-// Package deployment decodes a deployment's settings from the platform's JSON, which is the same on the simulator's wire
-// and in a gateway's configuration, and the fields of load reports that they name.
+// Package deployment decodes a deployment's settings from the platform's JSON, which is the same on the simulator's
+// wire and in a gateway's configuration, and the fields of load reports that they name.
 package deployment
 
 import (
@@ -21,8 +21,8 @@
 	"hold_back": func(r *routing.LoadReport, v float64) { r.LossFraction = v },
 }
 
-// SetLoadReportField sets a figure of a load report by its name in the settings. Negative ones are not known, and ignored.
-// It tells whether it set a figure of the processor.
+// SetLoadReportField sets a figure of a load report by its name in the settings. Negative ones are not known, and
+// ignored. It tells whether it set a figure of the processor.
 func SetLoadReportField(report *routing.LoadReport, field string, value float64) bool {
 	set := loadReportFields[field]
 	if set == nil || !(value >= 0) {
--- a/internal/emulator/binarystandin/standin.go
+++ b/internal/emulator/binarystandin/standin.go
@@ -340,7 +340,7 @@
 	w.Checker.SetClientConnected(w.now, slices.ContainsFunc(w.conns, func(o *conn) bool { return !o.closed }))
 }
 
-// Write implements platform.Out.
+// Write implements binarygateway.Transport.
 func (w *World) Write(l *binarygateway.Conn, b []byte) bool {
 	c := l.Socket.(*conn)
 	if c.endpoint != nil && w.happens(w.Faults.Blocked) {
@@ -386,7 +386,7 @@
 	}
 }
 
-// Dial implements platform.Out.
+// Dial implements binarygateway.Transport.
 func (w *World) Dial(l *binarygateway.Conn, to netip.AddrPort) {
 	w.dialed++
 	c := &conn{w: w, gatewayConn: l, number: w.dialed}
@@ -407,17 +407,17 @@
 	})
 }
 
-// Close implements platform.Out.
+// Close implements binarygateway.Transport.
 func (w *World) Close(l *binarygateway.Conn) {
 	if c := l.Socket.(*conn); !c.closed {
 		c.onGone()
 	}
 }
 
-// CloseWrite implements platform.Out.
+// CloseWrite implements binarygateway.Transport.
 func (w *World) CloseWrite(*binarygateway.Conn) {}
 
-// SendGossip implements platform.Out.
+// SendGossip implements binarygateway.Transport.
 func (w *World) SendGossip(int, []byte) {}
 
 // onMessage is what a switch does with a message.
--- a/internal/emulator/callers/caller.go
+++ b/internal/emulator/callers/caller.go
@@ -51,7 +51,7 @@
 	Honour  float64                           // share that heeds Retry-After
 	MaxWait float64                           // but no longer than this
 	Context string                            // trunk-context
-	Parse   func([]byte) (sip.Message, error) // nil: signal.Parse
+	Parse   func([]byte) (sip.Message, error) // nil: siptransaction.Parse
 	Silence float64                           // a caller hears for so long that the line is dead, then hangs up
 }
 
@@ -83,7 +83,7 @@
 	timer   *timerqueue.Timer
 }
 
-// New makes callers that dial an edge.
+// New makes callers that dial a gateway.
 func New(
 	m Manners,
 	self, edge netip.AddrPort,
@@ -280,7 +280,7 @@
 	})
 }
 
-// OnRequest implements signal.User: the other side hangs up.
+// OnRequest implements siptransaction.User: the other side hangs up.
 func (c *Callers) OnRequest(s *siptransaction.Server, req *sip.Request) {
 	t := c.open[siptransaction.Tag(req.To().Params)]
 	if t == nil || req.Method != sip.BYE {
@@ -296,11 +296,11 @@
 	delete(c.open, t.tag)
 }
 
-// OnCancel implements signal.User.
+// OnCancel implements siptransaction.User.
 func (c *Callers) OnCancel(*siptransaction.Server, *sip.Request) {}
 
-// OnAck implements signal.User.
+// OnAck implements siptransaction.User.
 func (c *Callers) OnAck(*sip.Request) {}
 
-// OnStrayResponse implements signal.User.
+// OnStrayResponse implements siptransaction.User.
 func (*Callers) OnStrayResponse(*sip.Response, netip.AddrPort) {}
--- a/internal/emulator/coreswitch/core.go
+++ b/internal/emulator/coreswitch/core.go
@@ -28,7 +28,7 @@
 	Lines     int
 	WaitLimit float64 // a longer wait turns setups away
 	NamesWait bool    // it says for how long
-	WorksOn   bool    // a setup that was called off is still worked on
+	WorksOn   bool    // a setup that was canceled is still worked on
 	ErrorRate float64
 	ColdShare float64  // of its full speed at the start
 	Warm      float64  // till full speed
@@ -39,7 +39,7 @@
 	Delay     float64 // reports are so old
 	Noise     float64
 	Times     siptransaction.Timers
-	// Parse reads datagrams; nil: signal.Parse.
+	// Parse reads datagrams; nil: siptransaction.Parse.
 	Parse func([]byte) (sip.Message, error) `json:"-"`
 }
 
@@ -156,7 +156,7 @@
 	return s.timers.Next()
 }
 
-// Standing are the calls that stand here, by their sessions.
+// Standing are the established calls here, by their sessions.
 func (s *Switch) Standing() []string {
 	var of []string
 	for _, c := range s.calls {
@@ -234,7 +234,7 @@
 	return w / math.Max(1e-6, s.speed())
 }
 
-// OnRequest implements signal.User.
+// OnRequest implements siptransaction.User.
 func (s *Switch) OnRequest(sv *siptransaction.Server, req *sip.Request) {
 	switch req.Method {
 	case sip.INVITE:
@@ -291,7 +291,7 @@
 	c.job = nil
 	s.SetupsDone++
 	switch {
-	case sv.Final() != 0: // called off, and still worked on
+	case sv.Final() != 0: // canceled, and still worked on
 	case s.ErrorRate > 0 && s.names.Float64() < s.ErrorRate:
 		sv.Respond(s.loaded(siptransaction.Response(req, 500, "Server Internal Error", c.tag)))
 	case s.lines >= s.Lines-s.lost:
@@ -326,7 +326,7 @@
 	sv.Respond(res)
 }
 
-// OnCancel implements signal.User.
+// OnCancel implements siptransaction.User.
 func (s *Switch) OnCancel(sv *siptransaction.Server, req *sip.Request) {
 	c, ok := sv.User.(*call)
 	if !ok {
@@ -341,7 +341,7 @@
 	sv.Respond(s.loaded(siptransaction.Response(c.req, 487, "Request Terminated", c.tag)))
 }
 
-// OnAck implements signal.User.
+// OnAck implements siptransaction.User.
 func (s *Switch) OnAck(req *sip.Request) {
 	if c := s.calls[siptransaction.Tag(req.To().Params)]; c != nil {
 		c.server.Acknowledge()
@@ -482,5 +482,5 @@
 	return max(1, n)
 }
 
-// OnStrayResponse implements signal.User.
+// OnStrayResponse implements siptransaction.User.
 func (*Switch) OnStrayResponse(*sip.Response, netip.AddrPort) {}
--- a/internal/emulator/loadgen/load.go
+++ b/internal/emulator/loadgen/load.go
@@ -115,7 +115,7 @@
 	id    string
 }
 
-// Run sends the calls and waits until each has ended. A call that nobody answers within its timeout is called off and
+// Run sends the calls and waits until each has ended. A call that nobody answers within its timeout is canceled and
 // counts with that wait: it is not left out.
 func Run(ctx context.Context, calls []*api.Call, o Options) (*Result, error) {
 	if len(o.Targets) == 0 {
--- a/internal/emulator/scenario/guards_test.go
+++ b/internal/emulator/scenario/guards_test.go
@@ -45,7 +45,7 @@
 		r.h.StartAttempt(c, r.pools[1], 1000)
 	case r.rule == 3: // to endpoints that drain as to any
 		r.h.StartAttempt(c, r.pools[r.n%len(r.pools)], c.Deadline-now)
-	case r.rule == 5 && r.n%3 == 0: // called off at once, and sent again as soon as that is over
+	case r.rule == 5 && r.n%3 == 0: // canceled at once, and sent again as soon as that is over
 		r.h.StartAttempt(c, r.pools[0], c.Deadline-now)
 		r.h.ScheduleWakeup(now+8, c)
 	default:
@@ -106,7 +106,7 @@
 	return k
 }
 
-// TestGuardsAndChecker shows for each rule that a module which breaks it is held by the edge, and that with that guard
+// TestGuardsAndChecker shows for each rule that a module which breaks it is held by the agent, and that with that guard
 // switched off the checker sees the rule broken in the traffic.
 func TestGuardsAndChecker(t *testing.T) {
 	for _, rule := range []int{1, 2, 3, 5} {
--- a/internal/emulator/scenario/numbers.go
+++ b/internal/emulator/scenario/numbers.go
@@ -214,10 +214,10 @@
 	return l
 }
 
-// Wake implements edge.Lookup.
+// Wake implements b2bua.Lookup.
 func (l *lookUps) Wake(now float64) { l.client.Step(now) }
 
-// NextWakeup implements edge.Lookup.
+// NextWakeup implements b2bua.Lookup.
 func (l *lookUps) NextWakeup() float64 { return l.client.NextWakeup() }
 
 // way is one way between a gateway and a DNS server, ms; lost: it does not come.
@@ -227,7 +227,7 @@
 	return n.Cross * (1 + n.Jitter*(2*st.names.Float64()-1)), st.names.Float64() < n.Loss+st.loss
 }
 
-// Query implements resolve.Out.
+// Query implements dnsclient.Transport.
 func (l *lookUps) Query(port int, to netip.AddrPort, data []byte) {
 	st := l.box.v.Stage
 	there, lost := l.way()
@@ -254,7 +254,7 @@
 	})
 }
 
-// Stream implements resolve.Out: a way there and back to begin with, then the question's own.
+// Stream implements dnsclient.Transport: a way there and back to begin with, then the question's own.
 func (l *lookUps) Stream(token uint64, to netip.AddrPort, data []byte, within float64) {
 	st := l.box.v.Stage
 	way, _ := l.way()
--- a/internal/emulator/scenario/service.go
+++ b/internal/emulator/scenario/service.go
@@ -5,8 +5,8 @@
 	"sort"
 )
 
-// Service is how a day went by the users' account: the value of calls that stood in time and were not cut, over the
-// value offered, a caller's further tries counted with its first. Of simulated switches.
+// Service is how a day went by the users' account: the value of calls that were established in time and were not cut,
+// over the value offered, a caller's further tries counted with its first. Of simulated switches.
 type Service struct {
 	Whole, Worst10s            float64
 	Skill, Customer            string // the worst served
--- a/internal/emulator/scenario/virtual.go
+++ b/internal/emulator/scenario/virtual.go
@@ -18,7 +18,7 @@
 	Edges []*Box
 }
 
-// Box is an edge in virtual time; what is no datagram waits there for its next tick.
+// Box is a gateway in virtual time; what is no datagram waits there for its next tick.
 type Box struct {
 	*b2bua.Agent
 	v       *Virtual
@@ -72,10 +72,10 @@
 	}
 }
 
-// Send implements edge.Out.
+// Send implements b2bua.Transport.
 func (b *Box) Send(to netip.AddrPort, data []byte) { b.v.Stage.World.Send(b.g.Addr, to, data) }
 
-// SendGossip implements edge.Out.
+// SendGossip implements b2bua.Transport.
 func (b *Box) SendGossip(to int, data []byte) {
 	from := b.g.Number
 	b.v.Stage.Tell(to, func(float64) {
--- a/internal/emulator/scenariofile/script.go
+++ b/internal/emulator/scenariofile/script.go
@@ -35,7 +35,7 @@
 	Calls    []*api.Call `json:"-"` // of a trace, in place of Load
 }
 
-// Gateways are the edges.
+// Gateways are the gateways.
 type Gateways struct {
 	Count, Held, MaxRings, MaxWait int
 	Tick, Margin, MostRate         float64
--- a/internal/emulator/virtualrun/fleet.go
+++ b/internal/emulator/virtualrun/fleet.go
@@ -1,4 +1,4 @@
-// Package virtualrun plays days in virtual time and measures them: the same edges and switches as on sockets, any
+// Package virtualrun plays days in virtual time and measures them: the same gateways and switches as on sockets, any
 // number of gateways, the same seed the same day. Days that do not touch run side by side, one a core.
 package virtualrun
 
--- a/internal/gateway/binaryserver/serve_test.go
+++ b/internal/gateway/binaryserver/serve_test.go
@@ -806,7 +806,7 @@
 	}
 }
 
-// A gateway that leaves stays for the calls that stand, and passes their releases on, but no longer than it may.
+// A gateway that leaves stays for the established calls, and passes their releases on, but no longer than it may.
 func TestLeaveWithCalls(t *testing.T) {
 	a, b := newCore(t, "s-0"), newCore(t, "s-1")
 	a.hold, b.hold = 1800*time.Millisecond, 1800*time.Millisecond
--- a/internal/gateway/gatewayconfig/settings.go
+++ b/internal/gateway/gatewayconfig/settings.go
@@ -1,4 +1,4 @@
-// Package gatewayconfig reads an edge's settings: one HCL file, checked as a whole, faults told with file and line.
+// Package gatewayconfig reads a gateway's settings: one HCL file, checked as a whole, faults told with file and line.
 package gatewayconfig
 
 import (
@@ -30,7 +30,7 @@
 	QueueSize    int // datagrams that may wait for the loop
 }
 
-// Numbers is what an edge is told of its number tables and where it looks numbers up.
+// Numbers is what a gateway is told of its number tables and where it looks numbers up.
 type Numbers struct {
 	Table    string // a file; runs where the store has none yet; "" and no store: callers name class and group themselves
 	Store    string // a file; "": what is put in service lives as long as the process
@@ -54,7 +54,7 @@
 	return n
 }
 
-// ENUMServer is where the edge answers look-ups, and how.
+// ENUMServer is where the agent answers look-ups, and how.
 type ENUMServer struct {
 	enumserver.Config
 	Listen      netip.AddrPort // UDP and TCP; not valid: nowhere
@@ -62,7 +62,7 @@
 	IdleTimeout float64        // ms: a stream on which nothing is asked is closed (RFC 7766 6.2.3)
 }
 
-// Enabled tells whether the edge analyses numbers.
+// Enabled tells whether the agent analyses numbers.
 func (n *Numbers) Enabled() bool { return n.Table != "" || n.Store != "" }
 
 const dayMillis = 24 * 3600 * 1000.0
--- a/internal/gateway/grpcdiscovery/listing.go
+++ b/internal/gateway/grpcdiscovery/listing.go
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// Entries turns a list from the wire into an edge's; at is when it came, on the edge's clock. Lines without an id or
+// Entries turns a list from the wire into a gateway's; at is when it came, on the agent's clock. Lines without an id or
 // with an address that is none are passed over.
 func Entries(u *api.Update, at float64) []b2bua.ListEntry {
 	var of []b2bua.ListEntry
--- a/internal/gateway/simadapter/simadapter_test.go
+++ b/internal/gateway/simadapter/simadapter_test.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// A panic in the module goes out as a fault that names its cause, and ends that instance alone.
+// A panic in the policy goes out as a fault that names its cause, and ends that instance alone.
 func TestPanicIsTold(t *testing.T) {
 	_, out, err := run(t, start+"knock	gateway-3	0	-	1	a	panic	0	1	0	0	-1	0	-	1\neob\n")
 	if err != nil || !strings.HasPrefix(out, "give_in	gateway-3	no such number at ") ||
--- a/internal/gateway/sipserver/numbers.go
+++ b/internal/gateway/sipserver/numbers.go
@@ -55,7 +55,8 @@
 	return n, nil
 }
 
-// openTable finds the table to run: the latest in the store that can be used, else the one that the configuration names.
+// openTable finds the table to run: the latest in the store that can be used, else the one that the configuration
+// names.
 func (n *numberService) openTable() error {
 	var shelf tableversions.Shelf
 	if n.config.Store != "" {
--- a/internal/gateway/sipserver/numbers_test.go
+++ b/internal/gateway/sipserver/numbers_test.go
@@ -168,7 +168,7 @@
 	}
 	for i, net := range []string{"udp", "tcp", "udp"} {
 		var m *dns.Msg
-		for range 100 { // the switch here answers nothing: the module may defer
+		for range 100 { // the switch here answers nothing: the policy may defer
 			if m = look(net, 14185550100+i); len(m.Answer) > 0 {
 				break
 			}
--- a/internal/protocol/b2bua/edge.go
+++ b/internal/protocol/b2bua/agent.go
@@ -1,11 +1,10 @@
-// Package b2bua is one gateway's call control without I/O: a call-stateful back-to-back user agent (RFC 3261 6) that
-// takes calls, asks the decision module about each and sets it up over trunk groups. Datagrams, lists, other gateways'
-// messages and the time come in through methods; datagrams go out through Out. It hosts the module (routing.Host) and
-// decides nothing that the module decides.
+// Package b2bua is a call-stateful back-to-back user agent (RFC 3261, section 6): it takes calls by SIP, asks the
+// routing policy about each and sets it up over trunk groups. It has no I/O and no clock. Datagrams, endpoint lists,
+// gossip and the time come in through methods; datagrams go out through Transport. Package callcontrol keeps the calls
+// and guards the rules, as for the binary gateway.
 //
-// A call passes caller leg, intake, module, trunk leg; what comes back runs the other way. What the five rules ask
-// of the wire is kept at one place each: rule 1 in (*control.Held).Settle, rules 2, 3 and 5 in
-// (*control.Control).Attempt.
+// A call passes its caller's dialog, load shedding, the analysis of its number if there is a table, the routing policy
+// and an outbound leg. What comes back runs the other way.
 package b2bua
 
 import (
@@ -27,7 +26,7 @@
 
 //tally:decisions
 
-// Transport is what an edge asks of its driver.
+// Transport is what a gateway asks of its driver.
 type Transport interface {
 	// Send puts a SIP datagram on the wire.
 	Send(to netip.AddrPort, data []byte)
@@ -51,7 +50,7 @@
 	NextWakeup() float64
 }
 
-// Config is what an edge is told at start.
+// Config is what a gateway is told at start.
 type Config struct {
 	Name         string // unique among the gateways; in tags and call ids
 	Address      netip.AddrPort
@@ -62,11 +61,11 @@
 	DefaultClass string  // the class of a call that names none
 	AnswerMargin float64 // ms: final answers leave so long before the caller's timeout ends
 	LoadShedding loadshed.Gate
-	Parse        func([]byte) (sip.Message, error) // nil: signal.Parse
+	Parse        func([]byte) (sip.Message, error) // nil: siptransaction.Parse
 	Table        *numberplan.Table                 // what becomes of numbers; nil: callers name class and trunk group themselves
 	NumberLookup Lookup                            // nil: no question has an answer
 	LookupShare  float64                           // of what is left of a call's timeout: the most that a look-up may use
-	Epoch        time.Time                         // the wall clock when this edge's clock stood at 0, for times of day
+	Epoch        time.Time                         // the wall clock when this agent's clock stood at 0, for times of day
 	// DisabledGuard switches the guard of one rule off, for tests of the conformance checker; 0: none.
 	DisabledGuard routing.Rule
 }
@@ -76,11 +75,11 @@
 	ID            string
 	DestinationID int
 	State         routing.State
-	StartedAt     float64 // ms on this edge's clock; 0: long ago
+	StartedAt     float64 // ms on this agent's clock; 0: long ago
 	Addr          netip.AddrPort
 }
 
-// Counts are what an edge has seen since its start.
+// Counts are what a gateway has seen since its start.
 type Counts = callcontrol.Counts
 
 // CallRecord is the end of a call, for logs.
@@ -113,9 +112,9 @@
 	draws     uint64
 }
 
-// New makes an edge; its module comes from mk.
+// New makes a gateway; its policy comes from mk.
 func New(cfg *Config, mk routing.PolicyFactory, out Transport) *Agent {
-	e := &Agent{
+	a := &Agent{
 		Controller: callcontrol.New(
 			&callcontrol.Config{
 				Settings:      cfg.Settings,
@@ -135,38 +134,38 @@
 	}
 	h := fnv.New64a()
 	h.Write([]byte(cfg.Name))
-	e.names.Seed = cfg.Settings.Seed ^ h.Sum64()
+	a.names.Seed = cfg.Settings.Seed ^ h.Sum64()
 	for i := range cfg.Groups {
 		g := &cfg.Groups[i]
-		e.groups[g.DestinationID], e.byName[g.Name] = g, g
+		a.groups[g.DestinationID], a.byName[g.Name] = g, g
 	}
-	e.refusals.Retention = 64 * cfg.Times.T1
-	e.sip = siptransaction.NewLayer(cfg.Address, cfg.Times, &e.names, &e.Timers, e, out.Send)
+	a.refusals.Retention = 64 * cfg.Times.T1
+	a.sip = siptransaction.NewLayer(cfg.Address, cfg.Times, &a.names, &a.Timers, a, out.Send)
 	if cfg.Parse != nil {
-		e.sip.Parse = cfg.Parse
+		a.sip.Parse = cfg.Parse
 	}
-	e.Router = mk(cfg.Settings, policyHost{e})
-	return e
+	a.Router = mk(cfg.Settings, policyHost{a})
+	return a
 }
 
-// Receive takes a datagram of the SIP socket. New calls are offered to the module by the next Wake.
-func (e *Agent) Receive(now float64, from netip.AddrPort, data []byte) {
-	e.Now = now
-	e.sip.Receive(now, from, data)
+// Receive takes a datagram of the SIP socket. New calls are offered to the policy by the next Wake.
+func (a *Agent) Receive(now float64, from netip.AddrPort, data []byte) {
+	a.Now = now
+	a.sip.Receive(now, from, data)
 }
 
 // OnPeerMessage takes another gateway's message.
-func (e *Agent) OnPeerMessage(now float64, from int, data []byte) {
-	e.Now, e.sip.Now = now, now
-	if len(data) <= 256 && from >= 0 && from < e.config.Settings.Gateways && from != e.config.Settings.GatewayIndex {
-		e.Router.OnGossip(now, from, data)
+func (a *Agent) OnPeerMessage(now float64, from int, data []byte) {
+	a.Now, a.sip.Now = now, now
+	if len(data) <= 256 && from >= 0 && from < a.config.Settings.Gateways && from != a.config.Settings.GatewayIndex {
+		a.Router.OnGossip(now, from, data)
 	}
 }
 
 // OnEndpointList takes an endpoint list, whole or of changes only. What it says of an endpoint counts from now on (rule
 // 3): setups to a endpoint that drains or is gone are not repeated any more.
-func (e *Agent) OnEndpointList(now float64, list []ListEntry, whole bool) {
-	e.Now, e.sip.Now = now, now
+func (a *Agent) OnEndpointList(now float64, list []ListEntry, whole bool) {
+	a.Now, a.sip.Now = now, now
 	entries := make([]endpointset.Entry[string], len(list))
 	for i, m := range list {
 		entries[i] = endpointset.Entry[string]{
@@ -176,111 +175,111 @@
 			StartedAt:     m.StartedAt,
 		}
 	}
-	changed := e.Endpoints.Apply(entries, whole)
+	changed := a.Endpoints.Apply(entries, whole)
 	for _, m := range list {
-		p := e.Endpoints.ByID(m.ID)
-		if _, known := e.addresses[p]; !known {
-			if g := e.groups[p.DestinationID]; g != nil {
-				p.LoadReport.Capacity, p.LoadReport.Free = float64(g.Circuits), float64(g.Circuits)
+		endpoint := a.Endpoints.ByID(m.ID)
+		if _, known := a.addresses[endpoint]; !known {
+			if g := a.groups[endpoint.DestinationID]; g != nil {
+				endpoint.LoadReport.Capacity, endpoint.LoadReport.Free = float64(g.Circuits), float64(g.Circuits)
 			}
 		}
-		e.addresses[p] = m.Addr
+		a.addresses[endpoint] = m.Addr
 	}
-	for _, p := range changed {
-		if p.State != routing.Ready {
-			for _, d := range e.dialogs {
-				if d.leg != nil && d.leg.attempt.Endpoint == p && !d.leg.tx.HasResponse() {
+	for _, endpoint := range changed {
+		if endpoint.State != routing.Ready {
+			for _, d := range a.dialogs {
+				if d.leg != nil && d.leg.attempt.Endpoint == endpoint && !d.leg.tx.HasResponse() {
 					d.leg.tx.StopRetransmitting()
 				}
 			}
 		}
 	}
-	e.Router.OnEndpoints(now, changed)
+	a.Router.OnEndpoints(now, changed)
 }
 
-// Step ends a batch: timers that are due run, then what came is offered to the module.
-func (e *Agent) Step(now float64) {
-	e.sip.Now = now
-	e.ProcessBatch(now, func() {
-		if e.config.NumberLookup != nil {
-			e.config.NumberLookup.Wake(now)
+// Step ends a batch: timers that are due run, then what came is offered to the policy.
+func (a *Agent) Step(now float64) {
+	a.sip.Now = now
+	a.ProcessBatch(now, func() {
+		if a.config.NumberLookup != nil {
+			a.config.NumberLookup.Wake(now)
 		}
 	})
 }
 
 // NextWakeup is when Wake is wanted, on the clock that was handed in.
-func (e *Agent) NextWakeup() float64 {
-	at := e.Controller.NextWakeup()
-	if e.config.NumberLookup != nil {
-		at = math.Min(at, e.config.NumberLookup.NextWakeup())
+func (a *Agent) NextWakeup() float64 {
+	at := a.Controller.NextWakeup()
+	if a.config.NumberLookup != nil {
+		at = math.Min(at, a.config.NumberLookup.NextWakeup())
 	}
 	return at
 }
 
-// ReleaseAll ends all standing calls.
-func (e *Agent) ReleaseAll(now float64) {
-	e.Now, e.sip.Now = now, now
+// ReleaseAll ends all established calls.
+func (a *Agent) ReleaseAll(now float64) {
+	a.Now, a.sip.Now = now, now
 	var tags []string
-	for tag, d := range e.dialogs {
+	for tag, d := range a.dialogs {
 		if d.leg == nil {
 			tags = append(tags, tag)
 		}
 	}
 	slices.Sort(tags)
 	for _, tag := range tags {
-		if d := e.dialogs[tag]; d != nil {
+		if d := a.dialogs[tag]; d != nil {
 			d.call.release(routing.Reset, temporaryFailure)
 		}
 	}
 }
 
-// OpenCounts is how much the edge holds: dialogs, transactions and timers.
-func (e *Agent) OpenCounts() (dialogs, transactions, timers int) {
-	c, s := e.sip.OpenCounts()
-	return len(e.dialogs), c + s, e.Timers.Len()
+// OpenCounts is how much the agent holds: dialogs, transactions and timers.
+func (a *Agent) OpenCounts() (dialogs, transactions, timers int) {
+	c, s := a.sip.OpenCounts()
+	return len(a.dialogs), c + s, a.Timers.Len()
 }
 
 // ProbeHealth implements routing.Host: OPTIONS (RFC 3261 11).
-func (e *Agent) ProbeHealth(p *routing.Endpoint) {
-	to := e.addresses[p]
+func (a *Agent) ProbeHealth(endpoint *routing.Endpoint) {
+	to := a.addresses[endpoint]
 	req := sip.NewRequest(sip.OPTIONS, sip.Uri{Scheme: "sip", Host: to.Addr().String(), Port: int(to.Port())})
-	e.addCommonHeaders(
+	a.addCommonHeaders(
 		req,
-		&sip.FromHeader{Address: e.ownURI(""), Params: sip.HeaderParams{{K: "tag", V: e.names.Next()}}},
+		&sip.FromHeader{Address: a.ownURI(""), Params: sip.HeaderParams{{K: "tag", V: a.names.Next()}}},
 		&sip.ToHeader{Address: req.Recipient},
-		e.names.Next()+"@"+e.config.Name,
+		a.names.Next()+"@"+a.config.Name,
 		1,
 	)
-	e.sip.Send(req, to, overloadControlParams, func(res *sip.Response) {
-		full := res != nil && e.applyLoadReport(p, res)
-		e.Router.OnLoadReport(e.Now, p, res != nil && res.StatusCode < 300, full)
+	a.sip.Send(req, to, overloadControlParams, func(res *sip.Response) {
+		full := res != nil && a.applyLoadReport(endpoint, res)
+		a.Router.OnLoadReport(a.Now, endpoint, res != nil && res.StatusCode < 300, full)
 	})
 }
 
 // SendGossip implements routing.Host.
-func (e *Agent) SendGossip(to int, data []byte) { e.transport.SendGossip(to, data) }
+func (a *Agent) SendGossip(to int, data []byte) { a.transport.SendGossip(to, data) }
 
-// policyHost is the edge as the module sees it: Wake means something else there.
+// policyHost is the agent as the policy sees it: Wake means something else there.
 type policyHost struct{ *Agent }
 
 // ScheduleWakeup implements routing.Host.
-func (h policyHost) ScheduleWakeup(at float64, c *routing.Call) {
-	h.Controller.ScheduleWakeup(at, c)
+func (h policyHost) ScheduleWakeup(at float64, routed *routing.Call) {
+	h.Controller.ScheduleWakeup(at, routed)
 }
 
-// OnRequest implements signal.User.
-func (e *Agent) OnRequest(s *siptransaction.Server, req *sip.Request) {
-	e.Now = e.sip.Now
+// OnRequest implements siptransaction.User.
+func (a *Agent) OnRequest(s *siptransaction.Server, req *sip.Request) {
+	a.Now = a.sip.Now
 	tag := siptransaction.Tag(req.To().Params)
-	d := e.dialogs[tag]
+	d := a.dialogs[tag]
 	if d != nil && d.callID != string(*req.CallID()) {
 		d = nil
 	}
 	switch {
 	case req.Method == sip.INVITE && tag == "":
-		e.onInvite(s, req)
+		a.onInvite(s, req)
 	case req.Method == sip.OPTIONS && tag == "":
-		s.Respond(siptransaction.Response(req, 200, "OK", e.names.Next()))
+		s.Respond(siptransaction.Response(req, 200, "OK", a.names.Next()))
 	case tag != "" && d == nil:
 		s.Respond(siptransaction.Response(req, 481, "Call/Transaction Does Not Exist", ""))
 	case req.Method == sip.BYE && d != nil:
@@ -291,19 +290,19 @@
 	case req.Method == sip.OPTIONS:
 		s.Respond(siptransaction.Response(req, 200, "OK", ""))
 	default:
-		res := siptransaction.Response(req, 405, "Method Not Allowed", e.names.Next())
+		res := siptransaction.Response(req, 405, "Method Not Allowed", a.names.Next())
 		res.AppendHeader(sip.NewHeader("Allow", "INVITE, ACK, CANCEL, BYE, OPTIONS"))
 		s.Respond(res)
 	}
 }
 
-// ownURI is this edge's own.
-func (e *Agent) ownURI(user string) sip.Uri {
-	return sip.Uri{Scheme: "sip", User: user, Host: e.config.Address.Addr().String(), Port: int(e.config.Address.Port())}
+// ownURI is this agent's own.
+func (a *Agent) ownURI(user string) sip.Uri {
+	return sip.Uri{Scheme: "sip", User: user, Host: a.config.Address.Addr().String(), Port: int(a.config.Address.Port())}
 }
 
 // addCommonHeaders gives a request the fields that all have (RFC 3261 8.1.1), without its Via.
-func (e *Agent) addCommonHeaders(req *sip.Request, from *sip.FromHeader, to *sip.ToHeader, callID string, seq uint32) {
+func (a *Agent) addCommonHeaders(req *sip.Request, from *sip.FromHeader, to *sip.ToHeader, callID string, seq uint32) {
 	id := sip.CallIDHeader(callID)
 	req.AppendHeader(from)
 	req.AppendHeader(to)
--- a/internal/protocol/b2bua/edge_test.go
+++ b/internal/protocol/b2bua/agent_test.go
@@ -35,22 +35,22 @@
 		m.pools = ps
 	}
 }
-func (m *mind) OnCall(now float64, c *routing.Call)    { m.offered(now, c) }
-func (m *mind) OnAnswer(_ float64, r *routing.Attempt) { m.heard = append(m.heard, "stood") }
-func (m *mind) OnAttemptEnd(now float64, r *routing.Attempt, closed bool) {
-	m.heard = append(m.heard, fmt.Sprintf("ended %d closed %v wait %v", r.Outcome, closed, r.RetryAfter))
+func (m *mind) OnCall(now float64, routed *routing.Call)     { m.offered(now, routed) }
+func (m *mind) OnAnswer(_ float64, attempt *routing.Attempt) { m.heard = append(m.heard, "stood") }
+func (m *mind) OnAttemptEnd(now float64, attempt *routing.Attempt, closed bool) {
+	m.heard = append(m.heard, fmt.Sprintf("ended %d closed %v wait %v", attempt.Outcome, closed, attempt.RetryAfter))
 	if m.ended != nil {
-		m.ended(now, r)
+		m.ended(now, attempt)
 	}
 }
 func (m *mind) OnHangup(float64, *routing.Call) { m.heard = append(m.heard, "left") }
-func (m *mind) OnLoadReport(_ float64, p *routing.Endpoint, ok, full bool) {
+func (m *mind) OnLoadReport(_ float64, endpoint *routing.Endpoint, ok, full bool) {
 	m.heard = append(m.heard, fmt.Sprintf("report %v %v", ok, full))
 }
 func (m *mind) OnGossip(float64, int, []byte) {}
-func (m *mind) OnWakeup(now float64, c *routing.Call) {
+func (m *mind) OnWakeup(now float64, routed *routing.Call) {
 	if m.woken != nil {
-		m.woken(now, c)
+		m.woken(now, routed)
 	}
 }
 
@@ -59,7 +59,7 @@
 	data string
 }
 
-// rig is an edge with a hand-played module and wire.
+// rig is a gateway with a hand-played module and wire.
 type rig struct {
 	*testing.T
 	e    *Agent
@@ -105,7 +105,7 @@
 		func(_ *routing.Settings, h routing.Host) routing.Policy { r.m.h = h; return r.m },
 		r,
 	)
-	r.m.offered = func(now float64, c *routing.Call) { r.m.h.StartAttempt(c, r.m.pools[0], c.Deadline-now) }
+	r.m.offered = func(now float64, routed *routing.Call) { r.m.h.StartAttempt(routed, r.m.pools[0], routed.Deadline-now) }
 	r.list(routing.Ready)
 	return r
 }
@@ -272,10 +272,10 @@
 func TestCancelCrosses200(t *testing.T) {
 	r := newRig(t)
 	r.m.ended = func(now float64, x *routing.Attempt) { r.m.h.ScheduleWakeup(now+1, x.Call) }
-	r.m.woken = func(now float64, c *routing.Call) {
-		if !c.Finished && c.InFlight == nil {
-			r.m.h.StartAttempt(c, r.m.pools[1], c.Deadline-now) // before the retry hold-off is over: barred
-			r.m.h.ScheduleWakeup(now+100, c)
+	r.m.woken = func(now float64, routed *routing.Call) {
+		if !routed.Finished && routed.InFlight == nil {
+			r.m.h.StartAttempt(routed, r.m.pools[1], routed.Deadline-now) // before the retry hold-off is over: barred
+			r.m.h.ScheduleWakeup(now+100, routed)
 		}
 	}
 	r.get(caller, callerSays("INVITE", "2a", ""))
@@ -351,18 +351,18 @@
 	r.heard("left", "ended 6 closed true wait 0")
 }
 
-// The caller calls off while its call is in the retry hold-off.
+// The caller cancels while its call is in the retry hold-off.
 func TestCallerLeavesInClearWait(t *testing.T) {
 	r := newRig(t)
 	r.m.ended = func(now float64, x *routing.Attempt) { r.m.h.ScheduleWakeup(now+500, x.Call) }
-	r.m.woken = func(now float64, c *routing.Call) { r.m.h.StartAttempt(c, r.m.pools[1], 100) }
+	r.m.woken = func(now float64, routed *routing.Call) { r.m.h.StartAttempt(routed, r.m.pools[1], 100) }
 	r.get(caller, callerSays("INVITE", "5a", ""))
 	inv := r.sent(switchA, "INVITE")
 	r.answer(switchA, inv, 408, "s", "")
 	r.pass(100)
 	r.get(caller, callerSays("CANCEL", "5a", ""))
 	r.sent(caller, "SIP/2.0 487")
-	r.pass(2000) // the module attempts all the same: barred
+	r.pass(2000) // the policy attempts all the same: barred
 	if r.count(switchB, "INVITE") != 0 {
 		t.Error("a ring after the final answer")
 	}
@@ -452,7 +452,7 @@
 	}
 }
 
-// An edge stalls past a repeat and the timeout: the answer goes, and no repeat with it.
+// A gateway stalls past a repeat and the timeout: the answer goes, and no repeat with it.
 func TestStoodStillPastPatience(t *testing.T) {
 	r := newRig(t)
 	r.m.ended = func(_ float64, x *routing.Attempt) { r.m.h.Fail(x.Call) }
@@ -467,7 +467,7 @@
 	}
 }
 
-// An edge that stalled finds an INVITE that may have come at any time since: it is answered within the timeout from
+// A gateway that stalled finds an INVITE that may have come at any time since: it is answered within the timeout from
 // the earliest. One that was merely idle takes it as new.
 func TestStoodStill(t *testing.T) {
 	r := newRig(t)
@@ -496,7 +496,7 @@
 	}
 }
 
-// What the intake rejects gets one answer, also when its INVITE is repeated after room has come.
+// A call that is shed gets one answer, also when its INVITE is retransmitted after capacity has come.
 func TestTurnedAwayStaysSo(t *testing.T) {
 	r := newRig(t)
 	r.e.LoadShedder.MaxPending = 1
@@ -519,7 +519,7 @@
 	r.get(caller, callerSays("INVITE", "1b", ""))
 	r.pass(9011)
 	r.sent(caller, "SIP/2.0 500")
-	r.m.offered = func(_ float64, c *routing.Call) { r.m.h.Reject(c, 0); r.m.h.Fail(c) }
+	r.m.offered = func(_ float64, routed *routing.Call) { r.m.h.Reject(routed, 0); r.m.h.Fail(routed) }
 	r.get(caller, callerSays("INVITE", "2b", ""))
 	r.sent(caller, "SIP/2.0 503")
 	if n := r.count(caller, "SIP/2.0 500"); n < 1 || r.e.Counts.Overdue != 1 {
@@ -527,7 +527,8 @@
 	}
 }
 
-// No datagram makes the edge fall: cut short, long, random, hostile. Seeds of our own; go test -fuzz goes on from them.
+// No datagram makes the agent fall: cut short, long, random, hostile. Seeds of our own; go test -fuzz goes on from
+// them.
 func FuzzReceive(f *testing.F) {
 	invite := strings.ReplaceAll(callerSays("INVITE", "1a", ""), "\n", "\r\n") + "\r\n\r\n"
 	for _, s := range []string{invite, invite[:60], invite[:len(invite)-40], strings.Repeat("A", 65535),
--- /dev/null
+++ b/internal/protocol/b2bua/call.go
@@ -0,0 +1,296 @@
+package b2bua
+
+import (
+	"hash/fnv"
+	"strings"
+
+	"github.com/emiago/sipgo/sip"
+
+	"cobaltpier/internal/protocol/siptransaction"
+	"cobaltpier/internal/routing"
+)
+
+// Reasons of a release (RFC 3326, Q.850).
+const (
+	normalClearing   = `Q.850;cause=16;text="Normal call clearing"`
+	temporaryFailure = `Q.850;cause=41;text="Temporary failure"`
+)
+
+// servicePrefix is what RFC 6050 puts before the name of a service.
+const servicePrefix = "urn:urn-7:"
+
+// dialog is our side of a dialog: the caller's or a trunk's.
+type dialog struct {
+	agent  *Agent
+	call   *call        // nil: one that nobody wants any more
+	leg    *outboundLeg // nil: the caller's
+	callID string
+	tag    string
+}
+
+// call is a call of a caller by SIP, with its legs.
+type call struct {
+	*session
+	invite      *sip.Request
+	server      *siptransaction.Server
+	tag         string
+	tenantHost  string       // host of the caller's address
+	leg         *outboundLeg // whose attempt is in flight or stands
+	ringingSent bool         // the caller was told that it attempts
+}
+
+// onInvite takes an INVITE: decoded fields go straight into a call. It is offered by the next Wake.
+func (a *Agent) onInvite(s *siptransaction.Server, req *sip.Request) {
+	name, ok := strings.CutPrefix(siptransaction.HeaderValue(req, siptransaction.Service), servicePrefix)
+	if !ok {
+		name = a.config.DefaultClass
+	}
+	user, params, _ := strings.Cut(req.Recipient.User, ";")
+	skill := a.Classes[name]
+	switch {
+	case a.refusals.Known(a.Now, transactionKey(req)):
+		s.RespondStateless(a.overloadedResponse(req))
+		return
+	case skill == nil:
+		s.Respond(siptransaction.Response(req, 404, "Not Found", a.names.Next()))
+		return
+	case user == "":
+		s.Respond(siptransaction.Response(req, 484, "Address Incomplete", a.names.Next()))
+		return
+	case req.Contact() == nil:
+		s.Respond(siptransaction.Response(req, 400, "Missing Contact", a.names.Next()))
+		return
+	}
+	routed := &routing.Call{
+		Class:         skill,
+		Tenant:        a.Tenants[req.From().Address.Host],
+		CalledNumber:  user,
+		ArrivedAt:     a.Now,
+		DestinationID: -1,
+	}
+	if g := a.byName[numberParameter(params, "tgrp")]; g != nil {
+		routed.DestinationID = g.DestinationID
+	}
+	c := &call{
+		session: &session{
+			Session:   a.NewSession(routed, siptransaction.ParseRetryAfter(siptransaction.HeaderValue(req, "Expires"))),
+			agent:     a,
+			sessionID: siptransaction.SessionIDOf(req),
+		},
+		invite:     req,
+		server:     s,
+		tenantHost: req.From().Address.Host,
+	}
+	c.SignalingLeg, c.responder, s.User = c, c, c
+	c.SetDeadline()
+	if c.sessionID == "" {
+		c.sessionID = a.newSessionID()
+	}
+	if a.table != nil && !c.startAnalysis(user, params) {
+		return
+	}
+	routed.Destination = a.Endpoints.ByDestination(routed.DestinationID)
+	a.Enqueue(c.Session)
+}
+
+// numberParameter is a parameter of a telephone number in a user part (RFC 3261 19.1.6, RFC 4904).
+func numberParameter(params, name string) string {
+	for p := range strings.SplitSeq(params, ";") {
+		if k, v, _ := strings.Cut(p, "="); strings.EqualFold(k, name) {
+			return v
+		}
+	}
+	return ""
+}
+
+// transactionKey names an INVITE's transaction in little space.
+func transactionKey(req *sip.Request) uint64 {
+	h := fnv.New64a()
+	branch, _ := req.Via().Params.Get("branch")
+	h.Write([]byte(branch))
+	h.Write([]byte(*req.CallID()))
+	return h.Sum64()
+}
+
+// overloadedResponse is the answer to a call that is shed; it needs no state.
+func (a *Agent) overloadedResponse(req *sip.Request) *sip.Response {
+	return siptransaction.Response(req, 503, "Service Unavailable", "busy")
+}
+
+// SendShed implements callcontrol.SignalingLeg.
+func (c *call) SendShed() {
+	c.releaseTable()
+	c.agent.refusals.Add(c.agent.Now, transactionKey(c.invite))
+	c.server.RespondStateless(c.agent.overloadedResponse(c.invite))
+}
+
+// respond implements callcontrol.SignalingLeg: of what was not taken nothing is kept.
+func (c *call) respond(code int, why string) {
+	if c.tag == "" {
+		c.server.Respond(siptransaction.Response(c.invite, code, why, c.agent.names.Next()))
+		return
+	}
+	c.answer(siptransaction.Response(c.invite, code, why, c.tag))
+}
+
+// SendRejection implements callcontrol.SignalingLeg.
+func (c *call) SendRejection(wait float64) {
+	res := siptransaction.Response(c.invite, 503, "Service Unavailable", c.tag)
+	if wait > 0 && c.agent.config.Settings.RetryAfterEnabled {
+		res.AppendHeader(sip.NewHeader(siptransaction.RetryAfter, siptransaction.FormatRetryAfter(wait)))
+	}
+	c.answer(res)
+}
+
+// HasAttempt implements callcontrol.SignalingLeg.
+func (c *call) HasAttempt() bool { return c.leg != nil }
+
+// SendCancel implements callcontrol.SignalingLeg.
+func (c *call) SendCancel(attempt *routing.Attempt) {
+	if c.leg != nil && c.leg.attempt == attempt && !c.Established {
+		c.leg.cancel()
+	}
+}
+
+// OnAccepted implements callcontrol.SignalingLeg: a number that has to be looked up is not ready.
+func (c *call) OnAccepted() bool {
+	c.tag = c.agent.names.Next()
+	return c.number.lookupNumber == ""
+}
+
+// SendTrying implements callcontrol.SignalingLeg.
+func (c *call) SendTrying() {
+	if !c.ringingSent {
+		c.server.Respond(siptransaction.Response(c.invite, 100, "Trying", ""))
+	}
+}
+
+// answer sends a final answer. A second one never leaves.
+func (c *call) answer(res *sip.Response) {
+	if !c.finish(res.StatusCode) {
+		return
+	}
+	c.server.Respond(res)
+	if c.Finished && c.leg != nil {
+		c.leg.cancel()
+	}
+}
+
+// ringing tells the caller that it attempts.
+func (c *call) ringing() {
+	if !c.ringingSent && !c.Finished {
+		c.ringingSent = true
+		c.server.Respond(siptransaction.Response(c.invite, 180, "Ringing", c.tag))
+	}
+}
+
+// establish tells the caller that the call stands.
+func (c *call) establish(from *sip.Response) {
+	a := c.agent
+	res := siptransaction.Response(c.invite, 200, "OK", c.tag)
+	res.AppendHeader(&sip.ContactHeader{Address: a.ownURI("")})
+	copyBody(from, res)
+	c.answer(res)
+	c.Established = true
+	a.AddEstablished(1)
+	a.Counts.Answered++
+	a.dialogs[c.tag] = &dialog{agent: a, call: c, callID: string(*c.invite.CallID()), tag: c.tag}
+	c.server.OnUnacknowledged(
+		func() { c.release(routing.Completed, normalClearing) },
+	) // RFC 3261 13.3.1.4: no ACK ever came
+}
+
+// OnCancel implements siptransaction.User: the caller is gone before its answer.
+func (a *Agent) OnCancel(s *siptransaction.Server, _ *sip.Request) {
+	a.Now = a.sip.Now
+	c, ok := s.User.(*call)
+	if !ok || c.Finished || c.Established {
+		return
+	}
+	a.Counts.HungUp++
+	if c.tag == "" { // not taken yet
+		c.Finished = true
+		c.releaseTable()
+		s.Respond(siptransaction.Response(c.invite, 487, "Request Terminated", a.names.Next()))
+		return
+	}
+	c.answer(siptransaction.Response(c.invite, 487, "Request Terminated", c.tag))
+	if c.WithRouter {
+		a.Router.OnHangup(a.Now, c.Call)
+	}
+}
+
+// OnAck implements siptransaction.User.
+func (a *Agent) OnAck(req *sip.Request) {
+	if d := a.dialogs[siptransaction.Tag(req.To().Params)]; d != nil && d.call != nil && d.leg == nil {
+		d.call.server.Acknowledge()
+	}
+}
+
+// bye ends a call from either side.
+func (d *dialog) bye(req *sip.Request) {
+	if d.call == nil || !d.call.Established {
+		return
+	}
+	how, why := routing.Completed, normalClearing
+	if v := siptransaction.HeaderValue(req, siptransaction.Reason); strings.Contains(v, "Q.850") &&
+		!strings.Contains(v, "cause=16") {
+		how, why = routing.Reset, v
+	}
+	c := d.call
+	if d.leg == nil {
+		delete(c.agent.dialogs, c.tag) // nothing more goes to this side
+	} else {
+		d.leg.closed = true
+	}
+	c.release(how, why)
+}
+
+// release ends a standing call on the sides that do not know of it yet.
+func (c *call) release(how routing.Outcome, why string) {
+	if !c.Established || c.leg == nil {
+		return
+	}
+	a, l := c.agent, c.leg
+	c.server.Acknowledge() // a BYE may overtake the ACK: the 200 is not repeated any more
+	a.AddEstablished(-1)
+	c.leg = nil
+	if _, open := a.dialogs[c.tag]; open {
+		delete(a.dialogs, c.tag)
+		req := sip.NewRequest(sip.BYE, c.invite.Contact().Address)
+		from, to := c.invite.From(), c.invite.To()
+		a.addCommonHeaders(req, &sip.FromHeader{Address: to.Address, Params: sip.HeaderParams{{K: "tag", V: c.tag}}},
+			&sip.ToHeader{Address: from.Address, Params: from.Params}, string(*c.invite.CallID()), 1)
+		a.bye(req, c, why)
+		a.sip.Send(req, c.server.ResponseAddress(), nil, func(*sip.Response) {})
+	}
+	if !l.closed {
+		l.bye(why)
+	}
+	l.reported = true
+	l.forget()
+	c.EndAttempt(l.attempt, how, true)
+}
+
+// bye gives a BYE its Session-ID and reason.
+func (a *Agent) bye(req *sip.Request, c *call, why string) {
+	req.AppendHeader(sip.NewHeader(siptransaction.SessionID, siptransaction.FormatSessionID(c.sessionID)))
+	req.AppendHeader(sip.NewHeader(siptransaction.Reason, why))
+}
+
+// newSessionID is an id for a call whose caller gave none.
+func (a *Agent) newSessionID() string { return siptransaction.NewSessionID(&a.names) }
+
+func copyBody(from, to interface {
+	GetHeader(string) sip.Header
+	Body() []byte
+	SetBody([]byte)
+	AppendHeader(sip.Header)
+}) {
+	if b := from.Body(); len(b) > 0 {
+		if t := from.GetHeader("Content-Type"); t != nil {
+			to.AppendHeader(t)
+		}
+		to.SetBody(b)
+	}
+}
--- a/internal/protocol/b2bua/enquiry.go
+++ b/internal/protocol/b2bua/enquiry.go
@@ -27,29 +27,29 @@
 }
 
 // StartEnquiry asks for the endpoint that a call of a class with a number, as it would be dialled, would be sent to at
-// this moment. done is called once, within timeout ms; what the module decides counts for drains and cold budgets as an
+// this moment. done is called once, within timeout ms; what the policy decides counts for drains and cold budgets as an
 // attempt does. stop takes the question back.
-func (e *Agent) StartEnquiry(
+func (a *Agent) StartEnquiry(
 	now float64,
 	number, class string,
 	timeout float64,
 	done func(now float64, n EnquiryResult),
 ) (stop func()) {
-	e.Now, e.sip.Now = now, now
-	k := e.Classes[class]
+	a.Now, a.sip.Now = now, now
+	k := a.Classes[class]
 	if k == nil {
 		done(now, EnquiryResult{Code: 404, Reason: "no such skill"})
 		return func() {}
 	}
-	c := &routing.Call{Class: k, CalledNumber: number, ArrivedAt: now, DestinationID: -1}
-	q := &enquiry{session: &session{Session: e.NewSession(c, timeout), agent: e, sessionID: e.newSessionID()}, done: done}
+	routed := &routing.Call{Class: k, CalledNumber: number, ArrivedAt: now, DestinationID: -1}
+	q := &enquiry{session: &session{Session: a.NewSession(routed, timeout), agent: a, sessionID: a.newSessionID()}, done: done}
 	q.SignalingLeg, q.responder = q, q
 	q.SetDeadline()
-	if e.table != nil && !q.startAnalysis(number, "") {
+	if a.table != nil && !q.startAnalysis(number, "") {
 		return func() {}
 	}
-	c.Destination = e.Endpoints.ByDestination(c.DestinationID)
-	e.Enqueue(q.Session)
+	routed.Destination = a.Endpoints.ByDestination(routed.DestinationID)
+	a.Enqueue(q.Session)
 	return q.stop
 }
 
@@ -68,16 +68,16 @@
 	}
 }
 
-// turned implements control.Party.
+// SendShed implements callcontrol.SignalingLeg.
 func (q *enquiry) SendShed() {
 	q.releaseTable()
 	q.done(q.agent.Now, EnquiryResult{Code: 503, Reason: "busy"})
 }
 
-// OnAccepted implements control.Party.
+// OnAccepted implements callcontrol.SignalingLeg.
 func (q *enquiry) OnAccepted() bool { return q.number.lookupNumber == "" }
 
-// respond implements control.Party.
+// respond implements callcontrol.SignalingLeg.
 func (q *enquiry) respond(code int, why string) {
 	if !q.Accepted {
 		q.Finished = true
@@ -87,7 +87,7 @@
 	q.done(q.agent.Now, EnquiryResult{Code: code, Reason: why})
 }
 
-// defers implements control.Party.
+// SendRejection implements callcontrol.SignalingLeg.
 func (q *enquiry) SendRejection(wait float64) {
 	if !q.finish(503) {
 		return
@@ -98,34 +98,34 @@
 	q.done(q.agent.Now, EnquiryResult{Code: 503, Reason: "deferred", RetryAfter: wait})
 }
 
-// isOut implements control.Party.
+// HasAttempt implements callcontrol.SignalingLeg.
 func (q *enquiry) HasAttempt() bool { return q.attempt != nil }
 
-// SendSetup implements control.Party: the answer is the attempt. Whoever asked calls the endpoint itself, so it is over
-// for us; the module counts it as one that was sent and taken.
-func (q *enquiry) SendSetup(r *routing.Attempt, _ float64) bool {
-	e := q.agent
-	g := e.groups[r.Endpoint.DestinationID]
+// SendSetup implements callcontrol.SignalingLeg: the answer is the attempt. Whoever asked calls the endpoint itself, so
+// it is over for us; the policy counts it as one that was sent and taken.
+func (q *enquiry) SendSetup(attempt *routing.Attempt, _ float64) bool {
+	a := q.agent
+	g := a.groups[attempt.Endpoint.DestinationID]
 	if g == nil || g.inUse >= g.Circuits || !q.finish(200) {
 		return false
 	}
-	q.Finished, q.attempt = true, r
-	e.Counts.EnquiriesAnswered++
-	p := r.Endpoint
-	e.Timers.Schedule(e.Now, func() {
+	q.Finished, q.attempt = true, attempt
+	a.Counts.EnquiriesAnswered++
+	endpoint := attempt.Endpoint
+	a.Timers.Schedule(a.Now, func() {
 		q.attempt = nil
-		q.EndAttempt(r, routing.Completed, true)
+		q.EndAttempt(attempt, routing.Completed, true)
 	})
 	q.done(
-		e.Now,
-		EnquiryResult{Code: 200, Addr: e.addresses[p], Group: g.Name, Number: q.CalledNumber, Params: q.number.params,
-			Valid: func() bool { return p.State == routing.Ready }},
+		a.Now,
+		EnquiryResult{Code: 200, Addr: a.addresses[endpoint], Group: g.Name, Number: q.CalledNumber, Params: q.number.params,
+			Valid: func() bool { return endpoint.State == routing.Ready }},
 	)
 	return true
 }
 
-// callOff implements control.Party: an answer that was given can't be taken back.
+// SendCancel implements callcontrol.SignalingLeg: an answer that was given can't be taken back.
 func (*enquiry) SendCancel(*routing.Attempt) {}
 
-// trying implements control.Party.
+// SendTrying implements callcontrol.SignalingLeg.
 func (*enquiry) SendTrying() {}
--- a/internal/protocol/b2bua/enquiry_test.go
+++ b/internal/protocol/b2bua/enquiry_test.go
@@ -9,10 +9,10 @@
 	"cobaltpier/internal/routing"
 )
 
-// An enquiry's answer names the endpoint that the module attempts, once; the module hears that the attempt is over.
+// An enquiry's answer names the endpoint that the policy attempts, once; the policy hears that the attempt is over.
 func TestEnquiry(t *testing.T) {
 	r, b := numberRig(t)
-	r.m.offered = func(now float64, c *routing.Call) { r.m.h.StartAttempt(c, r.m.pools[1], c.Deadline-now) }
+	r.m.offered = func(now float64, routed *routing.Call) { r.m.h.StartAttempt(routed, r.m.pools[1], routed.Deadline-now) }
 	var got []EnquiryResult
 	r.e.StartEnquiry(r.now, "14185550123", "shift-lookup", 2000, func(_ float64, n EnquiryResult) { got = append(got, n) })
 	r.pass(1)
@@ -39,15 +39,15 @@
 	}
 }
 
-// Rules 2 and 3 hold for enquiries at the same place as for calls, rule 1 whatever the module does.
+// Rules 2 and 3 hold for enquiries at the same place as for calls, rule 1 whatever the policy does.
 func TestEnquiryRules(t *testing.T) {
 	r := newRig(t)
 	var got []EnquiryResult
 	done := func(_ float64, n EnquiryResult) { got = append(got, n) }
-	r.m.offered = func(now float64, c *routing.Call) {
-		r.m.h.StartAttempt(c, r.m.pools[0], 100)
-		r.m.h.StartAttempt(c, r.m.pools[1], 100)
-		r.m.h.Reject(c, 0)
+	r.m.offered = func(now float64, routed *routing.Call) {
+		r.m.h.StartAttempt(routed, r.m.pools[0], 100)
+		r.m.h.StartAttempt(routed, r.m.pools[1], 100)
+		r.m.h.Reject(routed, 0)
 	}
 	r.e.StartEnquiry(r.now, "1", "shift-lookup", 2000, done)
 	r.pass(2)
@@ -56,18 +56,18 @@
 	}
 	got = nil
 	r.list(routing.Draining)
-	r.m.offered = func(now float64, c *routing.Call) { r.m.h.StartAttempt(c, r.m.pools[0], 100) }
+	r.m.offered = func(now float64, routed *routing.Call) { r.m.h.StartAttempt(routed, r.m.pools[0], 100) }
 	r.e.StartEnquiry(r.now, "1", "shift-lookup", 2000, done)
 	r.pass(1990)
 	if len(got) != 0 {
 		t.Errorf("a pool that drains: %+v", got)
 	}
-	r.pass(30) // the module forgets it
+	r.pass(30) // the policy forgets it
 	if len(got) != 1 || got[0].Code != 500 || r.e.Counts.Overdue != 1 {
 		t.Errorf("forgotten: %+v", got)
 	}
 	got = nil
-	r.m.offered = func(now float64, c *routing.Call) {}
+	r.m.offered = func(now float64, routed *routing.Call) {}
 	stop := r.e.StartEnquiry(r.now, "1", "shift-lookup", 2000, done)
 	r.pass(1)
 	stop()
@@ -88,7 +88,7 @@
 	}
 }
 
-// A flood of enquiries passes the same intake as calls.
+// A flood of enquiries passes the same load shedding as calls.
 func TestEnquiryFlood(t *testing.T) {
 	r := newRig(t)
 	r.e.LoadShedder.MaxPending = 10
--- a/internal/protocol/b2bua/load.go
+++ b/internal/protocol/b2bua/loadreport.go
@@ -22,7 +22,7 @@
 
 // applyLoadReport reads what an answer says of an endpoint's load: overload control in our own Via (RFC 7339 4, RFC
 // 7415 3) and the load header. It tells whether figures of the processor came. What makes no sense is passed over.
-func (e *Agent) applyLoadReport(p *routing.Endpoint, res *sip.Response) bool {
+func (a *Agent) applyLoadReport(endpoint *routing.Endpoint, res *sip.Response) bool {
 	full := false
 	if via := res.Via(); via != nil {
 		v, _ := via.Params.Get("oc")
@@ -31,9 +31,9 @@
 		if n, ok := parseNumber(v); ok && (!stated || validity != "0") { // 0: control has ended (RFC 7339 4.3)
 			switch strings.Trim(algo, `"`) {
 			case "loss":
-				p.LoadReport.LossFraction, full = min(1, n/100), true
+				endpoint.LoadReport.LossFraction, full = min(1, n/100), true
 			case "rate": // what this client may send; the module wants what all may
-				p.LoadReport.RateLimit, full = n*float64(max(1, e.config.Settings.Gateways)), true
+				endpoint.LoadReport.RateLimit, full = n*float64(max(1, a.config.Settings.Gateways)), true
 			}
 		}
 	}
@@ -41,7 +41,7 @@
 		k, v, _ := strings.Cut(strings.TrimSpace(f), "=")
 		n, ok := parseNumber(v)
 		if set := loadReportFields[k]; set != nil && ok {
-			set(&p.LoadReport, n)
+			set(&endpoint.LoadReport, n)
 			full = full || k != "lines" && k != "free"
 		}
 	}
--- a/internal/protocol/b2bua/analysis.go
+++ b/internal/protocol/b2bua/numberanalysis.go
@@ -22,12 +22,12 @@
 }
 
 // SetTable gives new calls another table, nil: none. Calls that are held keep theirs.
-func (e *Agent) SetTable(t *numberplan.Table) { e.table = t }
+func (a *Agent) SetTable(t *numberplan.Table) { a.table = t }
 
 // Tables says how many calls without a final answer carry each table but the present one.
-func (e *Agent) Tables() (old, contacts int) {
-	for t, n := range e.tables {
-		if t != e.table {
+func (a *Agent) Tables() (old, contacts int) {
+	for t, n := range a.tables {
+		if t != a.table {
 			old++
 			contacts += n
 		}
@@ -36,94 +36,94 @@
 }
 
 // startAnalysis begins the analysis of a call's number. What the table refuses at once is answered here and needs no
-// state; a question goes out only when the intake has taken the call, so that a flood asks for nothing.
-func (k *session) startAnalysis(user, params string) bool {
-	e := k.agent
+// state; a question goes out only when the call was admitted, so that a flood asks for nothing.
+func (s *session) startAnalysis(user, params string) bool {
+	a := s.agent
 	p, err := enum.Params(params)
 	if err != nil {
-		k.respond(400, "Bad Portability Parameters")
+		s.respond(400, "Bad Portability Parameters")
 		return false
 	}
-	e.draws++
-	a, o := e.table.Begin(
+	a.draws++
+	analysis, outcome := a.table.Begin(
 		numberplan.Call{
 			Dialled: user,
 			Looked:  p.Looked,
 			Routing: p.Routing,
 			Carrier: p.Carrier,
-			At:      e.config.Epoch.Add(time.Duration(e.Now * float64(time.Millisecond))),
-			Draw:    detrand.Float64(e.names.Seed, e.draws),
+			At:      a.config.Epoch.Add(time.Duration(a.Now * float64(time.Millisecond))),
+			Draw:    detrand.Float64(a.names.Seed, a.draws),
 		},
 	)
-	k.number.analysis, k.number.tableVersion = a, a.Table.Version
-	e.tables[a.Table]++
-	if o.Refusal != nil {
-		e.Counts.Unrouted++
-		k.releaseTable()
-		k.respond(o.Refusal.Code, phrase(o.Refusal.Why))
+	s.number.analysis, s.number.tableVersion = analysis, analysis.Table.Version
+	a.tables[analysis.Table]++
+	if outcome.Refusal != nil {
+		a.Counts.Unrouted++
+		s.releaseTable()
+		s.respond(outcome.Refusal.Code, phrase(outcome.Refusal.Why))
 		return false
 	}
-	if o.Route != nil {
-		if !k.applyRoute(o.Route) {
-			k.releaseTable()
-			k.respond(500, "Server Internal Error")
+	if outcome.Route != nil {
+		if !s.applyRoute(outcome.Route) {
+			s.releaseTable()
+			s.respond(500, "Server Internal Error")
 			return false
 		}
 		return true
 	}
-	k.number.lookupNumber, k.number.lookupTimeout = o.Ask, float64(o.Within)/1e6
+	s.number.lookupNumber, s.number.lookupTimeout = outcome.Ask, float64(outcome.Within)/1e6
 	return true
 }
 
 // startLookup asks what the analysis wants to know, for no longer than a part of what is left of the caller's timeout.
-func (k *session) startLookup() {
-	e := k.agent
-	within := min(k.number.lookupTimeout, e.config.LookupShare*(k.Deadline-e.Now))
+func (s *session) startLookup() {
+	a := s.agent
+	within := min(s.number.lookupTimeout, a.config.LookupShare*(s.Deadline-a.Now))
 	over := false
 	done := func(now float64, found numberplan.Found) {
 		over = true
-		k.number.cancelLookup = nil
-		if k.Finished {
+		s.number.cancelLookup = nil
+		if s.Finished {
 			return
 		}
-		e.Now, e.sip.Now = now, now
-		k.onAnalysisEnd(k.number.analysis.Answered(found))
+		a.Now, a.sip.Now = now, now
+		s.onAnalysisEnd(s.number.analysis.Answered(found))
 	}
-	if e.config.NumberLookup == nil || within <= 0 {
-		done(e.Now, numberplan.Found{Answer: numberplan.Silent})
+	if a.config.NumberLookup == nil || within <= 0 {
+		done(a.Now, numberplan.Found{Answer: numberplan.Silent})
 		return
 	}
-	e.Counts.Lookups++
-	stop := e.config.NumberLookup.Resolve(e.Now, k.number.lookupNumber, within, done)
+	a.Counts.Lookups++
+	stop := a.config.NumberLookup.Resolve(a.Now, s.number.lookupNumber, within, done)
 	if !over {
-		k.number.cancelLookup = stop
+		s.number.cancelLookup = stop
 	}
 }
 
-// onAnalysisEnd takes the end of an analysis that had a question: the module gets the call, or the caller its answer.
-func (k *session) onAnalysisEnd(o numberplan.Outcome) {
-	e := k.agent
+// onAnalysisEnd takes the end of an analysis that had a question: the policy gets the call, or the caller its answer.
+func (s *session) onAnalysisEnd(o numberplan.Outcome) {
+	a := s.agent
 	switch {
 	case o.Refusal != nil:
-		e.Counts.Unrouted++
-		k.respond(o.Refusal.Code, phrase(o.Refusal.Why))
-	case o.Route == nil || !k.applyRoute(o.Route):
-		e.Fail(k.Call)
+		a.Counts.Unrouted++
+		s.respond(o.Refusal.Code, phrase(o.Refusal.Why))
+	case o.Route == nil || !s.applyRoute(o.Route):
+		a.Fail(s.Call)
 	default:
-		k.Destination = e.Endpoints.ByDestination(k.DestinationID)
-		k.PassToRouter()
+		s.Destination = a.Endpoints.ByDestination(s.DestinationID)
+		s.PassToRouter()
 	}
 }
 
-// applyRoute puts a route's fields into the call; false: it names what this edge does not have.
+// applyRoute puts a route's fields into the call; false: it names what this agent does not have.
 func (k *session) applyRoute(r *numberplan.Route) bool {
-	e := k.agent
-	g := e.byName[r.Group]
+	a := k.agent
+	g := a.byName[r.Group]
 	if g == nil {
 		return false
 	}
 	if r.Skill != "" {
-		s := e.Classes[r.Skill]
+		s := a.Classes[r.Skill]
 		if s == nil {
 			return false
 		}
@@ -131,7 +131,7 @@
 		k.SetDeadline()
 	}
 	if r.Customer != "" {
-		if k.Tenant = e.Tenants[r.Customer]; k.Tenant == nil {
+		if k.Tenant = a.Tenants[r.Customer]; k.Tenant == nil {
 			return false
 		}
 	}
@@ -149,8 +149,8 @@
 }
 
 // releaseTable ends a call's hold of its table and takes back what it asked.
-func (k *session) releaseTable() {
-	r := &k.number
+func (s *session) releaseTable() {
+	r := &s.number
 	if r.cancelLookup != nil {
 		r.cancelLookup()
 		r.cancelLookup = nil
@@ -159,8 +159,8 @@
 		return
 	}
 	t := r.analysis.Table
-	if k.agent.tables[t]--; k.agent.tables[t] == 0 {
-		delete(k.agent.tables, t)
+	if s.agent.tables[t]--; s.agent.tables[t] == 0 {
+		delete(s.agent.tables, t)
 	}
 	r.analysis = nil
 }
--- a/internal/protocol/b2bua/analysis_test.go
+++ b/internal/protocol/b2bua/numberanalysis_test.go
@@ -102,7 +102,10 @@
 func TestRouted(t *testing.T) {
 	r, b := numberRig(t)
 	var got *routing.Call
-	r.m.offered = func(now float64, c *routing.Call) { got = c; r.m.h.StartAttempt(c, r.m.pools[1], c.Deadline-now) }
+	r.m.offered = func(now float64, routed *routing.Call) {
+		got = routed
+		r.m.h.StartAttempt(routed, r.m.pools[1], routed.Deadline-now)
+	}
 	r.get(caller, callerSays("INVITE", "a1", ""))
 	if len(b.asked) != 1 || b.asked[0] != "14185550123" || b.within[0] != 400 || got != nil {
 		t.Fatalf("asked %v within %v, offered %v", b.asked, b.within, got)
@@ -137,7 +140,7 @@
 	r, b := numberRig(t)
 	r.e.config.LookupShare = 0
 	home := -1
-	r.m.offered = func(_ float64, c *routing.Call) { home = c.DestinationID }
+	r.m.offered = func(_ float64, routed *routing.Call) { home = routed.DestinationID }
 	r.get(caller, callerSays("INVITE", "a1", ""))
 	if len(b.asked) != 0 || home != 0 {
 		t.Errorf("asked %v, offered with destination %d", b.asked, home)
@@ -173,9 +176,9 @@
 	r, b := numberRig(t)
 	r.e.LoadShedder.MaxPending = 5000
 	var sent []string
-	r.m.offered = func(now float64, c *routing.Call) {
-		sent = append(sent, c.CalledNumber+c.HostData.(*callcontrol.Session).SignalingLeg.(*call).number.params)
-		r.m.h.Reject(c, 0)
+	r.m.offered = func(now float64, routed *routing.Call) {
+		sent = append(sent, routed.CalledNumber+routed.HostData.(*callcontrol.Session).SignalingLeg.(*call).number.params)
+		r.m.h.Reject(routed, 0)
 	}
 	for v := 1; v <= 4; v++ {
 		r.e.SetTable(numbers(t, v))
@@ -201,11 +204,11 @@
 	}
 }
 
-// An old table is gone from memory when the last call that carries it has its answer, and not before; calls that stand
+// An old table is gone from memory when the last call that carries it has its answer, and not before; established calls
 // need none.
 func TestTableLetGo(t *testing.T) {
 	r, b := numberRig(t)
-	r.m.offered = func(now float64, c *routing.Call) { r.m.h.StartAttempt(c, r.m.pools[1], c.Deadline-now) }
+	r.m.offered = func(now float64, routed *routing.Call) { r.m.h.StartAttempt(routed, r.m.pools[1], routed.Deadline-now) }
 	old := func() weak.Pointer[numberplan.Table] {
 		x := numbers(t, 2)
 		r.e.SetTable(x)
@@ -248,7 +251,7 @@
 	}
 }
 
-// A flood that the intake rejects asks for nothing.
+// A flood that is shed asks for nothing.
 func TestFloodAsksNothing(t *testing.T) {
 	r, b := numberRig(t)
 	r.e.LoadShedder.MaxPending = 10
@@ -260,10 +263,10 @@
 	}
 }
 
-// A call held for its look-up is served when the edge drains meanwhile; to the endpoint that the list has then.
+// A call held for its look-up is served when the agent drains meanwhile; to the endpoint that the list has then.
 func TestListedAndDrainingMeanwhile(t *testing.T) {
 	r, b := numberRig(t)
-	r.m.offered = func(now float64, c *routing.Call) { r.m.h.StartAttempt(c, r.m.pools[0], c.Deadline-now) }
+	r.m.offered = func(now float64, routed *routing.Call) { r.m.h.StartAttempt(routed, r.m.pools[0], routed.Deadline-now) }
 	r.get(caller, callerSays("INVITE", "a1", ""))
 	r.e.StopAdmitting()
 	r.list(routing.Draining)
--- a/internal/protocol/binarygateway/platform_test.go
+++ b/internal/protocol/binarygateway/platform_test.go
@@ -189,7 +189,7 @@
 	}
 }
 
-// stood makes a call that stands at the first switch.
+// stood makes a established call at the first switch.
 func (r *testGateway) stood(c *testConn, id uint64) *testConn {
 	r.Helper()
 	r.policy.targets = []int{0}
@@ -398,7 +398,7 @@
 	}
 }
 
-// A caller that gives up is owed nothing; its attempt is called off, and an answer that crosses that is released.
+// A caller that gives up is owed nothing; its attempt is canceled, and an answer that crosses that is released.
 func TestGivenUp(t *testing.T) {
 	r := newTestGateway(t)
 	r.policy.targets = []int{0}
@@ -737,7 +737,7 @@
 	}
 }
 
-// stoodAs makes a call that stands and whose answer waits.
+// stoodAs makes a established call and whose answer waits.
 func (r *testGateway) stoodAs(c *testConn, id uint64) *testConn {
 	r.policy.targets = []int{0}
 	r.receiveSetup(c, id)
@@ -803,7 +803,7 @@
 	}
 }
 
-// An attempt that is called off before it has left has not run, and nothing of it goes out.
+// An attempt that is canceled before it has left has not run, and nothing of it goes out.
 func TestCalledOffAtOnce(t *testing.T) {
 	r := newTestGateway(t)
 	r.policy.targets = []int{0}
@@ -940,7 +940,7 @@
 	}
 }
 
-// A switch is killed behind its accept while a call stands, an attempt is out and a give-up is in the socket: the
+// A switch is killed behind its accept while a call stands, an attempt is in flight and a give-up is in the socket: the
 // attempt ends as one that may have run, the give-up as what it is, and the call is over for its caller.
 func TestKilledWithAllThree(t *testing.T) {
 	r := newTestGateway(t)
--- a/internal/protocol/enumserver/front.go
+++ b/internal/protocol/enumserver/front.go
@@ -18,7 +18,7 @@
 	"cobaltpier/internal/protocol/b2bua"
 )
 
-// Enquirer is what decides: an edge.
+// Enquirer is what decides: a gateway.
 type Enquirer interface {
 	StartEnquiry(
 		now float64,
--- a/internal/protocol/enumserver/front_test.go
+++ b/internal/protocol/enumserver/front_test.go
@@ -11,7 +11,7 @@
 	"cobaltpier/internal/protocol/b2bua"
 )
 
-// desk is an edge that a test plays.
+// desk is a gateway that a test plays.
 type desk struct {
 	asked   []string
 	done    []func(now float64, n b2bua.EnquiryResult)
--- a/internal/protocol/portability/ported.go
+++ b/internal/protocol/portability/ported.go
@@ -15,7 +15,7 @@
 // maxSteps is how many domains one look-up goes through (RFC 6116 5.2.1 asks for five at least).
 const maxSteps = 5
 
-// Resolver asks for the rules of a domain; a resolve.Client is one.
+// Resolver asks for the rules of a domain; a dnsclient.Client is one.
 type Resolver interface {
 	Query(now float64, name string, within float64, done func(now float64, a dnsclient.Answer)) (stop func())
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// The destination is taken while it has room; a nought report counts as a tenth free after 2 s.
+// The destination is taken while it has room; a zero report counts as a tenth free after 2 s.
 func TestDestinationFirstAndNoughtAgeing(t *testing.T) {
 	h, ps := newTestHost(2)
 	for i := 0; i < 50; i++ {
@@ -183,7 +183,7 @@
 	}
 }
 
-// A setup overtaken by a later one is lost: it is called off and says nothing of the wait.
+// A setup overtaken by a later one is lost: it is canceled and says nothing of the wait.
 func TestLostSetUp(t *testing.T) {
 	h, ps := newTestHost(1)
 	ps[0].LoadReport.Capacity, ps[0].LoadReport.Free = 1000, 500
--- a/internal/router/rules_test.go
+++ b/internal/router/rules_test.go
@@ -11,7 +11,7 @@
 	"cobaltpier/internal/routing"
 )
 
-// TestRulesByModel runs the module on generated streams of events beside the plain model in the test host,
+// TestRulesByModel runs the policy on generated streams of events beside the plain model in the test host,
 // which looks at every send and every answer: calls, redials, lost, late, cut and refused setups, drains,
 // cold starts, lying reports and gateways that start with an old list.
 func TestRulesByModel(t *testing.T) {
--- a/internal/router/testhost_test.go
+++ b/internal/router/testhost_test.go
@@ -6,7 +6,7 @@
 	"cobaltpier/internal/routing"
 )
 
-// wakeup is a call back that the module asked for.
+// wakeup is a call back that the policy asked for.
 type wakeup struct {
 	at   float64
 	call *routing.Call
