--- a/internal/cli/labcli/fleet.go
+++ b/internal/cli/labcli/fleet.go
@@ -63,7 +63,7 @@
 		Unserved: float64(s.Unserved),
 		P50:      at(s.Waits, 0.5),
 		P99:      at(s.Waits, 0.99),
-		Cold:     r.Totals.ColdUse,
+		Cold:     r.Totals.SlowStartUse,
 		Broken:   len(r.Findings),
 		Sum:      fmt.Sprintf("%016x", r.Sum),
 	}
@@ -123,7 +123,7 @@
 					continue
 				}
 				seed := s.Seed + uint64(i)
-				callers += r.Totals.Contacts
+				callers += r.Totals.Calls
 				broken = broken || module == "brain" && len(r.Findings) > 0
 				if asJSON {
 					if err := json.NewEncoder(out).Encode(figuresOf(seed, r)); err != nil {
--- a/internal/cli/labcli/labcmd.go
+++ b/internal/cli/labcli/labcmd.go
@@ -294,7 +294,7 @@
 		s.Unserved,
 		at(s.Waits, 0.5),
 		at(s.Waits, 0.99),
-		100*r.Totals.ColdUse,
+		100*r.Totals.SlowStartUse,
 		r.Late,
 		rules,
 	)
@@ -363,9 +363,9 @@
 		out,
 		"  on the wire      %d datagrams, %d contacts, %d rings, %d repeats\n",
 		r.Totals.Datagrams,
-		r.Totals.Contacts,
-		r.Totals.Rings,
-		r.Totals.Repeats,
+		r.Totals.Calls,
+		r.Totals.Attempts,
+		r.Totals.Retransmissions,
 	)
 	if r.Late > 0 {
 		fmt.Fprintf(
@@ -386,7 +386,7 @@
 			verdict = fmt.Sprintf("BROKEN %d times", n[i])
 		}
 		if i == 4 {
-			verdict += fmt.Sprintf(" (budget used to %.0f %%)", 100*r.Totals.ColdUse)
+			verdict += fmt.Sprintf(" (budget used to %.0f %%)", 100*r.Totals.SlowStartUse)
 		}
 		fmt.Fprintf(out, "  %d %-60s %s\n", i, ruleNames[i], verdict)
 	}
@@ -402,7 +402,7 @@
 			"\nKiosks: %d came and asked by ENUM, %d times; %d had a switch named, %d of them stood, %d were cut; %d "+
 				"questions had no answer\n  from coming to the name: p50 %.0f ms, p99 %.0f ms\n",
 			s.Visits,
-			r.Totals.Looks,
+			r.Totals.Queries,
 			s.Named,
 			s.Stood,
 			s.Cut,
@@ -488,8 +488,8 @@
 			fmt.Fprintf(
 				cmd.OutOrStdout(),
 				"%d contacts, %d rings, %d findings\n",
-				k.Totals.Contacts,
-				k.Totals.Rings,
+				k.Totals.Calls,
+				k.Totals.Attempts,
 				len(k.Findings),
 			)
 			if len(k.Findings) > 0 {
--- a/internal/conformance/check.go
+++ b/internal/conformance/check.go
@@ -19,81 +19,81 @@
 
 // Finding is a broken rule.
 type Finding struct {
-	Rule    int
-	At      float64 // ms
-	Edge    string
-	Session string
-	What    string
+	Rule        int
+	At          float64 // ms
+	Gateway     string
+	SessionID   string
+	Description string
 }
 
 func (f Finding) String() string {
-	return fmt.Sprintf("rule %d at %.1f ms, %s, contact %.12s: %s", f.Rule, f.At, f.Edge, f.Session, f.What)
+	return fmt.Sprintf("rule %d at %.1f ms, %s, contact %.12s: %s", f.Rule, f.At, f.Gateway, f.SessionID, f.Description)
 }
 
 // Totals are what the capture held.
 type Totals struct {
-	Contacts, Answers, Rings, Repeats, Datagrams int
-	Looks, Named, KioskCalls                     int     // look-ups of kiosks, those answered with an endpoint, their calls
-	ColdUse                                      float64 // the largest part of a cold budget used by gateways that knew
+	Calls, Answers, Attempts, Retransmissions, Datagrams int
+	Queries, Answered, KioskCalls                        int     // look-ups of kiosks, those answered with an endpoint, their calls
+	SlowStartUse                                         float64 // the largest part of a cold budget used by gateways that knew
 }
 
 // Cold is how much of a cold switch's budget the work of the window that ended at a time used.
 type Cold struct {
 	At     float64
 	Switch string
-	Use    float64 // 1: the limit
+	Used   float64 // 1: the limit
 }
 
 // Checker takes the records of a capture in their order.
 type Checker struct {
-	Findings []Finding
-	Totals   Totals
-	Parse    func([]byte) (sip.Message, error) // siptransaction.Parse, or one that remembers
-	Keep     bool                              // keep how cold budgets were used
-	Cold     []Cold                            // with Keep: after Finish
-	rules    *api.Rules
-	nodes    map[string]*api.Node
-	contacts map[string]*contact          // by edge and session
-	byTx     map[string]*ring             // a setup's transaction, by edge and branch
-	byDialog map[string]*ring             // by edge and Call-ID
-	answers  map[string]*contact          // the caller's INVITE transaction, by edge and branch
-	listed   map[string]map[string]*place // by edge's name and address
-	stopped  map[string]bool
-	killed   map[string]float64
-	starts   map[string][]*start // by address
-	looks    map[string]*look
-	named    map[string][]float64 // by kiosk and endpoint: when it was named and not called yet
-	last     float64
+	Findings        []Finding
+	Totals          Totals
+	Parse           func([]byte) (sip.Message, error) // siptransaction.Parse, or one that remembers
+	Keep            bool                              // keep how cold budgets were used
+	Cold            []Cold                            // with Keep: after Finish
+	rules           *api.Rules
+	nodes           map[string]*api.Node
+	calls           map[string]*call               // by edge and session
+	byTx            map[string]*attempt            // a setup's transaction, by edge and branch
+	byDialog        map[string]*attempt            // by edge and Call-ID
+	answers         map[string]*call               // the caller's INVITE transaction, by edge and branch
+	listings        map[string]map[string]*listing // by edge's name and address
+	stalledGateways map[string]bool
+	killedAt        map[string]float64
+	startsByAddr    map[string][]*start // by address
+	queries         map[string]*enumQuery
+	namedEndpoints  map[string][]float64 // by kiosk and endpoint: when it was named and not called yet
+	latestAt        float64
 }
 
 // call is one call at one gateway.
-type contact struct {
-	id, edge string
-	came     float64
-	until    float64
-	final    string  // status and tag of its final answer
-	at       float64 // when it left
-	out      []*ring
-	clear    float64 // rule 5: no send before this
-	left     float64 // the caller canceled
-	rings    int
+type call struct {
+	id, edge     string
+	arrivedAt    float64
+	deadline     float64
+	final        string  // status and tag of its final answer
+	answeredAt   float64 // when it left
+	attempts     []*attempt
+	holdOffUntil float64 // rule 5: no send before this
+	canceledAt   float64 // the caller canceled
+	attemptCount int
 }
 
 // attempt is one setup on the wire.
-type ring struct {
-	c      *contact
-	to     string
-	called bool // CANCEL was sent
-	stands bool
-	over   bool
+type attempt struct {
+	call        *call
+	endpoint    string
+	canceled    bool // CANCEL was sent
+	established bool
+	ended       bool
 }
 
-// place is what a gateway was told of an address.
-type place struct {
-	state string
-	since float64 // delivered
-	start float64
-	id    string
+// listing is what a gateway was told of an address.
+type listing struct {
+	state     string
+	since     float64 // delivered
+	startedAt float64
+	id        string
 }
 
 type start struct {
@@ -105,61 +105,61 @@
 }
 
 type send struct {
-	at, work float64
-	told     bool
+	at, work    float64
+	gatewayKnew bool
 }
 
 // New makes a checker.
 func New() *Checker {
 	return &Checker{
-		Parse:    siptransaction.Parse,
-		rules:    &api.Rules{},
-		nodes:    map[string]*api.Node{},
-		contacts: map[string]*contact{},
-		byTx:     map[string]*ring{},
-		byDialog: map[string]*ring{},
-		answers:  map[string]*contact{},
-		listed:   map[string]map[string]*place{},
-		stopped:  map[string]bool{},
-		killed:   map[string]float64{},
-		starts:   map[string][]*start{},
-		looks:    map[string]*look{},
-		named:    map[string][]float64{},
+		Parse:           siptransaction.Parse,
+		rules:           &api.Rules{},
+		nodes:           map[string]*api.Node{},
+		calls:           map[string]*call{},
+		byTx:            map[string]*attempt{},
+		byDialog:        map[string]*attempt{},
+		answers:         map[string]*call{},
+		listings:        map[string]map[string]*listing{},
+		stalledGateways: map[string]bool{},
+		killedAt:        map[string]float64{},
+		startsByAddr:    map[string][]*start{},
+		queries:         map[string]*enumQuery{},
+		namedEndpoints:  map[string][]float64{},
 	}
 }
 
-func (k *Checker) broke(rule int, c *contact, what string, args ...any) {
-	k.Findings = append(k.Findings, Finding{rule, k.last, c.edge, c.id, fmt.Sprintf(what, args...)})
+func (k *Checker) report(rule int, c *call, what string, args ...any) {
+	k.Findings = append(k.Findings, Finding{rule, k.latestAt, c.edge, c.id, fmt.Sprintf(what, args...)})
 }
 
 // Add takes the next record.
 func (k *Checker) Add(r *api.Record) {
-	k.last = math.Max(k.last, r.At)
+	k.latestAt = math.Max(k.latestAt, r.At)
 	switch v := r.What.(type) {
 	case *api.Record_Rules:
 		k.rules = v.Rules
 	case *api.Record_Node:
 		k.nodes[v.Node.Addr] = v.Node
 	case *api.Record_Listing:
-		k.list(r.At, v.Listing)
+		k.onListing(r.At, v.Listing)
 	case *api.Record_Mark:
-		k.mark(r.At, v.Mark)
+		k.onMark(r.At, v.Mark)
 	case *api.Record_Datagram:
 		k.Totals.Datagrams++
-		k.datagram(r.At, v.Datagram)
+		k.onDatagram(r.At, v.Datagram)
 	}
 }
 
-func (k *Checker) list(at float64, l *api.Listing) {
-	m := k.listed[l.Edge]
+func (k *Checker) onListing(at float64, l *api.Listing) {
+	m := k.listings[l.Edge]
 	if m == nil {
-		m = map[string]*place{}
-		k.listed[l.Edge] = m
+		m = map[string]*listing{}
+		k.listings[l.Edge] = m
 	}
 	named := map[string]bool{}
 	for _, e := range l.Entries {
 		named[e.Addr] = true
-		if p := m[e.Addr]; p == nil || p.state != e.State || p.id != e.Id || p.start != e.Since {
+		if p := m[e.Addr]; p == nil || p.state != e.State || p.id != e.Id || p.startedAt != e.Since {
 			if p != nil && p.id != e.Id && e.State == "gone" {
 				continue // the machine before the one that has the address now
 			}
@@ -167,7 +167,7 @@
 			if p != nil && p.state != "ready" && e.State != "ready" {
 				since = p.since // told before
 			}
-			m[e.Addr] = &place{state: e.State, since: since, start: e.Since, id: e.Id}
+			m[e.Addr] = &listing{state: e.State, since: since, startedAt: e.Since, id: e.Id}
 		}
 	}
 	if l.Whole {
@@ -179,68 +179,68 @@
 	}
 }
 
-func (k *Checker) mark(at float64, m *api.Mark) {
+func (k *Checker) onMark(at float64, m *api.Mark) {
 	switch m.What {
 	case "start":
 		for a, n := range k.nodes {
 			if n.Name == m.Who {
-				if old := k.starts[a]; len(old) > 0 {
+				if old := k.startsByAddr[a]; len(old) > 0 {
 					old[len(old)-1].end = at
 				}
-				k.starts[a] = append(k.starts[a], &start{at: at, who: m.Who, model: m.Start, end: math.Inf(1)})
+				k.startsByAddr[a] = append(k.startsByAddr[a], &start{at: at, who: m.Who, model: m.Start, end: math.Inf(1)})
 			}
 		}
 	case "stop", "kill", "fall":
 		for a, n := range k.nodes {
 			if n.Name == m.Who {
-				for _, s := range k.starts[a] {
+				for _, s := range k.startsByAddr[a] {
 					s.end = math.Min(s.end, at)
 				}
 			}
 		}
 	case "edge-stop":
-		k.stopped[m.Who] = true
+		k.stalledGateways[m.Who] = true
 	case "edge-go": // what was delivered while it stalled it could hear from now on
-		k.looksOf(at, m)
-		k.stopped[m.Who] = false
-		for _, p := range k.listed[m.Who] {
+		k.closeQueries(at, m)
+		k.stalledGateways[m.Who] = false
+		for _, p := range k.listings[m.Who] {
 			p.since = math.Max(p.since, at)
 		}
-		for _, c := range k.contacts {
+		for _, c := range k.calls {
 			if c.edge == m.Who && c.final == "" { // it could not answer: that is counted as the machine's fault
-				c.until = math.Max(c.until, at+1000)
-				if c.left > 0 {
-					c.left = at
+				c.deadline = math.Max(c.deadline, at+1000)
+				if c.canceledAt > 0 {
+					c.canceledAt = at
 				}
 			}
 		}
 	case "edge-kill",
 		"edge-start": // what it held is no longer its duty; a repeat that reaches the next process is new there
-		k.looksOf(at, m)
+		k.closeQueries(at, m)
 		if m.What == "edge-kill" {
-			k.killed[m.Who] = at
+			k.killedAt[m.Who] = at
 		}
-		for _, c := range k.contacts {
+		for _, c := range k.calls {
 			if c.edge == m.Who {
-				for _, o := range c.out {
-					o.over = true
+				for _, o := range c.attempts {
+					o.ended = true
 				}
 			}
 		}
 	}
 }
 
-func (k *Checker) datagram(at float64, d *api.Datagram) {
+func (k *Checker) onDatagram(at float64, d *api.Datagram) {
 	from, to := k.nodes[d.From], k.nodes[d.To]
 	switch {
 	case from == nil || to == nil:
 		return
 	case from.Role == "front" || to.Role == "front":
-		k.lookup(at, d, from, to)
+		k.onLookup(at, d, from, to)
 		return
 	case from.Role == "kiosk-phone" || to.Role == "kiosk-phone":
 		if to.Role == "switch" {
-			k.kioskCalls(at, d, from)
+			k.onKioskCall(at, d, from)
 		}
 		return
 	}
@@ -253,46 +253,46 @@
 	switch {
 	case from.Role == "caller" && to.Role == "edge":
 		if r, ok := m.(*sip.Request); ok {
-			k.fromCaller(at, to.Name, r, branch)
+			k.onCallerRequest(at, to.Name, r, branch)
 		}
 	case from.Role == "edge" && to.Role == "caller":
 		if r, ok := m.(*sip.Response); ok {
-			k.toCaller(at, from.Name, r, branch)
+			k.onResponseToCaller(at, from.Name, r, branch)
 		}
 	case from.Role == "edge" && to.Role == "switch":
 		if r, ok := m.(*sip.Request); ok {
-			k.toSwitch(at, from.Name, d.To, r, branch, id)
+			k.onSetupRequest(at, from.Name, d.To, r, branch, id)
 		}
 	case from.Role == "switch" && to.Role == "edge":
-		k.fromSwitch(at, to.Name, m, branch, id)
+		k.onSwitchMessage(at, to.Name, m, branch, id)
 	}
 }
 
-func (k *Checker) fromCaller(at float64, edge string, r *sip.Request, branch string) {
+func (k *Checker) onCallerRequest(at float64, edge string, r *sip.Request, branch string) {
 	switch r.Method {
 	case sip.INVITE:
 		if siptransaction.Tag(r.To().Params) != "" {
 			return
 		}
 		key := edge + siptransaction.SessionIDOf(r)
-		if k.contacts[key] != nil {
+		if k.calls[key] != nil {
 			return // a repeat
 		}
 		patience := siptransaction.ParseRetryAfter(siptransaction.HeaderValue(r, "Expires"))
 		if patience == 0 {
 			patience = math.Inf(1)
 		}
-		c := &contact{id: siptransaction.SessionIDOf(r), edge: edge, came: at, until: at + patience}
-		k.contacts[key], k.answers[edge+branch] = c, c
-		k.Totals.Contacts++
+		c := &call{id: siptransaction.SessionIDOf(r), edge: edge, arrivedAt: at, deadline: at + patience}
+		k.calls[key], k.answers[edge+branch] = c, c
+		k.Totals.Calls++
 	case sip.CANCEL:
-		if c := k.answers[edge+branch]; c != nil && c.final == "" && c.left == 0 {
-			c.left = at
+		if c := k.answers[edge+branch]; c != nil && c.final == "" && c.canceledAt == 0 {
+			c.canceledAt = at
 		}
 	}
 }
 
-func (k *Checker) toCaller(at float64, edge string, r *sip.Response, branch string) {
+func (k *Checker) onResponseToCaller(at float64, edge string, r *sip.Response, branch string) {
 	c := k.answers[edge+branch]
 	if c == nil || r.CSeq().MethodName != sip.INVITE || r.StatusCode < 200 {
 		return
@@ -300,107 +300,107 @@
 	final := fmt.Sprintf("%d %s", r.StatusCode, siptransaction.Tag(r.To().Params))
 	switch {
 	case c.final == "":
-		c.final, c.at = final, at
+		c.final, c.answeredAt = final, at
 		k.Totals.Answers++
 		// a call of a process that was killed since is no longer its duty: its caller's repeat is new to the next one
-		if kill, killed := k.killed[edge]; killed && c.came <= kill {
+		if kill, killed := k.killedAt[edge]; killed && c.arrivedAt <= kill {
 			return
 		}
-		if at > c.until+k.rules.SlackMs {
-			k.broke(1, c, "answered %s %.0f ms after its patience", final, at-c.until)
+		if at > c.deadline+k.rules.SlackMs {
+			k.report(1, c, "answered %s %.0f ms after its patience", final, at-c.deadline)
 		}
-		if c.left > 0 && at > c.left+1000 {
-			k.broke(1, c, "called off, and answered only %.0f ms later", at-c.left)
+		if c.canceledAt > 0 && at > c.canceledAt+1000 {
+			k.report(1, c, "called off, and answered only %.0f ms later", at-c.canceledAt)
 		}
 	case c.final != final:
-		k.broke(1, c, "second final answer %s after %s", final, c.final)
+		k.report(1, c, "second final answer %s after %s", final, c.final)
 	}
 }
 
-func (k *Checker) toSwitch(at float64, edge, to string, r *sip.Request, branch, id string) {
+func (k *Checker) onSetupRequest(at float64, edge, to string, r *sip.Request, branch, id string) {
 	switch r.Method {
 	case sip.INVITE:
 		if siptransaction.Tag(r.To().Params) != "" {
 			return
 		}
 		g := k.byTx[edge+branch]
-		c := k.contacts[edge+siptransaction.SessionIDOf(r)]
+		c := k.calls[edge+siptransaction.SessionIDOf(r)]
 		if c == nil {
-			k.broke(1, &contact{edge: edge, id: siptransaction.SessionIDOf(r)}, "a set-up of a contact that never came")
+			k.report(1, &call{edge: edge, id: siptransaction.SessionIDOf(r)}, "a set-up of a contact that never came")
 			return
 		}
 		repeat := g != nil
-		if c.final != "" && at-c.at >= k.rules.BlurMs {
-			k.broke(1, c, "set-up sent %.0f ms after the final answer %s", at-c.at, c.final)
+		if c.final != "" && at-c.answeredAt >= k.rules.BlurMs {
+			k.report(1, c, "set-up sent %.0f ms after the final answer %s", at-c.answeredAt, c.final)
 		}
-		k.drain(at, edge, to, c)
-		k.cold(at, edge, to, repeat)
+		k.checkDraining(at, edge, to, c)
+		k.countSlowStart(at, edge, to, repeat)
 		if repeat {
-			k.Totals.Repeats++
+			k.Totals.Retransmissions++
 			return
 		}
-		k.Totals.Rings++
-		for _, o := range c.out {
-			if !o.over {
-				k.broke(2, c, "second ring to %s while the one to %s is out", k.name(to), k.name(o.to))
+		k.Totals.Attempts++
+		for _, o := range c.attempts {
+			if !o.ended {
+				k.report(2, c, "second ring to %s while the one to %s is out", k.name(to), k.name(o.endpoint))
 			}
 		}
-		if at < c.clear {
-			k.broke(5, c, "sent %.0f ms before the clear wait was over", c.clear-at)
+		if at < c.holdOffUntil {
+			k.report(5, c, "sent %.0f ms before the clear wait was over", c.holdOffUntil-at)
 		}
-		g = &ring{c: c, to: to}
-		c.rings++
-		c.out = append(c.out, g)
+		g = &attempt{call: c, endpoint: to}
+		c.attemptCount++
+		c.attempts = append(c.attempts, g)
 		k.byTx[edge+branch], k.byDialog[edge+id] = g, g
 	case sip.CANCEL:
 		if g := k.byTx[edge+branch]; g != nil {
-			g.called = true
+			g.canceled = true
 		}
 	case sip.BYE:
-		if g := k.byDialog[edge+id]; g != nil && !g.over {
-			g.over = true
-			if g.called || !g.stands { // a call that stood after it was given up: released now
-				g.c.clear = math.Max(g.c.clear, at+k.rules.ClearMs)
+		if g := k.byDialog[edge+id]; g != nil && !g.ended {
+			g.ended = true
+			if g.canceled || !g.established { // a call that stood after it was given up: released now
+				g.call.holdOffUntil = math.Max(g.call.holdOffUntil, at+k.rules.ClearMs)
 			}
 		}
 	}
 }
 
-func (k *Checker) fromSwitch(at float64, edge string, m sip.Message, branch, id string) {
+func (k *Checker) onSwitchMessage(at float64, edge string, m sip.Message, branch, id string) {
 	switch m := m.(type) {
 	case *sip.Response:
 		g := k.byTx[edge+branch]
-		if g == nil || m.CSeq().MethodName != sip.INVITE || m.StatusCode < 200 || g.over {
+		if g == nil || m.CSeq().MethodName != sip.INVITE || m.StatusCode < 200 || g.ended {
 			return
 		}
 		if m.StatusCode < 300 {
-			g.stands = true
+			g.established = true
 			return
 		}
-		g.over = true
+		g.ended = true
 		if m.StatusCode == 487 || m.StatusCode == 408 {
-			g.c.clear = math.Max(g.c.clear, at+k.rules.ClearMs)
+			g.call.holdOffUntil = math.Max(g.call.holdOffUntil, at+k.rules.ClearMs)
 		}
 	case *sip.Request:
-		if g := k.byDialog[edge+id]; g != nil && m.Method == sip.BYE && !g.over {
-			g.over = true
+		if g := k.byDialog[edge+id]; g != nil && m.Method == sip.BYE && !g.ended {
+			g.ended = true
 			if !strings.Contains(siptransaction.HeaderValue(m, siptransaction.Reason), "cause=16") {
-				g.c.clear = math.Max(g.c.clear, at+k.rules.ClearMs)
+				g.call.holdOffUntil = math.Max(g.call.holdOffUntil, at+k.rules.ClearMs)
 			}
 		}
 	}
 }
 
-// drain is rule 3.
-func (k *Checker) drain(at float64, edge, to string, c *contact) {
-	if p := k.listed[edge][to]; p != nil && p.state != "ready" && at > p.since+k.rules.GraceMs {
-		k.broke(3, c, "set-up to %s %.0f ms after it was told %s", k.name(to), at-p.since, p.state)
+// checkDraining is rule 3.
+func (k *Checker) checkDraining(at float64, edge, to string, c *call) {
+	if p := k.listings[edge][to]; p != nil && p.state != "ready" && at > p.since+k.rules.GraceMs {
+		k.report(3, c, "set-up to %s %.0f ms after it was told %s", k.name(to), at-p.since, p.state)
 	}
 }
 
-// cold notes work that goes to a switch that started lately.
-func (k *Checker) cold(at float64, edge, to string, repeat bool) {
-	of := k.starts[to]
+// countSlowStart notes work that goes to a switch that started lately.
+func (k *Checker) countSlowStart(at float64, edge, to string, repeat bool) {
+	of := k.startsByAddr[to]
 	if len(of) == 0 {
 		return
 	}
@@ -412,8 +412,8 @@
 	if repeat {
 		work = s.model.RepeatMs
 	}
-	p := k.listed[edge][to]
-	s.sends = append(s.sends, send{at, work, p != nil && p.start > 0 && p.start >= s.at-1000})
+	p := k.listings[edge][to]
+	s.sends = append(s.sends, send{at, work, p != nil && p.startedAt > 0 && p.startedAt >= s.at-1000})
 }
 
 func (k *Checker) name(addr string) string {
@@ -425,16 +425,16 @@
 
 // Finish judges what can be judged only at the end, and sorts the findings by time.
 func (k *Checker) Finish() {
-	for _, c := range k.contacts {
-		if kill, killed := k.killed[c.edge]; killed && c.came <= kill && (c.final == "" || c.at > kill) {
+	for _, c := range k.calls {
+		if kill, killed := k.killedAt[c.edge]; killed && c.arrivedAt <= kill && (c.final == "" || c.answeredAt > kill) {
 			continue // what a gateway held when it was killed is no longer its duty
 		}
-		if due := math.Min(c.until, whenSet(c.left)+1000); c.final == "" && k.last > due+k.rules.SlackMs &&
-			!k.stopped[c.edge] {
-			k.broke(1, c, "never answered; due at %.0f ms", due)
+		if due := math.Min(c.deadline, whenSet(c.canceledAt)+1000); c.final == "" && k.latestAt > due+k.rules.SlackMs &&
+			!k.stalledGateways[c.edge] {
+			k.report(1, c, "never answered; due at %.0f ms", due)
 		}
 	}
-	for addr, of := range k.starts {
+	for addr, of := range k.startsByAddr {
 		for _, s := range of {
 			k.window(addr, s)
 		}
@@ -444,7 +444,7 @@
 		if a.At != b.At {
 			return a.At < b.At
 		}
-		return a.Session < b.Session
+		return a.SessionID < b.SessionID
 	})
 }
 
@@ -462,12 +462,12 @@
 	sum, told, from := 0.0, 0.0, 0
 	for _, x := range s.sends {
 		sum += x.work
-		if x.told {
+		if x.gatewayKnew {
 			told += x.work
 		}
 		for s.sends[from].at <= x.at-k.rules.TipMs {
 			sum -= s.sends[from].work
-			if s.sends[from].told {
+			if s.sends[from].gatewayKnew {
 				told -= s.sends[from].work
 			}
 			from++
@@ -481,15 +481,15 @@
 		if told <= sum*2/3 { // mostly from gateways that could not know
 			use = told / most
 		}
-		k.Totals.ColdUse = math.Max(k.Totals.ColdUse, use)
+		k.Totals.SlowStartUse = math.Max(k.Totals.SlowStartUse, use)
 		if k.Keep {
 			k.Cold = append(k.Cold, Cold{x.at, s.who, use})
 		}
 		if sum > most+math.Sqrt(most*s.model.SetupMs)+s.model.SetupMs && told > sum*2/3 {
-			k.last = x.at
-			k.broke(
+			k.latestAt = x.at
+			k.report(
 				4,
-				&contact{edge: "all", id: s.who},
+				&call{edge: "all", id: s.who},
 				"%.0f ms of work in %.0f ms to %s, %.0f ms after its start: %.0f allowed",
 				sum,
 				k.rules.TipMs,
--- a/internal/conformance/kiosks_test.go
+++ b/internal/conformance/kiosks_test.go
@@ -103,7 +103,7 @@
 		}
 		var got []string
 		for _, f := range k.Findings {
-			got = append(got, f.What)
+			got = append(got, f.Description)
 		}
 		if s := strings.Join(got, "; "); (s == "") != (c.want == "") || !strings.Contains(s, c.want) {
 			t.Errorf("%s: %q, want %q", name, s, c.want)
--- a/internal/emulator/report/report.go
+++ b/internal/emulator/report/report.go
@@ -199,8 +199,8 @@
 	if len(s.Cold) > 0 {
 		by, top := map[string]plotter.XYs{}, 1.1
 		for _, c := range s.Cold {
-			by[c.Switch] = append(by[c.Switch], plotter.XY{X: c.At / 1000, Y: c.Use})
-			top = math.Max(top, c.Use*1.1)
+			by[c.Switch] = append(by[c.Switch], plotter.XY{X: c.At / 1000, Y: c.Used})
+			top = math.Max(top, c.Used*1.1)
 		}
 		p = add("Cold budgets: work of the window that ends here over what is allowed", "1 is the limit", top)
 		limit, err := plotter.NewLine(plotter.XYs{{X: 0, Y: 1}, {X: float64(s.Seconds), Y: 1}})
--- a/internal/emulator/scenario/guards_test.go
+++ b/internal/emulator/scenario/guards_test.go
@@ -138,7 +138,7 @@
 			return router.New(set, h)
 		}, 0)
 		if broken := k.Verdicts()[4] > 0; broken == guarded {
-			t.Errorf("guarded %v: rule 4 broken %v, budget used to %.2f", guarded, broken, k.Totals.ColdUse)
+			t.Errorf("guarded %v: rule 4 broken %v, budget used to %.2f", guarded, broken, k.Totals.SlowStartUse)
 		}
 	}
 }
--- a/internal/emulator/scenario/stage_test.go
+++ b/internal/emulator/scenario/stage_test.go
@@ -136,7 +136,7 @@
 		scenariofile.Trouble{Kind: "listless", At: 1000, For: 60000},
 		scenariofile.Trouble{Kind: "stall", At: 5000, For: 3000, Part: 0.4, Size: 2},
 	)
-	if k := judged(s, mind, 0); len(k.Findings) > 0 || k.Totals.Rings < 300 {
-		t.Errorf("%d rings, findings %v", k.Totals.Rings, k.Findings)
+	if k := judged(s, mind, 0); len(k.Findings) > 0 || k.Totals.Attempts < 300 {
+		t.Errorf("%d rings, findings %v", k.Totals.Attempts, k.Findings)
 	}
 }
--- a/internal/emulator/search/hunt.go
+++ b/internal/emulator/search/hunt.go
@@ -242,7 +242,7 @@
 	var mu sync.Mutex
 	res := &Result{}
 	var elite []Find // what guides: high use of a cold budget, or bad service
-	hint := func(r *virtualrun.Result, f Find) float64 { return f.Score + r.Totals.ColdUse }
+	hint := func(r *virtualrun.Result, f Find) float64 { return f.Score + r.Totals.SlowStartUse }
 	hints := map[*scenariofile.Script]float64{}
 	virtualrun.Each(ctx, o.Days, func(i int) {
 		seed := o.Seed*1000003 + uint64(i)
@@ -261,8 +261,8 @@
 		mu.Lock()
 		defer mu.Unlock()
 		res.Days++
-		if r.Totals.ColdUse > res.Cold {
-			res.Cold, res.At = r.Totals.ColdUse, s
+		if r.Totals.SlowStartUse > res.Cold {
+			res.Cold, res.At = r.Totals.SlowStartUse, s
 		}
 		hints[s] = hint(r, f)
 		elite = insert(elite, f, 24, func(f Find) float64 { return hints[f.Script] })
--- a/internal/emulator/search/hunt_test.go
+++ b/internal/emulator/search/hunt_test.go
@@ -55,7 +55,7 @@
 	r := &virtualrun.Result{}
 	for _, t := range s.Troubles {
 		if t.Kind == "stall" && s.Gateways.Count > 1 {
-			r.Findings = []conformance.Finding{{Rule: 2, What: "made up"}}
+			r.Findings = []conformance.Finding{{Rule: 2, Description: "made up"}}
 		}
 	}
 	return r
--- a/internal/gateway/gatewayconfig/settings.go
+++ b/internal/gateway/gatewayconfig/settings.go
@@ -86,9 +86,22 @@
 }
 
 func read(b *hclconfig.Block) (*Config, error) {
-	s, set := &Config{}, &routing.Settings{}
-	s.Settings = set
-	g := b.One("gateway")
+	s := &Config{}
+	s.Settings = &routing.Settings{}
+	gateway := b.One("gateway")
+	s.readGateway(gateway)
+	s.readEndpointListAndLog(b)
+	s.readAllowed(b, gateway)
+	s.readTimers(b)
+	s.readRules(b)
+	s.readClasses(b, gateway)
+	s.readTrunkGroups(b)
+	s.numbers(b)
+	return s, b.Err()
+}
+
+func (s *Config) readGateway(g *hclconfig.Block) {
+	set := s.Settings
 	s.Name = g.Must("name")
 	s.Address, s.PeerListen = g.Addr("sip"), g.Addr("peer")
 	s.TrunkContext = g.Must("trunk_context")
@@ -115,11 +128,18 @@
 		}
 		s.Peers = append(s.Peers, a)
 	}
+}
+
+func (s *Config) readEndpointListAndLog(b *hclconfig.Block) {
 	l := b.One("list")
 	s.EndpointList = l.Must("addr")
 	o := b.One("log")
 	s.LogLevel = o.Text("level", "info", "debug", "info", "warn", "error")
 	s.LogConsole = o.Text("form", "json", "json", "console") == "console"
+}
+
+func (s *Config) readAllowed(b, g *hclconfig.Block) {
+	set := s.Settings
 	m := b.One("allow")
 	set.MaxAttempts = m.Int("max_rings", 5, 1, 1000)
 	set.ProbeEnabled, set.GossipEnabled = m.Flag("probe", false), m.Flag("tell", len(s.Peers) > 0)
@@ -134,10 +154,18 @@
 			len(s.Peers),
 		)
 	}
+}
+
+func (s *Config) readTimers(b *hclconfig.Block) {
+	set := s.Settings
 	t := b.One("timers")
 	t1 := t.Ms("t1", 500, 10, 60000)
 	s.Times = siptransaction.Timers{T1: t1, T2: t.Ms("t2", 8*t1, 10, 600000), T4: t.Ms("t4", 5000, 10, 600000)}
 	set.RetransmitInterval = t1
+}
+
+func (s *Config) readRules(b *hclconfig.Block) {
+	set := s.Settings
 	r := b.One("rules")
 	set.AnswerGrace = r.Ms("slack", 20, 0, 10000)
 	set.RetryHoldOff = r.Ms("clear_wait", hclconfig.Required, 0, 60000)
@@ -145,6 +173,11 @@
 	set.SlowStartDuration = r.Ms("warm_within", hclconfig.Required, 0, dayMillis)
 	set.OverloadFactor = r.Num("tip_multiple", hclconfig.Required, 0, 1000)
 	set.OverloadWindow = r.Ms("tip_time", hclconfig.Required, 1, dayMillis)
+}
+
+// readClasses reads the classes and the tenants.
+func (s *Config) readClasses(b, g *hclconfig.Block) {
+	set := s.Settings
 	for _, k := range b.Blocks("skill", 1) {
 		x := &routing.Class{
 			Name:             k.Labels[0],
@@ -180,6 +213,9 @@
 	for _, c := range b.Blocks("customer", 1) {
 		set.Tenants = append(set.Tenants, &routing.Tenant{Name: c.Labels[0]})
 	}
+}
+
+func (s *Config) readTrunkGroups(b *hclconfig.Block) {
 	pools := map[int]string{}
 	for _, x := range b.Blocks("group", 1) {
 		n := b2bua.Group{Name: x.Labels[0], DestinationID: x.Int("pool", -1, 0, 1<<30), Circuits: x.Int("size", -1, 1, 1<<20)}
@@ -195,8 +231,6 @@
 	if len(s.Groups) == 0 {
 		b.Fault("", "want at least one group \"NAME\" { pool = ..., size = ... }")
 	}
-	s.numbers(b)
-	return s, b.Err()
 }
 
 // numbers reads what concerns numbers.
--- a/internal/gateway/reactor/stream.go
+++ b/internal/gateway/reactor/stream.go
@@ -15,17 +15,17 @@
 	"github.com/lesismal/nbio"
 )
 
-// Handler hears of streams, from the poller's goroutines: it must not wait for what waits for them.
+// Handler takes the events of streams. It is called from the poller's goroutines and must not block.
 type Handler interface {
-	// Accepted says that somebody has connected. Data and Closed of a stream come after it.
+	// Accepted reports a connection that was accepted. Data and Closed of the stream come after it.
 	Accepted(s *Stream, from netip.Addr)
-	// Connected says that a stream that was dialled is up.
+	// Connected reports that a stream that was dialed is up.
 	Connected(s *Stream)
-	// Data brings what came; the bytes are valid only during the call.
+	// Data reports received bytes, which are valid only during the call.
 	Data(s *Stream, b []byte)
-	// Flushed says that what had not left at once has; see Stream.HasLeft.
+	// Flushed reports that what could not be sent at once has been sent; see Stream.IsFlushed.
 	Flushed(s *Stream)
-	// Closed says that a stream has ended or never came up, and why.
+	// Closed reports that a stream has ended or never came up, and why.
 	Closed(s *Stream, err error)
 }
 
@@ -35,14 +35,14 @@
 	bytesWritten  atomic.Int64
 	bytesFlushed  atomic.Int64
 	closed        atomic.Bool // from here
-	accepted      bool        // it was accepted, and has a place
+	accepted      bool        // not dialed: it has a slot
 	closeReported atomic.Bool // Closed was called, or will not be
-	openReported  sync.Once   // Accepted or Connected was told, or will not be
+	openReported  sync.Once   // guards that Accepted or Connected is called once
 	// adoptMu is held while the poller takes the connection over and while it is closed from here: a descriptor that is
 	// closed and used again by another connection must not be handed to the poller for this one.
 	adoptMu sync.Mutex
 	cancel  context.CancelFunc // of its dial
-	User    any                // the handler's own, set before anything of the stream is heard
+	User    any                // the handler's own, set before any event of the stream
 }
 
 // listener is what is used of a net.TCPListener.
@@ -56,18 +56,18 @@
 	engine        *nbio.Engine
 	handler       Handler
 	listener      listener
-	slots         chan struct{} // a place for each caller's connection
-	dialTimeout   time.Duration // a dial that is not up by then ends
+	slots         chan struct{} // one for each accepted connection
+	dialTimeout   time.Duration // a dial that is not up by then is given up
 	ctx           context.Context
 	stop          context.CancelFunc
-	goroutines    sync.WaitGroup // dials, and the loop that accepts
-	acceptLoop    sync.WaitGroup // that loop alone
-	stopAccepting atomic.Bool    // it ends once nobody comes any more
-	acceptStopped atomic.Bool    // it has
+	goroutines    sync.WaitGroup // dials, and the accept loop
+	acceptLoop    sync.WaitGroup // the accept loop alone
+	stopAccepting atomic.Bool    // StopAccept was called
+	acceptStopped atomic.Bool    // the accept loop has ended
 	Local         netip.AddrPort
 }
 
-// dialGrace is how long after its time a dial is ended here, ms: whoever dialled decides first.
+// dialGrace is how long after its timeout a dial is ended here, ms: whoever dialed decides first.
 const dialGrace = 100
 
 const streamBuffer = 16 << 10
--- a/internal/gateway/sipserver/enumlistener.go
+++ b/internal/gateway/sipserver/enumlistener.go
@@ -30,13 +30,13 @@
 const maxPendingWrites = 64
 
 // listenENUM listens for look-ups.
-func (g *Server) listenENUM() (*enumListener, error) {
-	set := &g.config.ENUMServer
-	d := &enumListener{server: g, enum: enumserver.New(set.Config, g.agent), conns: map[*net.TCPConn]struct{}{}}
+func (s *Server) listenENUM() (*enumListener, error) {
+	set := &s.config.ENUMServer
+	d := &enumListener{server: s, enum: enumserver.New(set.Config, s.agent), conns: map[*net.TCPConn]struct{}{}}
 	var err error
 	d.sockets, err = reactor.Listen([]netip.AddrPort{set.Listen}, 1, func(local, from netip.AddrPort, data []byte) {
 		select {
-		case g.events <- event{kind: callback, do: func(now float64) {
+		case s.events <- event{kind: callback, do: func(now float64) {
 			d.enum.Receive(now, from, data, false, func(b []byte) { d.sockets.Send(local, from, b) })
 		}}:
 		default: // lost, as on the way
@@ -51,7 +51,7 @@
 	}
 	d.goroutines.Add(1)
 	go d.accept()
-	g.log.Info().Str("addr", set.Listen.String()).Str("apex", set.Apex).Msg("look-ups are answered here")
+	s.log.Info().Str("addr", set.Listen.String()).Str("apex", set.Apex).Msg("look-ups are answered here")
 	return d, nil
 }
 
--- a/internal/protocol/b2bua/call.go
+++ b/internal/protocol/b2bua/call.go
@@ -167,7 +167,7 @@
 
 // answer sends a final answer. A second one never leaves.
 func (c *call) answer(res *sip.Response) {
-	if !c.finish(res.StatusCode) {
+	if !c.finishWithCode(res.StatusCode) {
 		return
 	}
 	c.server.Respond(res)
--- a/internal/protocol/b2bua/enquiry.go
+++ b/internal/protocol/b2bua/enquiry.go
@@ -61,7 +61,7 @@
 		q.Finished = true
 		q.releaseTable()
 	default:
-		q.finish(487)
+		q.finishWithCode(487)
 		if q.WithRouter {
 			q.agent.Router.OnHangup(q.agent.Now, q.Call)
 		}
@@ -81,7 +81,7 @@
 func (q *enquiry) respond(code int, why string) {
 	if !q.Accepted {
 		q.Finished = true
-	} else if !q.finish(code) {
+	} else if !q.finishWithCode(code) {
 		return
 	}
 	q.done(q.agent.Now, EnquiryResult{Code: code, Reason: why})
@@ -89,7 +89,7 @@
 
 // SendRejection implements callcontrol.SignalingLeg.
 func (q *enquiry) SendRejection(wait float64) {
-	if !q.finish(503) {
+	if !q.finishWithCode(503) {
 		return
 	}
 	if !q.agent.config.Settings.RetryAfterEnabled {
@@ -106,7 +106,7 @@
 func (q *enquiry) SendSetup(attempt *routing.Attempt, _ float64) bool {
 	a := q.agent
 	g := a.groups[attempt.Endpoint.DestinationID]
-	if g == nil || g.inUse >= g.Circuits || !q.finish(200) {
+	if g == nil || g.inUse >= g.Circuits || !q.finishWithCode(200) {
 		return false
 	}
 	q.Finished, q.attempt = true, attempt
--- a/internal/protocol/b2bua/numberanalysis.go
+++ b/internal/protocol/b2bua/numberanalysis.go
@@ -116,34 +116,34 @@
 }
 
 // applyRoute puts a route's fields into the call; false: it names what this agent does not have.
-func (k *session) applyRoute(r *numberplan.Route) bool {
-	a := k.agent
+func (s *session) applyRoute(r *numberplan.Route) bool {
+	a := s.agent
 	g := a.byName[r.Group]
 	if g == nil {
 		return false
 	}
 	if r.Skill != "" {
-		s := a.Classes[r.Skill]
-		if s == nil {
+		class := a.Classes[r.Skill]
+		if class == nil {
 			return false
 		}
-		k.Class = s
-		k.SetDeadline()
+		s.Class = class
+		s.SetDeadline()
 	}
 	if r.Customer != "" {
-		if k.Tenant = a.Tenants[r.Customer]; k.Tenant == nil {
+		if s.Tenant = a.Tenants[r.Customer]; s.Tenant == nil {
 			return false
 		}
 	}
-	k.CalledNumber, k.DestinationID, k.number.routeName = r.Number, g.DestinationID, r.Name
+	s.CalledNumber, s.DestinationID, s.number.routeName = r.Number, g.DestinationID, r.Name
 	if r.Looked {
-		k.number.params = ";npdi"
+		s.number.params = ";npdi"
 		if r.Routing != "" {
-			k.number.params += ";rn=" + r.Routing
+			s.number.params += ";rn=" + r.Routing
 		}
 	}
 	if r.Carrier != "" {
-		k.number.params += ";cic=" + r.Carrier
+		s.number.params += ";cic=" + r.Carrier
 	}
 	return true
 }
--- a/internal/protocol/b2bua/session.go
+++ b/internal/protocol/b2bua/session.go
@@ -17,8 +17,8 @@
 	respond(code int, why string)
 }
 
-// finish notes a final answer, by its code, and lets go of the number's table; false: it has one already.
-func (s *session) finish(code int) bool {
+// finishWithCode notes a final answer, by its code, and lets go of the number's table; false: it has one already.
+func (s *session) finishWithCode(code int) bool {
 	if !s.Finish(code >= 300) {
 		return false
 	}
