--- a/internal/decision/connlimit/connlimit_test.go
+++ b/internal/decision/connlimit/connlimit_test.go
@@ -22,12 +22,12 @@
 			60000, false},
 		{"and never will", ConnState{ReceivedMessage: true, LastUsedAt: 0, HasUnsentData: true, BlockedFor: 10000}, 60000,
 			true},
-		{"half a message under a set-up", ConnState{ReceivedMessage: true, PartialMessage: true, PendingCalls: 1}, 9000,
+		{"half a message under a setup", ConnState{ReceivedMessage: true, PartialMessage: true, PendingCalls: 1}, 9000,
 			false},
 		{"it asked lately", ConnState{ReceivedMessage: true, LastUsedAt: 0}, 8000, false},
 		{"nothing since", ConnState{ReceivedMessage: true, LastUsedAt: 0}, 12001, true},
 		{"a call stands", ConnState{ReceivedMessage: true, LastUsedAt: 0, EstablishedCalls: 1}, 60000, false},
-		{"a set-up is open", ConnState{ReceivedMessage: true, LastUsedAt: 0, PendingCalls: 1}, 60000, false},
+		{"a setup is open", ConnState{ReceivedMessage: true, LastUsedAt: 0, PendingCalls: 1}, 60000, false},
 	} {
 		if got := c.l.ShouldClose(c.at); got != c.want {
 			t.Errorf("%s: %v", c.what, got)
--- a/internal/decision/loadshed/loadshed_test.go
+++ b/internal/decision/loadshed/loadshed_test.go
@@ -27,7 +27,7 @@
 			}
 			for i, ok := range taken {
 				if !ok && values[i] > least {
-					t.Fatalf("%v turned away, %v taken", values[i], least)
+					t.Fatalf("%v rejected, %v taken", values[i], least)
 				}
 			}
 			if held+n > g.MaxPending {
--- a/internal/decision/numberplan/compile.go
+++ b/internal/decision/numberplan/compile.go
@@ -2,9 +2,6 @@
 
 import (
 	"cmp"
-	"crypto/sha256"
-	"encoding/hex"
-	"errors"
 	"fmt"
 	"math"
 	"slices"
@@ -75,46 +72,6 @@
 	return proto.Message(a) == of
 }
 
-// Pack is the compact form as it is kept and sent; the same table gives the same octets.
-func Pack(form *api.NumberTable) ([]byte, error) {
-	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(form)
-	if err != nil {
-		return nil, fmt.Errorf("number table: %w", err)
-	}
-	return append([]byte(magic), b...), nil
-}
-
-// MostOctets is the largest compact form that is taken over the wire.
-const MostOctets = 256 << 20
-
-// magic begins a table's compact form: what is none is refused before it is read.
-const magic = "cobalt-numbers 1\n"
-
-// Unpack reads the compact form. Damage is an error.
-func Unpack(b []byte) (*api.NumberTable, error) {
-	rest, ok := strings.CutPrefix(string(b), magic)
-	if !ok {
-		return nil, errors.New(
-			"number table: neither HCL nor the compact form: want a file that ends in .hcl, or one that number compile made",
-		)
-	}
-	form := &api.NumberTable{}
-	if err := proto.Unmarshal([]byte(rest), form); err != nil {
-		return nil, fmt.Errorf("number table: damaged: %w", err)
-	}
-	return form, nil
-}
-
-// Sum is the checksum of a table's compact form.
-func Sum(form *api.NumberTable) (string, error) {
-	b, err := Pack(form)
-	if err != nil {
-		return "", err
-	}
-	s := sha256.Sum256(b)
-	return hex.EncodeToString(s[:]), nil
-}
-
 // compiler makes a table and tells faults.
 type compiler struct {
 	t       *Table
@@ -492,50 +449,3 @@
 		}
 	}
 }
-
-// Names are what a table asks of the gateway that uses it.
-type Names struct {
-	Skills, Customers, Groups []string
-}
-
-// Names lists the classes, tenants and trunk groups that a table's routes name, in order.
-func (t *Table) Names() Names {
-	var n Names
-	for _, r := range t.routes {
-		if r.skill != "" {
-			n.Skills = append(n.Skills, r.skill)
-		}
-		if r.customer != "" {
-			n.Customers = append(n.Customers, r.customer)
-		}
-		for _, c := range r.choices {
-			n.Groups = append(n.Groups, c.group)
-		}
-	}
-	for _, of := range []*[]string{&n.Skills, &n.Customers, &n.Groups} {
-		slices.Sort(*of)
-		*of = slices.Compact(*of)
-	}
-	return n
-}
-
-// Fits says what a table names that its gateway does not have; nil: nothing.
-func (t *Table) Fits(has Names) error {
-	var missing []string
-	want := t.Names()
-	for _, k := range []struct {
-		what      string
-		want, has []string
-	}{{"skill", want.Skills, has.Skills}, {"customer", want.Customers, has.Customers}, {"trunk group", want.Groups,
-		has.Groups}} {
-		for _, n := range k.want {
-			if !slices.Contains(k.has, n) {
-				missing = append(missing, fmt.Sprintf("%s %q", k.what, n))
-			}
-		}
-	}
-	if len(missing) > 0 {
-		return fmt.Errorf("number table %s: names what this gateway does not have: %s", t.Name, strings.Join(missing, ", "))
-	}
-	return nil
-}
--- /dev/null
+++ b/internal/decision/numberplan/names.go
@@ -0,0 +1,55 @@
+package numberplan
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	_ "time/tzdata" // zones also where the machine has none
+)
+
+// Names are what a table asks of the gateway that uses it.
+type Names struct {
+	Skills, Customers, Groups []string
+}
+
+// Names lists the classes, tenants and trunk groups that a table's routes name, in order.
+func (t *Table) Names() Names {
+	var n Names
+	for _, r := range t.routes {
+		if r.skill != "" {
+			n.Skills = append(n.Skills, r.skill)
+		}
+		if r.customer != "" {
+			n.Customers = append(n.Customers, r.customer)
+		}
+		for _, c := range r.choices {
+			n.Groups = append(n.Groups, c.group)
+		}
+	}
+	for _, of := range []*[]string{&n.Skills, &n.Customers, &n.Groups} {
+		slices.Sort(*of)
+		*of = slices.Compact(*of)
+	}
+	return n
+}
+
+// Fits says what a table names that its gateway does not have; nil: nothing.
+func (t *Table) Fits(has Names) error {
+	var missing []string
+	want := t.Names()
+	for _, k := range []struct {
+		what      string
+		want, has []string
+	}{{"skill", want.Skills, has.Skills}, {"customer", want.Customers, has.Customers}, {"trunk group", want.Groups,
+		has.Groups}} {
+		for _, n := range k.want {
+			if !slices.Contains(k.has, n) {
+				missing = append(missing, fmt.Sprintf("%s %q", k.what, n))
+			}
+		}
+	}
+	if len(missing) > 0 {
+		return fmt.Errorf("number table %s: names what this gateway does not have: %s", t.Name, strings.Join(missing, ", "))
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/emulator/binarystandin/conn.go
@@ -0,0 +1,154 @@
+package binarystandin
+
+import (
+	"net/netip"
+	"slices"
+
+	"cobaltpier/internal/protocol/binarygateway"
+	"cobaltpier/internal/protocol/binarymessage"
+)
+
+// conn is one connection's other end.
+type conn struct {
+	w            *World
+	gatewayConn  *binarygateway.Conn
+	number       int
+	endpoint     *Endpoint // nil: a caller's
+	reader       binarymessage.Reader
+	pendingCalls []uint64 // callers': setups without an answer
+	closed       bool
+	blocked      []byte
+}
+
+// send sends a message to the gateway, maybe in pieces.
+func (c *conn) send(kind byte, id uint64, of ...binarymessage.Param) {
+	b := binarymessage.Append(nil, kind, id, of...)
+	if c.endpoint == nil {
+		c.w.Checker.OnClientMessage(c.w.now, b)
+	} else {
+		c.w.Checker.OnEndpointMessage(c.w.now, c.endpoint.id, c.number, b)
+	}
+	c.sendRaw(b)
+}
+
+func (c *conn) sendRaw(b []byte) {
+	w := c.w
+	for len(b) > 0 && !c.closed {
+		n := len(b)
+		if w.Faults.Fragmented {
+			n = 1 + int(w.Chance()*float64(len(b)))
+		}
+		n = min(n, len(b))
+		w.Gateway.OnData(w.now, c.gatewayConn, slices.Clone(b[:n]))
+		b = b[n:]
+	}
+}
+
+// reset ends a connection from this side.
+func (c *conn) reset() {
+	if c.closed {
+		return
+	}
+	c.onGone()
+	c.w.Gateway.OnClosed(c.w.now, c.gatewayConn, binarygateway.ClosedReset)
+}
+
+// onGone notes that a connection has ended.
+func (c *conn) onGone() {
+	c.closed = true
+	w := c.w
+	if c.endpoint != nil {
+		c.endpoint.conns = slices.DeleteFunc(c.endpoint.conns, func(o *conn) bool { return o == c })
+		w.Checker.OnConnClosed(w.now, c.endpoint.id, c.number)
+		for id, o := range c.endpoint.pending {
+			if o == c {
+				delete(c.endpoint.pending, id)
+			}
+		}
+		return
+	}
+	for _, id := range c.pendingCalls {
+		w.Checker.OnClientGone(id)
+	}
+	w.Checker.SetClientConnected(w.now, slices.ContainsFunc(w.conns, func(o *conn) bool { return !o.closed }))
+}
+
+// Write implements binarygateway.Transport.
+func (w *World) Write(l *binarygateway.Conn, b []byte) bool {
+	c := l.Socket.(*conn)
+	if c.endpoint != nil && w.happens(w.Faults.Blocked) {
+		c.blocked = b
+		w.after(20+200*w.Chance(), func() {
+			if !c.closed {
+				c.blocked = nil
+				c.deliver(b)
+				w.Gateway.OnFlushed(w.now, l)
+			}
+		})
+		return false
+	}
+	c.deliver(b)
+	return true
+}
+
+func (c *conn) deliver(b []byte) {
+	if err := c.reader.Feed(b, func(m binarymessage.Message) bool {
+		m = slices.Clone(m)
+		if c.endpoint != nil {
+			c.w.Checker.OnMessageToEndpoint(c.w.now, c.endpoint.id, c.number, m)
+			c.w.after(0.2, func() { c.endpoint.onMessage(c, m) })
+		} else {
+			c.w.Checker.OnMessageToClient(c.w.now, m)
+			c.w.after(0.2, func() { c.onClientMessage(m) })
+		}
+		return true
+	}); err != nil {
+		panic(err)
+	}
+}
+
+func (c *conn) onClientMessage(m binarymessage.Message) {
+	id := m.Call()
+	c.pendingCalls = slices.DeleteFunc(c.pendingCalls, func(o uint64) bool { return o == id })
+	if m.Type() == binarymessage.Answer && c.w.happens(c.w.Faults.CallerHangsUp) {
+		c.w.after(c.w.Chance()*c.w.HoldingTime, func() {
+			if !c.closed {
+				c.send(binarymessage.Release, id, binarymessage.CauseParam(binarymessage.Normal))
+			}
+		})
+	}
+}
+
+// Dial implements binarygateway.Transport.
+func (w *World) Dial(l *binarygateway.Conn, to netip.AddrPort) {
+	w.dialed++
+	c := &conn{w: w, gatewayConn: l, number: w.dialed}
+	l.Socket = c
+	s := w.byAddr[to]
+	w.after(0.3+w.Chance(), func() {
+		switch {
+		case c.closed || s != nil && s.vanished && !s.dead:
+		case s == nil || s.dead:
+			c.closed = true
+			w.Gateway.OnClosed(w.now, l, binarygateway.ClosedRefused)
+		default:
+			c.endpoint = s
+			s.conns = append(s.conns, c)
+			w.Gateway.OnConnected(w.now, l)
+			c.send(binarymessage.LoadState, 0, binarymessage.TextParam(binarymessage.Report, "free:20;size:40;busy:-1;q:-1"))
+		}
+	})
+}
+
+// Close implements binarygateway.Transport.
+func (w *World) Close(l *binarygateway.Conn) {
+	if c := l.Socket.(*conn); !c.closed {
+		c.onGone()
+	}
+}
+
+// CloseWrite implements binarygateway.Transport.
+func (w *World) CloseWrite(*binarygateway.Conn) {}
+
+// SendGossip implements binarygateway.Transport.
+func (w *World) SendGossip(int, []byte) {}
--- /dev/null
+++ b/internal/emulator/binarystandin/endpoint.go
@@ -0,0 +1,123 @@
+package binarystandin
+
+import (
+	"net/netip"
+	"slices"
+
+	"cobaltpier/internal/protocol/binarymessage"
+	"cobaltpier/internal/routing"
+)
+
+// Endpoint is a stand-in of a core switch.
+type Endpoint struct {
+	w           *World
+	id          string
+	addr        netip.AddrPort
+	destination int
+	state       routing.State
+	vanished    bool
+	dead        bool
+	conns       []*conn
+	established map[uint64]bool
+	pending     map[uint64]*conn
+}
+
+// die ends a switch's process: its lines are reset and its calls cut.
+func (s *Endpoint) die() {
+	if s.dead {
+		return
+	}
+	s.dead = true
+	if !s.vanished {
+		s.w.Checker.OnEndpointDied(s.w.now, s.id)
+	}
+	for _, c := range slices.Clone(s.conns) {
+		c.reset()
+	}
+}
+
+// onMessage is what a switch does with a message.
+func (s *Endpoint) onMessage(c *conn, m binarymessage.Message) {
+	w, f, id := c.w, &c.w.Faults, m.Call()
+	if c.closed || s.vanished || s.dead {
+		return
+	}
+	switch m.Type() {
+	case binarymessage.Release:
+		delete(s.pending, id)
+		delete(s.established, id)
+	case binarymessage.Setup:
+		s.pending[id] = c
+		wait := w.AnswerTime * (0.5 + w.Chance())
+		late := w.happens(f.Late)
+		if late {
+			wait = 1500 + 2000*w.Chance()
+		}
+		if w.happens(f.Unanswered) {
+			return
+		}
+		w.after(wait, func() { s.answer(c, id, late) })
+	}
+}
+
+func (s *Endpoint) answer(c *conn, id uint64, late bool) {
+	w, f := c.w, &c.w.Faults
+	if c.closed || s.vanished || s.dead || s.pending[id] != c && !late {
+		return
+	}
+	report := binarymessage.TextParam(binarymessage.Report, "free:20;size:40;busy:0.4;q:1")
+	switch {
+	case w.happens(f.Reset):
+		c.reset()
+		return
+	case w.happens(f.Malformed):
+		delete(s.pending, id)
+		c.sendRaw([]byte{0xff, 0xff, 'n', 'o', 'i', 's', 'e'})
+		return
+	case w.happens(f.Overloaded):
+		delete(s.pending, id)
+		c.send(
+			binarymessage.Release,
+			id,
+			binarymessage.CauseParam(binarymessage.NoCircuit),
+			binarymessage.TextParam(binarymessage.Note, "cpu_full"),
+			binarymessage.TextParam(binarymessage.QueueDelay, "50"),
+			report,
+		)
+		return
+	case w.happens(f.Failed):
+		delete(s.pending, id)
+		c.send(binarymessage.Release, id, binarymessage.CauseParam(binarymessage.Fault), report)
+		return
+	}
+	if w.happens(f.Unsolicited) {
+		c.send(binarymessage.Answer, id^0xffff, binarymessage.TextParam(binarymessage.Description, "another's"), report)
+	}
+	delete(s.pending, id)
+	s.established[id] = true
+	times := 1
+	if w.happens(f.Duplicate) {
+		times = 2
+	}
+	for range times {
+		c.send(binarymessage.Answer, id, binarymessage.TextParam(binarymessage.Description, "answer"), report)
+	}
+	w.after(w.HoldingTime*(0.5+w.Chance()), func() {
+		if !s.established[id] || s.dead || s.vanished {
+			return
+		}
+		delete(s.established, id)
+		cause := byte(binarymessage.Normal)
+		if w.happens(f.Cut) {
+			cause = binarymessage.Failure
+		}
+		on := c
+		if on.closed {
+			if len(s.conns) == 0 {
+				return
+			}
+			on = s.conns[0]
+		}
+		on.send(binarymessage.Release, id, binarymessage.CauseParam(cause), report)
+	})
+}
--- a/internal/gateway/binaryserver/customers_test.go
+++ b/internal/gateway/binaryserver/deployments_test.go
@@ -67,17 +67,17 @@
 		{"all off", []string{"only"}, `"aim":1000,"hardLimit":2000`, ``, ``, ``, 64, "2000"},
 	} {
 		t.Run(c.what, func(t *testing.T) {
-			a, b := newCore(t, "s-0"), newCore(t, "s-1")
-			s := startStation(
+			a, b := newTestEndpoint(t, "s-0"), newTestEndpoint(t, "s-1")
+			s := startTestServer(
 				t,
-				newNames(t, 1, a, b),
+				newTestNameServer(t, 1, a, b),
 				func(set *routing.Settings, h routing.Host) routing.Policy { return router.New(set, h) },
 				c.change,
 				a,
 				b,
 			)
 			p := s.dial()
-			p.ready()
+			p.waitUntilReady()
 			for i, class := range c.classes {
 				id := uint64(2000 + i)
 				_, _ = p.c.Write(
@@ -92,8 +92,8 @@
 						binarymessage.TextParam(binarymessage.Description, "offer"),
 					),
 				)
-				released := func() bool { _, _, n := finals(p.got[id]); return n > 0 }
-				if !p.hear(2*time.Second, released) {
+				released := func() bool { _, _, n := countFinals(p.got[id]); return n > 0 }
+				if !p.waitFor(2*time.Second, released) {
 					t.Errorf("class %q: %x", class, p.got[id])
 				}
 			}
@@ -108,7 +108,7 @@
 					binarymessage.TextParam(binarymessage.Description, "offer"),
 				),
 			)
-			if !p.hear(time.Second, func() bool { return len(p.got[9000]) > 0 }) ||
+			if !p.waitFor(time.Second, func() bool { return len(p.got[9000]) > 0 }) ||
 				p.got[9000][0].Type() != binarymessage.Release {
 				t.Errorf("a class that this customer does not have: %x", p.got[9000])
 			}
--- /dev/null
+++ b/internal/gateway/binaryserver/server_test.go
@@ -0,0 +1,421 @@
+package binaryserver
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"net"
+	"net/netip"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+	"go.uber.org/goleak"
+
+	"cobaltpier/internal/detrand"
+	"cobaltpier/internal/gateway/binaryconfig"
+	"cobaltpier/internal/protocol/binarymessage"
+	"cobaltpier/internal/router"
+	"cobaltpier/internal/routing"
+)
+
+// Calls pass over real sockets while lines break in every way: each has one final answer, and what stood is released.
+func TestCallsUnderFaults(t *testing.T) {
+	defer goleak.VerifyNone(t, goleak.IgnoreTopFunction("github.com/lesismal/nbio/timer.(*Timer).Start.func1"))
+	t.Run("trouble", func(t *testing.T) {
+		a, b := newTestEndpoint(t, "s-0"), newTestEndpoint(t, "s-1")
+		faults := []string{"", "reset", "noise", "full", "never", "half"}
+		for i, c := range []*testEndpoint{a, b} {
+			c.does = func(n int) string {
+				if x := int(detrand.Float64(uint64(i), uint64(n)) * 40); x < len(faults) {
+					return faults[x]
+				}
+				return ""
+			}
+		}
+		s := newTestServer(t, newTestNameServer(t, 1, a, b), a, b)
+		p := s.dial()
+		p.waitUntilReady()
+		const calls = 300
+		var wire []byte
+		for i := range uint64(calls) {
+			wire = append(wire, setupMessage(i+1000)...)
+		}
+		go func() {
+			for seed := uint64(0); len(wire) > 0; seed++ { // in pieces that end anywhere
+				n := min(len(wire), 1+int(detrand.Float64(7, seed)*700))
+				if _, err := p.c.Write(wire[:n]); err != nil {
+					return
+				}
+				wire = wire[n:]
+				time.Sleep(20 * time.Millisecond)
+			}
+		}()
+		done := func() bool {
+			n := 0
+			for _, of := range p.got {
+				if answers, refusals, releases := countFinals(of); refusals > 0 || answers > 0 && releases > 0 {
+					n++
+				}
+			}
+			return n >= calls
+		}
+		p.waitFor(20*time.Second, done)
+		stood := 0
+		for i := range uint64(calls) {
+			answers, refusals, releases := countFinals(p.got[i+1000])
+			if answers+refusals != 1 || releases != answers {
+				t.Errorf("call %d: %d answers, %d refusals, %d releases", i, answers, refusals, releases)
+			}
+			stood += answers
+		}
+		if stood < calls/2 {
+			t.Errorf("only %d of %d calls stood", stood, calls)
+		}
+	})
+}
+
+// Callers that send what can't be used get a refusal or a close soon, and usual ones do not notice.
+func TestMisbehavingClients(t *testing.T) {
+	a, b := newTestEndpoint(t, "s-0"), newTestEndpoint(t, "s-1")
+	s := newTestServer(t, newTestNameServer(t, 1, a, b), a, b)
+	usual := s.dial()
+	usual.waitUntilReady()
+	big := make([]byte, 1<<20)
+	for i := range big {
+		big[i] = 0x7f
+	}
+	odd := func(id uint64, of ...binarymessage.Param) []byte {
+		return binarymessage.Append(nil, binarymessage.Setup, id, of...)
+	}
+	class, wait, number := binarymessage.TextParam(binarymessage.Class, "voice"),
+		binarymessage.TextParam(binarymessage.Timeout, "900"), binarymessage.TextParam(binarymessage.Number, "1")
+	for what, wire := range map[string][]byte{
+		"no message":         []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
+		"nothing":            nil,
+		"half a message":     setupMessage(77)[:20],
+		"length zero":      {0, 0, 0, 0},
+		"60 MB":              big,
+		"class unknown":      odd(1<<41+1, binarymessage.TextParam(binarymessage.Class, "video"), wait, number),
+		"no class":           odd(1<<41+2, wait, number),
+		"timeout no figure": odd(1<<41+3, class, binarymessage.TextParam(binarymessage.Timeout, "soon"), number),
+		"timeout below 0":   odd(1<<41+4, class, binarymessage.TextParam(binarymessage.Timeout, "-5"), number),
+		"timeout endless":   odd(1<<41+5, class, binarymessage.TextParam(binarymessage.Timeout, "1e300"), number),
+		"no number":          odd(1<<41+6, class, wait),
+		"figures too large": odd(1<<41+7, class, wait, number, binarymessage.TextParam(binarymessage.Figures,
+			"dest:99999999999999999999")),
+		"figures no number": odd(1<<41+8, class, wait, number, binarymessage.TextParam(binarymessage.Figures, "width:many")),
+		"no id":             odd(0, class, wait, number),
+		"unknown switch": odd(1<<41+9, class, wait, number, binarymessage.TextParam(binarymessage.Figures,
+			"at:s-nowhere")),
+		"one id twice": append(setupMessage(1<<41+10), setupMessage(1<<41+10, binarymessage.TextParam(binarymessage.Note, "x"))...),
+		"odd type":     binarymessage.Append(nil, 200, 5),
+	} {
+		t.Run(what, func(t *testing.T) {
+			p := s.dial()
+			go func() { // at full speed, and nobody cares whether it arrives
+				for range 60 {
+					if _, err := p.c.Write(wire); err != nil || len(wire) < len(big) {
+						return
+					}
+				}
+			}()
+			over := func() bool { return !p.open || len(p.got) > 0 }
+			if !p.waitFor(3*time.Second, over) {
+				t.Error("neither an answer nor a close")
+			}
+			for _, of := range p.got {
+				if answers, _, _ := countFinals(of); answers > 0 {
+					t.Error("served")
+				}
+			}
+		})
+		id := uint64(len(what)) + 5000 + detrand.Hash(uint64(len(wire)))%1000
+		_, _ = usual.c.Write(setupMessage(id))
+		if !usual.waitFor(2*time.Second, func() bool { return len(usual.got[id]) > 0 }) ||
+			usual.got[id][0].Type() != binarymessage.Answer {
+			t.Errorf("%s: a usual caller got %x", what, usual.got[id])
+		}
+	}
+}
+
+// Hundreds of setups at once, or taken back at once, or again as soon as they are rejected: each has one answer or none
+// is owed, and a usual caller has its own in time.
+func TestFloods(t *testing.T) {
+	a, b := newTestEndpoint(t, "s-0"), newTestEndpoint(t, "s-1")
+	s := newTestServer(t, newTestNameServer(t, 1, a, b), a, b)
+	usual := s.dial()
+	usual.waitUntilReady()
+	const many = 400
+	for round, back := range []bool{false, true} {
+		p := s.dial()
+		var wire []byte
+		first := uint64(round+1) << 40
+		for i := range uint64(many) {
+			wire = append(wire, setupMessage(first+i)...)
+			if back {
+				wire = append(
+					wire,
+					binarymessage.Append(nil, binarymessage.Release, first+i, binarymessage.CauseParam(binarymessage.Normal))...)
+			}
+		}
+		go func() { _, _ = p.c.Write(wire) }()
+		time.Sleep(20 * time.Millisecond)
+		id := uint64(9000 + round)
+		_, _ = usual.c.Write(setupMessage(id))
+		if !usual.waitFor(1600*time.Millisecond, func() bool { return len(usual.got[id]) > 0 }) {
+			t.Errorf("taken back %v: a usual caller has no answer", back)
+		}
+		p.waitFor(3*time.Second, func() bool { return !back && len(p.got) == many })
+		if !back && len(p.got) != many {
+			t.Errorf("%d of %d have an answer", len(p.got), many)
+		}
+		for id, of := range p.got {
+			if answers, refusals, _ := countFinals(of); answers+refusals > 1 {
+				t.Errorf("taken back %v: call %x has %d answers and %d refusals", back, id, answers, refusals)
+			}
+		}
+	}
+	p := s.dial()
+	for n := range uint64(200) { // the same again as soon as it is rejected
+		id := uint64(5)<<40 + n
+		_, _ = p.c.Write(setupMessage(id, binarymessage.TextParam(binarymessage.RetryAfter, "0")))
+		if !p.waitFor(2*time.Second, func() bool { return len(p.got[id]) > 0 }) {
+			t.Fatalf("repeat %d has no answer", n)
+		}
+	}
+	a.mu.Lock()
+	b.mu.Lock()
+	defer a.mu.Unlock()
+	defer b.mu.Unlock()
+	if a.got+b.got == 0 {
+		t.Error("no setup came to a switch")
+	}
+}
+
+// gossipPolicy is a module that hears other gateways and says something to them.
+type gossipPolicy struct {
+	routing.Policy
+	h     routing.Host
+	heard chan string
+}
+
+func (m *gossipPolicy) OnGossip(_ float64, from int, b []byte) {
+	m.heard <- fmt.Sprintf("%d %s", from, b)
+	m.h.SendGossip(from, append([]byte("re "), b...))
+	m.h.SendGossip(from, make([]byte, 257))
+}
+
+// Other gateways are known by the addresses that their messages come from; what comes from elsewhere counts for
+// nothing.
+func TestGossip(t *testing.T) {
+	a := newTestEndpoint(t, "s-0")
+	peer, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer peer.Close()
+	stranger, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer stranger.Close()
+	own := freePort(t)
+	heard := make(chan string, 10)
+	s := startTestServer(t, newTestNameServer(t, 1, a), func(set *routing.Settings, h routing.Host) routing.Policy {
+		return &gossipPolicy{Policy: router.New(set, h), h: h, heard: heard}
+	}, func(doc map[string]any) {
+		doc["peer_listen"], doc["peers"] = own, []string{own, peer.LocalAddr().String()}
+		doc["settings"] = json.RawMessage(
+			strings.Replace(string(doc["settings"].(json.RawMessage)), `"balancers":1`, `"balancers":2`, 1),
+		)
+		doc["settings"] = json.RawMessage(
+			strings.Replace(string(doc["settings"].(json.RawMessage)), `"cancel":true`, `"cancel":true,"peers":true`, 1),
+		)
+	}, a)
+	s.dial().waitUntilReady()
+	to := net.UDPAddrFromAddrPort(netip.MustParseAddrPort(own))
+	_, _ = stranger.WriteToUDP([]byte("no"), to)
+	_, _ = peer.WriteToUDP(make([]byte, 257), to)
+	_, _ = peer.WriteToUDP([]byte("news"), to)
+	select {
+	case got := <-heard:
+		if got != "1 news" {
+			t.Errorf("the module heard %q", got)
+		}
+	case <-time.After(3 * time.Second):
+		t.Fatal("the module heard nothing")
+	}
+	b := make([]byte, 1000)
+	_ = peer.SetReadDeadline(time.Now().Add(3 * time.Second))
+	if n, _, err := peer.ReadFromUDP(b); err != nil || string(b[:n]) != "re news" {
+		t.Errorf("the other gateway got %q, %v", b[:max(n, 0)], err)
+	}
+	_ = peer.SetReadDeadline(time.Now().Add(200 * time.Millisecond))
+	if n, _, err := peer.ReadFromUDP(b); err == nil {
+		t.Errorf("and %d bytes more", n)
+	}
+}
+
+// Hundreds connect and say nothing: descriptors hold, and a usual caller gets in.
+func TestSilentClients(t *testing.T) {
+	a, b := newTestEndpoint(t, "s-0"), newTestEndpoint(t, "s-1")
+	s := newTestServer(t, newTestNameServer(t, 1, a, b), a, b)
+	s.dial().waitUntilReady()
+	for range 400 {
+		c, err := net.Dial("tcp", s.addr)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer c.Close()
+	}
+	p := s.dial()
+	_, _ = p.c.Write(setupMessage(4242))
+	if !p.waitFor(2*time.Second, func() bool { return len(p.got[4242]) > 0 }) ||
+		p.got[4242][0].Type() != binarymessage.Answer {
+		t.Errorf("a usual caller among a silent crowd got %x, connection open %v", p.got[4242], p.open)
+	}
+}
+
+// A drain that the name server tells of is kept; a new configuration names another name server, whose list counts; one
+// that can't be used changes nothing.
+func TestListAndReload(t *testing.T) {
+	a, b := newTestEndpoint(t, "s-0"), newTestEndpoint(t, "s-1")
+	ns, other := newTestNameServer(t, 1, a, b), newTestNameServer(t, 10, b)
+	s := newTestServer(t, ns, a, b)
+	p := s.dial()
+	p.waitUntilReady()
+	next := uint64(1 << 30)
+	to := func() (served string) {
+		next += 2 // the destination is s-0 every time
+		_, _ = p.c.Write(setupMessage(next))
+		p.waitFor(2*time.Second, func() bool { return len(p.got[next]) > 0 })
+		if len(p.got[next]) == 0 {
+			return "nothing"
+		}
+		return p.got[next][0].Text(binarymessage.Description)
+	}
+	if got := to(); got != "answer of s-0" {
+		t.Fatalf("before: %q", got)
+	}
+	ns.setPriorities(func(l map[*testEndpoint]uint16) { l[a] = 1 })
+	time.Sleep(600 * time.Millisecond)
+	if got := to(); got != "answer of s-1" {
+		t.Errorf("s-0 drains: %q", got)
+	}
+	ns.setPriorities(func(l map[*testEndpoint]uint16) { l[a] = 0 })
+	time.Sleep(600 * time.Millisecond)
+	s.doc["nameserver"] = "nowhere"
+	s.write()
+	s.signals <- Reload
+	time.Sleep(300 * time.Millisecond)
+	if got := to(); got != "answer of s-0" {
+		t.Errorf("after a bad configuration: %q", got)
+	}
+	s.doc["nameserver"] = other.addr()
+	s.write()
+	s.signals <- Reload
+	time.Sleep(600 * time.Millisecond)
+	if got := to(); got != "answer of s-1" {
+		t.Errorf("the new name server says that s-0 is gone: %q", got)
+	}
+}
+
+// Told to leave, a gateway goes on taking calls for a while, fails tests, answers what it holds, and ends.
+func TestShutdown(t *testing.T) {
+	a, b := newTestEndpoint(t, "s-0"), newTestEndpoint(t, "s-1")
+	s := newTestServer(t, newTestNameServer(t, 1, a, b), a, b)
+	p := s.dial()
+	p.waitUntilReady()
+	s.signals <- Shutdown
+	time.Sleep(300 * time.Millisecond)
+	q := s.dial() // connections keep coming
+	_, _ = q.c.Write(append(setupMessage(600), binarymessage.Append(nil, binarymessage.HealthCheck, 601,
+		binarymessage.CauseParam(0))...))
+	if !q.waitFor(time.Second, func() bool { return len(q.got[600]) > 0 && len(q.got[601]) > 0 }) ||
+		q.got[600][0].Type() != binarymessage.Answer ||
+		q.got[601][0].Cause() != 0 {
+		t.Errorf("after 0.3 s: %x", q.got)
+	}
+	time.Sleep(550 * time.Millisecond)
+	_, _ = p.c.Write(setupMessage(602))
+	if !p.waitFor(time.Second, func() bool { return len(p.got[602]) > 0 }) || p.got[602][0].Type() != binarymessage.Release ||
+		p.got[602][0].Cause() != binarymessage.Congested {
+		t.Errorf("after 0.85 s: %x", p.got[602])
+	}
+	select {
+	case err := <-s.ended:
+		s.ended <- err
+		if err != nil {
+			t.Error(err)
+		}
+	case <-time.After(3 * time.Second):
+		t.Error("it does not end")
+	}
+}
+
+// A gateway that leaves stays for the established calls, and passes their releases on, but no longer than it may.
+func TestShutdownWithCalls(t *testing.T) {
+	a, b := newTestEndpoint(t, "s-0"), newTestEndpoint(t, "s-1")
+	a.hold, b.hold = 1800*time.Millisecond, 1800*time.Millisecond
+	a.does = func(n int) string {
+		if n == 2 {
+			return "never"
+		}
+		return ""
+	}
+	s := newTestServer(t, newTestNameServer(t, 1, a, b), a, b)
+	p := s.dial()
+	p.waitUntilReady()
+	_, _ = p.c.Write(setupMessage(700))
+	p.waitFor(time.Second, func() bool { return len(p.got[700]) > 0 })
+	s.signals <- Shutdown
+	time.Sleep(400 * time.Millisecond)
+	_, _ = p.c.Write(setupMessage(702, binarymessage.Param{Code: binarymessage.Note}))
+	if !p.waitFor(3*time.Second, func() bool { return len(p.got[700]) > 1 }) {
+		t.Errorf("the release of a call that stood did not pass: %x", p.got[700])
+	}
+	if !p.waitFor(2*time.Second, func() bool { return !p.open && len(p.got[702]) > 0 }) ||
+		p.got[702][0].Type() != binarymessage.Release {
+		t.Errorf("a call that no switch answers got %x, open %v", p.got[702], p.open)
+	}
+}
+
+// An address that is taken is told.
+func TestAddressInUse(t *testing.T) {
+	a := newTestEndpoint(t, "s-0")
+	s := newTestServer(t, newTestNameServer(t, 1, a), a)
+	s.dial().waitUntilReady()
+	cfg, err := binaryconfig.Load(s.file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	err = Run(
+		context.Background(),
+		s.file,
+		cfg,
+		func(set *routing.Settings, h routing.Host) routing.Policy { return router.New(set, h) },
+		zerolog.Nop(),
+		nil,
+	)
+	if err == nil || !strings.Contains(err.Error(), s.addr) {
+		t.Errorf("%v", err)
+	}
+}
+
+// After a stall the sockets are read once more before any timer runs; else nothing waits.
+func TestEventsAfterStall(t *testing.T) {
+	s := &Server{}
+	for i, c := range []struct {
+		looked, now float64
+		want        bool
+	}{{0, 5000, false}, {1000, 1100, false}, {1000, 1151, true}, {0, 1160, false}} {
+		if c.looked > 0 {
+			s.lastBatchAt = c.looked
+		}
+		if got := s.stalled(c.now); got != c.want {
+			t.Errorf("%d: %v", i, got)
+		}
+	}
+}
--- a/internal/gateway/binaryserver/leave_test.go
+++ b/internal/gateway/binaryserver/shutdown_test.go
@@ -22,7 +22,7 @@
 }
 
 // over waits for a gateway to end by itself.
-func (s *station) over(within time.Duration) {
+func (s *testServer) over(within time.Duration) {
 	s.Helper()
 	select {
 	case err := <-s.ended:
@@ -36,7 +36,7 @@
 }
 
 // rest reads till the other side ends the connection, and tells whether it did so in order.
-func (p *phone) rest(within time.Duration) error {
+func (p *testClient) rest(within time.Duration) error {
 	_ = p.c.SetReadDeadline(time.Now().Add(within))
 	b := make([]byte, 4096)
 	for {
@@ -58,27 +58,27 @@
 // so is one on a connection that is just accepted. All connections end in order.
 func TestLeaveHalfRead(t *testing.T) {
 	clean(t, func(t *testing.T) {
-		a := newCore(t, "s-0")
-		s := newStation(t, newNames(t, 1, a), a)
+		a := newTestEndpoint(t, "s-0")
+		s := newTestServer(t, newTestNameServer(t, 1, a), a)
 		soon, late, idle := s.dial(), s.dial(), s.dial()
-		soon.ready()
-		one, two := ask(600), ask(602)
+		soon.waitUntilReady()
+		one, two := setupMessage(600), setupMessage(602)
 		_, _ = soon.c.Write(one[:11])
 		_, _ = late.c.Write(two[:len(two)-1])
 		s.signals <- Shutdown
 		_, _ = soon.c.Write(one[11:])
-		if !soon.hear(time.Second, func() bool { return len(soon.got[600]) > 0 }) ||
+		if !soon.waitFor(time.Second, func() bool { return len(soon.got[600]) > 0 }) ||
 			soon.got[600][0].Type() != binarymessage.Answer {
 			t.Errorf("half read, and whole soon after: %x", soon.got[600])
 		}
 		time.Sleep(800 * time.Millisecond)
 		_, _ = late.c.Write(two[len(two)-1:])
-		if !late.hear(time.Second, func() bool { return len(late.got[602]) > 0 }) ||
+		if !late.waitFor(time.Second, func() bool { return len(late.got[602]) > 0 }) ||
 			late.got[602][0].Cause() != binarymessage.Congested {
 			t.Errorf("whole when nothing is taken any more: %x", late.got[602])
 		}
 		var end sync.WaitGroup
-		for _, p := range []*phone{soon, late, idle} {
+		for _, p := range []*testClient{soon, late, idle} {
 			end.Go(func() {
 				if err := p.rest(4 * time.Second); err != nil {
 					t.Errorf("a connection did not end in order: %v", err)
@@ -95,18 +95,18 @@
 // well.
 func TestLeaveTwice(t *testing.T) {
 	clean(t, func(t *testing.T) {
-		a, b := newCore(t, "s-0"), newCore(t, "s-1")
-		ns, other := newNames(t, 1, a, b), newNames(t, 10, b)
-		s := newStation(t, ns, a, b)
+		a, b := newTestEndpoint(t, "s-0"), newTestEndpoint(t, "s-1")
+		ns, other := newTestNameServer(t, 1, a, b), newTestNameServer(t, 10, b)
+		s := newTestServer(t, ns, a, b)
 		p := s.dial()
-		p.ready()
+		p.waitUntilReady()
 		s.signals <- Shutdown
 		s.doc["nameserver"] = other.addr()
 		s.write()
 		s.signals <- Reload
 		time.Sleep(350 * time.Millisecond)
-		_, _ = p.c.Write(ask(700)) // its destination is s-0, which the new name server does not name
-		if !p.hear(time.Second, func() bool { return len(p.got[700]) > 0 }) ||
+		_, _ = p.c.Write(setupMessage(700)) // its destination is s-0, which the new name server does not name
+		if !p.waitFor(time.Second, func() bool { return len(p.got[700]) > 0 }) ||
 			p.got[700][0].Text(binarymessage.Description) != "answer of s-1" {
 			t.Errorf("%q", p.got[700])
 		}
@@ -120,8 +120,8 @@
 		s.over(100 * time.Millisecond)
 	})
 	clean(t, func(t *testing.T) {
-		a := newCore(t, "s-0")
-		s := newStation(t, newNames(t, 1, a), a)
+		a := newTestEndpoint(t, "s-0")
+		s := newTestServer(t, newTestNameServer(t, 1, a), a)
 		s.signals <- Shutdown
 		s.over(5 * time.Second)
 	})
@@ -131,11 +131,11 @@
 // order, and is not reset under the answer.
 func TestLastAnswerIsNotReset(t *testing.T) {
 	clean(t, func(t *testing.T) {
-		a := newCore(t, "s-0")
+		a := newTestEndpoint(t, "s-0")
 		a.does = func(int) string { return "never" }
-		s := newStation(t, newNames(t, 1, a), a)
+		s := newTestServer(t, newTestNameServer(t, 1, a), a)
 		p := s.dial()
-		p.ready()
+		p.waitUntilReady()
 		stop, gone := make(chan struct{}), make(chan struct{})
 		go func() { // it never stops writing what means nothing
 			defer close(gone)
@@ -176,10 +176,10 @@
 // A configuration that is replaced while it is read is read again.
 func TestReloadUnderWay(t *testing.T) {
 	clean(t, func(t *testing.T) {
-		a, b := newCore(t, "s-0"), newCore(t, "s-1")
-		ns, other := newNames(t, 1, a, b), newNames(t, 10, b)
-		s := newStation(t, ns, a, b)
-		s.dial().ready()
+		a, b := newTestEndpoint(t, "s-0"), newTestEndpoint(t, "s-1")
+		ns, other := newTestNameServer(t, 1, a, b), newTestNameServer(t, 10, b)
+		s := newTestServer(t, ns, a, b)
+		s.dial().waitUntilReady()
 		if err := os.WriteFile(s.file, []byte(`{"name":"n0","listen":`), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -204,13 +204,13 @@
 // is let in and served, and a gateway that has just started passes its test.
 func TestIdleCrowdWithoutList(t *testing.T) {
 	clean(t, func(t *testing.T) {
-		a := newCore(t, "s-0")
-		ns := newNames(t, 1, a)
+		a := newTestEndpoint(t, "s-0")
+		ns := newTestNameServer(t, 1, a)
 		ns.mu.Lock()
 		ns.silent = true
 		ns.mu.Unlock()
-		s := newStation(t, ns, a)
-		s.dial().ready()
+		s := newTestServer(t, ns, a)
+		s.dial().waitUntilReady()
 		for i := range uint64(200) {
 			c, err := net.Dial("tcp", s.addr)
 			if err != nil {
@@ -224,9 +224,9 @@
 			}
 		}
 		p := s.dial()
-		p.ready()
-		_, _ = p.c.Write(ask(900))
-		if !p.hear(2*time.Second, func() bool { return len(p.got[900]) > 0 }) ||
+		p.waitUntilReady()
+		_, _ = p.c.Write(setupMessage(900))
+		if !p.waitFor(2*time.Second, func() bool { return len(p.got[900]) > 0 }) ||
 			p.got[900][0].Type() != binarymessage.Answer {
 			t.Errorf("a usual caller got %x, connection open %v", p.got[900], p.open)
 		}
@@ -236,17 +236,17 @@
 // A caller that closes under its attempt has gone: the attempt is given up, and no other begins.
 func TestCallerClosesUnderRing(t *testing.T) {
 	clean(t, func(t *testing.T) {
-		a, b := newCore(t, "s-0"), newCore(t, "s-1")
+		a, b := newTestEndpoint(t, "s-0"), newTestEndpoint(t, "s-1")
 		rung := make(chan struct{}, 10)
 		never := func(int) string {
 			rung <- struct{}{}
 			return "never"
 		}
 		a.does, b.does = never, never
-		s := newStation(t, newNames(t, 1, a, b), a, b)
+		s := newTestServer(t, newTestNameServer(t, 1, a, b), a, b)
 		p, other := s.dial(), s.dial()
-		p.ready()
-		_, _ = p.c.Write(ask(1000))
+		p.waitUntilReady()
+		_, _ = p.c.Write(setupMessage(1000))
 		<-rung
 		p.c.Close()
 		givenUp := func() bool {
@@ -260,11 +260,11 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		if !givenUp() {
-			t.Error("the ring was not given up")
+			t.Error("the attempt was not given up")
 		}
-		other.hear(1200*time.Millisecond, func() bool { return false }) // well past the retry hold-off
+		other.waitFor(1200*time.Millisecond, func() bool { return false }) // well past the retry hold-off
 		if n := len(rung); n != 0 {
-			t.Errorf("%d more rings", n)
+			t.Errorf("%d more attempts", n)
 		}
 	})
 }
--- a/internal/protocol/b2bua/agent_test.go
+++ b/internal/protocol/b2bua/agent_test.go
@@ -8,7 +8,6 @@
 
 	"github.com/emiago/sipgo/sip"
 
-	"cobaltpier/internal/decision/loadshed"
 	"cobaltpier/internal/protocol/siptransaction"
 	"cobaltpier/internal/routing"
 )
@@ -20,197 +19,9 @@
 	switchB = netip.MustParseAddrPort("127.0.0.4:5060")
 )
 
-// mind is a module that a test plays by hand.
-type mind struct {
-	h       routing.Host
-	pools   []*routing.Endpoint
-	offered func(now float64, c *routing.Call)
-	ended   func(now float64, r *routing.Attempt)
-	woken   func(now float64, c *routing.Call)
-	heard   []string
-}
-
-func (m *mind) OnEndpoints(_ float64, ps []*routing.Endpoint) {
-	if m.pools == nil {
-		m.pools = ps
-	}
-}
-func (m *mind) OnCall(now float64, routed *routing.Call)     { m.offered(now, routed) }
-func (m *mind) OnAnswer(_ float64, attempt *routing.Attempt) { m.heard = append(m.heard, "stood") }
-func (m *mind) OnAttemptEnd(now float64, attempt *routing.Attempt, closed bool) {
-	m.heard = append(m.heard, fmt.Sprintf("ended %d closed %v wait %v", attempt.Outcome, closed, attempt.RetryAfter))
-	if m.ended != nil {
-		m.ended(now, attempt)
-	}
-}
-func (m *mind) OnHangup(float64, *routing.Call) { m.heard = append(m.heard, "left") }
-func (m *mind) OnLoadReport(_ float64, endpoint *routing.Endpoint, ok, full bool) {
-	m.heard = append(m.heard, fmt.Sprintf("report %v %v", ok, full))
-}
-func (m *mind) OnGossip(float64, int, []byte) {}
-func (m *mind) OnWakeup(now float64, routed *routing.Call) {
-	if m.woken != nil {
-		m.woken(now, routed)
-	}
-}
-
-type packet struct {
-	to   netip.AddrPort
-	data string
-}
-
-// rig is a gateway with a hand-played module and wire.
-type rig struct {
-	*testing.T
-	e    *Agent
-	m    *mind
-	now  float64
-	out  []packet
-	said int
-}
-
-func (r *rig) Send(to netip.AddrPort, data []byte) { r.out = append(r.out, packet{to, string(data)}) }
-func (r *rig) SendGossip(int, []byte)              {}
-
-func newRig(t *testing.T) *rig {
-	r := &rig{T: t, m: &mind{}, now: 1e6}
-	set := &routing.Settings{
-		Gateways:          1,
-		Seed:              3,
-		TickInterval:      1,
-		MaxAttempts:       5,
-		CancelEnabled:     true,
-		RetryAfterEnabled: true,
-		RetryHoldOff:      500,
-		AnswerGrace:       20,
-		Classes: []*routing.Class{
-			{Name: "shift-lookup", LatencyObjective: 2000, Timeout: 9000, Weight: 1},
-			{Name: "claim", LatencyObjective: 1000, Timeout: 6000, Weight: 5},
-		},
-	}
-	r.e = New(
-		&Config{
-			Name:         "e",
-			Address:      self,
-			TrunkContext: "x.example",
-			Settings:     set,
-			Times:        siptransaction.Timers{T1: 400, T2: 3200, T4: 5000},
-			DefaultClass: "shift-lookup",
-			Groups: []Group{
-				{Name: "TG-0", DestinationID: 0, Circuits: 10},
-				{Name: "TG-1", DestinationID: 1, Circuits: 10},
-			},
-			LoadShedding: loadshed.Gate{MaxPending: 100},
-		},
-		func(_ *routing.Settings, h routing.Host) routing.Policy { r.m.h = h; return r.m },
-		r,
-	)
-	r.m.offered = func(now float64, routed *routing.Call) { r.m.h.StartAttempt(routed, r.m.pools[0], routed.Deadline-now) }
-	r.list(routing.Ready)
-	return r
-}
-
-func (r *rig) list(a routing.State) {
-	r.e.OnEndpointList(
-		r.now,
-		[]ListEntry{
-			{ID: "a", DestinationID: 0, State: a, Addr: switchA},
-			{ID: "b", DestinationID: 1, State: routing.Ready, Addr: switchB},
-		},
-		true,
-	)
-}
-
-func (r *rig) pass(ms float64) {
-	for end := r.now + ms; r.now < end; {
-		r.now++
-		r.e.Step(r.now)
-	}
-}
-
-// get is what a caller or switch sends.
-func (r *rig) get(from netip.AddrPort, text string) {
-	head, body, _ := strings.Cut(text, "\n\n")
-	r.e.Receive(r.now, from, []byte(strings.ReplaceAll(head, "\n", "\r\n")+"\r\n\r\n"+body))
-	r.e.Step(r.now)
-}
-
-func callerSays(method, id, more string) string {
-	n := "1 " + method
-	if method == "BYE" {
-		n = "2 BYE"
-	}
-	branch := id
-	if method == "BYE" || method == "ACK" {
-		branch += method
-	}
-	return method + " sip:+14185550123;tgrp=TG-0;trunk-context=x.example@127.0.0.1 SIP/2.0\nVia: SIP/2.0/UDP " +
-		"127.0.0.2:5060;rport;branch=z9hG4bK" + branch +
-		"\nFrom: <sip:staff@epicerie.example>;tag=c" + id + "\nTo: <sip:+14185550123@127.0.0.1>" + more + "\nCall-ID: " +
-		id + "\nCSeq: " + n +
-		"\nContact: <sip:127.0.0.2:5060>\nMax-Forwards: 70\nSession-ID: " + strings.Repeat(id[:1], 32) + ";remote=" +
-		strings.Repeat("0", 32) +
-		"\nExpires: 9\nContent-Length: 0"
-}
-
-// sent waits for the next message to somebody that begins with a text, and fails without one.
-func (r *rig) sent(to netip.AddrPort, begins string) sip.Message {
-	r.Helper()
-	for ; r.said < len(r.out); r.said++ {
-		p := r.out[r.said]
-		if p.to == to && strings.HasPrefix(p.data, begins) {
-			r.said++
-			m, err := siptransaction.Parse([]byte(p.data))
-			if err != nil {
-				r.Fatalf("%q: %v", p.data, err)
-			}
-			return m
-		}
-	}
-	var all []string
-	for _, p := range r.out {
-		l, _, _ := strings.Cut(p.data, "\r\n")
-		all = append(all, p.to.String()+" "+l)
-	}
-	r.Fatalf("nothing to %v begins with %q; sent:\n%s", to, begins, strings.Join(all, "\n"))
-	return nil
-}
-
-// count is how many messages to somebody begin with a text.
-func (r *rig) count(to netip.AddrPort, begins string) (n int) {
-	for _, p := range r.out {
-		if p.to == to && strings.HasPrefix(p.data, begins) {
-			n++
-		}
-	}
-	return n
-}
-
-// answer is a switch's answer to a request.
-func (r *rig) answer(from netip.AddrPort, to sip.Message, code int, tag, more string) {
-	res := siptransaction.Response(to.(*sip.Request), code, "X", tag)
-	if code == 200 && to.(*sip.Request).Method == sip.INVITE {
-		res.AppendHeader(
-			&sip.ContactHeader{Address: sip.Uri{Scheme: "sip", Host: from.Addr().String(), Port: int(from.Port())}},
-		)
-	}
-	if k, v, ok := strings.Cut(more, ": "); ok {
-		res.AppendHeader(sip.NewHeader(k, v))
-	}
-	r.e.Receive(r.now, from, []byte(res.String()))
-	r.e.Step(r.now)
-}
-
-func (r *rig) heard(want ...string) {
-	r.Helper()
-	if got := strings.Join(r.m.heard, ", "); got != strings.Join(want, ", ") {
-		r.Errorf("the module heard %s, want %s", got, strings.Join(want, ", "))
-	}
-}
-
 // A whole call, with the load report, and its release by the caller.
 func TestCall(t *testing.T) {
-	r := newRig(t)
+	r := newTestHost(t)
 	r.get(caller, callerSays("INVITE", "1a", ""))
 	inv := r.sent(switchA, "INVITE sip:+14185550123;tgrp=TG-0;trunk-context=x.example@127.0.0.3")
 	r.pass(151)
@@ -255,7 +66,7 @@
 
 // A BYE overtakes the ACK: the 200 is not repeated after it.
 func TestByeOvertakesAck(t *testing.T) {
-	r := newRig(t)
+	r := newTestHost(t)
 	r.get(caller, callerSays("INVITE", "1e", ""))
 	r.answer(switchA, r.sent(switchA, "INVITE"), 200, "s", "")
 	tag := ";tag=" + siptransaction.Tag(r.sent(caller, "SIP/2.0 200").To().Params)
@@ -270,7 +81,7 @@
 // CANCEL and 200 cross: the call that stood is acknowledged and released, and nothing attempts before the retry
 // hold-off.
 func TestCancelCrosses200(t *testing.T) {
-	r := newRig(t)
+	r := newTestHost(t)
 	r.m.ended = func(now float64, x *routing.Attempt) { r.m.h.ScheduleWakeup(now+1, x.Call) }
 	r.m.woken = func(now float64, routed *routing.Call) {
 		if !routed.Finished && routed.InFlight == nil {
@@ -305,7 +116,7 @@
 
 // A 200 after the time-out: the caller has its answer, the call that stood is released.
 func TestLate200(t *testing.T) {
-	r := newRig(t)
+	r := newTestHost(t)
 	r.m.ended = func(_ float64, x *routing.Attempt) {
 		if !x.Call.Finished {
 			r.m.h.Fail(x.Call)
@@ -335,7 +146,7 @@
 
 // The time-out before any answer: RFC 3261 9.1 forbids the CANCEL till a provisional one comes, and then asks for it.
 func TestCancelWaitsForProvisional(t *testing.T) {
-	r := newRig(t)
+	r := newTestHost(t)
 	r.get(caller, callerSays("INVITE", "4a", ""))
 	inv := r.sent(switchA, "INVITE")
 	r.get(caller, callerSays("CANCEL", "4a", ""))
@@ -352,8 +163,8 @@
 }
 
 // The caller cancels while its call is in the retry hold-off.
-func TestCallerLeavesInClearWait(t *testing.T) {
-	r := newRig(t)
+func TestCallerLeavesInHoldOff(t *testing.T) {
+	r := newTestHost(t)
 	r.m.ended = func(now float64, x *routing.Attempt) { r.m.h.ScheduleWakeup(now+500, x.Call) }
 	r.m.woken = func(now float64, routed *routing.Call) { r.m.h.StartAttempt(routed, r.m.pools[1], 100) }
 	r.get(caller, callerSays("INVITE", "5a", ""))
@@ -382,7 +193,7 @@
 		{600, "", "ended 1 closed false wait 0"},
 		{302, "Contact: <sip:127.0.0.9>", "ended 1 closed false wait 0"},
 	} {
-		r := newRig(t)
+		r := newTestHost(t)
 		r.m.ended = func(_ float64, x *routing.Attempt) { r.m.h.Reject(x.Call, 300) }
 		r.get(caller, callerSays("INVITE", fmt.Sprintf("%da", i+1), ""))
 		r.answer(switchA, r.sent(switchA, "INVITE"), x.code, "s", x.more)
@@ -395,8 +206,8 @@
 }
 
 // A drain that is heard while a setup waits unanswered: it is not repeated there, for that could be its first arrival.
-func TestDrainStopsRepeats(t *testing.T) {
-	r := newRig(t)
+func TestDrainStopsRetransmissions(t *testing.T) {
+	r := newTestHost(t)
 	r.get(caller, callerSays("INVITE", "6a", ""))
 	r.pass(500)
 	if n := r.count(switchA, "INVITE"); n != 2 {
@@ -411,8 +222,8 @@
 
 // A switch that restarted does not know the dialog: 481 to our BYE ends it all the same; and its own BYE for a cut call
 // is told as a reset and passed on with its reason.
-func TestSwitchForgets(t *testing.T) {
-	r := newRig(t)
+func TestEndpointForgets(t *testing.T) {
+	r := newTestHost(t)
 	stand := func(id string) (inv sip.Message, tag string) {
 		r.get(caller, callerSays("INVITE", id, ""))
 		inv = r.sent(switchA, "INVITE")
@@ -443,7 +254,7 @@
 
 // One caller's INVITE that comes over two ways is one call: the second is told 482 (RFC 3261 8.2.2.2).
 func TestMergedRequests(t *testing.T) {
-	r := newRig(t)
+	r := newTestHost(t)
 	r.get(caller, callerSays("INVITE", "9a", ""))
 	r.get(caller, strings.Replace(callerSays("INVITE", "9a", ""), "z9hG4bK9a", "z9hG4bKother", 1))
 	r.sent(caller, "SIP/2.0 482")
@@ -453,8 +264,8 @@
 }
 
 // A gateway stalls past a repeat and the timeout: the answer goes, and no repeat with it.
-func TestStoodStillPastPatience(t *testing.T) {
-	r := newRig(t)
+func TestStallPastTimeout(t *testing.T) {
+	r := newTestHost(t)
 	r.m.ended = func(_ float64, x *routing.Attempt) { r.m.h.Fail(x.Call) }
 	r.get(caller, callerSays("INVITE", "1d", ""))
 	r.pass(2000) // the next repeat is due at 2800, the timeout ends at 9000
@@ -469,8 +280,8 @@
 
 // A gateway that stalled finds an INVITE that may have come at any time since: it is answered within the timeout from
 // the earliest. One that was merely idle takes it as new.
-func TestStoodStill(t *testing.T) {
-	r := newRig(t)
+func TestStall(t *testing.T) {
+	r := newTestHost(t)
 	r.m.ended = func(_ float64, x *routing.Attempt) {
 		if !x.Call.Finished {
 			r.m.h.Fail(x.Call)
@@ -497,8 +308,8 @@
 }
 
 // A call that is shed gets one answer, also when its INVITE is retransmitted after capacity has come.
-func TestTurnedAwayStaysSo(t *testing.T) {
-	r := newRig(t)
+func TestShedStaysShed(t *testing.T) {
+	r := newTestHost(t)
 	r.e.LoadShedder.MaxPending = 1
 	r.get(caller, callerSays("INVITE", "1a", ""))
 	inv := r.sent(switchA, "INVITE")
@@ -513,8 +324,8 @@
 }
 
 // A module that forgets a call or answers it twice: rule 1 is kept all the same.
-func TestForgottenContact(t *testing.T) {
-	r := newRig(t)
+func TestForgottenCall(t *testing.T) {
+	r := newTestHost(t)
 	r.m.offered = func(float64, *routing.Call) {}
 	r.get(caller, callerSays("INVITE", "1b", ""))
 	r.pass(9011)
@@ -544,7 +355,7 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		r := newRig(t)
+		r := newTestHost(t)
 		r.e.Receive(r.now, caller, data)
 		r.e.Step(r.now)
 		r.e.Receive(r.now, caller, data)
--- a/internal/protocol/b2bua/enquiry_test.go
+++ b/internal/protocol/b2bua/enquiry_test.go
@@ -41,7 +41,7 @@
 
 // Rules 2 and 3 hold for enquiries at the same place as for calls, rule 1 whatever the policy does.
 func TestEnquiryRules(t *testing.T) {
-	r := newRig(t)
+	r := newTestHost(t)
 	var got []EnquiryResult
 	done := func(_ float64, n EnquiryResult) { got = append(got, n) }
 	r.m.offered = func(now float64, routed *routing.Call) {
@@ -90,7 +90,7 @@
 
 // A flood of enquiries passes the same load shedding as calls.
 func TestEnquiryFlood(t *testing.T) {
-	r := newRig(t)
+	r := newTestHost(t)
 	r.e.LoadShedder.MaxPending = 10
 	r.m.offered = func(float64, *routing.Call) {}
 	n := map[string]int{}
--- a/internal/protocol/b2bua/numberanalysis_test.go
+++ b/internal/protocol/b2bua/numberanalysis_test.go
@@ -90,8 +90,8 @@
 func (b *book) Wake(float64)        {}
 func (b *book) NextWakeup() float64 { return 1e18 }
 
-func numberRig(t *testing.T) (*rig, *book) {
-	r, b := newRig(t), &book{}
+func numberRig(t *testing.T) (*testHost, *book) {
+	r, b := newTestHost(t), &book{}
 	r.e.config.NumberLookup, r.e.config.LookupShare = b, 0.25
 	r.e.SetTable(numbers(t, 1))
 	return r, b
--- /dev/null
+++ b/internal/protocol/b2bua/testhost_test.go
@@ -0,0 +1,214 @@
+package b2bua
+
+import (
+	"fmt"
+	"net/netip"
+	"strings"
+	"testing"
+
+	"github.com/emiago/sipgo/sip"
+
+	"cobaltpier/internal/decision/loadshed"
+	"cobaltpier/internal/protocol/siptransaction"
+	"cobaltpier/internal/routing"
+)
+
+// scriptedPolicy is a module that a test plays by hand.
+type scriptedPolicy struct {
+	h       routing.Host
+	pools   []*routing.Endpoint
+	offered func(now float64, c *routing.Call)
+	ended   func(now float64, r *routing.Attempt)
+	woken   func(now float64, c *routing.Call)
+	heard   []string
+}
+
+func (m *scriptedPolicy) OnEndpoints(_ float64, ps []*routing.Endpoint) {
+	if m.pools == nil {
+		m.pools = ps
+	}
+}
+
+func (m *scriptedPolicy) OnCall(now float64, routed *routing.Call) { m.offered(now, routed) }
+
+func (m *scriptedPolicy) OnAnswer(_ float64, attempt *routing.Attempt) {
+	m.heard = append(m.heard, "stood")
+}
+
+func (m *scriptedPolicy) OnAttemptEnd(now float64, attempt *routing.Attempt, closed bool) {
+	m.heard = append(m.heard, fmt.Sprintf("ended %d closed %v wait %v", attempt.Outcome, closed, attempt.RetryAfter))
+	if m.ended != nil {
+		m.ended(now, attempt)
+	}
+}
+
+func (m *scriptedPolicy) OnHangup(float64, *routing.Call) { m.heard = append(m.heard, "left") }
+
+func (m *scriptedPolicy) OnLoadReport(_ float64, endpoint *routing.Endpoint, ok, full bool) {
+	m.heard = append(m.heard, fmt.Sprintf("report %v %v", ok, full))
+}
+
+func (m *scriptedPolicy) OnGossip(float64, int, []byte) {}
+
+func (m *scriptedPolicy) OnWakeup(now float64, routed *routing.Call) {
+	if m.woken != nil {
+		m.woken(now, routed)
+	}
+}
+
+type packet struct {
+	to   netip.AddrPort
+	data string
+}
+
+// testHost is a gateway with a hand-played module and wire.
+type testHost struct {
+	*testing.T
+	e    *Agent
+	m    *scriptedPolicy
+	now  float64
+	out  []packet
+	said int
+}
+
+func (r *testHost) Send(to netip.AddrPort, data []byte) {
+	r.out = append(r.out, packet{to, string(data)})
+}
+
+func (r *testHost) SendGossip(int, []byte) {}
+
+func newTestHost(t *testing.T) *testHost {
+	r := &testHost{T: t, m: &scriptedPolicy{}, now: 1e6}
+	set := &routing.Settings{
+		Gateways:          1,
+		Seed:              3,
+		TickInterval:      1,
+		MaxAttempts:       5,
+		CancelEnabled:     true,
+		RetryAfterEnabled: true,
+		RetryHoldOff:      500,
+		AnswerGrace:       20,
+		Classes: []*routing.Class{
+			{Name: "shift-lookup", LatencyObjective: 2000, Timeout: 9000, Weight: 1},
+			{Name: "claim", LatencyObjective: 1000, Timeout: 6000, Weight: 5},
+		},
+	}
+	r.e = New(
+		&Config{
+			Name:         "e",
+			Address:      self,
+			TrunkContext: "x.example",
+			Settings:     set,
+			Times:        siptransaction.Timers{T1: 400, T2: 3200, T4: 5000},
+			DefaultClass: "shift-lookup",
+			Groups: []Group{
+				{Name: "TG-0", DestinationID: 0, Circuits: 10},
+				{Name: "TG-1", DestinationID: 1, Circuits: 10},
+			},
+			LoadShedding: loadshed.Gate{MaxPending: 100},
+		},
+		func(_ *routing.Settings, h routing.Host) routing.Policy { r.m.h = h; return r.m },
+		r,
+	)
+	r.m.offered = func(now float64, routed *routing.Call) { r.m.h.StartAttempt(routed, r.m.pools[0], routed.Deadline-now) }
+	r.list(routing.Ready)
+	return r
+}
+
+func (r *testHost) list(a routing.State) {
+	r.e.OnEndpointList(
+		r.now,
+		[]ListEntry{
+			{ID: "a", DestinationID: 0, State: a, Addr: switchA},
+			{ID: "b", DestinationID: 1, State: routing.Ready, Addr: switchB},
+		},
+		true,
+	)
+}
+
+func (r *testHost) pass(ms float64) {
+	for end := r.now + ms; r.now < end; {
+		r.now++
+		r.e.Step(r.now)
+	}
+}
+
+// get is what a caller or switch sends.
+func (r *testHost) get(from netip.AddrPort, text string) {
+	head, body, _ := strings.Cut(text, "\n\n")
+	r.e.Receive(r.now, from, []byte(strings.ReplaceAll(head, "\n", "\r\n")+"\r\n\r\n"+body))
+	r.e.Step(r.now)
+}
+
+func callerSays(method, id, more string) string {
+	n := "1 " + method
+	if method == "BYE" {
+		n = "2 BYE"
+	}
+	branch := id
+	if method == "BYE" || method == "ACK" {
+		branch += method
+	}
+	return method + " sip:+14185550123;tgrp=TG-0;trunk-context=x.example@127.0.0.1 SIP/2.0\nVia: SIP/2.0/UDP " +
+		"127.0.0.2:5060;rport;branch=z9hG4bK" + branch +
+		"\nFrom: <sip:staff@epicerie.example>;tag=c" + id + "\nTo: <sip:+14185550123@127.0.0.1>" + more + "\nCall-ID: " +
+		id + "\nCSeq: " + n +
+		"\nContact: <sip:127.0.0.2:5060>\nMax-Forwards: 70\nSession-ID: " + strings.Repeat(id[:1], 32) + ";remote=" +
+		strings.Repeat("0", 32) +
+		"\nExpires: 9\nContent-Length: 0"
+}
+
+// sent waits for the next message to somebody that begins with a text, and fails without one.
+func (r *testHost) sent(to netip.AddrPort, begins string) sip.Message {
+	r.Helper()
+	for ; r.said < len(r.out); r.said++ {
+		p := r.out[r.said]
+		if p.to == to && strings.HasPrefix(p.data, begins) {
+			r.said++
+			m, err := siptransaction.Parse([]byte(p.data))
+			if err != nil {
+				r.Fatalf("%q: %v", p.data, err)
+			}
+			return m
+		}
+	}
+	var all []string
+	for _, p := range r.out {
+		l, _, _ := strings.Cut(p.data, "\r\n")
+		all = append(all, p.to.String()+" "+l)
+	}
+	r.Fatalf("nothing to %v begins with %q; sent:\n%s", to, begins, strings.Join(all, "\n"))
+	return nil
+}
+
+// count is how many messages to somebody begin with a text.
+func (r *testHost) count(to netip.AddrPort, begins string) (n int) {
+	for _, p := range r.out {
+		if p.to == to && strings.HasPrefix(p.data, begins) {
+			n++
+		}
+	}
+	return n
+}
+
+// answer is a switch's answer to a request.
+func (r *testHost) answer(from netip.AddrPort, to sip.Message, code int, tag, more string) {
+	res := siptransaction.Response(to.(*sip.Request), code, "X", tag)
+	if code == 200 && to.(*sip.Request).Method == sip.INVITE {
+		res.AppendHeader(
+			&sip.ContactHeader{Address: sip.Uri{Scheme: "sip", Host: from.Addr().String(), Port: int(from.Port())}},
+		)
+	}
+	if k, v, ok := strings.Cut(more, ": "); ok {
+		res.AppendHeader(sip.NewHeader(k, v))
+	}
+	r.e.Receive(r.now, from, []byte(res.String()))
+	r.e.Step(r.now)
+}
+
+func (r *testHost) heard(want ...string) {
+	r.Helper()
+	if got := strings.Join(r.m.heard, ", "); got != strings.Join(want, ", ") {
+		r.Errorf("the module heard %s, want %s", got, strings.Join(want, ", "))
+	}
+}
--- a/internal/protocol/binarygateway/rig_test.go
+++ b/internal/protocol/binarygateway/testgateway_test.go
@@ -253,7 +253,7 @@
 			return r.dialed[i]
 		}
 	}
-	r.Fatalf("no set-up of %x is out", call)
+	r.Fatalf("no setup of %x is out", call)
 	return nil
 }
 
--- a/internal/protocol/binarygateway/world_test.go
+++ b/internal/protocol/binarygateway/world_test.go
@@ -102,7 +102,7 @@
 			}
 		}
 		if w.Checker.Totals.SetUps < 20 {
-			t.Errorf("only %d set-ups came", w.Checker.Totals.SetUps)
+			t.Errorf("only %d setups came", w.Checker.Totals.SetUps)
 		}
 	})
 }
--- a/internal/protocol/dnsclient/resolve_test.go
+++ b/internal/protocol/dnsclient/client_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"fmt"
-	"math"
-	"net/netip"
 	"slices"
 	"testing"
 
@@ -13,133 +11,11 @@
 	"cobaltpier/internal/decision/enum"
 	"cobaltpier/internal/detrand"
 	"cobaltpier/internal/emulator/dnsserver"
-	"cobaltpier/internal/timerqueue"
 )
 
-// rig is a client and stand-in servers in virtual time.
-type rig struct {
-	t       testing.TB
-	c       *Client
-	events  timerqueue.Queue
-	now     float64
-	servers []*dnsserver.Server
-	addrs   []netip.AddrPort
-	sent    []int // by server, datagrams
-	streams int
-	ids     map[uint16]bool
-	ports   map[int]int
-}
-
-func addr(i int) netip.AddrPort {
-	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(1 + i)}), 53)
-}
-
-func newRig(t testing.TB, n int, change func(*Config)) *rig {
-	r := &rig{t: t, sent: make([]int, n), ids: map[uint16]bool{}, ports: map[int]int{}}
-	z := &dnsserver.Zone{
-		Apex:   "e164.test.",
-		Seed:   5,
-		Ported: 0.3,
-		None:   0.1,
-		TTL:    60,
-		Routes: []string{"+15145550000", "+15145550001"},
-	}
-	cfg := Config{
-		Ports:      4,
-		Seed:       9,
-		Most:       1000,
-		Tries:      5,
-		StaleAfter: 100,
-		Cache: CacheTimes{
-			MaxEntries:     10000,
-			MinTTL:         1000,
-			MaxTTL:         3600e3,
-			MaxNegativeTTL: 30e3,
-			StaleTime:      600e3,
-			FailureTTL:     1000,
-		},
-	}
-	for i := range n {
-		r.addrs = append(r.addrs, addr(i))
-		r.servers = append(
-			r.servers,
-			&dnsserver.Server{Zone: z, Seed: uint64(i), Faults: dnsserver.Faults{Delay: 10, Jitter: 4}},
-		)
-	}
-	cfg.Servers = r.addrs
-	if change != nil {
-		change(&cfg)
-	}
-	r.c = New(cfg, r)
-	return r
-}
-
-func (r *rig) Query(port int, to netip.AddrPort, data []byte) {
-	i := slices.Index(r.addrs, to)
-	r.sent[i]++
-	r.ids[uint16(data[0])<<8|uint16(data[1])] = true
-	r.ports[port]++
-	for _, x := range r.servers[i].Datagram(data) {
-		r.events.Schedule(r.now+x.After, func() { r.c.Receive(r.now, port, to, x.Data) })
-	}
-}
-
-func (r *rig) Stream(token uint64, to netip.AddrPort, data []byte, within float64) {
-	r.streams++
-	xs := r.servers[slices.Index(r.addrs, to)].Stream(data)
-	if len(xs) == 0 {
-		return // the client's own bound must do
-	}
-	r.events.Schedule(r.now+xs[0].After, func() { r.c.OnStreamResponse(r.now, token, xs[0].Data) })
-}
-
-func (r *rig) run(until float64) {
-	for {
-		at := math.Min(r.events.Next(), r.c.NextWakeup())
-		if at > until {
-			r.now = until
-			return
-		}
-		r.now = math.Max(at, r.now)
-		r.events.Run(r.now)
-		r.c.Step(r.now)
-	}
-}
-
-type got struct {
-	Answer
-	at float64
-	n  int
-}
-
-func (r *rig) ask(number string, within float64) *got {
-	d, err := enum.Domain(number, "e164.test.")
-	if err != nil {
-		r.t.Fatal(err)
-	}
-	g := &got{}
-	r.c.Query(r.now, d, within, func(now float64, a Answer) { *g = got{a, now, g.n + 1} })
-	return g
-}
-
-// find is a number that a test of its zone holds for.
-func (r *rig) find(want func(z *dnsserver.Zone, n string) bool) string {
-	for i := range 10000 {
-		if n := fmt.Sprint(14185550000 + i); want(r.servers[0].Zone, n) {
-			return n
-		}
-	}
-	r.t.Fatal("no such number")
-	return ""
-}
-
-func (r *rig) ported() string {
-	return r.find(func(z *dnsserver.Zone, n string) bool { return z.Routing(n) != "" })
-}
-
 // An answer is given, kept for its time and shared by all who ask meanwhile; what none has is kept too.
 func TestAnswer(t *testing.T) {
-	r := newRig(t, 2, nil)
+	r := newTestHost(t, 2, nil)
 	n := r.ported()
 	a, b := r.ask(n, 500), r.ask(n, 500)
 	r.run(100)
@@ -182,7 +58,7 @@
 }
 
 // Each trouble of one of two servers: answers come within the time, from the other one, and none is false.
-func TestTroubles(t *testing.T) {
+func TestServerFaults(t *testing.T) {
 	for name, f := range map[string]dnsserver.Faults{
 		"silent":     {Silent: true},
 		"slow":       {Delay: 900},
@@ -202,7 +78,7 @@
 			Poison: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, 2, nil)
+			r := newTestHost(t, 2, nil)
 			r.servers[0].Faults = f
 			var all []*got
 			var nums []string
@@ -252,7 +128,7 @@
 
 // A server that is dead costs few questions, and is found again soon after it is back.
 func TestDeadAndBack(t *testing.T) {
-	r := newRig(t, 2, nil)
+	r := newTestHost(t, 2, nil)
 	r.servers[0].Faults.Silent = true
 	load := func(span float64) {
 		for end := r.now + span; r.now < end; {
@@ -278,7 +154,7 @@
 // All servers are dead for 30 s: what is kept is served though it ran out, the rest fails at once but for the few that
 // find out whether a server is back; 1.5 s after one is all is as before.
 func TestAllDead(t *testing.T) {
-	r := newRig(t, 2, nil)
+	r := newTestHost(t, 2, nil)
 	r.servers[0].Zone.TTL = 1
 	warm := r.ported()
 	if r.ask(warm, 500); r.now != 0 {
@@ -323,7 +199,7 @@
 
 // Questions that were taken back are not answered, and one whose time is over is answered once.
 func TestStop(t *testing.T) {
-	r := newRig(t, 1, nil)
+	r := newTestHost(t, 1, nil)
 	r.servers[0].Faults.Delay = 200
 	d, _ := enum.Domain("14185551234", "e164.test.")
 	called := 0
@@ -345,7 +221,7 @@
 
 // The bound on names asked for holds under a flood of names, and those above it fail at once.
 func TestFlood(t *testing.T) {
-	r := newRig(t, 1, func(c *Config) { c.Most, c.Cache.MaxEntries = 100, 50 })
+	r := newTestHost(t, 1, func(c *Config) { c.Most, c.Cache.MaxEntries = 100, 50 })
 	for i := range 1000 {
 		r.ask(fmt.Sprint(14180000000+i), 500)
 	}
@@ -360,7 +236,7 @@
 
 // Truncated answers of many names don't open as many streams; the names that have none fail, in time.
 func TestStreamsBounded(t *testing.T) {
-	r := newRig(t, 1, nil)
+	r := newTestHost(t, 1, nil)
 	r.servers[0].Faults = dnsserver.Faults{Delay: 5, Cut: 1, NoStream: true}
 	var all []*got
 	for i := range 500 {
@@ -381,51 +257,6 @@
 	}
 }
 
-// pending is the one question that is out.
-func (r *rig) pending() *outstandingQuery {
-	for _, s := range r.c.tries {
-		return s
-	}
-	for _, s := range r.c.streams {
-		return s
-	}
-	r.t.Fatal("no question is out")
-	return nil
-}
-
-// reply is an answer to a question, changed by a test.
-func (r *rig) reply(s *outstandingQuery, change func(m *dns.Msg)) []byte {
-	m := new(dns.Msg)
-	m.SetQuestion(s.name, dns.TypeNAPTR)
-	m.Id, m.Response, m.Authoritative = s.key.id, true, true
-	m.Answer = []dns.RR{naptr(s.name)}
-	if change != nil {
-		change(m)
-	}
-	b, err := m.Pack()
-	if err != nil {
-		r.t.Fatal(err)
-	}
-	return b
-}
-
-func naptr(name string) dns.RR {
-	return &dns.NAPTR{
-		Hdr:         dns.RR_Header{Name: name, Rrtype: dns.TypeNAPTR, Class: dns.ClassINET, Ttl: 60},
-		Flags:       "u",
-		Service:     "E2U+sip",
-		Regexp:      "!^.*$!sip:a@x!",
-		Replacement: ".",
-	}
-}
-
-// silent is a rig whose servers say nothing: a test answers.
-func silent(t testing.TB, change func(*Config)) *rig {
-	r := newRig(t, 1, change)
-	r.servers[0].Faults = dnsserver.Faults{Silent: true}
-	return r
-}
-
 // An answer must match in everything: the server, the port, the id, the name to its letters, the type.
 func TestMatches(t *testing.T) {
 	r := silent(t, func(c *Config) { c.Tries = 1 })
@@ -534,7 +365,7 @@
 
 // How long what is kept: no shorter and no longer than the bounds, whatever the TTL; a name that failed is left alone
 // for a while, and asked for again after it.
-func TestKept(t *testing.T) {
+func TestCacheTimes(t *testing.T) {
 	for _, c := range []struct{ ttl, kept float64 }{{0, 1000}, {60, 60e3}, {1e6, 3600e3}} {
 		r := silent(t, nil)
 		r.ask("1", 500)
@@ -549,7 +380,7 @@
 			t.Errorf("TTL %v s, %v ms later: %+v", c.ttl, r.now, g)
 		}
 	}
-	r := newRig(t, 2, nil)
+	r := newTestHost(t, 2, nil)
 	for _, s := range r.servers {
 		s.Faults = dnsserver.Faults{Delay: 5, ServFail: true}
 	}
@@ -570,7 +401,7 @@
 
 // What ran out is served when nothing newer comes soon, though the answer is on its way; and that one is kept.
 func TestStaleAfter(t *testing.T) {
-	r := newRig(t, 1, nil)
+	r := newTestHost(t, 1, nil)
 	r.servers[0].Zone.TTL = 1
 	n := r.ported()
 	r.ask(n, 500)
@@ -589,7 +420,7 @@
 
 // Answers that come after the last question was given up still count.
 func TestSlowAll(t *testing.T) {
-	r := newRig(t, 1, func(c *Config) { c.Tries = 1 })
+	r := newTestHost(t, 1, func(c *Config) { c.Tries = 1 })
 	r.servers[0].Faults.Delay = 600
 	g := r.ask(r.ported(), 2000)
 	if r.run(2000); g.n != 1 || g.Status != Found || g.at < 600 {
@@ -599,7 +430,7 @@
 
 // A server that knows no EDNS is asked without it from then on.
 func TestNoEDNS(t *testing.T) {
-	r := newRig(t, 1, nil)
+	r := newTestHost(t, 1, nil)
 	r.servers[0].Faults.NoEDNS = true
 	for i := range 20 {
 		g := r.ask(fmt.Sprint(14180000000+i), 500)
@@ -612,68 +443,6 @@
 	}
 }
 
-// What counts against a server, and what does not.
-func TestHealth(t *testing.T) {
-	h := NewHealth(2)
-	h.OnLame(0, 1)
-	h.OnLame(0, 2)
-	if h.UpCount(3) != 2 {
-		t.Error("lame after two faults: they may be the names'")
-	}
-	h.OnValid(0)
-	h.OnLame(0, 4)
-	h.OnLame(0, 5)
-	if h.UpCount(6) != 2 {
-		t.Error("lame though a good answer came between")
-	}
-	if h.OnLame(0, 7); h.UpCount(8) != 1 || h.UpCount(7+lameDownTime) != 2 {
-		t.Errorf("three faults in a row: %d up, after a while %d", h.UpCount(8), h.UpCount(7+lameDownTime))
-	}
-	h = NewHealth(1)
-	h.OnResponse(0, 100, 10)
-	for range 10 {
-		h.OnTimeout(0, 500, 90)
-	}
-	if h.UpCount(500) != 1 {
-		t.Error("down by what was sent before its latest answer")
-	}
-	for i := range 10 {
-		h.OnTimeout(0, 600, 510+float64(i))
-	}
-	if h.UpCount(600) != 1 {
-		t.Error("down within 90 ms: that is a burst that it was late for")
-	}
-	if h.OnTimeout(0, 510+downAfterSilence, 600); h.UpCount(510+downAfterSilence) != 0 {
-		t.Error("up after a dozen misses and 250 ms")
-	}
-	h = NewHealth(1)
-	h.OnResponse(0, 0, 40)
-	_, first := h.Choose(1, nil, 0.5)
-	if _, again := h.Choose(1, []int{0}, 0.5); again != 2*first {
-		t.Errorf("waits %v, again %v", first, again)
-	}
-	if _, again := h.Choose(1, []int{0, 0, 0, 0, 0, 0, 0, 0}, 0.5); again != maxTimeout {
-		t.Errorf("waits %v after many tries", again)
-	}
-}
-
-// Ids, ports and letters are drawn: who guesses has all of them to guess.
-func TestChance(t *testing.T) {
-	r := newRig(t, 1, nil)
-	mixed := map[string]bool{}
-	for i := range 2000 {
-		r.ask(fmt.Sprint(14180000000+i), 500)
-		for k, s := range r.c.tries {
-			_ = k
-			mixed[s.name[len(s.name)-10:]] = true
-		}
-		r.run(r.now + 20)
-	}
-	if len(r.ids) < 1900 || len(r.ports) != 4 || len(mixed) != 32 { // five letters
-		t.Errorf("%d ids, ports %v, %d ways to write the apex", len(r.ids), r.ports, len(mixed))
-	}
-}
-
 // What is read of an answer is what answers the question, whatever else stands in it, and never a panic.
 func FuzzReceive(f *testing.F) {
 	m := new(dns.Msg)
@@ -689,7 +458,7 @@
 	b, _ = m.Pack()
 	f.Add(b)
 	f.Fuzz(func(t *testing.T, data []byte) {
-		r := newRig(t, 1, nil)
+		r := newTestHost(t, 1, nil)
 		r.servers[0].Faults.Silent = true
 		g := r.ask("1234", 500)
 		for k, s := range r.c.tries {
@@ -711,7 +480,7 @@
 // troubles are drawn.
 func TestNeverAnothersAnswer(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		r := newRig(t, 3, func(c *Config) { c.Seed = rapid.Uint64().Draw(rt, "seed"); c.Cache.MaxEntries = 20 })
+		r := newTestHost(t, 3, func(c *Config) { c.Seed = rapid.Uint64().Draw(rt, "seed"); c.Cache.MaxEntries = 20 })
 		r.servers[0].Zone.TTL = uint32(rapid.IntRange(0, 3).Draw(rt, "ttl"))
 		type q struct {
 			n     string
--- /dev/null
+++ b/internal/protocol/dnsclient/health_test.go
@@ -0,0 +1,68 @@
+package dnsclient
+
+import (
+	"fmt"
+	"testing"
+)
+
+// What counts against a server, and what does not.
+func TestHealth(t *testing.T) {
+	h := NewHealth(2)
+	h.OnLame(0, 1)
+	h.OnLame(0, 2)
+	if h.UpCount(3) != 2 {
+		t.Error("lame after two faults: they may be the names'")
+	}
+	h.OnValid(0)
+	h.OnLame(0, 4)
+	h.OnLame(0, 5)
+	if h.UpCount(6) != 2 {
+		t.Error("lame though a good answer came between")
+	}
+	if h.OnLame(0, 7); h.UpCount(8) != 1 || h.UpCount(7+lameDownTime) != 2 {
+		t.Errorf("three faults in a row: %d up, after a while %d", h.UpCount(8), h.UpCount(7+lameDownTime))
+	}
+	h = NewHealth(1)
+	h.OnResponse(0, 100, 10)
+	for range 10 {
+		h.OnTimeout(0, 500, 90)
+	}
+	if h.UpCount(500) != 1 {
+		t.Error("down by what was sent before its latest answer")
+	}
+	for i := range 10 {
+		h.OnTimeout(0, 600, 510+float64(i))
+	}
+	if h.UpCount(600) != 1 {
+		t.Error("down within 90 ms: that is a burst that it was late for")
+	}
+	if h.OnTimeout(0, 510+downAfterSilence, 600); h.UpCount(510+downAfterSilence) != 0 {
+		t.Error("up after a dozen misses and 250 ms")
+	}
+	h = NewHealth(1)
+	h.OnResponse(0, 0, 40)
+	_, first := h.Choose(1, nil, 0.5)
+	if _, again := h.Choose(1, []int{0}, 0.5); again != 2*first {
+		t.Errorf("waits %v, again %v", first, again)
+	}
+	if _, again := h.Choose(1, []int{0, 0, 0, 0, 0, 0, 0, 0}, 0.5); again != maxTimeout {
+		t.Errorf("waits %v after many tries", again)
+	}
+}
+
+// Ids, ports and letters are drawn: who guesses has all of them to guess.
+func TestDraws(t *testing.T) {
+	r := newTestHost(t, 1, nil)
+	mixed := map[string]bool{}
+	for i := range 2000 {
+		r.ask(fmt.Sprint(14180000000+i), 500)
+		for k, s := range r.c.tries {
+			_ = k
+			mixed[s.name[len(s.name)-10:]] = true
+		}
+		r.run(r.now + 20)
+	}
+	if len(r.ids) < 1900 || len(r.ports) != 4 || len(mixed) != 32 { // five letters
+		t.Errorf("%d ids, ports %v, %d ways to write the apex", len(r.ids), r.ports, len(mixed))
+	}
+}
--- /dev/null
+++ b/internal/protocol/dnsclient/response.go
@@ -0,0 +1,170 @@
+package dnsclient
+
+import (
+	"net/netip"
+	"strings"
+
+	"github.com/miekg/dns"
+
+	"cobaltpier/internal/decision/enum"
+)
+
+// Receive takes a datagram that came to one of the ports. What matches no question is dropped and counted.
+func (c *Client) Receive(now float64, port int, from netip.AddrPort, data []byte) {
+	c.now = now
+	if len(data) < 12 {
+		c.Counts.Strays++
+		return
+	}
+	s := c.tries[queryAttempt{port, from, uint16(data[0])<<8 | uint16(data[1])}]
+	m := new(dns.Msg)
+	if s == nil || m.Unpack(data) != nil || !matches(m, s.name) {
+		c.onMismatch(from)
+		return
+	}
+	c.strays[s.server] = 0
+	c.timers.Cancel(s.timer)
+	delete(c.tries, s.key)
+	c.health.OnResponse(s.server, now, now-s.at)
+	if m.Truncated { // RFC 2181 9: what came is not used
+		c.sendStreamQuery(s.flight, s.server)
+		return
+	}
+	c.onResponse(s, m)
+}
+
+// onMismatch notes an answer that matches nothing. Many of one server are somebody's guesses, or the server's answers
+// to questions given up: either way the next questions to it go where no guess gets in.
+func (c *Client) onMismatch(from netip.AddrPort) {
+	c.Counts.Strays++
+	for i, a := range c.cfg.Servers {
+		if a == from {
+			if c.strays[i]++; c.strays[i] >= maxMismatches {
+				c.strays[i], c.doubt[i] = 0, c.now+streamOnlyTime
+			}
+		}
+	}
+}
+
+// OnStreamResponse takes what a stream brought; nil: nothing.
+func (c *Client) OnStreamResponse(now float64, token uint64, data []byte) {
+	c.now = now
+	s := c.streams[token]
+	if s == nil {
+		return
+	}
+	delete(c.streams, token)
+	c.timers.Cancel(s.timer)
+	m := new(dns.Msg)
+	if data == nil || m.Unpack(data) != nil || m.Id != s.key.id || !matches(m, s.name) {
+		c.health.OnTimeout(s.server, now, s.at)
+		c.retry(s.flight)
+		return
+	}
+	c.health.OnResponse(s.server, now, now-s.at)
+	c.onResponse(s, m)
+}
+
+// matches tells whether a message answers the question that was sent, letter by letter.
+func matches(m *dns.Msg, name string) bool {
+	return m.Response && len(m.Question) == 1 && m.Question[0].Name == name && m.Question[0].Qtype == dns.TypeNAPTR &&
+		m.Question[0].Qclass == dns.ClassINET
+}
+
+// onResponse takes an answer to a question.
+func (c *Client) onResponse(s *outstandingQuery, m *dns.Msg) {
+	f := s.flight
+	if f.settled {
+		return
+	}
+	rules, ttl, negative, leads := parseRules(m, f.name)
+	switch {
+	case m.Rcode == dns.RcodeFormatError && !c.plain[s.server]:
+		c.plain[s.server] = true
+		f.sends = min(f.sends, c.cfg.Tries-1) // the same question once more, as the server knows it
+		c.retry(f)
+	case m.Rcode == dns.RcodeSuccess && len(rules) > 0:
+		c.Counts.Answered++
+		c.health.OnValid(s.server)
+		c.cache.put(c.now, f.name, rules, ttl)
+		c.finish(f, func(*waiter) Answer { return Answer{Status: Found, Rules: rules} })
+	case (m.Rcode == dns.RcodeSuccess || m.Rcode == dns.RcodeNameError) && !leads && (m.Authoritative || negative >= 0 ||
+		m.RecursionAvailable):
+		c.Counts.None++
+		c.health.OnValid(s.server)
+		c.cache.put(c.now, f.name, nil, max(0, negative))
+		c.finish(f, func(*waiter) Answer { return Answer{Status: None} })
+	default: // a fault, a refusal, or a server that knows nothing of the zone and points elsewhere
+		c.Counts.Lame++
+		c.health.OnLame(s.server, c.now)
+		c.retry(f)
+	}
+}
+
+// parseRules takes from an answer what answers the question and nothing else: rules of the name or of what it is
+// another name of, and how long they hold in ms; of a negative answer how long it holds (RFC 2308 5), -1 where it does
+// not say. leads says that the answer only points to other servers.
+func parseRules(m *dns.Msg, name string) (rules []enum.Rule, ttl, negative float64, leads bool) {
+	ttl, negative = 1e12, -1
+	for range 8 { // names of names
+		next := ""
+		for _, rr := range m.Answer {
+			h := rr.Header()
+			if !strings.EqualFold(h.Name, name) || h.Class != dns.ClassINET {
+				continue
+			}
+			switch rr := rr.(type) {
+			case *dns.NAPTR:
+				if len(rules) <= enum.MostRules { // one too many shows that there are too many
+					rules = append(
+						rules,
+						enum.Rule{Order: rr.Order, Preference: rr.Preference, Flags: textOf(rr.Flags), Service: textOf(rr.Service),
+							Regexp: textOf(rr.Regexp), Replacement: rr.Replacement},
+					)
+				}
+				ttl = min(ttl, 1000*float64(h.Ttl))
+			case *dns.CNAME:
+				next = rr.Target
+				ttl = min(ttl, 1000*float64(h.Ttl))
+			}
+		}
+		if len(rules) > 0 || next == "" {
+			break
+		}
+		name = next
+	}
+	for _, rr := range m.Ns {
+		switch rr := rr.(type) {
+		case *dns.SOA:
+			if dns.IsSubDomain(rr.Hdr.Name, name) {
+				negative = 1000 * float64(min(rr.Hdr.Ttl, rr.Minttl))
+			}
+		case *dns.NS:
+			leads = len(m.Answer) == 0
+		}
+	}
+	return rules, ttl, negative, leads && negative < 0
+}
+
+// textOf is a character string as it was on the wire: the library hands it on in the form of zone files, with quotes
+// and backslashes escaped and other octets as \DDD.
+func textOf(s string) string {
+	if !strings.Contains(s, "\\") {
+		return s
+	}
+	b := make([]byte, 0, len(s))
+	for i := 0; i < len(s); i++ {
+		if s[i] != '\\' || i+1 == len(s) {
+			b = append(b, s[i])
+			continue
+		}
+		i++
+		if i+2 < len(s) && s[i] >= '0' && s[i] <= '2' && s[i+1] >= '0' && s[i+1] <= '9' && s[i+2] >= '0' && s[i+2] <= '9' {
+			b = append(b, 100*(s[i]-'0')+10*(s[i+1]-'0')+s[i+2]-'0')
+			i += 2
+			continue
+		}
+		b = append(b, s[i])
+	}
+	return string(b)
+}
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -24,13 +24,13 @@
 	all := want[0] + want[1] + want[2]
 	for i, endpoint := range ps {
 		if d := got[endpoint]/20000 - want[i]/all; math.Abs(d) > 0.02 {
-			t.Errorf("pool %d: share %.3f, want %.3f", i, got[endpoint]/20000, want[i]/all)
+			t.Errorf("endpoint %d: share %.3f, want %.3f", i, got[endpoint]/20000, want[i]/all)
 		}
 	}
 }
 
 // The destination is taken while it has room; a zero report counts as a tenth free after 2 s.
-func TestDestinationFirstAndNoughtAgeing(t *testing.T) {
+func TestDestinationFirstAndStaleZero(t *testing.T) {
 	h, ps := newTestHost(2)
 	for i := 0; i < 50; i++ {
 		h.advance(1000)
@@ -41,25 +41,25 @@
 	ps[0].LoadReport.Utilization = 1
 	h.router.OnLoadReport(h.now, ps[0], true, true)
 	if f := h.router.freeShare(ps[0]); f != 0 {
-		t.Errorf("nought report: free share %v, want 0", f)
+		t.Errorf("zero report: free share %v, want 0", f)
 	}
 	ps[1].State = routing.Draining
 	h.advance(1000)
 	if call := h.offerCall(ps[1]); !call.Finished {
-		t.Error("the only pool reports nought: no tickets anywhere")
+		t.Error("the only endpoint reports zero: no tickets anywhere")
 	}
 	h.advance(1100)
 	if call := h.offerCall(ps[1]); call.InFlight == nil || call.InFlight.Endpoint != ps[0] {
-		t.Error("a draining destination must be left for another pool")
+		t.Error("a draining destination must be left for another endpoint")
 	}
 	if f := h.router.freeShare(ps[0]); f != staleZeroFreeShare {
-		t.Errorf("nought report of 2 s ago: free share %v, want %v", f, staleZeroFreeShare)
+		t.Errorf("zero report of 2 s ago: free share %v, want %v", f, staleZeroFreeShare)
 	}
 }
 
 // A destination that fails most setups at once is passed by while others do not, still tried, and comes back; where all
 // fail alike, or numbers are engaged, it keeps its calls.
-func TestFailingPool(t *testing.T) {
+func TestOutlier(t *testing.T) {
 	for _, c := range []struct {
 		what        string
 		fails       [2]float64
@@ -111,7 +111,7 @@
 func TestNoPools(t *testing.T) {
 	h, _ := newTestHost(0)
 	if call := h.offerCall(nil); !call.Finished || len(h.rejected) != 1 {
-		t.Error("no pool: want the contact deferred at once")
+		t.Error("no endpoint: want the call rejected at once")
 	}
 }
 
@@ -134,12 +134,12 @@
 	}
 	calm, pressed, after := count(20), count(3000), count(20)
 	if pressed*3 > calm || after*2 < calm || pressed == 0 {
-		t.Errorf("set-ups sent: calm %d, pressed %d, after %d", calm, pressed, after)
+		t.Errorf("setups sent: calm %d, pressed %d, after %d", calm, pressed, after)
 	}
 }
 
 // When not all can be served the calls of most value are, whatever came first.
-func TestLineByWorth(t *testing.T) {
+func TestQueueByWeight(t *testing.T) {
 	h, ps := newTestHost(1)
 	ps[0].LoadReport.Capacity, ps[0].LoadReport.Free = 20, 10
 	small, big := *h.skill, *h.skill
@@ -192,10 +192,10 @@
 	h.advance(300)
 	h.establish(h.offerCall(ps[0]), 20)
 	if len(h.cancelled) != 1 || h.cancelled[0].Call != lost {
-		t.Fatalf("%d set-ups called off, want the lost one", len(h.cancelled))
+		t.Fatalf("%d setups called off, want the lost one", len(h.cancelled))
 	}
 	if w := stateOf(ps[0]).expectedDelay(h.now, 0); w > h.router.delayObjective {
-		t.Errorf("a lost set-up counts as a wait of %v", w)
+		t.Errorf("a lost setup counts as a wait of %v", w)
 	}
 }
 
@@ -212,17 +212,17 @@
 	h.endAttempt(standing, routing.Reset)
 	h.advance(100)
 	if call := h.offerCall(ps[0]); call.InFlight != nil {
-		t.Error("a silent pool was sent a set-up within a second of the last")
+		t.Error("a silent endpoint was sent a setup within a second of the last")
 	}
 	h.advance(1500)
 	h.offerCall(ps[0])
 	call := h.attempts[len(h.attempts)-1].Call
 	if call.InFlight == nil || len(stateOf(ps[0]).inFlight) != 1 {
-		t.Fatalf("%d set-ups under way to a silent pool, want one", len(stateOf(ps[0]).inFlight))
+		t.Fatalf("%d setups under way to a silent endpoint, want one", len(stateOf(ps[0]).inFlight))
 	}
 	h.establish(call, 20)
 	if state := stateOf(ps[0]); state.startedAt != h.now {
-		t.Error("a pool that cut contacts and fell silent has started cold when it answers")
+		t.Error("an endpoint that cut calls and fell silent has started cold when it answers")
 	}
 }
 
@@ -243,12 +243,12 @@
 	call := h.offerCall(ps[0])
 	h.endAttempt(call, routing.TimedOut)
 	if len(h.failed) != 1 || call.Attempts != 1 {
-		t.Errorf("abandoned %d, rings %d", len(h.failed), call.Attempts)
+		t.Errorf("failed %d, attempts %d", len(h.failed), call.Attempts)
 	}
 	call = h.offerCall(ps[0])
 	h.endAttempt(call, routing.ConnectionRefused)
 	if call.Attempts+len(h.router.queue) < 2 {
-		t.Error("a set-up that never ran may go elsewhere")
+		t.Error("a setup that never ran may go elsewhere")
 	}
 }
 
@@ -259,12 +259,12 @@
 	h.router.OnEndpoints(h.now, ps)
 	h.advance(10100)
 	if h.probes < 20 || h.probes > 22 {
-		t.Errorf("%d probes of two pools in 10 s", h.probes)
+		t.Errorf("%d probes of two endpoints in 10 s", h.probes)
 	}
 }
 
 // A number whose lines are all busy is left alone, but for one try at a time.
-func TestEngagedNumber(t *testing.T) {
+func TestBusyNumber(t *testing.T) {
 	h, ps := newTestHost(1)
 	ps[0].LoadReport.Capacity, ps[0].LoadReport.Free = 1000, 500
 	h.number = "hot"
@@ -276,7 +276,7 @@
 	}
 	h.advance(busyNumberPause + 100)
 	if one, two := h.offerCall(ps[0]), h.offerCall(ps[0]); one.Attempts != 1 || two.Attempts != 0 {
-		t.Errorf("%d and %d rings, want one try", one.Attempts, two.Attempts)
+		t.Errorf("%d and %d attempts, want one try", one.Attempts, two.Attempts)
 	}
 	h.number = "other"
 	if call := h.offerCall(ps[0]); call.Attempts != 1 {
@@ -285,7 +285,7 @@
 }
 
 // An endpoint that turns a setup away is left alone for a moment, not for the time that a long wait fades.
-func TestTurnedAway(t *testing.T) {
+func TestRejected(t *testing.T) {
 	h, ps := newTestHost(1)
 	ps[0].LoadReport.Capacity, ps[0].LoadReport.Free = 1000, 500
 	h.establish(h.offerCall(ps[0]), 20)
@@ -301,7 +301,7 @@
 }
 
 // Settings that are missing give sensible decisions: calls are tried while the endpoint answers.
-func TestOddSettings(t *testing.T) {
+func TestEdgeSettings(t *testing.T) {
 	for _, set := range []routing.Settings{{}, {Classes: []*routing.Class{{}}}, {LoadReportsByProbe: true,
 		RetryAfterEnabled: true}} {
 		h, ps := newTestHost(1)
@@ -312,14 +312,14 @@
 			h.now += 1000
 			call := h.offerCall(ps[0])
 			if call.InFlight == nil {
-				t.Fatalf("contact %d under %+v: not rung", i, set)
+				t.Fatalf("call %d under %+v: not rung", i, set)
 			}
 			h.establish(call, 20)
 		}
 		ps[0].State = routing.Gone
 		h.router.OnEndpoints(h.now, ps)
 		if call := h.offerCall(ps[0]); !call.Finished {
-			t.Errorf("no pool left under %+v: want an answer at once", set)
+			t.Errorf("no endpoint left under %+v: want an answer at once", set)
 		}
 	}
 }
@@ -349,12 +349,12 @@
 }
 
 // A wait that surprises is told to others; they heed it where they heard nothing lately, and no nonsense.
-func TestNews(t *testing.T) {
+func TestGossip(t *testing.T) {
 	h, ps := newTestHost(2)
 	h.router.settings.GossipEnabled, h.router.settings.Gateways = true, 200
 	h.establish(h.offerCall(ps[1]), 20)
 	if h.advance(1000); len(h.gossip) > 0 {
-		t.Error("a set-up that stands at once is no news")
+		t.Error("a setup that stands at once is no news")
 	}
 	h.establish(h.offerCall(ps[1]), 2000)
 	if len(h.gossip) == 0 || len(h.gossip) > gossipFanout {
@@ -383,7 +383,7 @@
 			}
 		}
 		if len(h.attempts) < 30 {
-			t.Errorf("%d gateways: %d of 60 contacts rung", count, len(h.attempts))
+			t.Errorf("%d gateways: %d of 60 calls rung", count, len(h.attempts))
 		}
 		for i := 0; i < 100; i++ { // a long press
 			h.advance(100)
@@ -393,7 +393,7 @@
 		}
 		if all := stateOf(ps[0]).sendRate * float64(max(1, count)); !(all > 0) ||
 			all > 0.05*h.router.capacityOf(ps[0])/1000 {
-			t.Errorf("%d gateways: a floor of %v set-ups a ms for all", count, all)
+			t.Errorf("%d gateways: a floor of %v setups a ms for all", count, all)
 		}
 	}
 }
--- a/internal/router/rules_test.go
+++ b/internal/router/rules_test.go
@@ -92,7 +92,7 @@
 			for i, from := range h.sentAt[endpoint] {
 				part := 0.3 + 0.7*(from+1000-at)/14000
 				if n := within(h.sentAt[endpoint][i:], from+1000); part < 1 && float64(n) > 1+2.5*part*rate {
-					h.reportBroken(4, fmt.Sprintf("%d set-ups in a second to a cold pool", n))
+					h.reportBroken(4, fmt.Sprintf("%d setups in a second to a cold endpoint", n))
 				}
 			}
 		}
@@ -164,7 +164,7 @@
 		for i, from := range sent {
 			part := math.Min(1, 0.3+0.7*(from+500-start)/14000)
 			if n, most := within(sent[i:], from+1000), 2.5*part*warm; float64(n) > most+math.Sqrt(most)+1 {
-				t.Logf("seed %d: %d gateways, %d pools: %d set-ups in a second, %.0f ms after the start, budget %.0f",
+				t.Logf("seed %d: %d gateways, %d endpoints: %d setups in a second, %.0f ms after the start, budget %.0f",
 					seed, gateways, pools, n, from-start, most)
 				return false
 			}
@@ -262,7 +262,7 @@
 				worst = math.Max(worst, float64(n)/most)
 				if float64(n) > most {
 					t.Errorf(
-						"seed %d: %d gateways, %d of %d pools cold: %d set-ups in a second, %.0f ms after the start, at most %.1f",
+						"seed %d: %d gateways, %d of %d endpoints cold: %d setups in a second, %.0f ms after the start, at most %.1f",
 						seed,
 						gateways,
 						cold,
@@ -276,10 +276,10 @@
 			}
 		}
 		if total == 0 {
-			t.Errorf("seed %d: nothing was sent to a cold pool", seed)
+			t.Errorf("seed %d: nothing was sent to a cold endpoint", seed)
 		}
 	}
-	t.Logf("at most %.2f of what tips a pool", worst)
+	t.Logf("at most %.2f of what tips an endpoint", worst)
 }
 
 // finish ends an attempt and forgets it.
--- a/internal/router/testhost_test.go
+++ b/internal/router/testhost_test.go
@@ -43,16 +43,16 @@
 // StartAttempt checks rules 1, 2, 3 and 5 by the plain model, and notes the send for rule 4.
 func (h *testHost) StartAttempt(call *routing.Call, endpoint *routing.Endpoint, _ float64) {
 	if h.finished[call] || h.now > call.Deadline {
-		h.reportBroken(1, "sent after the answer or the patience")
+		h.reportBroken(1, "sent after the answer or the timeout")
 	}
 	if h.inFlight[call]++; h.inFlight[call] > 1 {
-		h.reportBroken(2, "two rings out")
+		h.reportBroken(2, "two attempts out")
 	}
 	if h.drained[endpoint] {
-		h.reportBroken(3, "sent to a pool that drains or is gone")
+		h.reportBroken(3, "sent to an endpoint that drains or is gone")
 	}
 	if h.now < h.retryNotBefore[call] {
-		h.reportBroken(5, "sent before the clear wait was over")
+		h.reportBroken(5, "sent before the hold-off was over")
 	}
 	h.sentAt[endpoint] = append(h.sentAt[endpoint], h.now)
 	call.InFlight = &routing.Attempt{Call: call, Endpoint: endpoint, SentAt: h.now}
@@ -61,7 +61,7 @@
 
 func (h *testHost) finishCall(call *routing.Call) {
 	if h.finished[call] || h.inFlight[call] > 0 {
-		h.reportBroken(1, "answered twice or with a ring out")
+		h.reportBroken(1, "answered twice or with an attempt out")
 	}
 	if h.now > call.Deadline+h.router.settings.AnswerGrace {
 		h.reportBroken(1, "answered too late")
