--- a/internal/cli/labcli/fleet.go
+++ b/internal/cli/labcli/fleet.go
@@ -54,12 +54,12 @@
 	s := r.Service
 	return &figures{
 		Seed:     seed,
-		Whole:    s.Whole,
+		Whole:    s.Total,
 		Worst10s: s.Worst10s,
-		Skill:    s.SkillShare,
-		Customer: s.CustomerShare,
+		Skill:    s.ClassShare,
+		Customer: s.TenantShare,
 		Late:     float64(s.Late),
-		Cut:      float64(s.Cut),
+		Cut:      float64(s.Dropped),
 		Unserved: float64(s.Unserved),
 		P50:      at(s.Waits, 0.5),
 		P99:      at(s.Waits, 0.99),
@@ -132,7 +132,7 @@
 					continue
 				}
 				row := line(&processrun.Result{Service: r.Service, Findings: r.Findings, Totals: r.Totals})
-				fmt.Fprintf(out, "%5d  %s  %016x  %s\n", seed, row, r.Sum, r.Spent.Round(10*time.Millisecond))
+				fmt.Fprintf(out, "%5d  %s  %016x  %s\n", seed, row, r.Sum, r.Elapsed.Round(10*time.Millisecond))
 				d := report.Day{
 					Name:  fmt.Sprintf("%s, seed %d", s.Name, seed),
 					Lines: []string{serviceHead, row},
--- a/internal/cli/labcli/labcmd.go
+++ b/internal/cli/labcli/labcmd.go
@@ -282,15 +282,15 @@
 	}
 	return fmt.Sprintf(
 		"%.3f     %.3f  %-15s %.3f  %-15.15s %.3f  %7d %6d %6d  %8d  %6.0f  %6.0f  %3.0f%%  %4.0fms  %s",
-		s.Whole,
+		s.Total,
 		s.Worst10s,
-		s.Skill,
-		s.SkillShare,
-		s.Customer,
-		s.CustomerShare,
-		s.Offered,
+		s.WorstClass,
+		s.ClassShare,
+		s.WorstTenant,
+		s.TenantShare,
+		s.Arrived,
 		s.Late,
-		s.Cut,
+		s.Dropped,
 		s.Unserved,
 		at(s.Waits, 0.5),
 		at(s.Waits, 0.99),
@@ -342,20 +342,20 @@
 	fmt.Fprintf(
 		out,
 		"  whole day        %.3f\n  worst 10 s       %.3f\n  worst skill      %.3f  %s\n  worst customer   %.3f  %s\n",
-		s.Whole,
+		s.Total,
 		s.Worst10s,
-		s.SkillShare,
-		s.Skill,
-		s.CustomerShare,
-		s.Customer,
+		s.ClassShare,
+		s.WorstClass,
+		s.TenantShare,
+		s.WorstTenant,
 	)
 	fmt.Fprintf(
 		out,
 		"  callers          %d: %d stood in time, %d late, %d cut, %d unserved\n",
-		s.Offered,
-		s.Stood,
+		s.Arrived,
+		s.Answered,
 		s.Late,
-		s.Cut,
+		s.Dropped,
 		s.Unserved,
 	)
 	fmt.Fprintf(out, "  waits            p50 %.0f ms, p99 %.0f ms\n", at(s.Waits, 0.5), at(s.Waits, 0.99))
@@ -419,7 +419,7 @@
 		fmt.Fprintf(
 			out,
 			"\nNumbers: %d contacts were set up by %d tables, %s wholly by one that was in force when they came\n",
-			t.Contacts,
+			t.Calls,
 			t.Versions,
 			verdict,
 		)
--- a/internal/cli/labcli/load.go
+++ b/internal/cli/labcli/load.go
@@ -218,7 +218,7 @@
 		out,
 		"%d planned, %d stood, %d refused, %d unanswered, %d set-ups repeated\n",
 		res.Planned,
-		res.Stood,
+		res.Answered,
 		res.Refused,
 		res.Unanswered,
 		res.Repeats,
@@ -275,7 +275,7 @@
 func writeRaw(out io.Writer, r *loadgen.Result) error {
 	x := raw{
 		Planned:    r.Planned,
-		Stood:      r.Stood,
+		Stood:      r.Answered,
 		Refused:    r.Refused,
 		Unanswered: r.Unanswered,
 		Repeats:    r.Repeats,
@@ -300,7 +300,7 @@
 		return nil, fmt.Errorf("load: a part's result: %w", err)
 	}
 	r := loadgen.NewResult()
-	r.Planned, r.Stood, r.Refused, r.Unanswered, r.Repeats, r.Past = x.Planned, x.Stood, x.Refused, x.Unanswered,
+	r.Planned, r.Answered, r.Refused, r.Unanswered, r.Repeats, r.Past = x.Planned, x.Stood, x.Refused, x.Unanswered,
 		x.Repeats, x.Past
 	for _, h := range []struct {
 		from []byte
--- a/internal/cli/labcli/lookups.go
+++ b/internal/cli/labcli/lookups.go
@@ -111,11 +111,11 @@
 		}
 		modes[cell%len(modes)].change(&s.Numbers)
 		r := virtualrun.Play(s, mk, virtualrun.Options{})
-		l := r.LookUps
+		l := r.NumberLookups
 		c := &cells[cell]
-		c.service[seed], c.p99[seed] = r.Service.Whole, at(r.Service.Waits, 0.99)
-		c.lost[seed], c.sent[seed] = float64(l.Failed)/float64(max(1, l.Asked)), float64(l.Sent+l.Streams)/float64(max(1,
-			l.Asked))
+		c.service[seed], c.p99[seed] = r.Service.Total, at(r.Service.Waits, 0.99)
+		c.lost[seed], c.sent[seed] = float64(l.Failed)/float64(max(1, l.Lookups)), float64(l.Sent+l.Streams)/float64(max(1,
+			l.Lookups))
 		broken[i] = len(r.Findings) + len(r.Tables.Findings)
 	})
 	if !all {
--- a/internal/cli/labcli/throughput.go
+++ b/internal/cli/labcli/throughput.go
@@ -203,7 +203,7 @@
 			"%8.0f %8d %8d %8d %9d %9d %9d %8s\n",
 			rate,
 			r.Sent,
-			r.Stood,
+			r.Answered,
 			r.Repeats,
 			r.Added.ValueAtQuantile(50),
 			r.Added.ValueAtQuantile(99),
@@ -214,7 +214,7 @@
 	for rate := 500.0; rate <= f.most; rate *= 1.25 {
 		r := rig.Run(saturation.Load{Rate: rate, For: f.step})
 		show(rate, r)
-		if float64(r.Stood) < 0.995*float64(r.Sent) || float64(r.Repeats) > 0.001*float64(r.Sent) {
+		if float64(r.Answered) < 0.995*float64(r.Sent) || float64(r.Repeats) > 0.001*float64(r.Sent) {
 			break
 		}
 		best = rate
@@ -253,7 +253,7 @@
 	full := 0.0
 	done := make(chan struct{})
 	go func() {
-		rig.Run(saturation.Load{Rate: held, For: f.hold, Hold: f.hold})
+		rig.Run(saturation.Load{Rate: held, For: f.hold, HoldingTime: f.hold})
 		close(done)
 	}()
 	for sampling := true; sampling; {
@@ -277,7 +277,7 @@
 		fmt.Fprintf(out, "%8s %10s %10s\n", "minute", "memory MiB", "stood")
 		for from := time.Duration(0); from < f.soak; from += time.Minute {
 			r := rig.Run(saturation.Load{Rate: best / 2, For: min(time.Minute, f.soak-from)})
-			fmt.Fprintf(out, "%8.0f %10.1f %10d\n", from.Minutes()+1, rss(edge.Process.Pid)/1024, r.Stood)
+			fmt.Fprintf(out, "%8.0f %10.1f %10d\n", from.Minutes()+1, rss(edge.Process.Pid)/1024, r.Answered)
 		}
 	}
 	if err := stop(edge); err != nil {
--- a/internal/cli/labcli/trace.go
+++ b/internal/cli/labcli/trace.go
@@ -83,7 +83,7 @@
 		if to > 0 {
 			end = float64(to) / 1e6
 		}
-		return calltrace.Cut(first(in), float64(from)/1e6, end), nil
+		return calltrace.Slice(first(in), float64(from)/1e6, end), nil
 	}, func(k *cobra.Command) {
 		k.Flags().DurationVar(&from, "from", 0, "first time that is kept")
 		k.Flags().DurationVar(&to, "to", 0, "first time that is not; 0: all")
--- a/internal/cli/numbercli/numbercmd.go
+++ b/internal/cli/numbercli/numbercmd.go
@@ -70,8 +70,8 @@
 				t.Version,
 				t.Sum[:16],
 				t.Size(),
-				n.Skills,
-				n.Customers,
+				n.Classes,
+				n.Tenants,
 				n.Groups,
 			)
 			return nil
@@ -294,7 +294,7 @@
 	conn, err := grpc.NewClient(
 		to,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithDefaultCallOptions(grpc.MaxCallSendMsgSize(numberplan.MostOctets)),
+		grpc.WithDefaultCallOptions(grpc.MaxCallSendMsgSize(numberplan.MaxBytes)),
 	)
 	if err != nil {
 		return fmt.Errorf("gateway at %s: %w", to, err)
--- a/internal/conformance/tables.go
+++ b/internal/conformance/tables.go
@@ -19,7 +19,7 @@
 	Mark     func(version uint64) string
 	Blur     float64 // ms
 	Parse    func([]byte) (sip.Message, error)
-	Contacts int // that were set up with a mark
+	Calls    int // that were set up with a mark
 	Versions int // that were seen in use
 	Records  int // calls whose own record was held against the wire
 	Findings []string
@@ -204,7 +204,7 @@
 			return
 		}
 		k.marks[id] = mark
-		k.Contacts++
+		k.Calls++
 		version, known := k.byMark[mark]
 		if !known {
 			k.Findings = append(k.Findings, fmt.Sprintf("%.1f ms, %s: mark %q is of no table", at, id, mark))
--- a/internal/conformance/tables_test.go
+++ b/internal/conformance/tables_test.go
@@ -70,8 +70,8 @@
 				t.Errorf("%s: a record of another table is not found", name)
 			}
 		}
-		if (got == "") != (c.want == "") || !strings.Contains(got, c.want) || k.Contacts != 1 {
-			t.Errorf("%s: %q, want %q; %d contacts", name, got, c.want, k.Contacts)
+		if (got == "") != (c.want == "") || !strings.Contains(got, c.want) || k.Calls != 1 {
+			t.Errorf("%s: %q, want %q; %d contacts", name, got, c.want, k.Calls)
 		}
 	}
 }
--- a/internal/decision/enum/enum.go
+++ b/internal/decision/enum/enum.go
@@ -17,7 +17,7 @@
 
 // Bounds on what is taken from the network.
 const (
-	MostRules  = 64  // of one domain
+	MaxRules   = 64  // of one domain
 	mostRegexp = 255 // octets: what a character string of a NAPTR holds (RFC 1035 3.3)
 	mostResult = 512 // octets that a rule may make
 )
@@ -79,8 +79,8 @@
 // Apply finds the first rule for one of the services that fits a number, in the form "+14185551234" (RFC 6116 3.1). Bad
 // rules are passed over (RFC 6116 5.1.2), and told with ErrBad if none fits else.
 func Apply(number string, rules []Rule, services ...string) (Result, error) {
-	if len(rules) > MostRules {
-		return Result{}, fmt.Errorf("%w: %d rules of one domain, want %d at most", ErrBad, len(rules), MostRules)
+	if len(rules) > MaxRules {
+		return Result{}, fmt.Errorf("%w: %d rules of one domain, want %d at most", ErrBad, len(rules), MaxRules)
 	}
 	rules = slices.Clone(rules)
 	slices.SortStableFunc(rules, func(a, b Rule) int {
--- a/internal/decision/numberplan/compact.go
+++ b/internal/decision/numberplan/compact.go
@@ -19,18 +19,18 @@
 	if err != nil {
 		return nil, fmt.Errorf("number table: %w", err)
 	}
-	return append([]byte(magic), b...), nil
+	return append([]byte(magicHeader), b...), nil
 }
 
-// MostOctets is the largest compact form that is taken over the wire.
-const MostOctets = 256 << 20
+// MaxBytes is the largest compact form that is taken over the wire.
+const MaxBytes = 256 << 20
 
-// magic begins a table's compact form: what is none is refused before it is read.
-const magic = "cobalt-numbers 1\n"
+// magicHeader begins a table's compact form: what is none is refused before it is read.
+const magicHeader = "cobalt-numbers 1\n"
 
 // Unpack reads the compact form. Damage is an error.
 func Unpack(b []byte) (*api.NumberTable, error) {
-	rest, ok := strings.CutPrefix(string(b), magic)
+	rest, ok := strings.CutPrefix(string(b), magicHeader)
 	if !ok {
 		return nil, errors.New(
 			"number table: neither HCL nor the compact form: want a file that ends in .hcl, or one that number compile made",
--- a/internal/decision/numberplan/compile.go
+++ b/internal/decision/numberplan/compile.go
@@ -15,20 +15,20 @@
 	"cobaltpier/internal/decision/prefixtrie"
 )
 
-// mostFaults are told of a table; the rest is counted.
-const mostFaults = 50
+// maxFaults are told of a table; the rest is counted.
+const maxFaults = 50
 
 // Compile makes a table of its compact form and tells all that is wrong with it.
 func Compile(form *api.NumberTable) (*Table, error) {
 	var faults []string
 	n := 0
 	t := compile(form, func(of proto.Message, key, format string, args ...any) {
-		if n++; n <= mostFaults {
-			faults = append(faults, place(form, of)+fmt.Sprintf(format, args...))
+		if n++; n <= maxFaults {
+			faults = append(faults, positionOf(form, of)+fmt.Sprintf(format, args...))
 		}
 	})
-	if n > mostFaults {
-		faults = append(faults, fmt.Sprintf("and %d more", n-mostFaults))
+	if n > maxFaults {
+		faults = append(faults, fmt.Sprintf("and %d more", n-maxFaults))
 	}
 	if n > 0 {
 		return nil, fmt.Errorf("number table: %s", strings.Join(faults, "\n  "))
@@ -36,8 +36,8 @@
 	return t, nil
 }
 
-// place says where in a table a part of it stands.
-func place(form *api.NumberTable, of proto.Message) string {
+// positionOf says where in a table a part of it stands.
+func positionOf(form *api.NumberTable, of proto.Message) string {
 	switch of := of.(type) {
 	case *api.NumberDays:
 		return fmt.Sprintf("days %q: ", of.Name)
@@ -79,11 +79,11 @@
 	periods map[string]*Period
 	days    map[string]map[string]bool
 	zones   map[string]*time.Location
-	leads   map[string][]lead // from plan to plan, for loops
+	leads   map[string][]reference // from plan to plan, for loops
 	used    map[string]bool
 }
 
-type lead struct {
+type reference struct {
 	to string
 	at proto.Message
 }
@@ -102,7 +102,7 @@
 		periods: map[string]*Period{},
 		days:    map[string]map[string]bool{},
 		zones:   map[string]*time.Location{"": time.UTC},
-		leads:   map[string][]lead{},
+		leads:   map[string][]reference{},
 		used:    map[string]bool{},
 	}
 	var err error
@@ -384,7 +384,7 @@
 		if a.plan = c.t.plans[do.Plan]; a.plan == nil {
 			c.fault(x, "plan", "plan: no plan %q", do.Plan)
 		}
-		c.leads[from] = append(c.leads[from], lead{do.Plan, x})
+		c.leads[from] = append(c.leads[from], reference{do.Plan, x})
 	case *api.NumberAction_Route:
 		c.used["route "+do.Route] = true
 		if a.route = c.t.routes[do.Route]; a.route == nil {
--- a/internal/decision/numberplan/form_test.go
+++ b/internal/decision/numberplan/form_test.go
@@ -121,13 +121,13 @@
 		}
 	}
 	b, _ := Pack(form(t))
-	for _, bad := range [][]byte{nil, []byte("plan {}"), b[:len(b)-3], append([]byte(magic), 0xff, 0xff)} {
+	for _, bad := range [][]byte{nil, []byte("plan {}"), b[:len(b)-3], append([]byte(magicHeader), 0xff, 0xff)} {
 		if _, err := Unpack(bad); err == nil {
 			t.Errorf("%.20q was read", bad)
 		}
 	}
 	x, err := Compile(form(t))
-	if err != nil || x.Fits(Names{Groups: []string{"TG-0", "TG-1", "TG-2"}, Skills: []string{"shift-lookup"}}).Error() !=
+	if err != nil || x.Fits(Names{Groups: []string{"TG-0", "TG-1", "TG-2"}, Classes: []string{"shift-lookup"}}).Error() !=
 		`number table staff: names what this gateway does not have: trunk group "TG-3"` {
 		t.Errorf("%v, %v", err, x.Fits(Names{}))
 	}
@@ -210,7 +210,7 @@
 			return
 		}
 		a, o := y.Begin(Call{Dialled: dialled, At: time.Unix(1.8e9, 0), Draw: 0.5, Explain: true})
-		if o.Ask != "" {
+		if o.LookupNumber != "" {
 			o = a.Answered(Found{Answer: Ported, Routing: "+1514"})
 		}
 		if (o.Route == nil) == (o.Refusal == nil) {
--- a/internal/decision/numberplan/names.go
+++ b/internal/decision/numberplan/names.go
@@ -9,7 +9,7 @@
 
 // Names are what a table asks of the gateway that uses it.
 type Names struct {
-	Skills, Customers, Groups []string
+	Classes, Tenants, Groups []string
 }
 
 // Names lists the classes, tenants and trunk groups that a table's routes name, in order.
@@ -17,16 +17,16 @@
 	var n Names
 	for _, r := range t.routes {
 		if r.skill != "" {
-			n.Skills = append(n.Skills, r.skill)
+			n.Classes = append(n.Classes, r.skill)
 		}
 		if r.customer != "" {
-			n.Customers = append(n.Customers, r.customer)
+			n.Tenants = append(n.Tenants, r.customer)
 		}
 		for _, c := range r.choices {
 			n.Groups = append(n.Groups, c.group)
 		}
 	}
-	for _, of := range []*[]string{&n.Skills, &n.Customers, &n.Groups} {
+	for _, of := range []*[]string{&n.Classes, &n.Tenants, &n.Groups} {
 		slices.Sort(*of)
 		*of = slices.Compact(*of)
 	}
@@ -40,7 +40,7 @@
 	for _, k := range []struct {
 		what      string
 		want, has []string
-	}{{"skill", want.Skills, has.Skills}, {"customer", want.Customers, has.Customers}, {"trunk group", want.Groups,
+	}{{"skill", want.Classes, has.Classes}, {"customer", want.Tenants, has.Tenants}, {"trunk group", want.Groups,
 		has.Groups}} {
 		for _, n := range k.want {
 			if !slices.Contains(k.has, n) {
--- a/internal/decision/numberplan/number.go
+++ b/internal/decision/numberplan/number.go
@@ -90,21 +90,21 @@
 // Route is where a call goes.
 type Route struct {
 	Name     string
-	Skill    string // "": what the caller asked for
-	Customer string // "": the caller's
+	Class    string // "": what the caller asked for
+	Tenant   string // "": the caller's
 	Group    string // trunk group of the destination (RFC 4904)
 	Number   string // the number called, as it is sent on
 	Routing  string // the routing number that stands for it, "": portability was not looked up or it is not ported
-	Looked   bool   // portability was looked up (RFC 4694 npdi)
+	LookedUp bool   // portability was looked up (RFC 4694 npdi)
 	Carrier  string // the carrier that serves it (RFC 4694 cic), "": none is named
 }
 
 // Outcome is what an analysis came to, or waits for; one of them is set.
 type Outcome struct {
-	Route   *Route
-	Refusal *Refusal
-	Ask     string // the number to look up
-	Within  time.Duration
+	Route         *Route
+	Refusal       *Refusal
+	LookupNumber  string // the number to look up
+	LookupTimeout time.Duration
 }
 
 // Answer is what a look-up brought.
@@ -178,13 +178,13 @@
 
 // Call is what is known of a number when its analysis begins.
 type Call struct {
-	Dialled string
-	Looked  bool   // portability was looked up by somebody before us (RFC 4694 npdi)
-	Routing string // the routing number that was found then, "": none
-	Carrier string // the carrier that was named with it
-	At      time.Time
-	Draw    float64 // 0 to 1, drawn for weights
-	Explain bool    // keep the steps
+	Dialled  string
+	LookedUp bool   // portability was looked up by somebody before us (RFC 4694 npdi)
+	Routing  string // the routing number that was found then, "": none
+	Carrier  string // the carrier that was named with it
+	At       time.Time
+	Draw     float64 // 0 to 1, drawn for weights
+	Explain  bool    // keep the steps
 }
 
 // Begin starts the analysis of a number. The first outcome comes with it.
@@ -193,7 +193,7 @@
 		Table:   t,
 		at:      c.At,
 		draw:    c.Draw,
-		looked:  c.Looked,
+		looked:  c.LookedUp,
 		carrier: c.Carrier,
 		text:    c.Explain,
 		now:     action{plan: t.entry},
@@ -205,7 +205,7 @@
 	}
 	a.number = n
 	a.say("%q is %s", c.Dialled, n)
-	if c.Looked && c.Routing != "" {
+	if c.LookedUp && c.Routing != "" {
 		rn, err := Normal(c.Routing, t.Country)
 		if err != nil {
 			a.say("routing number: %v", err)
@@ -275,7 +275,7 @@
 			}
 			a.looked, a.asked = true, do.ask
 			a.say("asks for the portability of %s", a.number)
-			return Outcome{Ask: a.number, Within: do.ask.silence}
+			return Outcome{LookupNumber: a.number, LookupTimeout: do.ask.silence}
 		case do.plan != nil:
 			if !a.match(do.plan) {
 				a.say("plan %s: nothing fits %s", do.plan.name, a.number)
@@ -315,10 +315,10 @@
 func (a *Analysis) take(r *route) *Route {
 	out := &Route{
 		Name:     r.name,
-		Skill:    r.skill,
-		Customer: r.customer,
+		Class:    r.skill,
+		Tenant:   r.customer,
 		Number:   "+" + a.number,
-		Looked:   a.looked && !a.silent,
+		LookedUp: a.looked && !a.silent,
 		Carrier:  a.carrier,
 	}
 	if a.called != "" {
@@ -376,7 +376,7 @@
 func (t *Table) Explain(c Call, routing string, silent bool) []string {
 	c.Explain = true
 	a, o := t.Begin(c)
-	if o.Ask != "" {
+	if o.LookupNumber != "" {
 		switch {
 		case routing != "":
 			a.Answered(Found{Answer: Ported, Routing: routing})
--- a/internal/decision/numberplan/number_test.go
+++ b/internal/decision/numberplan/number_test.go
@@ -125,7 +125,7 @@
 	case o.Refusal != nil:
 		return strings.TrimSpace(o.Refusal.Why)
 	}
-	return "ask " + o.Ask
+	return "ask " + o.LookupNumber
 }
 
 func TestAnalysis(t *testing.T) {
@@ -160,7 +160,7 @@
 		{strings.Repeat("1", 40), thursday, 0, 0, "", "TG-2 +" + strings.Repeat("1", 40)},
 	} {
 		a, o := x.Begin(Call{Dialled: c.number, At: c.at, Draw: c.draw, Explain: true})
-		if o.Ask != "" {
+		if o.LookupNumber != "" {
 			o = a.Answered(Found{Answer: c.what, Routing: c.rn})
 		}
 		if got := result(o); got != c.want {
@@ -170,14 +170,14 @@
 			t.Errorf("%q: answered with nothing asked: %v", c.number, result(again))
 		}
 	}
-	if _, o := x.Begin(Call{Dialled: "+15145551234", Looked: true, Routing: "+1 613 555 0000",
+	if _, o := x.Begin(Call{Dialled: "+15145551234", LookedUp: true, Routing: "+1 613 555 0000",
 		At: sunday}); result(o) != "TG-2 +15145551234;rn=+16135550000" {
 		t.Errorf("a routing number found before: %s", result(o))
 	}
-	if _, o := x.Begin(Call{Dialled: "+15145551234", Looked: true, Routing: "x", At: sunday}); o.Refusal == nil {
+	if _, o := x.Begin(Call{Dialled: "+15145551234", LookedUp: true, Routing: "x", At: sunday}); o.Refusal == nil {
 		t.Errorf("a routing number that is none: %s", result(o))
 	}
-	if a, o := x.Begin(Call{Dialled: "+14185551234", At: sunday, Looked: true}); o.Route == nil || a.Steps != nil {
+	if a, o := x.Begin(Call{Dialled: "+14185551234", At: sunday, LookedUp: true}); o.Route == nil || a.Steps != nil {
 		t.Errorf("looked up before: %s", result(o))
 	}
 }
@@ -253,7 +253,7 @@
 			return
 		}
 		a, o := x.Begin(Call{Dialled: dialled, At: time.Unix(1.8e9, 0), Draw: 0.5, Explain: true})
-		if o.Ask != "" {
+		if o.LookupNumber != "" {
 			a.Answered(Found{Answer: Ported, Routing: dialled})
 		}
 	})
--- a/internal/decision/tableversions/tables.go
+++ b/internal/decision/tableversions/tables.go
@@ -23,9 +23,9 @@
 
 // Source is where a change comes from: a table's compact form, or a serial number of the store.
 type Source struct {
-	Form   []byte
-	Note   string
-	Serial uint64 // going back: of the store
+	Form    []byte
+	Comment string
+	Serial  uint64 // going back: of the store
 }
 
 // Checked is what the check of a source made.
@@ -71,13 +71,13 @@
 	if s.Running != 0 {
 		before = append(before, s.Running)
 	}
-	return Shelf{serial, before[max(0, len(before)-MostKept):]}
+	return Shelf{serial, before[max(0, len(before)-MaxKept):]}
 }
 
 // Keeps tells whether a serial stays in the store: what the shelf has, and of those that were gone back from the
 // latest.
 func (s Shelf) Keeps(serial, latest uint64) bool {
-	return serial == s.Running || slices.Contains(s.Before, serial) || serial+MostKept > latest
+	return serial == s.Running || slices.Contains(s.Before, serial) || serial+MaxKept > latest
 }
 
 // Recover finds what runs after a start: what the shelf says, or, where that can't be read or does not fit the gateway
@@ -116,7 +116,7 @@
 // Put asks for a change to a new table. done hears how it went, once. While another change is on its way this one
 // waits; one that waited already is overtaken.
 func (k *Keeper) Put(form []byte, note string, done func(error)) {
-	k.ask(&change{Source: Source{Form: form, Note: note}, done: done})
+	k.ask(&change{Source: Source{Form: form, Comment: note}, done: done})
 }
 
 // Back asks to go back to the table that ran before the present one.
@@ -176,7 +176,7 @@
 		k.refuse(fmt.Errorf("%w: %d, %d runs", ErrOlder, x.Table.Version, k.Running.Version))
 	default:
 		c.checked, c.keeping = x, true
-		k.work.Keep(x, c.Note, c.Serial, k.Shelf)
+		k.work.Keep(x, c.Comment, c.Serial, k.Shelf)
 	}
 }
 
@@ -200,8 +200,8 @@
 // Busy tells whether a change is on its way.
 func (k *Keeper) Busy() bool { return k.now != nil }
 
-// MostKept is how many tables before the running one are kept.
-const MostKept = 16
+// MaxKept is how many tables before the running one are kept.
+const MaxKept = 16
 
 // Check reads, compiles and checks a form for a gateway that has some names.
 func Check(form []byte, has numberplan.Names) Checked {
--- a/internal/decision/tableversions/tables_test.go
+++ b/internal/decision/tableversions/tables_test.go
@@ -24,7 +24,7 @@
 			} else {
 				latest++
 				model = append(model, latest)
-				model = model[max(0, len(model)-MostKept-1):]
+				model = model[max(0, len(model)-MaxKept-1):]
 				s = s.Take(latest)
 			}
 			if got := append(slices.Clone(s.Before), s.Running); !slices.Equal(got, model) {
@@ -38,7 +38,7 @@
 					t.Fatalf("%d of %v is not kept", n, model)
 				}
 			}
-			if kept > 2*MostKept+1 {
+			if kept > 2*MaxKept+1 {
 				t.Fatalf("%d are kept", kept)
 			}
 		}
--- a/internal/emulator/callers/caller.go
+++ b/internal/emulator/callers/caller.go
@@ -18,33 +18,33 @@
 
 // Arrival is a caller's plan; times are milliseconds.
 type Arrival struct {
-	At       float64
-	Number   string
-	Skill    string
-	Customer string // domain of the caller's address
-	Group    string // trunk group of the destination (RFC 4904)
-	Hold     float64
-	Target   float64
-	Patience float64 // over all tries
-	Try      float64 // of one try
-	Value    float64
-	Late     float64 // share of the value after the target
-	Over     bool    // beyond its tenant's share
+	At                 float64
+	Number             string
+	Class              string
+	Tenant             string // domain of the caller's address
+	Group              string // trunk group of the destination (RFC 4904)
+	HoldingTime        float64
+	LatencyObjective   float64
+	Timeout            float64 // over all tries
+	AttemptTimeout     float64 // of one try
+	Weight             float64
+	LateWeightFraction float64 // share of the value after the target
+	OverQuota          bool    // beyond its tenant's share
 }
 
-// Story is what became of a caller, over all its tries.
-type Story struct {
+// CallerRecord is what became of a caller, over all its tries.
+type CallerRecord struct {
 	*Arrival
-	Tries   int
-	StoodAt float64 // NaN: never
-	Cut     bool
-	Answers []int // the final answers, 0: none came
-	Ended   bool
-	Session string // of the latest try
+	Attempts   int
+	AnsweredAt float64 // NaN: never
+	Dropped    bool
+	Answers    []int // the final answers, 0: none came
+	Ended      bool
+	SessionID  string // of the latest try
 }
 
-// Manners are how callers behave.
-type Manners struct {
+// Behavior are how callers behave.
+type Behavior struct {
 	Redials int                               // at most
 	Pause   float64                           // before a redial, ms
 	Grows   bool                              // each pause twice as long
@@ -57,8 +57,8 @@
 
 // Callers are those of one gateway.
 type Callers struct {
-	Manners
-	Stories []*Story
+	Behavior
+	Stories []*CallerRecord
 	Extra   int // final answers after the final answer
 	edge    netip.AddrPort
 	now     float64
@@ -71,7 +71,7 @@
 
 type try struct {
 	of      *Callers
-	story   *Story
+	story   *CallerRecord
 	tx      *siptransaction.Client
 	callID  string
 	tag     string
@@ -85,13 +85,13 @@
 
 // New makes callers that dial a gateway.
 func New(
-	m Manners,
+	m Behavior,
 	self, edge netip.AddrPort,
 	times siptransaction.Timers,
 	seed uint64,
 	send func(netip.AddrPort, []byte),
 ) *Callers {
-	c := &Callers{Manners: m, edge: edge, open: map[string]*try{}, bySess: map[string]*try{}}
+	c := &Callers{Behavior: m, edge: edge, open: map[string]*try{}, bySess: map[string]*try{}}
 	c.names.Seed = seed
 	c.sip = siptransaction.NewLayer(self, times, &c.names, &c.timers, c, send)
 	if m.Parse != nil {
@@ -102,7 +102,7 @@
 
 // Plan adds an arrival.
 func (c *Callers) Plan(a *Arrival) {
-	s := &Story{Arrival: a, StoodAt: math.NaN()}
+	s := &CallerRecord{Arrival: a, AnsweredAt: math.NaN()}
 	c.Stories = append(c.Stories, s)
 	c.timers.Schedule(a.At, func() { c.dial(s) })
 }
@@ -135,7 +135,7 @@
 	}
 	r := sip.NewRequest(method, target)
 	id := sip.CallIDHeader(t.callID)
-	r.AppendHeader(&sip.FromHeader{Address: sip.Uri{Scheme: "sip", User: "staff", Host: a.Customer},
+	r.AppendHeader(&sip.FromHeader{Address: sip.Uri{Scheme: "sip", User: "staff", Host: a.Tenant},
 		Params: sip.HeaderParams{{K: "tag", V: t.tag}}})
 	th := &sip.ToHeader{Address: to}
 	if t.answer != nil {
@@ -151,14 +151,14 @@
 
 const body = "v=0\r\no=- 0 0 IN IP4 127.0.0.1\r\ns=-\r\nc=IN IP4 127.0.0.1\r\nt=0 0\r\nm=audio 49170 RTP/AVP 0\r\n"
 
-func (c *Callers) dial(s *Story) {
-	left := s.At + s.Patience - c.now
+func (c *Callers) dial(s *CallerRecord) {
+	left := s.At + s.Timeout - c.now
 	if left < 1000 {
 		c.end(s)
 		return
 	}
-	wait := math.Floor(math.Min(left, s.Try)/1000) * 1000 // Expires counts whole seconds
-	s.Tries++
+	wait := math.Floor(math.Min(left, s.AttemptTimeout)/1000) * 1000 // Expires counts whole seconds
+	s.Attempts++
 	t := &try{
 		of:      c,
 		story:   s,
@@ -166,11 +166,11 @@
 		tag:     c.names.Next(),
 		session: siptransaction.NewSessionID(&c.names),
 	}
-	s.Session = t.session
+	s.SessionID = t.session
 	c.open[t.tag], c.bySess[t.session] = t, t
 	r := c.request(t, sip.INVITE, 1)
 	r.AppendHeader(&sip.ContactHeader{Address: c.uri()})
-	r.AppendHeader(sip.NewHeader(siptransaction.Service, "urn:urn-7:"+s.Skill))
+	r.AppendHeader(sip.NewHeader(siptransaction.Service, "urn:urn-7:"+s.Class))
 	r.AppendHeader(sip.NewHeader("Expires", fmt.Sprint(int(wait/1000))))
 	r.AppendHeader(sip.NewHeader("Content-Type", "application/sdp"))
 	r.SetBody([]byte(body))
@@ -218,8 +218,8 @@
 		t.stands = true
 		c.timers.Cancel(t.timer)
 		t.story.Answers = append(t.story.Answers, res.StatusCode)
-		t.story.StoodAt = c.now
-		t.timer = c.timers.Schedule(c.now+t.story.Hold, func() {
+		t.story.AnsweredAt = c.now
+		t.timer = c.timers.Schedule(c.now+t.story.HoldingTime, func() {
 			t.bye(`Q.850;cause=16`)
 			c.end(t.story)
 		})
@@ -247,14 +247,14 @@
 }
 
 // again dials once more after a pause, or not.
-func (c *Callers) again(s *Story, told float64) {
-	if s.Tries > c.Redials {
+func (c *Callers) again(s *CallerRecord, told float64) {
+	if s.Attempts > c.Redials {
 		c.end(s)
 		return
 	}
 	pause := c.Pause
 	if c.Grows {
-		pause *= math.Pow(2, float64(s.Tries-1))
+		pause *= math.Pow(2, float64(s.Attempts-1))
 	}
 	pause *= 0.5 + c.names.Float64()
 	if told > 0 && c.names.Float64() < c.Honour {
@@ -263,7 +263,7 @@
 	c.timers.Schedule(c.now+pause, func() { c.dial(s) })
 }
 
-func (c *Callers) end(s *Story) { s.Ended = true }
+func (c *Callers) end(s *CallerRecord) { s.Ended = true }
 
 // Cut tells a caller that its line went dead: it hangs up after a while.
 func (c *Callers) Cut(now float64, session string) {
@@ -271,7 +271,7 @@
 	if t == nil || !t.stands || t.over {
 		return
 	}
-	t.story.Cut = true
+	t.story.Dropped = true
 	c.timers.Schedule(now+c.Silence, func() {
 		if !t.over {
 			t.bye(`Q.850;cause=41;text="Temporary failure"`)
@@ -289,7 +289,7 @@
 	}
 	s.Respond(siptransaction.Response(req, 200, "OK", ""))
 	if t.stands && !t.over {
-		t.story.Cut = true // whoever hung up, it was not the caller
+		t.story.Dropped = true // whoever hung up, it was not the caller
 		t.done()
 		c.end(t.story)
 	}
--- a/internal/emulator/calltrace/trace.go
+++ b/internal/emulator/calltrace/trace.go
@@ -285,8 +285,8 @@
 	return of
 }
 
-// Cut keeps the calls from a time on and before another, and counts their times from there.
-func Cut(of []*api.Call, from, to float64) []*api.Call {
+// Slice keeps the calls from a time on and before another, and counts their times from there.
+func Slice(of []*api.Call, from, to float64) []*api.Call {
 	var out []*api.Call
 	for _, c := range of {
 		if c.AtMs >= from && c.AtMs < to {
--- a/internal/emulator/calltrace/trace_test.go
+++ b/internal/emulator/calltrace/trace_test.go
@@ -122,7 +122,7 @@
 
 func TestTools(t *testing.T) {
 	of := calls(1000)
-	if c := Cut(of, 150, 300); len(c) != 100 || c[0].AtMs != 0 || of[100].AtMs != 150 {
+	if c := Slice(of, 150, 300); len(c) != 100 || c[0].AtMs != 0 || of[100].AtMs != 150 {
 		t.Errorf("cut: %d calls from %v", len(c), c[0].AtMs)
 	}
 	if s := Speed(of, 2, false); s[10].AtMs != 7.5 || s[10].HoldMs != 1000 {
@@ -148,7 +148,7 @@
 	if Anonymise(of, "other", 5)[3].Number == a[3].Number {
 		t.Error("the key does not matter")
 	}
-	if m := Merge(Cut(of, 0, 100), Cut(of, 0, 50)); len(m) != 101 || m[1].AtMs != 0 {
+	if m := Merge(Slice(of, 0, 100), Slice(of, 0, 50)); len(m) != 101 || m[1].AtMs != 0 {
 		t.Errorf("merge: %d", len(m))
 	}
 }
--- a/internal/emulator/coreswitch/core.go
+++ b/internal/emulator/coreswitch/core.go
@@ -156,8 +156,8 @@
 	return s.timers.Next()
 }
 
-// Standing are the established calls here, by their sessions.
-func (s *Switch) Standing() []string {
+// EstablishedCalls are the established calls here, by their sessions.
+func (s *Switch) EstablishedCalls() []string {
 	var of []string
 	for _, c := range s.calls {
 		if c.stands && !c.gone {
@@ -175,8 +175,8 @@
 	}
 }
 
-// LoseLines takes lines away, so that a share of them is left; calls on lost ones are cut.
-func (s *Switch) LoseLines(now, left float64) {
+// LoseCircuits takes lines away, so that a share of them is left; calls on lost ones are cut.
+func (s *Switch) LoseCircuits(now, left float64) {
 	s.now, s.sip.Now = now, now
 	s.lost = int(float64(s.Lines) * (1 - left))
 	for _, c := range s.sorted() {
--- a/internal/emulator/dnsserver/names.go
+++ b/internal/emulator/dnsserver/names.go
@@ -76,21 +76,21 @@
 
 // Faults are what a server does wrong. Shares are of its answers.
 type Faults struct {
-	Silent   bool    // it never answers
-	Delay    float64 // ms
-	Jitter   float64 // ms, up to so much more
-	Loss     float64 // share of answers lost
-	WrongID  float64 // share with an id that was not asked for
-	Spoof    float64 // share that somebody's guesses come before, with a lie
-	Guesses  int     // so many
-	Cut      float64 // share truncated to nothing: the rest by stream
-	NoStream bool    // streams bring nothing
-	Lame     bool    // it knows nothing of the zone
-	Refer    bool    // it points elsewhere
-	ServFail bool
-	NoEDNS   bool // it answers EDNS with FORMERR
-	Flat     bool // it answers in small letters
-	Poison   bool // it adds records of other names
+	Silent    bool    // it never answers
+	Delay     float64 // ms
+	Jitter    float64 // ms, up to so much more
+	Loss      float64 // share of answers lost
+	WrongID   float64 // share with an id that was not asked for
+	Spoof     float64 // share that somebody's guesses come before, with a lie
+	Guesses   int     // so many
+	Truncated float64 // share truncated to nothing: the rest by stream
+	NoStream  bool    // streams bring nothing
+	Lame      bool    // it knows nothing of the zone
+	Refer     bool    // it points elsewhere
+	ServFail  bool
+	NoEDNS    bool // it answers EDNS with FORMERR
+	Flat      bool // it answers in small letters
+	Poison    bool // it adds records of other names
 }
 
 // Reply is a message and when it leaves, ms after the question came.
@@ -101,22 +101,22 @@
 
 // Server answers for a zone.
 type Server struct {
-	Zone   *Zone
-	Faults Faults
-	Seed   uint64
-	Asked  uint64
-	drawn  uint64
+	Zone    *Zone
+	Faults  Faults
+	Seed    uint64
+	Queries uint64
+	draws   uint64
 }
 
 func (s *Server) draw() float64 {
-	s.drawn++
-	return detrand.Float64(s.Seed, s.drawn)
+	s.draws++
+	return detrand.Float64(s.Seed, s.draws)
 }
 
 // Datagram answers a datagram.
 func (s *Server) Datagram(data []byte) []Reply {
 	f := &s.Faults
-	s.Asked++
+	s.Queries++
 	if f.Silent || s.draw() < f.Loss {
 		return nil
 	}
@@ -144,7 +144,7 @@
 	if s.draw() < f.WrongID {
 		m.Id++
 	}
-	if s.draw() < f.Cut {
+	if s.draw() < f.Truncated {
 		m.Truncated, m.Answer = true, nil
 	}
 	return append(out, Reply{after, pack(m)})
@@ -152,7 +152,7 @@
 
 // Stream answers a message that came over TCP.
 func (s *Server) Stream(data []byte) []Reply {
-	s.Asked++
+	s.Queries++
 	if s.Faults.Silent || s.Faults.NoStream {
 		return nil
 	}
--- a/internal/emulator/loadgen/load.go
+++ b/internal/emulator/loadgen/load.go
@@ -46,10 +46,10 @@
 
 // Result is what was measured. Histograms are of µs and can be merged.
 type Result struct {
-	Intended                                           *hdrhistogram.Histogram // waits till the call stood, from the time it was meant to come
-	Sent                                               *hdrhistogram.Histogram // the same from the time it was sent
-	Late                                               *hdrhistogram.Histogram // from the one to the other
-	Planned, Stood, Refused, Unanswered, Repeats, Past int64
+	Intended                                              *hdrhistogram.Histogram // waits till the call stood, from the time it was meant to come
+	Sent                                                  *hdrhistogram.Histogram // the same from the time it was sent
+	Late                                                  *hdrhistogram.Histogram // from the one to the other
+	Planned, Answered, Refused, Unanswered, Repeats, Past int64
 }
 
 // NewResult is an empty one.
@@ -76,7 +76,7 @@
 	r.Sent.Merge(o.Sent)
 	r.Late.Merge(o.Late)
 	r.Planned += o.Planned
-	r.Stood += o.Stood
+	r.Answered += o.Answered
 	r.Refused += o.Refused
 	r.Unanswered += o.Unanswered
 	r.Repeats += o.Repeats
@@ -278,7 +278,7 @@
 			return
 		}
 		r.end(k)
-		r.res.Stood++
+		r.res.Answered++
 		r.res.record(r.res.Intended, at.Sub(k.due))
 		r.res.record(r.res.Sent, at.Sub(k.sent))
 		time.AfterFunc(time.Duration(k.HoldMs*1e6), func() {
--- a/internal/emulator/loadgen/load_test.go
+++ b/internal/emulator/loadgen/load_test.go
@@ -41,8 +41,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Planned != 600 || r.Stood != 600 || r.Intended.TotalCount() != 600 {
-		t.Errorf("%d of %d stood, %d counted", r.Stood, r.Planned, r.Intended.TotalCount())
+	if r.Planned != 600 || r.Answered != 600 || r.Intended.TotalCount() != 600 {
+		t.Errorf("%d of %d stood, %d counted", r.Answered, r.Planned, r.Intended.TotalCount())
 	}
 	var want []time.Duration
 	for _, c := range calls {
--- a/internal/emulator/processrun/day.go
+++ b/internal/emulator/processrun/day.go
@@ -62,7 +62,7 @@
 type runner struct {
 	api.UnimplementedPoolListServer
 	o       Options
-	st      *scenario.Stage
+	st      *scenario.Scenario
 	sockets *reactor.UDPSockets
 	list    net.Listener
 	server  *grpc.Server
@@ -406,12 +406,12 @@
 				"%g\n  most = %d\n  keep = %d",
 			g.Front,
 			f.Apex,
-			f.Skill,
+			f.Class,
 			f.Negative,
 			ms(f.Patience),
 			ms(f.Repeat),
 			f.Gain,
-			f.Most,
+			f.MaxPending,
 			f.Keep,
 		)
 		p("  rate = %g\n  burst = %g\n  clients = %d", f.Limits.Rate, f.Limits.Burst, f.Limits.Clients)
@@ -510,10 +510,10 @@
 				fmt.Sprintf(
 					"%6.1f s  %d callers planned, %d stood in time, %d late, %d cut",
 					w.Now/1000,
-					sv.Offered,
-					sv.Stood,
+					sv.Arrived,
+					sv.Answered,
 					sv.Late,
-					sv.Cut,
+					sv.Dropped,
 				),
 			)
 		}
--- a/internal/emulator/processrun/numbers.go
+++ b/internal/emulator/processrun/numbers.go
@@ -87,7 +87,7 @@
 		s.Share,
 		scenario.Apex,
 		strings.Join(servers, ", "),
-		c.Most,
+		c.MaxLookups,
 		c.Tries,
 		ms(c.StaleAfter),
 		c.Cache.MaxEntries,
--- a/internal/emulator/report/report.go
+++ b/internal/emulator/report/report.go
@@ -106,7 +106,7 @@
 	p.X.Min, p.X.Max = 0, float64(s.Seconds)*1.16 // room for the legend
 	p.Y.Min, p.Y.Max = 0, top
 	p.Add(plotter.NewGrid())
-	for i, t := range s.Troubles { // marked on the time axis
+	for i, t := range s.Faults { // marked on the time axis
 		a, b := t.At/1000, math.Min(float64(s.Seconds), (t.At+t.For)/1000)
 		if a >= float64(s.Seconds) {
 			continue
@@ -182,23 +182,23 @@
 	}
 	p := add("Service by second of coming (value that stood in time over value offered)", "share", 1.05)
 	line(p, "service", s.Service, 0)
-	p = add("Contacts that came, and set-ups sent", "a second", most(s.Offered, total(s.Rings, s.Seconds)))
-	line(p, "callers' first tries", s.Offered, 0)
-	line(p, "set-ups", total(s.Rings, s.Seconds), 1)
+	p = add("Contacts that came, and set-ups sent", "a second", most(s.Arrivals, total(s.Attempts, s.Seconds)))
+	line(p, "callers' first tries", s.Arrivals, 0)
+	line(p, "set-ups", total(s.Attempts, s.Seconds), 1)
 	p = add("Wait of contacts that stood, by second of coming", "ms", most(s.P50, s.P95))
 	line(p, "p50", s.P50, 0)
 	line(p, "p95", s.P95, 1)
-	p = add("Set-ups by switch", "a second", most(values(s.Rings)...))
-	for i, k := range keys(s.Rings) {
-		line(p, k, s.Rings[k], i)
+	p = add("Set-ups by switch", "a second", most(values(s.Attempts)...))
+	for i, k := range keys(s.Attempts) {
+		line(p, k, s.Attempts[k], i)
 	}
-	p = add("Rings by what the switch answered", "a second", most(values(s.Ends)...))
-	for i, k := range keys(s.Ends) {
-		line(p, k, s.Ends[k], i)
+	p = add("Rings by what the switch answered", "a second", most(values(s.Outcomes)...))
+	for i, k := range keys(s.Outcomes) {
+		line(p, k, s.Outcomes[k], i)
 	}
-	if len(s.Cold) > 0 {
+	if len(s.SlowStart) > 0 {
 		by, top := map[string]plotter.XYs{}, 1.1
-		for _, c := range s.Cold {
+		for _, c := range s.SlowStart {
 			by[c.Switch] = append(by[c.Switch], plotter.XY{X: c.At / 1000, Y: c.Used})
 			top = math.Max(top, c.Used*1.1)
 		}
--- a/internal/emulator/saturation/rush.go
+++ b/internal/emulator/saturation/rush.go
@@ -20,18 +20,18 @@
 
 // Load is what is sent.
 type Load struct {
-	Rate float64 // calls a second
-	For  time.Duration
-	Hold time.Duration
+	Rate        float64 // calls a second
+	For         time.Duration
+	HoldingTime time.Duration
 }
 
 // Result is what came of it.
 type Result struct {
-	Sent, Stood, Ended, Refused int64
-	Repeats                     int64                   // setups that the gateway sent again by itself
-	Added                       *hdrhistogram.Histogram // µs from a caller's sending to the switch's receipt
-	Back                        *hdrhistogram.Histogram // µs from the switch's answer to the caller's receipt
-	Late                        time.Duration           // the most that the sender ran behind its plan
+	Sent, Answered, Ended, Refused int64
+	Repeats                        int64                   // setups that the gateway sent again by itself
+	Added                          *hdrhistogram.Histogram // µs from a caller's sending to the switch's receipt
+	Back                           *hdrhistogram.Histogram // µs from the switch's answer to the caller's receipt
+	Late                           time.Duration           // the most that the sender ran behind its plan
 }
 
 // Rig is the two ends.
@@ -91,7 +91,7 @@
 // Run sends a load and waits a little for what is under way.
 func (r *Rig) Run(l Load) *Result {
 	r.mu.Lock()
-	r.res, r.hold = newResult(), l.Hold
+	r.res, r.hold = newResult(), l.HoldingTime
 	res := r.res
 	r.mu.Unlock()
 	begin := time.Now()
@@ -112,7 +112,7 @@
 		}
 		time.Sleep(200 * time.Microsecond)
 	}
-	time.Sleep(l.Hold + 500*time.Millisecond)
+	time.Sleep(l.HoldingTime + 500*time.Millisecond)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.res = newResult()
@@ -230,7 +230,7 @@
 			}
 			at := r.now()
 			r.mu.Lock()
-			r.res.Stood++
+			r.res.Answered++
 			_ = r.res.Back.RecordValue(max(1, (at-r.answered[id].Load())/1000))
 			r.mu.Unlock()
 			if r.hold == 0 {
--- a/internal/emulator/scenario/design.go
+++ b/internal/emulator/scenario/design.go
@@ -28,7 +28,7 @@
 }
 
 // NewShares follows a stage whose endpoint away drains from the start, -1: none.
-func NewShares(st *Stage, away int) *Shares {
+func NewShares(st *Scenario, away int) *Shares {
 	s := &Shares{
 		homes:    map[string]int{},
 		util:     map[string]map[int]float64{},
@@ -46,7 +46,7 @@
 }
 
 // Drain puts an endpoint on the list as draining, without a replacement.
-func (st *Stage) Drain(pool int) {
+func (st *Scenario) Drain(pool int) {
 	p := st.places[pool]
 	p.state = api.State_DRAINING
 	for i, m := range st.machines {
--- a/internal/emulator/scenario/kiosks.go
+++ b/internal/emulator/scenario/kiosks.go
@@ -23,7 +23,7 @@
 }
 
 // openKiosks plans the visits and puts the kiosks' nodes in.
-func (st *Stage) openKiosks() {
+func (st *Scenario) openKiosks() {
 	s := st.Script
 	if s.Kiosks.Rate <= 0 {
 		return
@@ -67,13 +67,13 @@
 }
 
 // kioskCalls lets a kiosk call the switch that was named.
-func (st *Stage) kioskCalls(g *Gateway, now float64, v *enumclient.Visit, user string, to netip.AddrPort) {
+func (st *Scenario) kioskCalls(g *Gateway, now float64, v *enumclient.Visit, user string, to netip.AddrPort) {
 	w := st.World
 	p := g.phones[to]
 	if p == nil {
 		at := netip.AddrPortFrom(g.kiosks.Addr.Addr(), g.kiosks.Addr.Port()+uint16(100+len(g.phones)))
 		c := callers.New(
-			callers.Manners{Context: Context, Parse: st.Parse, Silence: st.Script.Callers.Silence},
+			callers.Behavior{Context: Context, Parse: st.Parse, Silence: st.Script.Callers.Silence},
 			at,
 			to,
 			st.Script.Pools.Model.Times,
@@ -91,32 +91,32 @@
 	skill := st.Script.Skills[0]
 	p.Plan(
 		&callers.Arrival{
-			At:       now,
-			Number:   number + ";" + rest,
-			Skill:    skill.Name,
-			Customer: st.Script.Payers[0].Name,
-			Hold:     v.Hold,
-			Target:   skill.Target,
-			Patience: skill.Patience,
-			Try:      skill.Try,
-			Value:    1,
+			At:               now,
+			Number:           number + ";" + rest,
+			Class:            skill.Name,
+			Tenant:           st.Script.Payers[0].Name,
+			HoldingTime:      v.Hold,
+			LatencyObjective: skill.Target,
+			Timeout:          skill.Patience,
+			AttemptTimeout:   skill.Try,
+			Weight:           1,
 		},
 	)
 	p.node.Due()
 }
 
 // FrontConfig is how the gateways answer look-ups.
-func (st *Stage) FrontConfig() enumserver.Config {
+func (st *Scenario) FrontConfig() enumserver.Config {
 	return enumserver.Config{
-		Apex:     KioskApex,
-		Skill:    st.Script.Skills[0].Name,
-		Negative: 30,
-		Patience: 3000,
-		Repeat:   5000,
-		Gain:     8,
-		Most:     2000,
-		Keep:     10000,
-		Context:  Context,
+		Apex:       KioskApex,
+		Class:      st.Script.Skills[0].Name,
+		Negative:   30,
+		Patience:   3000,
+		Repeat:     5000,
+		Gain:       8,
+		MaxPending: 2000,
+		Keep:       10000,
+		Context:    Context,
 		Limits: enumserver.Limits{
 			Rate:    50,
 			Burst:   100,
@@ -133,7 +133,7 @@
 }
 
 // KioskService adds up.
-func (st *Stage) KioskService() KioskService {
+func (st *Scenario) KioskService() KioskService {
 	var s KioskService
 	for _, g := range st.Gateways {
 		if g.Kiosks == nil {
@@ -152,10 +152,10 @@
 		}
 		for _, p := range g.phones {
 			for _, x := range p.Stories {
-				if !math.IsNaN(x.StoodAt) {
+				if !math.IsNaN(x.AnsweredAt) {
 					s.Stood++
 				}
-				if x.Cut {
+				if x.Dropped {
 					s.Cut++
 				}
 			}
--- a/internal/emulator/scenario/numbers.go
+++ b/internal/emulator/scenario/numbers.go
@@ -34,7 +34,7 @@
 }
 
 // openNames makes the servers; in virtual time they are nodes of the world.
-func (st *Stage) openNames() {
+func (st *Scenario) openNames() {
 	s := st.Script.Numbers
 	if !st.Script.Analyses() {
 		return
@@ -82,7 +82,7 @@
 }
 
 // TableIn notes that a gateway has a table in force.
-func (st *Stage) TableIn(gateway int, version uint64) {
+func (st *Scenario) TableIn(gateway int, version uint64) {
 	st.Mark("table-in", st.Gateways[gateway].Name, strconv.FormatUint(version, 10), nil)
 }
 
@@ -91,7 +91,7 @@
 
 // Table makes the table of a version: all say the same, but in every step they use a mark of their own, so that a
 // call that was analysed by parts of two would go nowhere.
-func (st *Stage) Table(version uint64) *Table {
+func (st *Scenario) Table(version uint64) *Table {
 	if t := st.Names.tables[version]; t != nil {
 		return t
 	}
@@ -135,19 +135,19 @@
 }
 
 // dialled is the number that a caller of a destination dials.
-func (st *Stage) dialled(home int, draw float64) string {
+func (st *Scenario) dialled(home int, draw float64) string {
 	per := max(1, st.Script.Load.Numbers/len(st.places))
 	return fmt.Sprintf("+1418%03d%05d", home, int(math.Pow(draw, st.Script.Numbers.Popular)*float64(per)))
 }
 
 // Resolve is how the gateways look up.
-func (st *Stage) Resolve(seed uint64) dnsclient.Config {
+func (st *Scenario) Resolve(seed uint64) dnsclient.Config {
 	s := st.Script.Numbers
 	c := dnsclient.Config{
 		Servers:    st.Names.Addrs,
 		Ports:      2,
 		Seed:       seed,
-		Most:       1000,
+		MaxLookups: 1000,
 		Tries:      4,
 		StaleAfter: 100,
 		Alone:      s.Alone,
@@ -167,7 +167,7 @@
 }
 
 // namesTrouble puts a trouble of the DNS servers on.
-func (st *Stage) namesTrouble(t scenariofile.Trouble, during func(begin, stop func())) {
+func (st *Scenario) namesTrouble(t scenariofile.Trouble, during func(begin, stop func())) {
 	if st.Names == nil {
 		return
 	}
@@ -189,7 +189,7 @@
 	case "names_spoofed":
 		begin = func(f *dnsserver.Faults) { f.Spoof, f.Guesses = 1, int(t.Size) }
 	case "names_cut":
-		begin = func(f *dnsserver.Faults) { f.Cut = t.Size }
+		begin = func(f *dnsserver.Faults) { f.Truncated = t.Size }
 	case "names_lame":
 		begin = func(f *dnsserver.Faults) { f.Lame = true }
 	case "names_wrong":
--- a/internal/emulator/scenario/numbers_test.go
+++ b/internal/emulator/scenario/numbers_test.go
@@ -10,7 +10,7 @@
 )
 
 // numbersDay plays a short day on which numbers are analysed and tables change every second.
-func numbersDay(t *testing.T, change func(*scenariofile.Script)) (*Stage, *Virtual, *conformance.Checker,
+func numbersDay(t *testing.T, change func(*scenariofile.Script)) (*Scenario, *Virtual, *conformance.Checker,
 	*conformance.Tables) {
 	t.Helper()
 	s, err := Day("numbers", `length="14s"`, "load.rate=200", "gateways.count=4", "pools.count=3")
@@ -51,16 +51,16 @@
 			t.Error(f)
 		}
 	}
-	if tables.Contacts < 2000 || tables.Records < 2000 || tables.Versions < 13 {
-		t.Errorf("%d contacts, %d tables", tables.Contacts, tables.Versions)
+	if tables.Calls < 2000 || tables.Records < 2000 || tables.Versions < 13 {
+		t.Errorf("%d contacts, %d tables", tables.Calls, tables.Versions)
 	}
 	for _, b := range v.Edges {
 		if old, n := b.Tables(); old != 0 || n != 0 {
 			t.Errorf("%s: %d contacts hold %d old tables", b.g.Name, n, old)
 		}
 	}
-	if sv := st.Service(); sv.Whole < 0.9 {
-		t.Errorf("service %.3f", sv.Whole)
+	if sv := st.Service(); sv.Total < 0.9 {
+		t.Errorf("service %.3f", sv.Total)
 	}
 }
 
@@ -80,9 +80,9 @@
 				t.Error(tables.Findings[0])
 			}
 			sv, l := st.Service(), v.LookUps()
-			t.Logf("service %.3f, %+v", sv.Whole, l)
-			if sv.Whole < 0.98 {
-				t.Errorf("service %.3f", sv.Whole)
+			t.Logf("service %.3f, %+v", sv.Total, l)
+			if sv.Total < 0.98 {
+				t.Errorf("service %.3f", sv.Total)
 			}
 			if c.Kind == "names_spoofed" && l.Strays == 0 || c.Kind == "names_cut" && l.Streams == 0 ||
 				c.Kind == "names_silent" && l.Down+l.Failed == 0 {
--- a/internal/emulator/scenario/service.go
+++ b/internal/emulator/scenario/service.go
@@ -8,18 +8,18 @@
 // Service is how a day went by the users' account: the value of calls that were established in time and were not cut,
 // over the value offered, a caller's further tries counted with its first. Of simulated switches.
 type Service struct {
-	Whole, Worst10s            float64
-	Skill, Customer            string // the worst served
-	SkillShare, CustomerShare  float64
-	Offered                    int
-	Stood, Late, Cut, Unserved int
-	Extra                      int       // final answers after a final answer, as callers saw them
-	Waits                      []float64 // of those that stood, ms, sorted
-	Fell                       int
+	Total, Worst10s                   float64
+	WorstClass, WorstTenant           string // the worst served
+	ClassShare, TenantShare           float64
+	Arrived                           int
+	Answered, Late, Dropped, Unserved int
+	Extra                             int       // final answers after a final answer, as callers saw them
+	Waits                             []float64 // of those that stood, ms, sorted
+	Fell                              int
 }
 
 // Service adds a day up.
-func (st *Stage) Service() Service {
+func (st *Scenario) Service() Service {
 	var s Service
 	type part struct{ got, of float64 }
 	add := func(p *part, got, of float64) { p.got += got; p.of += of }
@@ -34,35 +34,35 @@
 	for _, g := range st.Gateways {
 		s.Extra += g.Callers.Extra
 		for _, x := range g.Callers.Stories {
-			if x.Over {
+			if x.OverQuota {
 				continue
 			}
-			s.Offered++
+			s.Arrived++
 			got := 0.0
-			wait := x.StoodAt - x.At
+			wait := x.AnsweredAt - x.At
 			switch {
-			case math.IsNaN(x.StoodAt):
+			case math.IsNaN(x.AnsweredAt):
 				s.Unserved++
-			case x.Cut:
-				s.Cut++
-			case wait <= x.Target:
-				s.Stood++
-				got = x.Value
+			case x.Dropped:
+				s.Dropped++
+			case wait <= x.LatencyObjective:
+				s.Answered++
+				got = x.Weight
 			default:
 				s.Late++
-				got = x.Value * x.Late
+				got = x.Weight * x.LateWeightFraction
 			}
-			if !math.IsNaN(x.StoodAt) {
+			if !math.IsNaN(x.AnsweredAt) {
 				s.Waits = append(s.Waits, wait)
 			}
-			add(&whole, got, x.Value)
-			add(get(skills, x.Skill), got, x.Value)
-			add(get(payers, x.Customer), got, x.Value)
+			add(&whole, got, x.Weight)
+			add(get(skills, x.Class), got, x.Weight)
+			add(get(payers, x.Tenant), got, x.Weight)
 			for k := int(x.At / 1000); k > int(x.At/1000)-10 && k >= 0; k-- { // every window of 10 s that holds it
 				if windows[k] == nil {
 					windows[k] = &part{}
 				}
-				add(windows[k], got, x.Value)
+				add(windows[k], got, x.Weight)
 			}
 		}
 	}
@@ -82,9 +82,9 @@
 		}
 		return name, least
 	}
-	s.Whole = share(&whole)
-	s.Skill, s.SkillShare = worst(skills)
-	s.Customer, s.CustomerShare = worst(payers)
+	s.Total = share(&whole)
+	s.WorstClass, s.ClassShare = worst(skills)
+	s.WorstTenant, s.TenantShare = worst(payers)
 	s.Worst10s = 1
 	for k, p := range windows {
 		if float64(k+10)*1000 <= st.Script.Length {
--- a/internal/emulator/scenario/stage.go
+++ b/internal/emulator/scenario/stage.go
@@ -73,8 +73,8 @@
 	birth  int
 }
 
-// Stage is a day that goes on.
-type Stage struct {
+// Scenario is a day that goes on.
+type Scenario struct {
 	Script   *scenariofile.Script
 	World    *simulation.World
 	Gateways []*Gateway
@@ -98,18 +98,18 @@
 
 // New builds the stage of a script; base numbers the addresses' last but one byte so that stages don't meet. The
 // gateways are added by whoever runs them.
-func New(s *scenariofile.Script, port int, record func(*api.Record)) *Stage {
+func New(s *scenariofile.Script, port int, record func(*api.Record)) *Scenario {
 	return build(s, port, 0, record)
 }
 
 // NewReal builds a stage whose gateways are behind sockets; records of different sockets may stand out of order by blur
 // ms.
-func NewReal(s *scenariofile.Script, port int, blur float64, record func(*api.Record)) *Stage {
+func NewReal(s *scenariofile.Script, port int, blur float64, record func(*api.Record)) *Scenario {
 	return build(s, port, blur, record)
 }
 
-func build(s *scenariofile.Script, port int, blur float64, record func(*api.Record)) *Stage {
-	st := &Stage{Script: s, World: simulation.New(s.Seed), Record: record, Parse: remember()}
+func build(s *scenariofile.Script, port int, blur float64, record func(*api.Record)) *Scenario {
+	st := &Scenario{Script: s, World: simulation.New(s.Seed), Record: record, Parse: remember()}
 	st.names.Seed = s.Seed*2654435761 + 17
 	w := st.World
 	w.Link = st.link
@@ -149,7 +149,7 @@
 		from := addr(2, i, port)
 		c := s.Callers
 		g.Callers = callers.New(
-			callers.Manners{Redials: c.Redials, Pause: c.Pause, Grows: c.Grows, Honour: c.Honour, MaxWait: c.MaxWait,
+			callers.Behavior{Redials: c.Redials, Pause: c.Pause, Grows: c.Grows, Honour: c.Honour, MaxWait: c.MaxWait,
 				Context: Context, Silence: c.Silence, Parse: st.Parse},
 			from,
 			g.Addr,
@@ -200,7 +200,7 @@
 }
 
 // Addresses are those of the stand-ins and gateways, for whoever binds sockets.
-func (st *Stage) Addresses() []netip.AddrPort {
+func (st *Scenario) Addresses() []netip.AddrPort {
 	var of []netip.AddrPort
 	for _, g := range st.Gateways {
 		of = append(of, g.callers.Addr)
@@ -220,13 +220,13 @@
 }
 
 // next is the address of a place's nth replacement.
-func (st *Stage) next(p *place, n int) netip.AddrPort {
+func (st *Scenario) next(p *place, n int) netip.AddrPort {
 	a := addr(3, p.number, 0).Addr().As4()
 	a[1] = byte(30 + 10*n)
 	return netip.AddrPortFrom(netip.AddrFrom4(a), p.addr.Port())
 }
 
-func (st *Stage) record(what any) {
+func (st *Scenario) record(what any) {
 	if st.Record == nil {
 		return
 	}
@@ -246,12 +246,12 @@
 	st.Record(r)
 }
 
-func (st *Stage) node(a netip.AddrPort, role, name string) {
+func (st *Scenario) node(a netip.AddrPort, role, name string) {
 	st.record(&api.Record_Node{Node: &api.Node{Addr: a.String(), Role: role, Name: name}})
 }
 
 // Mark notes something in the capture.
-func (st *Stage) Mark(what, who, text string, start *api.Start) {
+func (st *Scenario) Mark(what, who, text string, start *api.Start) {
 	st.record(&api.Record_Mark{Mark: &api.Mark{What: what, Who: who, Text: text, Start: start}})
 	if st.Say != nil && what != "start" {
 		st.Say(st.World.Now, fmt.Sprintf("%s %s %s", what, who, text))
@@ -259,7 +259,7 @@
 }
 
 // link is the wire between two nodes.
-func (st *Stage) link(a, b *simulation.Node) simulation.Link {
+func (st *Scenario) link(a, b *simulation.Node) simulation.Link {
 	n := st.Script.Net
 	l := simulation.Link{Delay: n.Cross, Jitter: n.Jitter, Loss: n.Loss + st.loss, Double: n.Double}
 	if a.Region == b.Region {
@@ -275,17 +275,23 @@
 	return l
 }
 
-func (st *Stage) isSwitch(n *simulation.Node) bool {
+func (st *Scenario) isSwitch(n *simulation.Node) bool {
 	_, ok := n.Machine.(*coreswitch.Switch)
 	return ok
 }
 
-func (st *Stage) isKiosk(n *simulation.Node) bool { _, ok := n.Machine.(*enumclient.Kiosks); return ok }
+func (st *Scenario) isKiosk(n *simulation.Node) bool {
+	_, ok := n.Machine.(*enumclient.Kiosks)
+	return ok
+}
 
-func (st *Stage) isCaller(n *simulation.Node) bool { _, ok := n.Machine.(*callers.Callers); return ok }
+func (st *Scenario) isCaller(n *simulation.Node) bool {
+	_, ok := n.Machine.(*callers.Callers)
+	return ok
+}
 
 // boot starts a switch process at a place.
-func (st *Stage) boot(p *place, cold bool) {
+func (st *Scenario) boot(p *place, cold bool) {
 	w := st.World
 	self := p.addr
 	p.sw = coreswitch.New(p.model, self, st.Script.Seed+uint64(p.number)*104729+uint64(p.birth)*31+5, w.Now, cold,
@@ -317,12 +323,12 @@
 }
 
 // change lets the list know of a machine after a while.
-func (st *Stage) change(m *api.Member, lo, hi float64) {
+func (st *Scenario) change(m *api.Member, lo, hi float64) {
 	st.World.At(st.World.Now+lo+(hi-lo)*st.names.Float64(), func() { st.publish(m) })
 }
 
 // publish puts a change on the list and sends it to every gateway that follows.
-func (st *Stage) publish(m *api.Member) {
+func (st *Scenario) publish(m *api.Member) {
 	if st.listless {
 		st.World.At(st.World.Now+500, func() { st.publish(m) }) // it learns of it when it is back
 		return
@@ -345,7 +351,7 @@
 }
 
 // follow sends a gateway all changes that it has not had.
-func (st *Stage) follow(g *Gateway) {
+func (st *Scenario) follow(g *Gateway) {
 	if g.deaf {
 		return
 	}
@@ -358,12 +364,12 @@
 }
 
 // Whole is the list as its keeper has it.
-func (st *Stage) Whole() *api.Update {
+func (st *Scenario) Whole() *api.Update {
 	return &api.Update{Version: st.version, Whole: true, Members: st.machines}
 }
 
 // Welcome sends a gateway that starts the whole list; or, where it had one, what changed since.
-func (st *Stage) Welcome(g *Gateway, have uint64) {
+func (st *Scenario) Welcome(g *Gateway, have uint64) {
 	if have > 0 && have <= st.version {
 		g.have = have
 		st.follow(g)
@@ -373,7 +379,7 @@
 	st.deliver(g, st.Whole())
 }
 
-func (st *Stage) deliver(g *Gateway, u *api.Update) {
+func (st *Scenario) deliver(g *Gateway, u *api.Update) {
 	out := &api.Update{Version: u.Version, Whole: u.Whole}
 	l := &api.Listing{Edge: g.Name, Whole: u.Whole}
 	for _, m := range u.Members {
@@ -395,15 +401,15 @@
 var stateName = map[api.State]string{api.State_GONE: "gone", api.State_READY: "ready", api.State_DRAINING: "draining"}
 
 // kill lets a place's process die: its calls are cut without a word.
-func (st *Stage) kill(p *place) {
+func (st *Scenario) kill(p *place) {
 	st.Mark("kill", p.node.Name, "", nil)
 	st.hush(p)
 	p.node.Die()
 }
 
 // hush tells the callers of a dead process's calls that their line is dead.
-func (st *Stage) hush(p *place) {
-	of := p.sw.Standing()
+func (st *Scenario) hush(p *place) {
+	of := p.sw.EstablishedCalls()
 	sort.Strings(of)
 	for _, g := range st.Gateways {
 		for _, s := range of {
@@ -414,7 +420,7 @@
 }
 
 // plan draws all arrivals ahead.
-func (st *Stage) plan() {
+func (st *Scenario) plan() {
 	s, n := st.Script, &st.names
 	if len(s.Calls) > 0 {
 		st.replay()
@@ -483,8 +489,9 @@
 			number, group = st.dialled(home, n.Float64()), ""
 		}
 		st.Gateways[g].Callers.Plan(&callers.Arrival{At: at, Number: number,
-			Skill: skill.Name, Customer: s.Payers[c].Name, Group: group, Hold: -math.Log(1-n.Float64()) * skill.Hold,
-			Target: skill.Target, Patience: skill.Patience, Try: skill.Try, Value: skill.Value, Late: skill.Late})
+			Class: skill.Name, Tenant: s.Payers[c].Name, Group: group, HoldingTime: -math.Log(1-n.Float64()) * skill.Hold,
+			LatencyObjective: skill.Target, Timeout: skill.Patience, AttemptTimeout: skill.Try, Weight: skill.Value,
+			LateWeightFraction: skill.Late})
 	}
 	for _, t := range s.Troubles {
 		if t.Kind == "flood" {
@@ -497,7 +504,7 @@
 }
 
 // replay plans the calls of a trace in place of drawn ones.
-func (st *Stage) replay() {
+func (st *Scenario) replay() {
 	skills := map[string]scenariofile.Skill{}
 	for _, k := range st.Script.Skills {
 		skills[k.Name] = k
@@ -517,17 +524,17 @@
 		g := st.Gateways[int(c.Gateway)%len(st.Gateways)]
 		g.Callers.Plan(
 			&callers.Arrival{
-				At:       c.AtMs,
-				Number:   c.Number,
-				Skill:    k.Name,
-				Customer: c.Customer,
-				Group:    c.Group,
-				Hold:     hold,
-				Target:   k.Target,
-				Patience: patience,
-				Try:      math.Min(k.Try, patience),
-				Value:    k.Value,
-				Late:     k.Late,
+				At:                 c.AtMs,
+				Number:             c.Number,
+				Class:              k.Name,
+				Tenant:             c.Customer,
+				Group:              c.Group,
+				HoldingTime:        hold,
+				LatencyObjective:   k.Target,
+				Timeout:            patience,
+				AttemptTimeout:     math.Min(k.Try, patience),
+				Weight:             k.Value,
+				LateWeightFraction: k.Late,
 			},
 		)
 	}
@@ -537,7 +544,7 @@
 }
 
 // flood sends one gateway many calls of the least value.
-func (st *Stage) flood(t scenariofile.Trouble) {
+func (st *Scenario) flood(t scenariofile.Trouble) {
 	s, n := st.Script, &st.names
 	least := s.Skills[0]
 	for _, k := range s.Skills {
@@ -550,9 +557,10 @@
 		if st.Names != nil {
 			number, group = st.dialled(int(n.Float64()*float64(len(st.places))), n.Float64()), ""
 		}
-		st.Gateways[0].Callers.Plan(&callers.Arrival{At: at, Number: number, Skill: least.Name,
-			Customer: s.Payers[0].Name, Group: group, Hold: least.Hold, Target: least.Target, Patience: least.Patience,
-			Try: least.Try, Value: least.Value, Late: least.Late, Over: true})
+		st.Gateways[0].Callers.Plan(&callers.Arrival{At: at, Number: number, Class: least.Name,
+			Tenant: s.Payers[0].Name, Group: group, HoldingTime: least.Hold, LatencyObjective: least.Target,
+			Timeout:        least.Patience,
+			AttemptTimeout: least.Try, Weight: least.Value, LateWeightFraction: least.Late, OverQuota: true})
 	}
 }
 
@@ -560,7 +568,7 @@
 func Group(pool int) string { return fmt.Sprintf("TG-%d", pool) }
 
 // Settings are what the decision module of a gateway is told.
-func (st *Stage) Settings(g *Gateway) *routing.Settings {
+func (st *Scenario) Settings(g *Gateway) *routing.Settings {
 	s := st.Script
 	set := &routing.Settings{
 		Gateways:           s.Gateways.Count,
@@ -595,7 +603,7 @@
 }
 
 // Config is what a gateway's edge is told.
-func (st *Stage) Config(g *Gateway) *b2bua.Config {
+func (st *Scenario) Config(g *Gateway) *b2bua.Config {
 	s := st.Script
 	c := &b2bua.Config{
 		Name:         g.Name,
@@ -616,7 +624,7 @@
 }
 
 // Tell carries a message between gateways.
-func (st *Stage) Tell(to int, deliver func(now float64)) {
+func (st *Scenario) Tell(to int, deliver func(now float64)) {
 	n := st.Script.Net
 	if to < 0 || to >= len(st.Gateways) || st.muted || st.names.Float64() < n.PeerLoss {
 		return
--- a/internal/emulator/scenario/stage_test.go
+++ b/internal/emulator/scenario/stage_test.go
@@ -112,9 +112,9 @@
 	}
 	stood, all := 0, 0
 	for _, x := range st.Gateways[0].Callers.Stories {
-		if x.Skill == "absence-report" {
+		if x.Class == "absence-report" {
 			all++
-			if x.StoodAt-x.At <= x.Target {
+			if x.AnsweredAt-x.At <= x.LatencyObjective {
 				stood++
 			}
 		}
--- a/internal/emulator/scenario/trouble.go
+++ b/internal/emulator/scenario/trouble.go
@@ -9,7 +9,7 @@
 )
 
 // trouble plans one thing that goes wrong.
-func (st *Stage) trouble(t scenariofile.Trouble) {
+func (st *Scenario) trouble(t scenariofile.Trouble) {
 	w := st.World
 	end := t.At + t.For
 	during := func(begin, stop func()) {
@@ -40,12 +40,12 @@
 	case "lines":
 		during(func() {
 			for _, p := range st.in(t.Region) {
-				p.sw.LoseLines(w.Now, t.Size)
+				p.sw.LoseCircuits(w.Now, t.Size)
 				p.node.Due()
 			}
 		}, func() {
 			for _, p := range st.in(t.Region) {
-				p.sw.LoseLines(w.Now, 1)
+				p.sw.LoseCircuits(w.Now, 1)
 			}
 		})
 	case "silent":
@@ -113,7 +113,7 @@
 }
 
 // some draws a part of the places, at least one.
-func (st *Stage) some(t scenariofile.Trouble) []*place {
+func (st *Scenario) some(t scenariofile.Trouble) []*place {
 	of := st.in(t.Region)
 	n := max(1, int(math.Round(t.Part*float64(len(of)))))
 	of = append([]*place{}, of...)
@@ -124,7 +124,7 @@
 	return of[:min(n, len(of))]
 }
 
-func (st *Stage) gates(t scenariofile.Trouble) []*Gateway {
+func (st *Scenario) gates(t scenariofile.Trouble) []*Gateway {
 	of := append([]*Gateway{}, st.Gateways...)
 	for i := len(of) - 1; i > 0; i-- {
 		j := int(st.names.Float64() * float64(i+1))
@@ -134,7 +134,7 @@
 }
 
 // in is the places of a region, or all.
-func (st *Stage) in(region string) []*place {
+func (st *Scenario) in(region string) []*place {
 	var of []*place
 	for _, p := range st.places {
 		if region == "" || p.region == region {
@@ -144,7 +144,7 @@
 	return of
 }
 
-func (st *Stage) other(of []*place, share, end float64) {
+func (st *Scenario) other(of []*place, share, end float64) {
 	w := st.World
 	if w.Now >= end {
 		for _, p := range of {
@@ -163,7 +163,7 @@
 }
 
 // age slows a process step by step, then it dies and comes back.
-func (st *Stage) age(of []*place, t scenariofile.Trouble, step int) {
+func (st *Scenario) age(of []*place, t scenariofile.Trouble, step int) {
 	const steps = 10
 	for _, p := range of {
 		if step == steps {
@@ -181,7 +181,7 @@
 }
 
 // lost lets the list learn, late, that a process is silent.
-func (st *Stage) lost(p *place) {
+func (st *Scenario) lost(p *place) {
 	birth, l := p.birth, st.Script.List
 	st.World.At(st.World.Now+l.SilentLo+(l.SilentHi-l.SilentLo)*st.names.Float64(), func() {
 		if p.birth == birth { // not back meanwhile
@@ -192,7 +192,7 @@
 }
 
 // back starts a process anew on the same machine: cold.
-func (st *Stage) back(p *place) {
+func (st *Scenario) back(p *place) {
 	p.birth++
 	p.state, p.start = api.State_READY, st.World.Now
 	st.boot(p, true)
@@ -200,7 +200,7 @@
 }
 
 // replace drains a place's machine and puts a new one, cold, beside it.
-func (st *Stage) replace(p *place) {
+func (st *Scenario) replace(p *place) {
 	w, l := st.World, st.Script.List
 	old := *p
 	old.state = api.State_DRAINING
@@ -225,7 +225,7 @@
 }
 
 // stall lets gateways stand still, again and again.
-func (st *Stage) stall(of []*Gateway, span, end float64) {
+func (st *Scenario) stall(of []*Gateway, span, end float64) {
 	w := st.World
 	if w.Now >= end {
 		return
--- a/internal/emulator/scenario/virtual.go
+++ b/internal/emulator/scenario/virtual.go
@@ -13,7 +13,7 @@
 
 // Virtual runs the gateways as machines in the stage's own world.
 type Virtual struct {
-	Stage *Stage
+	Stage *Scenario
 	Make  routing.PolicyFactory
 	Edges []*Box
 }
@@ -34,7 +34,7 @@
 
 // NewVirtual puts the gateways on a stage, all with the same kind of module. They start within the first second with
 // the whole list.
-func NewVirtual(st *Stage, mk routing.PolicyFactory) *Virtual {
+func NewVirtual(st *Scenario, mk routing.PolicyFactory) *Virtual {
 	v := &Virtual{Stage: st, Make: mk}
 	st.Fleet = v
 	for _, g := range st.Gateways {
--- a/internal/emulator/search/hunt.go
+++ b/internal/emulator/search/hunt.go
@@ -221,7 +221,7 @@
 
 // Judge is how bad a day was. Broken rules come first; then the use of cold budgets and what was not served.
 func Judge(s *scenariofile.Script, r *virtualrun.Result) Find {
-	f := Find{Script: s, Score: 1 - r.Service.Whole}
+	f := Find{Script: s, Score: 1 - r.Service.Total}
 	if len(r.Findings) > 0 {
 		f.Rule, f.What, f.Score = r.Findings[0].Rule, r.Findings[0].String(), 10+float64(len(r.Findings))
 	} else if r.Tables != nil && len(r.Tables.Findings) > 0 {
--- a/internal/emulator/virtualrun/fleet.go
+++ b/internal/emulator/virtualrun/fleet.go
@@ -46,27 +46,27 @@
 
 // Result is what a day came to.
 type Result struct {
-	Service  scenario.Service
-	Findings []conformance.Finding
-	Totals   conformance.Totals
-	Series   *Series
-	Tables   *conformance.Tables // nil: no number tables
-	LookUps  dnsclient.Counts
-	Kiosks   scenario.KioskService
-	Sum      uint64
-	Spent    time.Duration
+	Service       scenario.Service
+	Findings      []conformance.Finding
+	Totals        conformance.Totals
+	Series        *Series
+	Tables        *conformance.Tables // nil: no number tables
+	NumberLookups dnsclient.Counts
+	Kiosks        scenario.KioskService
+	Sum           uint64
+	Elapsed       time.Duration
 }
 
 // Series is a day second by second.
 type Series struct {
-	Seconds  int
-	Service  []float64            // share of the value that came in that second and stood in time
-	Offered  []float64            // calls that came
-	P50, P95 []float64            // waits of those that came then and stood, ms; NaN: none
-	Rings    map[string][]float64 // by switch, sent in that second
-	Ends     map[string][]float64 // of attempts, by what the switch answered
-	Cold     []conformance.Cold
-	Troubles []scenariofile.Trouble
+	Seconds   int
+	Service   []float64            // share of the value that came in that second and stood in time
+	Arrivals  []float64            // calls that came
+	P50, P95  []float64            // waits of those that came then and stood, ms; NaN: none
+	Attempts  map[string][]float64 // by switch, sent in that second
+	Outcomes  map[string][]float64 // of attempts, by what the switch answered
+	SlowStart []conformance.Cold
+	Faults    []scenariofile.Trouble
 }
 
 // Play plays a day.
@@ -113,12 +113,12 @@
 	v := scenario.NewVirtual(st, mk)
 	st.World.Run(s.Length + After)
 	k.Finish()
-	res.Service, res.Findings, res.Totals, res.Tables, res.LookUps, res.Kiosks = st.Service(), k.Findings, k.Totals,
+	res.Service, res.Findings, res.Totals, res.Tables, res.NumberLookups, res.Kiosks = st.Service(), k.Findings, k.Totals,
 		tables, v.LookUps(), st.KioskService()
 	if ser != nil {
 		res.Series = ser.done(st, k.Cold)
 	}
-	res.Spent = time.Since(begin)
+	res.Elapsed = time.Since(begin)
 	return res
 }
 
@@ -158,7 +158,7 @@
 func newTap(s *scenariofile.Script) *seriesTap {
 	n := int(math.Ceil(s.Length / 1000))
 	return &seriesTap{
-		s:     &Series{Seconds: n, Rings: map[string][]float64{}, Ends: map[string][]float64{}, Troubles: s.Troubles},
+		s:     &Series{Seconds: n, Attempts: map[string][]float64{}, Outcomes: map[string][]float64{}, Faults: s.Troubles},
 		names: map[string]*api.Node{},
 	}
 }
@@ -196,38 +196,38 @@
 		text := string(v.Datagram.Data)
 		switch {
 		case to.Role == "switch" && strings.HasPrefix(text, "INVITE "):
-			t.count(t.s.Rings, to.Name, r.At)
+			t.count(t.s.Attempts, to.Name, r.At)
 		case from.Role == "switch" && strings.HasPrefix(text, "SIP/2.0 ") && len(text) > 11 && text[8] >= '2':
 			if m, err := siptransaction.Parse(v.Datagram.Data); err == nil && m.CSeq().MethodName == "INVITE" {
 				if name := ends[text[8:11]]; name != "" {
-					t.count(t.s.Ends, name, r.At)
+					t.count(t.s.Outcomes, name, r.At)
 				}
 			}
 		}
 	}
 }
 
-func (t *seriesTap) done(st *scenario.Stage, cold []conformance.Cold) *Series {
+func (t *seriesTap) done(st *scenario.Scenario, cold []conformance.Cold) *Series {
 	s := t.s
-	s.Cold = cold
+	s.SlowStart = cold
 	got, of := make([]float64, s.Seconds), make([]float64, s.Seconds)
 	waits := make([][]float64, s.Seconds)
-	s.Offered = make([]float64, s.Seconds)
+	s.Arrivals = make([]float64, s.Seconds)
 	for _, g := range st.Gateways {
 		for _, x := range g.Callers.Stories {
 			i := int(x.At / 1000)
-			if x.Over || i >= s.Seconds {
+			if x.OverQuota || i >= s.Seconds {
 				continue
 			}
-			s.Offered[i]++
-			of[i] += x.Value
-			if math.IsNaN(x.StoodAt) {
+			s.Arrivals[i]++
+			of[i] += x.Weight
+			if math.IsNaN(x.AnsweredAt) {
 				continue
 			}
-			wait := x.StoodAt - x.At
+			wait := x.AnsweredAt - x.At
 			waits[i] = append(waits[i], wait)
-			if !x.Cut && wait <= x.Target {
-				got[i] += x.Value
+			if !x.Dropped && wait <= x.LatencyObjective {
+				got[i] += x.Weight
 			}
 		}
 	}
--- a/internal/gateway/binaryserver/server_test.go
+++ b/internal/gateway/binaryserver/server_test.go
@@ -92,25 +92,26 @@
 	class, wait, number := binarymessage.TextParam(binarymessage.Class, "voice"),
 		binarymessage.TextParam(binarymessage.Timeout, "900"), binarymessage.TextParam(binarymessage.Number, "1")
 	for what, wire := range map[string][]byte{
-		"no message":         []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
-		"nothing":            nil,
-		"half a message":     setupMessage(77)[:20],
-		"length zero":      {0, 0, 0, 0},
-		"60 MB":              big,
-		"class unknown":      odd(1<<41+1, binarymessage.TextParam(binarymessage.Class, "video"), wait, number),
-		"no class":           odd(1<<41+2, wait, number),
+		"no message":        []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
+		"nothing":           nil,
+		"half a message":    setupMessage(77)[:20],
+		"length zero":       {0, 0, 0, 0},
+		"60 MB":             big,
+		"class unknown":     odd(1<<41+1, binarymessage.TextParam(binarymessage.Class, "video"), wait, number),
+		"no class":          odd(1<<41+2, wait, number),
 		"timeout no figure": odd(1<<41+3, class, binarymessage.TextParam(binarymessage.Timeout, "soon"), number),
 		"timeout below 0":   odd(1<<41+4, class, binarymessage.TextParam(binarymessage.Timeout, "-5"), number),
 		"timeout endless":   odd(1<<41+5, class, binarymessage.TextParam(binarymessage.Timeout, "1e300"), number),
-		"no number":          odd(1<<41+6, class, wait),
+		"no number":         odd(1<<41+6, class, wait),
 		"figures too large": odd(1<<41+7, class, wait, number, binarymessage.TextParam(binarymessage.Figures,
 			"dest:99999999999999999999")),
 		"figures no number": odd(1<<41+8, class, wait, number, binarymessage.TextParam(binarymessage.Figures, "width:many")),
 		"no id":             odd(0, class, wait, number),
 		"unknown switch": odd(1<<41+9, class, wait, number, binarymessage.TextParam(binarymessage.Figures,
 			"at:s-nowhere")),
-		"one id twice": append(setupMessage(1<<41+10), setupMessage(1<<41+10, binarymessage.TextParam(binarymessage.Note, "x"))...),
-		"odd type":     binarymessage.Append(nil, 200, 5),
+		"one id twice": append(setupMessage(1<<41+10), setupMessage(1<<41+10, binarymessage.TextParam(binarymessage.Note,
+			"x"))...),
+		"odd type": binarymessage.Append(nil, 200, 5),
 	} {
 		t.Run(what, func(t *testing.T) {
 			p := s.dial()
@@ -340,7 +341,8 @@
 	}
 	time.Sleep(550 * time.Millisecond)
 	_, _ = p.c.Write(setupMessage(602))
-	if !p.waitFor(time.Second, func() bool { return len(p.got[602]) > 0 }) || p.got[602][0].Type() != binarymessage.Release ||
+	if !p.waitFor(time.Second, func() bool { return len(p.got[602]) > 0 }) ||
+		p.got[602][0].Type() != binarymessage.Release ||
 		p.got[602][0].Cause() != binarymessage.Congested {
 		t.Errorf("after 0.85 s: %x", p.got[602])
 	}
--- a/internal/gateway/gatewayconfig/settings.go
+++ b/internal/gateway/gatewayconfig/settings.go
@@ -43,10 +43,10 @@
 // Names are what number tables may name here.
 func (s *Config) Names() (n numberplan.Names) {
 	for _, k := range s.Settings.Classes {
-		n.Skills = append(n.Skills, k.Name)
+		n.Classes = append(n.Classes, k.Name)
 	}
 	for _, c := range s.Settings.Tenants {
-		n.Customers = append(n.Customers, c.Name)
+		n.Tenants = append(n.Tenants, c.Name)
 	}
 	for _, g := range s.Groups {
 		n.Groups = append(n.Groups, g.Name)
@@ -244,7 +244,7 @@
 	}
 	r := dnsclient.Config{
 		Ports:      e.Int("ports", 8, 1, 64),
-		Most:       e.Int("most", 1000, 1, 1<<20),
+		MaxLookups: e.Int("most", 1000, 1, 1<<20),
 		Tries:      e.Int("tries", 4, 1, 20),
 		StaleAfter: e.Ms("stale_after", 200, 0, dayMillis),
 	}
@@ -287,12 +287,12 @@
 		f.Fault("", "front: stands here twice")
 	}
 	c.Listen, c.Apex, c.Context = f.Addr("listen"), f.Must("apex"), s.TrunkContext
-	c.Skill = f.Text("skill", s.DefaultClass)
+	c.Class = f.Text("skill", s.DefaultClass)
 	c.TTL, c.Negative = uint32(f.Int("ttl", 0, 0, 86400)), uint32(f.Int("negative", 30, 0, 86400))
 	c.Patience, c.Repeat = f.Ms("patience", 3000, 100, 60000), f.Ms("repeat", 5000, 0, 60000)
 	c.MaxConns, c.IdleTimeout = f.Int("streams", 256, 1, 1<<16), f.Ms("stream_idle", 10000, 100, 600000)
 	c.Gain = f.Num("gain", 6, 1, 1000)
-	c.Most, c.Keep = f.Int("most", 2000, 1, 1<<20), f.Int("keep", 10000, 1, 1<<20)
+	c.MaxPending, c.Keep = f.Int("most", 2000, 1, 1<<20), f.Int("keep", 10000, 1, 1<<20)
 	c.Limits = enumserver.Limits{
 		Rate:    f.Num("rate", 50, 0, 1e6),
 		Burst:   f.Num("burst", 100, 1, 1e6),
@@ -308,9 +308,9 @@
 	}
 	known := false
 	for _, k := range s.Settings.Classes {
-		known = known || k.Name == c.Skill
+		known = known || k.Name == c.Class
 	}
 	if !known {
-		f.Fault("skill", "skill: want one of the skills, got %q", c.Skill)
+		f.Fault("skill", "skill: want one of the skills, got %q", c.Class)
 	}
 }
--- a/internal/gateway/gatewayconfig/settings_test.go
+++ b/internal/gateway/gatewayconfig/settings_test.go
@@ -72,7 +72,7 @@
 	f := s.ENUMServer
 	if !s.Numbers.Enabled() || s.LookupShare != 0.3 || len(s.Numbers.DNS.Servers) != 1 ||
 		s.Numbers.DNS.Cache.FailureTTL != 1000 || s.Numbers.Services[0] != "pstn:tel" ||
-		f.Skill != "shift-lookup" || f.TTL != 0 || f.Patience != 3000 || f.Context != "x.example" ||
+		f.Class != "shift-lookup" || f.TTL != 0 || f.Patience != 3000 || f.Context != "x.example" ||
 		len(f.Limits.Nets) != 1 ||
 		f.Limits.Nets[0].Rate != 0 {
 		t.Errorf("%+v, %+v", s.Numbers, f)
--- a/internal/gateway/sipserver/numbers.go
+++ b/internal/gateway/sipserver/numbers.go
@@ -373,7 +373,7 @@
 	if err != nil {
 		return fmt.Errorf("numbers: admin: %w", err)
 	}
-	s := grpc.NewServer(grpc.MaxRecvMsgSize(numberplan.MostOctets))
+	s := grpc.NewServer(grpc.MaxRecvMsgSize(numberplan.MaxBytes))
 	api.RegisterNumbersServer(s, &admin{n: n, ctx: ctx})
 	go func() {
 		<-ctx.Done()
--- a/internal/gateway/sipserver/numbers_test.go
+++ b/internal/gateway/sipserver/numbers_test.go
@@ -71,7 +71,7 @@
 	defer who.Close()
 	zone := &dnsserver.Zone{Apex: "e164.test.", Seed: 1, Ported: 1, TTL: 60, Routes: []string{"+15145550000"}}
 	server, err := dnsserver.Serve(
-		&dnsserver.Server{Zone: zone, Faults: dnsserver.Faults{Cut: 1}},
+		&dnsserver.Server{Zone: zone, Faults: dnsserver.Faults{Truncated: 1}},
 		netip.MustParseAddrPort("127.72.0.20:0"),
 	)
 	if err != nil {
--- a/internal/gateway/tablestore/store_test.go
+++ b/internal/gateway/tablestore/store_test.go
@@ -270,8 +270,8 @@
 			}
 		}
 	}
-	if list, err := b.s.List(); err != nil || len(list) > 2*tableversions.MostKept+1 ||
-		len(list) < tableversions.MostKept {
+	if list, err := b.s.List(); err != nil || len(list) > 2*tableversions.MaxKept+1 ||
+		len(list) < tableversions.MaxKept {
 		t.Errorf("%d are kept, %v", len(list), err)
 	}
 }
@@ -333,7 +333,7 @@
 				}
 				model = append(model, next)
 				next++
-				if len(model) > tableversions.MostKept+1 {
+				if len(model) > tableversions.MaxKept+1 {
 					model = model[1:]
 				}
 			}
--- a/internal/protocol/b2bua/enquiry.go
+++ b/internal/protocol/b2bua/enquiry.go
@@ -42,7 +42,8 @@
 		return func() {}
 	}
 	routed := &routing.Call{Class: k, CalledNumber: number, ArrivedAt: now, DestinationID: -1}
-	q := &enquiry{session: &session{Session: a.NewSession(routed, timeout), agent: a, sessionID: a.newSessionID()}, done: done}
+	q := &enquiry{session: &session{Session: a.NewSession(routed, timeout), agent: a, sessionID: a.newSessionID()},
+		done: done}
 	q.SignalingLeg, q.responder = q, q
 	q.SetDeadline()
 	if a.table != nil && !q.startAnalysis(number, "") {
--- a/internal/protocol/b2bua/numberanalysis.go
+++ b/internal/protocol/b2bua/numberanalysis.go
@@ -47,12 +47,12 @@
 	a.draws++
 	analysis, outcome := a.table.Begin(
 		numberplan.Call{
-			Dialled: user,
-			Looked:  p.Looked,
-			Routing: p.Routing,
-			Carrier: p.Carrier,
-			At:      a.config.Epoch.Add(time.Duration(a.Now * float64(time.Millisecond))),
-			Draw:    detrand.Float64(a.names.Seed, a.draws),
+			Dialled:  user,
+			LookedUp: p.Looked,
+			Routing:  p.Routing,
+			Carrier:  p.Carrier,
+			At:       a.config.Epoch.Add(time.Duration(a.Now * float64(time.Millisecond))),
+			Draw:     detrand.Float64(a.names.Seed, a.draws),
 		},
 	)
 	s.number.analysis, s.number.tableVersion = analysis, analysis.Table.Version
@@ -71,7 +71,7 @@
 		}
 		return true
 	}
-	s.number.lookupNumber, s.number.lookupTimeout = outcome.Ask, float64(outcome.Within)/1e6
+	s.number.lookupNumber, s.number.lookupTimeout = outcome.LookupNumber, float64(outcome.LookupTimeout)/1e6
 	return true
 }
 
@@ -122,21 +122,21 @@
 	if g == nil {
 		return false
 	}
-	if r.Skill != "" {
-		class := a.Classes[r.Skill]
+	if r.Class != "" {
+		class := a.Classes[r.Class]
 		if class == nil {
 			return false
 		}
 		s.Class = class
 		s.SetDeadline()
 	}
-	if r.Customer != "" {
-		if s.Tenant = a.Tenants[r.Customer]; s.Tenant == nil {
+	if r.Tenant != "" {
+		if s.Tenant = a.Tenants[r.Tenant]; s.Tenant == nil {
 			return false
 		}
 	}
 	s.CalledNumber, s.DestinationID, s.number.routeName = r.Number, g.DestinationID, r.Name
-	if r.Looked {
+	if r.LookedUp {
 		s.number.params = ";npdi"
 		if r.Routing != "" {
 			s.number.params += ";rn=" + r.Routing
--- a/internal/protocol/dnsclient/client.go
+++ b/internal/protocol/dnsclient/client.go
@@ -34,7 +34,7 @@
 	Servers    []netip.AddrPort
 	Ports      int     // source ports that the driver has
 	Seed       uint64  // of ids and ports: nobody else may know it
-	Most       int     // names asked for at once; beyond it a question fails at once
+	MaxLookups int     // names asked for at once; beyond it a question fails at once
 	Tries      int     // datagrams for one name
 	StaleAfter float64 // what ran out is served where nothing newer comes in this time (RFC 8767 5: client response timer)
 	Cache      CacheTimes
@@ -164,7 +164,7 @@
 // takes the question back, and done is not called then.
 func (c *Client) Query(now float64, name string, within float64, done func(now float64, a Answer)) (stop func()) {
 	c.now = now
-	c.Counts.Asked++
+	c.Counts.Lookups++
 	name = strings.ToLower(dns.Fqdn(name))
 	if _, ok := dns.IsDomainName(name); !ok || within <= 0 {
 		c.Counts.Failed++
@@ -184,7 +184,7 @@
 	}
 	f := c.flights[name]
 	if f == nil || c.cfg.Alone {
-		if len(c.flights) >= c.cfg.Most || c.cfg.Alone && len(c.tries) >= c.cfg.Most {
+		if len(c.flights) >= c.cfg.MaxLookups || c.cfg.Alone && len(c.tries) >= c.cfg.MaxLookups {
 			c.Counts.Full++
 			c.respondLater(now, stale, done)
 			return func() {}
--- a/internal/protocol/dnsclient/client_test.go
+++ b/internal/protocol/dnsclient/client_test.go
@@ -65,8 +65,8 @@
 		"lossy":      {Delay: 10, Loss: 0.7},
 		"wrong id":   {Delay: 10, WrongID: 1},
 		"spoofed":    {Delay: 10, Spoof: 1, Guesses: 50},
-		"truncated":  {Delay: 10, Cut: 1},
-		"no stream":  {Delay: 10, Cut: 1, NoStream: true},
+		"truncated":  {Delay: 10, Truncated: 1},
+		"no stream":  {Delay: 10, Truncated: 1, NoStream: true},
 		"lame":       {Delay: 10, Lame: true},
 		"refers":     {Delay: 10, Refer: true},
 		"servfail":   {Delay: 10, ServFail: true},
@@ -74,7 +74,7 @@
 		"flat":       {Delay: 10, Flat: true},
 		"poison":     {Delay: 10, Poison: true},
 		"no trouble": {Delay: 10},
-		"all at once": {Delay: 20, Jitter: 100, Loss: 0.3, Spoof: 0.5, Guesses: 4, Cut: 0.3, WrongID: 0.2, NoEDNS: true,
+		"all at once": {Delay: 20, Jitter: 100, Loss: 0.3, Spoof: 0.5, Guesses: 4, Truncated: 0.3, WrongID: 0.2, NoEDNS: true,
 			Poison: true},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -221,7 +221,7 @@
 
 // The bound on names asked for holds under a flood of names, and those above it fail at once.
 func TestFlood(t *testing.T) {
-	r := newTestHost(t, 1, func(c *Config) { c.Most, c.Cache.MaxEntries = 100, 50 })
+	r := newTestHost(t, 1, func(c *Config) { c.MaxLookups, c.Cache.MaxEntries = 100, 50 })
 	for i := range 1000 {
 		r.ask(fmt.Sprint(14180000000+i), 500)
 	}
@@ -237,7 +237,7 @@
 // Truncated answers of many names don't open as many streams; the names that have none fail, in time.
 func TestStreamsBounded(t *testing.T) {
 	r := newTestHost(t, 1, nil)
-	r.servers[0].Faults = dnsserver.Faults{Delay: 5, Cut: 1, NoStream: true}
+	r.servers[0].Faults = dnsserver.Faults{Delay: 5, Truncated: 1, NoStream: true}
 	var all []*got
 	for i := range 500 {
 		all = append(all, r.ask(fmt.Sprint(14180000000+i), 3000))
@@ -492,19 +492,19 @@
 			if rapid.IntRange(0, 4).Draw(rt, "trouble") == 0 {
 				u := func(k uint64) float64 { return detrand.Float64(uint64(i), k, r.c.cfg.Seed) }
 				r.servers[int(3*u(0))].Faults = dnsserver.Faults{
-					Silent:   u(1) < 0.2,
-					Delay:    300 * u(2),
-					Jitter:   300 * u(3),
-					Loss:     u(4) * u(4),
-					WrongID:  u(5) * u(5),
-					Spoof:    u(6) * u(6),
-					Guesses:  int(30 * u(7)),
-					Cut:      u(8) * u(8),
-					NoStream: u(9) < 0.3,
-					Lame:     u(10) < 0.1,
-					Refer:    u(11) < 0.1,
-					ServFail: u(12) < 0.1,
-					Poison:   u(13) < 0.5,
+					Silent:    u(1) < 0.2,
+					Delay:     300 * u(2),
+					Jitter:    300 * u(3),
+					Loss:      u(4) * u(4),
+					WrongID:   u(5) * u(5),
+					Spoof:     u(6) * u(6),
+					Guesses:   int(30 * u(7)),
+					Truncated: u(8) * u(8),
+					NoStream:  u(9) < 0.3,
+					Lame:      u(10) < 0.1,
+					Refer:     u(11) < 0.1,
+					ServFail:  u(12) < 0.1,
+					Poison:    u(13) < 0.5,
 				}
 			}
 			n := fmt.Sprint(14180000000 + rapid.IntRange(0, 40).Draw(rt, "number"))
--- a/internal/protocol/dnsclient/counts.go
+++ b/internal/protocol/dnsclient/counts.go
@@ -2,7 +2,7 @@
 
 // Counts are what a client has seen since its start.
 type Counts struct {
-	Asked    uint64 `json:"asked"`   // look-ups
+	Lookups  uint64 `json:"lookups"` // look-ups
 	Cached   uint64 `json:"cached"`  // answered from the cache
 	Stale    uint64 `json:"stale"`   // answered with expired records
 	Shared   uint64 `json:"shared"`  // answered with another look-up
@@ -20,7 +20,7 @@
 
 // Add adds another's counts.
 func (c *Counts) Add(o *Counts) {
-	for _, x := range []struct{ to, of *uint64 }{{&c.Asked, &o.Asked}, {&c.Cached, &o.Cached}, {&c.Stale, &o.Stale},
+	for _, x := range []struct{ to, of *uint64 }{{&c.Lookups, &o.Lookups}, {&c.Cached, &o.Cached}, {&c.Stale, &o.Stale},
 		{&c.Shared, &o.Shared},
 		{&c.Sent, &o.Sent}, {&c.Streams, &o.Streams}, {&c.Answered, &o.Answered}, {&c.None, &o.None}, {&c.Failed,
 			&o.Failed}, {&c.Late, &o.Late},
--- a/internal/protocol/dnsclient/response.go
+++ b/internal/protocol/dnsclient/response.go
@@ -115,7 +115,7 @@
 			}
 			switch rr := rr.(type) {
 			case *dns.NAPTR:
-				if len(rules) <= enum.MostRules { // one too many shows that there are too many
+				if len(rules) <= enum.MaxRules { // one too many shows that there are too many
 					rules = append(
 						rules,
 						enum.Rule{Order: rr.Order, Preference: rr.Preference, Flags: textOf(rr.Flags), Service: textOf(rr.Service),
--- a/internal/protocol/dnsclient/testhost_test.go
+++ b/internal/protocol/dnsclient/testhost_test.go
@@ -45,7 +45,7 @@
 	cfg := Config{
 		Ports:      4,
 		Seed:       9,
-		Most:       1000,
+		MaxLookups: 1000,
 		Tries:      5,
 		StaleAfter: 100,
 		Cache: CacheTimes{
--- a/internal/protocol/enumserver/front.go
+++ b/internal/protocol/enumserver/front.go
@@ -30,22 +30,22 @@
 
 // Config is what a front is told. Times are ms.
 type Config struct {
-	Apex     string
-	Skill    string  // of the calls
-	TTL      uint32  // s: of answers that name an endpoint
-	Negative uint32  // s: of "there is no such number"
-	Patience float64 // a resolver asks again or gives up after this
-	Repeat   float64 // the same question of the same client within this is a repeat: it gets the same answer
-	Gain     float64 // octets of an answer by datagram for each that came; a longer one is truncated
-	Most     int     // questions that wait for an answer
-	Keep     int     // answers remembered for repeats; the oldest go first
-	Context  string  // trunk-context (RFC 4904)
-	Limits   Limits
+	Apex       string
+	Class      string  // of the calls
+	TTL        uint32  // s: of answers that name an endpoint
+	Negative   uint32  // s: of "there is no such number"
+	Patience   float64 // a resolver asks again or gives up after this
+	Repeat     float64 // the same question of the same client within this is a repeat: it gets the same answer
+	Gain       float64 // octets of an answer by datagram for each that came; a longer one is truncated
+	MaxPending int     // questions that wait for an answer
+	Keep       int     // answers remembered for repeats; the oldest go first
+	Context    string  // trunk-context (RFC 4904)
+	Limits     Limits
 }
 
 // Counts are what a front has seen.
 type Counts struct {
-	Asked     uint64 `json:"asked"`
+	Queries   uint64 `json:"queries"`
 	Named     uint64 `json:"named"` // queries answered with an endpoint
 	None      uint64 `json:"none"`  // queries for numbers without one
 	Failed    uint64 `json:"failed"`
@@ -125,7 +125,7 @@
 // Receive takes a message; send replies to it, once at most. stream: it came over TCP.
 func (f *Server) Receive(now float64, from netip.AddrPort, data []byte, stream bool, send func([]byte)) {
 	f.now = now
-	f.Counts.Asked++
+	f.Counts.Queries++
 	f.dropExpired()
 	m := new(dns.Msg)
 	if err := m.Unpack(data); err != nil || m.Response || len(m.Question) != 1 {
@@ -207,7 +207,7 @@
 		}
 		delete(f.open, k) // the endpoint drains by now: the answer is decided anew
 	}
-	if f.waits >= f.cfg.Most {
+	if f.waits >= f.cfg.MaxPending {
 		f.Counts.Failed++
 		f.respondCode(r, dns.RcodeServerFailure)
 		return
@@ -215,7 +215,7 @@
 	x := &pendingQuery{replies: []replyTo{r}}
 	f.open[k] = x
 	f.waits++
-	stop := f.ask.StartEnquiry(f.now, "+"+number, f.cfg.Skill, f.cfg.Patience, func(now float64, n b2bua.EnquiryResult) {
+	stop := f.ask.StartEnquiry(f.now, "+"+number, f.cfg.Class, f.cfg.Patience, func(now float64, n b2bua.EnquiryResult) {
 		f.now = now
 		f.waits--
 		x.named, x.stop = &n, nil
--- a/internal/protocol/enumserver/front_test.go
+++ b/internal/protocol/enumserver/front_test.go
@@ -57,16 +57,16 @@
 
 func newRig(t *testing.T, change func(*Config)) *rig {
 	c := Config{
-		Apex:     "e164.test",
-		Skill:    "shift-lookup",
-		TTL:      0,
-		Negative: 30,
-		Patience: 2000,
-		Repeat:   5000,
-		Gain:     8,
-		Most:     100,
-		Keep:     150,
-		Context:  "x.example",
+		Apex:       "e164.test",
+		Class:      "shift-lookup",
+		TTL:        0,
+		Negative:   30,
+		Patience:   2000,
+		Repeat:     5000,
+		Gain:       8,
+		MaxPending: 100,
+		Keep:       150,
+		Context:    "x.example",
 	}
 	if change != nil {
 		change(&c)
