--- a/internal/conformance/checker.go
+++ b/internal/conformance/checker.go
@@ -33,8 +33,9 @@
 // Totals are what the capture held.
 type Totals struct {
 	Calls, Answers, Attempts, Retransmissions, Datagrams int
-	Queries, Answered, KioskCalls                        int     // look-ups of kiosks, those answered with an endpoint, their calls
-	SlowStartUse                                         float64 // the largest part of a cold budget used by gateways that knew
+	// ENUM queries, those answered with an endpoint, and the calls that their askers made
+	Queries, Answered, KioskCalls int
+	SlowStartUse                  float64 // the largest part of a slow start budget that gateways used which had been told of the start
 }
 
 // Checker takes the records of a capture in their order.
@@ -159,53 +160,78 @@
 	}
 }
 
+// onMark takes what was done to a process: an endpoint or, with the prefix "edge-", a gateway.
 func (k *Checker) onMark(at float64, m *api.Mark) {
 	switch m.What {
 	case "start":
-		for a, n := range k.nodes {
-			if n.Name == m.Who {
-				if old := k.startsByAddr[a]; len(old) > 0 {
-					old[len(old)-1].end = at
-				}
-				k.startsByAddr[a] = append(k.startsByAddr[a], &start{at: at, who: m.Who, model: m.Start, end: math.Inf(1)})
-			}
-		}
+		k.onEndpointStart(at, m)
 	case "stop", "kill", "fall":
-		for a, n := range k.nodes {
-			if n.Name == m.Who {
-				for _, s := range k.startsByAddr[a] {
-					s.end = math.Min(s.end, at)
-				}
-			}
-		}
+		k.onEndpointStop(at, m)
 	case "edge-stop":
 		k.stalledGateways[m.Who] = true
-	case "edge-go": // what was delivered while it stalled it could hear from now on
-		k.closeQueries(at, m)
-		k.stalledGateways[m.Who] = false
-		for _, p := range k.listings[m.Who] {
-			p.since = math.Max(p.since, at)
-		}
-		for _, c := range k.calls {
-			if c.edge == m.Who && c.final == "" { // it could not answer: that is counted as the machine's fault
-				c.deadline = math.Max(c.deadline, at+1000)
-				if c.canceledAt > 0 {
-					c.canceledAt = at
-				}
-			}
+	case "edge-go":
+		k.onGatewayResumed(at, m)
+	case "edge-kill", "edge-start":
+		k.onGatewayReplaced(at, m)
+	}
+}
+
+func (k *Checker) onEndpointStart(at float64, m *api.Mark) {
+	for address, node := range k.nodes {
+		if node.Name != m.Who {
+			continue
 		}
-	case "edge-kill",
-		"edge-start": // what it held is no longer its duty; a repeat that reaches the next process is new there
-		k.closeQueries(at, m)
-		if m.What == "edge-kill" {
-			k.killedAt[m.Who] = at
-		}
-		for _, c := range k.calls {
-			if c.edge == m.Who {
-				for _, o := range c.attempts {
-					o.ended = true
-				}
-			}
+		if old := k.startsByAddr[address]; len(old) > 0 {
+			old[len(old)-1].end = at
+		}
+		started := &start{at: at, who: m.Who, model: m.Start, end: math.Inf(1)}
+		k.startsByAddr[address] = append(k.startsByAddr[address], started)
+	}
+}
+
+func (k *Checker) onEndpointStop(at float64, m *api.Mark) {
+	for address, node := range k.nodes {
+		if node.Name != m.Who {
+			continue
+		}
+		for _, s := range k.startsByAddr[address] {
+			s.end = math.Min(s.end, at)
+		}
+	}
+}
+
+// onGatewayResumed takes the end of a stall: what was delivered meanwhile the gateway could read from now on, and that
+// it could not answer counts as the machine's fault.
+func (k *Checker) onGatewayResumed(at float64, m *api.Mark) {
+	k.closeQueries(at, m)
+	k.stalledGateways[m.Who] = false
+	for _, p := range k.listings[m.Who] {
+		p.since = math.Max(p.since, at)
+	}
+	for _, c := range k.calls {
+		if c.edge != m.Who || c.final != "" {
+			continue
+		}
+		c.deadline = math.Max(c.deadline, at+1000)
+		if c.canceledAt > 0 {
+			c.canceledAt = at
+		}
+	}
+}
+
+// onGatewayReplaced takes the end of a gateway's process: its calls are not the next one's, to which a retransmission
+// is new.
+func (k *Checker) onGatewayReplaced(at float64, m *api.Mark) {
+	k.closeQueries(at, m)
+	if m.What == "edge-kill" {
+		k.killedAt[m.Who] = at
+	}
+	for _, c := range k.calls {
+		if c.edge != m.Who {
+			continue
+		}
+		for _, a := range c.attempts {
+			a.ended = true
 		}
 	}
 }
--- a/internal/conformance/enum.go
+++ b/internal/conformance/enum.go
@@ -91,8 +91,8 @@
 	k.namedEndpoints[client+" "+x.to] = append(k.namedEndpoints[client+" "+x.to], at)
 }
 
-// closeQueries lets a mark of an edge excuse look-ups as it does calls: what a killed process held is lost, and one that
-// stood still could not answer.
+// closeQueries excuses look-ups by what was done to a gateway, as for calls: what a killed process held is lost, and
+// one that stood still could not answer.
 func (k *Checker) closeQueries(at float64, m *api.Mark) {
 	for id, x := range k.queries {
 		switch {
--- a/internal/decision/numberplan/compile.go
+++ b/internal/decision/numberplan/compile.go
@@ -247,83 +247,104 @@
 	var spans []span
 	total := 0
 	for _, k := range x.Rules {
-		if k.Then == nil {
-			c.fault(k, "", "a rule without an action")
-			continue
-		}
-		r := &rule{strip: int(k.Strip), add: k.Add, line: k.Where}
-		if strings.Trim(k.Add, "0123456789") != "" || len(k.Add) > mostDigits {
-			c.fault(k, "add", "add: want %d digits at most, got %q", mostDigits, k.Add)
-		}
-		if k.Strip < 0 || k.Strip > mostDigits {
-			c.fault(k, "strip", "strip: want 0 to %d, got %d", mostDigits, k.Strip)
-			r.strip = 0
-		}
-		if k.When != "" {
-			c.used["period "+k.When] = true
-			if r.when = c.periods[k.When]; r.when == nil {
-				c.fault(k, "when", "when: no period %q", k.When)
-			}
-		}
-		r.then = c.action(x.Name, k.Then, 0)
-		prefixes, sp, err := prefixesOf(k)
-		if err != nil {
-			c.fault(k, "", "%v", err)
+		l, sp, ok := c.rule(x.Name, k)
+		if !ok {
 			continue
 		}
 		if sp.from != "" {
 			sp.at = k
 			spans = append(spans, sp)
 		}
-		if d := prefixes[0]; r.strip > len(d) && len(prefixes) == 1 && d != "" {
-			c.fault(k, "strip", "strip: %d digits are more than the prefix %q has", r.strip, d)
-		}
-		lines = append(lines, line{k, r, prefixes})
-		total += len(prefixes)
+		lines = append(lines, l)
+		total += len(l.prefixes)
 	}
 	c.spans(spans)
 	c.t.size += total
-	all := make([]entry, 0, total)
+	trie, err := prefixtrie.New(c.shareRules(p, lines, sortedEntries(lines, total)))
+	if err != nil {
+		c.fault(x, "", "plan %q: %v", p.name, err)
+		return
+	}
+	p.trie = trie
+}
+
+// rule compiles one rule of a plan; false: it can't be used.
+func (c *compiler) rule(plan string, k *api.NumberRule) (line, span, bool) {
+	if k.Then == nil {
+		c.fault(k, "", "a rule without an action")
+		return line{}, span{}, false
+	}
+	r := &rule{strip: int(k.Strip), add: k.Add, line: k.Where}
+	if strings.Trim(k.Add, "0123456789") != "" || len(k.Add) > mostDigits {
+		c.fault(k, "add", "add: want %d digits at most, got %q", mostDigits, k.Add)
+	}
+	if k.Strip < 0 || k.Strip > mostDigits {
+		c.fault(k, "strip", "strip: want 0 to %d, got %d", mostDigits, k.Strip)
+		r.strip = 0
+	}
+	if k.When != "" {
+		c.used["period "+k.When] = true
+		if r.when = c.periods[k.When]; r.when == nil {
+			c.fault(k, "when", "when: no period %q", k.When)
+		}
+	}
+	r.then = c.action(plan, k.Then, 0)
+	prefixes, sp, err := prefixesOf(k)
+	if err != nil {
+		c.fault(k, "", "%v", err)
+		return line{}, span{}, false
+	}
+	if d := prefixes[0]; r.strip > len(d) && len(prefixes) == 1 && d != "" {
+		c.fault(k, "strip", "strip: %d digits are more than the prefix %q has", r.strip, d)
+	}
+	return line{k, r, prefixes}, sp, true
+}
+
+// sortedEntries is the prefixes of all rules, those of one prefix in the order of the rules.
+func sortedEntries(lines []line, total int) []entry {
+	entries := make([]entry, 0, total)
 	for i, l := range lines {
-		for _, d := range l.prefixes {
-			all = append(all, entry{d, i})
+		for _, prefix := range l.prefixes {
+			entries = append(entries, entry{prefix, i})
 		}
 	}
-	slices.SortFunc(all, func(a, b entry) int {
+	slices.SortFunc(entries, func(a, b entry) int {
 		return cmp.Or(strings.Compare(a.prefix, b.prefix), cmp.Compare(a.line, b.line))
 	})
-	// prefixes with the same rules share them
-	of := make([]prefixtrie.Prefix, 0, len(all))
-	last := map[int]uint32{}
-	for i := 0; i < len(all); {
+	return entries
+}
+
+// shareRules gives each prefix the number of its set of rules in the plan. Prefixes with the same single rule share
+// one.
+func (c *compiler) shareRules(p *plan, lines []line, entries []entry) []prefixtrie.Prefix {
+	prefixes := make([]prefixtrie.Prefix, 0, len(entries))
+	single := map[int]uint32{} // set of a single rule, by its line
+	for i := 0; i < len(entries); {
 		j := i + 1
-		for j < len(all) && all[j].prefix == all[i].prefix {
-			if o, k := lines[all[j-1].line], lines[all[j].line].of; o.rule.when == nil {
-				c.fault(k, "", "rule %q is never reached:%s of the same prefix %s always holds", k.Prefix, at(o.of), all[j].prefix)
+		for j < len(entries) && entries[j].prefix == entries[i].prefix {
+			before, k := lines[entries[j-1].line], lines[entries[j].line].of
+			if before.rule.when == nil {
+				c.fault(k, "", "rule %q is never reached:%s of the same prefix %s always holds",
+					k.Prefix, at(before.of), entries[j].prefix)
 			}
 			j++
 		}
-		set, known := last[all[i].line]
+		set, known := single[entries[i].line]
 		if !known || j-i > 1 {
 			set = uint32(len(p.sets))
 			rules := make([]*rule, 0, j-i)
-			for _, e := range all[i:j] {
+			for _, e := range entries[i:j] {
 				rules = append(rules, lines[e.line].rule)
 			}
 			p.sets = append(p.sets, rules)
 			if j-i == 1 {
-				last[all[i].line] = set
+				single[entries[i].line] = set
 			}
 		}
-		of = append(of, prefixtrie.Prefix{Digits: all[i].prefix, Value: set})
+		prefixes = append(prefixes, prefixtrie.Prefix{Digits: entries[i].prefix, Value: set})
 		i = j
 	}
-	trie, err := prefixtrie.New(of)
-	if err != nil {
-		c.fault(x, "", "plan %q: %v", p.name, err)
-		return
-	}
-	p.trie = trie
+	return prefixes
 }
 
 func at(k *api.NumberRule) string {
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -1,16 +1,16 @@
 package deployment
 
 import (
+	_ "embed"
 	"testing"
 
 	"cobaltpier/internal/routing"
 )
 
-const sample = `{"allowed":{"cancel":true,"connIdle":600000.0,"connectTimeout":500.0,"maxAttempts":5,"maxRetryAfter":2000.0,"mostHeld":20000,"peers":true,"retryAfter":true},
-"balancers":4,"me":2,"tick":5,"familyInfo":{"callLength":[9800.0,100],"clearWait":500.0,"retransmit":400.0,"skilledPools":[[0,1]]},
-"lanes":[{"name":"a","aim":2000,"hardLimit":9000,"lateWorth":0.1,"semantics":"pure"},{"name":"b","aim":1,"hardLimit":2,"semantics":"side_effect","worth":8}],
-"realms":[{"name":"x"}],"rules":{"answerSlack":20,"coldShare":0.36,"fall":1000,"tipMultiple":2.5,"warmWithin":14000},"stats":{"fields":["free","q"],"how":"on_probe"},
-"unknown":{"of":"no concern"}}`
+// sample is a deployment's settings as the platform writes them.
+//
+//go:embed testdata/settings.json
+var sample string
 
 func TestDecode(t *testing.T) {
 	s, fields, err := Decode([]byte(sample), 7)
--- a/internal/gateway/binaryserver/standins_test.go
+++ b/internal/gateway/binaryserver/standins_test.go
@@ -345,7 +345,11 @@
 			"items": []any{map[string]any{"no": 1, "roster": map[string]any{"all": true, "targets": targets}}},
 		},
 		"settings": json.RawMessage(
-			`{"allowed":{"cancel":true,"retryAfter":true,"maxRetryAfter":2000,"maxAttempts":5,"connectTimeout":300},"balancers":1,"me":0,"familyInfo":{"callLength":[50],"clearWait":100,"retransmit":200},"lanes":[{"name":"voice","aim":1000,"hardLimit":2000,"lateWorth":0.1,"worth":1}],"rules":{"answerSlack":5,"coldShare":0.4,"warmWithin":1000,"tipMultiple":2.5,"fall":1000},"stats":{"fields":["free","size","busy","q"],"how":"inline"}}`,
+			`{"allowed":{"cancel":true,"retryAfter":true,"maxRetryAfter":2000,"maxAttempts":5,"connectTimeout":300},` +
+				`"balancers":1,"me":0,"familyInfo":{"callLength":[50],"clearWait":100,"retransmit":200},` +
+				`"lanes":[{"name":"voice","aim":1000,"hardLimit":2000,"lateWorth":0.1,"worth":1}],` +
+				`"rules":{"answerSlack":5,"coldShare":0.4,"warmWithin":1000,"tipMultiple":2.5,"fall":1000},` +
+				`"stats":{"fields":["free","size","busy","q"],"how":"inline"}}`,
 		),
 	}
 	change(s.doc)
--- a/internal/gateway/gatewayconfig/settings_test.go
+++ b/internal/gateway/gatewayconfig/settings_test.go
@@ -112,7 +112,8 @@
 		{`number = 1`, `number = 2`, `edge.hcl:7: number: want one below gateways = 2, got 2`},
 		{`number = 1`, `number = 0.5`, `edge.hcl:7: number: want a whole number, got 0.5`},
 		{`tip_time = "1s"`, `tip_tyme = "1s"`,
-			`edge.hcl:18: unknown key "tip_tyme"; known here: clear_wait, cold_share, slack, tip_multiple, tip_time, warm_within`},
+			`edge.hcl:18: unknown key "tip_tyme"; known here: ` +
+				`clear_wait, cold_share, slack, tip_multiple, tip_time, warm_within`},
 		{`list {`, `lists {`, `edge.hcl:10: unknown block "lists"`},
 		{`"127.0.0.2:5070"]`, `"nowhere"]`, `edge.hcl:8: peers: want addresses such as "127.0.0.1:5070", got "nowhere"`},
 		{`, "127.0.0.2:5070"]`, `]`,
--- a/internal/protocol/b2bua/agent.go
+++ b/internal/protocol/b2bua/agent.go
@@ -62,10 +62,11 @@
 	AnswerMargin float64 // ms: final answers leave so long before the caller's timeout ends
 	LoadShedding loadshed.Gate
 	Parse        func([]byte) (sip.Message, error) // nil: siptransaction.Parse
-	Table        *numberplan.Table                 // what becomes of numbers; nil: callers name class and trunk group themselves
-	NumberLookup Lookup                            // nil: no question has an answer
-	LookupShare  float64                           // of what is left of a call's timeout: the most that a look-up may use
-	Epoch        time.Time                         // the wall clock when this agent's clock stood at 0, for times of day
+	// Table says what becomes of called numbers; nil: callers name class and trunk group themselves.
+	Table        *numberplan.Table
+	NumberLookup Lookup    // nil: no question has an answer
+	LookupShare  float64   // of what is left of a call's timeout: the most that a look-up may use
+	Epoch        time.Time // the wall clock when this agent's clock stood at 0, for times of day
 	// DisabledGuard switches the guard of one rule off, for tests of the conformance checker; 0: none.
 	DisabledGuard routing.Rule
 }
--- a/internal/protocol/b2bua/agent_test.go
+++ b/internal/protocol/b2bua/agent_test.go
@@ -199,7 +199,9 @@
 		r.answer(switchA, r.sent(switchA, "INVITE"), x.code, "s", x.more)
 		r.sent(switchA, "ACK")
 		r.heard(x.want)
-		if res := r.sent(caller, "SIP/2.0 503").(*sip.Response); siptransaction.ParseRetryAfter(siptransaction.HeaderValue(res, siptransaction.RetryAfter)) != 300 {
+		res := r.sent(caller, "SIP/2.0 503").(*sip.Response)
+		retryAfter := siptransaction.HeaderValue(res, siptransaction.RetryAfter)
+		if siptransaction.ParseRetryAfter(retryAfter) != 300 {
 			t.Errorf("caller told to wait %q", siptransaction.HeaderValue(res, siptransaction.RetryAfter))
 		}
 	}
@@ -244,7 +246,8 @@
 			*inv.CallID(),
 		)+"\nCSeq: 1 BYE\nReason: Q.850;cause=41\nContent-Length: 0",
 	)
-	if bye := r.sent(caller, "BYE").(*sip.Request); !strings.Contains(siptransaction.HeaderValue(bye, siptransaction.Reason), "cause=41") {
+	bye := r.sent(caller, "BYE").(*sip.Request)
+	if !strings.Contains(siptransaction.HeaderValue(bye, siptransaction.Reason), "cause=41") {
 		t.Errorf("reason %q to the caller", siptransaction.HeaderValue(bye, siptransaction.Reason))
 	}
 	r.heard("stood", "ended 0 closed true wait 0", "stood", "ended 5 closed true wait 0")
--- a/internal/protocol/dnsclient/health.go
+++ b/internal/protocol/dnsclient/health.go
@@ -7,16 +7,18 @@
 // What a server's silence means. Figures after RFC 6298 for times, as every sender that has no better knowledge uses
 // them.
 const (
-	initialTimeout   = 250.0   // ms: a server that never answered
-	minTimeout       = 20.0    // ms: below this the machine's own delays decide
-	maxTimeout       = 1000.0  // ms: longer than this another server is always the better bet
-	downAfterMisses  = 3       // in a row, and
-	downAfterSilence = 250.0   // ms without any answer: the server counts as down; a burst that it was late for is no more than late
+	initialTimeout  = 250.0  // ms: a server that never answered
+	minTimeout      = 20.0   // ms: below this the machine's own delays decide
+	maxTimeout      = 1000.0 // ms: longer than this another server is always the better bet
+	downAfterMisses = 3      // in a row, and
+	// ms without any answer: the server counts as down; a burst that it was late for is no more than late
+	downAfterSilence = 250.0
 	initialDownTime  = 500.0   // ms: a server that is down is tried again after this, doubling
 	maxDownTime      = 10000.0 // ms
 	lameDownTime     = 5000.0  // ms: a server that says that it does not know the zone, or is at fault
 	allDownRetry     = 1000.0  // ms: where no server is up each is tried so often, for nobody else can tell
-	explorationShare = 0.05    // share of questions that try another server than the best: how else would one learn that it got fast
+	// share of queries that try another server than the best, to learn whether it has become faster
+	explorationShare = 0.05
 )
 
 // Health is what is known of the servers of a zone, and decides which one is asked next. It guards against servers that
--- a/internal/protocol/enumserver/front.go
+++ b/internal/protocol/enumserver/front.go
@@ -119,7 +119,8 @@
 const (
 	minUDPSize = 512  // octets: what any client takes (RFC 1035 4.2.1)
 	maxUDPSize = 1232 // octets: what goes by datagram without fragments, whatever a client says that it takes
-	maxReplies = 4    // repeats of a question that waits which get the answer too; a client that repeats more has it by then
+	// repeats of a pending query that get the answer too; a client that repeats more has it by then
+	maxReplies = 4
 )
 
 // Receive takes a message; send replies to it, once at most. stream: it came over TCP.
