--- a/internal/decision/numberplan/diff.go
+++ b/internal/decision/numberplan/diff.go
@@ -32,75 +32,61 @@
 // Diff tells what changes between two tables, by what they do and not by how they are written: a range is the prefixes
 // that it stands for, and where a rule was written does not matter.
 func Diff(a, b *api.NumberTable) []Change {
-	out := pairs(
-		"table",
-		[]said{{"country", a.Country}, {"entry", a.Entry}},
-		[]said{{"country", b.Country}, {"entry", b.Entry}},
-	)
-	days := func(t *api.NumberTable) (of []said) {
-		for _, d := range t.Days {
-			of = append(of, said{d.Name, strings.Join(d.Dates, " ")})
-		}
-		return
+	changes := pairs("table", describeTable(a), describeTable(b))
+	changes = append(changes, pairs("days", describeDays(a), describeDays(b))...)
+	changes = append(changes, pairs("period", describePeriods(a), describePeriods(b))...)
+	changes = append(changes, pairs("route", describeRoutes(a), describeRoutes(b))...)
+	return append(changes, pairs("rule", describeRules(a), describeRules(b))...)
+}
+
+func describeTable(t *api.NumberTable) []description {
+	return []description{{"country", t.Country}, {"entry", t.Entry}}
+}
+
+func describeDays(t *api.NumberTable) (out []description) {
+	for _, days := range t.Days {
+		out = append(out, description{days.Name, strings.Join(days.Dates, " ")})
 	}
-	periods := func(t *api.NumberTable) (of []said) {
-		for _, p := range t.Periods {
-			names := make([]string, len(p.Weekdays))
-			for i, d := range p.Weekdays {
-				names[i] = weekdays[((d%7)+7)%7]
-			}
-			of = append(
-				of,
-				said{
-					p.Name,
-					strings.TrimSpace(
-						fmt.Sprintf(
-							"%s %02d:%02d-%02d:%02d %s except %v only %v",
-							strings.Join(names, ","),
-							p.From/60,
-							p.From%60,
-							p.To/60,
-							p.To%60,
-							p.Zone,
-							p.Except,
-							p.Only,
-						),
-					),
-				},
-			)
+	return out
+}
+
+func describePeriods(t *api.NumberTable) (out []description) {
+	for _, p := range t.Periods {
+		names := make([]string, len(p.Weekdays))
+		for i, day := range p.Weekdays {
+			names[i] = weekdays[((day%7)+7)%7]
 		}
-		return
+		text := fmt.Sprintf("%s %02d:%02d-%02d:%02d %s except %v only %v", strings.Join(names, ","),
+			p.From/60, p.From%60, p.To/60, p.To%60, p.Zone, p.Except, p.Only)
+		out = append(out, description{p.Name, strings.TrimSpace(text)})
 	}
-	routes := func(t *api.NumberTable) (of []said) {
-		for _, r := range t.Routes {
-			s := []string{}
-			for _, c := range r.Choices {
-				s = append(s, fmt.Sprintf("%s %v", c.Group, c.Weight))
-			}
-			of = append(
-				of,
-				said{r.Name, fmt.Sprintf("skill %q customer %q groups %s", r.Skill, r.Customer, strings.Join(s, ", "))},
-			)
+	return out
+}
+
+func describeRoutes(t *api.NumberTable) (out []description) {
+	for _, r := range t.Routes {
+		groups := []string{}
+		for _, choice := range r.Choices {
+			groups = append(groups, fmt.Sprintf("%s %v", choice.Group, choice.Weight))
 		}
-		return
+		text := fmt.Sprintf("skill %q customer %q groups %s", r.Skill, r.Customer, strings.Join(groups, ", "))
+		out = append(out, description{r.Name, text})
 	}
-	rules := func(t *api.NumberTable) (of []said) {
-		for _, p := range t.Plans {
-			of = append(of, rulesOf(p)...)
-		}
-		return
+	return out
+}
+
+func describeRules(t *api.NumberTable) (out []description) {
+	for _, p := range t.Plans {
+		out = append(out, rulesOf(p)...)
 	}
-	out = append(out, pairs("days", days(a), days(b))...)
-	out = append(out, pairs("period", periods(a), periods(b))...)
-	out = append(out, pairs("route", routes(a), routes(b))...)
-	return append(out, pairs("rule", rules(a), rules(b))...)
+	return out
 }
 
-// said is a thing of a table with all that is to be said of it.
-type said struct{ name, text string }
+// description is a thing of a table with everything that it does.
+type description struct{ name, text string }
 
 // rulesOf are a plan's prefixes, each with all that its rules do.
-func rulesOf(p *api.NumberPlan) []said {
+func rulesOf(p *api.NumberPlan) []description {
 	type part struct {
 		prefix, text string
 		order        int
@@ -127,14 +113,14 @@
 		all,
 		func(a, b part) int { return cmp.Or(strings.Compare(a.prefix, b.prefix), cmp.Compare(a.order, b.order)) },
 	)
-	var of []said
+	var of []description
 	for i := 0; i < len(all); {
 		j := i + 1
 		text := all[i].text
 		for ; j < len(all) && all[j].prefix == all[i].prefix; j++ {
 			text += "; " + all[j].text
 		}
-		of = append(of, said{p.Name + "/" + all[i].prefix, text})
+		of = append(of, description{p.Name + "/" + all[i].prefix, text})
 		i = j
 	}
 	return of
@@ -162,8 +148,8 @@
 }
 
 // pairs compares things by their names.
-func pairs(of string, a, b []said) []Change {
-	byName := func(x, y said) int { return strings.Compare(x.name, y.name) }
+func pairs(of string, a, b []description) []Change {
+	byName := func(x, y description) int { return strings.Compare(x.name, y.name) }
 	slices.SortStableFunc(a, byName)
 	slices.SortStableFunc(b, byName)
 	var out []Change
--- a/internal/decision/numberplan/read.go
+++ b/internal/decision/numberplan/read.go
@@ -17,7 +17,7 @@
 	at map[proto.Message]*hclconfig.Block // where each part of it was written
 }
 
-// Parse reads and compiles a table of HCL that is at hand; name stands in the errors.
+// Parse reads and compiles a table of HCL; name stands in the errors.
 func Parse(name string, src []byte) (*Table, *api.NumberTable, error) {
 	b, err := hclconfig.Parse(name, src)
 	if err != nil {
@@ -32,52 +32,22 @@
 	}
 	r.at[form] = b
 	zone := b.Text("zone", "")
-	for _, c := range b.Blocks("days", 1) {
-		x := &api.NumberDays{Name: c.Labels[0], Dates: c.Texts("dates")}
-		r.at[x] = c
-		form.Days = append(form.Days, x)
-	}
-	for _, c := range b.Blocks("period", 1) {
-		x := &api.NumberPeriod{Name: c.Labels[0], Zone: c.Text("zone", zone), From: minute(c, "from"), To: minute(c, "to"),
-			Except: c.Texts("except"), Only: c.Texts("only")}
-		for _, d := range c.Texts("days") {
-			i := slices.Index(weekdays, d)
-			if i < 0 {
-				c.Fault("days", "days: want some of %s, got %q", strings.Join(weekdays, ", "), d)
-				continue
-			}
-			x.Weekdays = append(x.Weekdays, int32(i))
-		}
-		r.at[x] = c
-		form.Periods = append(form.Periods, x)
+	for _, block := range b.Blocks("days", 1) {
+		days := &api.NumberDays{Name: block.Labels[0], Dates: block.Texts("dates")}
+		r.at[days] = block
+		form.Days = append(form.Days, days)
+	}
+	for _, block := range b.Blocks("period", 1) {
+		form.Periods = append(form.Periods, r.period(block, zone))
 	}
 	if _, err := time.LoadLocation(zone); err != nil {
 		b.Fault("zone", "zone: no time zone %q", zone)
 	}
-	for _, c := range b.Blocks("route", 1) {
-		x := &api.NumberRoute{Name: c.Labels[0], Skill: c.Text("skill", ""), Customer: c.Text("customer", "")}
-		for _, g := range c.Blocks("group", 1) {
-			x.Choices = append(x.Choices, &api.NumberChoice{Group: g.Labels[0], Weight: g.Num("weight", 1, 0, 1e9)})
-		}
-		r.at[x] = c
-		form.Routes = append(form.Routes, x)
-	}
-	for _, c := range b.Blocks("plan", 1) {
-		x := &api.NumberPlan{Name: c.Labels[0]}
-		r.at[x] = c
-		for _, k := range c.Blocks("rule", 1) {
-			y := &api.NumberRule{
-				Prefix: strings.TrimPrefix(k.Labels[0], "+"),
-				When:   k.Text("when", ""),
-				Strip:  int32(k.Int("strip", 0, 0, mostDigits)),
-				Add:    k.Text("add", ""),
-				Where:  k.Where(),
-			}
-			y.Then = r.action(k, true)
-			r.at[y] = k
-			x.Rules = append(x.Rules, y)
-		}
-		form.Plans = append(form.Plans, x)
+	for _, block := range b.Blocks("route", 1) {
+		form.Routes = append(form.Routes, r.route(block))
+	}
+	for _, block := range b.Blocks("plan", 1) {
+		form.Plans = append(form.Plans, r.plan(block))
 	}
 	t := compile(form, func(of proto.Message, key, format string, args ...any) { r.at[of].Fault(key, format, args...) })
 	if err := b.Err(); err != nil {
@@ -86,6 +56,59 @@
 	return t, form, nil
 }
 
+func (r *reader) period(block *hclconfig.Block, zone string) *api.NumberPeriod {
+	period := &api.NumberPeriod{
+		Name:   block.Labels[0],
+		Zone:   block.Text("zone", zone),
+		From:   minute(block, "from"),
+		To:     minute(block, "to"),
+		Except: block.Texts("except"),
+		Only:   block.Texts("only"),
+	}
+	for _, day := range block.Texts("days") {
+		i := slices.Index(weekdays, day)
+		if i < 0 {
+			block.Fault("days", "days: want some of %s, got %q", strings.Join(weekdays, ", "), day)
+			continue
+		}
+		period.Weekdays = append(period.Weekdays, int32(i))
+	}
+	r.at[period] = block
+	return period
+}
+
+func (r *reader) route(block *hclconfig.Block) *api.NumberRoute {
+	route := &api.NumberRoute{
+		Name:     block.Labels[0],
+		Skill:    block.Text("skill", ""),
+		Customer: block.Text("customer", ""),
+	}
+	for _, group := range block.Blocks("group", 1) {
+		choice := &api.NumberChoice{Group: group.Labels[0], Weight: group.Num("weight", 1, 0, 1e9)}
+		route.Choices = append(route.Choices, choice)
+	}
+	r.at[route] = block
+	return route
+}
+
+func (r *reader) plan(block *hclconfig.Block) *api.NumberPlan {
+	plan := &api.NumberPlan{Name: block.Labels[0]}
+	r.at[plan] = block
+	for _, k := range block.Blocks("rule", 1) {
+		rule := &api.NumberRule{
+			Prefix: strings.TrimPrefix(k.Labels[0], "+"),
+			When:   k.Text("when", ""),
+			Strip:  int32(k.Int("strip", 0, 0, mostDigits)),
+			Add:    k.Text("add", ""),
+			Where:  k.Where(),
+		}
+		rule.Then = r.action(k, true)
+		r.at[rule] = k
+		plan.Rules = append(plan.Rules, rule)
+	}
+	return plan
+}
+
 var weekdays = []string{"sun", "mon", "tue", "wed", "thu", "fri", "sat"}
 
 func minute(c *hclconfig.Block, key string) int32 {
--- a/internal/emulator/dnsserver/names.go
+++ b/internal/emulator/dnsserver/names.go
@@ -176,29 +176,60 @@
 	if q.Unpack(data) != nil || q.Response || len(q.Question) != 1 {
 		return nil
 	}
-	f, m := &s.Faults, new(dns.Msg)
+	m := new(dns.Msg)
 	m.SetReply(q)
-	name := q.Question[0].Name
-	if f.Flat {
-		m.Question[0].Name = strings.ToLower(name)
+	if s.Faults.Flat {
+		m.Question[0].Name = strings.ToLower(q.Question[0].Name)
 	}
-	switch {
+	if s.refuse(q, m) {
+		return m
+	}
+	m.Authoritative = true
+	s.addRecords(q, m)
+	if s.Faults.Poison {
+		s.poison(q, m)
+	}
+	if e := q.IsEdns0(); e != nil {
+		m.SetEdns0(1232, false)
+	}
+	return m
+}
+
+// refuse makes the response of a server that does not answer for its zone; false: it does.
+func (s *Server) refuse(q, m *dns.Msg) bool {
+	switch f := &s.Faults; {
 	case f.NoEDNS && q.IsEdns0() != nil:
 		m.Rcode = dns.RcodeFormatError
-		return m
 	case f.ServFail:
 		m.Rcode = dns.RcodeServerFailure
-		return m
 	case f.Lame:
 		m.Rcode = dns.RcodeRefused
-		return m
 	case f.Refer:
 		m.Ns = []dns.RR{&dns.NS{Hdr: header(s.Zone.Apex, dns.TypeNS, 3600), Ns: "elsewhere.example."}}
-		return m
+	default:
+		return false
 	}
-	m.Authoritative = true
-	rules, there := s.Zone.rules(strings.ToLower(name))
-	soa := &dns.SOA{
+	return true
+}
+
+// addRecords puts the zone's records into a response, or its SOA record where there are none.
+func (s *Server) addRecords(q, m *dns.Msg) {
+	name := q.Question[0].Name
+	rules, exists := s.Zone.rules(strings.ToLower(name))
+	switch {
+	case !exists:
+		m.Rcode, m.Ns = dns.RcodeNameError, []dns.RR{s.soa()}
+	case q.Question[0].Qtype != dns.TypeNAPTR:
+		m.Ns = []dns.RR{s.soa()}
+	default:
+		for _, r := range rules {
+			m.Answer = append(m.Answer, record(name, r, s.Zone.TTL))
+		}
+	}
+}
+
+func (s *Server) soa() *dns.SOA {
+	return &dns.SOA{
 		Hdr:     header(s.Zone.Apex, dns.TypeSOA, 3600),
 		Ns:      "ns." + s.Zone.Apex,
 		Mbox:    "host." + s.Zone.Apex,
@@ -208,32 +239,19 @@
 		Expire:  86400,
 		Minttl:  s.Zone.TTL,
 	}
-	switch {
-	case !there:
-		m.Rcode, m.Ns = dns.RcodeNameError, []dns.RR{soa}
-	case q.Question[0].Qtype != dns.TypeNAPTR:
-		m.Ns = []dns.RR{soa}
-	}
-	if m.Ns == nil {
-		for _, r := range rules {
-			m.Answer = append(m.Answer, record(name, r, s.Zone.TTL))
-		}
-	}
-	if f.Poison {
-		r := enum.Rule{
-			Order:      1,
-			Preference: 1,
-			Flags:      "u",
-			Service:    "E2U+pstn:tel",
-			Regexp:     "!^.*$!tel:+19005550666;npdi;rn=+19005550666!",
-		}
-		m.Answer = append(m.Answer, record("1.2.3."+s.Zone.Apex, r, 86400))
-		m.Extra = append(m.Extra, record(name, r, 86400))
-	}
-	if e := q.IsEdns0(); e != nil {
-		m.SetEdns0(1232, false)
+}
+
+// poison adds records of other names.
+func (s *Server) poison(q, m *dns.Msg) {
+	r := enum.Rule{
+		Order:      1,
+		Preference: 1,
+		Flags:      "u",
+		Service:    "E2U+pstn:tel",
+		Regexp:     "!^.*$!tel:+19005550666;npdi;rn=+19005550666!",
 	}
-	return m
+	m.Answer = append(m.Answer, record("1.2.3."+s.Zone.Apex, r, 86400))
+	m.Extra = append(m.Extra, record(q.Question[0].Name, r, 86400))
 }
 
 func header(name string, kind uint16, ttl uint32) dns.RR_Header {
--- a/internal/gateway/binaryserver/server_test.go
+++ b/internal/gateway/binaryserver/server_test.go
@@ -20,62 +20,74 @@
 	"cobaltpier/internal/routing"
 )
 
-// Calls pass over real sockets while lines break in every way: each has one final answer, and what stood is released.
+// TestCallsUnderFaults: calls pass over real sockets while connections break in every way. Each has one final answer, and
+// what was established is released.
 func TestCallsUnderFaults(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreTopFunction("github.com/lesismal/nbio/timer.(*Timer).Start.func1"))
-	t.Run("trouble", func(t *testing.T) {
+	t.Run("faults", func(t *testing.T) {
+		const (
+			calls   = 300
+			firstID = 1000
+		)
 		a, b := newTestEndpoint(t, "s-0"), newTestEndpoint(t, "s-1")
-		faults := []string{"", "reset", "noise", "full", "never", "half"}
-		for i, c := range []*testEndpoint{a, b} {
-			c.does = func(n int) string {
-				if x := int(detrand.Float64(uint64(i), uint64(n)) * 40); x < len(faults) {
-					return faults[x]
-				}
-				return ""
-			}
+		for i, e := range []*testEndpoint{a, b} {
+			e.faultOf = func(n int) fault { return drawFault(i, n) }
 		}
 		s := newTestServer(t, newTestNameServer(t, 1, a, b), a, b)
 		p := s.dial()
 		p.waitUntilReady()
-		const calls = 300
-		var wire []byte
-		for i := range uint64(calls) {
-			wire = append(wire, setupMessage(i+1000)...)
-		}
-		go func() {
-			for seed := uint64(0); len(wire) > 0; seed++ { // in pieces that end anywhere
-				n := min(len(wire), 1+int(detrand.Float64(7, seed)*700))
-				if _, err := p.c.Write(wire[:n]); err != nil {
-					return
-				}
-				wire = wire[n:]
-				time.Sleep(20 * time.Millisecond)
-			}
-		}()
-		done := func() bool {
-			n := 0
-			for _, of := range p.got {
-				if answers, refusals, releases := countFinals(of); refusals > 0 || answers > 0 && releases > 0 {
-					n++
-				}
-			}
-			return n >= calls
-		}
-		p.waitFor(20*time.Second, done)
-		stood := 0
-		for i := range uint64(calls) {
-			answers, refusals, releases := countFinals(p.got[i+1000])
+		go p.writeFragmented(firstID, calls)
+		p.waitFor(20*time.Second, func() bool { return p.countEnded() >= calls })
+		established := 0
+		for id := uint64(firstID); id < firstID+calls; id++ {
+			answers, refusals, releases := countFinals(p.got[id])
 			if answers+refusals != 1 || releases != answers {
-				t.Errorf("call %d: %d answers, %d refusals, %d releases", i, answers, refusals, releases)
+				t.Errorf("call %d: %d answers, %d refusals, %d releases", id, answers, refusals, releases)
 			}
-			stood += answers
+			established += answers
 		}
-		if stood < calls/2 {
-			t.Errorf("only %d of %d calls stood", stood, calls)
+		if established < calls/2 {
+			t.Errorf("only %d of %d calls were established", established, calls)
 		}
 	})
 }
 
+// drawFault gives 6 of 40 setups one of the faults, or none.
+func drawFault(endpoint, n int) fault {
+	faults := []fault{noFault, faultReset, faultNoise, faultFull, faultSilent, faultHalf}
+	if x := int(detrand.Float64(uint64(endpoint), uint64(n)) * 40); x < len(faults) {
+		return faults[x]
+	}
+	return noFault
+}
+
+// writeFragmented sends setups in pieces that end anywhere.
+func (p *testClient) writeFragmented(firstID, calls uint64) {
+	var wire []byte
+	for id := firstID; id < firstID+calls; id++ {
+		wire = append(wire, setupMessage(id)...)
+	}
+	for seed := uint64(0); len(wire) > 0; seed++ {
+		n := min(len(wire), 1+int(detrand.Float64(7, seed)*700))
+		if _, err := p.c.Write(wire[:n]); err != nil {
+			return
+		}
+		wire = wire[n:]
+		time.Sleep(20 * time.Millisecond)
+	}
+}
+
+// countEnded is how many calls were refused, or established and released.
+func (p *testClient) countEnded() (n int) {
+	for _, messages := range p.got {
+		answers, refusals, releases := countFinals(messages)
+		if refusals > 0 || answers > 0 && releases > 0 {
+			n++
+		}
+	}
+	return n
+}
+
 // Callers that send what can't be used get a refusal or a close soon, and usual ones do not notice.
 func TestMisbehavingClients(t *testing.T) {
 	a, b := newTestEndpoint(t, "s-0"), newTestEndpoint(t, "s-1")
@@ -190,7 +202,7 @@
 	b.mu.Lock()
 	defer a.mu.Unlock()
 	defer b.mu.Unlock()
-	if a.got+b.got == 0 {
+	if a.setups+b.setups == 0 {
 		t.Error("no setup came to a switch")
 	}
 }
@@ -361,11 +373,11 @@
 func TestShutdownWithCalls(t *testing.T) {
 	a, b := newTestEndpoint(t, "s-0"), newTestEndpoint(t, "s-1")
 	a.hold, b.hold = 1800*time.Millisecond, 1800*time.Millisecond
-	a.does = func(n int) string {
+	a.faultOf = func(n int) fault {
 		if n == 2 {
-			return "never"
+			return faultSilent
 		}
-		return ""
+		return noFault
 	}
 	s := newTestServer(t, newTestNameServer(t, 1, a, b), a, b)
 	p := s.dial()
--- a/internal/gateway/binaryserver/shutdown_test.go
+++ b/internal/gateway/binaryserver/shutdown_test.go
@@ -132,7 +132,7 @@
 func TestLastAnswerIsNotReset(t *testing.T) {
 	clean(t, func(t *testing.T) {
 		a := newTestEndpoint(t, "s-0")
-		a.does = func(int) string { return "never" }
+		a.faultOf = func(int) fault { return faultSilent }
 		s := newTestServer(t, newTestNameServer(t, 1, a), a)
 		p := s.dial()
 		p.waitUntilReady()
@@ -238,11 +238,11 @@
 	clean(t, func(t *testing.T) {
 		a, b := newTestEndpoint(t, "s-0"), newTestEndpoint(t, "s-1")
 		rung := make(chan struct{}, 10)
-		never := func(int) string {
+		never := func(int) fault {
 			rung <- struct{}{}
-			return "never"
+			return faultSilent
 		}
-		a.does, b.does = never, never
+		a.faultOf, b.faultOf = never, never
 		s := newTestServer(t, newTestNameServer(t, 1, a, b), a, b)
 		p, other := s.dial(), s.dial()
 		p.waitUntilReady()
@@ -254,7 +254,7 @@
 			defer a.mu.Unlock()
 			b.mu.Lock()
 			defer b.mu.Unlock()
-			return len(a.open)+len(b.open) == 0
+			return len(a.established)+len(b.established) == 0
 		}
 		for i := 0; i < 100 && !givenUp(); i++ {
 			time.Sleep(10 * time.Millisecond)
--- a/internal/gateway/binaryserver/standins_test.go
+++ b/internal/gateway/binaryserver/standins_test.go
@@ -22,168 +22,205 @@
 	"cobaltpier/internal/routing"
 )
 
-// testEndpoint is a stand-in of a core switch on TCP.
+// fault is what a stand-in of an endpoint does with a setup.
+type fault string
+
+const (
+	noFault     fault = ""
+	faultReset  fault = "reset"  // the connection is reset
+	faultNoise  fault = "noise"  // what is sent is no message
+	faultFull   fault = "full"   // the setup is rejected
+	faultSilent fault = "silent" // it is never answered
+	faultHalf   fault = "half"   // the answer is cut off
+)
+
+// testEndpoint is a stand-in of an endpoint on TCP.
 type testEndpoint struct {
-	t    *testing.T
-	id   string
-	l    net.Listener
-	mu   sync.Mutex
-	cons map[net.Conn]func(kind byte, id uint64, of ...binarymessage.Param)
-	owed []uint64 // releases for the next connection
-	open map[uint64]bool
-	got  int
-	// does, where it is set, says what becomes of the n-th setup: "", reset, noise, full, never, half, deaf
-	does func(n int) string
-	hold time.Duration
-	all  sync.WaitGroup
+	t               *testing.T
+	id              string
+	listener        net.Listener
+	mu              sync.Mutex
+	conns           map[*testEndpointConn]struct{}
+	pendingReleases []uint64 // for the next connection
+	established     map[uint64]bool
+	setups          int
+	faultOf         func(n int) fault // of the n-th setup; nil: none
+	hold            time.Duration     // that a call stays established
+	goroutines      sync.WaitGroup
 }
 
+// testEndpointLoad is the load report that every testEndpoint sends.
+var testEndpointLoad = binarymessage.TextParam(binarymessage.Report, "free:300;size:400;busy:0.3;q:1")
+
 func newTestEndpoint(t *testing.T, id string) *testEndpoint {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &testEndpoint{
-		t:    t,
-		id:   id,
-		l:    l,
-		cons: map[net.Conn]func(byte, uint64, ...binarymessage.Param){},
-		open: map[uint64]bool{},
-		hold: 50 * time.Millisecond,
+	e := &testEndpoint{
+		t:           t,
+		id:          id,
+		listener:    l,
+		conns:       map[*testEndpointConn]struct{}{},
+		established: map[uint64]bool{},
+		hold:        50 * time.Millisecond,
 	}
-	c.all.Add(1)
-	go func() {
-		defer c.all.Done()
-		for {
-			n, err := l.Accept()
-			if err != nil {
-				return
-			}
-			c.all.Add(1)
-			go c.serve(n)
+	e.goroutines.Add(1)
+	go e.accept()
+	t.Cleanup(e.close)
+	return e
+}
+
+func (e *testEndpoint) accept() {
+	defer e.goroutines.Done()
+	for {
+		conn, err := e.listener.Accept()
+		if err != nil {
+			return
 		}
-	}()
-	t.Cleanup(c.close)
-	return c
+		e.goroutines.Add(1)
+		go (&testEndpointConn{endpoint: e, conn: conn}).serve()
+	}
+}
+
+func (e *testEndpoint) close() {
+	e.listener.Close()
+	e.mu.Lock()
+	for c := range e.conns {
+		c.conn.Close()
+	}
+	e.mu.Unlock()
+	e.goroutines.Wait()
 }
 
-func (c *testEndpoint) close() {
-	c.l.Close()
-	c.mu.Lock()
-	for n := range c.cons {
-		n.Close()
+// onSetup counts a setup and gives the fault that it meets.
+func (e *testEndpoint) onSetup(id uint64) fault {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.setups++
+	e.established[id] = true
+	if e.faultOf == nil {
+		return noFault
 	}
-	c.mu.Unlock()
-	c.all.Wait()
+	return e.faultOf(e.setups)
 }
 
-func (c *testEndpoint) serve(n net.Conn) {
-	defer c.all.Done()
-	defer n.Close()
-	var mu sync.Mutex
-	say := func(kind byte, id uint64, of ...binarymessage.Param) {
-		mu.Lock()
-		defer mu.Unlock()
-		_, _ = n.Write(binarymessage.Append(nil, kind, id, of...))
+// release ends a call: on the connection of its setup, else on any and, as a real endpoint does, also on the next one, for
+// the gateway may just have closed the one at hand.
+func (e *testEndpoint) release(id uint64, conn *testEndpointConn) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if !e.established[id] {
+		return
 	}
-	load := binarymessage.TextParam(binarymessage.Report, "free:300;size:400;busy:0.3;q:1")
-	say(binarymessage.LoadState, 0, load)
-	c.mu.Lock()
-	c.cons[n] = say
-	owed := c.owed
-	c.owed = nil
-	c.mu.Unlock()
-	for _, id := range owed {
-		say(binarymessage.Release, id, binarymessage.CauseParam(binarymessage.Normal))
+	delete(e.established, id)
+	e.pendingReleases = append(e.pendingReleases, id)
+	if _, open := e.conns[conn]; !open {
+		conn = nil
+		for other := range e.conns {
+			conn = other
+		}
 	}
+	if conn != nil {
+		conn.send(binarymessage.Release, id, binarymessage.CauseParam(binarymessage.Normal), testEndpointLoad)
+	}
+}
+
+// testEndpointConn is one connection of a testEndpoint.
+type testEndpointConn struct {
+	endpoint *testEndpoint
+	conn     net.Conn
+	writeMu  sync.Mutex
+}
+
+func (c *testEndpointConn) send(kind byte, id uint64, params ...binarymessage.Param) {
+	c.sendRaw(binarymessage.Append(nil, kind, id, params...))
+}
+
+func (c *testEndpointConn) sendRaw(data []byte) {
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	_, _ = c.conn.Write(data) // a connection that has closed is seen by the reader
+}
+
+func (c *testEndpointConn) serve() {
+	e := c.endpoint
+	defer e.goroutines.Done()
+	defer c.conn.Close()
+	c.open()
 	defer func() {
-		c.mu.Lock()
-		delete(c.cons, n)
-		c.mu.Unlock()
+		e.mu.Lock()
+		delete(e.conns, c)
+		e.mu.Unlock()
 	}()
-	var r binarymessage.Reader
-	b := make([]byte, 4096)
+	var reader binarymessage.Reader
+	buffer := make([]byte, 4096)
 	for {
-		k, err := n.Read(b)
+		n, err := c.conn.Read(buffer)
 		if err != nil {
 			return
 		}
-		if err := r.Feed(b[:k], func(m binarymessage.Message) bool {
-			id := m.Call()
-			if m.Type() == binarymessage.Release {
-				c.mu.Lock()
-				delete(c.open, id)
-				c.mu.Unlock()
-				return true
-			}
-			if m.Type() != binarymessage.Setup {
-				return true
-			}
-			c.mu.Lock()
-			c.got++
-			what := ""
-			if c.does != nil {
-				what = c.does(c.got)
-			}
-			c.open[id] = true
-			c.mu.Unlock()
-			switch what {
-			case "reset":
-				_ = n.(*net.TCPConn).SetLinger(0)
-				n.Close()
-			case "noise":
-				mu.Lock()
-				_, _ = n.Write([]byte("\xff\xff\xff no message at all"))
-				mu.Unlock()
-			case "half":
-				mu.Lock()
-				_, _ = n.Write(
-					binarymessage.Append(nil, binarymessage.Answer, id, binarymessage.TextParam(binarymessage.Description,
-						"answer"))[:9],
-				)
-				mu.Unlock()
-				n.Close()
-			case "full":
-				say(
-					binarymessage.Release,
-					id,
-					binarymessage.CauseParam(binarymessage.NoCircuit),
-					binarymessage.TextParam(binarymessage.Note, "cpu_full"),
-					load,
-				)
-			case "never":
-			default:
-				say(binarymessage.Answer, id, binarymessage.TextParam(binarymessage.Description, "answer of "+c.id), load)
-				time.AfterFunc(c.hold, func() {
-					c.mu.Lock()
-					defer c.mu.Unlock()
-					if !c.open[id] {
-						return
-					}
-					delete(c.open, id)
-					on := c.cons[n]
-					for _, other := range c.cons {
-						if on == nil {
-							on = other
-						}
-					}
-					// as a real one does: also on the next connection, for the gateway may just have closed the one at hand
-					c.owed = append(c.owed, id)
-					if on != nil {
-						on(binarymessage.Release, id, binarymessage.CauseParam(binarymessage.Normal), load)
-					}
-				})
-			}
-			return true
-		}); err != nil {
-			c.t.Errorf("switch %s was sent what is no message: %v", c.id, err)
+		if err := reader.Feed(buffer[:n], c.handle); err != nil {
+			e.t.Errorf("endpoint %s was sent what is no message: %v", e.id, err)
 			return
 		}
 	}
 }
 
-func (c *testEndpoint) addr() netip.AddrPort { return netip.MustParseAddrPort(c.l.Addr().String()) }
+// open sends the load report, and the releases that waited for a connection.
+func (c *testEndpointConn) open() {
+	e := c.endpoint
+	c.send(binarymessage.LoadState, 0, testEndpointLoad)
+	e.mu.Lock()
+	e.conns[c] = struct{}{}
+	releases := e.pendingReleases
+	e.pendingReleases = nil
+	e.mu.Unlock()
+	for _, id := range releases {
+		c.send(binarymessage.Release, id, binarymessage.CauseParam(binarymessage.Normal))
+	}
+}
+
+func (c *testEndpointConn) handle(message binarymessage.Message) bool {
+	e, id := c.endpoint, message.Call()
+	switch message.Type() {
+	case binarymessage.Release:
+		e.mu.Lock()
+		delete(e.established, id)
+		e.mu.Unlock()
+	case binarymessage.Setup:
+		c.answer(id, e.onSetup(id))
+	}
+	return true
+}
+
+func (c *testEndpointConn) answer(id uint64, f fault) {
+	e := c.endpoint
+	switch f {
+	case faultReset:
+		_ = c.conn.(*net.TCPConn).SetLinger(0)
+		c.conn.Close()
+	case faultNoise:
+		c.sendRaw([]byte("\xff\xff\xff no message at all"))
+	case faultHalf:
+		description := binarymessage.TextParam(binarymessage.Description, "answer")
+		c.sendRaw(binarymessage.Append(nil, binarymessage.Answer, id, description)[:9])
+		c.conn.Close()
+	case faultFull:
+		c.send(binarymessage.Release, id, binarymessage.CauseParam(binarymessage.NoCircuit),
+			binarymessage.TextParam(binarymessage.Note, "cpu_full"), testEndpointLoad)
+	case faultSilent:
+	default:
+		description := binarymessage.TextParam(binarymessage.Description, "answer of "+e.id)
+		c.send(binarymessage.Answer, id, description, testEndpointLoad)
+		time.AfterFunc(e.hold, func() { e.release(id, c) })
+	}
+}
+
+func (e *testEndpoint) addr() netip.AddrPort {
+	return netip.MustParseAddrPort(e.listener.Addr().String())
+}
 
 // testNameServer is a stand-in of a name server.
 type testNameServer struct {
@@ -307,13 +344,9 @@
 		of...)
 }
 
-func startTestServer(
-	t *testing.T,
-	ns *testNameServer,
-	mk routing.PolicyFactory,
-	change func(map[string]any),
-	of ...*testEndpoint,
-) *testServer {
+// startTestServer starts a gateway whose configuration was changed.
+func startTestServer(t *testing.T, ns *testNameServer, newPolicy routing.PolicyFactory, change func(map[string]any),
+	endpoints ...*testEndpoint) *testServer {
 	t.Helper()
 	s := &testServer{
 		T:       t,
@@ -322,47 +355,16 @@
 		signals: make(chan Signal, 4),
 		ended:   make(chan error, 1),
 	}
-	var targets []map[string]any
-	for _, c := range of {
-		targets = append(
-			targets,
-			map[string]any{
-				"uid":       c.id,
-				"endpoint":  c.addr().String(),
-				"pod_group": int(c.id[len(c.id)-1] - '0'),
-				"state":     "ready",
-			},
-		)
-	}
-	s.doc = map[string]any{
-		"name":       "n0",
-		"listen":     s.addr,
-		"seed":       "8c1f30d27a5be964",
-		"nameserver": ns.addr(),
-		"limits":     map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256},
-		"known": map[string]any{
-			"no":    1,
-			"items": []any{map[string]any{"no": 1, "roster": map[string]any{"all": true, "targets": targets}}},
-		},
-		"settings": json.RawMessage(
-			`{"allowed":{"cancel":true,"retryAfter":true,"maxRetryAfter":2000,"maxAttempts":5,"connectTimeout":300},` +
-				`"balancers":1,"me":0,"familyInfo":{"callLength":[50],"clearWait":100,"retransmit":200},` +
-				`"lanes":[{"name":"voice","aim":1000,"hardLimit":2000,"lateWorth":0.1,"worth":1}],` +
-				`"rules":{"answerSlack":5,"coldShare":0.4,"warmWithin":1000,"tipMultiple":2.5,"fall":1000},` +
-				`"stats":{"fields":["free","size","busy","q"],"how":"inline"}}`,
-		),
-	}
+	s.doc = testConfig(s.addr, ns.addr(), endpoints)
 	change(s.doc)
 	s.write()
-	cfg, err := binaryconfig.Load(s.file)
+	config, err := binaryconfig.Load(s.file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
-	go func() {
-		s.ended <- Run(ctx, s.file, cfg, mk, zerolog.Nop(), s.signals)
-	}()
+	go func() { s.ended <- Run(ctx, s.file, config, newPolicy, zerolog.Nop(), s.signals) }()
 	t.Cleanup(func() {
 		cancel()
 		select {
@@ -377,6 +379,36 @@
 	return s
 }
 
+// testConfig is a configuration as the platform writes it.
+func testConfig(listen, nameserver string, endpoints []*testEndpoint) map[string]any {
+	var targets []map[string]any
+	for _, e := range endpoints {
+		targets = append(targets, map[string]any{
+			"uid":       e.id,
+			"endpoint":  e.addr().String(),
+			"pod_group": int(e.id[len(e.id)-1] - '0'),
+			"state":     "ready",
+		})
+	}
+	return map[string]any{
+		"name":       "n0",
+		"listen":     listen,
+		"seed":       "8c1f30d27a5be964",
+		"nameserver": nameserver,
+		"limits":     map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256},
+		"known": map[string]any{
+			"no":    1,
+			"items": []any{map[string]any{"no": 1, "roster": map[string]any{"all": true, "targets": targets}}},
+		},
+		"settings": json.RawMessage(
+			`{"allowed":{"cancel":true,"retryAfter":true,"maxRetryAfter":2000,"maxAttempts":5,"connectTimeout":300},` +
+				`"balancers":1,"me":0,"familyInfo":{"callLength":[50],"clearWait":100,"retransmit":200},` +
+				`"lanes":[{"name":"voice","aim":1000,"hardLimit":2000,"lateWorth":0.1,"worth":1}],` +
+				`"rules":{"answerSlack":5,"coldShare":0.4,"warmWithin":1000,"tipMultiple":2.5,"fall":1000},` +
+				`"stats":{"fields":["free","size","busy","q"],"how":"inline"}}`),
+	}
+}
+
 func (s *testServer) write() {
 	b, err := json.Marshal(s.doc)
 	if err == nil {
--- a/internal/protocol/binarygateway/anymessages_test.go
+++ b/internal/protocol/binarygateway/anymessages_test.go
@@ -11,118 +11,110 @@
 	"cobaltpier/internal/routing"
 )
 
-// Whatever well-formed messages come from either side, in whatever order, with connections that come and go and lists
-// that change: nothing falls over, no caller hears two answers for a call, and nothing is left when all have gone.
+// TestAnyMessages: whatever well-formed messages come from either side, in whatever order, with connections that come and
+// go and lists that change, nothing panics, no client gets two answers for a call, and nothing is left when all have gone.
 func TestAnyMessages(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		r := newTestGateway(t)
-		r.policy.retries = true
-		var callers []*testConn
-		ids := rapid.Uint64Range(0, 6)
-		text := rapid.SampledFrom(
-			[]string{
-				"",
-				"voice",
-				"video",
-				"1500",
-				"-1",
-				"1e300",
-				"NaN",
-				"dest:0;width:1;via:-1",
-				"dest:1;again:1",
-				"at:a",
-				"at:b",
-				"at:nobody",
-				"width:0",
-				"free:3;size:40;busy:0.5;q:2",
-				"free:x;:;;busy:NaN",
-				"cpu_full",
-				"number_busy",
-				"all_trunks_busy",
-			},
-		)
-		codes := []byte{
-			binarymessage.Class,
-			binarymessage.Timeout,
-			binarymessage.Number,
-			binarymessage.Figures,
-			binarymessage.RetryAfter,
-			binarymessage.Note,
-			binarymessage.QueueDelay,
-			binarymessage.Report,
-			binarymessage.Cause,
-			binarymessage.Description,
-		}
-		kinds := rapid.SampledFrom(
-			[]byte{
-				binarymessage.Setup,
-				binarymessage.Progress,
-				binarymessage.Answer,
-				binarymessage.Release,
-				binarymessage.ReleaseComplete,
-				binarymessage.LoadState,
-				binarymessage.HealthCheck,
-				binarymessage.HealthResult,
-				99,
-			},
-		)
-		some := func() (of []binarymessage.Param) {
-			for _, c := range rapid.SliceOfNDistinct(rapid.SampledFrom(codes), 0, 5, rapid.ID[byte]).Draw(rt, "codes") {
-				if c == binarymessage.Cause {
-					of = append(
-						of,
-						binarymessage.CauseParam(rapid.SampledFrom([]byte{0, 16, 17, 34, 41, 42, 47, 102}).Draw(rt, "cause")),
-					)
-					continue
-				}
-				of = append(of, binarymessage.TextParam(c, text.Draw(rt, "text")))
-			}
-			return
-		}
+		s := &anyMessages{rt: rt, r: newTestGateway(t)}
+		s.r.policy.retries = true
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
-			r.policy.targets = []int{rapid.IntRange(0, 1).Draw(rt, "pool")}
-			live := slices.DeleteFunc(slices.Clone(callers), func(w *testConn) bool { return w.closed || w.conn.closed })
-			lines := slices.DeleteFunc(slices.Clone(r.dialed), func(w *testConn) bool { return w.closed || w.conn.closed })
-			switch what := rapid.IntRange(0, 9).Draw(rt, "what"); {
-			case what == 0 || len(live) == 0:
-				callers = append(callers, r.newClient())
-			case what <= 3:
-				r.receiveSetup(rapid.SampledFrom(live).Draw(rt, "caller"), ids.Draw(rt, "id"))
-			case what == 4:
-				r.receive(rapid.SampledFrom(live).Draw(rt, "caller"), kinds.Draw(rt, "kind"), ids.Draw(rt, "id"), some()...)
-			case what == 5:
-				r.gateway.OnClosed(r.now, rapid.SampledFrom(live).Draw(rt, "caller").conn, ClosedNormally)
-			case what <= 7 && len(lines) > 0:
-				r.receive(rapid.SampledFrom(lines).Draw(rt, "line"), kinds.Draw(rt, "kind"), ids.Draw(rt, "id"), some()...)
-			case what == 8 && len(lines) > 0:
-				r.gateway.OnClosed(
-					r.now,
-					rapid.SampledFrom(lines).Draw(rt, "line").conn,
-					rapid.SampledFrom([]CloseReason{ClosedNormally, ClosedRefused, ClosedReset}).Draw(rt, "how"),
-				)
-			default:
-				b := readyTarget("b", addrB, 1)
-				b.State = rapid.SampledFrom([]routing.State{routing.Ready, routing.Draining}).Draw(rt, "state")
-				l := []dnsdiscovery.Target{b}
-				if rapid.Bool().Draw(rt, "a is there") {
-					l = append(l, readyTarget("a", addrA, 0))
-				}
-				r.setEndpoints(2, l...)
-			}
-			r.advance(rapid.SampledFrom([]float64{0, 1, 100, 700, 3000}).Draw(rt, "time"))
+			s.step()
+			s.r.advance(rapid.SampledFrom([]float64{0, 1, 100, 700, 3000}).Draw(rt, "time"))
 		}
-		for _, w := range callers {
-			r.gateway.OnClosed(r.now, w.conn, ClosedNormally)
+		for _, client := range s.clients {
+			s.r.gateway.OnClosed(s.r.now, client.conn, ClosedNormally)
 		}
-		r.advance(200)
-		r.setEndpoints(3)
-		r.advance(50000)
-		if open := r.gateway.OpenCounts(); open.Calls+open.Upstreams+open.Clients+open.ClientConns > 0 {
+		s.r.advance(200)
+		s.r.setEndpoints(3)
+		s.r.advance(50000)
+		if open := s.r.gateway.OpenCounts(); open.Calls+open.Upstreams+open.Clients+open.ClientConns > 0 {
 			rt.Errorf("left open: %+v", open)
 		}
 	})
 }
 
+// What anyMessages draws from.
+var (
+	anyID   = rapid.Uint64Range(0, 6)
+	anyText = rapid.SampledFrom([]string{
+		"", "voice", "video", "1500", "-1", "1e300", "NaN", "dest:0;width:1;via:-1", "dest:1;again:1", "at:a", "at:b",
+		"at:nobody", "width:0", "free:3;size:40;busy:0.5;q:2", "free:x;:;;busy:NaN", "cpu_full", "number_busy",
+		"all_trunks_busy",
+	})
+	anyCodes = rapid.SliceOfNDistinct(rapid.SampledFrom([]byte{
+		binarymessage.Class, binarymessage.Timeout, binarymessage.Number, binarymessage.Figures,
+		binarymessage.RetryAfter, binarymessage.Note, binarymessage.QueueDelay, binarymessage.Report,
+		binarymessage.Cause, binarymessage.Description,
+	}), 0, 5, rapid.ID[byte])
+	anyCause = rapid.SampledFrom([]byte{0, 16, 17, 34, 41, 42, 47, 102})
+	anyKind  = rapid.SampledFrom([]byte{
+		binarymessage.Setup, binarymessage.Progress, binarymessage.Answer, binarymessage.Release,
+		binarymessage.ReleaseComplete, binarymessage.LoadState, binarymessage.HealthCheck,
+		binarymessage.HealthResult, 99,
+	})
+	anyCloseReason = rapid.SampledFrom([]CloseReason{ClosedNormally, ClosedRefused, ClosedReset})
+)
+
+// anyMessages is a generated stream of events.
+type anyMessages struct {
+	rt      *rapid.T
+	r       *testGateway
+	clients []*testConn
+}
+
+func (s *anyMessages) step() {
+	rt, r := s.rt, s.r
+	r.policy.targets = []int{rapid.IntRange(0, 1).Draw(rt, "pool")}
+	clients, dialed := openConns(s.clients), openConns(r.dialed)
+	switch what := rapid.IntRange(0, 9).Draw(rt, "what"); {
+	case what == 0 || len(clients) == 0:
+		s.clients = append(s.clients, r.newClient())
+	case what <= 3:
+		r.receiveSetup(rapid.SampledFrom(clients).Draw(rt, "caller"), anyID.Draw(rt, "id"))
+	case what == 4:
+		s.receiveAny(clients)
+	case what == 5:
+		r.gateway.OnClosed(r.now, rapid.SampledFrom(clients).Draw(rt, "caller").conn, ClosedNormally)
+	case what <= 7 && len(dialed) > 0:
+		s.receiveAny(dialed)
+	case what == 8 && len(dialed) > 0:
+		conn := rapid.SampledFrom(dialed).Draw(rt, "conn").conn
+		r.gateway.OnClosed(r.now, conn, anyCloseReason.Draw(rt, "how"))
+	default:
+		s.changeList()
+	}
+}
+
+func openConns(conns []*testConn) []*testConn {
+	return slices.DeleteFunc(slices.Clone(conns), func(c *testConn) bool { return c.closed || c.conn.closed })
+}
+
+// receiveAny has any message come on one of the connections.
+func (s *anyMessages) receiveAny(conns []*testConn) {
+	conn, kind := rapid.SampledFrom(conns).Draw(s.rt, "conn"), anyKind.Draw(s.rt, "kind")
+	id := anyID.Draw(s.rt, "id")
+	var params []binarymessage.Param
+	for _, code := range anyCodes.Draw(s.rt, "codes") {
+		if code == binarymessage.Cause {
+			params = append(params, binarymessage.CauseParam(anyCause.Draw(s.rt, "cause")))
+			continue
+		}
+		params = append(params, binarymessage.TextParam(code, anyText.Draw(s.rt, "text")))
+	}
+	s.r.receive(conn, kind, id, params...)
+}
+
+// changeList has one endpoint drain or return, and the other come or go.
+func (s *anyMessages) changeList() {
+	b := readyTarget("b", addrB, 1)
+	b.State = rapid.SampledFrom([]routing.State{routing.Ready, routing.Draining}).Draw(s.rt, "state")
+	list := []dnsdiscovery.Target{b}
+	if rapid.Bool().Draw(s.rt, "a is there") {
+		list = append(list, readyTarget("a", addrA, 0))
+	}
+	s.r.setEndpoints(2, list...)
+}
+
 // The longest setup whose timeout is written shorter than it is said again does not fit any more: it is refused.
 func TestLongestSetUp(t *testing.T) {
 	r := newTestGateway(t)
--- a/internal/protocol/binarygateway/client_test.go
+++ b/internal/protocol/binarygateway/client_test.go
@@ -1,6 +1,7 @@
 package binarygateway
 
 import (
+	"fmt"
 	"slices"
 	"testing"
 
@@ -327,63 +328,78 @@
 	return w
 }
 
-// A caller that closes or cancels has gone, whatever its setup waits for: no attempt begins any more.
+// TestCallersGone: a caller that closes or cancels has gone, whatever its setup waits for. No attempt begins any more.
 func TestCallersGone(t *testing.T) {
-	for _, closes := range []bool{true, false} {
-		for _, state := range []string{"waits for a line", "waits in a line", "waits after a ring", "rings"} {
-			r := newTestGateway(t)
-			r.policy.targets, r.policy.retries = []int{0, 1, 0, 1}, true
-			c := r.newClient()
-			switch state {
-			case "waits for a line":
-				r.holdDials = true
-				for _, w := range r.connsTo(addrA) {
-					r.gateway.OnClosed(r.now, w.conn, ClosedNormally)
+	for name, wait := range map[string]func(*testGateway){
+		"waits for a connection":   waitForConn,
+		"waits in a connection":    waitInConn,
+		"waits after an attempt":   waitAfterAttempt,
+		"has an attempt in flight": func(r *testGateway) { r.receiveSetup(r.client, 7) },
+	} {
+		for _, closes := range []bool{true, false} {
+			t.Run(fmt.Sprintf("%s, closes %v", name, closes), func(t *testing.T) {
+				r := newTestGateway(t)
+				r.policy.targets, r.policy.retries = []int{0, 1, 0, 1}, true
+				r.client = r.newClient()
+				wait(r)
+				before := r.countSetups(7)
+				r.callerGoes(closes)
+				r.holdDials = false
+				for _, conn := range r.dialed {
+					conn.conn.writePending = false
 				}
-			case "waits in a line":
-				for _, w := range r.connsTo(addrA) {
-					r.gateway.OnData(r.now, w.conn, binarymessage.Append(nil, binarymessage.LoadState, 0))
-					w.conn.writePending = true // under a batch that has not left
+				r.advance(3000)
+				if after := r.countSetups(7); after != before {
+					t.Errorf("%d attempts before, %d after", before, after)
 				}
-				r.holdDials = true
-			}
-			r.receiveSetup(c, 7)
-			if state == "waits after a ring" {
-				r.receive(r.connOf(7), binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Failure))
-				r.advance(100)
-			}
-			rings := 0
-			for _, w := range r.dialed {
-				rings += w.count(7, binarymessage.Setup)
-			}
-			if closes {
-				r.gateway.OnClosed(r.now, c.conn, ClosedNormally)
-			} else {
-				r.gateway.OnData(
-					r.now,
-					c.conn,
-					binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal)),
-				)
-			}
-			r.holdDials = false
-			for _, w := range r.dialed {
-				w.conn.writePending = false
-			}
-			r.advance(3000)
-			after := 0
-			for _, w := range r.dialed {
-				after += w.count(7, binarymessage.Setup)
-			}
-			if after != rings {
-				t.Errorf("closes %v, %s: %d attempts before, %d after", closes, state, rings, after)
-			}
-			if calls := r.gateway.OpenCounts().Calls; calls != 0 || c.lastMessage(7) != nil {
-				t.Errorf("closes %v, %s: %d calls are left, the caller got %x", closes, state, calls, c.lastMessage(7))
-			}
+				if calls := r.gateway.OpenCounts().Calls; calls != 0 || r.client.lastMessage(7) != nil {
+					t.Errorf("%d calls are left, the caller got %x", calls, r.client.lastMessage(7))
+				}
+			})
 		}
 	}
 }
 
+func waitForConn(r *testGateway) {
+	r.holdDials = true
+	for _, conn := range r.connsTo(addrA) {
+		r.gateway.OnClosed(r.now, conn.conn, ClosedNormally)
+	}
+	r.receiveSetup(r.client, 7)
+}
+
+func waitInConn(r *testGateway) {
+	for _, conn := range r.connsTo(addrA) {
+		r.gateway.OnData(r.now, conn.conn, binarymessage.Append(nil, binarymessage.LoadState, 0))
+		conn.conn.writePending = true // under a batch that was not sent
+	}
+	r.holdDials = true
+	r.receiveSetup(r.client, 7)
+}
+
+func waitAfterAttempt(r *testGateway) {
+	r.receiveSetup(r.client, 7)
+	r.receive(r.connOf(7), binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Failure))
+	r.advance(100)
+}
+
+// callerGoes has the caller of call 7 close its connection or cancel.
+func (r *testGateway) callerGoes(closes bool) {
+	if closes {
+		r.gateway.OnClosed(r.now, r.client.conn, ClosedNormally)
+		return
+	}
+	r.gateway.OnData(r.now, r.client.conn, releaseMessage(7, binarymessage.Normal))
+}
+
+// countSetups is how many setups of a call went to endpoints.
+func (r *testGateway) countSetups(call uint64) (n int) {
+	for _, conn := range r.dialed {
+		n += conn.count(call, binarymessage.Setup)
+	}
+	return n
+}
+
 // An attempt that is canceled before it has left has not run, and nothing of it goes out.
 func TestCanceledAtOnce(t *testing.T) {
 	r := newTestGateway(t)
--- a/internal/protocol/binarygateway/testgateway_test.go
+++ b/internal/protocol/binarygateway/testgateway_test.go
@@ -106,6 +106,7 @@
 	policy    *scriptedPolicy
 	now       float64
 	dialed    []*testConn // lines, in the order of their dials
+	client    *testConn   // of tests with one
 	holdDials bool        // dials do not come up by themselves
 }
 
