--- a/internal/cli/edgecli/edgecmd.go
+++ b/internal/cli/edgecli/edgecmd.go
@@ -32,11 +32,12 @@
 	root := &cobra.Command{
 		Use:   "cobalt-edge",
 		Short: "A gateway: takes calls by SIP and sets them up over trunk groups",
-		Long: `cobalt-edge takes calls by SIP over UDP, asks the decision module about each, and sets it up at a core
-switch over a trunk group. The pool list tells it of the switches; answers of the switches tell it of their load.
+		Long: `cobalt-edge takes calls by SIP over UDP, asks the decision module about each, and sets it up at a
+core switch over a trunk group. The pool list tells it of the switches; answers of the switches tell
+it of their load.
 
-Signals: SIGTERM or SIGINT drains (no new contact, all held ones answered, status 0); a second one ends it at once
-(status 1).`,
+Signals: SIGTERM or SIGINT drains (no new contact, all held ones answered, status 0); a second one
+ends it at once (status 1).`,
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
--- a/internal/cli/edgecli/platform.go
+++ b/internal/cli/edgecli/platform.go
@@ -29,11 +29,11 @@
 		Use:   "platform",
 		Short: "Run a gateway on the platform, by the file that " + configVar + " names",
 		Args:  cobra.NoArgs,
-		Long: `Runs a gateway that speaks the platform's protocol, on the one address that its configuration names, within the
-limits that stand there. Nothing else is opened: no SIP, no ENUM, no gRPC.
+		Long: `Runs a gateway that speaks the platform's protocol, on the one address that its configuration names,
+within the limits that stand there. Nothing else is opened: no SIP, no ENUM, no gRPC.
 
-Signals: SIGHUP reads the configuration again and follows the name server that it names; SIGTERM takes contacts for a
-while longer, answers all that is held, and ends.`,
+Signals: SIGHUP reads the configuration again and follows the name server that it names; SIGTERM
+takes contacts for a while longer, answers all that is held, and ends.`,
 		Example: "  NODE_CONFIG=/run/balancer/config.json cobalt-edge platform",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			file := os.Getenv(configVar)
--- a/internal/cli/labcli/design.go
+++ b/internal/cli/labcli/design.go
@@ -17,9 +17,10 @@
 		Use:   "design",
 		Short: "Compare a quiet day with the design: destination first, and the lottery's shares",
 		Args:  cobra.NoArgs,
-		Long: `Plays a quiet day in virtual time, once with all switches and once with one that drains, and compares the traffic with
-the design: the share of first rings at the destination, and how often each pool was drawn beside what its tickets (total
-capacity times the square of relative capacity, by the reports that each gateway had) make.`,
+		Long: `Plays a quiet day in virtual time, once with all switches and once with one that drains, and
+compares the traffic with the design: the share of first rings at the destination, and how often
+each pool was drawn beside what its tickets (total capacity times the square of relative capacity,
+by the reports that each gateway had) make.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			for seed := 1; seed <= seeds; seed++ {
 				for _, away := range []int{-1, 1} {
--- a/internal/cli/labcli/digits.go
+++ b/internal/cli/labcli/digits.go
@@ -21,9 +21,9 @@
 		Use:   "digits",
 		Short: "Measure the digit trie beside a map of prefixes and a sorted search",
 		Args:  cobra.NoArgs,
-		Long: `Builds each of three ways to find the longest prefix from the same prefixes (areas, exchanges and ported numbers of full
-length), and lets them find the same numbers by turns. Memory of the plain ways is what the heap grew by, the prefixes'
-own texts left out. Ratios are of the same round.`,
+		Long: `Builds each of three ways to find the longest prefix from the same prefixes (areas, exchanges and
+ported numbers of full length), and lets them find the same numbers by turns. Memory of the plain
+ways is what the heap grew by, the prefixes' own texts left out. Ratios are of the same round.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			out := cmd.OutOrStdout()
 			fmt.Fprintf(
--- a/internal/cli/labcli/fleet.go
+++ b/internal/cli/labcli/fleet.go
@@ -83,8 +83,8 @@
 		Use:   "fleet DAY",
 		Short: "Play days in virtual time, any number of gateways, several days at once",
 		Args:  cobra.ExactArgs(1),
-		Long: `Plays days in virtual time: the same edges and switches as on sockets, driven by one scheduler. The same seed gives the same
-capture to the byte (the sum that is printed), on any number of cores.`,
+		Long: `Plays days in virtual time: the same edges and switches as on sockets, driven by one scheduler. The
+same seed gives the same capture to the byte (the sum that is printed), on any number of cores.`,
 		Example: "  cobalt-lab fleet large --report day.html\n  cobalt-lab fleet trouble --seeds 20 --set " +
 			"gateways.count=64 --set load.rate=300",
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -254,10 +254,10 @@
 		Use:   "compare DAY",
 		Short: "Two settings, modules or builds on the same seeds: differences with intervals",
 		Args:  cobra.ExactArgs(1),
-		Long: `Plays the same days with two sides and takes the differences day by day, with the interval that holds the true mean. It says
-that a side is higher only where the interval does not hold nought. A side is a module (--a, --b), changed settings (--a-set,
---b-set), another build of cobalt-lab (--a-program, --b-program), or all of them. --sweep plays one setting at several values
-against A.`,
+		Long: `Plays the same days with two sides and takes the differences day by day, with the interval that
+holds the true mean. It says that a side is higher only where the interval does not hold nought. A
+side is a module (--a, --b), changed settings (--a-set, --b-set), another build of cobalt-lab
+(--a-program, --b-program), or all of them. --sweep plays one setting at several values against A.`,
 		Example: "  cobalt-lab compare trouble --b lottery --seeds 10\n  cobalt-lab compare trouble --b-set " +
 			"gateways.may_cancel=false --seeds 20 --report cancel.html\n" +
 			"  cobalt-lab compare trouble --sweep net.loss=0,0.01,0.05 --seeds 8",
@@ -401,9 +401,10 @@
 		Use:   "hunt",
 		Short: "Look for days that break a rule or serve callers worst, and cut them down",
 		Args:  cobra.NoArgs,
-		Long: `Draws small days by chance (sizes, settings, troubles), goes on from the worst by small changes, and cuts what breaks a rule
-down to the smallest day that still breaks it. Finds are written at once as JSON days, which "cobalt-lab fleet FILE" plays
-again; a hunt that is stopped keeps what it had. Those in lab/hunt/corpus are played by the tests.`,
+		Long: `Draws small days by chance (sizes, settings, troubles), goes on from the worst by small changes, and
+cuts what breaks a rule down to the smallest day that still breaks it. Finds are written at once as
+JSON days, which "cobalt-lab fleet FILE" plays again; a hunt that is stopped keeps what it had.
+Those in lab/hunt/corpus are played by the tests.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, cancel := interrupted(cmd)
 			defer cancel()
--- a/internal/cli/labcli/labcmd.go
+++ b/internal/cli/labcli/labcmd.go
@@ -32,9 +32,9 @@
 	root := &cobra.Command{
 		Use:   "cobalt-lab",
 		Short: "The laboratory: stand-ins of switches and callers, days of trouble, verdicts",
-		Long: `cobalt-lab puts days on: stand-ins of core switches, callers and the pool list, gateways as processes of their own (or in
-virtual time), and a checker that judges the five rules from the traffic alone. The switches are models; their figures
-are of simulated servers.
+		Long: `cobalt-lab puts days on: stand-ins of core switches, callers and the pool list, gateways as
+processes of their own (or in virtual time), and a checker that judges the five rules from the
+traffic alone. The switches are models; their figures are of simulated servers.
 
 Start with "cobalt-lab try". Status 0: all went well; 1: something failed; 3: a rule was broken.`,
 		SilenceUsage:  true,
--- a/internal/cli/labcli/load.go
+++ b/internal/cli/labcli/load.go
@@ -44,13 +44,14 @@
 		Use:   "load",
 		Short: "Send planned or recorded calls to gateways, open loop, and measure their waits",
 		Args:  cobra.NoArgs,
-		Long: `Sends calls at the times they are planned for, whatever becomes of those before. Waits count from the intended time of each
-call: when a gateway stands still, all that was meant to come meanwhile counts with its whole wait (no coordinated
-omission). Beside them stand the waits from the time of sending. The generator measures its own lateness; a run in which
-it was the bottleneck says so and ends with status 1.
+		Long: `Sends calls at the times they are planned for, whatever becomes of those before. Waits count from
+the intended time of each call: when a gateway stands still, all that was meant to come meanwhile
+counts with its whole wait (no coordinated omission). Beside them stand the waits from the time of
+sending. The generator measures its own lateness; a run in which it was the bottleneck says so and
+ends with status 1.
 
---check runs against a stand-in that pauses on purpose and compares what is reported with the true waits, which its
-schedule gives.`,
+--check runs against a stand-in that pauses on purpose and compares what is reported with the true
+waits, which its schedule gives.`,
 		Example: "  cobalt-lab load --plan thursday.hcl --to 127.0.0.1:5060 --processes 2\n  cobalt-lab load --trace " +
 			"monday.trc --speed 2 --to 127.0.0.1:5060\n" +
 			"  cobalt-lab load --check --rate 1000 --for 30s",
--- a/internal/cli/labcli/lookups.go
+++ b/internal/cli/labcli/lookups.go
@@ -23,10 +23,11 @@
 		Use:   "lookups",
 		Short: "What trouble of the DNS servers costs in service, with and without cache, stale answers and shared look-ups",
 		Args:  cobra.NoArgs,
-		Long: `Plays a day in virtual time on which each number's portability is looked up and a number without an answer is deferred,
-with each trouble of the DNS servers alone, and each of: all as it is; nothing kept; nothing served stale; look-ups of one number not
-shared. The same seeds for all. "lost" is the part of the look-ups that had no answer; "sent" datagrams and streams for each look-up.
-Differences in service are of the same seeds against all as it is. Of simulated switches and servers.`,
+		Long: `Plays a day in virtual time on which each number's portability is looked up and a number without an
+answer is deferred, with each trouble of the DNS servers alone, and each of: all as it is; nothing
+kept; nothing served stale; look-ups of one number not shared. The same seeds for all. "lost" is the
+part of the look-ups that had no answer; "sent" datagrams and streams for each look-up. Differences
+in service are of the same seeds against all as it is. Of simulated switches and servers.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, cancel := signal.NotifyContext(cmd.Context(), syscall.SIGINT, syscall.SIGTERM)
 			defer cancel()
--- a/internal/cli/labcli/record.go
+++ b/internal/cli/labcli/record.go
@@ -108,8 +108,9 @@
 		Use:   "record CAPTURE",
 		Short: "Make a trace of a capture: each try of a caller, with its answer and wait",
 		Args:  cobra.ExactArgs(1),
-		Long: `Makes a trace of what callers sent in a capture. Redials stand in it as calls of their own: replayed against callers that dial
-again, they would come twice, so "cobalt-lab day --trace" lets nobody dial again.`,
+		Long: `Makes a trace of what callers sent in a capture. Redials stand in it as calls of their own: replayed
+against callers that dial again, they would come twice, so "cobalt-lab day --trace" lets nobody dial
+again.`,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			of, err := fromCapture(args[0])
 			if err != nil {
--- a/internal/cli/labcli/swap.go
+++ b/internal/cli/labcli/swap.go
@@ -23,9 +23,10 @@
 		Use:   "swap",
 		Short: "What a large number table costs, and whether a loop is held up while one is checked beside it",
 		Args:  cobra.NoArgs,
-		Long: `Makes a table of many prefixes with 200 routes and checks it as a gateway does, again and again, while a loop of one goroutine
-wants to run every millisecond, analyses ten numbers each time and notes how late it is. The same loop runs alone as long
-before; the differences are what the check and the collector take.`,
+		Long: `Makes a table of many prefixes with 200 routes and checks it as a gateway does, again and again,
+while a loop of one goroutine wants to run every millisecond, analyses ten numbers each time and
+notes how late it is. The same loop runs alone as long before; the differences are what the check
+and the collector take.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			out := cmd.OutOrStdout()
 			form, err := large(size)
--- a/internal/cli/labcli/throughput.go
+++ b/internal/cli/labcli/throughput.go
@@ -86,10 +86,11 @@
 		Use:   "throughput",
 		Short: "How many contacts a second one gateway carries on one core, beside a bare echo",
 		Args:  cobra.NoArgs,
-		Long: `Runs one gateway process on one core with callers and a switch that do next to nothing, and raises the rate until not
-all contacts stand, or the gateway repeats set-ups because it answers too slowly itself. A bare echo on the same reactor
-and one core is measured in the same way before and after it. Then: the time that the gateway adds at half of its rate, the
-memory of held contacts, and with --soak a long run that shows growth.`,
+		Long: `Runs one gateway process on one core with callers and a switch that do next to nothing, and raises
+the rate until not all contacts stand, or the gateway repeats set-ups because it answers too slowly
+itself. A bare echo on the same reactor and one core is measured in the same way before and after
+it. Then: the time that the gateway adds at half of its rate, the memory of held contacts, and with
+--soak a long run that shows growth.`,
 		RunE: func(cmd *cobra.Command, _ []string) error { return f.run(cmd.OutOrStdout()) },
 	}
 	c.Flags().IntVar(&f.port, "port", 17060, "port of the addresses in 127.0.0.0/8")
--- a/internal/cli/labcli/trace.go
+++ b/internal/cli/labcli/trace.go
@@ -18,8 +18,8 @@
 	c := &cobra.Command{
 		Use:   "trace",
 		Short: "Import, cut, merge, scale, speed up and anonymise traces of calls",
-		Long: `Works on traces (api/trace.proto has the format). A trace that is damaged is read up to the damage; the error names the place,
-and what was read is written all the same.`,
+		Long: `Works on traces (api/trace.proto has the format). A trace that is damaged is read up to the damage;
+the error names the place, and what was read is written all the same.`,
 	}
 	var out string
 	work := func(use, short string, args cobra.PositionalArgs, do func(in [][]*api.Call) ([]*api.Call, error),
--- a/internal/cli/numbercli/numbercmd.go
+++ b/internal/cli/numbercli/numbercmd.go
@@ -30,9 +30,10 @@
 	c := &cobra.Command{Use: "number", Short: "Number tables: check, explain, compare, and change them in service",
 		Long: `A number table says what becomes of a number that was dialled: see docs/numbers.md for its form.
 
-Tables are written in HCL. Large ones are kept in a compact form, which every command here reads as well: "import" adds
-prefixes of a CSV file to a table, "compile" makes the compact form. "put", "back" and "show" talk to a gateway that runs,
-at the address that its settings have as numbers.admin.`}
+Tables are written in HCL. Large ones are kept in a compact form, which every command here reads as
+well: "import" adds prefixes of a CSV file to a table, "compile" makes the compact form. "put",
+"back" and "show" talk to a gateway that runs, at the address that its settings have as
+numbers.admin.`}
 	c.AddCommand(check(), explain(), compile(), diff(), importCSV(), put(), back(), show())
 	return c
 }
@@ -329,8 +330,9 @@
 		Use:   "put TABLE --to ADDR",
 		Short: "Put a table in service at a gateway that runs",
 		Args:  cobra.ExactArgs(1),
-		Long: `Sends a table to a gateway that runs. The gateway compiles and checks it beside the running one, keeps it in its store and
-swaps: new contacts get it, those held keep theirs to their end. A bad table changes nothing, and the answer says why.`,
+		Long: `Sends a table to a gateway that runs. The gateway compiles and checks it beside the running one,
+keeps it in its store and swaps: new contacts get it, those held keep theirs to their end. A bad
+table changes nothing, and the answer says why.`,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			_, form, err := tablestore.Load(args[0])
 			if err != nil {
--- a/internal/conformance/checker.go
+++ b/internal/conformance/checker.go
@@ -35,7 +35,8 @@
 	Calls, Answers, Attempts, Retransmissions, Datagrams int
 	// ENUM queries, those answered with an endpoint, and the calls that their askers made
 	Queries, Answered, KioskCalls int
-	SlowStartUse                  float64 // the largest part of a slow start budget that gateways used which had been told of the start
+	// the largest part of a slow start budget that was used by gateways that had been told of the start
+	SlowStartUse float64
 }
 
 // Checker takes the records of a capture in their order.
--- a/internal/emulator/loadgen/load.go
+++ b/internal/emulator/loadgen/load.go
@@ -46,7 +46,8 @@
 
 // Result is what was measured. Histograms are of µs and can be merged.
 type Result struct {
-	Intended                                              *hdrhistogram.Histogram // waits till the call stood, from the time it was meant to come
+	// waits till the call stood, from the time it was meant to come
+	Intended                                              *hdrhistogram.Histogram
 	Sent                                                  *hdrhistogram.Histogram // the same from the time it was sent
 	Late                                                  *hdrhistogram.Histogram // from the one to the other
 	Planned, Answered, Refused, Unanswered, Repeats, Past int64
--- a/internal/emulator/report/report.go
+++ b/internal/emulator/report/report.go
@@ -5,6 +5,7 @@
 
 import (
 	"bytes"
+	_ "embed"
 	"fmt"
 	"html/template"
 	"image/color"
@@ -324,18 +325,9 @@
 	return nil
 }
 
-var sheet = template.Must(template.New("report").Parse(`<!doctype html>
-<html lang="en"><head><meta charset="utf-8"><title>{{.Title}}</title><style>
-body{font:15px/1.45 sans-serif;max-width:62em;margin:2em auto;padding:0 1em;color:#222}
-svg{width:100%;height:auto;border:1px solid #ddd;margin:.4em 0}table{border-collapse:collapse}td,th{padding:.2em .8em;border-bottom:1px solid #ddd;text-align:left}
-pre{background:#f6f6f6;padding:.6em;overflow:auto}</style></head><body>
-<h1>{{.Title}}</h1>
-{{range .Notes}}<p>{{.}}</p>{{end}}
-{{if .Empty}}<p>Nothing was run.</p>{{end}}
-{{if .Pairs}}<h2>Comparison</h2><table><tr><th>figure</th><th>A</th><th>B</th><th>B less A</th><th>interval</th><th>pairs</th><th>verdict</th></tr>
-{{range .Pairs}}<tr><td>{{.Name}}</td><td>{{printf "%.4f" .Result.A}}</td><td>{{printf "%.4f" .Result.B}}</td><td>{{printf "%+.4f" .Result.Mean}}</td>
-<td>{{printf "%+.4f to %+.4f" .Result.Low .Result.High}}</td><td>{{.Result.N}}</td><td>{{.Result.Verdict}}</td></tr>{{end}}</table>{{.Intervals}}{{end}}
-{{range .Days}}<h2>{{.Name}}</h2>{{if .Lines}}<pre>{{range .Lines}}{{.}}
-{{end}}</pre>{{end}}{{range .Plots}}{{.}}{{end}}{{end}}
-</body></html>
-`))
+// pageTemplate is the HTML page that Write fills.
+//
+//go:embed page.html
+var pageTemplate string
+
+var sheet = template.Must(template.New("report").Parse(pageTemplate))
--- a/internal/emulator/scenariofile/bench.go
+++ b/internal/emulator/scenariofile/bench.go
@@ -193,7 +193,8 @@
 		s.Pools.Sizes = append(s.Pools.Sizes, v.Speed/mean)
 		s.Pools.Regions = append(s.Pools.Regions, v.Zone)
 	}
-	work := float64(len(d.Servers)) * 1000 / d.Fam.Capacity // of a call at a mean switch that is wholly busy at the capacity, ms
+	// ms of a call at a mean switch that is wholly busy at the capacity
+	work := float64(len(d.Servers)) * 1000 / d.Fam.Capacity
 	lines := 2000
 	if len(d.Fam.Size) > 0 {
 		lines = d.Fam.Size[0]
--- a/internal/emulator/scenariofile/script_test.go
+++ b/internal/emulator/scenariofile/script_test.go
@@ -1,22 +1,17 @@
 package scenariofile
 
 import (
+	_ "embed"
 	"strings"
 	"testing"
 
 	"cobaltpier/internal/hclconfig"
 )
 
-const benchForm = `{"v":1,"site":"s","noise":7,"length":4000000,"tick":5000,"zones":["a","b"],"net":{"same":5000,"cross":12000,"jitter":0.1},
-"traffic":{"load":0.9},"clients":{"retries":2,"try_share":0.33,"backoff":"exp","backoff_us":800000,"honour":0.5,"max_retry_after":2000000},
-"discovery":{"notice":2000000,"silent_notice":6000000,"add":1000000,"spread":90000},
-"allow":{"peers":true,"cancel":true,"retry_after":true,"max_attempts":5,"max_open":1000,"peer_delay":9000},"drain_grace":250000,"fall_multiple":2.5,"fall_for":1000000,
-"classes":[{"name":"shift-lookup","share":1,"work":2000,"aim":2000000,"deadline":9000000,"worth":1,"late_worth":0.1}],
-"tiers":[{"kinds":[{"cold_from":0.4,"cold":9000000,"error_rate":0}],"report_fields":["x0","x1","util","queue"],"report_period":250000,"report_delay":100000,
-"stated_cold_from":0.36,"stated_cold":14000000}],
-"servers":[{"zone":0,"speed":0.2},{"zone":1,"speed":0.1}],"balancers":[{"zone":0},{"zone":1},{"zone":1}],
-"troubles":[{"kind":"slow","at":500000,"len":1000000,"size":2,"on":[1]},{"kind":"mass_restart","at":1000000,"len":500000,"size":1,"on":[1]},{"kind":"odd","at":1,"len":1}],
-"fam":{"capacity":60,"drift":15000000,"queue":3000000,"reject":0.2,"release":500000,"repeat":0.5,"resend":400000,"tells_wait":true,"cancel_drops":true,"hold":[3000000],"size":[300,200]}}`
+// benchForm is a day as the simulator writes it.
+//
+//go:embed testdata/bench.json
+var benchForm string
 
 func TestBenchDay(t *testing.T) {
 	s, notes, err := FromBench([]byte(benchForm))
--- a/internal/gateway/binaryserver/server_test.go
+++ b/internal/gateway/binaryserver/server_test.go
@@ -20,8 +20,8 @@
 	"cobaltpier/internal/routing"
 )
 
-// TestCallsUnderFaults: calls pass over real sockets while connections break in every way. Each has one final answer, and
-// what was established is released.
+// TestCallsUnderFaults: calls pass over real sockets while connections break in every way. Each has one final answer,
+// and what was established is released.
 func TestCallsUnderFaults(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreTopFunction("github.com/lesismal/nbio/timer.(*Timer).Start.func1"))
 	t.Run("faults", func(t *testing.T) {
--- a/internal/gateway/binaryserver/standins_test.go
+++ b/internal/gateway/binaryserver/standins_test.go
@@ -106,8 +106,8 @@
 	return e.faultOf(e.setups)
 }
 
-// release ends a call: on the connection of its setup, else on any and, as a real endpoint does, also on the next one, for
-// the gateway may just have closed the one at hand.
+// release ends a call: on the connection of its setup, else on any and, as a real endpoint does, also on the next one,
+// for the gateway may just have closed the one at hand.
 func (e *testEndpoint) release(id uint64, conn *testEndpointConn) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/protocol/binarygateway/anymessages_test.go
+++ b/internal/protocol/binarygateway/anymessages_test.go
@@ -11,8 +11,9 @@
 	"cobaltpier/internal/routing"
 )
 
-// TestAnyMessages: whatever well-formed messages come from either side, in whatever order, with connections that come and
-// go and lists that change, nothing panics, no client gets two answers for a call, and nothing is left when all have gone.
+// TestAnyMessages: whatever well-formed messages come from either side, in whatever order, with connections that come
+// and go and lists that change, nothing panics, no client gets two answers for a call, and nothing is left when all
+// have gone.
 func TestAnyMessages(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := &anyMessages{rt: rt, r: newTestGateway(t)}
--- a/internal/router/rules_test.go
+++ b/internal/router/rules_test.go
@@ -12,8 +12,8 @@
 )
 
 // TestRulesByModel runs the router on generated streams of events beside the plain model in the test host, which looks
-// at every attempt and every answer: calls, redials, lost, late, cut and refused setups, drains, slow starts, wrong load
-// reports and gateways that start with an old list.
+// at every attempt and every answer: calls, redials, lost, late, cut and refused setups, drains, slow starts, wrong
+// load reports and gateways that start with an old list.
 func TestRulesByModel(t *testing.T) {
 	check := func(seed int64) bool {
 		s := newRuleStream(t, seed)
@@ -168,9 +168,9 @@
 	return overloadFactor * part * fullRate
 }
 
-// TestFleetAndColdPool puts many routers beside one endpoint that starts cold, on generated inputs, and counts what they
-// send it together in every window. They are told of the start at different times, some were restarted with an old list,
-// some stall and find a backlog, and the endpoint was down for long before: no time earns a burst.
+// TestFleetAndColdPool puts many routers beside one endpoint that starts cold, on generated inputs, and counts what
+// they send it together in every window. They are told of the start at different times, some were restarted with an old
+// list, some stall and find a backlog, and the endpoint was down for long before: no time earns a burst.
 func TestFleetAndColdPool(t *testing.T) {
 	check := func(seed int64) bool {
 		f := newColdFleet(seed)
