--- a/internal/protocol/b2bua/agent.go
+++ b/internal/protocol/b2bua/agent.go
@@ -37,20 +37,20 @@
 // Group is a trunk group (RFC 4904) to an endpoint.
 type Group struct {
 	Name          string // tgrp
-	DestinationID int    // the endpoint's number
-	Circuits      int    // circuits
+	DestinationID int    // of the endpoint
+	Circuits      int
 	inUse         int    // in use by this gateway
 }
 
-// Lookup finds out where numbers were ported to, for tables that ask.
+// Lookup finds out where numbers were ported to, for number tables that need it.
 type Lookup interface {
-	// Resolve calls done once within the time given in ms, maybe at once; stop takes the question back.
+	// Resolve looks a number up and calls done once, within so many ms, maybe at once; stop cancels it.
 	Resolve(now float64, digits string, within float64, done func(now float64, found numberplan.Found)) (stop func())
 	Wake(now float64)
 	NextWakeup() float64
 }
 
-// Config is what a gateway is told at start.
+// Config is the configuration of an agent.
 type Config struct {
 	Name         string // unique among the gateways; in tags and call ids
 	Address      netip.AddrPort
@@ -64,8 +64,8 @@
 	Parse        func([]byte) (sip.Message, error) // nil: siptransaction.Parse
 	// Table says what becomes of called numbers; nil: callers name class and trunk group themselves.
 	Table        *numberplan.Table
-	NumberLookup Lookup    // nil: no question has an answer
-	LookupShare  float64   // of what is left of a call's timeout: the most that a look-up may use
+	NumberLookup Lookup    // nil: no number can be looked up
+	LookupShare  float64   // of what is left of a call's timeout that a look-up may use
 	Epoch        time.Time // the wall clock when this agent's clock stood at 0, for times of day
 	// DisabledGuard switches the guard of one rule off, for tests of the conformance checker; 0: none.
 	DisabledGuard routing.Rule
@@ -80,21 +80,21 @@
 	Addr          netip.AddrPort
 }
 
-// Counts are what a gateway has seen since its start.
+// Counts are what an agent has counted since its start.
 type Counts = callcontrol.Counts
 
-// CallRecord is the end of a call, for logs.
+// CallRecord is a call's final answer, for logs.
 type CallRecord struct {
 	SessionID  string
 	Class      string
 	Answer     int // the final answer's code
 	Attempts   int
-	DurationMs float64 // ms from its coming to its final answer
-	Table      uint64  // version of the table that it was analysed by, 0: none
+	DurationMs float64 // ms from its arrival to its final answer
+	Table      uint64  // version of the number table that routed it; 0: none
 	Route      string  // its name, "": none
 }
 
-// Agent is one gateway.
+// Agent is one gateway. It is not safe for concurrent use: one event loop owns it.
 type Agent struct {
 	*callcontrol.Controller
 	OnCallEnd func(CallRecord) // may be nil
@@ -106,14 +106,14 @@
 	addresses map[*routing.Endpoint]netip.AddrPort
 	groups    map[int]*Group     // by endpoint
 	byName    map[string]*Group  // by tgrp
-	dialogs   map[string]*dialog // dialogs by our tag
+	dialogs   map[string]*dialog // by local tag
 	refusals  loadshed.Refusals
 	table     *numberplan.Table
-	tables    map[*numberplan.Table]int // calls without a final answer that carry it
+	tables    map[*numberplan.Table]int // with the calls without a final answer that use each
 	draws     uint64
 }
 
-// New makes a gateway; its policy comes from mk.
+// New makes an agent; mk makes its routing policy.
 func New(cfg *Config, mk routing.PolicyFactory, out Transport) *Agent {
 	a := &Agent{
 		Controller: callcontrol.New(
@@ -145,11 +145,11 @@
 	if cfg.Parse != nil {
 		a.sip.Parse = cfg.Parse
 	}
-	a.Router = mk(cfg.Settings, policyHost{a})
+	a.Router = mk(cfg.Settings, a)
 	return a
 }
 
-// Receive takes a datagram of the SIP socket. New calls are offered to the policy by the next Wake.
+// Receive takes a datagram of the SIP socket. New calls are handed to the policy by the next Step.
 func (a *Agent) Receive(now float64, from netip.AddrPort, data []byte) {
 	a.Now = now
 	a.sip.Receive(now, from, data)
@@ -163,8 +163,8 @@
 	}
 }
 
-// OnEndpointList takes an endpoint list, whole or of changes only. What it says of an endpoint counts from now on (rule
-// 3): setups to a endpoint that drains or is gone are not repeated any more.
+// OnEndpointList takes an endpoint list, complete or of changes only. It counts at once (rule 3): setups to an endpoint
+// that drains or is gone are not retransmitted any more.
 func (a *Agent) OnEndpointList(now float64, list []ListEntry, whole bool) {
 	a.Now, a.sip.Now = now, now
 	entries := make([]endpointset.Entry[string], len(list))
@@ -198,7 +198,7 @@
 	a.Router.OnEndpoints(now, changed)
 }
 
-// Step ends a batch: timers that are due run, then what came is offered to the policy.
+// Step ends a batch of events: timers that are due run, then calls that arrived are handed to the policy.
 func (a *Agent) Step(now float64) {
 	a.sip.Now = now
 	a.ProcessBatch(now, func() {
@@ -208,7 +208,7 @@
 	})
 }
 
-// NextWakeup is when Wake is wanted, on the clock that was handed in.
+// NextWakeup is when Step is wanted next.
 func (a *Agent) NextWakeup() float64 {
 	at := a.Controller.NextWakeup()
 	if a.config.NumberLookup != nil {
@@ -260,14 +260,6 @@
 // SendGossip implements routing.Host.
 func (a *Agent) SendGossip(to int, data []byte) { a.transport.SendGossip(to, data) }
 
-// policyHost is the agent as the policy sees it: Wake means something else there.
-type policyHost struct{ *Agent }
-
-// ScheduleWakeup implements routing.Host.
-func (h policyHost) ScheduleWakeup(at float64, routed *routing.Call) {
-	h.Controller.ScheduleWakeup(at, routed)
-}
-
 // OnRequest implements siptransaction.User.
 func (a *Agent) OnRequest(s *siptransaction.Server, req *sip.Request) {
 	a.Now = a.sip.Now
@@ -297,12 +289,12 @@
 	}
 }
 
-// ownURI is this agent's own.
+// ownURI is this agent's own URI.
 func (a *Agent) ownURI(user string) sip.Uri {
 	return sip.Uri{Scheme: "sip", User: user, Host: a.config.Address.Addr().String(), Port: int(a.config.Address.Port())}
 }
 
-// addCommonHeaders gives a request the fields that all have (RFC 3261 8.1.1), without its Via.
+// addCommonHeaders gives a request the header fields that all have (RFC 3261 8.1.1), without its Via.
 func (a *Agent) addCommonHeaders(req *sip.Request, from *sip.FromHeader, to *sip.ToHeader, callID string, seq uint32) {
 	id := sip.CallIDHeader(callID)
 	req.AppendHeader(from)
--- a/internal/protocol/b2bua/call.go
+++ b/internal/protocol/b2bua/call.go
@@ -19,10 +19,10 @@
 // servicePrefix is what RFC 6050 puts before the name of a service.
 const servicePrefix = "urn:urn-7:"
 
-// dialog is our side of a dialog: the caller's or a trunk's.
+// dialog is our side of a SIP dialog, with a caller or with an endpoint.
 type dialog struct {
 	agent  *Agent
-	call   *call        // nil: one that nobody wants any more
+	call   *call        // nil: it was given up
 	leg    *outboundLeg // nil: the caller's
 	callID string
 	tag    string
@@ -35,11 +35,11 @@
 	server      *siptransaction.Server
 	tag         string
 	tenantHost  string       // host of the caller's address
-	leg         *outboundLeg // whose attempt is in flight or stands
-	ringingSent bool         // the caller was told that it attempts
+	leg         *outboundLeg // of the attempt in flight, or of the established call
+	ringingSent bool         // the caller was sent 180 Ringing
 }
 
-// onInvite takes an INVITE: decoded fields go straight into a call. It is offered by the next Wake.
+// onInvite takes an INVITE: the call is handed to the policy at the end of the batch.
 func (a *Agent) onInvite(s *siptransaction.Server, req *sip.Request) {
 	name, ok := strings.CutPrefix(siptransaction.HeaderValue(req, siptransaction.Service), servicePrefix)
 	if !ok {
@@ -103,7 +103,7 @@
 	return ""
 }
 
-// transactionKey names an INVITE's transaction in little space.
+// transactionKey identifies an INVITE's transaction in little space.
 func transactionKey(req *sip.Request) uint64 {
 	h := fnv.New64a()
 	branch, _ := req.Via().Params.Get("branch")
@@ -124,7 +124,7 @@
 	c.server.RespondStateless(c.agent.overloadedResponse(c.invite))
 }
 
-// respond implements callcontrol.SignalingLeg: of what was not taken nothing is kept.
+// respond implements responder. Of a call that was not admitted nothing is kept.
 func (c *call) respond(code int, why string) {
 	if c.tag == "" {
 		c.server.Respond(siptransaction.Response(c.invite, code, why, c.agent.names.Next()))
@@ -165,7 +165,7 @@
 	}
 }
 
-// answer sends a final answer. A second one never leaves.
+// answer sends a final answer. A second one is never sent.
 func (c *call) answer(res *sip.Response) {
 	if !c.finishWithCode(res.StatusCode) {
 		return
@@ -176,7 +176,7 @@
 	}
 }
 
-// ringing tells the caller that it attempts.
+// ringing tells the caller that an endpoint is ringing.
 func (c *call) ringing() {
 	if !c.ringingSent && !c.Finished {
 		c.ringingSent = true
@@ -184,7 +184,7 @@
 	}
 }
 
-// establish tells the caller that the call stands.
+// establish tells the caller that the call is established.
 func (c *call) establish(from *sip.Response) {
 	a := c.agent
 	res := siptransaction.Response(c.invite, 200, "OK", c.tag)
@@ -246,7 +246,7 @@
 	c.release(how, why)
 }
 
-// release ends a standing call on the sides that do not know of it yet.
+// release ends an established call on the sides that do not know of it yet.
 func (c *call) release(how routing.Outcome, why string) {
 	if !c.Established || c.leg == nil {
 		return
@@ -278,7 +278,7 @@
 	req.AppendHeader(sip.NewHeader(siptransaction.Reason, why))
 }
 
-// newSessionID is an id for a call whose caller gave none.
+// newSessionID is an ID for a call whose caller gave none.
 func (a *Agent) newSessionID() string { return siptransaction.NewSessionID(&a.names) }
 
 func copyBody(from, to interface {
--- a/internal/protocol/b2bua/enquiry.go
+++ b/internal/protocol/b2bua/enquiry.go
@@ -6,16 +6,16 @@
 	"cobaltpier/internal/routing"
 )
 
-// EnquiryResult is the answer to an enquiry: which endpoint to call, or why none is named.
+// EnquiryResult is the answer to an enquiry: which endpoint to call, or why none.
 type EnquiryResult struct {
 	Code       int // 200: an endpoint is named; else as of SIP
 	Reason     string
-	RetryAfter float64 // ms: come back after this, 0: nothing is said
+	RetryAfter float64 // ms after which to ask again; 0: not given
 	Addr       netip.AddrPort
 	Group      string
 	Number     string // to be called there
 	Params     string // that go with it (RFC 4694)
-	// Valid tells whether the endpoint could be named now: it has not drained or gone since.
+	// Valid tells whether the endpoint may still be called: it neither drains nor is gone.
 	Valid func() bool
 }
 
@@ -28,7 +28,7 @@
 
 // StartEnquiry asks for the endpoint that a call of a class with a number, as it would be dialled, would be sent to at
 // this moment. done is called once, within timeout ms; what the policy decides counts for drains and cold budgets as an
-// attempt does. stop takes the question back.
+// attempt does. stop cancels the enquiry.
 func (a *Agent) StartEnquiry(
 	now float64,
 	number, class string,
@@ -54,7 +54,7 @@
 	return q.stop
 }
 
-// stop: nobody waits for the answer any more.
+// stop cancels the enquiry.
 func (q *enquiry) stop() {
 	switch {
 	case q.Finished:
@@ -78,7 +78,7 @@
 // OnAccepted implements callcontrol.SignalingLeg.
 func (q *enquiry) OnAccepted() bool { return q.number.lookupNumber == "" }
 
-// respond implements callcontrol.SignalingLeg.
+// respond implements responder.
 func (q *enquiry) respond(code int, why string) {
 	if !q.Accepted {
 		q.Finished = true
--- a/internal/protocol/b2bua/loadreport.go
+++ b/internal/protocol/b2bua/loadreport.go
@@ -11,7 +11,7 @@
 	"cobaltpier/internal/routing"
 )
 
-// loadReportFields of our load header and where their values go; times are milliseconds.
+// loadReportFields set the figures of a load report by the names in the Cobalt-Load header field.
 var loadReportFields = map[string]func(*routing.LoadReport, float64){
 	"util":  func(r *routing.LoadReport, v float64) { r.Utilization = v },
 	"queue": func(r *routing.LoadReport, v float64) { r.QueueLength = v },
--- a/internal/protocol/b2bua/numberanalysis.go
+++ b/internal/protocol/b2bua/numberanalysis.go
@@ -9,22 +9,22 @@
 	"cobaltpier/internal/detrand"
 )
 
-// numberAnalysis is what a number's analysis has come to. A call carries one table from its first digit to its final
-// answer, whatever table new calls get meanwhile.
+// numberAnalysis is the state of a number's analysis. A call uses one number table until its final answer, whatever
+// table new calls get meanwhile.
 type numberAnalysis struct {
 	analysis      *numberplan.Analysis
 	lookupNumber  string // the number to be looked up
 	lookupTimeout float64
-	cancelLookup  func() // takes the look-up back
+	cancelLookup  func() // nil: none is open
 	tableVersion  uint64
 	routeName     string
-	params        string // what goes on with the number (RFC 4694)
+	params        string // portability parameters that go with the number (RFC 4694)
 }
 
-// SetTable gives new calls another table, nil: none. Calls that are held keep theirs.
+// SetTable gives new calls another number table; nil: none. Pending calls keep theirs.
 func (a *Agent) SetTable(t *numberplan.Table) { a.table = t }
 
-// Tables says how many calls without a final answer carry each table but the present one.
+// Tables counts the older tables in use, and their calls without a final answer.
 func (a *Agent) Tables() (old, contacts int) {
 	for t, n := range a.tables {
 		if t != a.table {
@@ -75,7 +75,7 @@
 	return true
 }
 
-// startLookup asks what the analysis wants to know, for no longer than a part of what is left of the caller's timeout.
+// startLookup looks up what the analysis needs, for no longer than a part of what is left of the caller's timeout.
 func (s *session) startLookup() {
 	a := s.agent
 	within := min(s.number.lookupTimeout, a.config.LookupShare*(s.Deadline-a.Now))
@@ -100,7 +100,7 @@
 	}
 }
 
-// onAnalysisEnd takes the end of an analysis that had a question: the policy gets the call, or the caller its answer.
+// onAnalysisEnd takes the end of an analysis that needed a look-up: the policy gets the call, or the caller its answer.
 func (s *session) onAnalysisEnd(o numberplan.Outcome) {
 	a := s.agent
 	switch {
@@ -148,7 +148,7 @@
 	return true
 }
 
-// releaseTable ends a call's hold of its table and takes back what it asked.
+// releaseTable ends a call's use of its table and cancels its look-up.
 func (s *session) releaseTable() {
 	r := &s.number
 	if r.cancelLookup != nil {
--- a/internal/protocol/b2bua/outboundleg.go
+++ b/internal/protocol/b2bua/outboundleg.go
@@ -13,8 +13,7 @@
 // overloadControlParams says in a Via which kinds of overload control this agent heeds (RFC 7339 4.1, RFC 7415).
 var overloadControlParams = sip.HeaderParams{{K: "oc"}, {K: "oc-algo", V: `"loss,rate"`}}
 
-// outboundLeg is one attempt on the wire. It outlives the attempt where the switch may still think that the call goes
-// on.
+// outboundLeg is the SIP side of one attempt. It outlives the attempt where the endpoint may still have the call.
 type outboundLeg struct {
 	call            *call
 	attempt         *routing.Attempt
@@ -26,13 +25,13 @@
 	invite          *sip.Request
 	remote          *sip.Response // the 2xx that set the dialog up
 	ack             []byte
-	active          bool // false: the caller or the policy does not want it any more
+	active          bool // false: the caller or the policy gave it up
 	reported        bool // the policy knows the attempt's end
 	closed          bool // the other side released it
 	circuitReleased bool // its circuit is free
 }
 
-// SendSetup implements callcontrol.SignalingLeg: it sends a setup over a trunk group and gives up after limit ms. A
+// SendSetup implements callcontrol.SignalingLeg: it sends a setup over a trunk group and gives up after so many ms. A
 // group without a free circuit takes none.
 func (c *call) SendSetup(attempt *routing.Attempt, limit float64) bool {
 	a := c.agent
@@ -68,7 +67,8 @@
 	return true
 }
 
-// onTimeout: no answer in time. The policy hears at once, for the caller's answer is due; the switch hears when it may.
+// onTimeout takes the end of the attempt's timeout. The policy is told at once, since the caller's answer is due; the
+// endpoint as soon as SIP allows.
 func (l *outboundLeg) onTimeout() {
 	l.cancel()
 	if !l.tx.HasResponse() {
@@ -196,7 +196,7 @@
 	c.EndAttempt(l.attempt, how, c.Finished)
 }
 
-// forget lets go of the leg's dialog and circuit.
+// forget removes the leg's dialog and frees its circuit.
 func (l *outboundLeg) forget() {
 	a := l.call.agent
 	delete(a.dialogs, l.dialog.tag)
@@ -214,7 +214,7 @@
 func (l *outboundLeg) inDialog(method sip.RequestMethod, res *sip.Response, seq uint32) *sip.Request {
 	target := l.invite.Recipient
 	if c := res.Contact(); c != nil {
-		target = c.Address // the datagram goes where the setup went, whatever stands here
+		target = c.Address // the datagram goes where the setup went, whatever the Contact says
 	}
 	req := sip.NewRequest(method, target)
 	l.call.agent.addCommonHeaders(req, l.invite.From(), res.To(), l.dialog.callID, seq)
@@ -244,9 +244,9 @@
 	l.call.agent.sip.Send(req, l.to, nil, func(*sip.Response) {})
 }
 
-// OnStrayResponse implements siptransaction.User: a switch says that a call stands which nobody here knows of, a setup
+// OnStrayResponse implements siptransaction.User: an endpoint answers a call that is unknown here, a setup
 // of a process before this one, or one whose dialog was released since. It is acknowledged and released, so that no
-// line stays taken; only where the list has a switch.
+// circuit stays in use; only if the address is that of a listed endpoint.
 func (a *Agent) OnStrayResponse(res *sip.Response, from netip.AddrPort) {
 	a.Now = a.sip.Now
 	known := false
--- a/internal/protocol/b2bua/session.go
+++ b/internal/protocol/b2bua/session.go
@@ -2,7 +2,7 @@
 
 import "cobaltpier/internal/protocol/callcontrol"
 
-// session is a call as the agent holds it: what the call control has, and what became of its number.
+// session is what calls and enquiries have in common: the call control's session and the analysis of the number.
 type session struct {
 	*callcontrol.Session
 	responder
@@ -11,9 +11,9 @@
 	number    numberAnalysis
 }
 
-// responder is a party that takes answers which are none of the policy's.
+// responder sends final answers that the policy does not decide about.
 type responder interface {
-	// respond sends a final answer: code and reason as of SIP.
+	// respond sends a final answer with a SIP status code and reason.
 	respond(code int, why string)
 }
 
--- a/internal/protocol/dnsclient/cache.go
+++ b/internal/protocol/dnsclient/cache.go
@@ -28,7 +28,7 @@
 	rules  []enum.Rule // none: there are none
 	until  float64
 	stale  float64 // it may be served till then
-	failed float64 // no question before this
+	failed float64 // no query before this
 }
 
 func newCache(t CacheTimes) *cache {
@@ -66,7 +66,7 @@
 	c.of.Add(name, &entry{rules: rules, until: now + ttl, stale: now + ttl + c.times.StaleTime})
 }
 
-// fail notes that a question for a name came to nothing.
+// fail notes that a query for a name came to nothing.
 func (c *cache) fail(now float64, name string) {
 	k, ok := c.of.Get(name)
 	if !ok {
--- a/internal/protocol/dnsclient/client.go
+++ b/internal/protocol/dnsclient/client.go
@@ -1,10 +1,10 @@
 // Package dnsclient asks DNS servers for NAPTR records (RFC 1035, RFC 6891) without I/O: datagrams, answers over
-// streams and the time come in through methods, questions go out through Out. Which server is asked, how long its
+// streams and the time come in through methods, queries go out through Transport. Which server is asked, how long its
 // answer is waited for and what is kept are decisions of this package. What was asked for by several at once goes out
 // once.
 //
-// An answer counts only if it comes from the server that was asked, to the port that asked, with the id, the question
-// and even the case of its letters that were sent, all drawn by chance; and of it only what answers the question.
+// An answer counts only if it comes from the server that was asked, to the port that asked, with the id, the query
+// and even the case of its letters that were sent, all drawn at random; and of it only what answers the query.
 package dnsclient
 
 import (
@@ -34,11 +34,11 @@
 	Servers    []netip.AddrPort
 	Ports      int     // source ports that the driver has
 	Seed       uint64  // of ids and ports: nobody else may know it
-	MaxLookups int     // names asked for at once; beyond it a question fails at once
+	MaxLookups int     // names asked for at once; beyond it a query fails at once
 	Tries      int     // datagrams for one name
 	StaleAfter float64 // what ran out is served where nothing newer comes in this time (RFC 8767 5: client response timer)
 	Cache      CacheTimes
-	Alone      bool // questions for one name are not shared: only to measure what sharing saves
+	Alone      bool // queries for one name are not shared: only to measure what sharing saves
 }
 
 // Status is what an answer says.
@@ -51,7 +51,7 @@
 	Failed        // nobody said
 )
 
-// Answer is what a question came to.
+// Answer is what a query came to.
 type Answer struct {
 	Status Status
 	Rules  []enum.Rule // only to be read
@@ -85,13 +85,13 @@
 	id   uint16
 }
 
-// outstandingQuery is one question on its way.
+// outstandingQuery is one query on its way.
 type outstandingQuery struct {
 	flight *lookup
 	server int
 	at     float64
 	key    queryAttempt
-	name   string // as it was sent: letters by chance large and small
+	name   string // as it was sent: letters at random large and small
 	timer  *timerqueue.Timer
 	token  uint64
 }
@@ -119,7 +119,7 @@
 	maxMismatches  = 8      // answers that match nothing, after which a server is asked by stream
 	streamOnlyTime = 2000.0 // ms: so long
 	maxUDPSize     = 1232   // octets of an answer by datagram (RFC 6891 6.2.5, as far as no fragments come)
-	// ms: answers that come so long after the last question was given up still count. It guards against servers that all
+	// ms: answers that come so long after the last query was given up still count. It guards against servers that all
 	// got slower than the waits that were learned.
 	lastTimeout   = 500.0
 	streamTimeout = 1000.0 // ms: most that a stream may take
@@ -143,7 +143,7 @@
 	}
 }
 
-// NextWakeup is when Wake is wanted.
+// NextWakeup is when Step is wanted next.
 func (c *Client) NextWakeup() float64 { return c.timers.Next() }
 
 // Step runs what is due.
@@ -161,7 +161,7 @@
 }
 
 // Query asks for a name's rules. done is called once, within the time given, at once where the answer is at hand; stop
-// takes the question back, and done is not called then.
+// cancels it, and done is not called then.
 func (c *Client) Query(now float64, name string, within float64, done func(now float64, a Answer)) (stop func()) {
 	c.now = now
 	c.Counts.Lookups++
@@ -194,7 +194,7 @@
 			c.seq++
 			f.key += " " + strconv.FormatUint(c.seq, 10)
 		}
-		if !c.sendQuery(f) { // no server is worth a question
+		if !c.sendQuery(f) { // no server is worth a query
 			c.Counts.Down++
 			c.respondLater(now, stale, done)
 			return func() {}
@@ -242,7 +242,7 @@
 	done(now, Answer{Status: Failed})
 }
 
-// notify answers an asker before its name has an answer.
+// notify answers an caller before its name has an answer.
 func (c *Client) notify(a *waiter, stale *entry) {
 	if a.over {
 		return
@@ -253,7 +253,7 @@
 	c.respondLater(c.now, stale, a.done)
 }
 
-// sendQuery sends a flight's next question; false: no server is worth one.
+// sendQuery sends a lookup's next query; false: no server is worth one.
 func (c *Client) sendQuery(f *lookup) bool {
 	r := c.draw()
 	i, wait := c.health.Choose(c.now, f.tried, float64(r>>11)/(1<<53))
@@ -329,7 +329,7 @@
 	return m.Pack()
 }
 
-// randomizeCase writes a name's letters large or small by chance: one more thing that who guesses must guess.
+// randomizeCase writes a name's letters large or small at random: one more thing that who guesses must guess.
 func (c *Client) randomizeCase(name string) string {
 	b := []byte(name)
 	r := c.draw()
@@ -344,7 +344,7 @@
 	return string(b)
 }
 
-// retry asks on, or gives the flight up.
+// retry asks on, or gives the lookup up.
 func (c *Client) retry(f *lookup) {
 	if f.settled {
 		return
@@ -368,7 +368,7 @@
 	})
 }
 
-// finish ends a flight and tells all who asked.
+// finish ends a lookup and tells all who asked.
 func (c *Client) finish(f *lookup, say func(*waiter) Answer) {
 	f.settled = true
 	delete(c.flights, f.key)
--- a/internal/protocol/dnsclient/health.go
+++ b/internal/protocol/dnsclient/health.go
@@ -36,16 +36,16 @@
 	bad      int     // refusals and faults in a row
 	away     float64 // how long it is left alone when it misses again
 	until    float64 // it is left alone till then
-	probe    float64 // a question is out to find whether it is back, till then
-	asked    float64 // the latest question to it, and that there was one
+	probe    float64 // a query is out to find whether it is back, till then
+	asked    float64 // the latest query to it, and that there was one
 	was      bool
 }
 
 // NewHealth is the health of so many servers of which nothing is known.
 func NewHealth(servers int) *Health { return &Health{make([]server, servers)} }
 
-// Choose chooses a server for a question that was sent to some already, and how long to wait for its answer; -1: none
-// is worth a question now. A server that is down gets one question when its time is over, and no other till that has
+// Choose chooses a server for a query that was sent to some already, and how long to wait for its answer; -1: none
+// is worth a query now. A server that is down gets one query when its time is over, and no other till that has
 // ended.
 func (h *Health) Choose(now float64, tried []int, draw float64) (server int, wait float64) {
 	best, cost := -1, math.Inf(1)
@@ -53,7 +53,7 @@
 	for i := range h.servers {
 		s := &h.servers[i]
 		if s.down || s.until > now {
-			if now >= s.until && now >= s.probe && len(tried) == 0 { // it may be back: one question finds out
+			if now >= s.until && now >= s.probe && len(tried) == 0 { // it may be back: one query finds out
 				s.probe = now + h.timeout(i, 0)
 				s.asked, s.was = now, true
 				return i, h.timeout(i, 0)
@@ -113,7 +113,7 @@
 	return part*float64(n) < 1
 }
 
-// timeout is how long an answer may take before the question goes elsewhere.
+// timeout is how long an answer may take before the query goes elsewhere.
 func (h *Health) timeout(i, again int) float64 {
 	s := &h.servers[i]
 	w := initialTimeout
@@ -138,7 +138,7 @@
 	}
 }
 
-// OnTimeout notes that no answer came in time to a question that was sent at a time. What was sent before the latest
+// OnTimeout notes that no answer came in time to a query that was sent at a time. What was sent before the latest
 // answer says nothing of the server now.
 func (h *Health) OnTimeout(i int, now, at float64) {
 	s := &h.servers[i]
--- a/internal/protocol/dnsclient/response.go
+++ b/internal/protocol/dnsclient/response.go
@@ -9,7 +9,7 @@
 	"cobaltpier/internal/decision/enum"
 )
 
-// Receive takes a datagram that came to one of the ports. What matches no question is dropped and counted.
+// Receive takes a datagram that came to one of the ports. What matches no query is dropped and counted.
 func (c *Client) Receive(now float64, port int, from netip.AddrPort, data []byte) {
 	c.now = now
 	if len(data) < 12 {
@@ -34,7 +34,7 @@
 }
 
 // onMismatch notes an answer that matches nothing. Many of one server are somebody's guesses, or the server's answers
-// to questions given up: either way the next questions to it go where no guess gets in.
+// to queries given up: either way the next queries to it go where no guess gets in.
 func (c *Client) onMismatch(from netip.AddrPort) {
 	c.Counts.Strays++
 	for i, a := range c.cfg.Servers {
@@ -65,13 +65,13 @@
 	c.onResponse(s, m)
 }
 
-// matches tells whether a message answers the question that was sent, letter by letter.
+// matches tells whether a message answers the query that was sent, letter by letter.
 func matches(m *dns.Msg, name string) bool {
 	return m.Response && len(m.Question) == 1 && m.Question[0].Name == name && m.Question[0].Qtype == dns.TypeNAPTR &&
 		m.Question[0].Qclass == dns.ClassINET
 }
 
-// onResponse takes an answer to a question.
+// onResponse takes an answer to a query.
 func (c *Client) onResponse(s *outstandingQuery, m *dns.Msg) {
 	f := s.flight
 	if f.settled {
@@ -81,7 +81,7 @@
 	switch {
 	case m.Rcode == dns.RcodeFormatError && !c.plain[s.server]:
 		c.plain[s.server] = true
-		f.sends = min(f.sends, c.cfg.Tries-1) // the same question once more, as the server knows it
+		f.sends = min(f.sends, c.cfg.Tries-1) // the same query once more, as the server knows it
 		c.retry(f)
 	case m.Rcode == dns.RcodeSuccess && len(rules) > 0:
 		c.Counts.Answered++
@@ -101,7 +101,7 @@
 	}
 }
 
-// parseRules takes from an answer what answers the question and nothing else: rules of the name or of what it is
+// parseRules takes from an answer what answers the query and nothing else: rules of the name or of what it is
 // another name of, and how long they hold in ms; of a negative answer how long it holds (RFC 2308 5), -1 where it does
 // not say. leads says that the answer only points to other servers.
 func parseRules(m *dns.Msg, name string) (rules []enum.Rule, ttl, negative float64, leads bool) {
--- a/internal/protocol/enumserver/front.go
+++ b/internal/protocol/enumserver/front.go
@@ -1,6 +1,6 @@
 // Package enumserver answers ENUM look-ups (RFC 6116) of kiosks without I/O: a number's domain is asked for, and the
 // answer names the endpoint that the gateway's decisions give at this moment. Messages come in with a way to reply;
-// what a question asks goes into an enquiry, and its answer goes out, once. Whatever comes by datagram is bounded: by
+// what a query asks goes into an enquiry, and its answer goes out, once. Whatever comes by datagram is bounded: by
 // client, in all, and in what is sent for what came.
 package enumserver
 
@@ -35,9 +35,9 @@
 	TTL        uint32  // s: of answers that name an endpoint
 	Negative   uint32  // s: of "there is no such number"
 	Patience   float64 // a resolver asks again or gives up after this
-	Repeat     float64 // the same question of the same client within this is a repeat: it gets the same answer
+	Repeat     float64 // the same query of the same client within this is a repeat: it gets the same answer
 	Gain       float64 // octets of an answer by datagram for each that came; a longer one is truncated
-	MaxPending int     // questions that wait for an answer
+	MaxPending int     // queries that wait for an answer
 	Keep       int     // answers remembered for repeats; the oldest go first
 	Context    string  // trunk-context (RFC 4904)
 	Limits     Limits
@@ -69,7 +69,7 @@
 	now    float64
 }
 
-// queryKey is what makes a question the same as another: who asks, its id, and what it asks for.
+// queryKey is what makes a query the same as another: who asks, its id, and what it asks for.
 type queryKey struct {
 	from netip.AddrPort
 	id   uint16
@@ -90,7 +90,7 @@
 }
 
 type replyTo struct {
-	msg  *dns.Msg // the question
+	msg  *dns.Msg // the query
 	size int      // most octets of the answer; 0: any number, over TCP
 	send func([]byte)
 }
@@ -113,7 +113,7 @@
 	f.kept = f.kept[n:]
 }
 
-// OpenCount is how many questions are held.
+// OpenCount is how many queries are held.
 func (f *Server) OpenCount() int { return len(f.open) }
 
 const (
@@ -159,7 +159,7 @@
 	f.onQuery(from, r)
 }
 
-// rejectMalformed answers what is no question, where it has at least an id; never an answer to an answer.
+// rejectMalformed answers what is no query, where it has at least an id; never an answer to an answer.
 func (f *Server) rejectMalformed(m *dns.Msg, data []byte, stream bool, send func([]byte)) {
 	f.Counts.Bad++
 	if len(data) < 12 || data[2]&0x80 != 0 || !stream {
@@ -171,7 +171,7 @@
 	f.send(replyTo{msg: m, send: send}, out)
 }
 
-// onQuery answers a question, or asks for what it is about.
+// onQuery answers a query, or asks for what it is about.
 func (f *Server) onQuery(from netip.AddrPort, r replyTo) {
 	q := r.msg.Question[0]
 	name := strings.ToLower(q.Name)
@@ -231,7 +231,7 @@
 	}
 }
 
-// Close takes back all questions that wait and fails them.
+// Close takes back all queries that wait and fails them.
 func (f *Server) Close(now float64) {
 	f.now = now
 	for _, k := range slices.SortedFunc(maps.Keys(f.open), queryKey.compare) {
@@ -329,7 +329,7 @@
 	return out
 }
 
-// respondTruncated tells an asker to come back over TCP, in no more octets than it sent.
+// respondTruncated tells an caller to come back over TCP, in no more octets than it sent.
 func (f *Server) respondTruncated(r replyTo) {
 	out := new(dns.Msg)
 	out.SetReply(r.msg)
--- a/internal/protocol/enumserver/limit.go
+++ b/internal/protocol/enumserver/limit.go
@@ -11,7 +11,7 @@
 
 //tally:decisions
 
-// Verdict is what is done with a question that came by datagram.
+// Verdict is what is done with a query that came by datagram.
 type Verdict int
 
 // The verdicts.
@@ -25,7 +25,7 @@
 // Limits bound what clients may ask by datagram, where the sender's address may be forged. It guards others against
 // answers that they never asked for, and this gateway against floods.
 type Limits struct {
-	Rate    float64 // questions a second of one client network; 0: any number
+	Rate    float64 // queries a second of one client network; 0: any number
 	Burst   float64 // so many at once
 	Total   float64 // answers a second to all; 0: any number
 	Clients int     // networks remembered
@@ -35,7 +35,7 @@
 // Net is a network of clients.
 type Net struct {
 	Prefix netip.Prefix
-	Rate   float64 // questions a second of each client network in it; 0: they are refused
+	Rate   float64 // queries a second of each client network in it; 0: they are refused
 }
 
 // limiter decides; a network of clients is a /24 of IPv4 or a /56 of IPv6, as its addresses are one holder's.
@@ -66,7 +66,7 @@
 	return rate.NewLimiter(rate.Limit(each), int(math.Max(1, burst)))
 }
 
-// check judges a question from an address.
+// check judges a query from an address.
 func (l *limiter) check(now float64, from netip.Addr) Verdict {
 	from = from.Unmap()
 	each, burst := l.set.Rate, l.set.Burst
@@ -74,7 +74,7 @@
 		if r <= 0 {
 			return Refuse
 		}
-		each, burst = r, math.Max(burst, r) // after a stall of ours a second's questions come at once
+		each, burst = r, math.Max(burst, r) // after a stall of ours a second's queries come at once
 	}
 	at := time.Unix(0, int64(now*1e6))
 	if each > 0 && !l.client(from, each, burst).AllowN(at, 1) || l.set.Total > 0 && !l.total.AllowN(at, 1) {
@@ -83,8 +83,8 @@
 	return Answer
 }
 
-// slipOrDrop: every second question too many gets an answer that sends its asker to TCP, and is no larger than the
-// question.
+// slipOrDrop: every second query too many gets an answer that sends its caller to TCP, and is no larger than the
+// query.
 func (l *limiter) slipOrDrop() Verdict {
 	l.slips++
 	if l.slips%2 == 1 {
--- a/internal/protocol/siptransaction/client.go
+++ b/internal/protocol/siptransaction/client.go
@@ -8,7 +8,7 @@
 	"cobaltpier/internal/timerqueue"
 )
 
-// Client is a transaction that we asked for.
+// Client is a client transaction.
 type Client struct {
 	layer       *Layer
 	key         string
@@ -16,19 +16,20 @@
 	to          netip.AddrPort
 	data        []byte
 	interval    float64
-	dueAt       float64 // when the next repeat is
+	dueAt       float64 // the next retransmission
 	timer       *timerqueue.Timer
 	expiry      *timerqueue.Timer
-	onResponse  func(*sip.Response) // nil: nothing came in time
-	provisional bool                // a provisional answer came
+	onResponse  func(*sip.Response) // called with nil: none came in time
+	provisional bool                // a provisional response came
 	final       int
 	ack         []byte
-	stopped     bool // no repeats any more
-	cancelSent  bool // CANCEL was sent
+	stopped     bool // no retransmissions any more
+	cancelSent  bool
 }
 
-// Send sends a request, with a Via of its own, and repeats it until an answer comes. heard gets every answer that is no
-// repeat (every 2xx of an INVITE, though: each wants its ACK, RFC 6026 8), and nil when none came within 64 T1.
+// Send sends a request, with a Via of its own, and retransmits it until a response comes. onResponse gets every
+// response that is no retransmission, but every 2xx to an INVITE, since each needs its ACK (RFC 6026 8), and nil when
+// none came within 64 T1.
 func (l *Layer) Send(req *sip.Request, to netip.AddrPort, via sip.HeaderParams, heard func(*sip.Response)) *Client {
 	branch := "z9hG4bK" + l.Generator.Next()
 	p := via.Clone()
@@ -49,7 +50,7 @@
 	return c
 }
 
-// SendAck sends the ACK of a 2xx, a transaction of its own without an answer (RFC 3261 13.2.2.4), and returns its
+// SendAck sends the ACK of a 2xx, a transaction of its own without a response (RFC 3261 13.2.2.4), and returns its
 // bytes.
 func (l *Layer) SendAck(req *sip.Request, to netip.AddrPort) []byte {
 	req.PrependHeader(&sip.ViaHeader{ProtocolName: "SIP", ProtocolVersion: "2.0", Transport: "UDP",
@@ -60,20 +61,20 @@
 	return data
 }
 
-// Request is what was asked, with its Via.
+// Request is its request, with the Via.
 func (c *Client) Request() *sip.Request { return c.request }
 
-// HasResponse tells whether any answer came.
+// HasResponse tells whether any response came.
 func (c *Client) HasResponse() bool { return c.provisional || c.final != 0 }
 
-// StopRetransmitting ends the repeats of a request that must not reach its receiver any more.
+// StopRetransmitting ends the retransmissions of a request that must not reach its receiver any more.
 func (c *Client) StopRetransmitting() {
 	c.stopped = true
 	c.layer.Timers.Cancel(c.timer)
 }
 
-// Cancel sends a CANCEL (RFC 3261 9.1) where that is allowed: a provisional answer came, no final one. It tells
-// whether it was.
+// Cancel sends a CANCEL (RFC 3261 9.1) where that is allowed: a provisional response came and no final one. It
+// tells whether it was.
 func (c *Client) Cancel() bool {
 	if !c.provisional || c.final != 0 || c.cancelSent {
 		return c.cancelSent
@@ -112,7 +113,7 @@
 	if c.stopped || c.final != 0 || c.provisional && c.request.Method == sip.INVITE {
 		return
 	}
-	if l.Now-c.dueAt > l.Times.T1/2 { // this process stalled: what else is overdue comes first, and may end this
+	if l.Now-c.dueAt > l.Times.T1/2 { // the process stalled: other overdue timers run first, and may end this
 		c.dueAt = l.Now + 1
 		c.timer = l.Timers.Schedule(c.dueAt, c.retransmit)
 		return
@@ -142,7 +143,7 @@
 	case c.final != 0:
 		switch {
 		case invite && code < 300 && c.final < 300:
-			c.onResponse(res) // a repeat, or another branch: each wants its ACK
+			c.onResponse(res) // a retransmission, or another branch: each needs its ACK
 		case invite && c.ack != nil:
 			l.send(c.to, c.ack)
 		}
@@ -159,12 +160,12 @@
 		l.send(c.to, c.ack)
 		c.expiry = l.Timers.Schedule(l.Now+max(32000, 64*l.Times.T1), c.discard) // timer D
 	default:
-		c.discard() // timer K would only pass repeats over, and without it they are
+		c.discard() // timer K would only absorb retransmissions, which are ignored anyway
 	}
 	c.onResponse(res)
 }
 
-// ackFor is the ACK of a refusal (RFC 3261 17.1.1.3).
+// ackFor is the ACK of a final response other than 2xx (RFC 3261 17.1.1.3).
 func (c *Client) ackFor(res *sip.Response) []byte {
 	r := sip.NewRequest(sip.ACK, c.request.Recipient)
 	r.AppendHeader(c.request.Via())
@@ -176,7 +177,7 @@
 	return c.layer.encode(r)
 }
 
-// Discard lets go of a transaction whose user wants nothing more of it.
+// Discard removes a transaction whose user needs nothing more of it.
 func (c *Client) Discard() { c.discard() }
 
 func (c *Client) discard() {
--- a/internal/protocol/siptransaction/layer.go
+++ b/internal/protocol/siptransaction/layer.go
@@ -13,24 +13,23 @@
 	"cobaltpier/internal/timerqueue"
 )
 
-// User is who speaks over a layer.
+// User is the transaction user of a layer (RFC 3261, section 5).
 type User interface {
-	// OnRequest brings a request that is new: no repeat of one, no CANCEL of a transaction that is known (see Called
-	// Off), no ACK.
+	// OnRequest reports a new request: neither a retransmission, nor a CANCEL of a known transaction, nor an ACK.
 	OnRequest(s *Server, req *sip.Request)
-	// OnCancel says that a CANCEL came for a request that has no final answer yet; the CANCEL is answered already.
+	// OnCancel reports a CANCEL for a request without a final response. The CANCEL itself was answered.
 	OnCancel(s *Server, req *sip.Request)
-	// OnAck brings the ACK of a 2xx.
+	// OnAck reports the ACK of a 2xx.
 	OnAck(req *sip.Request)
-	// OnStrayResponse brings a 2xx of an INVITE that no transaction waits for: somebody thinks that a call stands.
+	// OnStrayResponse reports a 2xx to an INVITE that no transaction waits for: the peer has a call that is unknown here.
 	OnStrayResponse(res *sip.Response, from netip.AddrPort)
 }
 
 // Timers are a layer's timers (RFC 3261 17.1.1.1), in milliseconds.
 type Timers struct {
-	T1 float64 // the first gap between repeats
-	T2 float64 // the longest gap of anything but an INVITE
-	T4 float64 // so long a message stays in the network
+	T1 float64 // the first interval between retransmissions
+	T2 float64 // the longest interval, other than of an INVITE
+	T4 float64 // the longest time that a message stays in the network
 }
 
 // Layer holds the transactions of one address.
@@ -39,11 +38,11 @@
 	Generator *Generator
 	Timers    *timerqueue.Queue
 	Times     Timers
-	Now       float64 // the time as last handed in
-	Malformed int     // datagrams that were no messages
-	// Parse reads datagrams; a laboratory may set one that remembers, for messages are only read.
+	Now       float64 // the latest time handed in
+	Malformed int     // datagrams that were not SIP messages
+	// Parse reads datagrams. The emulator sets one with a cache: parsed messages are never changed.
 	Parse func([]byte) (sip.Message, error)
-	// OnRepeat, if set, hears of repeats of a request; they are answered here.
+	// OnRepeat, if set, is called for retransmissions of a request, which the layer answers itself.
 	OnRepeat func(*Server)
 
 	user    User
@@ -55,9 +54,9 @@
 	buffer  bytes.Buffer
 }
 
-// endedTransactions remembers what was asked and is over, in little space that the garbage collector need not look
-// through: by the hash of the transaction, the final answer of a request that may be asked again, or 0 for one whose
-// repeats get none any more (RFC 6026 7.1). Two generations, each for as long as a repeat may come.
+// endedTransactions remembers transactions that have ended, in little space that the garbage collector need not scan:
+// by the hash of the transaction, the code of the final response that a retransmission gets, or 0 for none (RFC 6026
+// 7.1). Two generations are kept, each for as long as a retransmission may come.
 type endedTransactions struct {
 	recent, previous map[uint64]int16
 	rotatedAt        float64
@@ -98,14 +97,14 @@
 	return h
 }
 
-// encode is a message as it goes on the wire.
+// encode is a message as it is sent.
 func (l *Layer) encode(m interface{ StringWrite(io.StringWriter) }) []byte {
 	l.buffer.Reset()
 	m.StringWrite(&l.buffer)
 	return bytes.Clone(l.buffer.Bytes())
 }
 
-// NewLayer makes a layer that answers as self and sends through out.
+// NewLayer makes a layer for an address that sends through out.
 func NewLayer(self netip.AddrPort, t Timers, names *Generator, timers *timerqueue.Queue, user User,
 	out func(netip.AddrPort, []byte)) *Layer {
 	return &Layer{Parse: Parse, Address: self, Generator: names, Timers: timers, Times: t, user: user, send: out,
@@ -115,7 +114,7 @@
 // OpenCounts is the number of transactions held.
 func (l *Layer) OpenCounts() (clients, servers int) { return len(l.clients), len(l.servers) }
 
-// Receive takes a datagram. What is no message is counted in Bad and otherwise passed over.
+// Receive takes a datagram. One that is not a SIP message is counted in Malformed and ignored.
 func (l *Layer) Receive(now float64, from netip.AddrPort, data []byte) {
 	l.Now = now
 	m, err := l.Parse(data)
@@ -198,34 +197,34 @@
 	}
 }
 
-// Server is a transaction that somebody asked for.
+// Server is a server transaction.
 type Server struct {
-	User             any // the user's own
+	User             any // the transaction user's own
 	layer            *Layer
 	key              string
 	mergeKey         string
 	request          *sip.Request
 	to               netip.AddrPort
-	final            int    // the final answer, 0 before
-	lastResponse     []byte // the latest answer
+	final            int    // code of the final response; 0: none yet
+	lastResponse     []byte // the latest response
 	interval         float64
-	timer            *timerqueue.Timer // the next repeat
+	timer            *timerqueue.Timer // of the next retransmission
 	expiry           *timerqueue.Timer
 	archived         bool
-	onUnacknowledged func() // a 2xx of an INVITE that nobody acknowledged
+	onUnacknowledged func() // called when a 2xx to an INVITE was never acknowledged
 }
 
-// Request is what was asked.
+// Request is its request.
 func (s *Server) Request() *sip.Request { return s.request }
 
-// Final is the code of the final answer, 0 before it.
+// Final is the code of its final response; 0: none yet.
 func (s *Server) Final() int { return s.final }
 
-// ResponseAddress is where answers go.
+// ResponseAddress is where responses are sent.
 func (s *Server) ResponseAddress() netip.AddrPort { return s.to }
 
-// Respond sends an answer. After a final one nothing is sent any more. A final answer to an INVITE is repeated until
-// its ACK (RFC 3261 17.2.1 and 13.3.1.4).
+// Respond sends a response. After a final one none is sent any more. A final response to an INVITE is retransmitted
+// until its ACK (RFC 3261 17.2.1 and 13.3.1.4).
 func (s *Server) Respond(res *sip.Response) {
 	if s.final != 0 {
 		return
@@ -237,7 +236,7 @@
 		return
 	}
 	s.final = res.StatusCode
-	if s.request.Method != sip.INVITE { // timer J: a repeat is answered from what is remembered
+	if s.request.Method != sip.INVITE { // timer J: a retransmission is answered from what is remembered
 		if s.final < 300 {
 			s.archive(s.final)
 		} else {
@@ -250,8 +249,8 @@
 	s.expiry = l.Timers.Schedule(l.Now+64*l.Times.T1, s.onTimeout) // timer H
 }
 
-// RespondStateless sends a final answer and forgets the transaction at once (RFC 3261 8.2.7): for floods, where the
-// user keeps account of repeats in less space.
+// RespondStateless sends a final response and discards the transaction at once (RFC 3261 8.2.7): for floods, where the
+// user remembers it in less space.
 func (s *Server) RespondStateless(res *sip.Response) {
 	if s.final != 0 {
 		return
@@ -261,10 +260,10 @@
 	s.discard()
 }
 
-// OnUnacknowledged calls back when nobody acknowledged a 2xx within 64 T1.
+// OnUnacknowledged sets what is called when a 2xx was not acknowledged within 64 T1.
 func (s *Server) OnUnacknowledged(do func()) { s.onUnacknowledged = do }
 
-// Acknowledge is told by the user when the ACK of a 2xx came: repeats end.
+// Acknowledge ends the retransmissions of a 2xx, when its ACK came.
 func (s *Server) Acknowledge() {
 	s.onUnacknowledged = nil
 	s.archive(0)
@@ -272,7 +271,7 @@
 
 func (s *Server) onAck() { s.archive(0) }
 
-// archive forgets a transaction but for its answer.
+// archive discards a transaction but for its response.
 func (s *Server) archive(code int) {
 	if s.archived {
 		return
@@ -297,7 +296,8 @@
 	s.timer = l.Timers.Schedule(l.Now+s.interval, s.retransmit)
 }
 
-// onRetransmission answers a repeat of the request with the latest answer; a 2xx goes by its own timer (RFC 6026 7.1).
+// onRetransmission answers a retransmission of the request with the latest response; a 2xx has its own timer (RFC 6026
+// 7.1).
 func (s *Server) onRetransmission() {
 	acknowledged := s.request.Method == sip.INVITE && s.final >= 200 && s.final < 300
 	if s.lastResponse != nil && !acknowledged {
