--- a/internal/protocol/b2bua/agent.go
+++ b/internal/protocol/b2bua/agent.go
@@ -39,7 +39,7 @@
 	Name          string // tgrp
 	DestinationID int    // of the endpoint
 	Circuits      int
-	inUse         int    // in use by this gateway
+	inUse         int // in use by this gateway
 }
 
 // Lookup finds out where numbers were ported to, for number tables that need it.
