--- /dev/null
+++ b/internal/emulator/scenario/arrivals.go
@@ -0,0 +1,207 @@
+package scenario
+
+import (
+	"fmt"
+	"math"
+	"slices"
+
+	"cobaltpier/internal/emulator/callers"
+	"cobaltpier/internal/emulator/scenariofile"
+	"cobaltpier/internal/emulator/workload"
+	"cobaltpier/internal/protocol/siptransaction"
+)
+
+//tally:standin
+
+// lastArrivalMargin is how long before the day's end the last call arrives, in ms.
+const lastArrivalMargin = 1000
+
+// planArrivals plans the calls of the whole day: those of the script's trace, else drawn ones.
+func (st *Scenario) planArrivals() {
+	switch {
+	case len(st.Script.Calls) > 0:
+		st.replay()
+	case st.Script.Load.Rate > 0:
+		st.drawArrivals()
+	}
+}
+
+// drawArrivals draws a Poisson process at the day's highest rate and thins it to the rate of each moment.
+func (st *Scenario) drawArrivals() {
+	draw := newArrivalDraw(st)
+	for at := 0.0; ; {
+		at += -math.Log(1-st.names.Float64()) * 1000 / (st.Script.Load.Rate * draw.peak)
+		if at >= st.Script.Length-lastArrivalMargin {
+			break
+		}
+		factor, gateway := draw.rateAndGateway(at)
+		if st.names.Float64()*draw.peak >= factor {
+			continue
+		}
+		st.Gateways[gateway].Callers.Plan(draw.arrival(at))
+	}
+	for _, t := range st.Script.Troubles {
+		if t.Kind == "flood" {
+			st.flood(t)
+		}
+	}
+	for _, g := range st.Gateways {
+		g.callers.Due()
+	}
+}
+
+// arrivalDraw is the state of drawing a day's arrivals.
+type arrivalDraw struct {
+	scenario *Scenario
+	random   *siptransaction.Generator
+	peak     float64       // the highest rate of the day over the script's rate
+	favoured map[int][]int // by number of an "uneven" trouble: the gateways that get more than their share
+	segment  int           // of the day, between changes of the groups' weights
+	weights  []float64     // of the trunk groups in this segment
+}
+
+func newArrivalDraw(st *Scenario) *arrivalDraw {
+	draw := &arrivalDraw{scenario: st, random: &st.names, peak: 1, favoured: map[int][]int{}, segment: -1}
+	for i, t := range st.Script.Troubles {
+		switch t.Kind {
+		case "burst":
+			draw.peak *= math.Max(1, t.Size)
+		case "uneven":
+			draw.favoured[i] = draw.someGateways(t.Part)
+		}
+	}
+	return draw
+}
+
+// someGateways draws a share of the gateways, one at least, with replacement.
+func (draw *arrivalDraw) someGateways(share float64) []int {
+	count := float64(len(draw.scenario.Gateways))
+	var gateways []int
+	for range max(1, int(share*count)) {
+		gateways = append(gateways, int(draw.random.Float64()*count))
+	}
+	slices.Sort(gateways)
+	return slices.Compact(gateways)
+}
+
+// rateAndGateway returns the rate at a time, over the script's rate, and the gateway that a call of then goes to.
+func (draw *arrivalDraw) rateAndGateway(at float64) (factor float64, gateway int) {
+	factor = 1
+	gateway = int(draw.random.Float64() * float64(len(draw.scenario.Gateways)))
+	for i, t := range draw.scenario.Script.Troubles {
+		if at < t.At || at >= t.At+t.For {
+			continue
+		}
+		switch t.Kind {
+		case "burst":
+			factor *= t.Size
+		case "uneven":
+			if draw.random.Float64() < t.Size {
+				favoured := draw.favoured[i]
+				gateway = favoured[int(draw.random.Float64()*float64(len(favoured)))]
+			}
+		}
+	}
+	return factor, gateway
+}
+
+// arrival draws the call that arrives at a time.
+func (draw *arrivalDraw) arrival(at float64) *callers.Arrival {
+	st, random := draw.scenario, draw.random
+	draw.updateWeights(at)
+	class := workload.Pick(random.Float64(), len(st.Script.Skills), func(i int) float64 { return st.Script.Skills[i].Share })
+	payer := workload.Pick(random.Float64(), len(st.Script.Payers), func(i int) float64 { return st.Script.Payers[i].Share })
+	home := workload.Pick(random.Float64(), len(draw.weights), func(i int) float64 { return draw.weights[i] })
+	skill := st.Script.Skills[class]
+	number, group := fmt.Sprintf("+1418%07d", int(random.Float64()*float64(st.Script.Load.Numbers))), Group(home)
+	if st.Names != nil {
+		number, group = st.dialled(home, random.Float64()), ""
+	}
+	return &callers.Arrival{
+		At:                 at,
+		Number:             number,
+		Class:              skill.Name,
+		Tenant:             st.Script.Payers[payer].Name,
+		Group:              group,
+		HoldingTime:        -math.Log(1-random.Float64()) * skill.Hold,
+		LatencyObjective:   skill.Target,
+		Timeout:            skill.Patience,
+		AttemptTimeout:     skill.Try,
+		Weight:             skill.Value,
+		LateWeightFraction: skill.Late,
+	}
+}
+
+// updateWeights draws the trunk groups' weights anew when a segment of the day begins.
+func (draw *arrivalDraw) updateWeights(at float64) {
+	load := draw.scenario.Script.Load
+	segment := int(at / load.Drift)
+	if segment == draw.segment {
+		return
+	}
+	draw.segment, draw.weights = segment, nil
+	for _, p := range draw.scenario.places {
+		draw.weights = append(draw.weights, (1+load.Skew*(2*draw.random.Float64()-1))/p.model.Setup)
+	}
+}
+
+// replay plans the calls of a trace in place of drawn ones.
+func (st *Scenario) replay() {
+	skills := map[string]scenariofile.Skill{}
+	for _, k := range st.Script.Skills {
+		skills[k.Name] = k
+	}
+	for _, c := range st.Script.Calls {
+		k, ok := skills[c.Skill]
+		if !ok {
+			k = st.Script.Skills[0]
+		}
+		patience, hold := c.PatienceMs, c.HoldMs
+		if patience == 0 {
+			patience = k.Patience
+		}
+		if hold == 0 {
+			hold = k.Hold
+		}
+		g := st.Gateways[int(c.Gateway)%len(st.Gateways)]
+		g.Callers.Plan(
+			&callers.Arrival{
+				At:                 c.AtMs,
+				Number:             c.Number,
+				Class:              k.Name,
+				Tenant:             c.Customer,
+				Group:              c.Group,
+				HoldingTime:        hold,
+				LatencyObjective:   k.Target,
+				Timeout:            patience,
+				AttemptTimeout:     math.Min(k.Try, patience),
+				Weight:             k.Value,
+				LateWeightFraction: k.Late,
+			},
+		)
+	}
+	for _, g := range st.Gateways {
+		g.callers.Due()
+	}
+}
+
+// flood sends one gateway many calls of the least value.
+func (st *Scenario) flood(t scenariofile.Trouble) {
+	s, n := st.Script, &st.names
+	least := s.Skills[0]
+	for _, k := range s.Skills {
+		if k.Value < least.Value {
+			least = k
+		}
+	}
+	for at := t.At; at < t.At+t.For && at < s.Length-lastArrivalMargin; at += -math.Log(1-n.Float64()) * 1000 / (s.Load.Rate * t.Size) {
+		number, group := fmt.Sprintf("+1999%07d", int(n.Float64()*1e7)), Group(0)
+		if st.Names != nil {
+			number, group = st.dialled(int(n.Float64()*float64(len(st.places))), n.Float64()), ""
+		}
+		st.Gateways[0].Callers.Plan(&callers.Arrival{At: at, Number: number, Class: least.Name,
+			Tenant: s.Payers[0].Name, Group: group, HoldingTime: least.Hold, LatencyObjective: least.Target,
+			Timeout:        least.Patience,
+			AttemptTimeout: least.Try, Weight: least.Value, LateWeightFraction: least.Late, OverQuota: true})
+	}
+}
--- a/internal/emulator/scenario/stage.go
+++ b/internal/emulator/scenario/stage.go
@@ -7,7 +7,6 @@
 
 import (
 	"fmt"
-	"math"
 	"net/netip"
 	"sort"
 	"unsafe"
@@ -21,7 +20,6 @@
 	"cobaltpier/internal/emulator/enumclient"
 	"cobaltpier/internal/emulator/scenariofile"
 	"cobaltpier/internal/emulator/simulation"
-	"cobaltpier/internal/emulator/workload"
 	"cobaltpier/internal/protocol/b2bua"
 	"cobaltpier/internal/protocol/siptransaction"
 	"cobaltpier/internal/routing"
@@ -123,7 +121,26 @@
 			)
 		}
 	}
-	r := s.Rules
+	st.recordRules(blur)
+	for i := range s.Gateways.Count {
+		st.addGateway(i, port)
+	}
+	for i := range s.Pools.Count {
+		st.addEndpoint(i, port)
+	}
+	st.version = 1
+	st.openNames()
+	st.planArrivals()
+	st.openKiosks()
+	for _, t := range s.Troubles {
+		st.trouble(t)
+	}
+	return st
+}
+
+// recordRules records what a checker must know of the day: blur is the records' disorder, in ms.
+func (st *Scenario) recordRules(blur float64) {
+	r := st.Script.Rules
 	st.record(
 		&api.Record_Rules{
 			Rules: &api.Rules{
@@ -136,63 +153,61 @@
 			},
 		},
 	)
-	for i := 0; i < s.Gateways.Count; i++ {
-		region := s.Regions[i%len(s.Regions)]
-		g := &Gateway{
-			Number: i,
-			Name:   fmt.Sprintf("edge-%d", i),
-			Region: region,
-			Addr:   addr(1, i, port),
-			Peer:   addr(1, i, port+10),
-		}
-		g.Node = w.Add(&simulation.Node{Addr: g.Addr, Name: g.Name, Region: region, Tick: s.Gateways.Tick, Tapped: true})
-		from := addr(2, i, port)
-		c := s.Callers
-		g.Callers = callers.New(
-			callers.Behavior{Redials: c.Redials, Pause: c.Pause, Grows: c.Grows, Honour: c.Honour, MaxWait: c.MaxWait,
-				Context: Context, Silence: c.Silence, Parse: st.Parse},
-			from,
-			g.Addr,
-			s.Pools.Model.Times,
-			s.Seed+uint64(i)*7919+1,
-			func(to netip.AddrPort, data []byte) { w.Send(from, to, data) },
-		)
-		g.callers = w.Add(
-			&simulation.Node{Addr: from, Name: fmt.Sprintf("callers-%d", i), Region: region, Machine: g.Callers},
-		)
-		st.Gateways = append(st.Gateways, g)
-		st.node(g.Addr, "edge", g.Name)
-		st.node(from, "caller", g.callers.Name)
-	}
-	for i := 0; i < s.Pools.Count; i++ {
-		m := s.Pools.Model
-		m.Parse = st.Parse
-		size := 1 + s.Pools.Spread*(2*st.names.Float64()-1)
-		region := s.Regions[i%len(s.Regions)]
-		if i < len(s.Pools.Sizes) {
-			size = s.Pools.Sizes[i]
-		}
-		if i < len(s.Pools.Regions) {
-			region = s.Regions[s.Pools.Regions[i]%len(s.Regions)]
-		}
-		for _, v := range []*float64{&m.Setup, &m.Answer, &m.Release, &m.Repeat, &m.Reject} {
-			*v /= size
-		}
-		m.Name = fmt.Sprintf("switch-%d", i)
-		p := &place{number: i, region: region, model: m, addr: addr(3, i, port), id: fmt.Sprintf("m%d", i),
-			state: api.State_READY, start: -1}
-		st.places = append(st.places, p)
-		st.boot(p, false)
-		st.machines = append(st.machines, p.member())
+}
+
+// addGateway adds gateway i with its callers.
+func (st *Scenario) addGateway(i, port int) {
+	s, w := st.Script, st.World
+	region := s.Regions[i%len(s.Regions)]
+	g := &Gateway{
+		Number: i,
+		Name:   fmt.Sprintf("edge-%d", i),
+		Region: region,
+		Addr:   addr(1, i, port),
+		Peer:   addr(1, i, port+10),
+	}
+	g.Node = w.Add(&simulation.Node{Addr: g.Addr, Name: g.Name, Region: region, Tick: s.Gateways.Tick, Tapped: true})
+	from := addr(2, i, port)
+	c := s.Callers
+	g.Callers = callers.New(
+		callers.Behavior{Redials: c.Redials, Pause: c.Pause, Grows: c.Grows, Honour: c.Honour, MaxWait: c.MaxWait,
+			Context: Context, Silence: c.Silence, Parse: st.Parse},
+		from,
+		g.Addr,
+		s.Pools.Model.Times,
+		s.Seed+uint64(i)*7919+1,
+		func(to netip.AddrPort, data []byte) { w.Send(from, to, data) },
+	)
+	g.callers = w.Add(
+		&simulation.Node{Addr: from, Name: fmt.Sprintf("callers-%d", i), Region: region, Machine: g.Callers},
+	)
+	st.Gateways = append(st.Gateways, g)
+	st.node(g.Addr, "edge", g.Name)
+	st.node(from, "caller", g.callers.Name)
+}
+
+// addEndpoint adds endpoint i, which has been ready for long when the day begins.
+func (st *Scenario) addEndpoint(i, port int) {
+	s := st.Script
+	m := s.Pools.Model
+	m.Parse = st.Parse
+	size := 1 + s.Pools.Spread*(2*st.names.Float64()-1)
+	region := s.Regions[i%len(s.Regions)]
+	if i < len(s.Pools.Sizes) {
+		size = s.Pools.Sizes[i]
 	}
-	st.version = 1
-	st.openNames()
-	st.plan()
-	st.openKiosks()
-	for _, t := range s.Troubles {
-		st.trouble(t)
+	if i < len(s.Pools.Regions) {
+		region = s.Regions[s.Pools.Regions[i]%len(s.Regions)]
 	}
-	return st
+	for _, v := range []*float64{&m.Setup, &m.Answer, &m.Release, &m.Repeat, &m.Reject} {
+		*v /= size
+	}
+	m.Name = fmt.Sprintf("switch-%d", i)
+	p := &place{number: i, region: region, model: m, addr: addr(3, i, port), id: fmt.Sprintf("m%d", i),
+		state: api.State_READY, start: -1}
+	st.places = append(st.places, p)
+	st.boot(p, false)
+	st.machines = append(st.machines, p.member())
 }
 
 func addr(kind, i, port int) netip.AddrPort {
@@ -419,151 +434,6 @@
 	}
 }
 
-// plan draws all arrivals ahead.
-func (st *Scenario) plan() {
-	s, n := st.Script, &st.names
-	if len(s.Calls) > 0 {
-		st.replay()
-		return
-	}
-	if s.Load.Rate <= 0 {
-		return
-	}
-	most := 1.0
-	for _, t := range s.Troubles {
-		if t.Kind == "burst" {
-			most *= math.Max(1, t.Size)
-		}
-	}
-	odd := map[int]map[int]bool{}
-	for i, t := range s.Troubles {
-		if t.Kind == "uneven" {
-			odd[i] = map[int]bool{}
-			for k := 0; k < max(1, int(t.Part*float64(len(st.Gateways)))); k++ {
-				odd[i][int(n.Float64()*float64(len(st.Gateways)))] = true
-			}
-		}
-	}
-	var weights []float64
-	segment := -1
-	for at := 0.0; ; {
-		at += -math.Log(1-n.Float64()) * 1000 / (s.Load.Rate * most)
-		if at >= s.Length-1000 {
-			break
-		}
-		now := 1.0
-		g := int(n.Float64() * float64(len(st.Gateways)))
-		for i, t := range s.Troubles {
-			if at < t.At || at >= t.At+t.For {
-				continue
-			}
-			switch t.Kind {
-			case "burst":
-				now *= t.Size
-			case "uneven":
-				if n.Float64() < t.Size {
-					var of []int
-					for k := range odd[i] {
-						of = append(of, k)
-					}
-					sort.Ints(of)
-					g = of[int(n.Float64()*float64(len(of)))]
-				}
-			}
-		}
-		if n.Float64()*most >= now {
-			continue
-		}
-		if k := int(at / s.Load.Drift); k != segment {
-			segment, weights = k, nil
-			for _, p := range st.places {
-				weights = append(weights, (1+s.Load.Skew*(2*n.Float64()-1))/p.model.Setup)
-			}
-		}
-		k := workload.Pick(n.Float64(), len(s.Skills), func(i int) float64 { return s.Skills[i].Share })
-		c := workload.Pick(n.Float64(), len(s.Payers), func(i int) float64 { return s.Payers[i].Share })
-		home := workload.Pick(n.Float64(), len(weights), func(i int) float64 { return weights[i] })
-		skill := s.Skills[k]
-		number, group := fmt.Sprintf("+1418%07d", int(n.Float64()*float64(s.Load.Numbers))), Group(home)
-		if st.Names != nil {
-			number, group = st.dialled(home, n.Float64()), ""
-		}
-		st.Gateways[g].Callers.Plan(&callers.Arrival{At: at, Number: number,
-			Class: skill.Name, Tenant: s.Payers[c].Name, Group: group, HoldingTime: -math.Log(1-n.Float64()) * skill.Hold,
-			LatencyObjective: skill.Target, Timeout: skill.Patience, AttemptTimeout: skill.Try, Weight: skill.Value,
-			LateWeightFraction: skill.Late})
-	}
-	for _, t := range s.Troubles {
-		if t.Kind == "flood" {
-			st.flood(t)
-		}
-	}
-	for _, g := range st.Gateways {
-		g.callers.Due()
-	}
-}
-
-// replay plans the calls of a trace in place of drawn ones.
-func (st *Scenario) replay() {
-	skills := map[string]scenariofile.Skill{}
-	for _, k := range st.Script.Skills {
-		skills[k.Name] = k
-	}
-	for _, c := range st.Script.Calls {
-		k, ok := skills[c.Skill]
-		if !ok {
-			k = st.Script.Skills[0]
-		}
-		patience, hold := c.PatienceMs, c.HoldMs
-		if patience == 0 {
-			patience = k.Patience
-		}
-		if hold == 0 {
-			hold = k.Hold
-		}
-		g := st.Gateways[int(c.Gateway)%len(st.Gateways)]
-		g.Callers.Plan(
-			&callers.Arrival{
-				At:                 c.AtMs,
-				Number:             c.Number,
-				Class:              k.Name,
-				Tenant:             c.Customer,
-				Group:              c.Group,
-				HoldingTime:        hold,
-				LatencyObjective:   k.Target,
-				Timeout:            patience,
-				AttemptTimeout:     math.Min(k.Try, patience),
-				Weight:             k.Value,
-				LateWeightFraction: k.Late,
-			},
-		)
-	}
-	for _, g := range st.Gateways {
-		g.callers.Due()
-	}
-}
-
-// flood sends one gateway many calls of the least value.
-func (st *Scenario) flood(t scenariofile.Trouble) {
-	s, n := st.Script, &st.names
-	least := s.Skills[0]
-	for _, k := range s.Skills {
-		if k.Value < least.Value {
-			least = k
-		}
-	}
-	for at := t.At; at < t.At+t.For && at < s.Length-1000; at += -math.Log(1-n.Float64()) * 1000 / (s.Load.Rate * t.Size) {
-		number, group := fmt.Sprintf("+1999%07d", int(n.Float64()*1e7)), Group(0)
-		if st.Names != nil {
-			number, group = st.dialled(int(n.Float64()*float64(len(st.places))), n.Float64()), ""
-		}
-		st.Gateways[0].Callers.Plan(&callers.Arrival{At: at, Number: number, Class: least.Name,
-			Tenant: s.Payers[0].Name, Group: group, HoldingTime: least.Hold, LatencyObjective: least.Target,
-			Timeout:        least.Patience,
-			AttemptTimeout: least.Try, Weight: least.Value, LateWeightFraction: least.Late, OverQuota: true})
-	}
-}
-
 // Group is the name of the trunk group to an endpoint.
 func Group(pool int) string { return fmt.Sprintf("TG-%d", pool) }
 
