--- a/internal/emulator/processrun/day.go
+++ b/internal/emulator/processrun/day.go
@@ -23,7 +23,6 @@
 
 	"cobaltpier/api"
 	"cobaltpier/internal/conformance"
-	"cobaltpier/internal/conformance/capture"
 	"cobaltpier/internal/emulator/dnsserver"
 	"cobaltpier/internal/emulator/scenario"
 	"cobaltpier/internal/emulator/scenariofile"
@@ -84,125 +83,124 @@
 	killed bool
 }
 
-// blur is how far records of different sockets may be out of order, ms: they are read by pollers that take turns.
-const blur = 10
+const (
+	// blur is how far records of different sockets may be out of order, ms: they are read by pollers that take turns.
+	blur = 10
+	// tableBlur is the same for number tables: the gateway's sockets and its service are read by turns; ms.
+	tableBlur = 250
+	// afterDay is how long calls may still end after the day's last, in ms.
+	afterDay     = 12000
+	drainTimeout = 30000 // ms
+	startTimeout = 20 * time.Second
+)
 
-// Run puts a day on; it ends early when ctx does.
-func Run(ctx context.Context, s *scenariofile.Script, o Options) (res *Result, err error) {
+// Run plays a day; it ends early when ctx does.
+func Run(ctx context.Context, s *scenariofile.Script, o Options) (*Result, error) {
 	r := &runner{
 		o:      o,
 		follow: map[string]chan *api.Update{},
 		joined: make(chan string, 4096),
 		relays: map[netip.AddrPort]int{},
 	}
-	temp := o.Dir == ""
-	if temp {
-		if r.o.Dir, err = os.MkdirTemp("", "cobalt-day-"); err != nil {
+	temporary := o.Dir == ""
+	if temporary {
+		dir, err := os.MkdirTemp("", "cobalt-day-")
+		if err != nil {
 			return nil, fmt.Errorf("day: %w", err)
 		}
+		r.o.Dir = dir
 	}
-	k := conformance.New()
-	var tables *conformance.Tables
-	if s.Analyses() {
-		tables = conformance.NewTables(scenario.Mark4)
-		tables.Blur = 250 // the gateway's sockets and its service are read by turns
-	}
-	var keep *capture.Writer
-	if o.Capture != "" {
-		f, err := os.Create(o.Capture)
-		if err != nil {
-			return nil, fmt.Errorf("day: capture: %w", err)
-		}
-		defer f.Close()
-		keep = capture.NewWriter(f)
+	check, err := startCheck(s, o.Capture)
+	if err != nil {
+		return nil, err
 	}
-	// parsing what the checker needs must not hold the stand-ins up
-	records := make(chan *api.Record, 1<<16)
-	checked := make(chan error, 1)
-	go func() {
-		for rec := range records {
-			k.Add(rec)
-			if tables != nil {
-				tables.Add(rec)
-			}
-			if keep != nil {
-				keep.Add(rec)
-			}
-		}
-		if keep != nil {
-			checked <- keep.Flush()
-		} else {
-			checked <- nil
-		}
-	}()
-	r.st = scenario.NewReal(s, o.Port, blur, func(rec *api.Record) { records <- rec })
+	defer check.close()
+	r.st = scenario.NewReal(s, o.Port, blur, check.add)
 	r.st.Fleet = r
-	r.st.Say = func(at float64, what string) {
-		if o.Say != nil {
-			o.Say(fmt.Sprintf("%6.1f s  %s", at/1000, what))
-		}
+	r.st.Say = func(at float64, what string) { r.say(fmt.Sprintf("%6.1f s  %s", at/1000, what)) }
+	defer r.close()
+	if err := r.startAll(ctx); err != nil {
+		return nil, err
 	}
-	if err := r.open(); err != nil {
-		close(records)
+	res := &Result{Dir: r.o.Dir}
+	r.play(ctx, res)
+	r.drain(res)
+	if err := check.finish(res); err != nil {
 		return nil, err
 	}
-	defer r.close()
+	res.Lost = r.sockets.Lost.Load()
+	if temporary && !res.Broken() {
+		os.RemoveAll(r.o.Dir)
+	}
+	return res, ctx.Err()
+}
+
+func (r *runner) say(text string) {
+	if r.o.Say != nil {
+		r.o.Say(text)
+	}
+}
+
+// startAll binds the stand-ins' sockets, starts the gateways and waits until each has asked for the endpoint list.
+func (r *runner) startAll(ctx context.Context) error {
+	if err := r.open(); err != nil {
+		return err
+	}
 	if err := r.openNames(); err != nil {
-		close(records)
-		return nil, err
+		return err
 	}
 	for i := range r.st.Gateways {
 		if err := r.launch(i); err != nil {
-			close(records)
-			return nil, err
+			return err
 		}
 	}
 	for range r.st.Gateways {
 		select {
 		case <-r.joined:
 		case <-ctx.Done():
-			close(records)
-			return nil, ctx.Err()
-		case <-time.After(20 * time.Second):
-			close(records)
-			return nil, fmt.Errorf("day: gateways do not come up; their logs are in %s", r.o.Dir)
+			return ctx.Err()
+		case <-time.After(startTimeout):
+			return fmt.Errorf("day: gateways do not come up; their logs are in %s", r.o.Dir)
 		}
 	}
+	return nil
+}
+
+// play plays the day itself.
+func (r *runner) play(ctx context.Context, res *Result) {
 	w := r.st.World
 	w.Begin()
-	r.mu.Lock()
-	r.running = true
-	r.mu.Unlock()
+	r.setRunning(true)
 	for _, g := range r.st.Gateways {
 		r.st.Welcome(g, 0)
 		if n := r.st.Names; n != nil {
 			r.st.TableIn(g.Number, n.Version)
 		}
 	}
-	res = &Result{Dir: r.o.Dir}
 	r.progress(res)
-	w.RunReal(s.Length+12000, ctx.Done())
+	w.RunReal(r.st.Script.Length+afterDay, ctx.Done())
 	res.Kiosks = r.st.KioskService()
 	res.Service = r.st.Service() // before the gateways drain: that releases calls that would have gone on
-	if o.Say != nil {
-		o.Say("the day is over; gateways drain")
-	}
-	r.mu.Lock()
-	r.running = false
-	procs := append([]*process{}, r.procs...)
-	r.mu.Unlock()
-	for _, p := range procs {
+}
+
+// drain stops the gateways as an operator would and reports those that did not end well.
+func (r *runner) drain(res *Result) {
+	r.say("the day is over; gateways drain")
+	r.setRunning(false)
+	processes := r.processes()
+	for _, p := range processes {
 		_ = p.cmd.Process.Signal(syscall.SIGTERM)
 	}
 	ended := make(chan struct{})
 	go func() {
-		for _, p := range procs {
+		for _, p := range processes {
 			<-p.done
 		}
 		close(ended)
 	}()
-	w.RunReal(w.Now+30000, ended) // what they still send finds the switches
-	for i, p := range procs {
+	w := r.st.World
+	w.RunReal(w.Now+drainTimeout, ended) // the switches still take what the gateways send
+	for i, p := range processes {
 		select {
 		case <-p.done:
 			if p.err != nil && !p.killed {
@@ -214,16 +212,18 @@
 			res.Exits = append(res.Exits, fmt.Sprintf("edge-%d did not drain within 30 s", i))
 		}
 	}
-	close(records)
-	if err := <-checked; err != nil {
-		return nil, err
-	}
-	k.Finish()
-	res.Findings, res.Totals, res.Tables, res.Lost = k.Findings, k.Totals, tables, r.sockets.Lost.Load()
-	if temp && !res.Broken() {
-		os.RemoveAll(r.o.Dir)
-	}
-	return res, ctx.Err()
+}
+
+func (r *runner) setRunning(running bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.running = running
+}
+
+func (r *runner) processes() []*process {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return append([]*process{}, r.procs...)
 }
 
 // open binds what the stand-ins need.
@@ -272,10 +272,7 @@
 }
 
 func (r *runner) close() {
-	r.mu.Lock()
-	procs := append([]*process{}, r.procs...)
-	r.mu.Unlock()
-	for _, p := range procs {
+	for _, p := range r.processes() {
 		select {
 		case <-p.done:
 		default:
@@ -303,7 +300,7 @@
 func (r *runner) launch(i int) error {
 	g := r.st.Gateways[i]
 	file := filepath.Join(r.o.Dir, g.Name+".hcl")
-	if err := os.WriteFile(file, []byte(r.settings(i)), 0o644); err != nil {
+	if err := os.WriteFile(file, []byte(r.gatewayFile(i)), 0o644); err != nil {
 		return fmt.Errorf("day: %w", err)
 	}
 	log, err := os.OpenFile(filepath.Join(r.o.Dir, g.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
@@ -330,99 +327,6 @@
 	return nil
 }
 
-// settings writes a gateway's file.
-func (r *runner) settings(i int) string {
-	st := r.st
-	g, s := st.Gateways[i], st.Script
-	c := st.Config(g)
-	var b strings.Builder
-	p := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
-	ms := func(v float64) string { return time.Duration(v * 1e6).String() }
-	p(
-		"gateway {\n  name = %q\n  sip = %q\n  peer = %q\n  trunk_context = %q\n  gateways = %d\n  number = %d\n  seed = %d",
-		g.Name,
-		g.Addr,
-		g.Peer,
-		c.TrunkContext,
-		c.Settings.Gateways,
-		g.Number,
-		c.Settings.Seed%(1<<53),
-	)
-	p(
-		"  tick = %q\n  margin = %q\n  most_held = %d\n  most_rate = %g\n  drain_within = \"5s\"\n  peers = [",
-		ms(s.Gateways.Tick),
-		ms(c.AnswerMargin),
-		c.LoadShedding.MaxPending,
-		c.LoadShedding.RatePerSecond,
-	)
-	for _, o := range st.Gateways {
-		p("    %q,", netip.AddrPortFrom(o.Addr.Addr(), uint16(r.o.Port+20)))
-	}
-	p("  ]\n}\nlist {\n  addr = %q\n}\nlog {\n  level = %q\n}", r.list.Addr(), r.o.Level)
-	p(
-		"allow {\n  max_rings = %d\n  probe = %t\n  tell = %t\n  cancel = %t\n  name_wait = %t\n  max_wait = %q\n}",
-		c.Settings.MaxAttempts,
-		c.Settings.ProbeEnabled,
-		c.Settings.GossipEnabled,
-		c.Settings.CancelEnabled,
-		c.Settings.RetryAfterEnabled,
-		ms(c.Settings.MaxRetryAfter),
-	)
-	p("timers {\n  t1 = %q\n  t2 = %q\n  t4 = %q\n}", ms(c.Times.T1), ms(c.Times.T2), ms(c.Times.T4))
-	p(
-		"rules {\n  slack = %q\n  clear_wait = %q\n  cold_share = %g\n  warm_within = %q\n  tip_multiple = %g\n  "+
-			"tip_time = %q\n}",
-		ms(c.Settings.AnswerGrace),
-		ms(c.Settings.RetryHoldOff),
-		c.Settings.SlowStartFraction,
-		ms(c.Settings.SlowStartDuration),
-		c.Settings.OverloadFactor,
-		ms(c.Settings.OverloadWindow),
-	)
-	for _, k := range c.Settings.Classes {
-		p(
-			"skill %q {\n  target = %q\n  patience = %q\n  value = %g\n  late_value = %g\n  hold = %q\n}",
-			k.Name,
-			ms(k.LatencyObjective),
-			ms(k.Timeout),
-			k.Weight,
-			k.LateWeightFraction,
-			ms(k.MeanHoldingTime),
-		)
-	}
-	for _, k := range c.Settings.Tenants {
-		p("customer %q {\n}", k.Name)
-	}
-	for _, t := range c.Groups {
-		p("group %q {\n  pool = %d\n  size = %d\n}", t.Name, t.DestinationID, t.Circuits)
-	}
-	if st.Names != nil {
-		b.WriteString(r.numberSettings(i))
-	}
-	if g.FrontAt != nil {
-		f := st.FrontConfig()
-		p(
-			"front {\n  listen = %q\n  apex = %q\n  skill = %q\n  negative = %d\n  patience = %q\n  repeat = %q\n  gain = "+
-				"%g\n  most = %d\n  keep = %d",
-			g.Front,
-			f.Apex,
-			f.Class,
-			f.Negative,
-			ms(f.Patience),
-			ms(f.Repeat),
-			f.Gain,
-			f.MaxPending,
-			f.Keep,
-		)
-		p("  rate = %g\n  burst = %g\n  clients = %d", f.Limits.Rate, f.Limits.Burst, f.Limits.Clients)
-		for _, n := range f.Limits.Nets {
-			p("  client %q {\n    rate = %g\n  }", n.Prefix, n.Rate)
-		}
-		p("}")
-	}
-	return b.String()
-}
-
 // Follow implements the endpoint list's service.
 func (r *runner) Follow(req *api.FollowRequest, stream grpc.ServerStreamingServer[api.Update]) error {
 	ch := make(chan *api.Update, 1024)
--- /dev/null
+++ b/internal/emulator/processrun/gatewayfile.go
@@ -0,0 +1,94 @@
+package processrun
+
+import (
+	"fmt"
+	"net/netip"
+	"strings"
+	"time"
+
+	"cobaltpier/internal/emulator/scenario"
+	"cobaltpier/internal/protocol/b2bua"
+)
+
+//tally:standin
+
+// fileWriter writes a gateway's configuration file.
+type fileWriter struct{ strings.Builder }
+
+func (w *fileWriter) line(format string, args ...any) { fmt.Fprintf(w, format+"\n", args...) }
+
+// duration formats a time in ms.
+func duration(ms float64) string { return time.Duration(ms * float64(time.Millisecond)).String() }
+
+// gatewayFile returns gateway i's configuration file.
+func (r *runner) gatewayFile(i int) string {
+	g := r.st.Gateways[i]
+	config := r.st.Config(g)
+	var w fileWriter
+	r.writeGateway(&w, g, config)
+	w.line("list {\n  addr = %q\n}\nlog {\n  level = %q\n}", r.list.Addr(), r.o.Level)
+	w.writeRules(config)
+	w.writeTraffic(config)
+	if r.st.Names != nil {
+		w.WriteString(r.numberSettings(i))
+	}
+	if g.FrontAt != nil {
+		r.writeFront(&w, g)
+	}
+	return w.String()
+}
+
+func (r *runner) writeGateway(w *fileWriter, g *scenario.Gateway, c *b2bua.Config) {
+	w.line("gateway {\n  name = %q\n  sip = %q\n  peer = %q", g.Name, g.Addr, g.Peer)
+	w.line("  trunk_context = %q\n  gateways = %d", c.TrunkContext, c.Settings.Gateways)
+	w.line("  number = %d\n  seed = %d", g.Number, c.Settings.Seed%(1<<53))
+	w.line("  tick = %q\n  margin = %q", duration(r.st.Script.Gateways.Tick), duration(c.AnswerMargin))
+	w.line("  most_held = %d\n  most_rate = %g", c.LoadShedding.MaxPending, c.LoadShedding.RatePerSecond)
+	w.line("  drain_within = \"5s\"\n  peers = [")
+	for _, peer := range r.st.Gateways {
+		w.line("    %q,", netip.AddrPortFrom(peer.Addr.Addr(), uint16(r.o.Port+20)))
+	}
+	w.line("  ]\n}")
+}
+
+// writeRules writes what the gateway may do and the times it keeps.
+func (w *fileWriter) writeRules(c *b2bua.Config) {
+	s := c.Settings
+	w.line("allow {\n  max_rings = %d\n  probe = %t\n  tell = %t", s.MaxAttempts, s.ProbeEnabled, s.GossipEnabled)
+	w.line("  cancel = %t\n  name_wait = %t", s.CancelEnabled, s.RetryAfterEnabled)
+	w.line("  max_wait = %q\n}", duration(s.MaxRetryAfter))
+	w.line("timers {\n  t1 = %q\n  t2 = %q", duration(c.Times.T1), duration(c.Times.T2))
+	w.line("  t4 = %q\n}", duration(c.Times.T4))
+	w.line("rules {\n  slack = %q\n  clear_wait = %q", duration(s.AnswerGrace), duration(s.RetryHoldOff))
+	w.line("  cold_share = %g\n  warm_within = %q", s.SlowStartFraction, duration(s.SlowStartDuration))
+	w.line("  tip_multiple = %g\n  tip_time = %q\n}", s.OverloadFactor, duration(s.OverloadWindow))
+}
+
+// writeTraffic writes the classes, tenants and trunk groups.
+func (w *fileWriter) writeTraffic(c *b2bua.Config) {
+	for _, class := range c.Settings.Classes {
+		w.line("skill %q {\n  target = %q", class.Name, duration(class.LatencyObjective))
+		w.line("  patience = %q\n  value = %g", duration(class.Timeout), class.Weight)
+		w.line("  late_value = %g\n  hold = %q\n}", class.LateWeightFraction, duration(class.MeanHoldingTime))
+	}
+	for _, tenant := range c.Settings.Tenants {
+		w.line("customer %q {\n}", tenant.Name)
+	}
+	for _, group := range c.Groups {
+		w.line("group %q {\n  pool = %d\n  size = %d\n}", group.Name, group.DestinationID, group.Circuits)
+	}
+}
+
+// writeFront writes the ENUM server's block.
+func (r *runner) writeFront(w *fileWriter, g *scenario.Gateway) {
+	front := r.st.FrontConfig()
+	w.line("front {\n  listen = %q\n  apex = %q\n  skill = %q", g.Front, front.Apex, front.Class)
+	w.line("  negative = %d\n  patience = %q", front.Negative, duration(front.Patience))
+	w.line("  repeat = %q\n  gain = %g", duration(front.Repeat), front.Gain)
+	w.line("  most = %d\n  keep = %d", front.MaxPending, front.Keep)
+	w.line("  rate = %g\n  burst = %g\n  clients = %d", front.Limits.Rate, front.Limits.Burst, front.Limits.Clients)
+	for _, client := range front.Limits.Nets {
+		w.line("  client %q {\n    rate = %g\n  }", client.Prefix, client.Rate)
+	}
+	w.line("}")
+}
--- a/internal/emulator/scenario/arrivals.go
+++ b/internal/emulator/scenario/arrivals.go
@@ -109,10 +109,11 @@
 func (draw *arrivalDraw) arrival(at float64) *callers.Arrival {
 	st, random := draw.scenario, draw.random
 	draw.updateWeights(at)
-	class := workload.Pick(random.Float64(), len(st.Script.Skills), func(i int) float64 { return st.Script.Skills[i].Share })
-	payer := workload.Pick(random.Float64(), len(st.Script.Payers), func(i int) float64 { return st.Script.Payers[i].Share })
+	skills, payers := st.Script.Skills, st.Script.Payers
+	class := workload.Pick(random.Float64(), len(skills), func(i int) float64 { return skills[i].Share })
+	payer := workload.Pick(random.Float64(), len(payers), func(i int) float64 { return payers[i].Share })
 	home := workload.Pick(random.Float64(), len(draw.weights), func(i int) float64 { return draw.weights[i] })
-	skill := st.Script.Skills[class]
+	skill := skills[class]
 	number, group := fmt.Sprintf("+1418%07d", int(random.Float64()*float64(st.Script.Load.Numbers))), Group(home)
 	if st.Names != nil {
 		number, group = st.dialled(home, random.Float64()), ""
@@ -121,7 +122,7 @@
 		At:                 at,
 		Number:             number,
 		Class:              skill.Name,
-		Tenant:             st.Script.Payers[payer].Name,
+		Tenant:             payers[payer].Name,
 		Group:              group,
 		HoldingTime:        -math.Log(1-random.Float64()) * skill.Hold,
 		LatencyObjective:   skill.Target,
@@ -194,7 +195,8 @@
 			least = k
 		}
 	}
-	for at := t.At; at < t.At+t.For && at < s.Length-lastArrivalMargin; at += -math.Log(1-n.Float64()) * 1000 / (s.Load.Rate * t.Size) {
+	end := math.Min(t.At+t.For, s.Length-lastArrivalMargin)
+	for at := t.At; at < end; at += -math.Log(1-n.Float64()) * 1000 / (s.Load.Rate * t.Size) {
 		number, group := fmt.Sprintf("+1999%07d", int(n.Float64()*1e7)), Group(0)
 		if st.Names != nil {
 			number, group = st.dialled(int(n.Float64()*float64(len(st.places))), n.Float64()), ""
