--- a/internal/emulator/scenario/numbers.go
+++ b/internal/emulator/scenario/numbers.go
@@ -166,37 +166,42 @@
 	return c
 }
 
-// namesTrouble puts a trouble of the DNS servers on.
-func (st *Scenario) namesTrouble(t scenariofile.Trouble, during func(begin, stop func())) {
-	if st.Names == nil {
-		return
-	}
+// namesEffects returns what a trouble of the DNS servers does when it begins and when it ends.
+func (st *Scenario) namesEffects(t scenariofile.Trouble) (begin, end func()) {
 	n := st.Names
+	if n == nil {
+		return nil, nil
+	}
 	some := max(1, int(math.Round(t.Part*float64(len(n.Servers)))))
 	set := func(do func(*dnsserver.Faults)) {
 		for i := range min(some, len(n.Servers)) {
 			n.Alter(i, func(s *dnsserver.Server) { do(&s.Faults) })
 		}
 	}
-	var begin func(f *dnsserver.Faults)
+	plain := dnsserver.Faults{Delay: st.Script.Numbers.Delay, Jitter: st.Script.Numbers.Jitter}
+	begin = func() { set(func(f *dnsserver.Faults) { applyFault(f, t) }) }
+	end = func() { set(func(f *dnsserver.Faults) { *f = plain }) }
+	return begin, end
+}
+
+// applyFault gives a DNS server the fault of a trouble.
+func applyFault(f *dnsserver.Faults, t scenariofile.Trouble) {
 	switch t.Kind {
 	case "names_silent":
-		begin = func(f *dnsserver.Faults) { f.Silent = true }
+		f.Silent = true
 	case "names_slow":
-		begin = func(f *dnsserver.Faults) { f.Delay = t.Size * 1000 }
+		f.Delay = t.Size * 1000
 	case "names_lossy":
-		begin = func(f *dnsserver.Faults) { f.Loss = t.Size }
+		f.Loss = t.Size
 	case "names_spoofed":
-		begin = func(f *dnsserver.Faults) { f.Spoof, f.Guesses = 1, int(t.Size) }
+		f.Spoof, f.Guesses = 1, int(t.Size)
 	case "names_cut":
-		begin = func(f *dnsserver.Faults) { f.Truncated = t.Size }
+		f.Truncated = t.Size
 	case "names_lame":
-		begin = func(f *dnsserver.Faults) { f.Lame = true }
+		f.Lame = true
 	case "names_wrong":
-		begin = func(f *dnsserver.Faults) { f.WrongID = t.Size }
+		f.WrongID = t.Size
 	}
-	plain := dnsserver.Faults{Delay: st.Script.Numbers.Delay, Jitter: st.Script.Numbers.Jitter}
-	during(func() { set(begin) }, func() { set(func(f *dnsserver.Faults) { *f = plain }) })
 }
 
 // lookUps are a gateway's resolver in virtual time: its ports and the servers are reached over the world's wire.
--- a/internal/emulator/scenario/service.go
+++ b/internal/emulator/scenario/service.go
@@ -3,6 +3,8 @@
 import (
 	"math"
 	"sort"
+
+	"cobaltpier/internal/emulator/callers"
 )
 
 // Service is how a day went by the users' account: the value of calls that were established in time and were not cut,
@@ -20,81 +22,113 @@
 
 // Service adds a day up.
 func (st *Scenario) Service() Service {
-	var s Service
-	type part struct{ got, of float64 }
-	add := func(p *part, got, of float64) { p.got += got; p.of += of }
-	var whole part
-	skills, payers, windows := map[string]*part{}, map[string]*part{}, map[int]*part{}
-	get := func(m map[string]*part, k string) *part {
-		if m[k] == nil {
-			m[k] = &part{}
-		}
-		return m[k]
-	}
+	sum := serviceSum{classes: weights{}, tenants: weights{}, windows: map[int]*weight{}}
 	for _, g := range st.Gateways {
-		s.Extra += g.Callers.Extra
-		for _, x := range g.Callers.Stories {
-			if x.OverQuota {
-				continue
-			}
-			s.Arrived++
-			got := 0.0
-			wait := x.AnsweredAt - x.At
-			switch {
-			case math.IsNaN(x.AnsweredAt):
-				s.Unserved++
-			case x.Dropped:
-				s.Dropped++
-			case wait <= x.LatencyObjective:
-				s.Answered++
-				got = x.Weight
-			default:
-				s.Late++
-				got = x.Weight * x.LateWeightFraction
-			}
-			if !math.IsNaN(x.AnsweredAt) {
-				s.Waits = append(s.Waits, wait)
-			}
-			add(&whole, got, x.Weight)
-			add(get(skills, x.Class), got, x.Weight)
-			add(get(payers, x.Tenant), got, x.Weight)
-			for k := int(x.At / 1000); k > int(x.At/1000)-10 && k >= 0; k-- { // every window of 10 s that holds it
-				if windows[k] == nil {
-					windows[k] = &part{}
-				}
-				add(windows[k], got, x.Weight)
+		sum.Extra += g.Callers.Extra
+		for _, story := range g.Callers.Stories {
+			if !story.OverQuota {
+				sum.add(story)
 			}
 		}
 	}
-	sort.Float64s(s.Waits)
-	share := func(p *part) float64 {
-		if p.of == 0 {
-			return 1
+	sort.Float64s(sum.Waits)
+	sum.Total = sum.whole.share()
+	sum.WorstClass, sum.ClassShare = sum.classes.worst()
+	sum.WorstTenant, sum.TenantShare = sum.tenants.worst()
+	sum.Worst10s = 1
+	for second, w := range sum.windows {
+		if float64(second+windowSeconds)*1000 <= st.Script.Length {
+			sum.Worst10s = math.Min(sum.Worst10s, w.share())
 		}
-		return p.got / p.of
 	}
-	worst := func(m map[string]*part) (string, float64) {
-		name, least := "", 2.0
-		for k, p := range m {
-			if v := share(p); v < least || v == least && k < name {
-				name, least = k, v
-			}
+	for _, p := range st.places {
+		if p.sw.Fell {
+			sum.Fell++
 		}
-		return name, least
 	}
-	s.Total = share(&whole)
-	s.WorstClass, s.ClassShare = worst(skills)
-	s.WorstTenant, s.TenantShare = worst(payers)
-	s.Worst10s = 1
-	for k, p := range windows {
-		if float64(k+10)*1000 <= st.Script.Length {
-			s.Worst10s = math.Min(s.Worst10s, share(p))
+	return sum.Service
+}
+
+// windowSeconds is the length of the windows of which the worst is told.
+const windowSeconds = 10
+
+// weight is what calls were worth: as they were served, and at most.
+type weight struct{ got, most float64 }
+
+func (w *weight) add(got, most float64) {
+	w.got += got
+	w.most += most
+}
+
+func (w *weight) share() float64 {
+	if w.most == 0 {
+		return 1
+	}
+	return w.got / w.most
+}
+
+// weights are by name of a class or tenant.
+type weights map[string]*weight
+
+func (m weights) add(name string, got, most float64) {
+	if m[name] == nil {
+		m[name] = &weight{}
+	}
+	m[name].add(got, most)
+}
+
+// worst returns the least share, and whose it is; of equals the first by name.
+func (m weights) worst() (name string, least float64) {
+	least = 2
+	for k, w := range m {
+		if share := w.share(); share < least || share == least && k < name {
+			name, least = k, share
 		}
 	}
-	for _, p := range st.places {
-		if p.sw.Fell {
-			s.Fell++
+	return name, least
+}
+
+// serviceSum is a Service that is being added up.
+type serviceSum struct {
+	Service
+	whole            weight
+	classes, tenants weights
+	windows          map[int]*weight // by the second that they begin with
+}
+
+// add adds one call.
+func (sum *serviceSum) add(story *callers.CallerRecord) {
+	sum.Arrived++
+	got := sum.count(story)
+	sum.whole.add(got, story.Weight)
+	sum.classes.add(story.Class, got, story.Weight)
+	sum.tenants.add(story.Tenant, got, story.Weight)
+	second := int(story.At / 1000)
+	for k := second; k > second-windowSeconds && k >= 0; k-- { // every window that holds it
+		if sum.windows[k] == nil {
+			sum.windows[k] = &weight{}
 		}
+		sum.windows[k].add(got, story.Weight)
+	}
+}
+
+// count counts a call by how it ended, and returns what it was worth.
+func (sum *serviceSum) count(story *callers.CallerRecord) float64 {
+	if math.IsNaN(story.AnsweredAt) {
+		sum.Unserved++
+		return 0
+	}
+	wait := story.AnsweredAt - story.At
+	sum.Waits = append(sum.Waits, wait)
+	switch {
+	case story.Dropped:
+		sum.Dropped++
+		return 0
+	case wait <= story.LatencyObjective:
+		sum.Answered++
+		return story.Weight
+	default:
+		sum.Late++
+		return story.Weight * story.LateWeightFraction
 	}
-	return s
 }
--- a/internal/emulator/scenario/trouble.go
+++ b/internal/emulator/scenario/trouble.go
@@ -10,105 +10,122 @@
 
 // trouble plans one thing that goes wrong.
 func (st *Scenario) trouble(t scenariofile.Trouble) {
-	w := st.World
-	end := t.At + t.For
-	during := func(begin, stop func()) {
-		w.At(t.At, func() { st.Mark("trouble", t.Kind, "begins", nil); begin() })
-		w.At(end, func() { st.Mark("trouble", t.Kind, "ends", nil); stop() })
+	if t.Kind == "deploy" {
+		st.planDeploy(t)
+		return
+	}
+	begin, end := st.effects(t)
+	if begin == nil {
+		return
 	}
-	nothing := func() {}
+	st.World.At(t.At, func() {
+		st.Mark("trouble", t.Kind, "begins", nil)
+		begin()
+	})
+	st.World.At(t.At+t.For, func() {
+		st.Mark("trouble", t.Kind, "ends", nil)
+		end()
+	})
+}
+
+func nothing() {}
+
+// effects returns what a trouble does when it begins and when it ends; nil: the day has nothing that it concerns. The endpoints concerned are drawn at once, so
+// that the draw doesn't depend on what happens before.
+func (st *Scenario) effects(t scenariofile.Trouble) (begin, end func()) {
 	switch t.Kind {
-	case "burst", "uneven", "flood":
-		during(nothing, nothing) // the plan of arrivals has it
-	case "slow", "slow_all":
-		of := st.places
-		if t.Kind == "slow" {
-			of = st.some(t)
-		}
-		during(func() {
-			for _, p := range of {
-				p.sw.Slow = t.Size
-			}
-		}, func() {
-			for _, p := range of {
-				p.sw.Slow = 1
-			}
-		})
+	case "slow":
+		return slowDown(st.some(t), t.Size)
+	case "slow_all":
+		return slowDown(st.places, t.Size)
 	case "other":
 		of := st.some(t)
-		during(func() { st.other(of, t.Size, end) }, nothing)
+		return func() { st.other(of, t.Size, t.At+t.For) }, nothing
 	case "lines":
-		during(func() {
-			for _, p := range st.in(t.Region) {
-				p.sw.LoseCircuits(w.Now, t.Size)
-				p.node.Due()
-			}
-		}, func() {
-			for _, p := range st.in(t.Region) {
-				p.sw.LoseCircuits(w.Now, 1)
-			}
-		})
+		return func() { st.loseCircuits(t.Region, t.Size, true) }, func() { st.loseCircuits(t.Region, 1, false) }
 	case "silent":
 		of := st.some(t)
-		during(func() {
-			for _, p := range of {
-				st.kill(p)
-				st.lost(p)
-			}
-		}, func() {
-			for _, p := range of {
-				st.back(p)
-			}
-		})
+		return func() { st.killAll(of) }, func() { st.bringBack(of) }
+	case "region":
+		return func() { st.killAll(st.in(t.Region)) }, func() { st.bringBack(st.in(t.Region)) }
 	case "ageing":
 		of := st.some(t)
-		during(func() { st.age(of, t, 0) }, nothing)
-	case "deploy":
-		of := st.some(t)
-		w.At(t.At, func() {
-			st.Mark("trouble", t.Kind, "begins", nil)
-			for i, p := range of {
-				p := p
-				w.At(t.At+t.For*float64(i)/float64(len(of)), func() { st.replace(p) })
-			}
-		})
-	case "region":
-		during(func() {
-			for _, p := range st.in(t.Region) {
-				st.kill(p)
-				st.lost(p)
-			}
-		}, func() {
-			for _, p := range st.in(t.Region) {
-				st.back(p)
-			}
-		})
+		return func() { st.age(of, t, 0) }, nothing
 	case "stall":
-		during(func() { st.stall(st.gates(t), t.Size*1000, end) }, nothing)
+		return func() { st.stall(st.gates(t), t.Size*1000, t.At+t.For) }, nothing
 	case "restart":
-		during(func() {
-			for _, g := range st.gates(t) {
-				if g.deaf { // killed already by another trouble
-					continue
-				}
-				g.deaf = true
-				st.Mark("edge-kill", g.Name, "", nil)
-				st.Fleet.Kill(g.Number)
-				w.At(w.Now+300+700*st.names.Float64(), func() {
-					g.deaf = false
-					st.Fleet.Start(g.Number)
-					st.Mark("edge-start", g.Name, "", nil)
-				})
-			}
-		}, nothing)
+		return func() { st.restartGateways(st.gates(t)) }, nothing
 	case "mute":
-		during(func() { st.muted = true }, func() { st.muted = false })
+		return func() { st.muted = true }, func() { st.muted = false }
 	case "loss":
-		during(func() { st.loss += t.Size }, func() { st.loss = math.Max(0, st.loss-t.Size) })
-	case "names_silent", "names_slow", "names_lossy", "names_spoofed", "names_cut", "names_lame", "names_wrong":
-		st.namesTrouble(t, during)
+		return func() { st.loss += t.Size }, func() { st.loss = math.Max(0, st.loss-t.Size) }
 	case "listless":
-		during(func() { st.listless = true }, func() { st.listless = false })
+		return func() { st.listless = true }, func() { st.listless = false }
+	case "names_silent", "names_slow", "names_lossy", "names_spoofed", "names_cut", "names_lame", "names_wrong":
+		return st.namesEffects(t)
+	}
+	return nothing, nothing // "burst", "uneven", "flood": the drawing of arrivals has it
+}
+
+func slowDown(of []*place, factor float64) (begin, end func()) {
+	set := func(factor float64) func() {
+		return func() {
+			for _, p := range of {
+				p.sw.Slow = factor
+			}
+		}
+	}
+	return set(factor), set(1)
+}
+
+// loseCircuits leaves the endpoints of a region a share of their circuits; due wakes them for the calls that are cut.
+func (st *Scenario) loseCircuits(region string, share float64, due bool) {
+	for _, p := range st.in(region) {
+		p.sw.LoseCircuits(st.World.Now, share)
+		if due {
+			p.node.Due()
+		}
+	}
+}
+
+func (st *Scenario) killAll(of []*place) {
+	for _, p := range of {
+		st.kill(p)
+		st.lost(p)
+	}
+}
+
+func (st *Scenario) bringBack(of []*place) {
+	for _, p := range of {
+		st.back(p)
+	}
+}
+
+// planDeploy replaces endpoints one after the other.
+func (st *Scenario) planDeploy(t scenariofile.Trouble) {
+	of := st.some(t)
+	st.World.At(t.At, func() {
+		st.Mark("trouble", t.Kind, "begins", nil)
+		for i, p := range of {
+			st.World.At(t.At+t.For*float64(i)/float64(len(of)), func() { st.replace(p) })
+		}
+	})
+}
+
+// restartGateways kills gateways and starts each again after 0.3 to 1 s.
+func (st *Scenario) restartGateways(gateways []*Gateway) {
+	for _, g := range gateways {
+		if g.deaf { // killed already by another trouble
+			continue
+		}
+		g.deaf = true
+		st.Mark("edge-kill", g.Name, "", nil)
+		st.Fleet.Kill(g.Number)
+		st.World.At(st.World.Now+300+700*st.names.Float64(), func() {
+			g.deaf = false
+			st.Fleet.Start(g.Number)
+			st.Mark("edge-start", g.Name, "", nil)
+		})
 	}
 }
 
