--- a/internal/emulator/scenario/design.go
+++ b/internal/emulator/scenario/design.go
@@ -68,59 +68,82 @@
 	}
 	switch m := m.(type) {
 	case *sip.Response:
-		if n, ok := s.pools[d.From]; ok {
-			for f := range strings.SplitSeq(siptransaction.HeaderValue(m, siptransaction.Load), ";") {
-				if v, is := strings.CutPrefix(f, "util="); is {
-					if s.util[d.To] == nil {
-						s.util[d.To] = map[int]float64{}
-					}
-					s.util[d.To][n], _ = strconv.ParseFloat(v, 64)
-				}
-			}
+		if endpoint, ok := s.pools[d.From]; ok {
+			s.addLoad(endpoint, d.To, m)
 		}
 	case *sip.Request:
-		if m.Method != sip.INVITE {
-			return
+		if m.Method == sip.INVITE {
+			s.addInvite(r.At, d, m)
 		}
-		to, trunk := s.pools[d.To]
-		id := siptransaction.SessionIDOf(m)
-		if !trunk {
-			_, group, _ := strings.Cut(m.Recipient.User, "tgrp=TG-")
-			n, _, _ := strings.Cut(group, ";")
-			if k, err := strconv.Atoi(n); err == nil {
-				s.homes[id] = k
-			}
-			return
+	}
+}
+
+// addLoad takes the utilization that an endpoint reports to a gateway.
+func (s *Shares) addLoad(endpoint int, gateway string, m *sip.Response) {
+	for field := range strings.SplitSeq(siptransaction.HeaderValue(m, siptransaction.Load), ";") {
+		value, ok := strings.CutPrefix(field, "util=")
+		if !ok {
+			continue
 		}
-		home, first := s.homes[id]
-		if !first || r.At < 1000 {
-			return
+		if s.util[gateway] == nil {
+			s.util[gateway] = map[int]float64{}
 		}
-		delete(s.homes, id) // later attempts and repeats don't count
-		if home != s.away {
-			s.First++
-			if to == home {
-				s.Home++
-			}
-			return
+		s.util[gateway][endpoint], _ = strconv.ParseFloat(value, 64)
+	}
+}
+
+// addInvite takes a call from a client, or its first attempt at an endpoint; later attempts don't count.
+func (s *Shares) addInvite(at float64, d *api.Datagram, m *sip.Request) {
+	session := siptransaction.SessionIDOf(m)
+	endpoint, isAttempt := s.pools[d.To]
+	if !isAttempt {
+		if home, ok := homeOf(m); ok {
+			s.homes[session] = home
 		}
-		total, tickets := 0.0, make([]float64, len(s.Drawn))
-		for i := range tickets {
-			if i != s.away {
-				free := 1.0
-				if u, ok := s.util[d.From][i]; ok {
-					free = 1 - u
-				}
-				tickets[i] = (s.lines[i] - 3*math.Sqrt(s.lines[i])) * free * free
-				total += tickets[i]
-			}
+		return
+	}
+	home, isFirst := s.homes[session]
+	if !isFirst || at < 1000 {
+		return
+	}
+	delete(s.homes, session)
+	if home == s.away {
+		s.addDraw(endpoint, d.From)
+		return
+	}
+	s.First++
+	if endpoint == home {
+		s.Home++
+	}
+}
+
+// homeOf returns the number of the trunk group that a call names.
+func homeOf(m *sip.Request) (home int, ok bool) {
+	_, group, _ := strings.Cut(m.Recipient.User, "tgrp=TG-")
+	digits, _, _ := strings.Cut(group, ";")
+	home, err := strconv.Atoi(digits)
+	return home, err == nil
+}
+
+// addDraw counts a draw of the lottery, and what the formula expects of it.
+func (s *Shares) addDraw(endpoint int, gateway string) {
+	total, tickets := 0.0, make([]float64, len(s.Drawn))
+	for i := range tickets {
+		if i == s.away {
+			continue
 		}
-		s.Drawn[to]++
-		for i, t := range tickets {
-			p := t / total
-			s.Expected[i] += p
-			s.Variance[i] += p * (1 - p)
+		free := 1.0
+		if used, ok := s.util[gateway][i]; ok {
+			free = 1 - used
 		}
+		tickets[i] = (s.lines[i] - 3*math.Sqrt(s.lines[i])) * free * free
+		total += tickets[i]
+	}
+	s.Drawn[endpoint]++
+	for i, t := range tickets {
+		p := t / total
+		s.Expected[i] += p
+		s.Variance[i] += p * (1 - p)
 	}
 }
 
--- a/internal/emulator/scenario/trouble.go
+++ b/internal/emulator/scenario/trouble.go
@@ -30,8 +30,8 @@
 
 func nothing() {}
 
-// effects returns what a trouble does when it begins and when it ends; nil: the day has nothing that it concerns. The endpoints concerned are drawn at once, so
-// that the draw doesn't depend on what happens before.
+// effects returns what a trouble does when it begins and when it ends; nil: the day has nothing that it concerns. The
+// endpoints concerned are drawn at once, so that the draw doesn't depend on what happens before.
 func (st *Scenario) effects(t scenariofile.Trouble) (begin, end func()) {
 	switch t.Kind {
 	case "slow":
