--- a/internal/emulator/scenariofile/script.go
+++ b/internal/emulator/scenariofile/script.go
@@ -167,12 +167,40 @@
 	if len(s.Regions) == 0 {
 		s.Regions = []string{"one"}
 	}
+	s.readGateways(b)
+	s.readRules(b)
+	s.readNet(b)
+	s.readSkills(b)
+	s.readPools(b)
+	s.readLoad(b)
+	s.readCallers(b)
+	s.readList(b)
+	s.readNumbers(b)
+	s.readKiosks(b)
+	s.readTroubles(b)
+	return s, b.Err()
+}
+
+// readGateways reads the gateways.
+func (s *Script) readGateways(b *hclconfig.Block) {
 	g := b.One("gateways")
-	s.Gateways = Gateways{Count: g.Int("count", 8, 1, 1000), Held: g.Int("most_held", 20000, 1, 1<<24),
-		MostRate: g.Num("most_rate", 0, 0, 1e6), MaxRings: g.Int("max_rings", 5, 1, 100),
-		MaxWait: int(g.Ms("max_wait", 2000, 0, day)), Tick: g.Ms("tick", 5, 0.1, 1000), Margin: g.Ms("margin", 30, 0, 10000),
-		Cancel: g.Flag("may_cancel", true), Tell: g.Flag("may_tell", true), Probe: g.Flag("may_probe", false),
-		NameWait: g.Flag("names_wait", true)}
+	s.Gateways = Gateways{
+		Count:    g.Int("count", 8, 1, 1000),
+		Held:     g.Int("most_held", 20000, 1, 1<<24),
+		MostRate: g.Num("most_rate", 0, 0, 1e6),
+		MaxRings: g.Int("max_rings", 5, 1, 100),
+		MaxWait:  int(g.Ms("max_wait", 2000, 0, day)),
+		Tick:     g.Ms("tick", 5, 0.1, 1000),
+		Margin:   g.Ms("margin", 30, 0, 10000),
+		Cancel:   g.Flag("may_cancel", true),
+		Tell:     g.Flag("may_tell", true),
+		Probe:    g.Flag("may_probe", false),
+		NameWait: g.Flag("names_wait", true),
+	}
+}
+
+// readRules reads the rules that the gateways keep.
+func (s *Script) readRules(b *hclconfig.Block) {
 	r := b.One("rules")
 	s.Rules = Rules{
 		Slack:      r.Ms("slack", 20, 0, 1000),
@@ -183,16 +211,38 @@
 		TipTimes:   r.Num("tip_multiple", 2.5, 0, 100),
 		TipWindow:  r.Ms("tip_time", 1000, 1, day),
 	}
+}
+
+// readNet reads the network.
+func (s *Script) readNet(b *hclconfig.Block) {
 	n := b.One("net")
-	s.Net = Net{Same: n.Ms("same", 5, 0, 1000), Cross: n.Ms("cross", 14, 0, 1000), Caller: n.Ms("caller", 0.1, 0, 1000),
-		Peer: n.Ms("peer", 6, 0, 1000), Jitter: n.Num("jitter", 0.2, 0, 1), Loss: n.Num("loss", 0, 0, 1),
-		Double: n.Num("double", 0, 0, 1), PeerLoss: n.Num("peer_loss", 0.01, 0, 1)}
+	s.Net = Net{
+		Same:     n.Ms("same", 5, 0, 1000),
+		Cross:    n.Ms("cross", 14, 0, 1000),
+		Caller:   n.Ms("caller", 0.1, 0, 1000),
+		Peer:     n.Ms("peer", 6, 0, 1000),
+		Jitter:   n.Num("jitter", 0.2, 0, 1),
+		Loss:     n.Num("loss", 0, 0, 1),
+		Double:   n.Num("double", 0, 0, 1),
+		PeerLoss: n.Num("peer_loss", 0.01, 0, 1),
+	}
+}
+
+// readSkills reads the classes and tenants of calls.
+func (s *Script) readSkills(b *hclconfig.Block) {
 	for _, k := range b.Blocks("skill", 1) {
 		s.Skills = append(
 			s.Skills,
-			Skill{Name: k.Labels[0], Share: k.Num("share", 1, 0, 1), Target: k.Ms("target", 2000, 1, day),
-				Patience: k.Ms("patience", 9000, 1000, day), Try: k.Ms("try", 3000, 1000, day), Value: k.Num("value", 1, 0, 1e6),
-				Late: k.Num("late", 0.1, 0, 1), Hold: k.Ms("hold", 9000, 1, day)},
+			Skill{
+				Name:     k.Labels[0],
+				Share:    k.Num("share", 1, 0, 1),
+				Target:   k.Ms("target", 2000, 1, day),
+				Patience: k.Ms("patience", 9000, 1000, day),
+				Try:      k.Ms("try", 3000, 1000, day),
+				Value:    k.Num("value", 1, 0, 1e6),
+				Late:     k.Num("late", 0.1, 0, 1),
+				Hold:     k.Ms("hold", 9000, 1, day),
+			},
 		)
 	}
 	if len(s.Skills) == 0 {
@@ -204,31 +254,20 @@
 	if len(s.Payers) == 0 {
 		s.Payers = []Payer{{"laurentide.example", 1}}
 	}
+}
+
+// readPools reads the core switches; the rules come first.
+func (s *Script) readPools(b *hclconfig.Block) {
 	p := b.One("pools")
 	retry := p.Ms("retransmit", 400, 10, 60000)
 	s.Pools = Pools{Count: p.Int("count", 4, 1, 1000), Spread: p.Num("spread", 0.15, 0, 0.9), Model: coreswitch.Model{
-		Setup: p.Num(
-			"setup_ms",
-			6.4,
-			0.001,
-			1000,
-		),
-		Answer:  p.Num("answer_ms", 2.4, 0, 1000),
-		Release: p.Num("release_ms", 1.9, 0, 1000),
-		Repeat: p.Num(
-			"repeat_ms",
-			1,
-			0,
-			1000,
-		),
-		Reject: p.Num("reject_ms", 0.8, 0, 1000),
-		Probe:  p.Num("probe_ms", 0.3, 0, 1000),
-		Lines: p.Int(
-			"lines",
-			2000,
-			1,
-			1<<20,
-		),
+		Setup:     p.Num("setup_ms", 6.4, 0.001, 1000),
+		Answer:    p.Num("answer_ms", 2.4, 0, 1000),
+		Release:   p.Num("release_ms", 1.9, 0, 1000),
+		Repeat:    p.Num("repeat_ms", 1, 0, 1000),
+		Reject:    p.Num("reject_ms", 0.8, 0, 1000),
+		Probe:     p.Num("probe_ms", 0.3, 0, 1000),
+		Lines:     p.Int("lines", 2000, 1, 1<<20),
 		WaitLimit: p.Ms("wait_limit", 2500, 1, day),
 		NamesWait: p.Flag("names_wait", true),
 		WorksOn:   p.Flag("works_on", false),
@@ -251,9 +290,21 @@
 			p.Fault("reports", "reports: want some of util, queue, wait, rate, loss, got %q", v)
 		}
 	}
+}
+
+// readLoad reads the load.
+func (s *Script) readLoad(b *hclconfig.Block) {
 	l := b.One("load")
-	s.Load = Load{Rate: l.Num("rate", 300, 0, 1e6), Drift: l.Ms("drift", 15000, 100, day), Skew: l.Num("skew", 0.3, 0, 1),
-		Numbers: l.Int("numbers", 20000, 1, 1<<30)}
+	s.Load = Load{
+		Rate:    l.Num("rate", 300, 0, 1e6),
+		Drift:   l.Ms("drift", 15000, 100, day),
+		Skew:    l.Num("skew", 0.3, 0, 1),
+		Numbers: l.Int("numbers", 20000, 1, 1<<30),
+	}
+}
+
+// readCallers reads the callers.
+func (s *Script) readCallers(b *hclconfig.Block) {
 	c := b.One("callers")
 	s.Callers = Callers{
 		Redials: c.Int("redials", 2, 0, 100),
@@ -263,22 +314,31 @@
 		MaxWait: c.Ms("max_wait", 2000, 0, day),
 		Silence: c.Ms("silence", 1000, 0, day),
 	}
+}
+
+// readList reads how the endpoint list follows the switches.
+func (s *Script) readList(b *hclconfig.Block) {
 	d := b.One("list")
-	s.List = List{NoticeLo: d.Ms("notice_least", 700, 0, day), NoticeHi: d.Ms("notice_most", 5000, 0, day),
-		SilentLo: d.Ms("silent_least", 5200, 0, day), SilentHi: d.Ms("silent_most", 13000, 0, day),
-		AddLo: d.Ms("add_least", 900, 0, day), AddHi: d.Ms("add_most", 2400, 0, day), Spread: d.Ms("spread", 300, 0, day)}
+	s.List = List{
+		NoticeLo: d.Ms("notice_least", 700, 0, day),
+		NoticeHi: d.Ms("notice_most", 5000, 0, day),
+		SilentLo: d.Ms("silent_least", 5200, 0, day),
+		SilentHi: d.Ms("silent_most", 13000, 0, day),
+		AddLo:    d.Ms("add_least", 900, 0, day),
+		AddHi:    d.Ms("add_most", 2400, 0, day),
+		Spread:   d.Ms("spread", 300, 0, day),
+	}
+}
+
+// readNumbers reads the number analysis.
+func (s *Script) readNumbers(b *hclconfig.Block) {
 	for _, n := range b.Blocks("numbers", 0) {
 		s.Numbers = Numbers{
-			On:     true,
-			Change: n.Ms("change", 0, 0, day),
-			Ported: n.Num("ported", 0.3, 0, 1),
-			None:   n.Num("none", 0.05, 0, 1),
-			Leads: n.Num(
-				"leads",
-				0.1,
-				0,
-				1,
-			),
+			On:      true,
+			Change:  n.Ms("change", 0, 0, day),
+			Ported:  n.Num("ported", 0.3, 0, 1),
+			None:    n.Num("none", 0.05, 0, 1),
+			Leads:   n.Num("leads", 0.1, 0, 1),
 			TTL:     n.Ms("ttl", 60000, 0, day),
 			Delay:   n.Ms("delay", 3, 0, day),
 			Jitter:  n.Ms("jitter", 4, 0, day),
@@ -293,6 +353,10 @@
 			Refuse:  n.Text("silent", "route", "route", "refuse") == "refuse",
 		}
 	}
+}
+
+// readKiosks reads the kiosks, which ask by ENUM.
+func (s *Script) readKiosks(b *hclconfig.Block) {
 	for _, n := range b.Blocks("kiosks", 0) {
 		s.Kiosks = Kiosks{
 			Rate:    n.Num("rate", 100, 0, 1e6),
@@ -303,15 +367,24 @@
 			Asks:    n.Int("asks", 2, 0, 10),
 		}
 	}
+}
+
+// readTroubles reads what goes wrong.
+func (s *Script) readTroubles(b *hclconfig.Block) {
 	for _, t := range b.Blocks("trouble", 1) {
-		x := Trouble{Kind: t.Labels[0], At: t.Ms("at", hclconfig.Required, 0, day), For: t.Ms("for", 10000, 0, day),
-			Part: t.Num("part", 0.25, 0, 1), Size: t.Num("size", 2, 0, 1000), Region: t.Text("region", "")}
+		x := Trouble{
+			Kind:   t.Labels[0],
+			At:     t.Ms("at", hclconfig.Required, 0, day),
+			For:    t.Ms("for", 10000, 0, day),
+			Part:   t.Num("part", 0.25, 0, 1),
+			Size:   t.Num("size", 2, 0, 1000),
+			Region: t.Text("region", ""),
+		}
 		if Kinds[x.Kind] == "" {
 			t.Fault("", "trouble %q is not known", x.Kind)
 		}
 		s.Troubles = append(s.Troubles, x)
 	}
-	return s, b.Err()
 }
 
 // KindNames are the kinds of trouble in order.
