--- a/internal/protocol/binarygateway/anymessages_test.go
+++ b/internal/protocol/binarygateway/anymessages_test.go
@@ -117,7 +117,7 @@
 }
 
 // The longest setup whose timeout is written shorter than it is said again does not fit any more: it is refused.
-func TestLongestSetUp(t *testing.T) {
+func TestLongestSetup(t *testing.T) {
 	r := newTestGateway(t)
 	r.policy.targets = []int{0}
 	c := r.newClient()
--- a/internal/protocol/binarygateway/call_test.go
+++ b/internal/protocol/binarygateway/call_test.go
@@ -53,7 +53,7 @@
 }
 
 // Causes and notes of a switch mean what the platform's table says.
-func TestEnds(t *testing.T) {
+func TestReleaseCauses(t *testing.T) {
 	for _, x := range []struct {
 		cause byte
 		note  string
@@ -112,7 +112,7 @@
 // The same while the second attempt is still out there: released only when that has ended without standing.
 func TestLateAnswerDuringAttempt(t *testing.T) {
 	r := newTestGateway(t)
-	r.addEndpoint()
+	r.openSecondConn()
 	r.policy.targets, r.policy.retries = []int{0, 0}, true
 	c := r.newClient()
 	r.receiveSetup(c, 7)
@@ -133,7 +133,7 @@
 }
 
 // A gateway that stalled counts a caller's timeout from when it last looked.
-func TestStall(t *testing.T) {
+func TestTimeoutAfterStall(t *testing.T) {
 	r := newTestGateway(t)
 	r.policy.targets = []int{0}
 	c := r.newClient()
@@ -146,7 +146,7 @@
 }
 
 // Tests wait for a line to a switch, and fail once the gateway leaves.
-func TestReady(t *testing.T) {
+func TestHealthCheck(t *testing.T) {
 	r := newTestGateway(t)
 	c := r.newClient()
 	r.receive(c, binarymessage.HealthCheck, 5, binarymessage.CauseParam(0))
@@ -157,7 +157,7 @@
 }
 
 // An answer without a description is none that a caller could be told: the call is released and has failed.
-func TestNoDescription(t *testing.T) {
+func TestAnswerWithoutDescription(t *testing.T) {
 	r := newTestGateway(t)
 	r.policy.targets = []int{0}
 	c := r.newClient()
@@ -172,7 +172,7 @@
 
 // What crosses on the way is settled once: releases of both sides, a caller's close and the switch's answer in one
 // batch, whichever comes first.
-func TestCrossings(t *testing.T) {
+func TestCrossingMessages(t *testing.T) {
 	r := newTestGateway(t)
 	c, d := r.newClient(), r.newClient()
 	w := r.establish(c, 7)
--- a/internal/protocol/binarygateway/client.go
+++ b/internal/protocol/binarygateway/client.go
@@ -85,7 +85,7 @@
 		ArrivedAt:     g.Now,
 		DestinationID: request.destinationID,
 		Destination:   g.Endpoints.ByDestination(request.destinationID),
-		Resumed:       request.again,
+		Resumed:       request.repeated,
 	}
 	call := &call{
 		Session:   g.NewSession(routed, request.timeout),
@@ -122,8 +122,8 @@
 		conn.send(releaseMessage(id, binarymessage.Failure))
 		return
 	}
-	if end, ended := u.unknownEnds[id]; ended {
-		delete(u.unknownEnds, id)
+	if end, ended := u.unmatchedReleases[id]; ended {
+		delete(u.unmatchedReleases, id)
 		conn.send(releaseMessage(id, end.cause))
 		return
 	}
--- a/internal/protocol/binarygateway/client_test.go
+++ b/internal/protocol/binarygateway/client_test.go
@@ -69,7 +69,7 @@
 }
 
 // After a restart callers tell of what stands: it is released both ways, and what is over already is told at once.
-func TestResumed(t *testing.T) {
+func TestResumedCalls(t *testing.T) {
 	r := newTestGateway(t)
 	c := r.newClient()
 	at := func(id uint64, who string) {
@@ -123,7 +123,7 @@
 
 // An open id again: the newcomer's connection is closed, the call that was there goes on, unless both are one
 // connection's.
-func TestSameID(t *testing.T) {
+func TestDuplicateCallID(t *testing.T) {
 	r := newTestGateway(t)
 	r.policy.targets = []int{0, 0}
 	c, d := r.newClient(), r.newClient()
@@ -158,7 +158,7 @@
 // A line that brings noise is closed: the setups on it may have run, those on other lines go on.
 func TestMalformedMessages(t *testing.T) {
 	r := newTestGateway(t)
-	r.addEndpoint()
+	r.openSecondConn()
 	r.policy.targets = []int{0, 0}
 	c := r.newClient()
 	r.receiveSetup(c, 7)
@@ -305,7 +305,7 @@
 	}
 	d.blocked = true
 	r.receive(d, binarymessage.HealthCheck, 6, binarymessage.CauseParam(0))
-	w = r.establishAs(d, 9)
+	w = r.receiveSetupAndAnswer(d, 9)
 	r.receive(w, binarymessage.Release, 9, binarymessage.CauseParam(binarymessage.Normal))
 	r.gateway.OnClosed(r.now, d.conn, ClosedReset)
 	r.advance(300)
@@ -319,8 +319,8 @@
 	}
 }
 
-// establishAs makes a established call and whose answer waits.
-func (r *testGateway) establishAs(c *testConn, id uint64) *testConn {
+// receiveSetupAndAnswer makes a established call and whose answer waits.
+func (r *testGateway) receiveSetupAndAnswer(c *testConn, id uint64) *testConn {
 	r.policy.targets = []int{0}
 	r.receiveSetup(c, id)
 	w := r.connOf(id)
@@ -328,8 +328,8 @@
 	return w
 }
 
-// TestCallersGone: a caller that closes or cancels has gone, whatever its setup waits for. No attempt begins any more.
-func TestCallersGone(t *testing.T) {
+// TestCallerLeavesPendingCall: a caller that closes or cancels has gone, whatever its setup waits for. No attempt begins any more.
+func TestCallerLeavesPendingCall(t *testing.T) {
 	for name, wait := range map[string]func(*testGateway){
 		"waits for a connection":   waitForConn,
 		"waits in a connection":    waitInConn,
@@ -401,7 +401,7 @@
 }
 
 // An attempt that is canceled before it has left has not run, and nothing of it goes out.
-func TestCanceledAtOnce(t *testing.T) {
+func TestCancelBeforeSetupIsSent(t *testing.T) {
 	r := newTestGateway(t)
 	r.policy.targets = []int{0}
 	c := r.newClient()
--- a/internal/protocol/binarygateway/conn.go
+++ b/internal/protocol/binarygateway/conn.go
@@ -37,7 +37,7 @@
 	// of a connection to an endpoint
 	legs          []*outboundLeg
 	connected     bool
-	endpointSpoke bool // the endpoint has sent a message on it
+	endpointSentMessage bool // the endpoint has sent a message on it
 	retired       bool // it gets no setups any more
 }
 
--- a/internal/protocol/binarygateway/endpointlist.go
+++ b/internal/protocol/binarygateway/endpointlist.go
@@ -50,12 +50,12 @@
 	if endpoint.State == routing.Gone {
 		return
 	}
-	u := g.upstreams[endpoint]
+	existing := g.upstreams[endpoint]
 	switch {
-	case u == nil:
+	case existing == nil:
 		g.upstreams[endpoint] = newUpstream(g, endpoint, target.Addr)
-	case target.Addr.IsValid() && u.address != target.Addr:
-		u.changeAddress(target.Addr)
+	case target.Addr.IsValid() && existing.address != target.Addr:
+		existing.changeAddress(target.Addr)
 	}
 }
 
--- a/internal/protocol/binarygateway/gateway.go
+++ b/internal/protocol/binarygateway/gateway.go
@@ -72,7 +72,7 @@
 	startedAt     float64
 	ready         bool
 	draining      bool
-	draws         uint64 // random numbers drawn so far
+	randomDraws         uint64 // random numbers drawn so far
 }
 
 // healthCheck is a client's question whether this gateway takes calls.
@@ -243,6 +243,6 @@
 
 // random draws a number from 0 to 1.
 func (g *Gateway) random() float64 {
-	g.draws++
-	return detrand.Float64(g.config.Settings.Seed, randomStream, g.draws)
+	g.randomDraws++
+	return detrand.Float64(g.config.Settings.Seed, randomStream, g.randomDraws)
 }
--- a/internal/protocol/binarygateway/metrics.go
+++ b/internal/protocol/binarygateway/metrics.go
@@ -52,12 +52,12 @@
 
 // RememberedCounts is how many calls that are over here are remembered: those that were canceled, and those that ended
 // at an endpoint and are unknown here.
-func (g *Gateway) RememberedCounts() (canceled, unknownEnds int) {
+func (g *Gateway) RememberedCounts() (canceled, unmatchedReleases int) {
 	for _, u := range g.upstreams {
 		canceled += len(u.canceled)
-		unknownEnds += len(u.unknownEnds)
+		unmatchedReleases += len(u.unmatchedReleases)
 	}
-	return canceled, unknownEnds
+	return canceled, unmatchedReleases
 }
 
 // EstablishedCalls is how many calls are established, resumed ones included.
--- a/internal/protocol/binarygateway/outboundleg.go
+++ b/internal/protocol/binarygateway/outboundleg.go
@@ -27,16 +27,16 @@
 // setupMessage is the client's setup as it goes to the endpoint: class, called number and description unchanged, and
 // for how many ms this gateway waits.
 func (l *outboundLeg) setupMessage() []byte {
-	received := binarymessage.Message(l.call.setup)
+	clientSetup := binarymessage.Message(l.call.setup)
 	g := l.upstream.gateway
-	left := math.Max(1, l.call.Deadline+g.config.AnswerMargin-g.Now)
+	remaining := math.Max(1, l.call.Deadline+g.config.AnswerMargin-g.Now)
 	var params []binarymessage.Param
 	for _, code := range []byte{
 		binarymessage.Class, binarymessage.Timeout, binarymessage.Number, binarymessage.Description,
 	} {
 		if code == binarymessage.Timeout {
-			params = append(params, binarymessage.TextParam(code, strconv.Itoa(int(left))))
-		} else if value, ok := received.Get(code); ok {
+			params = append(params, binarymessage.TextParam(code, strconv.Itoa(int(remaining))))
+		} else if value, ok := clientSetup.Get(code); ok {
 			params = append(params, binarymessage.Param{Code: code, Value: value})
 		}
 	}
@@ -45,11 +45,11 @@
 
 // onConnectTimeout ends a leg that got no connection in time.
 func (l *outboundLeg) onConnectTimeout() {
-	i := slices.Index(l.upstream.waiting, l)
+	i := slices.Index(l.upstream.waitingLegs, l)
 	if i < 0 || l.ended {
 		return
 	}
-	l.upstream.waiting = slices.Delete(l.upstream.waiting, i, i+1)
+	l.upstream.waitingLegs = slices.Delete(l.upstream.waitingLegs, i, i+1)
 	l.ended = true
 	l.finish(routing.ConnectionRefused)
 }
@@ -80,7 +80,7 @@
 	if l.conn != nil {
 		return l.conn.withdraw(l)
 	}
-	l.upstream.waiting = slices.DeleteFunc(l.upstream.waiting, func(other *outboundLeg) bool { return other == l })
+	l.upstream.waitingLegs = slices.DeleteFunc(l.upstream.waitingLegs, func(other *outboundLeg) bool { return other == l })
 	return true
 }
 
--- a/internal/protocol/binarygateway/world_test.go
+++ b/internal/protocol/binarygateway/simulation_test.go
@@ -24,7 +24,7 @@
 	return router.New(s, host)
 }
 
-func newWorld(seed uint64, mk routing.PolicyFactory, off routing.Rule) *binarystandin.World {
+func newSimulation(seed uint64, mk routing.PolicyFactory, off routing.Rule) *binarystandin.World {
 	set := &routing.Settings{
 		Gateways:           1,
 		Seed:               seed,
@@ -74,7 +74,7 @@
 // Whatever callers, switches and the network do, the traffic keeps the rules.
 func TestRulesInTrouble(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(rapid.Uint64().Draw(t, "seed"), scriptedPolicy, 0)
+		w := newSimulation(rapid.Uint64().Draw(t, "seed"), scriptedPolicy, 0)
 		w.Faults = binarystandin.Faults{
 			Malformed:     share(t, "spoilt", 0.1),
 			Late:          share(t, "late", 0.2),
@@ -152,7 +152,7 @@
 		t.Run(fmt.Sprint(off), func(t *testing.T) {
 			found := map[int]int{}
 			for seed := range uint64(4) {
-				w := newWorld(
+				w := newSimulation(
 					seed,
 					func(_ *routing.Settings, h routing.Host) routing.Policy { return &reckless{h: h, seed: seed} },
 					routing.Rule(off),
@@ -177,7 +177,7 @@
 
 // Ids, connections and switches are ever new: what is held afterwards is what is held at the start.
 func TestNothingIsLeft(t *testing.T) {
-	w := newWorld(5, scriptedPolicy, 0)
+	w := newSimulation(5, scriptedPolicy, 0)
 	w.Rate = 60
 	w.Faults = binarystandin.Faults{
 		Late:         0.05,
@@ -223,7 +223,7 @@
 
 // trafficChecksum plays a run with faults and hashes every message that crosses the gateway's sockets.
 func trafficChecksum(seed uint64) (checksum uint64, messages int) {
-	w := newWorld(seed, scriptedPolicy, 0)
+	w := newSimulation(seed, scriptedPolicy, 0)
 	w.Rate = 60
 	w.Faults = binarystandin.Faults{
 		Late:          0.05,
--- a/internal/protocol/binarygateway/upstream.go
+++ b/internal/protocol/binarygateway/upstream.go
@@ -16,8 +16,8 @@
 	maxBackoff            = 2000.0  // ms between two attempts to connect
 	initialBackoff        = 50.0    // ms
 	maxBackoffDoublings   = 10      // of initialBackoff; maxBackoff is reached long before
-	unknownEndRetention   = 15000.0 // ms that the end of an unknown call is remembered for a caller that asks
-	maxUnknownEnds        = 2048
+	unmatchedReleaseRetention   = 15000.0 // ms that the end of an unknown call is remembered for a caller that asks
+	maxUnmatchedReleases        = 2048
 	lateAnswerRetention   = 30000.0 // ms after a cancel in which an answer may still come
 	defaultConnectTimeout = 500.0   // ms, where the settings give none
 )
@@ -30,11 +30,11 @@
 	startedAt float64 // the endpoint's latest start, as far as known
 	conns     []*Conn
 	nextConn  uint64         // counts setups, to spread them
-	waiting   []*outboundLeg // setups that wait for a connection
+	waitingLegs   []*outboundLeg // setups that wait for a connection
 
 	established map[uint64]*call
 	canceled    map[uint64]float64   // setups given up, until when an answer may come
-	unknownEnds map[uint64]endedCall // ends of calls that are unknown here
+	unmatchedReleases map[uint64]unmatchedRelease // ends of calls that are unknown here
 
 	// liveness and reconnection
 	lastMessageAt   float64
@@ -46,8 +46,8 @@
 	disconnectedAt  float64
 }
 
-// endedCall is the end of a call that is unknown here.
-type endedCall struct {
+// unmatchedRelease is the end of a call that is unknown here.
+type unmatchedRelease struct {
 	cause     byte
 	expiresAt float64
 }
@@ -60,7 +60,7 @@
 		startedAt:      endpoint.StartedAt,
 		established:    map[uint64]*call{},
 		canceled:       map[uint64]float64{},
-		unknownEnds:    map[uint64]endedCall{},
+		unmatchedReleases:    map[uint64]unmatchedRelease{},
 		lastMessageAt:  g.Now,
 		disconnectedAt: g.Now,
 	}
@@ -127,8 +127,8 @@
 	conn.connected = true
 	u.gateway.Metrics.Connected++
 	u.lastConnReset = false
-	waiting := u.waiting
-	u.waiting = nil
+	waiting := u.waitingLegs
+	u.waitingLegs = nil
 	for _, leg := range waiting {
 		u.assignConn(leg)
 	}
@@ -141,12 +141,12 @@
 func (u *upstream) assignConn(leg *outboundLeg) {
 	g := u.gateway
 	conn := u.leastUsedConn()
-	moreUseful := conn == nil || len(conn.legs) > 0 && u.mayReconnect()
-	if moreUseful && !u.isDialing() && len(u.conns) < g.connsPerEndpoint() {
+	wantsAnotherConn := conn == nil || len(conn.legs) > 0 && u.mayReconnect()
+	if wantsAnotherConn && !u.isDialing() && len(u.conns) < g.connsPerEndpoint() {
 		u.dial()
 	}
 	if conn == nil {
-		u.waiting = append(u.waiting, leg)
+		u.waitingLegs = append(u.waitingLegs, leg)
 		g.Timers.Schedule(g.Now+u.connectTimeout(), leg.onConnectTimeout)
 		return
 	}
@@ -230,7 +230,7 @@
 func (u *upstream) onConnLost(conn *Conn, reason CloseReason) {
 	u.gateway.Metrics.ConnectionsLost++
 	u.lastConnReset = reason == ClosedReset
-	if conn.endpointSpoke {
+	if conn.endpointSentMessage {
 		u.disconnectedAt = u.gateway.Now
 	} else { // accepted, and no more: no endpoint works there
 		u.backOff()
@@ -250,11 +250,11 @@
 	} else {
 		u.unansweredDials++
 	}
-	openDial := func(conn *Conn) bool { return !conn.connected && !conn.closed }
-	if u.connectedConns() > 0 || slices.ContainsFunc(u.conns, openDial) {
+	stillDialing := func(conn *Conn) bool { return !conn.connected && !conn.closed }
+	if u.connectedConns() > 0 || slices.ContainsFunc(u.conns, stillDialing) {
 		return
 	}
-	for _, leg := range u.waiting {
+	for _, leg := range u.waitingLegs {
 		g.Timers.Schedule(g.Now, leg.onConnectTimeout)
 	}
 	// A process that dies resets its connections, and then nobody listens there. One that drains closes them in order and
@@ -315,9 +315,9 @@
 			delete(u.canceled, id)
 		}
 	}
-	for id, end := range u.unknownEnds {
+	for id, end := range u.unmatchedReleases {
 		if end.expiresAt < now {
-			delete(u.unknownEnds, id)
+			delete(u.unmatchedReleases, id)
 		}
 	}
 }
@@ -381,7 +381,7 @@
 
 // withdrawUnsent takes back the setups that were not sent (rule 3).
 func (u *upstream) withdrawUnsent() {
-	for _, leg := range slices.Clone(u.waiting) {
+	for _, leg := range slices.Clone(u.waitingLegs) {
 		leg.cancel(routing.NotSent)
 	}
 	for _, conn := range u.conns {
--- a/internal/protocol/binarygateway/upstream_test.go
+++ b/internal/protocol/binarygateway/upstream_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// addEndpoint has a second line up to the first switch: setups under way at once want it.
-func (r *testGateway) addEndpoint() {
+// openSecondConn has a second line up to the first switch: setups under way at once want it.
+func (r *testGateway) openSecondConn() {
 	r.policy.targets = []int{0, 0}
 	c := r.newClient()
 	r.receiveSetup(c, 101)
@@ -99,7 +99,7 @@
 
 // A switch whose process has died has cut its calls: lines that are reset and then a refused connection show it, and
 // callers hear at once.
-func TestEndpointDies(t *testing.T) {
+func TestEndpointProcessDies(t *testing.T) {
 	r := newTestGateway(t)
 	c := r.newClient()
 	r.establish(c, 7)
@@ -114,7 +114,7 @@
 }
 
 // One that drains takes no more lines and says little: while a line is up its calls go on, and their ends come there.
-func TestDrainsAndRefuses(t *testing.T) {
+func TestDrainingEndpointRefusesDials(t *testing.T) {
 	for _, told := range []bool{false, true} {
 		r := newTestGateway(t)
 		c := r.newClient()
@@ -145,7 +145,7 @@
 
 // Where all its lines were closed in order it lives on too, but a call may end there unheard: its caller is told before
 // it would count as left standing.
-func TestDrainsWithoutConn(t *testing.T) {
+func TestEndpointWithoutConn(t *testing.T) {
 	r := newTestGateway(t)
 	c := r.newClient()
 	r.establish(c, 7)
@@ -160,7 +160,7 @@
 }
 
 // A switch that accepts and then resets, again and again, is dialled ever more seldom, and its calls are over in time.
-func TestKilledBehindAccept(t *testing.T) {
+func TestConnectionsAcceptedThenReset(t *testing.T) {
 	r := newTestGateway(t)
 	c := r.newClient()
 	r.establish(c, 7)
@@ -235,7 +235,7 @@
 }
 
 // A connection refused is told from a silent one by its time, and both from a reset; nothing ran at either.
-func TestNoConnection(t *testing.T) {
+func TestFailedDials(t *testing.T) {
 	for _, refused := range []bool{true, false} {
 		r := newTestGateway(t)
 		r.holdDials = true
@@ -265,7 +265,7 @@
 
 // A switch is killed behind its accept while a call stands, an attempt is in flight and a give-up is in the socket: the
 // attempt ends as one that may have run, the give-up as what it is, and the call is over for its caller.
-func TestKilledWithAllThree(t *testing.T) {
+func TestResetWithCallsInAllStates(t *testing.T) {
 	r := newTestGateway(t)
 	c := r.newClient()
 	w := r.establish(c, 7)
--- a/internal/protocol/binarygateway/upstreammessages.go
+++ b/internal/protocol/binarygateway/upstreammessages.go
@@ -15,8 +15,8 @@
 func (u *upstream) onMessage(conn *Conn, message binarymessage.Message) {
 	g := u.gateway
 	u.lastMessageAt, u.unansweredDials = g.Now, 0
-	if !conn.endpointSpoke {
-		conn.endpointSpoke, u.failedDials = true, 0
+	if !conn.endpointSentMessage {
+		conn.endpointSentMessage, u.failedDials = true, 0
 	}
 	switch message.Type() {
 	case binarymessage.LoadState:
@@ -110,8 +110,8 @@
 	if reported && complete {
 		g.Router.OnLoadReport(g.Now, u.endpoint, true, true)
 	}
-	if g.calls[id] == nil && len(u.unknownEnds) < maxUnknownEnds { // its caller may still ask to resume it
-		u.unknownEnds[id] = endedCall{cause, g.Now + unknownEndRetention}
+	if g.calls[id] == nil && len(u.unmatchedReleases) < maxUnmatchedReleases { // its caller may still ask to resume it
+		u.unmatchedReleases[id] = unmatchedRelease{cause, g.Now + unmatchedReleaseRetention}
 	}
 }
 
--- a/internal/protocol/binarymessage/message.go
+++ b/internal/protocol/binarymessage/message.go
@@ -60,7 +60,7 @@
 
 const (
 	lengthSize      = 2
-	headSize        = lengthSize + 1 + 8 // length, type, call
+	headerSize        = lengthSize + 1 + 8 // length, type, call
 	paramHeaderSize = 1 + 2              // code, length
 )
 
@@ -74,11 +74,11 @@
 func (m Message) Call() uint64 { return binary.BigEndian.Uint64(m[3:]) }
 
 // CallBytes is the ID of its call as encoded.
-func (m Message) CallBytes() []byte { return m[3:headSize] }
+func (m Message) CallBytes() []byte { return m[3:headerSize] }
 
 // Get is the value of a parameter; false: it has none of that code.
 func (m Message) Get(code byte) ([]byte, bool) {
-	for p := m[headSize:]; len(p) > 0; {
+	for p := m[headerSize:]; len(p) > 0; {
 		n := paramHeaderSize + int(binary.BigEndian.Uint16(p[1:]))
 		if p[0] == code {
 			return p[paramHeaderSize:n], true
@@ -104,33 +104,33 @@
 
 // Errors of bytes that are no message.
 var (
-	ErrLong      = errors.New("message longer than 16 KiB")
-	ErrShort     = errors.New("message too short for its type and call")
-	ErrForm      = errors.New("parameters do not fit the message")
-	ErrDuplicate = errors.New("parameter given twice")
+	ErrTooLong      = errors.New("message longer than 16 KiB")
+	ErrTooShort     = errors.New("message too short for its type and call")
+	ErrMalformedParams      = errors.New("parameters do not fit the message")
+	ErrDuplicateParam = errors.New("parameter given twice")
 )
 
 // Parse checks the form of one complete message.
 func Parse(b []byte) (Message, error) {
-	if len(b) < headSize {
-		return nil, ErrShort
+	if len(b) < headerSize {
+		return nil, ErrTooShort
 	}
 	if n := int(binary.BigEndian.Uint16(b)); n != len(b)-lengthSize {
-		return nil, fmt.Errorf("length %d of %d bytes: %w", n, len(b)-lengthSize, ErrForm)
+		return nil, fmt.Errorf("length %d of %d bytes: %w", n, len(b)-lengthSize, ErrMalformedParams)
 	} else if n > MaxLength {
-		return nil, ErrLong
+		return nil, ErrTooLong
 	}
 	var seen [256]bool
-	for p := b[headSize:]; len(p) > 0; {
+	for p := b[headerSize:]; len(p) > 0; {
 		if len(p) < paramHeaderSize {
-			return nil, ErrForm
+			return nil, ErrMalformedParams
 		}
 		n := paramHeaderSize + int(binary.BigEndian.Uint16(p[1:]))
 		if n > len(p) {
-			return nil, ErrForm
+			return nil, ErrMalformedParams
 		}
 		if seen[p[0]] {
-			return nil, fmt.Errorf("parameter %d: %w", p[0], ErrDuplicate)
+			return nil, fmt.Errorf("parameter %d: %w", p[0], ErrDuplicateParam)
 		}
 		seen[p[0]] = true
 		p = p[n:]
@@ -151,17 +151,17 @@
 func CauseParam(cause byte) Param { return Param{Cause, []byte{cause}} }
 
 // Append encodes a message after dst. It panics if the message is longer than MaxLength, which callers make sure of.
-func Append(dst []byte, kind byte, call uint64, params ...Param) []byte {
-	n := headSize - lengthSize
+func Append(dst []byte, messageType byte, callID uint64, params ...Param) []byte {
+	n := headerSize - lengthSize
 	for _, p := range params {
 		n += paramHeaderSize + len(p.Value)
 	}
 	if n > MaxLength {
-		panic(ErrLong)
+		panic(ErrTooLong)
 	}
 	dst = binary.BigEndian.AppendUint16(dst, uint16(n))
-	dst = append(dst, kind)
-	dst = binary.BigEndian.AppendUint64(dst, call)
+	dst = append(dst, messageType)
+	dst = binary.BigEndian.AppendUint64(dst, callID)
 	for _, p := range params {
 		dst = append(dst, p.Code)
 		dst = binary.BigEndian.AppendUint16(dst, uint16(len(p.Value)))
@@ -242,9 +242,9 @@
 	}
 	switch length := int(binary.BigEndian.Uint16(data)); {
 	case length > MaxLength:
-		return 0, false, ErrLong
-	case length < headSize-lengthSize:
-		return 0, false, ErrShort
+		return 0, false, ErrTooLong
+	case length < headerSize-lengthSize:
+		return 0, false, ErrTooShort
 	default:
 		return lengthSize + length, true, nil
 	}
--- a/internal/protocol/binarymessage/message_test.go
+++ b/internal/protocol/binarymessage/message_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func some(t *rapid.T) []byte {
+func drawMessage(t *rapid.T) []byte {
 	var params []Param
 	for _, code := range rapid.SliceOfNDistinct(rapid.Byte(), 0, 8, rapid.ID[byte]).Draw(t, "codes") {
 		params = append(params, Param{code, rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "value")})
@@ -23,7 +23,7 @@
 		var want, got [][]byte
 		var all []byte
 		for range rapid.IntRange(1, 6).Draw(t, "messages") {
-			m := some(t)
+			m := drawMessage(t)
 			want, all = append(want, m), append(all, m...)
 		}
 		var r Reader
@@ -47,7 +47,7 @@
 	})
 }
 
-func TestFields(t *testing.T) {
+func TestMessageFields(t *testing.T) {
 	m, err := Parse(
 		Append(nil, Release, 0x7f3a9c21e0b4d655, CauseParam(Congested), TextParam(RetryAfter, "300"), TextParam(Note, "")),
 	)
@@ -71,19 +71,19 @@
 	}
 }
 
-func TestUnreadable(t *testing.T) {
+func TestMalformedMessages(t *testing.T) {
 	for _, c := range []struct {
 		what string
 		b    []byte
 		want error
 	}{
-		{"length nought", []byte{0, 0}, ErrShort},
-		{"no room for a call", []byte{0, 8, 1, 0, 0, 0, 0, 0, 0, 0}, ErrShort},
-		{"16 KiB and one", []byte{0x40, 0x01}, ErrLong},
-		{"the longest length", []byte{0xff, 0xff}, ErrLong},
-		{"a parameter without length", append(Append(nil, 1, 1)[:1:1], 10, 1, 0, 0, 0, 0, 0, 0, 0, 1, 5), ErrForm},
-		{"a parameter beyond the end", append([]byte{0, 13}, 1, 0, 0, 0, 0, 0, 0, 0, 1, 5, 0, 9, 0), ErrForm},
-		{"one twice", Append(nil, 1, 1, TextParam(Class, "a"), TextParam(Class, "b")), ErrDuplicate},
+		{"length nought", []byte{0, 0}, ErrTooShort},
+		{"no room for a call", []byte{0, 8, 1, 0, 0, 0, 0, 0, 0, 0}, ErrTooShort},
+		{"16 KiB and one", []byte{0x40, 0x01}, ErrTooLong},
+		{"the longest length", []byte{0xff, 0xff}, ErrTooLong},
+		{"a parameter without length", append(Append(nil, 1, 1)[:1:1], 10, 1, 0, 0, 0, 0, 0, 0, 0, 1, 5), ErrMalformedParams},
+		{"a parameter beyond the end", append([]byte{0, 13}, 1, 0, 0, 0, 0, 0, 0, 0, 1, 5, 0, 9, 0), ErrMalformedParams},
+		{"one twice", Append(nil, 1, 1, TextParam(Class, "a"), TextParam(Class, "b")), ErrDuplicateParam},
 	} {
 		var r Reader
 		err := r.Feed(c.b, func(Message) bool { t.Errorf("%s: a message", c.what); return true })
@@ -103,7 +103,7 @@
 }
 
 // The longest message passes; it is no more than 16 KiB behind its length.
-func TestLongest(t *testing.T) {
+func TestLongestMessage(t *testing.T) {
 	b := Append(nil, Setup, 1, Param{Description, make([]byte, MaxLength-9-3)})
 	n := 0
 	var r Reader
@@ -113,7 +113,7 @@
 }
 
 // Stopped in the middle of what came, the rest is not handed on.
-func TestStop(t *testing.T) {
+func TestReaderStops(t *testing.T) {
 	b := append(Append(nil, HealthCheck, 1), Append(nil, HealthCheck, 2)...)
 	n := 0
 	var r Reader
@@ -126,7 +126,7 @@
 	f.Add(Append(nil, Setup, 7, TextParam(Class, "voice"), TextParam(Description, "v=0")), byte(3))
 	f.Add([]byte{0, 13, 1, 0, 0, 0, 0, 0, 0, 0, 1, 5, 0, 9, 0}, byte(1))
 	f.Fuzz(func(t *testing.T, b []byte, cut byte) {
-		whole, pieces := read(b, len(b)), read(b, int(cut)%17+1)
+		whole, pieces := feedInPieces(b, len(b)), feedInPieces(b, int(cut)%17+1)
 		if !slices.EqualFunc(whole, pieces, bytes.Equal) {
 			t.Errorf("whole %x, in pieces %x", whole, pieces)
 		}
@@ -141,7 +141,7 @@
 	})
 }
 
-func read(b []byte, piece int) (got [][]byte) {
+func feedInPieces(b []byte, piece int) (got [][]byte) {
 	var r Reader
 	for len(b) > 0 {
 		n := min(piece, len(b))
--- a/internal/protocol/dnsdiscovery/client.go
+++ b/internal/protocol/dnsdiscovery/client.go
@@ -57,7 +57,7 @@
 
 	serial      uint32 // of the latest list
 	seed        uint64
-	draws       uint64
+	randomDraws       uint64
 	outstanding []uint16 // IDs of the latest queries
 	nextQueryAt float64
 }
@@ -82,9 +82,9 @@
 		return nil
 	}
 	c.nextQueryAt = now + queryInterval
-	c.draws++
+	c.randomDraws++
 	message := &dns.Msg{}
-	message.Id = uint16(detrand.Float64(c.seed, c.draws) * (1 << 16))
+	message.Id = uint16(detrand.Float64(c.seed, c.randomDraws) * (1 << 16))
 	message.Question = []dns.Question{{Name: queryName, Qtype: dns.TypeSRV, Qclass: dns.ClassINET}}
 	query, err := message.Pack()
 	if err != nil {
--- a/internal/protocol/dnsdiscovery/client_test.go
+++ b/internal/protocol/dnsdiscovery/client_test.go
@@ -13,8 +13,8 @@
 
 var server = netip.MustParseAddrPort("127.0.2.1:5353")
 
-// answer makes what a name server says to a question.
-func answer(t *testing.T, q []byte, serial uint32, change func(*dns.Msg)) []byte {
+// packResponse makes what a name server says to a question.
+func packResponse(t *testing.T, q []byte, serial uint32, change func(*dns.Msg)) []byte {
 	t.Helper()
 	m := &dns.Msg{}
 	if err := m.Unpack(q); err != nil {
@@ -49,7 +49,7 @@
 
 func TestList(t *testing.T) {
 	c := New(server, 4, 1)
-	list, err := c.HandleResponse(server, answer(t, c.Query(0), 5, nil))
+	list, err := c.HandleResponse(server, packResponse(t, c.Query(0), 5, nil))
 	if err != nil || list == nil || list.Serial != 5 || !list.Complete || len(list.Targets) != 2 {
 		t.Fatalf("%+v %v", list, err)
 	}
@@ -61,38 +61,38 @@
 	if b.State != routing.Draining {
 		t.Errorf("%+v", b)
 	}
-	if list, err = c.HandleResponse(server, answer(t, c.Query(300), 5, nil)); list != nil || err != nil {
+	if list, err = c.HandleResponse(server, packResponse(t, c.Query(300), 5, nil)); list != nil || err != nil {
 		t.Errorf("the same list again: %v %v", list, err)
 	}
 }
 
 // What is no good answer changes nothing, and the next good one counts.
-func TestBadAnswers(t *testing.T) {
+func TestInvalidResponses(t *testing.T) {
 	c := New(server, 4, 1)
 	now := 0.0
 	ask := func() []byte {
 		now += queryInterval
 		return c.Query(now)
 	}
-	cut := answer(t, ask(), 5, nil)
+	cut := packResponse(t, ask(), 5, nil)
 	for what, b := range map[string][]byte{
 		"cut short":    cut[:len(cut)-20],
-		"truncated":    answer(t, ask(), 5, func(m *dns.Msg) { m.Truncated = true }),
-		"failed":       answer(t, ask(), 5, func(m *dns.Msg) { m.Rcode = dns.RcodeServerFailure }),
-		"another id":   answer(t, ask(), 5, func(m *dns.Msg) { m.Id ^= 0x5a5a }),
-		"older":        answer(t, ask(), 3, nil),
-		"no number":    answer(t, ask(), 5, func(m *dns.Msg) { m.Ns = nil }),
-		"no address":   answer(t, ask(), 5, func(m *dns.Msg) { m.Extra = m.Extra[2:] }),
-		"a bad cell":   answer(t, ask(), 5, func(m *dns.Msg) { m.Extra[1].(*dns.TXT).Txt[1] = "cell=x" }),
+		"truncated":    packResponse(t, ask(), 5, func(m *dns.Msg) { m.Truncated = true }),
+		"failed":       packResponse(t, ask(), 5, func(m *dns.Msg) { m.Rcode = dns.RcodeServerFailure }),
+		"another id":   packResponse(t, ask(), 5, func(m *dns.Msg) { m.Id ^= 0x5a5a }),
+		"older":        packResponse(t, ask(), 3, nil),
+		"no number":    packResponse(t, ask(), 5, func(m *dns.Msg) { m.Ns = nil }),
+		"no address":   packResponse(t, ask(), 5, func(m *dns.Msg) { m.Extra = m.Extra[2:] }),
+		"a bad cell":   packResponse(t, ask(), 5, func(m *dns.Msg) { m.Extra[1].(*dns.TXT).Txt[1] = "cell=x" }),
 		"no answer":    ask(),
 		"nothing":      {},
-		"another name": answer(t, ask(), 5, func(m *dns.Msg) { m.Question[0].Name = "other." }),
+		"another name": packResponse(t, ask(), 5, func(m *dns.Msg) { m.Question[0].Name = "other." }),
 	} {
 		if list, err := c.HandleResponse(server, b); list != nil || err == nil {
 			t.Errorf("%s: %v %v", what, list, err)
 		}
 	}
-	good := answer(t, ask(), 5, nil)
+	good := packResponse(t, ask(), 5, nil)
 	if _, err := c.HandleResponse(netip.MustParseAddrPort("127.0.2.9:5353"), good); !errors.Is(err, ErrUnsolicited) {
 		t.Errorf("from elsewhere: %v", err)
 	}
@@ -102,7 +102,7 @@
 }
 
 // An answer that is late, to a question before the latest, counts; one of long ago does not.
-func TestLate(t *testing.T) {
+func TestLateResponses(t *testing.T) {
 	c := New(server, 4, 1)
 	old := c.Query(0)
 	late := c.Query(queryInterval)
@@ -111,10 +111,10 @@
 			t.Fatal("no question is due")
 		}
 	}
-	if list, _ := c.HandleResponse(server, answer(t, old, 5, nil)); list != nil {
+	if list, _ := c.HandleResponse(server, packResponse(t, old, 5, nil)); list != nil {
 		t.Error("an answer of long ago counts")
 	}
-	if list, err := c.HandleResponse(server, answer(t, late, 5, nil)); list == nil {
+	if list, err := c.HandleResponse(server, packResponse(t, late, 5, nil)); list == nil {
 		t.Errorf("late: %v", err)
 	}
 	if c.Query(c.NextQuery()-1) != nil {
@@ -123,25 +123,25 @@
 }
 
 // Another name server is asked at once; what the old one still says does not count, and the numbers go on.
-func TestTurn(t *testing.T) {
+func TestSetServer(t *testing.T) {
 	c := New(server, 4, 1)
 	q := c.Query(0)
 	other := netip.MustParseAddrPort("127.0.2.2:5353")
 	c.SetServer(other)
-	if list, _ := c.HandleResponse(server, answer(t, q, 9, nil)); list != nil {
+	if list, _ := c.HandleResponse(server, packResponse(t, q, 9, nil)); list != nil {
 		t.Error("the old server counts")
 	}
-	if list, _ := c.HandleResponse(other, answer(t, q, 9, nil)); list != nil {
+	if list, _ := c.HandleResponse(other, packResponse(t, q, 9, nil)); list != nil {
 		t.Error("a question to the old server counts at the new one")
 	}
 	q = c.Query(1)
 	if q == nil {
 		t.Fatal("the new server is not asked at once")
 	}
-	if list, err := c.HandleResponse(other, answer(t, q, 3, nil)); list != nil || !errors.Is(err, ErrOutdated) {
+	if list, err := c.HandleResponse(other, packResponse(t, q, 3, nil)); list != nil || !errors.Is(err, ErrOutdated) {
 		t.Errorf("an older list: %v %v", list, err)
 	}
-	if list, err := c.HandleResponse(other, answer(t, q, 5, nil)); list == nil {
+	if list, err := c.HandleResponse(other, packResponse(t, q, 5, nil)); list == nil {
 		t.Errorf("the new list: %v", err)
 	}
 }
--- a/internal/protocol/dnsdiscovery/response.go
+++ b/internal/protocol/dnsdiscovery/response.go
@@ -56,7 +56,7 @@
 // serialOf is the serial of the list: that of the SOA record in the authority section.
 func serialOf(message *dns.Msg) (serial uint32, ok bool) {
 	for _, record := range message.Ns {
-		if soa, is := record.(*dns.SOA); is {
+		if soa, isSOA := record.(*dns.SOA); isSOA {
 			serial, ok = soa.Serial, true
 		}
 	}
