--- a/internal/protocol/binarygateway/call.go
+++ b/internal/protocol/binarygateway/call.go
@@ -9,13 +9,13 @@
 	"cobaltpier/internal/routing"
 )
 
-// call is a call of a client, pending or established. One that was established by an earlier process has no Session.
+// call is a client's call, pending or established. A call resumed from an earlier process has no Session.
 type call struct {
 	*callcontrol.Session
 	gateway   *Gateway
 	id        uint64
 	client    *client
-	conn      *Conn        // of its setup, later the one for its release; nil: closed
+	conn      *Conn        // the client's connection for the answer, later for the release; nil: closed
 	setup     []byte       // the client's message, until the call is established
 	leg       *outboundLeg // of the attempt in flight
 	startedAt float64
@@ -32,10 +32,10 @@
 // OnAccepted implements callcontrol.SignalingLeg.
 func (c *call) OnAccepted() bool { return true }
 
-// Prepare implements callcontrol.SignalingLeg: nothing is needed.
+// Prepare implements callcontrol.SignalingLeg. Calls need no preparation.
 func (c *call) Prepare() {}
 
-// SendTrying implements callcontrol.SignalingLeg: callers need no provisional answer.
+// SendTrying implements callcontrol.SignalingLeg. Callers need no provisional answer.
 func (c *call) SendTrying() {}
 
 // SendFailure implements callcontrol.SignalingLeg.
@@ -80,7 +80,7 @@
 	}
 }
 
-// onCallerGone gives up a pending call whose caller does not wait any more.
+// onCallerGone gives up a pending call whose caller has hung up or disconnected.
 func (c *call) onCallerGone() {
 	if c.Finished {
 		return
@@ -101,7 +101,7 @@
 	c.cancelLeg()
 }
 
-// sendRefusal sends a final answer other than that the call is established.
+// sendRefusal sends a final answer that ends the call: failed or rejected.
 func (c *call) sendRefusal(params ...binarymessage.Param) {
 	if !c.Finish(true) {
 		return
@@ -119,7 +119,7 @@
 	}
 }
 
-// forget removes a setup that has its final answer or needs none.
+// forget removes a pending call that has its final answer or needs none.
 func (c *call) forget() {
 	if c.gateway.calls[c.id] == c {
 		delete(c.gateway.calls, c.id)
@@ -131,7 +131,7 @@
 	c.setup = nil
 }
 
-// establish passes an endpoint's answer on, its description unchanged.
+// establish records that a call is established and forwards the endpoint's description to the client unchanged.
 func (c *call) establish(u *upstream, conn *Conn, attempt *routing.Attempt, description []byte) {
 	if !c.Finish(false) {
 		return
@@ -151,12 +151,12 @@
 	answer := binarymessage.Param{Code: binarymessage.Description, Value: description}
 	c.conn.enqueue(outgoingMessage{
 		data: binarymessage.Append(nil, binarymessage.Answer, c.id, answer),
-		// a client that closed before the answer was sent never heard of it: it has given the setup up
+		// A client that disconnected before the answer was sent has given up the setup.
 		onLost: func() { c.release(routing.Completed, binarymessage.Normal, true) },
 	})
 }
 
-// bindTo has the release of an established call sent on a connection.
+// bindTo selects the client connection on which the release of an established call will be sent.
 func (c *call) bindTo(conn *Conn) {
 	if c.conn != nil {
 		c.conn.establishedCalls--
@@ -170,8 +170,8 @@
 	conn.establishedCalls++
 }
 
-// release ends an established call towards the side that does not know of it: the endpoint if the caller released it,
-// else the caller.
+// release ends an established call and sends the release to the other side: to the endpoint if the caller released the
+// call, else to the caller.
 func (c *call) release(outcome routing.Outcome, cause byte, byCaller bool) {
 	g, u := c.gateway, c.upstream
 	if u == nil {
--- a/internal/protocol/binarygateway/client.go
+++ b/internal/protocol/binarygateway/client.go
@@ -8,7 +8,7 @@
 	"cobaltpier/internal/routing"
 )
 
-// client is all connections from one address. Its established calls are bound to none of them.
+// client holds all connections from one address. Its established calls survive the close of any of them.
 type client struct {
 	gateway          *Gateway
 	conns            []*Conn
@@ -16,7 +16,7 @@
 	establishedCalls int
 }
 
-// pendingRelease is a release that found no connection.
+// pendingRelease is a release that waits until its client has a connection.
 type pendingRelease struct {
 	callID    uint64
 	cause     byte
@@ -24,9 +24,9 @@
 }
 
 const (
-	releaseRetention   = 20000.0 // ms: clients connect again sooner, or not at all
+	releaseRetention   = 20000.0 // ms: a client that reconnects at all does so sooner
 	maxPendingReleases = 4096
-	maxResumedCalls    = 8192 // bounds what clients can make a gateway hold
+	maxResumedCalls    = 8192 // bounds the state that clients can create by resuming calls
 )
 
 // onMessage implements peer.
@@ -48,14 +48,14 @@
 		g.updateReadiness()
 	case binarymessage.ReleaseComplete, binarymessage.Progress, binarymessage.HealthResult, binarymessage.LoadState,
 		binarymessage.Answer:
-		// allowed, without a meaning here
+		// allowed, but ignored
 	default:
 		g.Metrics.InvalidRequests++
 		conn.close()
 	}
 }
 
-// onSetup takes a setup. Its call is handed to the policy at the end of the batch.
+// onSetup handles a setup. The call is passed to the policy at the end of the batch.
 func (c *client) onSetup(conn *Conn, message binarymessage.Message) {
 	g, id := c.gateway, message.Call()
 	request, err := parseSetup(message)
@@ -68,8 +68,8 @@
 		return
 	}
 	if g.calls[id] != nil {
-		// Nobody can tell which of two calls of one ID an answer is for. The one that was there stays, unless it came on
-		// this connection.
+		// An answer could not be matched to one of two calls with the same ID. The earlier call continues, unless it was
+		// set up on this connection, which is closed.
 		g.Metrics.Duplicates++
 		conn.close()
 		return
@@ -108,7 +108,7 @@
 	conn.send(releaseMessage(id, binarymessage.Invalid))
 }
 
-// resumeCall takes over a call that was established by an earlier process and stands at an endpoint.
+// resumeCall takes over a call that an earlier process established and that is still in progress at an endpoint.
 func (c *client) resumeCall(conn *Conn, id uint64, endpointID string) {
 	g := c.gateway
 	if known := g.calls[id]; known != nil {
@@ -136,7 +136,7 @@
 	call.bindTo(conn)
 }
 
-// onRelease takes a client's release, of a setup or of an established call.
+// onRelease handles a client's release of a pending or established call.
 func (c *client) onRelease(message binarymessage.Message) {
 	call := c.gateway.calls[message.Call()]
 	switch {
@@ -148,7 +148,7 @@
 	}
 }
 
-// onClosed implements peer: setups whose connection has closed are given up, established calls go on.
+// onClosed implements peer. Pending calls of the closed connection are given up; established calls continue.
 func (c *client) onClosed(conn *Conn, _ CloseReason) {
 	g := c.gateway
 	c.conns = slices.DeleteFunc(c.conns, func(other *Conn) bool { return other == conn })
@@ -175,8 +175,8 @@
 
 func compareByID(a, b *call) int { return cmp.Compare(a.id, b.id) }
 
-// sendRelease releases a call that has ended towards its client: on the connection given, else on the latest used, else
-// on the next that is opened.
+// sendRelease sends a release to the client: on the given connection if it is open, else on the most recently used one.
+// If there is none, the release waits for the client's next connection.
 func (c *client) sendRelease(conn *Conn, release pendingRelease) {
 	if conn == nil || conn.closed {
 		conn = c.lastUsedConn()
@@ -204,7 +204,7 @@
 	return latest
 }
 
-// sendPendingReleases sends what waited for a connection.
+// sendPendingReleases sends the releases that waited for a connection.
 func (c *client) sendPendingReleases(conn *Conn) {
 	releases := c.pendingReleases
 	c.pendingReleases = nil
@@ -213,7 +213,7 @@
 	}
 }
 
-// dropExpiredReleases gives up releases whose client did not connect again.
+// dropExpiredReleases drops releases whose client has not reconnected in time.
 func (c *client) dropExpiredReleases(now float64) {
 	before := len(c.pendingReleases)
 	c.pendingReleases = slices.DeleteFunc(c.pendingReleases, func(release pendingRelease) bool {
--- a/internal/protocol/binarygateway/conn.go
+++ b/internal/protocol/binarygateway/conn.go
@@ -8,9 +8,9 @@
 	"cobaltpier/internal/protocol/binarymessage"
 )
 
-// Conn is one connection, of a client or to an endpoint.
+// Conn is a connection from a client or to an endpoint.
 type Conn struct {
-	Socket any // the driver's own
+	Socket any // for use by the driver
 
 	gateway *Gateway
 	peer    peer
@@ -19,51 +19,51 @@
 
 	outgoing       []outgoingMessage // not yet handed to the driver
 	outgoingBytes  int
-	written        []outgoingMessage // handed to the driver and not yet sent, without their bytes
-	writePending   bool              // the driver has not sent all that it was handed
+	written        []outgoingMessage // handed to the driver and not yet sent; without data
+	writePending   bool              // the driver has not yet sent all data of the last write
 	lastWriteAt    float64
 	flushScheduled bool // it is in the gateway's dirtyConns
 
 	// of a client's connection
 	client           *client
-	writeClosed      bool // nothing is written to it any more
+	writeClosed      bool // no more data is written to it
 	openedAt         float64
 	lastUsedAt       float64
 	receivedMessage  bool
-	partialSince     float64 // when the message began that is not complete
+	partialSince     float64 // when the first bytes of the incomplete message arrived
 	pendingCalls     int     // setups without an answer
 	establishedCalls int     // calls whose release would be sent on it
 
 	// of a connection to an endpoint
-	legs          []*outboundLeg
-	connected     bool
+	legs                []*outboundLeg
+	connected           bool
 	endpointSentMessage bool // the endpoint has sent a message on it
-	retired       bool // it gets no setups any more
+	retired             bool // it takes no more setups
 }
 
-// peer is who is at the other end of a connection.
+// peer handles the events of a connection: a client or an upstream.
 type peer interface {
 	onMessage(conn *Conn, message binarymessage.Message)
 	onClosed(conn *Conn, reason CloseReason)
 }
 
-// CloseReason is how a connection ended.
+// CloseReason says how a connection ended.
 type CloseReason int
 
-// The reasons.
+// Reasons for the end of a connection.
 const (
-	ClosedNormally CloseReason = iota // closed by one side, or given up
-	ClosedRefused                     // it never came up: nobody listens there
+	ClosedNormally CloseReason = iota // closed by either side, or the dial was given up
+	ClosedRefused                     // the dial was refused: no process listens on the port
 	ClosedReset
 )
 
-// outgoingMessage is a message on its way to a connection.
+// outgoingMessage is a message that is queued on a connection or handed to its driver.
 type outgoingMessage struct {
 	data   []byte
-	leg    *outboundLeg // whose setup it is; nil: of none
-	onSent func()       // called once it has been sent; may be nil
-	// onLost is called in its place if the connection ends before; nil: onSent, for the end of a connection gives up its
-	// setups as a cancel does.
+	leg    *outboundLeg // the leg whose setup this is; nil: not a setup
+	onSent func()       // called once the message has been sent; may be nil
+	// onLost is called instead of onSent if the connection ends first. If it is nil, onSent is called: for the release of a
+	// canceled setup, the end of the connection has the same effect as the release.
 	onLost func()
 }
 
@@ -75,7 +75,7 @@
 	}
 }
 
-// maxOutgoingBytes is how much may wait for a connection: a peer that reads nothing for so long is disconnected.
+// maxOutgoingBytes limits the data queued on a connection. A peer that does not read is disconnected beyond it.
 const maxOutgoingBytes = 256 << 10
 
 // send queues a message.
@@ -93,7 +93,7 @@
 	c.scheduleFlush()
 }
 
-// scheduleFlush has the connection flushed at the end of the batch.
+// scheduleFlush marks the connection to be flushed at the end of the batch.
 func (c *Conn) scheduleFlush() {
 	if !c.flushScheduled {
 		c.flushScheduled = true
@@ -101,7 +101,7 @@
 	}
 }
 
-// flush hands what is queued to the driver, unless that has not sent all of what it was handed before.
+// flush hands queued messages to the driver, unless the previous write is still pending.
 func (c *Conn) flush() {
 	c.flushScheduled = false
 	if c.closed || c.writeClosed {
@@ -125,7 +125,7 @@
 	}
 }
 
-// takeOutgoing empties the queue and gives its bytes.
+// takeOutgoing empties the queue and returns its bytes.
 func (c *Conn) takeOutgoing() []byte {
 	var data []byte
 	for _, message := range c.outgoing {
@@ -156,7 +156,7 @@
 	}
 }
 
-// withdraw takes back a leg's setup that was not handed to the driver; false: it was.
+// withdraw removes a leg's setup from the queue. It returns false if the setup was already handed to the driver.
 func (c *Conn) withdraw(leg *outboundLeg) bool {
 	if leg.sent {
 		return false
@@ -171,7 +171,7 @@
 	return true
 }
 
-// close closes a connection from here, after writing what is queued if the driver can take it.
+// close closes the connection, after writing queued messages if no write is pending.
 func (c *Conn) close() {
 	if c.closed {
 		return
@@ -183,7 +183,7 @@
 	c.terminate(ClosedNormally)
 }
 
-// abort closes a connection that is of no use, without writing what is queued.
+// abort closes the connection without writing queued messages.
 func (c *Conn) abort() {
 	if c.closed {
 		return
@@ -192,7 +192,8 @@
 	c.terminate(ClosedNormally)
 }
 
-// terminate forgets a connection: setups that were not sent have not been executed, and releases go another way.
+// terminate ends a connection. Setups that were not sent end as not sent, and unsent releases to clients are sent on
+// another connection.
 func (c *Conn) terminate(reason CloseReason) {
 	if c.closed {
 		return
@@ -206,7 +207,7 @@
 	}
 }
 
-// state is what package connlimit decides by.
+// state returns the input for the decisions of package connlimit.
 func (c *Conn) state() connlimit.ConnState {
 	return connlimit.ConnState{
 		OpenedAt:         c.openedAt,
@@ -221,7 +222,7 @@
 	}
 }
 
-// PeerName names who is at the other end: "caller", or an endpoint by its ID.
+// PeerName returns the name of the peer for logs: "caller", or the ID of an endpoint.
 func (c *Conn) PeerName() string {
 	if u := c.gateway.upstreamOf(c); u != nil {
 		return c.gateway.Endpoints.IDOf(u.endpoint)
@@ -234,7 +235,7 @@
 	return u
 }
 
-// OnAccepted takes a client's connection; nil: it was closed at once.
+// OnAccepted handles a new client connection. It returns nil if the connection was closed at once.
 func (g *Gateway) OnAccepted(now float64, socket any, address netip.Addr) *Conn {
 	g.Now = now
 	g.Metrics.Accepted++
@@ -264,7 +265,7 @@
 	return conn
 }
 
-// evictOne closes one client connection, the newcomer where no other can go.
+// evictOne closes one client connection: the newcomer if no other may be closed.
 func (g *Gateway) evictOne(newcomer *Conn) {
 	states := make([]connlimit.ConnState, len(g.clientConns))
 	for i, conn := range g.clientConns {
@@ -278,7 +279,7 @@
 	evicted.close()
 }
 
-// OnConnected reports that a connection that was dialed is up.
+// OnConnected reports that a dialed connection is established.
 func (g *Gateway) OnConnected(now float64, conn *Conn) {
 	g.Now = now
 	if u := g.upstreamOf(conn); u != nil && !conn.closed {
@@ -286,7 +287,7 @@
 	}
 }
 
-// OnData takes bytes that were received.
+// OnData handles received bytes.
 func (g *Gateway) OnData(now float64, conn *Conn, data []byte) {
 	g.Now = now
 	if conn.closed {
@@ -296,7 +297,7 @@
 		conn.partialSince = now
 	}
 	err := conn.reader.Feed(data, func(message binarymessage.Message) bool {
-		conn.partialSince = now // of whatever follows
+		conn.partialSince = now // for the next message
 		if g.OnMessage != nil {
 			g.OnMessage(conn, false, message)
 		}
@@ -315,7 +316,7 @@
 	conn.abort()
 }
 
-// OnFlushed reports that the driver has sent all that it was handed for a connection.
+// OnFlushed reports that the driver has sent all data of the last write on a connection.
 func (g *Gateway) OnFlushed(now float64, conn *Conn) {
 	g.Now = now
 	if conn.closed || !conn.writePending {
@@ -325,7 +326,7 @@
 	conn.scheduleFlush()
 }
 
-// OnClosed reports that a connection was closed from the other side, or never came up.
+// OnClosed reports that the peer closed a connection, or that a dial failed.
 func (g *Gateway) OnClosed(now float64, conn *Conn, reason CloseReason) {
 	g.Now = now
 	conn.terminate(reason)
--- a/internal/protocol/binarygateway/endpointlist.go
+++ b/internal/protocol/binarygateway/endpointlist.go
@@ -6,9 +6,9 @@
 	"cobaltpier/internal/routing"
 )
 
-// OnEndpointList takes an endpoint list. It counts at once (rule 3): setups that wait here for an endpoint that drains
-// or is gone are withdrawn. Connections to an endpoint that is gone are closed, and its calls have ended with it. One
-// with a new ID is another endpoint, whatever its address.
+// OnEndpointList applies an endpoint list at once (rule 3). Setups that wait here for a draining or gone endpoint are
+// withdrawn. When an endpoint is gone, its connections are closed and its calls end. A new ID means a new endpoint, even
+// at a known address.
 func (g *Gateway) OnEndpointList(now float64, list *dnsdiscovery.List) {
 	g.Now = now
 	changed := g.Endpoints.Apply(g.endpointEntries(list), list.Complete)
@@ -37,14 +37,14 @@
 		}
 		known := g.Endpoints.ByID(target.ID)
 		if known != nil && target.State == routing.Gone && entry.DestinationID < 0 {
-			entry.DestinationID = known.DestinationID // a list need not say it of one that is gone
+			entry.DestinationID = known.DestinationID // lists may omit it for a gone endpoint
 		}
 		entries[i] = entry
 	}
 	return entries
 }
 
-// updateUpstream makes the upstream of a new endpoint, and follows a changed address.
+// updateUpstream creates the upstream of a new endpoint and applies a changed address.
 func (g *Gateway) updateUpstream(target dnsdiscovery.Target) {
 	endpoint := g.Endpoints.ByID(target.ID)
 	if endpoint.State == routing.Gone {
--- a/internal/protocol/binarygateway/gateway.go
+++ b/internal/protocol/binarygateway/gateway.go
@@ -1,10 +1,10 @@
-// Package binarygateway is a gateway that speaks the platform's binary protocol: connections from clients and to
-// endpoints, setups, and established calls. It has no I/O and no clock. Bytes and times come in through methods; bytes,
-// dials and closes go out through Transport. Package callcontrol keeps the calls and guards the rules, as for the SIP
-// gateway.
+// Package binarygateway implements a gateway for the platform's binary protocol: it handles connections from clients
+// and to endpoints, setups, and established calls. It has no I/O and no clock: bytes and times are passed to its
+// methods, and it writes, dials and closes through Transport. Package callcontrol keeps the state of calls and enforces
+// the rules, as it does for the SIP gateway.
 //
-// A call passes a client connection, load shedding, the routing policy and an upstream connection. What comes back runs
-// the other way.
+// A call passes through a client connection, load shedding, the routing policy and an upstream connection. Answers and
+// releases take the same path in reverse.
 package binarygateway
 
 import (
@@ -23,21 +23,21 @@
 
 //tally:decisions
 
-// Transport is what a gateway asks of its driver.
+// Transport is the I/O interface through which a gateway uses connections; its driver implements it.
 type Transport interface {
-	// Write hands bytes to a connection; it tells whether all were sent, else OnFlushed follows.
+	// Write sends bytes on a connection and reports whether all were sent; otherwise OnFlushed follows.
 	Write(conn *Conn, data []byte) (flushed bool)
-	// Dial opens a connection; OnConnected or OnClosed follows.
+	// Dial opens a connection. OnConnected or OnClosed follows.
 	Dial(conn *Conn, to netip.AddrPort)
-	// Close closes a connection; nothing follows, and the gateway does not use it any more.
+	// Close closes a connection. No event follows, and the gateway no longer uses the connection.
 	Close(conn *Conn)
-	// CloseWrite closes the sending side of a client's connection, once all that was written has been sent.
+	// CloseWrite closes the sending side of a client connection once all written data has been sent.
 	CloseWrite(conn *Conn)
 	// SendGossip sends a message of at most MaxGossipSize bytes to another gateway, by its index.
 	SendGossip(gateway int, message []byte)
 }
 
-// MaxGossipSize is the size of the longest message between gateways, bytes.
+// MaxGossipSize is the maximum size of a message between gateways, in bytes.
 const MaxGossipSize = 256
 
 // Config is the configuration of a gateway.
@@ -45,19 +45,19 @@
 	Settings       *routing.Settings
 	Connections    deployment.Connections
 	MaxDescriptors int     // file descriptors of the process
-	AnswerMargin   float64 // ms by which final answers are sent before the caller's timeout ends
+	AnswerMargin   float64 // ms before the end of the caller's timeout by which the final answer is sent
 	LoadShedding   loadshed.Gate
-	// DisabledGuard switches the guard of one rule off, for tests of the conformance checker; 0: none.
+	// DisabledGuard disables the guard of one rule, for tests of the conformance checker; 0: none.
 	DisabledGuard routing.Rule
-	// FromUnixMillis turns Unix time, in ms, into the gateway's time.
+	// FromUnixMillis converts Unix time, in ms, to the gateway's clock.
 	FromUnixMillis func(unix float64) float64
 }
 
-// Gateway is one gateway. It is not safe for concurrent use: one event loop owns it.
+// Gateway is a gateway of the binary protocol. It is not safe for concurrent use: one event loop owns it.
 type Gateway struct {
 	*callcontrol.Controller
 	Metrics Metrics
-	// OnMessage, where it is set, sees each message as it comes in or is handed to a connection.
+	// OnMessage, if set, is called with each message that is received or handed to a connection.
 	OnMessage func(conn *Conn, outgoing bool, message binarymessage.Message)
 
 	config        *Config
@@ -66,30 +66,30 @@
 	upstreams     map[*routing.Endpoint]*upstream
 	clients       map[netip.Addr]*client
 	clientConns   []*Conn
-	pendingChecks []healthCheck // that wait until the gateway is ready
-	dirtyConns    []*Conn       // with messages to be written at the end of the batch
+	pendingChecks []healthCheck // answered once the gateway is ready
+	dirtyConns    []*Conn       // to be flushed at the end of the batch
 	resumedCalls  int           // established calls that were set up by an earlier process
 	startedAt     float64
 	ready         bool
 	draining      bool
-	randomDraws         uint64 // random numbers drawn so far
+	randomDraws   uint64 // random numbers drawn so far
 }
 
-// healthCheck is a client's question whether this gateway takes calls.
+// healthCheck is a client's unanswered query whether this gateway takes calls.
 type healthCheck struct {
 	conn   *Conn
 	callID uint64
 }
 
 const (
-	readyTimeout        = 1000.0 // ms: health checks are answered by then even if no endpoint was reached
+	readyTimeout        = 1000.0 // ms after the start: from then on health checks are answered even without an endpoint connection
 	maintenanceInterval = 250.0  // ms
-	maxReportingConns   = 4      // an endpoint reports its load on no more connections
+	maxReportingConns   = 4      // an endpoint reports its load on at most this many connections
 	maxPendingChecks    = 1000
-	randomStream        = 0x6c696e6b // keeps random numbers here apart from the policy's, which has the same seed
+	randomStream        = 0x6c696e6b // separates random numbers here from the policy's, which uses the same seed
 )
 
-// New makes a gateway; newPolicy makes its routing policy.
+// New returns a gateway with the routing policy that newPolicy creates.
 func New(now float64, config *Config, newPolicy routing.PolicyFactory, transport Transport) *Gateway {
 	controller := callcontrol.New(&callcontrol.Config{
 		Settings:      config.Settings,
@@ -112,7 +112,8 @@
 	return g
 }
 
-// ProbeHealth implements routing.Host. A health check shows no load, so none is sent.
+// ProbeHealth implements routing.Host. It reports whether the endpoint has a connection. It sends no health check, since
+// the result of one carries no load report.
 func (g *Gateway) ProbeHealth(endpoint *routing.Endpoint) {
 	g.Timers.Schedule(g.Now, func() {
 		u := g.upstreams[endpoint]
@@ -124,7 +125,7 @@
 // SendGossip implements routing.Host.
 func (g *Gateway) SendGossip(gateway int, message []byte) { g.transport.SendGossip(gateway, message) }
 
-// OnPeerMessage takes another gateway's message.
+// OnPeerMessage handles a gossip message from another gateway.
 func (g *Gateway) OnPeerMessage(now float64, sender int, message []byte) {
 	g.Now = now
 	settings := g.config.Settings
@@ -134,8 +135,7 @@
 	}
 }
 
-// Step ends a batch of events: timers that are due run, calls that arrived are handed to the policy, and messages are
-// written.
+// Step ends a batch of events: it runs due timers, passes new calls to the policy and writes queued messages.
 func (g *Gateway) Step(now float64) {
 	g.ProcessBatch(now, nil)
 	for len(g.dirtyConns) > 0 {
@@ -147,7 +147,7 @@
 	}
 }
 
-// NextWakeup is when Step is wanted next.
+// NextWakeup returns the time at which Step is due next.
 func (g *Gateway) NextWakeup() float64 {
 	if len(g.dirtyConns) > 0 {
 		return g.Now
@@ -155,13 +155,13 @@
 	return g.Controller.NextWakeup()
 }
 
-// BeginDrain fails health checks from now on, so that clients go elsewhere.
+// BeginDrain makes all further health checks fail, so that clients use other gateways.
 func (g *Gateway) BeginDrain() { g.draining = true }
 
-// RejectAll rejects all pending calls, before the process exits.
+// RejectAll rejects all pending calls before the process exits.
 func (g *Gateway) RejectAll(now float64) {
 	g.StopAdmitting()
-	g.Step(now) // what has just arrived is admitted, and rejected
+	g.Step(now) // calls that have just arrived are admitted, then rejected
 	var unanswered []*call
 	for _, call := range g.calls {
 		if call.upstream == nil {
@@ -175,8 +175,8 @@
 	g.Step(now)
 }
 
-// CloseClientWrites closes the sending side of all client connections. Clients send setups that cross it again
-// elsewhere.
+// CloseClientWrites closes the sending side of all client connections. A client whose setup crosses the close repeats
+// it at another gateway.
 func (g *Gateway) CloseClientWrites() {
 	for _, conn := range g.clientConns {
 		conn.writeClosed = true
@@ -184,7 +184,8 @@
 	}
 }
 
-// maintain runs at an interval: it closes idle connections, drops what has expired and checks endpoints.
+// maintain runs every maintenanceInterval: it closes idle connections, drops expired state and checks the liveness of
+// endpoints.
 func (g *Gateway) maintain() {
 	g.Timers.Schedule(g.Now+maintenanceInterval, g.maintain)
 	g.updateReadiness()
@@ -205,7 +206,7 @@
 	}
 }
 
-// sortedUpstreams is the upstreams in the order of their endpoints' IDs, so that runs can be repeated.
+// sortedUpstreams returns the upstreams ordered by endpoint ID, so that simulated runs are reproducible.
 func (g *Gateway) sortedUpstreams() []*upstream {
 	upstreams := make([]*upstream, 0, len(g.upstreams))
 	for _, u := range g.upstreams {
@@ -217,7 +218,7 @@
 	return upstreams
 }
 
-// updateReadiness answers pending health checks once calls can be taken.
+// updateReadiness answers pending health checks once the gateway can take calls.
 func (g *Gateway) updateReadiness() {
 	for _, u := range g.upstreams {
 		g.ready = g.ready || u.connectedConns() > 0
@@ -236,12 +237,12 @@
 	g.pendingChecks = nil
 }
 
-// connsPerEndpoint is how many connections each endpoint gets at most.
+// connsPerEndpoint returns the maximum number of connections to each endpoint.
 func (g *Gateway) connsPerEndpoint() int {
 	return connlimit.MaxConnsPerEndpoint(g.config.MaxDescriptors, len(g.upstreams), maxReportingConns)
 }
 
-// random draws a number from 0 to 1.
+// random returns the next pseudo-random number in [0, 1).
 func (g *Gateway) random() float64 {
 	g.randomDraws++
 	return detrand.Float64(g.config.Settings.Seed, randomStream, g.randomDraws)
--- a/internal/protocol/binarygateway/metrics.go
+++ b/internal/protocol/binarygateway/metrics.go
@@ -1,13 +1,13 @@
 package binarygateway
 
-// Metrics are counts since the start of the gateway, as they stand in its log.
+// Metrics are counters since the start of the gateway, as written to its log.
 type Metrics struct {
 	// client connections
 	Accepted        uint64 `json:"accepted"`         // connections
 	Evicted         uint64 `json:"evicted"`          // closed because too many were open
-	IdleClosed      uint64 `json:"idle_closed"`      // closed because they carried nothing
-	Malformed       uint64 `json:"malformed"`        // closed because a message could not be read
-	InvalidRequests uint64 `json:"invalid_requests"` // well-formed messages that make no sense
+	IdleClosed      uint64 `json:"idle_closed"`      // closed because they were idle
+	Malformed       uint64 `json:"malformed"`        // closed because of a message that could not be decoded
+	InvalidRequests uint64 `json:"invalid_requests"` // well-formed messages with invalid content
 	Duplicates      uint64 `json:"duplicates"`       // setups or answers under an ID that is in use
 
 	// connections to endpoints
@@ -15,22 +15,22 @@
 	Connected          uint64 `json:"connected"`
 	ConnectionsRefused uint64 `json:"connections_refused"`
 	ConnectTimeouts    uint64 `json:"connect_timeouts"`
-	ConnectionsLost    uint64 `json:"connections_lost"`  // that were up
-	ProtocolErrors     uint64 `json:"protocol_errors"`   // messages that could not be read or used
-	Withdrawn          uint64 `json:"withdrawn"`         // setups taken back before they were sent
-	UnmatchedAnswers   uint64 `json:"unmatched_answers"` // answers to no setup of this gateway
+	ConnectionsLost    uint64 `json:"connections_lost"`  // lost after they were established
+	ProtocolErrors     uint64 `json:"protocol_errors"`   // messages that could not be decoded or used
+	Withdrawn          uint64 `json:"withdrawn"`         // setups withdrawn before they were sent
+	UnmatchedAnswers   uint64 `json:"unmatched_answers"` // answers that match no setup of this gateway
 
 	// established calls
 	CallsCut         uint64 `json:"calls_cut"`
 	CallsResumed     uint64 `json:"calls_resumed"`     // taken over from an earlier process
-	ReleasesDeferred uint64 `json:"releases_deferred"` // that wait for their client to connect
-	ReleasesDropped  uint64 `json:"releases_dropped"`  // whose client did not
-	LateAnswers      uint64 `json:"late_answers"`      // that crossed a cancel
+	ReleasesDeferred uint64 `json:"releases_deferred"` // releases that had to wait for a client connection
+	ReleasesDropped  uint64 `json:"releases_dropped"`  // releases whose client did not reconnect in time
+	LateAnswers      uint64 `json:"late_answers"`      // answers that crossed a cancel
 	EndpointsDead    uint64 `json:"endpoints_dead"`
 	ReleasesByCaller uint64 `json:"releases_by_caller"`
 }
 
-// OpenCounts is how much a gateway holds.
+// OpenCounts are the numbers of objects that a gateway holds.
 type OpenCounts struct {
 	Calls       int `json:"calls"`
 	Upstreams   int `json:"upstreams"`
@@ -39,7 +39,7 @@
 	Timers      int `json:"timers"`
 }
 
-// OpenCounts is how much the gateway holds now.
+// OpenCounts returns the numbers of objects that the gateway holds now.
 func (g *Gateway) OpenCounts() OpenCounts {
 	return OpenCounts{
 		Calls:       len(g.calls),
@@ -50,8 +50,8 @@
 	}
 }
 
-// RememberedCounts is how many calls that are over here are remembered: those that were canceled, and those that ended
-// at an endpoint and are unknown here.
+// RememberedCounts returns how many ended calls the gateway remembers: those that were canceled, and those that an
+// endpoint released while they were unknown here.
 func (g *Gateway) RememberedCounts() (canceled, unmatchedReleases int) {
 	for _, u := range g.upstreams {
 		canceled += len(u.canceled)
@@ -60,13 +60,13 @@
 	return canceled, unmatchedReleases
 }
 
-// EstablishedCalls is how many calls are established, resumed ones included.
+// EstablishedCalls returns the number of established calls, including resumed ones.
 func (g *Gateway) EstablishedCalls() int {
 	_, established := g.InProgress()
 	return established + g.resumedCalls
 }
 
-// ClientConns is how many client connections are open, and how many of them have data that was not sent.
+// ClientConns returns how many client connections are open, and how many of them have unsent data.
 func (g *Gateway) ClientConns() (unsent, open int) {
 	for _, conn := range g.clientConns {
 		if state := conn.state(); state.HasUnsentData {
--- a/internal/protocol/binarygateway/setup.go
+++ b/internal/protocol/binarygateway/setup.go
@@ -29,7 +29,7 @@
 	calledNumber  string
 	timeout       float64 // ms; not a number: not given as one
 	destinationID int     // -1: none
-	repeated         bool    // the call was cut and is set up again
+	repeated      bool    // the call was cut and is set up again
 	resumeAt      string  // the ID of the endpoint where the call is established already; "": it is not
 }
 
--- a/internal/protocol/binarygateway/upstream.go
+++ b/internal/protocol/binarygateway/upstream.go
@@ -12,28 +12,28 @@
 )
 
 const (
-	minConnsPerEndpoint   = 1       // connections that each endpoint has even when idle: it reports its load on one
-	maxBackoff            = 2000.0  // ms between two attempts to connect
-	initialBackoff        = 50.0    // ms
-	maxBackoffDoublings   = 10      // of initialBackoff; maxBackoff is reached long before
-	unmatchedReleaseRetention   = 15000.0 // ms that the end of an unknown call is remembered for a caller that asks
-	maxUnmatchedReleases        = 2048
-	lateAnswerRetention   = 30000.0 // ms after a cancel in which an answer may still come
-	defaultConnectTimeout = 500.0   // ms, where the settings give none
+	minConnsPerEndpoint       = 1       // connections that each endpoint has even when idle: it reports its load on one
+	maxBackoff                = 2000.0  // ms between two attempts to connect
+	initialBackoff            = 50.0    // ms
+	maxBackoffDoublings       = 10      // of initialBackoff; maxBackoff is reached long before
+	unmatchedReleaseRetention = 15000.0 // ms that the end of an unknown call is remembered for a caller that asks
+	maxUnmatchedReleases      = 2048
+	lateAnswerRetention       = 30000.0 // ms after a cancel in which an answer may still come
+	defaultConnectTimeout     = 500.0   // ms, where the settings give none
 )
 
 // upstream is all connections to one endpoint.
 type upstream struct {
-	gateway   *Gateway
-	endpoint  *routing.Endpoint
-	address   netip.AddrPort
-	startedAt float64 // the endpoint's latest start, as far as known
-	conns     []*Conn
-	nextConn  uint64         // counts setups, to spread them
-	waitingLegs   []*outboundLeg // setups that wait for a connection
-
-	established map[uint64]*call
-	canceled    map[uint64]float64   // setups given up, until when an answer may come
+	gateway     *Gateway
+	endpoint    *routing.Endpoint
+	address     netip.AddrPort
+	startedAt   float64 // the endpoint's latest start, as far as known
+	conns       []*Conn
+	nextConn    uint64         // counts setups, to spread them
+	waitingLegs []*outboundLeg // setups that wait for a connection
+
+	established       map[uint64]*call
+	canceled          map[uint64]float64          // setups given up, until when an answer may come
 	unmatchedReleases map[uint64]unmatchedRelease // ends of calls that are unknown here
 
 	// liveness and reconnection
@@ -54,15 +54,15 @@
 
 func newUpstream(g *Gateway, endpoint *routing.Endpoint, address netip.AddrPort) *upstream {
 	return &upstream{
-		gateway:        g,
-		endpoint:       endpoint,
-		address:        address,
-		startedAt:      endpoint.StartedAt,
-		established:    map[uint64]*call{},
-		canceled:       map[uint64]float64{},
-		unmatchedReleases:    map[uint64]unmatchedRelease{},
-		lastMessageAt:  g.Now,
-		disconnectedAt: g.Now,
+		gateway:           g,
+		endpoint:          endpoint,
+		address:           address,
+		startedAt:         endpoint.StartedAt,
+		established:       map[uint64]*call{},
+		canceled:          map[uint64]float64{},
+		unmatchedReleases: map[uint64]unmatchedRelease{},
+		lastMessageAt:     g.Now,
+		disconnectedAt:    g.Now,
 	}
 }
 
--- a/internal/protocol/binarymessage/message.go
+++ b/internal/protocol/binarymessage/message.go
@@ -60,7 +60,7 @@
 
 const (
 	lengthSize      = 2
-	headerSize        = lengthSize + 1 + 8 // length, type, call
+	headerSize      = lengthSize + 1 + 8 // length, type, call
 	paramHeaderSize = 1 + 2              // code, length
 )
 
@@ -104,10 +104,10 @@
 
 // Errors of bytes that are no message.
 var (
-	ErrTooLong      = errors.New("message longer than 16 KiB")
-	ErrTooShort     = errors.New("message too short for its type and call")
-	ErrMalformedParams      = errors.New("parameters do not fit the message")
-	ErrDuplicateParam = errors.New("parameter given twice")
+	ErrTooLong         = errors.New("message longer than 16 KiB")
+	ErrTooShort        = errors.New("message too short for its type and call")
+	ErrMalformedParams = errors.New("parameters do not fit the message")
+	ErrDuplicateParam  = errors.New("parameter given twice")
 )
 
 // Parse checks the form of one complete message.
--- a/internal/protocol/dnsdiscovery/client.go
+++ b/internal/protocol/dnsdiscovery/client.go
@@ -57,7 +57,7 @@
 
 	serial      uint32 // of the latest list
 	seed        uint64
-	randomDraws       uint64
+	randomDraws uint64
 	outstanding []uint16 // IDs of the latest queries
 	nextQueryAt float64
 }
