--- a/internal/protocol/binarygateway/anymessages_test.go
+++ b/internal/protocol/binarygateway/anymessages_test.go
@@ -11,9 +11,8 @@
 	"cobaltpier/internal/routing"
 )
 
-// TestAnyMessages: whatever well-formed messages come from either side, in whatever order, with connections that come
-// and go and lists that change, nothing panics, no client gets two answers for a call, and nothing is left when all
-// have gone.
+// TestAnyMessages sends random well-formed messages from both sides in random order, while connections open and close and
+// the endpoint list changes. Nothing may panic, and no state may remain once all connections and endpoints are gone.
 func TestAnyMessages(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := &anyMessages{rt: rt, r: newTestGateway(t)}
@@ -34,7 +33,7 @@
 	})
 }
 
-// What anyMessages draws from.
+// Generators of message contents and events.
 var (
 	anyID   = rapid.Uint64Range(0, 6)
 	anyText = rapid.SampledFrom([]string{
@@ -65,22 +64,22 @@
 
 func (s *anyMessages) step() {
 	rt, r := s.rt, s.r
-	r.policy.targets = []int{rapid.IntRange(0, 1).Draw(rt, "pool")}
+	r.policy.targets = []int{rapid.IntRange(0, 1).Draw(rt, "target")}
 	clients, dialed := openConns(s.clients), openConns(r.dialed)
-	switch what := rapid.IntRange(0, 9).Draw(rt, "what"); {
-	case what == 0 || len(clients) == 0:
+	switch event := rapid.IntRange(0, 9).Draw(rt, "event"); {
+	case event == 0 || len(clients) == 0:
 		s.clients = append(s.clients, r.newClient())
-	case what <= 3:
+	case event <= 3:
 		r.receiveSetup(rapid.SampledFrom(clients).Draw(rt, "caller"), anyID.Draw(rt, "id"))
-	case what == 4:
+	case event == 4:
 		s.receiveAny(clients)
-	case what == 5:
+	case event == 5:
 		r.gateway.OnClosed(r.now, rapid.SampledFrom(clients).Draw(rt, "caller").conn, ClosedNormally)
-	case what <= 7 && len(dialed) > 0:
+	case event <= 7 && len(dialed) > 0:
 		s.receiveAny(dialed)
-	case what == 8 && len(dialed) > 0:
+	case event == 8 && len(dialed) > 0:
 		conn := rapid.SampledFrom(dialed).Draw(rt, "conn").conn
-		r.gateway.OnClosed(r.now, conn, anyCloseReason.Draw(rt, "how"))
+		r.gateway.OnClosed(r.now, conn, anyCloseReason.Draw(rt, "close reason"))
 	default:
 		s.changeList()
 	}
@@ -90,7 +89,7 @@
 	return slices.DeleteFunc(slices.Clone(conns), func(c *testConn) bool { return c.closed || c.conn.closed })
 }
 
-// receiveAny has any message come on one of the connections.
+// receiveAny delivers a random message on one of the connections.
 func (s *anyMessages) receiveAny(conns []*testConn) {
 	conn, kind := rapid.SampledFrom(conns).Draw(s.rt, "conn"), anyKind.Draw(s.rt, "kind")
 	id := anyID.Draw(s.rt, "id")
@@ -105,38 +104,39 @@
 	s.r.receive(conn, kind, id, params...)
 }
 
-// changeList has one endpoint drain or return, and the other come or go.
+// changeList makes one endpoint drain or become ready, and adds or removes the other.
 func (s *anyMessages) changeList() {
 	b := readyTarget("b", addrB, 1)
 	b.State = rapid.SampledFrom([]routing.State{routing.Ready, routing.Draining}).Draw(s.rt, "state")
 	list := []dnsdiscovery.Target{b}
-	if rapid.Bool().Draw(s.rt, "a is there") {
+	if rapid.Bool().Draw(s.rt, "a is listed") {
 		list = append(list, readyTarget("a", addrA, 0))
 	}
 	s.r.setEndpoints(2, list...)
 }
 
-// The longest setup whose timeout is written shorter than it is said again does not fit any more: it is refused.
+// TestLongestSetup: the timeout 9e5 takes more digits when it is rewritten for the endpoint, so a setup of the maximum length
+// would no longer fit into a message. It is refused as invalid.
 func TestLongestSetup(t *testing.T) {
 	r := newTestGateway(t)
 	r.policy.targets = []int{0}
 	c := r.newClient()
-	of := []binarymessage.Param{
+	params := []binarymessage.Param{
 		binarymessage.TextParam(binarymessage.Class, "voice"),
 		binarymessage.TextParam(binarymessage.Timeout, "9e5"),
 		binarymessage.TextParam(binarymessage.Number, "1"),
 	}
-	room := binarymessage.MaxLength - 9 - 3 - 3*3 - len("voice9e51")
+	descriptionLength := binarymessage.MaxLength - 9 - 3 - 3*3 - len("voice9e51")
 	r.receive(
 		c,
 		binarymessage.Setup,
 		7,
-		append(of, binarymessage.Param{Code: binarymessage.Description, Value: make([]byte, room)})...)
+		append(params, binarymessage.Param{Code: binarymessage.Description, Value: make([]byte, descriptionLength)})...)
 	r.expect(c.lastMessage(7), binarymessage.Release, binarymessage.Invalid)
 	r.receive(
 		c,
 		binarymessage.Setup,
 		8,
-		append(of, binarymessage.Param{Code: binarymessage.Description, Value: make([]byte, room-64)})...)
+		append(params, binarymessage.Param{Code: binarymessage.Description, Value: make([]byte, descriptionLength-64)})...)
 	r.connOf(8)
 }
--- a/internal/protocol/binarygateway/simulation_test.go
+++ b/internal/protocol/binarygateway/simulation_test.go
@@ -20,12 +20,12 @@
 	"cobaltpier/internal/routing"
 )
 
-func scriptedPolicy(s *routing.Settings, host routing.Host) routing.Policy {
-	return router.New(s, host)
+func newRouter(settings *routing.Settings, host routing.Host) routing.Policy {
+	return router.New(settings, host)
 }
 
-func newSimulation(seed uint64, mk routing.PolicyFactory, off routing.Rule) *binarystandin.World {
-	set := &routing.Settings{
+func newSimulation(seed uint64, newPolicy routing.PolicyFactory, disabledGuard routing.Rule) *binarystandin.World {
+	settings := &routing.Settings{
 		Gateways:           1,
 		Seed:               seed,
 		TickInterval:       1,
@@ -44,7 +44,7 @@
 			{Name: "voice", LatencyObjective: 1000, Timeout: 3000, Weight: 1, MeanHoldingTime: 800, Idempotent: true},
 		},
 	}
-	j := binaryconformance.New(
+	checker := binaryconformance.New(
 		binaryconformance.Rules{
 			AnswerGrace:         50,
 			DrainGrace:          250,
@@ -55,131 +55,139 @@
 	)
 	return binarystandin.New(
 		seed,
-		&binarygateway.Config{Settings: set, Connections: deployment.Connections{ConnectTimeout: 500},
-			MaxDescriptors: 256, AnswerMargin: 5, LoadShedding: loadshed.Gate{MaxPending: 500}, DisabledGuard: off},
-		mk,
+		&binarygateway.Config{Settings: settings, Connections: deployment.Connections{ConnectTimeout: 500},
+			MaxDescriptors: 256, AnswerMargin: 5, LoadShedding: loadshed.Gate{MaxPending: 500}, DisabledGuard: disabledGuard},
+		newPolicy,
 		3,
-		j,
+		checker,
 	)
 }
 
-// share draws a share of something going wrong: often none.
-func share(t *rapid.T, what string, most float64) float64 {
-	if rapid.Bool().Draw(t, what+" none") {
+// share draws the probability of a fault: 0 in half of the cases.
+func share(t *rapid.T, fault string, limit float64) float64 {
+	if rapid.Bool().Draw(t, "no "+fault) {
 		return 0
 	}
-	return rapid.Float64Range(0, most).Draw(t, what)
+	return rapid.Float64Range(0, limit).Draw(t, fault)
 }
 
-// Whatever callers, switches and the network do, the traffic keeps the rules.
-func TestRulesInTrouble(t *testing.T) {
+// TestRulesUnderFaults: the traffic conforms to the rules under random faults of callers, endpoints and the network.
+func TestRulesUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newSimulation(rapid.Uint64().Draw(t, "seed"), scriptedPolicy, 0)
-		w.Faults = binarystandin.Faults{
-			Malformed:     share(t, "spoilt", 0.1),
+		world := newSimulation(rapid.Uint64().Draw(t, "seed"), newRouter, 0)
+		world.Faults = binarystandin.Faults{
+			Malformed:     share(t, "malformed", 0.1),
 			Late:          share(t, "late", 0.2),
-			Unanswered:    share(t, "never", 0.2),
-			Duplicate:     share(t, "twice", 0.3),
-			Unsolicited:   share(t, "ahead", 0.3),
+			Unanswered:    share(t, "unanswered", 0.2),
+			Duplicate:     share(t, "duplicate", 0.3),
+			Unsolicited:   share(t, "unsolicited", 0.3),
 			Reset:         share(t, "reset", 0.1),
-			Overloaded:    share(t, "full", 0.3),
-			Failed:        share(t, "bad", 0.2),
+			Overloaded:    share(t, "overloaded", 0.3),
+			Failed:        share(t, "failed", 0.2),
 			Cut:           share(t, "cut", 0.5),
-			CallerLeaves:  share(t, "leaves", 0.5),
-			CallerHangsUp: share(t, "hangs", 0.5),
-			ClientCloses:  share(t, "closes", 0.1),
-			Blocked:       share(t, "stuck", 0.2),
-			Fragmented:    rapid.Bool().Draw(t, "split"),
+			CallerLeaves:  share(t, "caller leaves", 0.5),
+			CallerHangsUp: share(t, "caller hangs up", 0.5),
+			ClientCloses:  share(t, "client closes", 0.1),
+			Blocked:       share(t, "blocked", 0.2),
+			Fragmented:    rapid.Bool().Draw(t, "fragmented"),
 			Drains:        share(t, "drains", 0.3),
-			Crashes:       share(t, "deaths", 0.2),
-			Vanish:        share(t, "silents", 0.2),
+			Crashes:       share(t, "crashes", 0.2),
+			Vanish:        share(t, "vanish", 0.2),
 		}
-		w.StopAt = 8000
-		w.Run(22000)
-		for i, f := range w.Checker.Findings {
+		world.StopAt = 8000
+		world.Run(22000)
+		for i, f := range world.Checker.Findings {
 			if i < 5 {
 				t.Errorf("%v", f)
 			}
 		}
-		if w.Checker.Totals.SetUps < 20 {
-			t.Errorf("only %d setups came", w.Checker.Totals.SetUps)
+		if world.Checker.Totals.SetUps < 20 {
+			t.Errorf("only %d setups were sent", world.Checker.Totals.SetUps)
 		}
 	})
 }
 
-// reckless is a module that keeps no rule: it attempts whatever it knows whenever it likes, and answers late or never.
-type reckless struct {
-	h     routing.Host
-	pools []*routing.Endpoint
-	seed  uint64
-	draws uint64
+// ruleBreakingPolicy breaks all rules: it starts attempts at random endpoints at random times, and answers late or never.
+type ruleBreakingPolicy struct {
+	host      routing.Host
+	endpoints []*routing.Endpoint
+	seed      uint64
+	draws     uint64
 }
 
-func (m *reckless) chance() float64 {
+func (m *ruleBreakingPolicy) chance() float64 {
 	m.draws++
 	return detrand.Float64(m.seed, m.draws)
 }
 
-func (m *reckless) act(now float64, c *routing.Call) {
+func (m *ruleBreakingPolicy) act(now float64, c *routing.Call) {
 	if m.chance() < 0.3 && c.InFlight != nil {
-		m.h.CancelAttempt(c.InFlight)
+		m.host.CancelAttempt(c.InFlight)
 	}
-	if len(m.pools) > 0 && m.chance() < 0.8 {
-		m.h.StartAttempt(c, m.pools[int(m.chance()*float64(len(m.pools)))], 200*m.chance())
+	if len(m.endpoints) > 0 && m.chance() < 0.8 {
+		m.host.StartAttempt(c, m.endpoints[int(m.chance()*float64(len(m.endpoints)))], 200*m.chance())
 	}
 	if m.chance() < 0.1 {
-		m.h.Fail(c)
-		m.h.Reject(c, 100)
+		m.host.Fail(c)
+		m.host.Reject(c, 100)
 	}
 	if m.draws < 40000 {
-		m.h.ScheduleWakeup(now+400*m.chance(), c)
+		m.host.ScheduleWakeup(now+400*m.chance(), c)
 	}
 }
-func (m *reckless) OnEndpoints(_ float64, of []*routing.Endpoint)  { m.pools = append(m.pools, of...) }
-func (m *reckless) OnCall(now float64, c *routing.Call)            { m.act(now, c) }
-func (m *reckless) OnAnswer(now float64, attempt *routing.Attempt) { m.act(now, attempt.Call) }
-func (m *reckless) OnAttemptEnd(now float64, attempt *routing.Attempt, _ bool) {
+func (m *ruleBreakingPolicy) OnEndpoints(_ float64, changed []*routing.Endpoint) {
+	m.endpoints = append(m.endpoints, changed...)
+}
+func (m *ruleBreakingPolicy) OnCall(now float64, c *routing.Call) { m.act(now, c) }
+func (m *ruleBreakingPolicy) OnAnswer(now float64, attempt *routing.Attempt) {
+	m.act(now, attempt.Call)
+}
+func (m *ruleBreakingPolicy) OnAttemptEnd(now float64, attempt *routing.Attempt, _ bool) {
 	m.act(now, attempt.Call)
 }
-func (m *reckless) OnHangup(now float64, c *routing.Call)               { m.act(now, c) }
-func (m *reckless) OnLoadReport(float64, *routing.Endpoint, bool, bool) {}
-func (m *reckless) OnGossip(float64, int, []byte)                       {}
-func (m *reckless) OnWakeup(now float64, c *routing.Call)               { m.act(now, c) }
+func (m *ruleBreakingPolicy) OnHangup(now float64, c *routing.Call)               { m.act(now, c) }
+func (m *ruleBreakingPolicy) OnLoadReport(float64, *routing.Endpoint, bool, bool) {}
+func (m *ruleBreakingPolicy) OnGossip(float64, int, []byte)                       {}
+func (m *ruleBreakingPolicy) OnWakeup(now float64, c *routing.Call)               { m.act(now, c) }
 
-// A module that keeps no rule breaks none past the guards; each guard switched off is seen by the judge.
+// TestGuards: with all guards, traffic conforms to the rules even under a policy that breaks them. With a guard disabled, the
+// checker finds violations of its rule.
 func TestGuards(t *testing.T) {
-	for off := range 6 {
-		t.Run(fmt.Sprint(off), func(t *testing.T) {
+	for disabledGuard := range 6 {
+		t.Run(fmt.Sprint(disabledGuard), func(t *testing.T) {
 			found := map[int]int{}
 			for seed := range uint64(4) {
-				w := newSimulation(
+				world := newSimulation(
 					seed,
-					func(_ *routing.Settings, h routing.Host) routing.Policy { return &reckless{h: h, seed: seed} },
-					routing.Rule(off),
+					func(_ *routing.Settings, h routing.Host) routing.Policy {
+						return &ruleBreakingPolicy{host: h, seed: seed}
+					},
+					routing.Rule(disabledGuard),
 				)
-				w.Faults = binarystandin.Faults{Late: 0.2, Overloaded: 0.3, Drains: 0.4, Unanswered: 0.2}
-				w.StopAt = 6000
-				w.Run(12000)
-				for i, f := range w.Checker.Findings {
+				world.Faults = binarystandin.Faults{Late: 0.2, Overloaded: 0.3, Drains: 0.4, Unanswered: 0.2}
+				world.StopAt = 6000
+				world.Run(12000)
+				for i, f := range world.Checker.Findings {
 					found[f.Rule]++
-					if off == 0 && i < 3 {
+					if disabledGuard == 0 && i < 3 {
 						t.Error(f)
 					}
 				}
 			}
-			// rule 1 has no such switch here: a call that has its answer has let go of what could be sent
-			if off > 1 && off != 4 && found[off] == 0 {
-				t.Errorf("the guard of rule %d is off, and the judge found %v", off, found)
+			// The guard of rule 1 can't be disabled here: a call that has its final answer no longer refers to a connection.
+			if disabledGuard > 1 && disabledGuard != 4 && found[disabledGuard] == 0 {
+				t.Errorf("guard of rule %d is disabled, but the checker found %v", disabledGuard, found)
 			}
 		})
 	}
 }
 
-// Ids, connections and switches are ever new: what is held afterwards is what is held at the start.
-func TestNothingIsLeft(t *testing.T) {
-	w := newSimulation(5, scriptedPolicy, 0)
-	w.Rate = 60
-	w.Faults = binarystandin.Faults{
+// TestNoStateLeft: after a long run in which call IDs, connections and endpoints keep changing, the gateway holds no more
+// state than at its start.
+func TestNoStateLeft(t *testing.T) {
+	world := newSimulation(5, newRouter, 0)
+	world.Rate = 60
+	world.Faults = binarystandin.Faults{
 		Late:         0.05,
 		Unanswered:   0.02,
 		Duplicate:    0.1,
@@ -191,16 +199,16 @@
 		Crashes:      0.1,
 		Malformed:    0.02,
 	}
-	w.StopAt = 40000
-	w.Run(100000)
-	open := w.Gateway.OpenCounts()
+	world.StopAt = 40000
+	world.Run(100000)
+	open := world.Gateway.OpenCounts()
 	if open.Calls > 0 || open.Upstreams > 4 || open.Clients > 1 || open.ClientConns > 4 || open.Timers > 40 {
 		t.Errorf("left open: %+v", open)
 	}
-	if late, ends := w.Gateway.RememberedCounts(); late+ends > 0 {
-		t.Errorf("%d and %d are remembered", late, ends)
+	if canceled, unmatchedReleases := world.Gateway.RememberedCounts(); canceled+unmatchedReleases > 0 {
+		t.Errorf("%d canceled calls and %d unmatched releases are remembered", canceled, unmatchedReleases)
 	}
-	for _, f := range w.Checker.Findings {
+	for _, f := range world.Checker.Findings {
 		t.Error(f)
 	}
 }
@@ -221,11 +229,11 @@
 	}
 }
 
-// trafficChecksum plays a run with faults and hashes every message that crosses the gateway's sockets.
+// trafficChecksum simulates a run with faults and hashes every message that the gateway sends or receives.
 func trafficChecksum(seed uint64) (checksum uint64, messages int) {
-	w := newSimulation(seed, scriptedPolicy, 0)
-	w.Rate = 60
-	w.Faults = binarystandin.Faults{
+	world := newSimulation(seed, newRouter, 0)
+	world.Rate = 60
+	world.Faults = binarystandin.Faults{
 		Late:          0.05,
 		Unanswered:    0.02,
 		Duplicate:     0.1,
@@ -244,18 +252,18 @@
 		Vanish:        0.1,
 		Malformed:     0.02,
 	}
-	w.StopAt = 20000
+	world.StopAt = 20000
 	h := fnv.New64a()
-	w.Gateway.OnMessage = func(conn *binarygateway.Conn, out bool, msg binarymessage.Message) {
-		header := binary.LittleEndian.AppendUint64(nil, math.Float64bits(w.Now()))
-		if out {
+	world.Gateway.OnMessage = func(conn *binarygateway.Conn, outgoing bool, message binarymessage.Message) {
+		header := binary.LittleEndian.AppendUint64(nil, math.Float64bits(world.Now()))
+		if outgoing {
 			header = append(header, 1)
 		}
 		h.Write(header)
 		h.Write([]byte(conn.PeerName()))
-		h.Write(msg)
+		h.Write(message)
 		messages++
 	}
-	w.Run(40000)
+	world.Run(40000)
 	return h.Sum64(), messages
 }
--- a/internal/protocol/binarygateway/testgateway_test.go
+++ b/internal/protocol/binarygateway/testgateway_test.go
@@ -18,19 +18,19 @@
 	clientAddr = netip.MustParseAddr("127.0.0.9")
 )
 
-// scriptedPolicy is a module that a test plays by hand: it attempts the endpoints of to in turn and gives up when there
-// is none left.
+// scriptedPolicy is a routing policy controlled by a test: it attempts the endpoints in targets in turn and rejects the
+// call when none is left.
 type scriptedPolicy struct {
 	host      routing.Host
 	endpoints map[int]*routing.Endpoint
 	targets   []int
 	events    []string
-	retries   bool // it attempts the next endpoint after an end, once the retry hold-off is over
+	retries   bool // it attempts the next endpoint after a failed attempt, once the retry hold-off is over
 	lastCall  *routing.Call
 }
 
-func (m *scriptedPolicy) OnEndpoints(_ float64, ps []*routing.Endpoint) {
-	for _, endpoint := range ps {
+func (m *scriptedPolicy) OnEndpoints(_ float64, changed []*routing.Endpoint) {
+	for _, endpoint := range changed {
 		if endpoint.State != routing.Gone || m.endpoints[endpoint.DestinationID] == endpoint {
 			m.endpoints[endpoint.DestinationID] = endpoint
 		}
@@ -50,25 +50,25 @@
 	m.targets = m.targets[1:]
 	m.host.StartAttempt(c, endpoint, 1e9)
 }
-func (m *scriptedPolicy) OnAnswer(float64, *routing.Attempt) { m.events = append(m.events, "stood") }
-func (m *scriptedPolicy) OnAttemptEnd(now float64, attempt *routing.Attempt, closed bool) {
+func (m *scriptedPolicy) OnAnswer(float64, *routing.Attempt) { m.events = append(m.events, "answered") }
+func (m *scriptedPolicy) OnAttemptEnd(now float64, attempt *routing.Attempt, finished bool) {
 	m.events = append(
 		m.events,
 		fmt.Sprintf(
-			"ended %d closed %v agent %v engaged %v wait %v",
+			"ended %d finished %v at capacity %v number busy %v retry after %v",
 			attempt.Outcome,
-			closed,
+			finished,
 			attempt.AtCapacity,
 			attempt.NumberBusy,
 			attempt.RetryAfter,
 		),
 	)
-	if m.retries && !closed && !attempt.Call.Finished {
+	if m.retries && !finished && !attempt.Call.Finished {
 		m.host.ScheduleWakeup(now+500, attempt.Call)
 	}
 }
-func (m *scriptedPolicy) OnHangup(float64, *routing.Call) { m.events = append(m.events, "left") }
-func (m *scriptedPolicy) OnLoadReport(_ float64, endpoint *routing.Endpoint, ok, full bool) {
+func (m *scriptedPolicy) OnHangup(float64, *routing.Call) { m.events = append(m.events, "hung up") }
+func (m *scriptedPolicy) OnLoadReport(_ float64, endpoint *routing.Endpoint, ok, complete bool) {
 	m.events = append(
 		m.events,
 		fmt.Sprintf(
@@ -79,8 +79,8 @@
 		),
 	)
 }
-func (m *scriptedPolicy) OnGossip(_ float64, from int, b []byte) {
-	m.events = append(m.events, fmt.Sprintf("told %d %s", from, b))
+func (m *scriptedPolicy) OnGossip(_ float64, gateway int, message []byte) {
+	m.events = append(m.events, fmt.Sprintf("gossip of %d: %s", gateway, message))
 }
 func (m *scriptedPolicy) OnWakeup(_ float64, c *routing.Call) {
 	if c != nil && !c.Finished {
@@ -88,26 +88,26 @@
 	}
 }
 
-// testConn is the driver's end of one link.
+// testConn is the driver's side of a connection.
 type testConn struct {
 	conn        *Conn
-	address     netip.AddrPort // a line's
+	address     netip.AddrPort // of the endpoint
 	messages    []binarymessage.Message
 	reader      binarymessage.Reader
-	blocked     bool // takes nothing
+	blocked     bool // writes stay pending
 	closed      bool
 	writeClosed bool
 }
 
-// testGateway is a machine with a hand-played module and sockets.
+// testGateway is a gateway with a scripted policy and simulated connections.
 type testGateway struct {
 	*testing.T
 	gateway   *Gateway
 	policy    *scriptedPolicy
 	now       float64
-	dialed    []*testConn // lines, in the order of their dials
-	client    *testConn   // of tests with one
-	holdDials bool        // dials do not come up by themselves
+	dialed    []*testConn // connections to endpoints, in the order of their dials
+	client    *testConn   // in tests with a single client
+	holdDials bool        // dials do not complete by themselves
 }
 
 func (r *testGateway) Write(conn *Conn, b []byte) bool {
@@ -119,7 +119,7 @@
 		w.messages = append(w.messages, append(binarymessage.Message(nil), m...))
 		return true
 	}); err != nil {
-		r.Errorf("what was written is no message: %v", err)
+		r.Errorf("malformed message written: %v", err)
 	}
 	return true
 }
@@ -173,15 +173,15 @@
 	return r
 }
 
-func readyTarget(id string, a netip.AddrPort, cell int) dnsdiscovery.Target {
-	return dnsdiscovery.Target{ID: id, Addr: a, DestinationID: cell, State: routing.Ready}
+func readyTarget(id string, address netip.AddrPort, destinationID int) dnsdiscovery.Target {
+	return dnsdiscovery.Target{ID: id, Addr: address, DestinationID: destinationID, State: routing.Ready}
 }
 
-func (r *testGateway) setEndpoints(no uint32, of ...dnsdiscovery.Target) {
-	r.gateway.OnEndpointList(r.now, &dnsdiscovery.List{Serial: no, Complete: true, Targets: of})
+func (r *testGateway) setEndpoints(serial uint32, targets ...dnsdiscovery.Target) {
+	r.gateway.OnEndpointList(r.now, &dnsdiscovery.List{Serial: serial, Complete: true, Targets: targets})
 }
 
-// step ends a batch; lines that were dialled come up, and their switches speak first.
+// step ends a batch. Unless holdDials is set, dials complete first, and their endpoints send a LoadState message.
 func (r *testGateway) step() {
 	for range 3 {
 		if !r.holdDials {
@@ -197,7 +197,7 @@
 	}
 }
 
-// advance lets time go on.
+// advance runs steps for the given time, in ms.
 func (r *testGateway) advance(ms float64) {
 	for end := r.now + ms; r.now < end; r.now += 10 {
 		r.step()
@@ -210,13 +210,13 @@
 	return w
 }
 
-// receive brings a message of the other side of a link.
-func (r *testGateway) receive(w *testConn, kind byte, call uint64, of ...binarymessage.Param) {
-	r.gateway.OnData(r.now, w.conn, binarymessage.Append(nil, kind, call, of...))
+// receive delivers a message from the peer of a connection.
+func (r *testGateway) receive(w *testConn, kind byte, call uint64, params ...binarymessage.Param) {
+	r.gateway.OnData(r.now, w.conn, binarymessage.Append(nil, kind, call, params...))
 	r.step()
 }
 
-// receiveSetup brings a caller's setup.
+// receiveSetup delivers a setup from a caller.
 func (r *testGateway) receiveSetup(w *testConn, call uint64) {
 	r.receive(w, binarymessage.Setup, call,
 		binarymessage.TextParam(binarymessage.Class, "voice"),
@@ -226,7 +226,7 @@
 		binarymessage.TextParam(binarymessage.Description, "v=0"))
 }
 
-// lastMessage is the latest message that a link was sent for a call, nil: none.
+// lastMessage returns the latest message for a call that was written to the connection; nil: none.
 func (w *testConn) lastMessage(call uint64) binarymessage.Message {
 	for i := len(w.messages) - 1; i >= 0; i-- {
 		if w.messages[i].Call() == call {
@@ -236,7 +236,7 @@
 	return nil
 }
 
-// count is how many messages of a type a link was sent for a call.
+// count returns how many messages of a type were written to the connection for a call.
 func (w *testConn) count(call uint64, kind byte) (n int) {
 	for _, m := range w.messages {
 		if m.Call() == call && m.Type() == kind {
@@ -246,7 +246,7 @@
 	return
 }
 
-// connOf is the line that a setup of a call went out on last.
+// connOf returns the connection on which the latest setup of a call was sent.
 func (r *testGateway) connOf(call uint64) *testConn {
 	r.Helper()
 	for i := len(r.dialed) - 1; i >= 0; i-- {
@@ -254,7 +254,7 @@
 			return r.dialed[i]
 		}
 	}
-	r.Fatalf("no setup of %x is out", call)
+	r.Fatalf("no setup of call %x was sent", call)
 	return nil
 }
 
--- a/internal/protocol/binarymessage/message_test.go
+++ b/internal/protocol/binarymessage/message_test.go
@@ -17,7 +17,7 @@
 	return Append(nil, rapid.Byte().Draw(t, "type"), rapid.Uint64().Draw(t, "call"), params...)
 }
 
-// Whatever the cuts between the bytes, the same messages come out, and nothing is held between whole ones.
+// TestAnySplit: however the stream is split, the reader returns the same messages and buffers nothing after the last.
 func TestAnySplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var want, got [][]byte
@@ -37,7 +37,7 @@
 				t.Fatal(err)
 			}
 			for i := range piece {
-				piece[i] = 0xee // the reader must not rely on what it was lent
+				piece[i] = 0xee // the reader must not keep the caller's slice
 			}
 			all = all[n:]
 		}
@@ -55,11 +55,11 @@
 		m.Text(RetryAfter) != "300" {
 		t.Errorf("%x: %v", []byte(m), err)
 	}
-	if _, there := m.Get(Note); !there {
-		t.Error("an empty parameter is not there")
+	if _, found := m.Get(Note); !found {
+		t.Error("an empty parameter was not found")
 	}
-	if _, there := m.Get(Class); there {
-		t.Error("a parameter is there that is not")
+	if _, found := m.Get(Class); found {
+		t.Error("a missing parameter was found")
 	}
 	if got := Append(
 		nil,
@@ -67,42 +67,42 @@
 		1,
 		CauseParam(0),
 	); !bytes.Equal(got, []byte{0, 13, 52, 0, 0, 0, 0, 0, 0, 0, 1, 43, 0, 1, 0}) {
-		t.Errorf("a test is % d", got)
+		t.Errorf("health check encoded as % d", got)
 	}
 }
 
 func TestMalformedMessages(t *testing.T) {
 	for _, c := range []struct {
-		what string
-		b    []byte
+		name string
+		data []byte
 		want error
 	}{
-		{"length nought", []byte{0, 0}, ErrTooShort},
-		{"no room for a call", []byte{0, 8, 1, 0, 0, 0, 0, 0, 0, 0}, ErrTooShort},
-		{"16 KiB and one", []byte{0x40, 0x01}, ErrTooLong},
-		{"the longest length", []byte{0xff, 0xff}, ErrTooLong},
+		{"length 0", []byte{0, 0}, ErrTooShort},
+		{"too short for a call ID", []byte{0, 8, 1, 0, 0, 0, 0, 0, 0, 0}, ErrTooShort},
+		{"one byte over 16 KiB", []byte{0x40, 0x01}, ErrTooLong},
+		{"largest length field", []byte{0xff, 0xff}, ErrTooLong},
 		{"a parameter without length", append(Append(nil, 1, 1)[:1:1], 10, 1, 0, 0, 0, 0, 0, 0, 0, 1, 5), ErrMalformedParams},
 		{"a parameter beyond the end", append([]byte{0, 13}, 1, 0, 0, 0, 0, 0, 0, 0, 1, 5, 0, 9, 0), ErrMalformedParams},
-		{"one twice", Append(nil, 1, 1, TextParam(Class, "a"), TextParam(Class, "b")), ErrDuplicateParam},
+		{"duplicate parameter", Append(nil, 1, 1, TextParam(Class, "a"), TextParam(Class, "b")), ErrDuplicateParam},
 	} {
 		var r Reader
-		err := r.Feed(c.b, func(Message) bool { t.Errorf("%s: a message", c.what); return true })
+		err := r.Feed(c.data, func(Message) bool { t.Errorf("%s: got a message", c.name); return true })
 		if !errors.Is(err, c.want) {
-			t.Errorf("%s: %v, want %v", c.what, err, c.want)
+			t.Errorf("%s: %v, want %v", c.name, err, c.want)
 		}
 		r = Reader{}
-		for i := range c.b { // the same byte by byte
-			if err = r.Feed(c.b[i:i+1], func(Message) bool { return true }); err != nil {
+		for i := range c.data { // the same data byte by byte
+			if err = r.Feed(c.data[i:i+1], func(Message) bool { return true }); err != nil {
 				break
 			}
 		}
 		if !errors.Is(err, c.want) {
-			t.Errorf("%s in pieces: %v, want %v", c.what, err, c.want)
+			t.Errorf("%s byte by byte: %v, want %v", c.name, err, c.want)
 		}
 	}
 }
 
-// The longest message passes; it is no more than 16 KiB behind its length.
+// TestLongestMessage: a message of MaxLength bytes after its length field is accepted.
 func TestLongestMessage(t *testing.T) {
 	b := Append(nil, Setup, 1, Param{Description, make([]byte, MaxLength-9-3)})
 	n := 0
@@ -112,7 +112,7 @@
 	}
 }
 
-// Stopped in the middle of what came, the rest is not handed on.
+// TestReaderStops: when handle returns false, the reader passes on no further message.
 func TestReaderStops(t *testing.T) {
 	b := append(Append(nil, HealthCheck, 1), Append(nil, HealthCheck, 2)...)
 	n := 0
