--- a/internal/protocol/binarygateway/anymessages_test.go
+++ b/internal/protocol/binarygateway/anymessages_test.go
@@ -11,8 +11,9 @@
 	"cobaltpier/internal/routing"
 )
 
-// TestAnyMessages sends random well-formed messages from both sides in random order, while connections open and close and
-// the endpoint list changes. Nothing may panic, and no state may remain once all connections and endpoints are gone.
+// TestAnyMessages sends random well-formed messages from both sides in random order, while connections open and
+// close and the endpoint list changes. Nothing may panic, and no state may remain once all connections and
+// endpoints are gone.
 func TestAnyMessages(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := &anyMessages{rt: rt, r: newTestGateway(t)}
@@ -22,7 +23,7 @@
 			s.r.advance(rapid.SampledFrom([]float64{0, 1, 100, 700, 3000}).Draw(rt, "time"))
 		}
 		for _, client := range s.clients {
-			s.r.gateway.OnClosed(s.r.now, client.conn, ClosedNormally)
+			s.r.gateway.OnClosed(s.r.now, client.gatewayConn, ClosedNormally)
 		}
 		s.r.advance(200)
 		s.r.setEndpoints(3)
@@ -74,11 +75,11 @@
 	case event == 4:
 		s.receiveAny(clients)
 	case event == 5:
-		r.gateway.OnClosed(r.now, rapid.SampledFrom(clients).Draw(rt, "caller").conn, ClosedNormally)
+		r.gateway.OnClosed(r.now, rapid.SampledFrom(clients).Draw(rt, "caller").gatewayConn, ClosedNormally)
 	case event <= 7 && len(dialed) > 0:
 		s.receiveAny(dialed)
 	case event == 8 && len(dialed) > 0:
-		conn := rapid.SampledFrom(dialed).Draw(rt, "conn").conn
+		conn := rapid.SampledFrom(dialed).Draw(rt, "conn").gatewayConn
 		r.gateway.OnClosed(r.now, conn, anyCloseReason.Draw(rt, "close reason"))
 	default:
 		s.changeList()
@@ -86,7 +87,7 @@
 }
 
 func openConns(conns []*testConn) []*testConn {
-	return slices.DeleteFunc(slices.Clone(conns), func(c *testConn) bool { return c.closed || c.conn.closed })
+	return slices.DeleteFunc(slices.Clone(conns), func(c *testConn) bool { return c.closed || c.gatewayConn.closed })
 }
 
 // receiveAny delivers a random message on one of the connections.
@@ -115,8 +116,8 @@
 	s.r.setEndpoints(2, list...)
 }
 
-// TestLongestSetup: the timeout 9e5 takes more digits when it is rewritten for the endpoint, so a setup of the maximum length
-// would no longer fit into a message. It is refused as invalid.
+// TestLongestSetup: the timeout 9e5 takes more digits when it is rewritten for the endpoint, so a setup of the
+// maximum length would no longer fit into a message. It is refused as invalid.
 func TestLongestSetup(t *testing.T) {
 	r := newTestGateway(t)
 	r.policy.targets = []int{0}
--- a/internal/protocol/binarygateway/call_test.go
+++ b/internal/protocol/binarygateway/call_test.go
@@ -44,7 +44,7 @@
 		"offered",
 		"report 0 free 3 of 40",
 		"answered",
-		"ended 0 finished true at capacity false number busy false retry after 0",
+		"ended 0 finished true capacity false busy false retry 0",
 	}; !slices.Equal(r.policy.events, want) {
 		t.Errorf("the policy got %q", r.policy.events)
 	}
@@ -61,18 +61,19 @@
 		wait  string
 		want  string
 	}{
-		{binarymessage.NoCircuit, "all_trunks_busy", "", "ended 2 finished false at capacity true number busy false retry after 0"},
-		{binarymessage.NoCircuit, "cpu_full", "320", "ended 2 finished false at capacity false number busy false retry after 320"},
-		{binarymessage.UserBusy, "number_busy", "", "ended 1 finished false at capacity false number busy true retry after 0"},
-		{binarymessage.Fault, "", "", "ended 1 finished false at capacity false number busy false retry after 0"},
-		{binarymessage.NeverSent, "", "", "ended 7 finished false at capacity false number busy false retry after 0"},
-		{binarymessage.Failure, "", "", "ended 5 finished false at capacity false number busy false retry after 0"},
-		{99, "", "", "ended 5 finished false at capacity false number busy false retry after 0"},
+		{binarymessage.NoCircuit, "all_trunks_busy", "", "ended 2 finished false capacity true busy false retry 0"},
+		{binarymessage.NoCircuit, "cpu_full", "320", "ended 2 finished false capacity false busy false retry 320"},
+		{binarymessage.UserBusy, "number_busy", "", "ended 1 finished false capacity false busy true retry 0"},
+		{binarymessage.Fault, "", "", "ended 1 finished false capacity false busy false retry 0"},
+		{binarymessage.NeverSent, "", "", "ended 7 finished false capacity false busy false retry 0"},
+		{binarymessage.Failure, "", "", "ended 5 finished false capacity false busy false retry 0"},
+		{99, "", "", "ended 5 finished false capacity false busy false retry 0"},
 	} {
 		r := newTestGateway(t)
 		r.policy.targets = []int{0}
 		r.receiveSetup(r.newClient(), 7)
-		params := []binarymessage.Param{binarymessage.CauseParam(tt.cause), binarymessage.TextParam(binarymessage.Note, tt.note)}
+		params := []binarymessage.Param{binarymessage.CauseParam(tt.cause),
+			binarymessage.TextParam(binarymessage.Note, tt.note)}
 		if tt.wait != "" {
 			params = append(params, binarymessage.TextParam(binarymessage.QueueDelay, tt.wait))
 		}
@@ -83,8 +84,9 @@
 	}
 }
 
-// TestLateAnswerOfEarlierAttempt: the answer to a canceled attempt arrives after another attempt of the call was answered.
-// At the same endpoint it must not be released, since that would end the call; at another endpoint it must be.
+// TestLateAnswerOfEarlierAttempt: the answer to a canceled attempt arrives after another attempt of the call was
+// answered. At the same endpoint it must not be released, since that would end the call; at another endpoint it
+// must be.
 func TestLateAnswerOfEarlierAttempt(t *testing.T) {
 	for _, second := range []int{0, 1} {
 		r := newTestGateway(t)
@@ -110,8 +112,8 @@
 	}
 }
 
-// TestLateAnswerDuringAttempt: the late answer arrives while the second attempt is in flight. The call established by it is
-// released only after the second attempt has ended without an answer.
+// TestLateAnswerDuringAttempt: the late answer arrives while the second attempt is in flight. The call established
+// by it is released only after the second attempt has ended without an answer.
 func TestLateAnswerDuringAttempt(t *testing.T) {
 	r := newTestGateway(t)
 	r.openSecondConn()
@@ -158,8 +160,8 @@
 	r.expect(caller.lastMessage(6), binarymessage.HealthResult, 0)
 }
 
-// TestAnswerWithoutDescription: an answer without a description can't be forwarded, so the call is released at the endpoint
-// and the attempt has failed.
+// TestAnswerWithoutDescription: an answer without a description can't be forwarded, so the call is released at the
+// endpoint and the attempt has failed.
 func TestAnswerWithoutDescription(t *testing.T) {
 	r := newTestGateway(t)
 	r.policy.targets = []int{0}
@@ -173,20 +175,20 @@
 	}
 }
 
-// TestCrossingMessages: releases from both sides, or a caller's disconnect and the endpoint's answer, arrive in one batch
-// in either order. The side that may not know of the end gets a release, and no call remains.
+// TestCrossingMessages: releases from both sides, or a caller's disconnect and the endpoint's answer, arrive in one
+// batch in either order. The side that may not know of the end gets a release, and no call remains.
 func TestCrossingMessages(t *testing.T) {
 	r := newTestGateway(t)
 	caller, otherCaller := r.newClient(), r.newClient()
 	conn := r.establish(caller, 7)
 	r.gateway.OnData(
 		r.now,
-		caller.conn,
+		caller.gatewayConn,
 		binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal)),
 	)
 	r.gateway.OnData(
 		r.now,
-		conn.conn,
+		conn.gatewayConn,
 		binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal)),
 	)
 	r.step()
@@ -196,12 +198,12 @@
 	conn = r.establish(caller, 8)
 	r.gateway.OnData(
 		r.now,
-		conn.conn,
+		conn.gatewayConn,
 		binarymessage.Append(nil, binarymessage.Release, 8, binarymessage.CauseParam(binarymessage.Normal)),
 	)
 	r.gateway.OnData(
 		r.now,
-		caller.conn,
+		caller.gatewayConn,
 		binarymessage.Append(nil, binarymessage.Release, 8, binarymessage.CauseParam(binarymessage.Normal)),
 	)
 	r.step()
@@ -215,15 +217,15 @@
 		conn = r.connOf(id)
 		answer := binarymessage.Append(nil, binarymessage.Answer, id, testDescription)
 		if closesFirst {
-			r.gateway.OnClosed(r.now, laterCaller.conn, ClosedReset)
-			r.gateway.OnData(r.now, conn.conn, answer)
+			r.gateway.OnClosed(r.now, laterCaller.gatewayConn, ClosedReset)
+			r.gateway.OnData(r.now, conn.gatewayConn, answer)
 		} else {
-			r.gateway.OnData(r.now, conn.conn, answer)
-			r.gateway.OnClosed(r.now, laterCaller.conn, ClosedReset)
+			r.gateway.OnData(r.now, conn.gatewayConn, answer)
+			r.gateway.OnClosed(r.now, laterCaller.gatewayConn, ClosedReset)
 		}
 		r.advance(100)
-		if conn.count(id, binarymessage.Release) == 0 || caller.lastMessage(id) != nil || otherCaller.lastMessage(id) != nil ||
-			laterCaller.lastMessage(id) != nil {
+		if conn.count(id, binarymessage.Release) == 0 || caller.lastMessage(id) != nil ||
+			otherCaller.lastMessage(id) != nil || laterCaller.lastMessage(id) != nil {
 			t.Errorf("close first %v: the endpoint got %x", closesFirst, conn.messages)
 		}
 	}
--- a/internal/protocol/binarygateway/client.go
+++ b/internal/protocol/binarygateway/client.go
@@ -68,8 +68,8 @@
 		return
 	}
 	if g.calls[id] != nil {
-		// An answer could not be matched to one of two calls with the same ID. The earlier call continues, unless it was
-		// set up on this connection, which is closed.
+		// An answer could not be matched to one of two calls with the same ID. The earlier call continues, unless
+		// it was set up on this connection, which is closed.
 		g.Metrics.Duplicates++
 		conn.close()
 		return
--- a/internal/protocol/binarygateway/client_test.go
+++ b/internal/protocol/binarygateway/client_test.go
@@ -9,16 +9,17 @@
 	"cobaltpier/internal/protocol/binarymessage"
 )
 
-// TestPendingReleases: a release whose connection has closed is sent on another connection of the client, or on its next.
+// TestPendingReleases: a release whose connection has closed is sent on another connection of the client, or on its
+// next.
 func TestPendingReleases(t *testing.T) {
 	r := newTestGateway(t)
 	caller, otherCaller := r.newClient(), r.newClient()
 	conn := r.establish(caller, 7)
-	r.gateway.OnClosed(r.now, caller.conn, ClosedNormally)
+	r.gateway.OnClosed(r.now, caller.gatewayConn, ClosedNormally)
 	r.receive(conn, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal))
 	r.expect(otherCaller.lastMessage(7), binarymessage.Release, binarymessage.Normal)
 	conn = r.establish(otherCaller, 8)
-	r.gateway.OnClosed(r.now, otherCaller.conn, ClosedNormally)
+	r.gateway.OnClosed(r.now, otherCaller.gatewayConn, ClosedNormally)
 	r.receive(conn, binarymessage.Release, 8, binarymessage.CauseParam(binarymessage.Normal))
 	r.advance(500)
 	laterCaller := r.newClient()
@@ -35,7 +36,7 @@
 	r.receive(otherCaller, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal))
 	r.expect(conn.lastMessage(7), binarymessage.Release, binarymessage.Normal)
 	conn = r.establish(caller, 8)
-	r.gateway.OnClosed(r.now, conn.conn, ClosedNormally)
+	r.gateway.OnClosed(r.now, conn.gatewayConn, ClosedNormally)
 	r.receive(caller, binarymessage.Release, 8, binarymessage.CauseParam(binarymessage.Normal))
 	n := 0
 	for _, other := range r.dialed {
@@ -70,8 +71,8 @@
 	}
 }
 
-// TestResumedCalls: after a restart of the gateway, callers resume their established calls. These can be released from both
-// sides; a call that has already ended is released to the caller at once.
+// TestResumedCalls: after a restart of the gateway, callers resume their established calls. These can be released
+// from both sides; a call that has already ended is released to the caller at once.
 func TestResumedCalls(t *testing.T) {
 	r := newTestGateway(t)
 	caller := r.newClient()
@@ -124,8 +125,8 @@
 	}
 }
 
-// TestDuplicateCallID: a setup with the ID of an open call closes its connection. The earlier call continues unless it was
-// set up on that connection.
+// TestDuplicateCallID: a setup with the ID of an open call closes its connection. The earlier call continues unless
+// it was set up on that connection.
 func TestDuplicateCallID(t *testing.T) {
 	r := newTestGateway(t)
 	r.policy.targets = []int{0, 0}
@@ -158,8 +159,8 @@
 	}
 }
 
-// TestMalformedMessages: malformed data closes the endpoint connection. Setups on it may have been executed; those on other
-// connections continue.
+// TestMalformedMessages: malformed data closes the endpoint connection. Setups on it may have been executed; those
+// on other connections continue.
 func TestMalformedMessages(t *testing.T) {
 	r := newTestGateway(t)
 	r.openSecondConn()
@@ -171,20 +172,20 @@
 	if one == other {
 		t.Fatal("both setups were sent on one connection")
 	}
-	r.gateway.OnData(r.now, one.conn, []byte{0xff, 0xff, 1})
+	r.gateway.OnData(r.now, one.gatewayConn, []byte{0xff, 0xff, 1})
 	r.step()
 	if !one.closed || other.closed {
 		t.Errorf("closed: %v, the other %v", one.closed, other.closed)
 	}
-	if got := r.policy.events[len(r.policy.events)-1]; got != "ended 5 finished false at capacity false number busy false retry after 0" {
+	if got := r.policy.events[len(r.policy.events)-1]; got != "ended 5 finished false capacity false busy false retry 0" {
 		t.Errorf("the policy got %q", r.policy.events)
 	}
 	r.receive(other, binarymessage.Answer, 8, testDescription)
 	r.expect(caller.lastMessage(8), binarymessage.Answer, 0)
 }
 
-// TestUnsolicitedAndDuplicateAnswers: of an answer with an unknown call ID and two answers to the call, the caller gets one
-// answer, and nothing is released.
+// TestUnsolicitedAndDuplicateAnswers: of an answer with an unknown call ID and two answers to the call, the caller
+// gets one answer, and nothing is released.
 func TestUnsolicitedAndDuplicateAnswers(t *testing.T) {
 	r := newTestGateway(t)
 	r.policy.targets = []int{0}
@@ -194,7 +195,8 @@
 	r.receive(conn, binarymessage.Answer, 99, testDescription)
 	r.receive(conn, binarymessage.Answer, 7, testDescription)
 	r.receive(conn, binarymessage.Answer, 7, testDescription)
-	if caller.count(7, binarymessage.Answer) != 1 || conn.count(7, binarymessage.Release) != 0 || caller.lastMessage(99) != nil {
+	if caller.count(7, binarymessage.Answer) != 1 || conn.count(7, binarymessage.Release) != 0 ||
+		caller.lastMessage(99) != nil {
 		t.Errorf("the caller got %x, the endpoint %x", caller.messages, conn.messages)
 	}
 }
@@ -207,7 +209,7 @@
 	for i := range uint64(20000) {
 		r.gateway.OnData(
 			r.now,
-			caller.conn,
+			caller.gatewayConn,
 			binarymessage.Append(nil, binarymessage.HealthCheck, i+1, binarymessage.CauseParam(0)),
 		)
 		if r.gateway.Step(r.now); caller.closed {
@@ -215,7 +217,7 @@
 		}
 	}
 	if !caller.closed {
-		t.Errorf("still open with %d bytes queued", caller.conn.outgoingBytes)
+		t.Errorf("still open with %d bytes queued", caller.gatewayConn.outgoingBytes)
 	}
 	r.policy.targets = []int{0}
 	r.receiveSetup(otherCaller, 7)
@@ -239,14 +241,14 @@
 		binarymessage.TextParam(binarymessage.Number, "1"),
 		binarymessage.TextParam(binarymessage.Description, "v=0"),
 	)
-	r.gateway.OnData(r.now, caller.conn, b[:10])
+	r.gateway.OnData(r.now, caller.gatewayConn, b[:10])
 	r.advance(900)
-	r.gateway.OnData(r.now, caller.conn, b[10:20])
+	r.gateway.OnData(r.now, caller.gatewayConn, b[10:20])
 	r.advance(900)
 	if caller.closed {
 		t.Fatal("closed between two fragments")
 	}
-	r.gateway.OnData(r.now, caller.conn, b[20:])
+	r.gateway.OnData(r.now, caller.gatewayConn, b[20:])
 	r.step()
 	r.receive(r.connOf(7), binarymessage.Answer, 7, testDescription)
 	r.expect(caller.lastMessage(7), binarymessage.Answer, 0)
@@ -276,15 +278,15 @@
 		t.Fatal("closed with an answer in its queue")
 	}
 	caller.blocked = false
-	r.gateway.OnFlushed(r.now, caller.conn)
+	r.gateway.OnFlushed(r.now, caller.gatewayConn)
 	r.step()
 	if caller.count(7, binarymessage.Answer) != 1 || caller.count(7, binarymessage.Release) != 1 {
 		t.Errorf("the caller got %x", caller.messages)
 	}
 }
 
-// TestUnsentAnswersAtClose: when a client connection closes with unsent messages, releases are sent on another connection
-// or the next one, and a call whose answer was not sent is released at its endpoint.
+// TestUnsentAnswersAtClose: when a client connection closes with unsent messages, releases are sent on another
+// connection or the next one, and a call whose answer was not sent is released at its endpoint.
 func TestUnsentAnswersAtClose(t *testing.T) {
 	r := newTestGateway(t)
 	caller := r.newClient()
@@ -302,7 +304,7 @@
 	conn = r.connOf(8)
 	r.receive(conn, binarymessage.Answer, 8, testDescription) // the answer stays there, too
 	otherCaller := r.newClient()
-	r.gateway.OnClosed(r.now, caller.conn, ClosedReset)
+	r.gateway.OnClosed(r.now, caller.gatewayConn, ClosedReset)
 	r.step()
 	r.expect(otherCaller.lastMessage(7), binarymessage.Release, binarymessage.Normal)
 	r.expect(conn.lastMessage(8), binarymessage.Release, binarymessage.Normal)
@@ -313,7 +315,7 @@
 	r.receive(otherCaller, binarymessage.HealthCheck, 6, binarymessage.CauseParam(0))
 	conn = r.receiveSetupAndAnswer(otherCaller, 9)
 	r.receive(conn, binarymessage.Release, 9, binarymessage.CauseParam(binarymessage.Normal))
-	r.gateway.OnClosed(r.now, otherCaller.conn, ClosedReset)
+	r.gateway.OnClosed(r.now, otherCaller.gatewayConn, ClosedReset)
 	r.advance(300)
 	laterCaller := r.newClient()
 	r.step()
@@ -334,8 +336,8 @@
 	return conn
 }
 
-// TestCallerLeavesPendingCall: when the caller disconnects or cancels, no further attempt starts, whatever state its setup
-// is in.
+// TestCallerLeavesPendingCall: when the caller disconnects or cancels, no further attempt starts, whatever state
+// its setup is in.
 func TestCallerLeavesPendingCall(t *testing.T) {
 	for name, wait := range map[string]func(*testGateway){
 		"waits for a connection":   waitForConn,
@@ -353,7 +355,7 @@
 				r.callerGoes(closes)
 				r.holdDials = false
 				for _, conn := range r.dialed {
-					conn.conn.writePending = false
+					conn.gatewayConn.writePending = false
 				}
 				r.advance(3000)
 				if after := r.countSetups(7); after != before {
@@ -370,15 +372,15 @@
 func waitForConn(r *testGateway) {
 	r.holdDials = true
 	for _, conn := range r.connsTo(addrA) {
-		r.gateway.OnClosed(r.now, conn.conn, ClosedNormally)
+		r.gateway.OnClosed(r.now, conn.gatewayConn, ClosedNormally)
 	}
 	r.receiveSetup(r.client, 7)
 }
 
 func waitInConn(r *testGateway) {
 	for _, conn := range r.connsTo(addrA) {
-		r.gateway.OnData(r.now, conn.conn, binarymessage.Append(nil, binarymessage.LoadState, 0))
-		conn.conn.writePending = true // an earlier write has not been sent
+		r.gateway.OnData(r.now, conn.gatewayConn, binarymessage.Append(nil, binarymessage.LoadState, 0))
+		conn.gatewayConn.writePending = true // an earlier write has not been sent
 	}
 	r.holdDials = true
 	r.receiveSetup(r.client, 7)
@@ -393,10 +395,10 @@
 // callerGoes makes the caller of call 7 disconnect or cancel.
 func (r *testGateway) callerGoes(closes bool) {
 	if closes {
-		r.gateway.OnClosed(r.now, r.client.conn, ClosedNormally)
+		r.gateway.OnClosed(r.now, r.client.gatewayConn, ClosedNormally)
 		return
 	}
-	r.gateway.OnData(r.now, r.client.conn, releaseMessage(7, binarymessage.Normal))
+	r.gateway.OnData(r.now, r.client.gatewayConn, releaseMessage(7, binarymessage.Normal))
 }
 
 // countSetups returns how many setups of a call were sent to endpoints.
@@ -407,22 +409,22 @@
 	return n
 }
 
-// TestCancelBeforeSetupIsSent: an attempt that is canceled before its setup is sent ends as not sent, and nothing is sent
-// for it.
+// TestCancelBeforeSetupIsSent: an attempt that is canceled before its setup is sent ends as not sent, and nothing
+// is sent for it.
 func TestCancelBeforeSetupIsSent(t *testing.T) {
 	r := newTestGateway(t)
 	r.policy.targets = []int{0}
 	caller := r.newClient()
 	r.gateway.OnData(
 		r.now,
-		caller.conn,
+		caller.gatewayConn,
 		binarymessage.Append(nil, binarymessage.Setup, 7, binarymessage.TextParam(binarymessage.Class, "voice"),
 			binarymessage.TextParam(binarymessage.Timeout, "3000"), binarymessage.TextParam(binarymessage.Number, "1")),
 	)
 	r.gateway.ProcessBatch(r.now, nil) // starts the attempt; its setup is queued on the connection
 	r.gateway.OnData(
 		r.now,
-		caller.conn,
+		caller.gatewayConn,
 		binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal)),
 	)
 	r.advance(100)
@@ -431,19 +433,20 @@
 			t.Errorf("an endpoint got %x", conn.lastMessage(7))
 		}
 	}
-	if got := r.policy.events[len(r.policy.events)-1]; got != "ended 7 finished true at capacity false number busy false retry after 0" {
+	if got := r.policy.events[len(r.policy.events)-1]; got != "ended 7 finished true capacity false busy false retry 0" {
 		t.Errorf("the policy got %q", r.policy.events)
 	}
 }
 
-// TestEvictionAdmitsNewcomers: when idle connections reach the limit, a new connection is accepted and its call is set up.
+// TestEvictionAdmitsNewcomers: when idle connections reach the limit, a new connection is accepted and its call is
+// set up.
 func TestEvictionAdmitsNewcomers(t *testing.T) {
 	r := newTestGateway(t)
 	r.fillClientConns()
 	r.advance(1000)
 	for i := range uint64(5) {
 		caller := r.newClient()
-		if caller.conn == nil || caller.closed {
+		if caller.gatewayConn == nil || caller.closed {
 			t.Fatal("the new connection was closed")
 		}
 		r.policy.targets = []int{0}
@@ -469,7 +472,7 @@
 		t.Errorf("%d of %d connections have unsent data", unsent, open)
 	}
 	slow.blocked = false
-	r.gateway.OnFlushed(r.now, slow.conn)
+	r.gateway.OnFlushed(r.now, slow.gatewayConn)
 	r.gateway.Step(r.now)
 	r.expect(slow.lastMessage(8), binarymessage.Release, binarymessage.Congested)
 	if unsent, _ := r.gateway.ClientConns(); unsent != 0 {
@@ -482,6 +485,7 @@
 		t.Errorf("the policy got %q", r.policy.events[eventsBefore:])
 	}
 	if !caller.writeClosed || !slow.writeClosed || caller.closed || len(caller.messages) != before {
-		t.Errorf("write closed %v and %v, closed %v, got %x", caller.writeClosed, slow.writeClosed, caller.closed, caller.messages[before:])
+		t.Errorf("write closed %v and %v, closed %v, got %x", caller.writeClosed, slow.writeClosed,
+			caller.closed, caller.messages[before:])
 	}
 }
--- a/internal/protocol/binarygateway/conn.go
+++ b/internal/protocol/binarygateway/conn.go
@@ -62,8 +62,8 @@
 	data   []byte
 	leg    *outboundLeg // the leg whose setup this is; nil: not a setup
 	onSent func()       // called once the message has been sent; may be nil
-	// onLost is called instead of onSent if the connection ends first. If it is nil, onSent is called: for the release of a
-	// canceled setup, the end of the connection has the same effect as the release.
+	// onLost is called instead of onSent if the connection ends first. If it is nil, onSent is called: for the
+	// release of a canceled setup, the end of the connection has the same effect as the release.
 	onLost func()
 }
 
@@ -193,8 +193,8 @@
 	c.terminate(ClosedNormally)
 }
 
-// terminate ends a connection. Setups that were not sent end as not sent, and the callbacks of lost messages are called,
-// which send releases to clients on another connection.
+// terminate ends a connection. Setups that were not sent end as not sent, and the callbacks of lost messages are
+// called, which send releases to clients on another connection.
 func (c *Conn) terminate(reason CloseReason) {
 	if c.closed {
 		return
--- a/internal/protocol/binarygateway/endpointlist.go
+++ b/internal/protocol/binarygateway/endpointlist.go
@@ -6,9 +6,9 @@
 	"cobaltpier/internal/routing"
 )
 
-// OnEndpointList applies an endpoint list at once (rule 3). Setups that wait here for a draining or gone endpoint are
-// withdrawn. When an endpoint is gone, its connections are closed and its calls end. A new ID means a new endpoint, even
-// at a known address.
+// OnEndpointList applies an endpoint list at once (rule 3). Setups that wait here for a draining or gone endpoint
+// are withdrawn. When an endpoint is gone, its connections are closed and its calls end. A new ID means a new
+// endpoint, even at a known address.
 func (g *Gateway) OnEndpointList(now float64, list *dnsdiscovery.List) {
 	g.Now = now
 	changed := g.Endpoints.Apply(g.endpointEntries(list), list.Complete)
--- a/internal/protocol/binarygateway/gateway.go
+++ b/internal/protocol/binarygateway/gateway.go
@@ -82,7 +82,7 @@
 }
 
 const (
-	readyTimeout        = 1000.0 // ms after the start: from then on health checks are answered even without an endpoint connection
+	readyTimeout        = 1000.0 // ms: health checks are answered from then on, even without an endpoint connection
 	maintenanceInterval = 250.0  // ms
 	maxReportingConns   = 4      // an endpoint reports its load on at most this many connections
 	maxPendingChecks    = 1000
@@ -112,8 +112,8 @@
 	return g
 }
 
-// ProbeHealth implements routing.Host. It reports whether the endpoint has a connection. It sends no health check, since
-// the result of one carries no load report.
+// ProbeHealth implements routing.Host. It reports whether the endpoint has a connection. It sends no health check,
+// since the result of one carries no load report.
 func (g *Gateway) ProbeHealth(endpoint *routing.Endpoint) {
 	g.Timers.Schedule(g.Now, func() {
 		u := g.upstreams[endpoint]
--- a/internal/protocol/binarygateway/outboundleg.go
+++ b/internal/protocol/binarygateway/outboundleg.go
@@ -19,13 +19,13 @@
 	timeout  *timerqueue.Timer
 	sent     bool // its setup was handed to the driver
 	ended    bool // its end has been reported, or is about to be
-	// answeredLate is set when an answer to an earlier, canceled attempt of the call arrives from this endpoint. The call
-	// established by that answer is released once this leg has ended without an answer.
+	// answeredLate is set when an answer to an earlier, canceled attempt of the call arrives from this endpoint.
+	// The call established by that answer is released once this leg has ended without an answer.
 	answeredLate bool
 }
 
-// setupMessage returns the setup for the endpoint: class, called number and description as the client sent them, and the
-// ms that remain until this gateway gives up.
+// setupMessage returns the setup for the endpoint: class, called number and description as the client sent them,
+// and the ms that remain until this gateway gives up.
 func (l *outboundLeg) setupMessage() []byte {
 	clientSetup := binarymessage.Message(l.call.setup)
 	g := l.upstream.gateway
@@ -54,8 +54,8 @@
 	l.finish(routing.ConnectionRefused)
 }
 
-// cancel gives up a leg. If its setup was not sent, it ends as not sent, whatever the given outcome. Otherwise a release is
-// sent, and the leg ends with the given outcome once that has been sent.
+// cancel gives up a leg. If its setup was not sent, it ends as not sent, whatever the given outcome. Otherwise a
+// release is sent, and the leg ends with the given outcome once that has been sent.
 func (l *outboundLeg) cancel(outcome routing.Outcome) {
 	if l.ended {
 		return
--- a/internal/protocol/binarygateway/simulation_test.go
+++ b/internal/protocol/binarygateway/simulation_test.go
@@ -65,7 +65,7 @@
 
 // share draws the probability of a fault: 0 in half of the cases.
 func share(t *rapid.T, fault string, limit float64) float64 {
-	if rapid.Bool().Draw(t, "no "+fault) {
+	if rapid.Bool().Draw(t, fault+" none") {
 		return 0
 	}
 	return rapid.Float64Range(0, limit).Draw(t, fault)
@@ -107,7 +107,8 @@
 	})
 }
 
-// ruleBreakingPolicy breaks all rules: it starts attempts at random endpoints at random times, and answers late or never.
+// ruleBreakingPolicy breaks all rules: it starts attempts at random endpoints at random times, and answers late or
+// never.
 type ruleBreakingPolicy struct {
 	host      routing.Host
 	endpoints []*routing.Endpoint
@@ -150,8 +151,8 @@
 func (m *ruleBreakingPolicy) OnGossip(float64, int, []byte)                       {}
 func (m *ruleBreakingPolicy) OnWakeup(now float64, c *routing.Call)               { m.act(now, c) }
 
-// TestGuards: with all guards, traffic conforms to the rules even under a policy that breaks them. With a guard disabled, the
-// checker finds violations of its rule.
+// TestGuards: with all guards, traffic conforms to the rules even under a policy that breaks them. With a guard
+// disabled, the checker finds violations of its rule.
 func TestGuards(t *testing.T) {
 	for disabledGuard := range 6 {
 		t.Run(fmt.Sprint(disabledGuard), func(t *testing.T) {
@@ -174,7 +175,8 @@
 					}
 				}
 			}
-			// The guard of rule 1 can't be disabled here: a call that has its final answer no longer refers to a connection.
+			// The guard of rule 1 can't be disabled here: a call that has its final answer no longer refers to a
+			// connection.
 			if disabledGuard > 1 && disabledGuard != 4 && found[disabledGuard] == 0 {
 				t.Errorf("guard of rule %d is disabled, but the checker found %v", disabledGuard, found)
 			}
@@ -182,8 +184,8 @@
 	}
 }
 
-// TestNoStateLeft: after a long run in which call IDs, connections and endpoints keep changing, the gateway holds no more
-// state than at its start.
+// TestNoStateLeft: after a long run in which call IDs, connections and endpoints keep changing, the gateway holds
+// no more state than at its start.
 func TestNoStateLeft(t *testing.T) {
 	world := newSimulation(5, newRouter, 0)
 	world.Rate = 60
--- a/internal/protocol/binarygateway/testgateway_test.go
+++ b/internal/protocol/binarygateway/testgateway_test.go
@@ -55,7 +55,7 @@
 	m.events = append(
 		m.events,
 		fmt.Sprintf(
-			"ended %d finished %v at capacity %v number busy %v retry after %v",
+			"ended %d finished %v capacity %v busy %v retry %v",
 			attempt.Outcome,
 			finished,
 			attempt.AtCapacity,
@@ -90,7 +90,7 @@
 
 // testConn is the driver's side of a connection.
 type testConn struct {
-	conn        *Conn
+	gatewayConn *Conn
 	address     netip.AddrPort // of the endpoint
 	messages    []binarymessage.Message
 	reader      binarymessage.Reader
@@ -125,7 +125,7 @@
 }
 
 func (r *testGateway) Dial(conn *Conn, to netip.AddrPort) {
-	w := &testConn{conn: conn, address: to}
+	w := &testConn{gatewayConn: conn, address: to}
 	conn.Socket = w
 	r.dialed = append(r.dialed, w)
 }
@@ -186,9 +186,9 @@
 	for range 3 {
 		if !r.holdDials {
 			for _, w := range r.dialed {
-				if !w.conn.connected && !w.conn.closed {
-					r.gateway.OnConnected(r.now, w.conn)
-					r.gateway.OnData(r.now, w.conn, binarymessage.Append(nil, binarymessage.LoadState, 0))
+				if !w.gatewayConn.connected && !w.gatewayConn.closed {
+					r.gateway.OnConnected(r.now, w.gatewayConn)
+					r.gateway.OnData(r.now, w.gatewayConn, binarymessage.Append(nil, binarymessage.LoadState, 0))
 				}
 			}
 		}
@@ -206,13 +206,13 @@
 
 func (r *testGateway) newClient() *testConn {
 	w := &testConn{}
-	w.conn = r.gateway.OnAccepted(r.now, w, clientAddr)
+	w.gatewayConn = r.gateway.OnAccepted(r.now, w, clientAddr)
 	return w
 }
 
 // receive delivers a message from the peer of a connection.
 func (r *testGateway) receive(w *testConn, kind byte, call uint64, params ...binarymessage.Param) {
-	r.gateway.OnData(r.now, w.conn, binarymessage.Append(nil, kind, call, params...))
+	r.gateway.OnData(r.now, w.gatewayConn, binarymessage.Append(nil, kind, call, params...))
 	r.step()
 }
 
--- a/internal/protocol/binarygateway/upstream.go
+++ b/internal/protocol/binarygateway/upstream.go
@@ -81,8 +81,8 @@
 	return slices.ContainsFunc(u.conns, func(conn *Conn) bool { return !conn.connected })
 }
 
-// maintainConns opens the connections that are kept to the endpoint at all times. A draining endpoint gets no setups, so it
-// needs a connection only while calls are established there.
+// maintainConns opens the connections that are kept to the endpoint at all times. A draining endpoint gets no
+// setups, so it needs a connection only while calls are established there.
 func (u *upstream) maintainConns() {
 	wanted := min(minConnsPerEndpoint, u.gateway.connsPerEndpoint())
 	if u.endpoint.State != routing.Ready {
@@ -136,8 +136,9 @@
 	conn.scheduleFlush()
 }
 
-// assignConn sends a setup on the connection with the fewest setups in flight, since all setups on a connection fail if it
-// breaks. Without a usable connection the setup waits for the next, but no longer than the connect timeout.
+// assignConn sends a setup on the connection with the fewest setups in flight, since all setups on a connection
+// fail if it breaks. Without a usable connection the setup waits for the next, but no longer than the connect
+// timeout.
 func (u *upstream) assignConn(leg *outboundLeg) {
 	g := u.gateway
 	conn := u.leastUsedConn()
@@ -257,8 +258,8 @@
 	for _, leg := range u.waitingLegs {
 		g.Timers.Schedule(g.Now, leg.onConnectTimeout)
 	}
-	// When a process dies, its connections are reset and further dials are refused. A draining one also stops listening,
-	// but closes its connections in order, and its calls continue.
+	// When a process dies, its connections are reset and further dials are refused. A draining one also stops
+	// listening, but closes its connections in order, and its calls continue.
 	if reason == ClosedRefused && u.lastConnReset {
 		u.markDead()
 	}
--- a/internal/protocol/binarygateway/upstream_test.go
+++ b/internal/protocol/binarygateway/upstream_test.go
@@ -21,7 +21,7 @@
 	r.receive(r.dialed[0], binarymessage.LoadState, 0) // no setup is in flight, and the connections accept writes
 	for _, conn := range r.dialed {                    // block the connections with an earlier message
 		if conn.address == addrA {
-			conn.conn.send(binarymessage.Append(nil, binarymessage.ReleaseComplete, 1))
+			conn.gatewayConn.send(binarymessage.Append(nil, binarymessage.ReleaseComplete, 1))
 		}
 	}
 	r.step()
@@ -35,7 +35,7 @@
 	r.step()
 	for _, conn := range r.dialed {
 		conn.blocked = false
-		r.gateway.OnFlushed(r.now, conn.conn)
+		r.gateway.OnFlushed(r.now, conn.gatewayConn)
 	}
 	r.holdDials = false
 	r.step()
@@ -44,7 +44,7 @@
 			t.Error("the setup was sent to a draining endpoint")
 		}
 	}
-	if got := r.policy.events[len(r.policy.events)-1]; got != "ended 7 finished false at capacity false number busy false retry after 0" {
+	if got := r.policy.events[len(r.policy.events)-1]; got != "ended 7 finished false capacity false busy false retry 0" {
 		t.Errorf("the policy got %q", r.policy.events)
 	}
 }
@@ -77,7 +77,7 @@
 // connsTo returns the connections to an address that are not closed.
 func (r *testGateway) connsTo(a netip.AddrPort) (conns []*testConn) {
 	for _, conn := range r.dialed {
-		if conn.address == a && !conn.conn.closed {
+		if conn.address == a && !conn.gatewayConn.closed {
 			conns = append(conns, conn)
 		}
 	}
@@ -89,23 +89,23 @@
 	for end := r.now + ms; r.now < end; r.now += 10 {
 		r.step()
 		for _, conn := range r.connsTo(a) {
-			if !conn.conn.connected {
-				r.gateway.OnClosed(r.now, conn.conn, ClosedRefused)
+			if !conn.gatewayConn.connected {
+				r.gateway.OnClosed(r.now, conn.gatewayConn, ClosedRefused)
 			}
 		}
 	}
 	r.step()
 }
 
-// TestEndpointProcessDies: connections that are reset, followed by a refused dial, show that the endpoint's process has died.
-// The calls there are released to their callers at once.
+// TestEndpointProcessDies: connections that are reset, followed by a refused dial, show that the endpoint's process
+// has died. The calls there are released to their callers at once.
 func TestEndpointProcessDies(t *testing.T) {
 	r := newTestGateway(t)
 	caller := r.newClient()
 	r.establish(caller, 7)
 	r.holdDials = true
 	for _, conn := range r.connsTo(addrA) {
-		r.gateway.OnClosed(r.now, conn.conn, ClosedReset)
+		r.gateway.OnClosed(r.now, conn.gatewayConn, ClosedReset)
 	}
 	r.step()
 	r.expect(caller.lastMessage(7), binarymessage.Answer, 0) // a reset alone does not end the call
@@ -113,8 +113,8 @@
 	r.expect(caller.lastMessage(7), binarymessage.Release, binarymessage.Failure)
 }
 
-// TestDrainingEndpointRefusesDials: a draining endpoint refuses dials and sends few messages. Its calls continue while a
-// connection is open, and their releases arrive there.
+// TestDrainingEndpointRefusesDials: a draining endpoint refuses dials and sends few messages. Its calls continue
+// while a connection is open, and their releases arrive there.
 func TestDrainingEndpointRefusesDials(t *testing.T) {
 	for _, listed := range []bool{false, true} {
 		r := newTestGateway(t)
@@ -130,7 +130,7 @@
 		r.holdDials = true
 		for _, other := range r.connsTo(addrA) {
 			if other != conn {
-				r.gateway.OnClosed(r.now, other.conn, ClosedNormally)
+				r.gateway.OnClosed(r.now, other.gatewayConn, ClosedNormally)
 			}
 		}
 		before := len(r.dialed)
@@ -144,15 +144,15 @@
 	}
 }
 
-// TestEndpointWithoutConn: an endpoint that closed all its connections in order is still running, but its releases can't
-// arrive. The call is released to its caller in time, before it counts as not released.
+// TestEndpointWithoutConn: an endpoint that closed all its connections in order is still running, but its releases
+// can't arrive. The call is released to its caller in time, before it counts as not released.
 func TestEndpointWithoutConn(t *testing.T) {
 	r := newTestGateway(t)
 	caller := r.newClient()
 	r.establish(caller, 7)
 	r.holdDials = true
 	for _, conn := range r.connsTo(addrA) {
-		r.gateway.OnClosed(r.now, conn.conn, ClosedNormally)
+		r.gateway.OnClosed(r.now, conn.gatewayConn, ClosedNormally)
 	}
 	r.refuseDials(addrA, 6000)
 	r.expect(caller.lastMessage(7), binarymessage.Answer, 0)
@@ -160,8 +160,8 @@
 	r.expect(caller.lastMessage(7), binarymessage.Release, binarymessage.Failure)
 }
 
-// TestConnectionsAcceptedThenReset: when an endpoint repeatedly accepts connections and resets them, the dial backoff grows,
-// and its calls are released in time.
+// TestConnectionsAcceptedThenReset: when an endpoint repeatedly accepts connections and resets them, the dial
+// backoff grows, and its calls are released in time.
 func TestConnectionsAcceptedThenReset(t *testing.T) {
 	r := newTestGateway(t)
 	caller := r.newClient()
@@ -170,10 +170,10 @@
 	r.holdDials = true
 	for end := r.now + 5500; r.now < end; r.now += 10 {
 		for _, conn := range r.connsTo(addrA) {
-			if !conn.conn.connected {
-				r.gateway.OnConnected(r.now, conn.conn)
+			if !conn.gatewayConn.connected {
+				r.gateway.OnConnected(r.now, conn.gatewayConn)
 			}
-			r.gateway.OnClosed(r.now, conn.conn, ClosedReset)
+			r.gateway.OnClosed(r.now, conn.gatewayConn, ClosedReset)
 		}
 		r.step()
 	}
@@ -183,8 +183,8 @@
 	r.expect(caller.lastMessage(7), binarymessage.Release, binarymessage.Failure)
 }
 
-// TestEndpointVanishes: a host that has vanished sends nothing and answers no dial. Its calls are released after the silence
-// timeout, not earlier.
+// TestEndpointVanishes: a host that has vanished sends nothing and answers no dial. Its calls are released after
+// the silence timeout, not earlier.
 func TestEndpointVanishes(t *testing.T) {
 	r := newTestGateway(t)
 	caller := r.newClient()
@@ -206,7 +206,7 @@
 	r.expect(caller.lastMessage(7), binarymessage.Answer, 0)
 	n := 0
 	for _, conn := range r.dialed {
-		if conn.address == addrA && !conn.conn.closed {
+		if conn.address == addrA && !conn.gatewayConn.closed {
 			n++
 		}
 	}
@@ -238,15 +238,15 @@
 	}
 }
 
-// TestFailedDials: an attempt ends as connection refused, at once if the dial is refused and after the connect timeout if it
-// is not answered. Neither counts as a reset, since the setup was not executed.
+// TestFailedDials: an attempt ends as connection refused, at once if the dial is refused and after the connect
+// timeout if it is not answered. Neither counts as a reset, since the setup was not executed.
 func TestFailedDials(t *testing.T) {
 	for _, refused := range []bool{true, false} {
 		r := newTestGateway(t)
 		r.holdDials = true
 		for _, conn := range slices.Clone(r.dialed) {
 			if conn.address == addrA {
-				r.gateway.OnClosed(r.now, conn.conn, ClosedNormally)
+				r.gateway.OnClosed(r.now, conn.gatewayConn, ClosedNormally)
 			}
 		}
 		r.step()
@@ -254,23 +254,23 @@
 		r.receiveSetup(r.newClient(), 7)
 		if refused {
 			for _, conn := range slices.Clone(r.dialed) {
-				if conn.address == addrA && !conn.conn.closed {
-					r.gateway.OnClosed(r.now, conn.conn, ClosedRefused)
+				if conn.address == addrA && !conn.gatewayConn.closed {
+					r.gateway.OnClosed(r.now, conn.gatewayConn, ClosedRefused)
 				}
 			}
 			r.step()
 		} else {
 			r.advance(600)
 		}
-		if got := r.policy.events[len(r.policy.events)-1]; got != "ended 4 finished false at capacity false number busy false retry after 0" {
+		if got := r.policy.events[len(r.policy.events)-1]; got != "ended 4 finished false capacity false busy false retry 0" {
 			t.Errorf("refused %v: the policy got %q", refused, r.policy.events)
 		}
 	}
 }
 
-// TestResetWithCallsInAllStates: an endpoint's process dies while one call is established, one attempt is in flight and the
-// cancel of another is unsent. The attempt ends as reset, since it may have been executed, the canceled one as canceled, and
-// the established call is released to its caller.
+// TestResetWithCallsInAllStates: an endpoint's process dies while one call is established, one attempt is in flight
+// and the cancel of another is unsent. The attempt ends as reset, since it may have been executed, the canceled one
+// as canceled, and the established call is released to its caller.
 func TestResetWithCallsInAllStates(t *testing.T) {
 	r := newTestGateway(t)
 	caller := r.newClient()
@@ -287,19 +287,19 @@
 	}
 	r.gateway.OnData(
 		r.now,
-		caller.conn,
+		caller.gatewayConn,
 		binarymessage.Append(nil, binarymessage.Release, 9, binarymessage.CauseParam(binarymessage.Normal)),
 	) // its cancel is not sent, as the connection is blocked
 	r.step()
 	r.holdDials = true
 	r.policy.events = nil
 	for _, other := range r.connsTo(addrA) {
-		r.gateway.OnClosed(r.now, other.conn, ClosedReset)
+		r.gateway.OnClosed(r.now, other.gatewayConn, ClosedReset)
 	}
 	r.refuseDials(addrA, 100)
 	r.expect(caller.lastMessage(7), binarymessage.Release, binarymessage.Failure)
-	for _, want := range []string{"ended 5 finished false at capacity false number busy false retry after 0",
-		"ended 6 finished true at capacity false number busy false retry after 0"} {
+	for _, want := range []string{"ended 5 finished false capacity false busy false retry 0",
+		"ended 6 finished true capacity false busy false retry 0"} {
 		if !slices.Contains(r.policy.events, want) {
 			t.Errorf("the policy got %q, want %q", r.policy.events, want)
 		}
--- a/internal/protocol/binarygateway/upstreammessages.go
+++ b/internal/protocol/binarygateway/upstreammessages.go
@@ -40,7 +40,8 @@
 func (u *upstream) onAnswer(conn *Conn, message binarymessage.Message) {
 	g, id := u.gateway, message.Call()
 	if u.established[id] != nil {
-		// The answer belongs to an earlier, canceled attempt of this call. To release it would end the established call.
+		// The answer belongs to an earlier, canceled attempt of this call. To release it would end the established
+		// call.
 		g.Metrics.Duplicates++
 		return
 	}
--- a/internal/protocol/binarymessage/message.go
+++ b/internal/protocol/binarymessage/message.go
@@ -1,5 +1,5 @@
-// Package binarymessage encodes and decodes the platform's binary messages, which are sent over streams, for several calls
-// on one connection. A stream may be split between any two bytes. The package has no I/O.
+// Package binarymessage encodes and decodes the platform's binary messages, which are sent over streams, for
+// several calls on one connection. A stream may be split between any two bytes. The package has no I/O.
 //
 //	message   = length:2 type:1 call:8 parameters    length counts the bytes after it; big-endian
 //	parameter = code:1 length:2 value
@@ -150,7 +150,8 @@
 // CauseParam returns the parameter of a cause.
 func CauseParam(cause byte) Param { return Param{Cause, []byte{cause}} }
 
-// Append appends an encoded message to dst. It panics if the message is longer than MaxLength; callers must prevent this.
+// Append appends an encoded message to dst. It panics if the message is longer than MaxLength; callers must prevent
+// this.
 func Append(dst []byte, messageType byte, callID uint64, params ...Param) []byte {
 	n := headerSize - lengthSize
 	for _, p := range params {
@@ -173,8 +174,8 @@
 // Reader splits a stream into messages. It buffers at most one incomplete message.
 type Reader struct{ partial []byte }
 
-// Feed reads the next bytes and passes each complete message to handle, which must not keep it and returns false to stop.
-// An error is final, since the message boundaries are lost.
+// Feed reads the next bytes and passes each complete message to handle, which must not keep it and returns false to
+// stop. An error is final, since the message boundaries are lost.
 func (r *Reader) Feed(data []byte, handle func(Message) bool) error {
 	for {
 		message, rest, err := r.next(data)
--- a/internal/protocol/dnsdiscovery/client.go
+++ b/internal/protocol/dnsdiscovery/client.go
@@ -1,9 +1,10 @@
-// Package dnsdiscovery tracks the platform's list of endpoints. It reads the events in the configuration, then polls the
-// complete list by DNS (RFC 1035, RFC 2782). It has no I/O and no clock.
+// Package dnsdiscovery tracks the platform's list of endpoints. It reads the events in the configuration, then
+// polls the complete list by DNS (RFC 1035, RFC 2782). It has no I/O and no clock.
 //
-// Responses may be lost, truncated or report a failure, and may have a wrong ID, a wrong source or an older list. So the
-// client sends a query at each interval whether or not the previous one was answered, accepts a response to any of the
-// latest queries, and uses a list only if it is complete and its serial is not lower than that of the previous list.
+// Responses may be lost, truncated or report a failure, and may have a wrong ID, a wrong source or an older list.
+// So the client sends a query at each interval whether or not the previous one was answered, accepts a response to
+// any of the latest queries, and uses a list only if it is complete and its serial is not lower than that of the
+// previous list.
 package dnsdiscovery
 
 import (
@@ -67,8 +68,8 @@
 	return &Client{Server: server, serial: serial, seed: seed}
 }
 
-// SetServer switches to another name server and makes a query due at once. Responses of the previous server are no longer
-// accepted; the serial of the latest list stays in force.
+// SetServer switches to another name server and makes a query due at once. Responses of the previous server are no
+// longer accepted; the serial of the latest list stays in force.
 func (c *Client) SetServer(server netip.AddrPort) {
 	c.Server, c.outstanding, c.nextQueryAt = server, nil, 0
 }
--- a/internal/protocol/dnsdiscovery/client_test.go
+++ b/internal/protocol/dnsdiscovery/client_test.go
@@ -36,7 +36,8 @@
 		m.Extra = append(m.Extra, &dns.A{Hdr: header(host, dns.TypeA), A: net.IPv4(127, 0, 1, byte(9+i))},
 			&dns.TXT{Hdr: header(host, dns.TypeTXT), Txt: []string{"kind=std", "cell=2", "started=1700000000000"}})
 	}
-	m.Ns = []dns.RR{&dns.SOA{Hdr: header("farm.lan.", dns.TypeSOA), Ns: "ns.farm.lan.", Mbox: "x.farm.lan.", Serial: serial}}
+	m.Ns = []dns.RR{&dns.SOA{Hdr: header("farm.lan.", dns.TypeSOA), Ns: "ns.farm.lan.", Mbox: "x.farm.lan.",
+		Serial: serial}}
 	if change != nil {
 		change(m)
 	}
