--- a/internal/protocol/binarygateway/testgateway_test.go
+++ b/internal/protocol/binarygateway/testgateway_test.go
@@ -111,12 +111,12 @@
 }
 
 func (r *testGateway) Write(conn *Conn, b []byte) bool {
-	w := conn.Socket.(*testConn)
-	if w.blocked {
+	tc := conn.Socket.(*testConn)
+	if tc.blocked {
 		return false
 	}
-	if err := w.reader.Feed(b, func(m binarymessage.Message) bool {
-		w.messages = append(w.messages, append(binarymessage.Message(nil), m...))
+	if err := tc.reader.Feed(b, func(m binarymessage.Message) bool {
+		tc.messages = append(tc.messages, append(binarymessage.Message(nil), m...))
 		return true
 	}); err != nil {
 		r.Errorf("malformed message written: %v", err)
@@ -125,9 +125,9 @@
 }
 
 func (r *testGateway) Dial(conn *Conn, to netip.AddrPort) {
-	w := &testConn{gatewayConn: conn, address: to}
-	conn.Socket = w
-	r.dialed = append(r.dialed, w)
+	tc := &testConn{gatewayConn: conn, address: to}
+	conn.Socket = tc
+	r.dialed = append(r.dialed, tc)
 }
 
 func (r *testGateway) Close(conn *Conn) { conn.Socket.(*testConn).closed = true }
@@ -185,10 +185,10 @@
 func (r *testGateway) step() {
 	for range 3 {
 		if !r.holdDials {
-			for _, w := range r.dialed {
-				if !w.gatewayConn.connected && !w.gatewayConn.closed {
-					r.gateway.OnConnected(r.now, w.gatewayConn)
-					r.gateway.OnData(r.now, w.gatewayConn, binarymessage.Append(nil, binarymessage.LoadState, 0))
+			for _, tc := range r.dialed {
+				if !tc.gatewayConn.connected && !tc.gatewayConn.closed {
+					r.gateway.OnConnected(r.now, tc.gatewayConn)
+					r.gateway.OnData(r.now, tc.gatewayConn, binarymessage.Append(nil, binarymessage.LoadState, 0))
 				}
 			}
 		}
@@ -205,20 +205,20 @@
 }
 
 func (r *testGateway) newClient() *testConn {
-	w := &testConn{}
-	w.gatewayConn = r.gateway.OnAccepted(r.now, w, clientAddr)
-	return w
+	tc := &testConn{}
+	tc.gatewayConn = r.gateway.OnAccepted(r.now, tc, clientAddr)
+	return tc
 }
 
 // receive delivers a message from the peer of a connection.
-func (r *testGateway) receive(w *testConn, kind byte, call uint64, params ...binarymessage.Param) {
-	r.gateway.OnData(r.now, w.gatewayConn, binarymessage.Append(nil, kind, call, params...))
+func (r *testGateway) receive(tc *testConn, kind byte, call uint64, params ...binarymessage.Param) {
+	r.gateway.OnData(r.now, tc.gatewayConn, binarymessage.Append(nil, kind, call, params...))
 	r.step()
 }
 
 // receiveSetup delivers a setup from a caller.
-func (r *testGateway) receiveSetup(w *testConn, call uint64) {
-	r.receive(w, binarymessage.Setup, call,
+func (r *testGateway) receiveSetup(tc *testConn, call uint64) {
+	r.receive(tc, binarymessage.Setup, call,
 		binarymessage.TextParam(binarymessage.Class, "voice"),
 		binarymessage.TextParam(binarymessage.Timeout, "3000"),
 		binarymessage.TextParam(binarymessage.Number, "7f3a9c21e0b4d655"),
@@ -227,18 +227,18 @@
 }
 
 // lastMessage returns the latest message for a call that was written to the connection; nil: none.
-func (w *testConn) lastMessage(call uint64) binarymessage.Message {
-	for i := len(w.messages) - 1; i >= 0; i-- {
-		if w.messages[i].Call() == call {
-			return w.messages[i]
+func (tc *testConn) lastMessage(call uint64) binarymessage.Message {
+	for i := len(tc.messages) - 1; i >= 0; i-- {
+		if tc.messages[i].Call() == call {
+			return tc.messages[i]
 		}
 	}
 	return nil
 }
 
 // count returns how many messages of a type were written to the connection for a call.
-func (w *testConn) count(call uint64, kind byte) (n int) {
-	for _, m := range w.messages {
+func (tc *testConn) count(call uint64, kind byte) (n int) {
+	for _, m := range tc.messages {
 		if m.Call() == call && m.Type() == kind {
 			n++
 		}
