--- /dev/null
+++ b/internal/protocol/binarygateway/simulation_test.go
@@ -0,0 +1,271 @@
+package binarygateway_test
+
+import (
+	"encoding/binary"
+	"fmt"
+	"hash/fnv"
+	"math"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"cobaltpier/internal/conformance/binaryconformance"
+	"cobaltpier/internal/decision/loadshed"
+	"cobaltpier/internal/deployment"
+	"cobaltpier/internal/detrand"
+	"cobaltpier/internal/emulator/binarystandin"
+	"cobaltpier/internal/protocol/binarygateway"
+	"cobaltpier/internal/protocol/binarymessage"
+	"cobaltpier/internal/router"
+	"cobaltpier/internal/routing"
+)
+
+func newRouter(settings *routing.Settings, host routing.Host) routing.Policy {
+	return router.New(settings, host)
+}
+
+func newSimulation(seed uint64, newPolicy routing.PolicyFactory, disabledGuard routing.Rule) *binarystandin.World {
+	settings := &routing.Settings{
+		Gateways:           1,
+		Seed:               seed,
+		TickInterval:       1,
+		MaxAttempts:        5,
+		CancelEnabled:      true,
+		RetryAfterEnabled:  true,
+		MaxRetryAfter:      2000,
+		RetransmitInterval: 400,
+		RetryHoldOff:       300,
+		AnswerGrace:        20,
+		SlowStartFraction:  0.4,
+		SlowStartDuration:  3000,
+		OverloadFactor:     2.5,
+		OverloadWindow:     1000,
+		Classes: []*routing.Class{
+			{Name: "voice", LatencyObjective: 1000, Timeout: 3000, Weight: 1, MeanHoldingTime: 800, Idempotent: true},
+		},
+	}
+	checker := binaryconformance.New(
+		binaryconformance.Rules{
+			AnswerGrace:         50,
+			DrainGrace:          250,
+			HoldOff:             300,
+			ReleaseWithin:       1000,
+			ReleaseWithinSilent: 8000,
+		},
+	)
+	return binarystandin.New(
+		seed,
+		&binarygateway.Config{Settings: settings, Connections: deployment.Connections{ConnectTimeout: 500},
+			MaxDescriptors: 256, AnswerMargin: 5, LoadShedding: loadshed.Gate{MaxPending: 500}, DisabledGuard: disabledGuard},
+		newPolicy,
+		3,
+		checker,
+	)
+}
+
+// share draws the probability of a fault: 0 in half of the cases.
+func share(t *rapid.T, fault string, limit float64) float64 {
+	if rapid.Bool().Draw(t, fault+" none") {
+		return 0
+	}
+	return rapid.Float64Range(0, limit).Draw(t, fault)
+}
+
+// TestRulesUnderFaults: the traffic conforms to the rules under random faults of callers, endpoints and the network.
+func TestRulesUnderFaults(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		world := newSimulation(rapid.Uint64().Draw(t, "seed"), newRouter, 0)
+		world.Faults = binarystandin.Faults{
+			Malformed:     share(t, "malformed", 0.1),
+			Late:          share(t, "late", 0.2),
+			Unanswered:    share(t, "unanswered", 0.2),
+			Duplicate:     share(t, "duplicate", 0.3),
+			Unsolicited:   share(t, "unsolicited", 0.3),
+			Reset:         share(t, "reset", 0.1),
+			Overloaded:    share(t, "overloaded", 0.3),
+			Failed:        share(t, "failed", 0.2),
+			Cut:           share(t, "cut", 0.5),
+			CallerLeaves:  share(t, "caller leaves", 0.5),
+			CallerHangsUp: share(t, "caller hangs up", 0.5),
+			ClientCloses:  share(t, "client closes", 0.1),
+			Blocked:       share(t, "blocked", 0.2),
+			Fragmented:    rapid.Bool().Draw(t, "fragmented"),
+			Drains:        share(t, "drains", 0.3),
+			Crashes:       share(t, "crashes", 0.2),
+			Vanish:        share(t, "vanish", 0.2),
+		}
+		world.StopAt = 8000
+		world.Run(22000)
+		for i, f := range world.Checker.Findings {
+			if i < 5 {
+				t.Errorf("%v", f)
+			}
+		}
+		if world.Checker.Totals.SetUps < 20 {
+			t.Errorf("only %d setups were sent", world.Checker.Totals.SetUps)
+		}
+	})
+}
+
+// ruleBreakingPolicy breaks all rules: it starts attempts at random endpoints at random times, and answers late or
+// never.
+type ruleBreakingPolicy struct {
+	host      routing.Host
+	endpoints []*routing.Endpoint
+	seed      uint64
+	draws     uint64
+}
+
+func (m *ruleBreakingPolicy) chance() float64 {
+	m.draws++
+	return detrand.Float64(m.seed, m.draws)
+}
+
+func (m *ruleBreakingPolicy) act(now float64, c *routing.Call) {
+	if m.chance() < 0.3 && c.InFlight != nil {
+		m.host.CancelAttempt(c.InFlight)
+	}
+	if len(m.endpoints) > 0 && m.chance() < 0.8 {
+		m.host.StartAttempt(c, m.endpoints[int(m.chance()*float64(len(m.endpoints)))], 200*m.chance())
+	}
+	if m.chance() < 0.1 {
+		m.host.Fail(c)
+		m.host.Reject(c, 100)
+	}
+	if m.draws < 40000 {
+		m.host.ScheduleWakeup(now+400*m.chance(), c)
+	}
+}
+func (m *ruleBreakingPolicy) OnEndpoints(_ float64, changed []*routing.Endpoint) {
+	m.endpoints = append(m.endpoints, changed...)
+}
+func (m *ruleBreakingPolicy) OnCall(now float64, c *routing.Call) { m.act(now, c) }
+func (m *ruleBreakingPolicy) OnAnswer(now float64, attempt *routing.Attempt) {
+	m.act(now, attempt.Call)
+}
+func (m *ruleBreakingPolicy) OnAttemptEnd(now float64, attempt *routing.Attempt, _ bool) {
+	m.act(now, attempt.Call)
+}
+func (m *ruleBreakingPolicy) OnHangup(now float64, c *routing.Call)               { m.act(now, c) }
+func (m *ruleBreakingPolicy) OnLoadReport(float64, *routing.Endpoint, bool, bool) {}
+func (m *ruleBreakingPolicy) OnGossip(float64, int, []byte)                       {}
+func (m *ruleBreakingPolicy) OnWakeup(now float64, c *routing.Call)               { m.act(now, c) }
+
+// TestGuards: with all guards, traffic conforms to the rules even under a policy that breaks them. With a guard
+// disabled, the checker finds violations of its rule.
+func TestGuards(t *testing.T) {
+	for disabledGuard := range 6 {
+		t.Run(fmt.Sprint(disabledGuard), func(t *testing.T) {
+			found := map[int]int{}
+			for seed := range uint64(4) {
+				world := newSimulation(
+					seed,
+					func(_ *routing.Settings, h routing.Host) routing.Policy {
+						return &ruleBreakingPolicy{host: h, seed: seed}
+					},
+					routing.Rule(disabledGuard),
+				)
+				world.Faults = binarystandin.Faults{Late: 0.2, Overloaded: 0.3, Drains: 0.4, Unanswered: 0.2}
+				world.StopAt = 6000
+				world.Run(12000)
+				for i, f := range world.Checker.Findings {
+					found[f.Rule]++
+					if disabledGuard == 0 && i < 3 {
+						t.Error(f)
+					}
+				}
+			}
+			// The guard of rule 1 can't be disabled here: a call that has its final answer no longer refers to a
+			// connection.
+			if disabledGuard > 1 && disabledGuard != 4 && found[disabledGuard] == 0 {
+				t.Errorf("guard of rule %d is disabled, but the checker found %v", disabledGuard, found)
+			}
+		})
+	}
+}
+
+// TestNoStateLeft: after a long run in which call IDs, connections and endpoints keep changing, the gateway holds
+// no more state than at its start.
+func TestNoStateLeft(t *testing.T) {
+	world := newSimulation(5, newRouter, 0)
+	world.Rate = 60
+	world.Faults = binarystandin.Faults{
+		Late:         0.05,
+		Unanswered:   0.02,
+		Duplicate:    0.1,
+		Reset:        0.02,
+		Cut:          0.2,
+		CallerLeaves: 0.1,
+		ClientCloses: 0.1,
+		Drains:       0.3,
+		Crashes:      0.1,
+		Malformed:    0.02,
+	}
+	world.StopAt = 40000
+	world.Run(100000)
+	open := world.Gateway.OpenCounts()
+	if open.Calls > 0 || open.Upstreams > 4 || open.Clients > 1 || open.ClientConns > 4 || open.Timers > 40 {
+		t.Errorf("left open: %+v", open)
+	}
+	if canceled, unmatchedReleases := world.Gateway.RememberedCounts(); canceled+unmatchedReleases > 0 {
+		t.Errorf("%d canceled calls and %d unmatched releases are remembered", canceled, unmatchedReleases)
+	}
+	for _, f := range world.Checker.Findings {
+		t.Error(f)
+	}
+}
+
+// Two runs with the same seed exchange the same messages at the same times, byte for byte. The checksum is logged, so
+// that a change which must not alter behaviour can be compared with the commit before it.
+func TestSameSeedSameTraffic(t *testing.T) {
+	for seed := range uint64(3) {
+		first, messages := trafficChecksum(seed)
+		second, _ := trafficChecksum(seed)
+		t.Logf("seed %d: %d messages, checksum %016x", seed, messages, first)
+		if first != second {
+			t.Errorf("seed %d: checksums %016x and %016x differ", seed, first, second)
+		}
+		if messages < 1000 {
+			t.Errorf("seed %d: only %d messages were exchanged", seed, messages)
+		}
+	}
+}
+
+// trafficChecksum simulates a run with faults and hashes every message that the gateway sends or receives.
+func trafficChecksum(seed uint64) (checksum uint64, messages int) {
+	world := newSimulation(seed, newRouter, 0)
+	world.Rate = 60
+	world.Faults = binarystandin.Faults{
+		Late:          0.05,
+		Unanswered:    0.02,
+		Duplicate:     0.1,
+		Unsolicited:   0.05,
+		Reset:         0.02,
+		Overloaded:    0.1,
+		Failed:        0.1,
+		Cut:           0.2,
+		CallerLeaves:  0.1,
+		CallerHangsUp: 0.1,
+		ClientCloses:  0.05,
+		Blocked:       0.1,
+		Fragmented:    true,
+		Drains:        0.3,
+		Crashes:       0.1,
+		Vanish:        0.1,
+		Malformed:     0.02,
+	}
+	world.StopAt = 20000
+	h := fnv.New64a()
+	world.Gateway.OnMessage = func(conn *binarygateway.Conn, outgoing bool, message binarymessage.Message) {
+		header := binary.LittleEndian.AppendUint64(nil, math.Float64bits(world.Now()))
+		if outgoing {
+			header = append(header, 1)
+		}
+		h.Write(header)
+		h.Write([]byte(conn.PeerName()))
+		h.Write(message)
+		messages++
+	}
+	world.Run(40000)
+	return h.Sum64(), messages
+}
