--- a/internal/decision/loadshed/loadshed_test.go
+++ b/internal/decision/loadshed/loadshed_test.go
@@ -43,7 +43,7 @@
 }
 
 // The reserve: a flood of cheap calls leaves room for a dear one; where all are worth the same nothing is held back.
-func TestReserve(t *testing.T) {
+func TestReserveForHighWeight(t *testing.T) {
 	count := func(of []bool) (n int) {
 		for _, ok := range of {
 			if ok {
--- a/internal/decision/shutdown/shutdown.go
+++ b/internal/decision/shutdown/shutdown.go
@@ -45,8 +45,8 @@
 // connections are refused, answers are sent before connections are closed, and connections are closed before the exit,
 // each within a limit.
 func (s Stage) Next(status Status) Stage {
-	kill := acceptWindow + math.Min(maxTimeout, status.MaxTimeout)
-	lastAnswer := kill - answerReserve
+	killAt := acceptWindow + math.Min(maxTimeout, status.MaxTimeout)
+	lastAnswer := killAt - answerReserve
 	switch s {
 	case Accepting:
 		if status.SinceSignal > math.Min(acceptWindow, lastAnswer) {
--- a/internal/detrand/detrand_test.go
+++ b/internal/detrand/detrand_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // Draws are even over their range, and the same for the same numbers.
-func TestEven(t *testing.T) {
+func TestUniform(t *testing.T) {
 	var bins [10]int
 	for i := range uint64(20000) {
 		v := Float64(7, i)
--- a/internal/router/dispatch.go
+++ b/internal/router/dispatch.go
@@ -31,9 +31,9 @@
 		r.markAlive(state)
 	case attempt.Outcome == routing.ConnectionRefused:
 		state.unanswered++
-		state.resets++
+		state.connErrors++
 	case attempt.Outcome == routing.Reset:
-		state.resets++
+		state.connErrors++
 	case !attempt.PresumedLost && attempt.Outcome != routing.NotSent && attempt.SentAt > state.startedAt:
 		state.unanswered++
 	}
@@ -45,12 +45,12 @@
 // markAlive notes that an endpoint answered. One that left attempts unanswered, and reset or refused
 // connections, is a new process when it answers again: it is in slow start, whatever the endpoint list says.
 func (r *Router) markAlive(state *endpointState) {
-	if state.unanswered > 0 && state.resets > 0 && r.now-state.startedAt > r.settings.SlowStartDuration {
+	if state.unanswered > 0 && state.connErrors > 0 && r.now-state.startedAt > r.settings.SlowStartDuration {
 		state.restart(r.now, r.now)
 	}
 	state.aliveAt = r.now
 	state.unanswered = 0
-	state.resets = 0
+	state.connErrors = 0
 }
 
 // cancelOvertaken gives up attempts that were sent well before one that is answered: an endpoint takes them
--- a/internal/router/eligibility.go
+++ b/internal/router/eligibility.go
@@ -49,11 +49,11 @@
 }
 
 // clearBusyNumber forgets that a number was busy once two calls to it were answered.
-func (r *Router) clearBusyNumber(called string) {
-	if busy := r.busyNumbers[called]; busy != nil {
+func (r *Router) clearBusyNumber(calledNumber string) {
+	if busy := r.busyNumbers[calledNumber]; busy != nil {
 		busy.answered++
 		if busy.answered > 1 {
-			delete(r.busyNumbers, called)
+			delete(r.busyNumbers, calledNumber)
 		}
 	}
 }
--- a/internal/router/gossip.go
+++ b/internal/router/gossip.go
@@ -15,7 +15,7 @@
 	for ; len(data) >= gossipPairSize; data = data[gossipPairSize:] {
 		for _, endpoint := range r.destinations {
 			state := stateOf(endpoint)
-			if endpoint.DestinationID == int(data[0]) && r.now-state.heardAt > gossipHoldDown {
+			if endpoint.DestinationID == int(data[0]) && r.now-state.updatedAt > gossipHoldDown {
 				r.recordDelay(state, float64(data[1])*gossipDelayUnit)
 			}
 		}
--- a/internal/router/load.go
+++ b/internal/router/load.go
@@ -41,7 +41,7 @@
 }
 
 func (r *Router) learnFromAnswer(state *endpointState, latency float64) {
-	r.noteHeard(state)
+	r.recordUpdate(state)
 	state.minLatency = math.Min(state.minLatency, latency)
 	state.latencyAt = r.now
 	delay := latency - state.minLatency
@@ -57,8 +57,8 @@
 	if attempt.PresumedLost || state.latencyAt >= attempt.SentAt || attempt.SentAt <= state.startedAt {
 		return
 	}
-	if state.unanswered > 1 || state.lost.Read(r.now) < lossyCount {
-		r.noteHeard(state)
+	if state.unanswered > 1 || state.lost.Read(r.now) < lossyThreshold {
+		r.recordUpdate(state)
 		r.observeDelay(state, attempt.Latency)
 	}
 }
@@ -70,17 +70,17 @@
 		state.sendRate *= overloadRateCut
 		state.gossipDelay = maxDelayFactor * r.delayObjective
 	}
-	pause := overloadPause * state.hearInterval / 1000 * (0.5 + r.random())
+	pause := overloadPause * state.updateInterval / 1000 * (0.5 + r.random())
 	state.pausedUntil = r.now + math.Max(pause, math.Min(retryAfter, delayWindow))
 }
 
-// noteHeard updates the mean interval at which something is heard of an endpoint's load.
-func (r *Router) noteHeard(state *endpointState) {
-	if state.heardAt > 0 {
-		interval := math.Min(maxHearInterval, r.now-state.heardAt)
-		state.hearInterval = math.Max(1000, (state.hearInterval+interval)/2)
+// recordUpdate updates the mean interval at which something is heard of an endpoint's load.
+func (r *Router) recordUpdate(state *endpointState) {
+	if state.updatedAt > 0 {
+		interval := math.Min(maxUpdateInterval, r.now-state.updatedAt)
+		state.updateInterval = math.Max(1000, (state.updateInterval+interval)/2)
 	}
-	state.heardAt = r.now
+	state.updatedAt = r.now
 }
 
 // applyLoadReport takes an endpoint's latest load report; complete: with figures of its processor. Reports
@@ -93,7 +93,7 @@
 	if !complete {
 		return
 	}
-	r.noteHeard(state)
+	r.recordUpdate(state)
 	state.reportedAt = r.now
 	if report.QueueDelay < r.maxTimeout && r.now-state.latencyAt > ownSampleLifetime {
 		r.recordDelay(state, report.QueueDelay)
@@ -109,7 +109,7 @@
 func (s *endpointState) expectedDelay(now, stalledFor float64) float64 {
 	delay := s.currentDelay(now)
 	oldest := 0
-	if s.lost.Read(now) > lossyCount {
+	if s.lost.Read(now) > lossyThreshold {
 		oldest = 1
 	}
 	if len(s.inFlight) > oldest {
@@ -121,7 +121,7 @@
 
 // currentDelay is the delay estimate, decayed; the slower, the less often something is heard of the endpoint.
 func (s *endpointState) currentDelay(now float64) float64 {
-	return s.delay * math.Exp((s.delayAt-now)/(delayWindow*s.hearInterval/1000))
+	return s.delay * math.Exp((s.delayAt-now)/(delayWindow*s.updateInterval/1000))
 }
 
 func (s *endpointState) minLatencyOrZero() float64 {
--- a/internal/router/parameters.go
+++ b/internal/router/parameters.go
@@ -13,16 +13,16 @@
 	delayWindow = 2000.0 // of the delay estimate of an endpoint
 
 	// Delay objective: the queueing delay to keep at endpoints.
-	objectiveOfRetransmit = 0.35  // of the retransmit interval
-	objectiveOfLatency    = 0.15  // and at most of the shortest latency objective
-	defaultDelayObjective = 150.0 // where neither is known
+	objectiveRetransmitFraction = 0.35  // of the retransmit interval
+	objectiveLatencyFraction    = 0.15  // and at most of the shortest latency objective
+	defaultDelayObjective       = 150.0 // where neither is known
 
 	// Delay estimate, in multiples of the delay objective where no unit is given.
 	maxDelayFactor    = 6.0     // no sample counts for more
 	ownSampleLifetime = 500.0   // ms: a reported delay does not count so soon after a latency seen here
 	overtakenFraction = 0.5     // an attempt sent so long before one that is answered is lost
-	lossyCount        = 0.5     // recently lost attempts: above it a lone attempt in flight may be lost too
-	maxHearInterval   = 10000.0 // ms: the longest interval that an average of intervals takes in
+	lossyThreshold    = 0.5     // recently lost attempts: above it a lone attempt in flight may be lost too
+	maxUpdateInterval = 10000.0 // ms: the longest interval that an average of intervals takes in
 
 	// Send rate. Changes are exponential, per second.
 	rateGrowth          = 1.0   // at no queueing delay
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -90,12 +90,12 @@
 		maxTimeLeft:     map[*routing.Class]float64{},
 	}
 	for _, class := range settings.Classes {
-		r.delayObjective = math.Min(r.delayObjective, objectiveOfLatency*class.LatencyObjective)
+		r.delayObjective = math.Min(r.delayObjective, objectiveLatencyFraction*class.LatencyObjective)
 		r.maxHoldingTime = math.Max(r.maxHoldingTime, class.MeanHoldingTime)
 		r.maxTimeout = math.Max(r.maxTimeout, class.Timeout)
 	}
 	if settings.RetransmitInterval > 0 {
-		r.delayObjective = math.Min(r.delayObjective, objectiveOfRetransmit*settings.RetransmitInterval)
+		r.delayObjective = math.Min(r.delayObjective, objectiveRetransmitFraction*settings.RetransmitInterval)
 	}
 	if !(r.delayObjective > 0) || math.IsInf(r.delayObjective, 1) {
 		r.delayObjective = defaultDelayObjective
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -8,13 +8,13 @@
 )
 
 // The lottery draws endpoints by total capacity times the square of the free share, within 2 points in 100.
-func TestLotteryShares(t *testing.T) {
-	h, ps := newTestHost(3)
+func TestLotteryProportions(t *testing.T) {
+	h, endpoints := newTestHost(3)
 	want := []float64{20 * 0.5 * 0.5, 10 * 0.8 * 0.8, 30 * 0.2 * 0.2}
 	for i, r := range []routing.LoadReport{{RateLimit: 20, Utilization: 0.5}, {RateLimit: 10, Utilization: 0.2},
 		{RateLimit: 30, Utilization: 0.8}} {
-		ps[i].LoadReport.RateLimit, ps[i].LoadReport.Utilization = r.RateLimit, r.Utilization
-		h.router.OnLoadReport(h.now, ps[i], true, true)
+		endpoints[i].LoadReport.RateLimit, endpoints[i].LoadReport.Utilization = r.RateLimit, r.Utilization
+		h.router.OnLoadReport(h.now, endpoints[i], true, true)
 	}
 	got := map[*routing.Endpoint]float64{}
 	for i := 0; i < 20000; i++ {
@@ -22,7 +22,7 @@
 		got[h.establish(h.offerCall(nil), 20).Endpoint]++
 	}
 	all := want[0] + want[1] + want[2]
-	for i, endpoint := range ps {
+	for i, endpoint := range endpoints {
 		if d := got[endpoint]/20000 - want[i]/all; math.Abs(d) > 0.02 {
 			t.Errorf("endpoint %d: share %.3f, want %.3f", i, got[endpoint]/20000, want[i]/all)
 		}
@@ -30,36 +30,36 @@
 }
 
 // The destination is taken while it has room; a zero report counts as a tenth free after 2 s.
-func TestDestinationFirstAndStaleZero(t *testing.T) {
-	h, ps := newTestHost(2)
+func TestDestinationPreferenceAndStaleZeroReport(t *testing.T) {
+	h, endpoints := newTestHost(2)
 	for i := 0; i < 50; i++ {
 		h.advance(1000)
-		if attempt := h.establish(h.offerCall(ps[1]), 20); attempt.Endpoint != ps[1] {
+		if attempt := h.establish(h.offerCall(endpoints[1]), 20); attempt.Endpoint != endpoints[1] {
 			t.Fatal("the destination had room and was passed over")
 		}
 	}
-	ps[0].LoadReport.Utilization = 1
-	h.router.OnLoadReport(h.now, ps[0], true, true)
-	if f := h.router.freeShare(ps[0]); f != 0 {
+	endpoints[0].LoadReport.Utilization = 1
+	h.router.OnLoadReport(h.now, endpoints[0], true, true)
+	if f := h.router.freeShare(endpoints[0]); f != 0 {
 		t.Errorf("zero report: free share %v, want 0", f)
 	}
-	ps[1].State = routing.Draining
+	endpoints[1].State = routing.Draining
 	h.advance(1000)
-	if call := h.offerCall(ps[1]); !call.Finished {
+	if call := h.offerCall(endpoints[1]); !call.Finished {
 		t.Error("the only endpoint reports zero: no tickets anywhere")
 	}
 	h.advance(1100)
-	if call := h.offerCall(ps[1]); call.InFlight == nil || call.InFlight.Endpoint != ps[0] {
+	if call := h.offerCall(endpoints[1]); call.InFlight == nil || call.InFlight.Endpoint != endpoints[0] {
 		t.Error("a draining destination must be left for another endpoint")
 	}
-	if f := h.router.freeShare(ps[0]); f != staleZeroFreeShare {
+	if f := h.router.freeShare(endpoints[0]); f != staleZeroFreeShare {
 		t.Errorf("zero report of 2 s ago: free share %v, want %v", f, staleZeroFreeShare)
 	}
 }
 
 // A destination that fails most setups at once is passed by while others do not, still tried, and comes back; where all
 // fail alike, or numbers are engaged, it keeps its calls.
-func TestOutlier(t *testing.T) {
+func TestFailingDestinationAvoided(t *testing.T) {
 	for _, c := range []struct {
 		what        string
 		fails       [2]float64
@@ -71,17 +71,17 @@
 		{"both fail", [2]float64{0.8, 0.8}, false, 250, 400},
 		{"engaged", [2]float64{0.8, 0}, true, 400, 400},
 	} {
-		h, ps := newTestHost(2)
-		for _, endpoint := range ps {
+		h, endpoints := newTestHost(2)
+		for _, endpoint := range endpoints {
 			endpoint.LoadReport.Capacity, endpoint.LoadReport.Free = 1000, 800
 		}
 		play := func(n int, fails [2]float64) (home int) {
 			for i := 0; i < n; i++ {
 				h.advance(20)
-				k := h.offerCall(ps[0])
+				k := h.offerCall(endpoints[0])
 				for first := true; k.InFlight != nil && !k.Finished; first = false {
 					attempt, at := k.InFlight, 0
-					if attempt.Endpoint == ps[1] {
+					if attempt.Endpoint == endpoints[1] {
 						at = 1
 					} else if first {
 						home++
@@ -108,7 +108,7 @@
 }
 
 // With no endpoint at all a call gets its answer within its timeout, and at once when it can't be served.
-func TestNoPools(t *testing.T) {
+func TestNoEndpoints(t *testing.T) {
 	h, _ := newTestHost(0)
 	if call := h.offerCall(nil); !call.Finished || len(h.rejected) != 1 {
 		t.Error("no endpoint: want the call rejected at once")
@@ -116,14 +116,14 @@
 }
 
 // An endpoint whose setups wait gets fewer of them and gets them back: no flush, no stall.
-func TestPaceFollowsWait(t *testing.T) {
-	h, ps := newTestHost(1)
-	ps[0].LoadReport.Capacity, ps[0].LoadReport.Free = 1000, 500
+func TestSendRateFollowsQueueingDelay(t *testing.T) {
+	h, endpoints := newTestHost(1)
+	endpoints[0].LoadReport.Capacity, endpoints[0].LoadReport.Free = 1000, 500
 	count := func(cost float64) int {
 		before := len(h.attempts)
 		for i := 0; i < 400; i++ {
 			h.advance(10)
-			h.offerCall(ps[0])
+			h.offerCall(endpoints[0])
 			for _, attempt := range h.attempts {
 				if call := attempt.Call; call.InFlight == attempt && !call.Established {
 					h.establish(call, cost)
@@ -140,18 +140,18 @@
 
 // When not all can be served the calls of most value are, whatever came first.
 func TestQueueByWeight(t *testing.T) {
-	h, ps := newTestHost(1)
-	ps[0].LoadReport.Capacity, ps[0].LoadReport.Free = 20, 10
-	small, big := *h.skill, *h.skill
+	h, endpoints := newTestHost(1)
+	endpoints[0].LoadReport.Capacity, endpoints[0].LoadReport.Free = 20, 10
+	small, big := *h.class, *h.class
 	big.Weight = 8
 	var got, all [2]int
 	for i := 0; i < 2000; i++ {
 		h.advance(10)
-		h.skill = &small
+		h.class = &small
 		if i%10 == 0 {
-			h.skill = &big
+			h.class = &big
 		}
-		h.offerCall(ps[0])
+		h.offerCall(endpoints[0])
 	}
 	for _, call := range h.calls {
 		k := 0
@@ -169,83 +169,83 @@
 }
 
 // A redial is told by the number called: past its first try's target it is worth less.
-func TestRedialIsKnown(t *testing.T) {
-	h, ps := newTestHost(1)
-	ps[0].State = routing.Draining
-	first := h.offerCall(ps[0])
+func TestRetryingCallerRecognized(t *testing.T) {
+	h, endpoints := newTestHost(1)
+	endpoints[0].State = routing.Draining
+	first := h.offerCall(endpoints[0])
 	h.advance(2500)
-	again := h.offerCall(ps[0])
+	again := h.offerCall(endpoints[0])
 	if !first.Finished || again.FirstSeenAt != first.ArrivedAt {
 		t.Fatalf("redial counted from %v, want %v", again.FirstSeenAt, first.ArrivedAt)
 	}
-	if w := h.router.currentWeight(again); w != h.skill.Weight*h.skill.LateWeightFraction {
+	if w := h.router.currentWeight(again); w != h.class.Weight*h.class.LateWeightFraction {
 		t.Errorf("late redial worth %v", w)
 	}
 }
 
 // A setup overtaken by a later one is lost: it is canceled and says nothing of the wait.
-func TestLostSetUp(t *testing.T) {
-	h, ps := newTestHost(1)
-	ps[0].LoadReport.Capacity, ps[0].LoadReport.Free = 1000, 500
-	h.establish(h.offerCall(ps[0]), 20)
-	lost := h.offerCall(ps[0])
+func TestOvertakenAttemptCanceled(t *testing.T) {
+	h, endpoints := newTestHost(1)
+	endpoints[0].LoadReport.Capacity, endpoints[0].LoadReport.Free = 1000, 500
+	h.establish(h.offerCall(endpoints[0]), 20)
+	lost := h.offerCall(endpoints[0])
 	h.advance(300)
-	h.establish(h.offerCall(ps[0]), 20)
-	if len(h.cancelled) != 1 || h.cancelled[0].Call != lost {
-		t.Fatalf("%d setups called off, want the lost one", len(h.cancelled))
+	h.establish(h.offerCall(endpoints[0]), 20)
+	if len(h.canceled) != 1 || h.canceled[0].Call != lost {
+		t.Fatalf("%d setups called off, want the lost one", len(h.canceled))
 	}
-	if w := stateOf(ps[0]).expectedDelay(h.now, 0); w > h.router.delayObjective {
+	if w := stateOf(endpoints[0]).expectedDelay(h.now, 0); w > h.router.delayObjective {
 		t.Errorf("a lost setup counts as a wait of %v", w)
 	}
 }
 
 // A silent endpoint gets one setup at a time; calls cut and an answer after silence mean that it is cold.
-func TestSilenceAndRestart(t *testing.T) {
-	h, ps := newTestHost(1)
-	ps[0].LoadReport.Capacity, ps[0].LoadReport.Free = 1000, 500
-	standing := h.offerCall(ps[0])
+func TestUnresponsiveEndpointRestart(t *testing.T) {
+	h, endpoints := newTestHost(1)
+	endpoints[0].LoadReport.Capacity, endpoints[0].LoadReport.Free = 1000, 500
+	standing := h.offerCall(endpoints[0])
 	h.establish(standing, 20)
 	for i := 0; i < 2; i++ {
 		h.advance(100)
-		h.endAttempt(h.offerCall(ps[0]), routing.TimedOut)
+		h.endAttempt(h.offerCall(endpoints[0]), routing.TimedOut)
 	}
 	h.endAttempt(standing, routing.Reset)
 	h.advance(100)
-	if call := h.offerCall(ps[0]); call.InFlight != nil {
+	if call := h.offerCall(endpoints[0]); call.InFlight != nil {
 		t.Error("a silent endpoint was sent a setup within a second of the last")
 	}
 	h.advance(1500)
-	h.offerCall(ps[0])
+	h.offerCall(endpoints[0])
 	call := h.attempts[len(h.attempts)-1].Call
-	if call.InFlight == nil || len(stateOf(ps[0]).inFlight) != 1 {
-		t.Fatalf("%d setups under way to a silent endpoint, want one", len(stateOf(ps[0]).inFlight))
+	if call.InFlight == nil || len(stateOf(endpoints[0]).inFlight) != 1 {
+		t.Fatalf("%d setups under way to a silent endpoint, want one", len(stateOf(endpoints[0]).inFlight))
 	}
 	h.establish(call, 20)
-	if state := stateOf(ps[0]); state.startedAt != h.now {
+	if state := stateOf(endpoints[0]); state.startedAt != h.now {
 		t.Error("an endpoint that cut calls and fell silent has started cold when it answers")
 	}
 }
 
 // What cannot be is not believed: a report of a wait of weeks leaves an endpoint in use.
-func TestImpossibleReport(t *testing.T) {
-	h, ps := newTestHost(1)
-	ps[0].LoadReport.Capacity, ps[0].LoadReport.Free, ps[0].LoadReport.QueueDelay = 1000, 500, 3e9
-	h.router.OnLoadReport(h.now, ps[0], true, true)
-	if w := stateOf(ps[0]).expectedDelay(h.now, 0); w != 0 {
+func TestImplausibleReportIgnored(t *testing.T) {
+	h, endpoints := newTestHost(1)
+	endpoints[0].LoadReport.Capacity, endpoints[0].LoadReport.Free, endpoints[0].LoadReport.QueueDelay = 1000, 500, 3e9
+	h.router.OnLoadReport(h.now, endpoints[0], true, true)
+	if w := stateOf(endpoints[0]).expectedDelay(h.now, 0); w != 0 {
 		t.Errorf("wait judged %v", w)
 	}
 }
 
 // Classes that must not run twice are not tried again once a setup may have run.
-func TestOnlyOnce(t *testing.T) {
-	h, ps := newTestHost(2)
-	h.skill.Idempotent = false
-	call := h.offerCall(ps[0])
+func TestNonIdempotentNotRetried(t *testing.T) {
+	h, endpoints := newTestHost(2)
+	h.class.Idempotent = false
+	call := h.offerCall(endpoints[0])
 	h.endAttempt(call, routing.TimedOut)
 	if len(h.failed) != 1 || call.Attempts != 1 {
 		t.Errorf("failed %d, attempts %d", len(h.failed), call.Attempts)
 	}
-	call = h.offerCall(ps[0])
+	call = h.offerCall(endpoints[0])
 	h.endAttempt(call, routing.ConnectionRefused)
 	if call.Attempts+len(h.router.queue) < 2 {
 		t.Error("a setup that never ran may go elsewhere")
@@ -253,10 +253,10 @@
 }
 
 // Where reports come only by probe, each endpoint is probed every second.
-func TestProbes(t *testing.T) {
-	h, ps := newTestHost(2)
+func TestProbeInterval(t *testing.T) {
+	h, endpoints := newTestHost(2)
 	h.router.settings.LoadReportsByProbe, h.router.settings.ProbeEnabled = true, true
-	h.router.OnEndpoints(h.now, ps)
+	h.router.OnEndpoints(h.now, endpoints)
 	h.advance(10100)
 	if h.probes < 20 || h.probes > 22 {
 		t.Errorf("%d probes of two endpoints in 10 s", h.probes)
@@ -265,34 +265,34 @@
 
 // A number whose lines are all busy is left alone, but for one try at a time.
 func TestBusyNumber(t *testing.T) {
-	h, ps := newTestHost(1)
-	ps[0].LoadReport.Capacity, ps[0].LoadReport.Free = 1000, 500
+	h, endpoints := newTestHost(1)
+	endpoints[0].LoadReport.Capacity, endpoints[0].LoadReport.Free = 1000, 500
 	h.number = "hot"
-	call := h.offerCall(ps[0])
+	call := h.offerCall(endpoints[0])
 	call.InFlight.NumberBusy = true
 	h.endAttempt(call, routing.Failed)
-	if again := h.offerCall(ps[0]); !call.Finished || !again.Finished || again.Attempts > 0 {
+	if again := h.offerCall(endpoints[0]); !call.Finished || !again.Finished || again.Attempts > 0 {
 		t.Error("an engaged number was rung again at once")
 	}
 	h.advance(busyNumberPause + 100)
-	if one, two := h.offerCall(ps[0]), h.offerCall(ps[0]); one.Attempts != 1 || two.Attempts != 0 {
+	if one, two := h.offerCall(endpoints[0]), h.offerCall(endpoints[0]); one.Attempts != 1 || two.Attempts != 0 {
 		t.Errorf("%d and %d attempts, want one try", one.Attempts, two.Attempts)
 	}
 	h.number = "other"
-	if call := h.offerCall(ps[0]); call.Attempts != 1 {
+	if call := h.offerCall(endpoints[0]); call.Attempts != 1 {
 		t.Error("another number must not suffer")
 	}
 }
 
 // An endpoint that turns a setup away is left alone for a moment, not for the time that a long wait fades.
-func TestRejected(t *testing.T) {
-	h, ps := newTestHost(1)
-	ps[0].LoadReport.Capacity, ps[0].LoadReport.Free = 1000, 500
-	h.establish(h.offerCall(ps[0]), 20)
+func TestPauseAfterOverload(t *testing.T) {
+	h, endpoints := newTestHost(1)
+	endpoints[0].LoadReport.Capacity, endpoints[0].LoadReport.Free = 1000, 500
+	h.establish(h.offerCall(endpoints[0]), 20)
 	h.advance(1000)
-	h.endAttempt(h.offerCall(ps[0]), routing.Overloaded)
+	h.endAttempt(h.offerCall(endpoints[0]), routing.Overloaded)
 	sent := len(h.attempts)
-	if h.offerCall(ps[0]); len(h.attempts) > sent {
+	if h.offerCall(endpoints[0]); len(h.attempts) > sent {
 		t.Error("rung again at once")
 	}
 	if h.advance(overloadPause + 300); len(h.attempts) == sent {
@@ -301,24 +301,24 @@
 }
 
 // Settings that are missing give sensible decisions: calls are tried while the endpoint answers.
-func TestEdgeSettings(t *testing.T) {
+func TestIncompleteSettings(t *testing.T) {
 	for _, set := range []routing.Settings{{}, {Classes: []*routing.Class{{}}}, {LoadReportsByProbe: true,
 		RetryAfterEnabled: true}} {
-		h, ps := newTestHost(1)
+		h, endpoints := newTestHost(1)
 		h.router = New(&set, h)
-		ps[0].PolicyState = nil
-		h.router.OnEndpoints(h.now, ps)
+		endpoints[0].PolicyState = nil
+		h.router.OnEndpoints(h.now, endpoints)
 		for i := 0; i < 20; i++ {
 			h.now += 1000
-			call := h.offerCall(ps[0])
+			call := h.offerCall(endpoints[0])
 			if call.InFlight == nil {
 				t.Fatalf("call %d under %+v: not rung", i, set)
 			}
 			h.establish(call, 20)
 		}
-		ps[0].State = routing.Gone
-		h.router.OnEndpoints(h.now, ps)
-		if call := h.offerCall(ps[0]); !call.Finished {
+		endpoints[0].State = routing.Gone
+		h.router.OnEndpoints(h.now, endpoints)
+		if call := h.offerCall(endpoints[0]); !call.Finished {
 			t.Errorf("no endpoint left under %+v: want an answer at once", set)
 		}
 	}
@@ -326,46 +326,46 @@
 
 // A gateway that stalled finds a backlog: its calls came earlier, its answers tell nothing of the
 // wait.
-func TestBacklog(t *testing.T) {
-	h, ps := newTestHost(1)
-	ps[0].LoadReport.Capacity, ps[0].LoadReport.Free = 1000, 500
-	h.establish(h.offerCall(ps[0]), 20)
+func TestBacklogAfterStall(t *testing.T) {
+	h, endpoints := newTestHost(1)
+	endpoints[0].LoadReport.Capacity, endpoints[0].LoadReport.Free = 1000, 500
+	h.establish(h.offerCall(endpoints[0]), 20)
 	h.advance(100)
-	call := h.offerCall(ps[0])
+	call := h.offerCall(endpoints[0])
 	h.now, h.timeLeft = h.now+1800, h.timeLeft-1500
-	if late := h.offerCall(ps[0]); late.ArrivedAt != h.now-1500 {
+	if late := h.offerCall(endpoints[0]); late.ArrivedAt != h.now-1500 {
 		t.Errorf("came %v ago, want 1500", h.now-late.ArrivedAt)
 	}
 	h.establish(call, 1800)
-	if w := stateOf(ps[0]).expectedDelay(h.now, 0); w != 0 {
+	if w := stateOf(endpoints[0]).expectedDelay(h.now, 0); w != 0 {
 		t.Errorf("wait judged %v", w)
 	}
 	h.now += 2000
-	slow := h.offerCall(ps[0])
+	slow := h.offerCall(endpoints[0])
 	h.advance(5)
-	if h.establish(slow, 1800); stateOf(ps[0]).expectedDelay(h.now, 0) < h.router.delayObjective {
+	if h.establish(slow, 1800); stateOf(endpoints[0]).expectedDelay(h.now, 0) < h.router.delayObjective {
 		t.Error("a wait seen by a gateway that did not stand still must count")
 	}
 }
 
 // A wait that surprises is told to others; they heed it where they heard nothing lately, and no nonsense.
 func TestGossip(t *testing.T) {
-	h, ps := newTestHost(2)
+	h, endpoints := newTestHost(2)
 	h.router.settings.GossipEnabled, h.router.settings.Gateways = true, 200
-	h.establish(h.offerCall(ps[1]), 20)
+	h.establish(h.offerCall(endpoints[1]), 20)
 	if h.advance(1000); len(h.gossip) > 0 {
 		t.Error("a setup that stands at once is no news")
 	}
-	h.establish(h.offerCall(ps[1]), 2000)
+	h.establish(h.offerCall(endpoints[1]), 2000)
 	if len(h.gossip) == 0 || len(h.gossip) > gossipFanout {
 		t.Fatalf("%d messages, want up to %d", len(h.gossip), gossipFanout)
 	}
-	other, qs := newTestHost(2)
-	for _, odd := range [][]byte{nil, {1}, {99, 200}, {99}} {
-		other.router.OnGossip(other.now, -5, odd)
+	other, otherEndpoints := newTestHost(2)
+	for _, malformed := range [][]byte{nil, {1}, {99, 200}, {99}} {
+		other.router.OnGossip(other.now, -5, malformed)
 	}
 	other.router.OnGossip(other.now+2000, 1<<30, append(h.gossip[0], 1))
-	if a, b := stateOf(qs[0]).delay, stateOf(qs[1]).delay; a != 0 || b < other.router.delayObjective {
+	if a, b := stateOf(otherEndpoints[0]).delay, stateOf(otherEndpoints[1]).delay; a != 0 || b < other.router.delayObjective {
 		t.Errorf("waits judged %v and %v, want none and a long one", a, b)
 	}
 }
@@ -373,12 +373,12 @@
 // However many gateways there are said to be, calls are tried, and the floors of all stay small together.
 func TestGatewayCounts(t *testing.T) {
 	for _, count := range []int{-1, 0, 1, 300} {
-		h, ps := newTestHost(1)
+		h, endpoints := newTestHost(1)
 		h.router.settings.Gateways = count
-		ps[0].LoadReport.Capacity, ps[0].LoadReport.Free = 1000, 500
+		endpoints[0].LoadReport.Capacity, endpoints[0].LoadReport.Free = 1000, 500
 		for i := 0; i < 60; i++ {
 			h.advance(3000)
-			if call := h.offerCall(ps[0]); call.InFlight != nil {
+			if call := h.offerCall(endpoints[0]); call.InFlight != nil {
 				h.establish(call, 20)
 			}
 		}
@@ -388,30 +388,30 @@
 		for i := 0; i < 100; i++ { // a long press
 			h.advance(100)
 			h.router.setTime(h.now)
-			h.router.recordDelay(stateOf(ps[0]), 9e9)
-			h.router.updateSendRate(ps[0])
+			h.router.recordDelay(stateOf(endpoints[0]), 9e9)
+			h.router.updateSendRate(endpoints[0])
 		}
-		if all := stateOf(ps[0]).sendRate * float64(max(1, count)); !(all > 0) ||
-			all > 0.05*h.router.capacityOf(ps[0])/1000 {
+		if all := stateOf(endpoints[0]).sendRate * float64(max(1, count)); !(all > 0) ||
+			all > 0.05*h.router.capacityOf(endpoints[0])/1000 {
 			t.Errorf("%d gateways: a floor of %v setups a ms for all", count, all)
 		}
 	}
 }
 
 // Setups sent before an endpoint's start say nothing of it, however they end.
-func TestOldSetUpsAfterRestart(t *testing.T) {
-	h, ps := newTestHost(1)
-	ps[0].LoadReport.Capacity, ps[0].LoadReport.Free = 1000, 500
-	h.establish(h.offerCall(ps[0]), 20)
+func TestAttemptsBeforeRestartIgnored(t *testing.T) {
+	h, endpoints := newTestHost(1)
+	endpoints[0].LoadReport.Capacity, endpoints[0].LoadReport.Free = 1000, 500
+	h.establish(h.offerCall(endpoints[0]), 20)
 	h.advance(1000)
-	a, b := h.offerCall(ps[0]), h.offerCall(ps[0])
+	a, b := h.offerCall(endpoints[0]), h.offerCall(endpoints[0])
 	h.advance(1000)
-	ps[0].StartedAt = h.now
-	h.router.OnEndpoints(h.now, ps)
+	endpoints[0].StartedAt = h.now
+	h.router.OnEndpoints(h.now, endpoints)
 	h.advance(1500)
 	h.endAttempt(a, routing.TimedOut)
 	h.endAttempt(b, routing.TimedOut)
-	if state := stateOf(ps[0]); state.unanswered > 0 || state.expectedDelay(h.now, 0) > 0 {
+	if state := stateOf(endpoints[0]); state.unanswered > 0 || state.expectedDelay(h.now, 0) > 0 {
 		t.Errorf("silent %d, wait %v after a restart", state.unanswered, state.expectedDelay(h.now, 0))
 	}
 }
--- a/internal/router/rules.go
+++ b/internal/router/rules.go
@@ -58,13 +58,13 @@
 func (r *Router) slowStartRate(endpoint *routing.Endpoint, age float64) float64 {
 	state := stateOf(endpoint)
 	initial := r.settings.SlowStartFraction
-	warmth := initial + (1-initial)*math.Max(0, age)/r.settings.SlowStartDuration
+	capacityFraction := initial + (1-initial)*math.Max(0, age)/r.settings.SlowStartDuration
 	safety := slowStartSafety
-	answersAtOnce := state.expectedDelay(r.now, r.stalledFor) < lightLoadFraction*r.delayObjective
-	if state.latencyAt > state.startedAt && answersAtOnce {
+	answersPromptly := state.expectedDelay(r.now, r.stalledFor) < lightLoadFraction*r.delayObjective
+	if state.latencyAt > state.startedAt && answersPromptly {
 		safety = slowStartProvenSafety
 	}
-	return r.arrivals.Rate(r.now) * r.capacityShare(endpoint) * safety * r.settings.OverloadFactor * warmth
+	return r.arrivals.Rate(r.now) * r.capacityShare(endpoint) * safety * r.settings.OverloadFactor * capacityFraction
 }
 
 // fraction is the part of a number after the decimal point.
--- a/internal/router/rules_test.go
+++ b/internal/router/rules_test.go
@@ -11,39 +11,39 @@
 	"cobaltpier/internal/routing"
 )
 
-// TestRulesByModel runs the router on generated streams of events beside the plain model in the test host, which looks
+// TestRulesAgainstModel runs the router on generated streams of events beside the plain model in the test host, which looks
 // at every attempt and every answer: calls, redials, lost, late, cut and refused setups, drains, slow starts, wrong
 // load reports and gateways that start with an old list.
-func TestRulesByModel(t *testing.T) {
+func TestRulesAgainstModel(t *testing.T) {
 	check := func(seed int64) bool {
-		s := newRuleStream(t, seed)
+		s := newRuleWorkload(t, seed)
 		for range 2500 {
 			s.step()
 		}
 		s.h.advance(4000)
 		s.checkAnswered()
 		s.checkSlowStart()
-		return !s.broken
+		return !s.violated
 	}
 	if err := quick.Check(check, &quick.Config{MaxCount: 40, Rand: rand.New(rand.NewSource(1))}); err != nil {
 		t.Error(err)
 	}
 }
 
-// ruleStream is a generated stream of events for one router.
-type ruleStream struct {
+// ruleWorkload is a generated stream of events for one router.
+type ruleWorkload struct {
 	h         *testHost
 	rnd       *rand.Rand
 	endpoints []*routing.Endpoint
 	open      map[*routing.Attempt]float64 // when each attempt in flight is answered or ends
-	broken    bool
+	violated  bool
 }
 
-func newRuleStream(t *testing.T, seed int64) *ruleStream {
-	s := &ruleStream{rnd: rand.New(rand.NewSource(seed)), open: map[*routing.Attempt]float64{}}
+func newRuleWorkload(t *testing.T, seed int64) *ruleWorkload {
+	s := &ruleWorkload{rnd: rand.New(rand.NewSource(seed)), open: map[*routing.Attempt]float64{}}
 	s.h, s.endpoints = newTestHost(1 + s.rnd.Intn(4))
-	s.h.onBrokenRule = func(rule int, what string) {
-		s.broken = true
+	s.h.onViolation = func(rule int, what string) {
+		s.violated = true
 		t.Logf("seed %d: rule %d at %v: %s", seed, rule, s.h.now, what)
 	}
 	for _, endpoint := range s.endpoints {
@@ -52,7 +52,7 @@
 	return s
 }
 
-func (s *ruleStream) step() {
+func (s *ruleWorkload) step() {
 	s.h.advance(5 * float64(1+s.rnd.Intn(4)))
 	endpoint := s.endpoints[s.rnd.Intn(len(s.endpoints))]
 	switch s.rnd.Intn(60) {
@@ -77,7 +77,7 @@
 }
 
 // changeState gives an endpoint another state; one that comes back is in slow start.
-func (s *ruleStream) changeState(endpoint *routing.Endpoint) {
+func (s *ruleWorkload) changeState(endpoint *routing.Endpoint) {
 	endpoint.State = routing.State(s.rnd.Intn(3))
 	if s.h.drained[endpoint] && endpoint.State == routing.Ready {
 		endpoint.StartedAt, s.h.startedAt[endpoint], s.h.sentAt[endpoint] = s.h.now, s.h.now, nil
@@ -87,8 +87,8 @@
 }
 
 // hangUp has a caller leave before its answer.
-func (s *ruleStream) hangUp() {
-	call := pick(s.rnd, s.h.calls)
+func (s *ruleWorkload) hangUp() {
+	call := randomCall(s.rnd, s.h.calls)
 	if call == nil || call.Finished || call.Established || s.h.inFlight[call] > 0 {
 		return
 	}
@@ -96,7 +96,7 @@
 	s.h.router.OnHangup(s.h.now, call)
 }
 
-func (s *ruleStream) planOutcomes() {
+func (s *ruleWorkload) planOutcomes() {
 	for _, attempt := range s.h.attempts[max(0, len(s.h.attempts)-400):] {
 		if _, known := s.open[attempt]; !known && attempt.Call.InFlight == attempt {
 			s.open[attempt] = s.h.now + s.rnd.ExpFloat64()*[]float64{50, 50, 400, 9000}[s.rnd.Intn(4)]
@@ -104,17 +104,17 @@
 	}
 }
 
-func (s *ruleStream) endCanceled() {
-	for _, attempt := range s.h.cancelled {
+func (s *ruleWorkload) endCanceled() {
+	for _, attempt := range s.h.canceled {
 		if attempt.Call.InFlight == attempt && !attempt.Call.Established {
 			s.h.finish(s.open, attempt, routing.Canceled)
 		}
 	}
-	s.h.cancelled = nil
+	s.h.canceled = nil
 }
 
 // progress has an attempt answered, or ended, when it is due.
-func (s *ruleStream) progress(attempt *routing.Attempt) {
+func (s *ruleWorkload) progress(attempt *routing.Attempt) {
 	due, known := s.open[attempt]
 	switch call := attempt.Call; {
 	case !known:
@@ -131,23 +131,23 @@
 	}
 }
 
-func (s *ruleStream) checkAnswered() {
+func (s *ruleWorkload) checkAnswered() {
 	for _, call := range s.h.calls {
 		if call.InFlight == nil && !s.h.finished[call] {
-			s.h.reportBroken(1, "never answered")
+			s.h.reportViolation(1, "never answered")
 		}
 	}
 }
 
 // checkSlowStart looks at every window of an endpoint in slow start, with one setup for chance.
-func (s *ruleStream) checkSlowStart() {
+func (s *ruleWorkload) checkSlowStart() {
 	// what an endpoint at full capacity is sent a second
 	rate := float64(len(s.h.calls)) / (s.h.now - 1e6) * 1000 / float64(len(s.endpoints))
 	for endpoint, startedAt := range s.h.startedAt {
 		for i, from := range s.h.sentAt[endpoint] {
 			part := 0.3 + 0.7*(from+1000-startedAt)/14000
-			if n := within(s.h.sentAt[endpoint][i:], from+1000); part < 1 && float64(n) > 1+2.5*part*rate {
-				s.h.reportBroken(4, fmt.Sprintf("%d setups in a second to a cold endpoint", n))
+			if n := countBefore(s.h.sentAt[endpoint][i:], from+1000); part < 1 && float64(n) > 1+2.5*part*rate {
+				s.h.reportViolation(4, fmt.Sprintf("%d setups in a second to a cold endpoint", n))
 			}
 		}
 	}
@@ -156,7 +156,7 @@
 // Slow start of one or more endpoints beside many gateways: when it begins, and how capacity grows.
 const (
 	fleetStart      = 1e6 + 6000.0
-	initialPart     = 0.3
+	initialFraction = 0.3
 	slowStartLength = 14000.0 // ms
 	overloadFactor  = 2.5
 	window          = 1000.0 // ms
@@ -164,20 +164,20 @@
 
 // budget is how many setups an endpoint may be sent in the window from a time on; fullRate a second is its usual load.
 func budget(from, fullRate float64) float64 {
-	part := math.Min(1, initialPart+(1-initialPart)*(from+window/2-fleetStart)/slowStartLength)
+	part := math.Min(1, initialFraction+(1-initialFraction)*(from+window/2-fleetStart)/slowStartLength)
 	return overloadFactor * part * fullRate
 }
 
-// TestFleetAndColdPool puts many routers beside one endpoint that starts cold, on generated inputs, and counts what
+// TestSlowStartWithManyGateways puts many routers beside one endpoint that starts cold, on generated inputs, and counts what
 // they send it together in every window. They are told of the start at different times, some were restarted with an old
 // list, some stall and find a backlog, and the endpoint was down for long before: no time earns a burst.
-func TestFleetAndColdPool(t *testing.T) {
+func TestSlowStartWithManyGateways(t *testing.T) {
 	check := func(seed int64) bool {
-		f := newColdFleet(seed)
+		f := newSlowStartFleet(seed)
 		sent := f.run()
 		fullRate := float64(f.gateways) / f.interval * 1000 / float64(f.endpoints)
 		for i, from := range sent {
-			n, most := within(sent[i:], from+window), budget(from, fullRate)
+			n, most := countBefore(sent[i:], from+window), budget(from, fullRate)
 			if float64(n) > most+math.Sqrt(most)+1 {
 				t.Logf("seed %d: %d gateways, %d endpoints: %d setups in a second, %.0f ms after the start, budget %.0f",
 					seed, f.gateways, f.endpoints, n, from-fleetStart, most)
@@ -191,22 +191,22 @@
 	}
 }
 
-// coldFleet is many gateways beside endpoints of which the first starts cold.
-type coldFleet struct {
+// slowStartFleet is many gateways beside endpoints of which the first starts cold.
+type slowStartFleet struct {
 	rnd       *rand.Rand
 	endpoints int
 	gateways  int
 	interval  float64 // ms between calls at a gateway
 	hosts     []*testHost
-	toldAfter []float64 // ms after the start, by gateway
+	listDelay []float64 // ms after the start, by gateway
 }
 
-func newColdFleet(seed int64) *coldFleet {
+func newSlowStartFleet(seed int64) *slowStartFleet {
 	rnd := rand.New(rand.NewSource(seed))
-	f := &coldFleet{rnd: rnd, endpoints: 2 + rnd.Intn(8), gateways: 5 + rnd.Intn(250)}
+	f := &slowStartFleet{rnd: rnd, endpoints: 2 + rnd.Intn(8), gateways: 5 + rnd.Intn(250)}
 	capacity := 200 + rnd.Float64()*800
 	f.interval = 200 + rnd.Float64()*600
-	f.toldAfter = make([]float64, f.gateways)
+	f.listDelay = make([]float64, f.gateways)
 	for i := range f.gateways {
 		h, endpoints := newTestHost(f.endpoints)
 		h.now += rnd.Float64() * 5 // gateways are not in step
@@ -216,22 +216,22 @@
 			stateOf(endpoint).tokens = rnd.Float64()
 		}
 		f.hosts = append(f.hosts, h)
-		f.toldAfter[i] = rnd.Float64() * 500
+		f.listDelay[i] = rnd.Float64() * 500
 	}
 	return f
 }
 
 // run plays all gateways and gives the times of the setups that the cold endpoint got, in order.
-func (f *coldFleet) run() []float64 {
+func (f *slowStartFleet) run() []float64 {
 	var sent []float64
 	for i, h := range f.hosts {
-		sent = append(sent, f.runGateway(h, f.toldAfter[i])...)
+		sent = append(sent, f.runGateway(h, f.listDelay[i])...)
 	}
 	sort.Float64s(sent)
 	return sent
 }
 
-func (f *coldFleet) runGateway(h *testHost, toldAfter float64) []float64 {
+func (f *slowStartFleet) runGateway(h *testHost, listDelay float64) []float64 {
 	cold := h.router.endpoints[0]
 	cold.State = routing.Gone // down before: calls arrive all the time
 	h.router.OnEndpoints(h.now, []*routing.Endpoint{cold})
@@ -241,7 +241,7 @@
 			h.now += 1500
 		}
 		h.advance(10)
-		if !told && h.now >= fleetStart+toldAfter {
+		if !told && h.now >= fleetStart+listDelay {
 			told = true
 			announceStart(h, cold)
 		}
@@ -267,10 +267,10 @@
 	h.router.OnEndpoints(h.now, h.router.destinations)
 }
 
-// TestFewGatewaysAndColdPools has twenty or thirty routers beside endpoints that start cold in one step, while all
+// TestSlowStartWithRestartedGateways has twenty or thirty routers beside endpoints that start cold in one step, while all
 // gateways are restarted, a few at a time, and forget what they sent. They are told of the start at once or late. In no
 // window do all of them send such an endpoint more than N + 2 root N + 2, N being what the settings allow it then.
-func TestFewGatewaysAndColdPools(t *testing.T) {
+func TestSlowStartWithRestartedGateways(t *testing.T) {
 	worst := 0.0
 	for seed := int64(1); seed <= 24; seed++ {
 		f := newRestartingFleet(seed)
@@ -278,11 +278,11 @@
 		total := 0
 		for _, sent := range f.run() {
 			total += len(sent)
-			use, at, n := worstUse(sent, fullRate)
+			use, at, n := maxBudgetUse(sent, fullRate)
 			worst = math.Max(worst, use)
 			if use > 1 {
 				t.Errorf("seed %d: %d gateways, %d of %d endpoints cold: %d setups in a second, %.0f ms after the start",
-					seed, f.gateways, f.cold, f.endpoints, n, at-fleetStart)
+					seed, f.gateways, f.restartedEndpoints, f.endpoints, n, at-fleetStart)
 			}
 		}
 		if total == 0 {
@@ -292,10 +292,10 @@
 	t.Logf("at most %.2f of what overloads an endpoint", worst)
 }
 
-// worstUse finds the window with the largest part of its limit used; n setups in the window from at on.
-func worstUse(sent []float64, fullRate float64) (use, at float64, n int) {
+// maxBudgetUse finds the window with the largest part of its limit used; n setups in the window from at on.
+func maxBudgetUse(sent []float64, fullRate float64) (use, at float64, n int) {
 	for i, from := range sent {
-		count, allowed := within(sent[i:], from+window), budget(from, fullRate)
+		count, allowed := countBefore(sent[i:], from+window), budget(from, fullRate)
 		if part := float64(count) / (allowed + 2*math.Sqrt(allowed) + 2); part > use {
 			use, at, n = part, from, count
 		}
@@ -305,14 +305,14 @@
 
 // restartingFleet is a few gateways, each restarted once, beside endpoints of which the first ones start cold.
 type restartingFleet struct {
-	seed      int64
-	rnd       *rand.Rand
-	endpoints int
-	gateways  int
-	capacity  float64
-	interval  float64 // ms between calls at a gateway
-	cold      int
-	late      float64 // gateways are told of the start within this, ms
+	seed               int64
+	rnd                *rand.Rand
+	endpoints          int
+	gateways           int
+	capacity           float64
+	interval           float64 // ms between calls at a gateway
+	restartedEndpoints int
+	maxListDelay       float64 // gateways are told of the start within this, ms
 }
 
 func newRestartingFleet(seed int64) *restartingFleet {
@@ -320,17 +320,17 @@
 	f := &restartingFleet{seed: seed, rnd: rnd}
 	f.endpoints, f.gateways = 3+rnd.Intn(8), []int{20, 30}[seed%2]
 	f.capacity, f.interval = 100+rnd.Float64()*400, 150+rnd.Float64()*600
-	f.cold = 1 + rnd.Intn(f.endpoints/2)
-	f.late = []float64{0, 500, 1500}[rnd.Intn(3)]
+	f.restartedEndpoints = 1 + rnd.Intn(f.endpoints/2)
+	f.maxListDelay = []float64{0, 500, 1500}[rnd.Intn(3)]
 	return f
 }
 
 // run plays all gateways and gives, for each cold endpoint, the times of the setups that it got, in order.
 func (f *restartingFleet) run() [][]float64 {
-	sent := make([][]float64, f.cold)
+	sent := make([][]float64, f.restartedEndpoints)
 	for i := range f.gateways {
-		toldAfter, restartAt := f.rnd.Float64()*f.late, fleetStart+f.rnd.Float64()*8000
-		g := &restartingGateway{fleet: f, index: i, sent: sent, toldAt: fleetStart + toldAfter, restartAt: restartAt}
+		toldAfter, restartAt := f.rnd.Float64()*f.maxListDelay, fleetStart+f.rnd.Float64()*8000
+		g := &restartingGateway{fleet: f, index: i, sent: sent, listedAt: fleetStart + toldAfter, restartAt: restartAt}
 		g.run()
 	}
 	for _, times := range sent {
@@ -344,18 +344,18 @@
 	fleet     *restartingFleet
 	index     int
 	sent      [][]float64
-	toldAt    float64
+	listedAt  float64
 	restartAt float64
 
-	h         *testHost
-	endpoints []*routing.Endpoint
-	told      bool
-	restarted bool
-	next      float64 // call
+	h          *testHost
+	endpoints  []*routing.Endpoint
+	listed     bool
+	restarted  bool
+	nextCallAt float64 // call
 }
 
-// begin starts a process, which knows nothing of the one before.
-func (g *restartingGateway) begin(at float64, incarnation int) {
+// startProcess starts a process, which knows nothing of the one before.
+func (g *restartingGateway) startProcess(at float64, incarnation int) {
 	f := g.fleet
 	g.h, g.endpoints = newTestHost(f.endpoints)
 	g.h.now = at
@@ -369,19 +369,19 @@
 
 func (g *restartingGateway) run() {
 	f := g.fleet
-	g.begin(1e6+f.rnd.Float64()*5, 0)
-	g.setCold(routing.Gone, 0) // down before: calls arrive all the time
-	g.next = g.h.now + f.rnd.ExpFloat64()*f.interval
+	g.startProcess(1e6+f.rnd.Float64()*5, 0)
+	g.updateRestarted(routing.Gone, 0) // down before: calls arrive all the time
+	g.nextCallAt = g.h.now + f.rnd.ExpFloat64()*f.interval
 	for g.h.now < fleetStart+12000 {
 		g.h.advance(10)
 		if !g.restarted && g.h.now >= g.restartAt {
 			g.restart()
 		}
-		if !g.told && g.h.now >= g.toldAt {
-			g.told = true
-			g.setCold(routing.Ready, fleetStart)
+		if !g.listed && g.h.now >= g.listedAt {
+			g.listed = true
+			g.updateRestarted(routing.Ready, fleetStart)
 		}
-		for ; g.next < g.h.now; g.next += f.rnd.ExpFloat64() * f.interval {
+		for ; g.nextCallAt < g.h.now; g.nextCallAt += f.rnd.ExpFloat64() * f.interval {
 			g.h.offerCall(g.endpoints[f.rnd.Intn(f.endpoints)])
 		}
 		g.h.establishInFlight(30, 30)
@@ -393,18 +393,18 @@
 func (g *restartingGateway) restart() {
 	g.restarted = true
 	g.collect()
-	g.begin(g.h.now+200, 1)
-	g.next = g.h.now + g.fleet.rnd.ExpFloat64()*g.fleet.interval
-	g.told = g.h.now >= g.toldAt
-	if g.told {
-		g.setCold(routing.Ready, fleetStart)
+	g.startProcess(g.h.now+200, 1)
+	g.nextCallAt = g.h.now + g.fleet.rnd.ExpFloat64()*g.fleet.interval
+	g.listed = g.h.now >= g.listedAt
+	if g.listed {
+		g.updateRestarted(routing.Ready, fleetStart)
 	} else {
-		g.setCold(routing.Gone, 0)
+		g.updateRestarted(routing.Gone, 0)
 	}
 }
 
-func (g *restartingGateway) setCold(state routing.State, startedAt float64) {
-	cold := g.endpoints[:g.fleet.cold]
+func (g *restartingGateway) updateRestarted(state routing.State, startedAt float64) {
+	cold := g.endpoints[:g.fleet.restartedEndpoints]
 	for _, endpoint := range cold {
 		endpoint.State, endpoint.StartedAt = state, startedAt
 	}
@@ -428,19 +428,19 @@
 }
 
 // finish ends an attempt and forgets it.
-func (h *testHost) finish(open map[*routing.Attempt]float64, attempt *routing.Attempt, end routing.Outcome) {
+func (h *testHost) finish(open map[*routing.Attempt]float64, attempt *routing.Attempt, outcome routing.Outcome) {
 	delete(open, attempt)
-	h.endAttempt(attempt.Call, end)
+	h.endAttempt(attempt.Call, outcome)
 }
 
-func pick(rnd *rand.Rand, of []*routing.Call) *routing.Call {
+func randomCall(rnd *rand.Rand, of []*routing.Call) *routing.Call {
 	if len(of) == 0 {
 		return nil
 	}
 	return of[rnd.Intn(len(of))]
 }
 
-func within(times []float64, end float64) (n int) {
+func countBefore(times []float64, end float64) (n int) {
 	for _, at := range times {
 		if at < end {
 			n++
--- a/internal/router/sendrate.go
+++ b/internal/router/sendrate.go
@@ -101,9 +101,9 @@
 	case s.congested:
 		return rateDecline / 1000
 	case s.sendRate < s.rateBeforeCongestion/2:
-		return rateRecovery / s.hearInterval
+		return rateRecovery / s.updateInterval
 	}
-	return rateGrowth / s.hearInterval
+	return rateGrowth / s.updateInterval
 }
 
 // shareOf is this gateway's share of an endpoint's capacity, attempts a millisecond: an even one, or more
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -18,15 +18,15 @@
 	maxQueueLength float64 // the longest queue reported
 
 	// what was heard
-	reportedAt   float64 // when the latest complete load report came
-	heardAt      float64 // when anything about its load was last heard, gossip included
-	hearInterval float64 // mean interval of that, at least 1 s
-	gossipDelay  float64 // the latest delay seen here that is still to be passed on, or -1
+	reportedAt     float64 // when the latest complete load report came
+	updatedAt      float64 // when anything about its load was last heard, gossip included
+	updateInterval float64 // mean interval of that, at least 1 s
+	gossipDelay    float64 // the latest delay seen here that is still to be passed on, or -1
 
 	// liveness
 	aliveAt    float64 // when it last answered anything
 	unanswered int     // attempts without an answer since then
-	resets     int     // resets and refused connections since then
+	connErrors int     // resets and refused connections since then
 	atCapacity bool    // it reported no free capacity
 
 	// attempts
@@ -63,7 +63,7 @@
 		slowStartRefilledAt: r.now,
 		tokens:              1 - r.random()*(1-r.evenShare(1)), // gateways must not send their first at one moment
 		slowStartTokens:     r.random(),
-		hearInterval:        1000,
+		updateInterval:      1000,
 		gossipDelay:         -1,
 	}
 }
--- a/internal/router/testhost_test.go
+++ b/internal/router/testhost_test.go
@@ -14,45 +14,45 @@
 
 // testHost is a host that writes down what it is asked, and a slow plain model of the rules beside it.
 type testHost struct {
-	now                 float64
-	router              *Router
-	skill               *routing.Class
-	number              string
-	timeLeft            float64
-	calls               []*routing.Call
-	attempts, cancelled []*routing.Attempt
-	rejected, failed    []*routing.Call
-	probes              int
-	gossip              [][]byte
-	wakeups             []wakeup
-	onBrokenRule        func(rule int, what string) // hears of a broken rule
-	finished            map[*routing.Call]bool
-	inFlight            map[*routing.Call]int
-	retryNotBefore      map[*routing.Call]float64
-	drained             map[*routing.Endpoint]bool
-	startedAt           map[*routing.Endpoint]float64
-	sentAt              map[*routing.Endpoint][]float64
+	now                float64
+	router             *Router
+	class              *routing.Class
+	number             string
+	timeLeft           float64
+	calls              []*routing.Call
+	attempts, canceled []*routing.Attempt
+	rejected, failed   []*routing.Call
+	probes             int
+	gossip             [][]byte
+	wakeups            []wakeup
+	onViolation        func(rule int, what string) // hears of a broken rule
+	finished           map[*routing.Call]bool
+	inFlight           map[*routing.Call]int
+	retryNotBefore     map[*routing.Call]float64
+	drained            map[*routing.Endpoint]bool
+	startedAt          map[*routing.Endpoint]float64
+	sentAt             map[*routing.Endpoint][]float64
 }
 
-func (h *testHost) reportBroken(rule int, what string) {
-	if h.onBrokenRule != nil {
-		h.onBrokenRule(rule, what)
+func (h *testHost) reportViolation(rule int, what string) {
+	if h.onViolation != nil {
+		h.onViolation(rule, what)
 	}
 }
 
 // StartAttempt checks rules 1, 2, 3 and 5 by the plain model, and notes the send for rule 4.
 func (h *testHost) StartAttempt(call *routing.Call, endpoint *routing.Endpoint, _ float64) {
 	if h.finished[call] || h.now > call.Deadline {
-		h.reportBroken(1, "sent after the answer or the timeout")
+		h.reportViolation(1, "sent after the answer or the timeout")
 	}
 	if h.inFlight[call]++; h.inFlight[call] > 1 {
-		h.reportBroken(2, "two attempts out")
+		h.reportViolation(2, "two attempts out")
 	}
 	if h.drained[endpoint] {
-		h.reportBroken(3, "sent to an endpoint that drains or is gone")
+		h.reportViolation(3, "sent to an endpoint that drains or is gone")
 	}
 	if h.now < h.retryNotBefore[call] {
-		h.reportBroken(5, "sent before the hold-off was over")
+		h.reportViolation(5, "sent before the hold-off was over")
 	}
 	h.sentAt[endpoint] = append(h.sentAt[endpoint], h.now)
 	call.InFlight = &routing.Attempt{Call: call, Endpoint: endpoint, SentAt: h.now}
@@ -61,10 +61,10 @@
 
 func (h *testHost) finishCall(call *routing.Call) {
 	if h.finished[call] || h.inFlight[call] > 0 {
-		h.reportBroken(1, "answered twice or with an attempt out")
+		h.reportViolation(1, "answered twice or with an attempt out")
 	}
 	if h.now > call.Deadline+h.router.settings.AnswerGrace {
-		h.reportBroken(1, "answered too late")
+		h.reportViolation(1, "answered too late")
 	}
 	h.finished[call], call.Finished = true, true
 }
@@ -79,7 +79,7 @@
 	h.failed = append(h.failed, call)
 }
 func (h *testHost) CancelAttempt(attempt *routing.Attempt) {
-	h.cancelled = append(h.cancelled, attempt)
+	h.canceled = append(h.canceled, attempt)
 }
 func (h *testHost) ProbeHealth(*routing.Endpoint)  { h.probes++ }
 func (h *testHost) SendGossip(to int, data []byte) { h.gossip = append(h.gossip, data) }
@@ -97,11 +97,11 @@
 	}
 }
 
-func newTestHost(pools int) (*testHost, []*routing.Endpoint) {
+func newTestHost(endpointCount int) (*testHost, []*routing.Endpoint) {
 	h := &testHost{now: 1e6, timeLeft: 3000, finished: map[*routing.Call]bool{}, inFlight: map[*routing.Call]int{},
 		retryNotBefore: map[*routing.Call]float64{}, drained: map[*routing.Endpoint]bool{},
 		startedAt: map[*routing.Endpoint]float64{}, sentAt: map[*routing.Endpoint][]float64{}}
-	h.skill = &routing.Class{
+	h.class = &routing.Class{
 		LatencyObjective:   2000,
 		Timeout:            9000,
 		Weight:             1,
@@ -122,16 +122,16 @@
 			OverloadWindow:    1000,
 			CancelEnabled:     true,
 			AnswerGrace:       20,
-			Classes:           []*routing.Class{h.skill},
+			Classes:           []*routing.Class{h.class},
 		},
 		h,
 	)
-	var ps []*routing.Endpoint
-	for i := 0; i < pools; i++ {
-		ps = append(ps, newTestEndpoint(i))
+	var endpoints []*routing.Endpoint
+	for i := 0; i < endpointCount; i++ {
+		endpoints = append(endpoints, newTestEndpoint(i))
 	}
-	h.router.OnEndpoints(h.now, ps)
-	return h, ps
+	h.router.OnEndpoints(h.now, endpoints)
+	return h, endpoints
 }
 
 // advance lets time go by, in ticks, with the call backs that fall due.
@@ -150,10 +150,10 @@
 	}
 }
 
-func (h *testHost) offerCall(home *routing.Endpoint) *routing.Call {
+func (h *testHost) offerCall(destination *routing.Endpoint) *routing.Call {
 	call := &routing.Call{
-		Class:        h.skill,
-		Destination:  home,
+		Class:        h.class,
+		Destination:  destination,
 		ArrivedAt:    h.now,
 		Deadline:     h.now + h.timeLeft,
 		CalledNumber: h.number,
@@ -164,20 +164,20 @@
 }
 
 // establish lets the call's attempt stand after cost.
-func (h *testHost) establish(call *routing.Call, cost float64) *routing.Attempt {
+func (h *testHost) establish(call *routing.Call, latency float64) *routing.Attempt {
 	attempt := call.InFlight
-	attempt.Latency, call.Established = cost, true
+	attempt.Latency, call.Established = latency, true
 	h.finished[call] = true
 	h.router.OnAnswer(h.now, attempt)
 	return attempt
 }
 
 // endAttempt lets the call's attempt end.
-func (h *testHost) endAttempt(call *routing.Call, end routing.Outcome) {
+func (h *testHost) endAttempt(call *routing.Call, outcome routing.Outcome) {
 	attempt := call.InFlight
-	attempt.Outcome, attempt.Latency, call.InFlight = end, h.now-attempt.SentAt, nil
+	attempt.Outcome, attempt.Latency, call.InFlight = outcome, h.now-attempt.SentAt, nil
 	h.inFlight[call]--
-	if end == routing.TimedOut || end == routing.Reset || end == routing.Canceled {
+	if outcome == routing.TimedOut || outcome == routing.Reset || outcome == routing.Canceled {
 		h.retryNotBefore[call] = h.now + h.router.settings.RetryHoldOff
 	}
 	call.Finished = call.Finished || call.Established
--- a/internal/timerqueue/timerqueue_test.go
+++ b/internal/timerqueue/timerqueue_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestQueue runs the queue beside a plain list.
-func TestQueue(t *testing.T) {
+// TestAgainstSortedList runs the queue beside a plain list.
+func TestAgainstSortedList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q Queue
 		type plain struct {
@@ -57,7 +57,7 @@
 }
 
 // A timer that sets itself anew for now waits for the next Run.
-func TestSelfSetting(t *testing.T) {
+func TestRescheduleDuringRun(t *testing.T) {
 	var q Queue
 	n := 0
 	var do func()
