--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -7,7 +7,8 @@
 	"cobaltpier/internal/routing"
 )
 
-// The lottery draws endpoints by total capacity times the square of the free share, within 2 points in 100.
+// TestLotteryProportions checks that the lottery draws endpoints in proportion to total capacity times the
+// square of the free share, within 2 percentage points.
 func TestLotteryProportions(t *testing.T) {
 	h, endpoints := newTestHost(3)
 	want := []float64{20 * 0.5 * 0.5, 10 * 0.8 * 0.8, 30 * 0.2 * 0.2}
@@ -29,13 +30,14 @@
 	}
 }
 
-// The destination is taken while it has room; a zero report counts as a tenth free after 2 s.
+// TestDestinationPreferenceAndStaleZeroReport checks that a call goes to its destination while that has
+// capacity, and that a report of no free share counts as a tenth free after 2 s.
 func TestDestinationPreferenceAndStaleZeroReport(t *testing.T) {
 	h, endpoints := newTestHost(2)
 	for i := 0; i < 50; i++ {
 		h.advance(1000)
 		if attempt := h.establish(h.offerCall(endpoints[1]), 20); attempt.Endpoint != endpoints[1] {
-			t.Fatal("the destination had room and was passed over")
+			t.Fatal("the destination had capacity and was not selected")
 		}
 	}
 	endpoints[0].LoadReport.Utilization = 1
@@ -46,19 +48,20 @@
 	endpoints[1].State = routing.Draining
 	h.advance(1000)
 	if call := h.offerCall(endpoints[1]); !call.Finished {
-		t.Error("the only endpoint reports zero: no tickets anywhere")
+		t.Error("the only endpoint reports no free share: want the call rejected")
 	}
 	h.advance(1100)
 	if call := h.offerCall(endpoints[1]); call.InFlight == nil || call.InFlight.Endpoint != endpoints[0] {
-		t.Error("a draining destination must be left for another endpoint")
+		t.Error("a call to a draining destination must go to another endpoint")
 	}
 	if f := h.router.freeShare(endpoints[0]); f != staleZeroFreeShare {
 		t.Errorf("zero report of 2 s ago: free share %v, want %v", f, staleZeroFreeShare)
 	}
 }
 
-// A destination that fails most setups at once is passed by while others do not, still tried, and comes back; where all
-// fail alike, or numbers are engaged, it keeps its calls.
+// TestFailingDestinationAvoided checks that a destination that fails most setups gets few calls while
+// another endpoint does not fail, and gets them back after it recovers. It keeps its calls if all endpoints
+// fail at the same rate, or if the called numbers are busy.
 func TestFailingDestinationAvoided(t *testing.T) {
 	for _, c := range []struct {
 		what        string
@@ -66,10 +69,10 @@
 		engaged     bool
 		least, most int // of 400 first attempts to the destination
 	}{
-		{"sound", [2]float64{0, 0}, false, 400, 400},
-		{"it fails", [2]float64{0.8, 0}, false, 5, 60},
+		{"healthy", [2]float64{0, 0}, false, 400, 400},
+		{"destination fails", [2]float64{0.8, 0}, false, 5, 60},
 		{"both fail", [2]float64{0.8, 0.8}, false, 250, 400},
-		{"engaged", [2]float64{0.8, 0}, true, 400, 400},
+		{"busy numbers", [2]float64{0.8, 0}, true, 400, 400},
 	} {
 		h, endpoints := newTestHost(2)
 		for _, endpoint := range endpoints {
@@ -102,12 +105,12 @@
 		}
 		play(1000, [2]float64{})
 		if got := play(400, [2]float64{}); got < 390 {
-			t.Errorf("%s, and well again: %d of 400 went to the destination", c.what, got)
+			t.Errorf("%s, after recovery: %d of 400 went to the destination", c.what, got)
 		}
 	}
 }
 
-// With no endpoint at all a call gets its answer within its timeout, and at once when it can't be served.
+// TestNoEndpoints checks that a call is rejected at once when there is no endpoint.
 func TestNoEndpoints(t *testing.T) {
 	h, _ := newTestHost(0)
 	if call := h.offerCall(nil); !call.Finished || len(h.rejected) != 1 {
@@ -115,30 +118,32 @@
 	}
 }
 
-// An endpoint whose setups wait gets fewer of them and gets them back: no flush, no stall.
+// TestSendRateFollowsQueueingDelay checks that the send rate falls while setups are delayed at an endpoint,
+// but not to zero, and recovers afterwards.
 func TestSendRateFollowsQueueingDelay(t *testing.T) {
 	h, endpoints := newTestHost(1)
 	endpoints[0].LoadReport.Capacity, endpoints[0].LoadReport.Free = 1000, 500
-	count := func(cost float64) int {
+	count := func(latency float64) int {
 		before := len(h.attempts)
 		for i := 0; i < 400; i++ {
 			h.advance(10)
 			h.offerCall(endpoints[0])
 			for _, attempt := range h.attempts {
 				if call := attempt.Call; call.InFlight == attempt && !call.Established {
-					h.establish(call, cost)
+					h.establish(call, latency)
 				}
 			}
 		}
 		return len(h.attempts) - before
 	}
-	calm, pressed, after := count(20), count(3000), count(20)
-	if pressed*3 > calm || after*2 < calm || pressed == 0 {
-		t.Errorf("setups sent: calm %d, pressed %d, after %d", calm, pressed, after)
+	undelayed, delayed, after := count(20), count(3000), count(20)
+	if delayed*3 > undelayed || after*2 < undelayed || delayed == 0 {
+		t.Errorf("setups sent: without delay %d, with delay %d, afterwards %d", undelayed, delayed, after)
 	}
 }
 
-// When not all can be served the calls of most value are, whatever came first.
+// TestQueueByWeight checks that the calls of greatest weight are served when not all can be, whatever the
+// order of arrival.
 func TestQueueByWeight(t *testing.T) {
 	h, endpoints := newTestHost(1)
 	endpoints[0].LoadReport.Capacity, endpoints[0].LoadReport.Free = 20, 10
@@ -164,11 +169,12 @@
 		}
 	}
 	if a, b := float64(got[0])/float64(all[0]), float64(got[1])/float64(all[1]); b < 2*a || b == 0 {
-		t.Errorf("served: %.2f of the small, %.2f of the big value", a, b)
+		t.Errorf("served: %.2f of low weight, %.2f of high weight", a, b)
 	}
 }
 
-// A redial is told by the number called: past its first try's target it is worth less.
+// TestRetryingCallerRecognized checks that a caller that tries again is recognized by the called number,
+// and that its call has less weight once the latency objective of the first try has passed.
 func TestRetryingCallerRecognized(t *testing.T) {
 	h, endpoints := newTestHost(1)
 	endpoints[0].State = routing.Draining
@@ -176,14 +182,15 @@
 	h.advance(2500)
 	again := h.offerCall(endpoints[0])
 	if !first.Finished || again.FirstSeenAt != first.ArrivedAt {
-		t.Fatalf("redial counted from %v, want %v", again.FirstSeenAt, first.ArrivedAt)
+		t.Fatalf("retry has FirstSeenAt %v, want %v", again.FirstSeenAt, first.ArrivedAt)
 	}
 	if w := h.router.currentWeight(again); w != h.class.Weight*h.class.LateWeightFraction {
-		t.Errorf("late redial worth %v", w)
+		t.Errorf("late retry has weight %v", w)
 	}
 }
 
-// A setup overtaken by a later one is lost: it is canceled and says nothing of the wait.
+// TestOvertakenAttemptCanceled checks that an attempt is canceled as lost when a later one is answered
+// first, and that it does not raise the expected delay.
 func TestOvertakenAttemptCanceled(t *testing.T) {
 	h, endpoints := newTestHost(1)
 	endpoints[0].LoadReport.Capacity, endpoints[0].LoadReport.Free = 1000, 500
@@ -192,51 +199,53 @@
 	h.advance(300)
 	h.establish(h.offerCall(endpoints[0]), 20)
 	if len(h.canceled) != 1 || h.canceled[0].Call != lost {
-		t.Fatalf("%d setups called off, want the lost one", len(h.canceled))
+		t.Fatalf("%d attempts canceled, want the lost one", len(h.canceled))
 	}
 	if w := stateOf(endpoints[0]).expectedDelay(h.now, 0); w > h.router.delayObjective {
-		t.Errorf("a lost setup counts as a wait of %v", w)
+		t.Errorf("a lost attempt counts as a delay of %v", w)
 	}
 }
 
-// A silent endpoint gets one setup at a time; calls cut and an answer after silence mean that it is cold.
+// TestUnresponsiveEndpointRestart checks that an endpoint that does not answer gets one attempt at a time,
+// and that one that cut calls is in slow start when it answers again.
 func TestUnresponsiveEndpointRestart(t *testing.T) {
 	h, endpoints := newTestHost(1)
 	endpoints[0].LoadReport.Capacity, endpoints[0].LoadReport.Free = 1000, 500
-	standing := h.offerCall(endpoints[0])
-	h.establish(standing, 20)
+	established := h.offerCall(endpoints[0])
+	h.establish(established, 20)
 	for i := 0; i < 2; i++ {
 		h.advance(100)
 		h.endAttempt(h.offerCall(endpoints[0]), routing.TimedOut)
 	}
-	h.endAttempt(standing, routing.Reset)
+	h.endAttempt(established, routing.Reset)
 	h.advance(100)
 	if call := h.offerCall(endpoints[0]); call.InFlight != nil {
-		t.Error("a silent endpoint was sent a setup within a second of the last")
+		t.Error("an unresponsive endpoint got an attempt within a second of the latest one")
 	}
 	h.advance(1500)
 	h.offerCall(endpoints[0])
 	call := h.attempts[len(h.attempts)-1].Call
 	if call.InFlight == nil || len(stateOf(endpoints[0]).inFlight) != 1 {
-		t.Fatalf("%d setups under way to a silent endpoint, want one", len(stateOf(endpoints[0]).inFlight))
+		t.Fatalf("%d attempts in flight to an unresponsive endpoint, want one", len(stateOf(endpoints[0]).inFlight))
 	}
 	h.establish(call, 20)
 	if state := stateOf(endpoints[0]); state.startedAt != h.now {
-		t.Error("an endpoint that cut calls and fell silent has started cold when it answers")
+		t.Error("an endpoint that cut calls and was unresponsive must be in slow start when it answers")
 	}
 }
 
-// What cannot be is not believed: a report of a wait of weeks leaves an endpoint in use.
+// TestImplausibleReportIgnored checks that a reported queueing delay of weeks is ignored.
 func TestImplausibleReportIgnored(t *testing.T) {
 	h, endpoints := newTestHost(1)
 	endpoints[0].LoadReport.Capacity, endpoints[0].LoadReport.Free, endpoints[0].LoadReport.QueueDelay = 1000, 500, 3e9
 	h.router.OnLoadReport(h.now, endpoints[0], true, true)
 	if w := stateOf(endpoints[0]).expectedDelay(h.now, 0); w != 0 {
-		t.Errorf("wait judged %v", w)
+		t.Errorf("expected delay %v, want 0", w)
 	}
 }
 
-// Classes that must not run twice are not tried again once a setup may have run.
+// TestNonIdempotentNotRetried checks that a call of a class that is not idempotent is not retried once a
+// setup may have been executed.
 func TestNonIdempotentNotRetried(t *testing.T) {
 	h, endpoints := newTestHost(2)
 	h.class.Idempotent = false
@@ -248,11 +257,12 @@
 	call = h.offerCall(endpoints[0])
 	h.endAttempt(call, routing.ConnectionRefused)
 	if call.Attempts+len(h.router.queue) < 2 {
-		t.Error("a setup that never ran may go elsewhere")
+		t.Error("a setup that was never executed may be retried")
 	}
 }
 
-// Where reports come only by probe, each endpoint is probed every second.
+// TestProbeInterval checks that each endpoint is probed every second if load reports are sent only for
+// probes.
 func TestProbeInterval(t *testing.T) {
 	h, endpoints := newTestHost(2)
 	h.router.settings.LoadReportsByProbe, h.router.settings.ProbeEnabled = true, true
@@ -263,7 +273,8 @@
 	}
 }
 
-// A number whose lines are all busy is left alone, but for one try at a time.
+// TestBusyNumber checks that a number that answered busy gets no attempts for a pause, and then one at a
+// time.
 func TestBusyNumber(t *testing.T) {
 	h, endpoints := newTestHost(1)
 	endpoints[0].LoadReport.Capacity, endpoints[0].LoadReport.Free = 1000, 500
@@ -272,19 +283,20 @@
 	call.InFlight.NumberBusy = true
 	h.endAttempt(call, routing.Failed)
 	if again := h.offerCall(endpoints[0]); !call.Finished || !again.Finished || again.Attempts > 0 {
-		t.Error("an engaged number was rung again at once")
+		t.Error("a busy number was attempted again at once")
 	}
 	h.advance(busyNumberPause + 100)
 	if one, two := h.offerCall(endpoints[0]), h.offerCall(endpoints[0]); one.Attempts != 1 || two.Attempts != 0 {
-		t.Errorf("%d and %d attempts, want one try", one.Attempts, two.Attempts)
+		t.Errorf("%d and %d attempts, want one attempt", one.Attempts, two.Attempts)
 	}
 	h.number = "other"
 	if call := h.offerCall(endpoints[0]); call.Attempts != 1 {
-		t.Error("another number must not suffer")
+		t.Error("another number must not be affected")
 	}
 }
 
-// An endpoint that turns a setup away is left alone for a moment, not for the time that a long wait fades.
+// TestPauseAfterOverload checks that an endpoint that rejects an attempt as overloaded gets none for a
+// short pause, not for the time in which a long delay estimate decays.
 func TestPauseAfterOverload(t *testing.T) {
 	h, endpoints := newTestHost(1)
 	endpoints[0].LoadReport.Capacity, endpoints[0].LoadReport.Free = 1000, 500
@@ -293,14 +305,15 @@
 	h.endAttempt(h.offerCall(endpoints[0]), routing.Overloaded)
 	sent := len(h.attempts)
 	if h.offerCall(endpoints[0]); len(h.attempts) > sent {
-		t.Error("rung again at once")
+		t.Error("attempted again at once")
 	}
 	if h.advance(overloadPause + 300); len(h.attempts) == sent {
-		t.Error("still left alone after the pause")
+		t.Error("no attempt after the pause")
 	}
 }
 
-// Settings that are missing give sensible decisions: calls are tried while the endpoint answers.
+// TestIncompleteSettings checks that calls are attempted, or rejected if there is no endpoint, without most
+// settings.
 func TestIncompleteSettings(t *testing.T) {
 	for _, set := range []routing.Settings{{}, {Classes: []*routing.Class{{}}}, {LoadReportsByProbe: true,
 		RetryAfterEnabled: true}} {
@@ -312,7 +325,7 @@
 			h.now += 1000
 			call := h.offerCall(endpoints[0])
 			if call.InFlight == nil {
-				t.Fatalf("call %d under %+v: not rung", i, set)
+				t.Fatalf("call %d under %+v: not attempted", i, set)
 			}
 			h.establish(call, 20)
 		}
@@ -324,8 +337,8 @@
 	}
 }
 
-// A gateway that stalled finds a backlog: its calls came earlier, its answers tell nothing of the
-// wait.
+// TestBacklogAfterStall checks that, after a stall of the gateway, the arrival of waiting calls is set back
+// and delayed answers do not count as queueing delay.
 func TestBacklogAfterStall(t *testing.T) {
 	h, endpoints := newTestHost(1)
 	endpoints[0].LoadReport.Capacity, endpoints[0].LoadReport.Free = 1000, 500
@@ -334,43 +347,45 @@
 	call := h.offerCall(endpoints[0])
 	h.now, h.timeLeft = h.now+1800, h.timeLeft-1500
 	if late := h.offerCall(endpoints[0]); late.ArrivedAt != h.now-1500 {
-		t.Errorf("came %v ago, want 1500", h.now-late.ArrivedAt)
+		t.Errorf("arrived %v ms ago, want 1500", h.now-late.ArrivedAt)
 	}
 	h.establish(call, 1800)
 	if w := stateOf(endpoints[0]).expectedDelay(h.now, 0); w != 0 {
-		t.Errorf("wait judged %v", w)
+		t.Errorf("expected delay %v, want 0", w)
 	}
 	h.now += 2000
 	slow := h.offerCall(endpoints[0])
 	h.advance(5)
 	if h.establish(slow, 1800); stateOf(endpoints[0]).expectedDelay(h.now, 0) < h.router.delayObjective {
-		t.Error("a wait seen by a gateway that did not stand still must count")
+		t.Error("a delay measured without a stall must count")
 	}
 }
 
-// A wait that surprises is told to others; they heed it where they heard nothing lately, and no nonsense.
+// TestGossip checks that a delay far from the estimate is sent to other gateways, and that they use it for
+// endpoints without recent load updates and ignore malformed messages.
 func TestGossip(t *testing.T) {
 	h, endpoints := newTestHost(2)
 	h.router.settings.GossipEnabled, h.router.settings.Gateways = true, 200
 	h.establish(h.offerCall(endpoints[1]), 20)
 	if h.advance(1000); len(h.gossip) > 0 {
-		t.Error("a setup that stands at once is no news")
+		t.Error("an attempt answered without delay must not be sent as gossip")
 	}
 	h.establish(h.offerCall(endpoints[1]), 2000)
 	if len(h.gossip) == 0 || len(h.gossip) > gossipFanout {
 		t.Fatalf("%d messages, want up to %d", len(h.gossip), gossipFanout)
 	}
-	other, otherEndpoints := newTestHost(2)
+	other, others := newTestHost(2)
 	for _, malformed := range [][]byte{nil, {1}, {99, 200}, {99}} {
 		other.router.OnGossip(other.now, -5, malformed)
 	}
 	other.router.OnGossip(other.now+2000, 1<<30, append(h.gossip[0], 1))
-	if a, b := stateOf(otherEndpoints[0]).delay, stateOf(otherEndpoints[1]).delay; a != 0 || b < other.router.delayObjective {
-		t.Errorf("waits judged %v and %v, want none and a long one", a, b)
+	if a, b := stateOf(others[0]).delay, stateOf(others[1]).delay; a != 0 || b < other.router.delayObjective {
+		t.Errorf("delay estimates %v and %v, want none and a long one", a, b)
 	}
 }
 
-// However many gateways there are said to be, calls are tried, and the floors of all stay small together.
+// TestGatewayCounts checks that calls are attempted with any configured number of gateways, and that the
+// minimum send rates of all gateways add up to little.
 func TestGatewayCounts(t *testing.T) {
 	for _, count := range []int{-1, 0, 1, 300} {
 		h, endpoints := newTestHost(1)
@@ -383,9 +398,9 @@
 			}
 		}
 		if len(h.attempts) < 30 {
-			t.Errorf("%d gateways: %d of 60 calls rung", count, len(h.attempts))
+			t.Errorf("%d gateways: %d of 60 calls attempted", count, len(h.attempts))
 		}
-		for i := 0; i < 100; i++ { // a long press
+		for i := 0; i < 100; i++ { // a long period of congestion
 			h.advance(100)
 			h.router.setTime(h.now)
 			h.router.recordDelay(stateOf(endpoints[0]), 9e9)
@@ -393,12 +408,13 @@
 		}
 		if all := stateOf(endpoints[0]).sendRate * float64(max(1, count)); !(all > 0) ||
 			all > 0.05*h.router.capacityOf(endpoints[0])/1000 {
-			t.Errorf("%d gateways: a floor of %v setups a ms for all", count, all)
+			t.Errorf("%d gateways: minimum send rate of %v setups a ms for all", count, all)
 		}
 	}
 }
 
-// Setups sent before an endpoint's start say nothing of it, however they end.
+// TestAttemptsBeforeRestartIgnored checks that attempts sent before an endpoint's start do not affect its
+// state.
 func TestAttemptsBeforeRestartIgnored(t *testing.T) {
 	h, endpoints := newTestHost(1)
 	endpoints[0].LoadReport.Capacity, endpoints[0].LoadReport.Free = 1000, 500
@@ -412,6 +428,6 @@
 	h.endAttempt(a, routing.TimedOut)
 	h.endAttempt(b, routing.TimedOut)
 	if state := stateOf(endpoints[0]); state.unanswered > 0 || state.expectedDelay(h.now, 0) > 0 {
-		t.Errorf("silent %d, wait %v after a restart", state.unanswered, state.expectedDelay(h.now, 0))
+		t.Errorf("%d unanswered, expected delay %v after a restart", state.unanswered, state.expectedDelay(h.now, 0))
 	}
 }
--- a/internal/router/rules_test.go
+++ b/internal/router/rules_test.go
@@ -11,9 +11,9 @@
 	"cobaltpier/internal/routing"
 )
 
-// TestRulesAgainstModel runs the router on generated streams of events beside the plain model in the test host, which looks
-// at every attempt and every answer: calls, redials, lost, late, cut and refused setups, drains, slow starts, wrong
-// load reports and gateways that start with an old list.
+// TestRulesAgainstModel runs the router on generated events. The model in the test host checks every
+// attempt and every final answer. The events are calls, retries by callers, attempts that are lost, late,
+// reset or refused, drains, slow starts, wrong load reports and gateways that start with an old list.
 func TestRulesAgainstModel(t *testing.T) {
 	check := func(seed int64) bool {
 		s := newRuleWorkload(t, seed)
@@ -30,7 +30,7 @@
 	}
 }
 
-// ruleWorkload is a generated stream of events for one router.
+// ruleWorkload is a generated sequence of events for one router.
 type ruleWorkload struct {
 	h         *testHost
 	rnd       *rand.Rand
@@ -76,7 +76,7 @@
 	}
 }
 
-// changeState gives an endpoint another state; one that comes back is in slow start.
+// changeState changes the state of an endpoint; one that becomes ready again is in slow start.
 func (s *ruleWorkload) changeState(endpoint *routing.Endpoint) {
 	endpoint.State = routing.State(s.rnd.Intn(3))
 	if s.h.drained[endpoint] && endpoint.State == routing.Ready {
@@ -86,7 +86,7 @@
 	s.h.router.OnEndpoints(s.h.now, []*routing.Endpoint{endpoint})
 }
 
-// hangUp has a caller leave before its answer.
+// hangUp has a caller hang up before its answer.
 func (s *ruleWorkload) hangUp() {
 	call := randomCall(s.rnd, s.h.calls)
 	if call == nil || call.Finished || call.Established || s.h.inFlight[call] > 0 {
@@ -113,7 +113,7 @@
 	s.h.canceled = nil
 }
 
-// progress has an attempt answered, or ended, when it is due.
+// progress answers or ends an attempt when it is due.
 func (s *ruleWorkload) progress(attempt *routing.Attempt) {
 	due, known := s.open[attempt]
 	switch call := attempt.Call; {
@@ -139,21 +139,22 @@
 	}
 }
 
-// checkSlowStart looks at every window of an endpoint in slow start, with one setup for chance.
+// checkSlowStart checks every window of an endpoint in slow start against rule 4, allowing one setup for
+// chance.
 func (s *ruleWorkload) checkSlowStart() {
-	// what an endpoint at full capacity is sent a second
+	// setups a second to an endpoint at full capacity
 	rate := float64(len(s.h.calls)) / (s.h.now - 1e6) * 1000 / float64(len(s.endpoints))
 	for endpoint, startedAt := range s.h.startedAt {
 		for i, from := range s.h.sentAt[endpoint] {
 			part := 0.3 + 0.7*(from+1000-startedAt)/14000
 			if n := countBefore(s.h.sentAt[endpoint][i:], from+1000); part < 1 && float64(n) > 1+2.5*part*rate {
-				s.h.reportViolation(4, fmt.Sprintf("%d setups in a second to a cold endpoint", n))
+				s.h.reportViolation(4, fmt.Sprintf("%d setups in a second to an endpoint in slow start", n))
 			}
 		}
 	}
 }
 
-// Slow start of one or more endpoints beside many gateways: when it begins, and how capacity grows.
+// Slow start of endpoints in tests with several gateways: when it begins, and how capacity grows.
 const (
 	fleetStart      = 1e6 + 6000.0
 	initialFraction = 0.3
@@ -162,15 +163,17 @@
 	window          = 1000.0 // ms
 )
 
-// budget is how many setups an endpoint may be sent in the window from a time on; fullRate a second is its usual load.
+// budget returns how many setups an endpoint may be sent in the window that begins at a time; fullRate is the
+// endpoint's normal load in setups a second.
 func budget(from, fullRate float64) float64 {
 	part := math.Min(1, initialFraction+(1-initialFraction)*(from+window/2-fleetStart)/slowStartLength)
 	return overloadFactor * part * fullRate
 }
 
-// TestSlowStartWithManyGateways puts many routers beside one endpoint that starts cold, on generated inputs, and counts what
-// they send it together in every window. They are told of the start at different times, some were restarted with an old
-// list, some stall and find a backlog, and the endpoint was down for long before: no time earns a burst.
+// TestSlowStartWithManyGateways runs many routers with one endpoint in slow start, on generated inputs, and
+// counts the setups of all routers in every window. The routers learn of the start at different times, some
+// were restarted with an old list, some stall and find a backlog, and the endpoint was down for long
+// before. None of this may cause a burst.
 func TestSlowStartWithManyGateways(t *testing.T) {
 	check := func(seed int64) bool {
 		f := newSlowStartFleet(seed)
@@ -191,7 +194,7 @@
 	}
 }
 
-// slowStartFleet is many gateways beside endpoints of which the first starts cold.
+// slowStartFleet is many gateways that share endpoints, of which the first is in slow start.
 type slowStartFleet struct {
 	rnd       *rand.Rand
 	endpoints int
@@ -209,7 +212,7 @@
 	f.listDelay = make([]float64, f.gateways)
 	for i := range f.gateways {
 		h, endpoints := newTestHost(f.endpoints)
-		h.now += rnd.Float64() * 5 // gateways are not in step
+		h.now += rnd.Float64() * 5 // gateways run out of phase
 		h.router.settings.Gateways, h.router.settings.Seed = f.gateways, uint64(seed)+uint64(i)*7919
 		for _, endpoint := range endpoints {
 			endpoint.LoadReport.Capacity, endpoint.LoadReport.Free = capacity, capacity/2
@@ -221,7 +224,8 @@
 	return f
 }
 
-// run plays all gateways and gives the times of the setups that the cold endpoint got, in order.
+// run simulates all gateways and returns the times of the setups sent to the endpoint in slow start, in
+// order.
 func (f *slowStartFleet) run() []float64 {
 	var sent []float64
 	for i, h := range f.hosts {
@@ -232,18 +236,18 @@
 }
 
 func (f *slowStartFleet) runGateway(h *testHost, listDelay float64) []float64 {
-	cold := h.router.endpoints[0]
-	cold.State = routing.Gone // down before: calls arrive all the time
-	h.router.OnEndpoints(h.now, []*routing.Endpoint{cold})
-	next, told := h.now+f.rnd.ExpFloat64()*f.interval, false
+	starting := h.router.endpoints[0]
+	starting.State = routing.Gone // it is down at first while calls arrive
+	h.router.OnEndpoints(h.now, []*routing.Endpoint{starting})
+	next, listed := h.now+f.rnd.ExpFloat64()*f.interval, false
 	for h.now < fleetStart+10000 {
-		if f.rnd.Intn(400) == 0 { // it stalls, and finds what came meanwhile
+		if f.rnd.Intn(400) == 0 { // stall; the events of the meantime are read at once
 			h.now += 1500
 		}
 		h.advance(10)
-		if !told && h.now >= fleetStart+listDelay {
-			told = true
-			announceStart(h, cold)
+		if !listed && h.now >= fleetStart+listDelay {
+			listed = true
+			announceStart(h, starting)
 		}
 		for ; next < h.now; next += f.rnd.ExpFloat64() * f.interval {
 			call := h.offerCall(h.router.destinations[f.rnd.Intn(f.endpoints)])
@@ -253,23 +257,25 @@
 		}
 		h.establishInFlight(0, 60)
 	}
-	return h.sentAt[cold]
+	return h.sentAt[starting]
 }
 
-// announceStart tells a gateway of the cold endpoint's start while all others drain: every call wants the cold one.
-func announceStart(h *testHost, cold *routing.Endpoint) {
-	cold.State, cold.StartedAt = routing.Ready, fleetStart
+// announceStart reports the start of the endpoint while all others drain, so that every call is sent to
+// that one.
+func announceStart(h *testHost, starting *routing.Endpoint) {
+	starting.State, starting.StartedAt = routing.Ready, fleetStart
 	for _, other := range h.router.destinations {
-		if other != cold {
+		if other != starting {
 			other.State = routing.Draining
 		}
 	}
 	h.router.OnEndpoints(h.now, h.router.destinations)
 }
 
-// TestSlowStartWithRestartedGateways has twenty or thirty routers beside endpoints that start cold in one step, while all
-// gateways are restarted, a few at a time, and forget what they sent. They are told of the start at once or late. In no
-// window do all of them send such an endpoint more than N + 2 root N + 2, N being what the settings allow it then.
+// TestSlowStartWithRestartedGateways runs twenty or thirty routers with endpoints that start at the same
+// time, while all gateways are restarted, a few at a time, and lose their state. The gateways learn of the
+// start at once or late. In no window may all of them send such an endpoint more than N + 2 root N + 2
+// setups, where N is what the settings allow then.
 func TestSlowStartWithRestartedGateways(t *testing.T) {
 	worst := 0.0
 	for seed := int64(1); seed <= 24; seed++ {
@@ -281,18 +287,19 @@
 			use, at, n := maxBudgetUse(sent, fullRate)
 			worst = math.Max(worst, use)
 			if use > 1 {
-				t.Errorf("seed %d: %d gateways, %d of %d endpoints cold: %d setups in a second, %.0f ms after the start",
+				t.Errorf("seed %d: %d gateways, %d of %d endpoints in slow start: %d setups in a second, %.0f ms after the start",
 					seed, f.gateways, f.restartedEndpoints, f.endpoints, n, at-fleetStart)
 			}
 		}
 		if total == 0 {
-			t.Errorf("seed %d: nothing was sent to a cold endpoint", seed)
+			t.Errorf("seed %d: nothing was sent to an endpoint in slow start", seed)
 		}
 	}
-	t.Logf("at most %.2f of what overloads an endpoint", worst)
+	t.Logf("at most %.2f of the limit was used", worst)
 }
 
-// maxBudgetUse finds the window with the largest part of its limit used; n setups in the window from at on.
+// maxBudgetUse returns the largest used fraction of the limit in any window, when that window begins and
+// its number of setups.
 func maxBudgetUse(sent []float64, fullRate float64) (use, at float64, n int) {
 	for i, from := range sent {
 		count, allowed := countBefore(sent[i:], from+window), budget(from, fullRate)
@@ -303,7 +310,8 @@
 	return use, at, n
 }
 
-// restartingFleet is a few gateways, each restarted once, beside endpoints of which the first ones start cold.
+// restartingFleet is a few gateways, each restarted once, that share endpoints of which the first ones are
+// in slow start.
 type restartingFleet struct {
 	seed               int64
 	rnd                *rand.Rand
@@ -312,7 +320,7 @@
 	capacity           float64
 	interval           float64 // ms between calls at a gateway
 	restartedEndpoints int
-	maxListDelay       float64 // gateways are told of the start within this, ms
+	maxListDelay       float64 // ms: gateways learn of the start within this
 }
 
 func newRestartingFleet(seed int64) *restartingFleet {
@@ -325,12 +333,13 @@
 	return f
 }
 
-// run plays all gateways and gives, for each cold endpoint, the times of the setups that it got, in order.
+// run simulates all gateways and returns, for each endpoint in slow start, the times of the setups sent to
+// it, in order.
 func (f *restartingFleet) run() [][]float64 {
 	sent := make([][]float64, f.restartedEndpoints)
 	for i := range f.gateways {
-		toldAfter, restartAt := f.rnd.Float64()*f.maxListDelay, fleetStart+f.rnd.Float64()*8000
-		g := &restartingGateway{fleet: f, index: i, sent: sent, listedAt: fleetStart + toldAfter, restartAt: restartAt}
+		listDelay, restartAt := f.rnd.Float64()*f.maxListDelay, fleetStart+f.rnd.Float64()*8000
+		g := &restartingGateway{fleet: f, index: i, sent: sent, listedAt: fleetStart + listDelay, restartAt: restartAt}
 		g.run()
 	}
 	for _, times := range sent {
@@ -351,10 +360,10 @@
 	endpoints  []*routing.Endpoint
 	listed     bool
 	restarted  bool
-	nextCallAt float64 // call
+	nextCallAt float64
 }
 
-// startProcess starts a process, which knows nothing of the one before.
+// startProcess starts a gateway process without any state of the one before.
 func (g *restartingGateway) startProcess(at float64, incarnation int) {
 	f := g.fleet
 	g.h, g.endpoints = newTestHost(f.endpoints)
@@ -370,7 +379,7 @@
 func (g *restartingGateway) run() {
 	f := g.fleet
 	g.startProcess(1e6+f.rnd.Float64()*5, 0)
-	g.updateRestarted(routing.Gone, 0) // down before: calls arrive all the time
+	g.updateRestarted(routing.Gone, 0) // it is down at first while calls arrive
 	g.nextCallAt = g.h.now + f.rnd.ExpFloat64()*f.interval
 	for g.h.now < fleetStart+12000 {
 		g.h.advance(10)
@@ -389,7 +398,7 @@
 	g.collect()
 }
 
-// restart forgets everything; the start, if it was announced, comes with the first list.
+// restart replaces the process; if the start was announced, the first list includes it.
 func (g *restartingGateway) restart() {
 	g.restarted = true
 	g.collect()
@@ -404,11 +413,11 @@
 }
 
 func (g *restartingGateway) updateRestarted(state routing.State, startedAt float64) {
-	cold := g.endpoints[:g.fleet.restartedEndpoints]
-	for _, endpoint := range cold {
+	starting := g.endpoints[:g.fleet.restartedEndpoints]
+	for _, endpoint := range starting {
 		endpoint.State, endpoint.StartedAt = state, startedAt
 	}
-	g.h.router.OnEndpoints(g.h.now, cold)
+	g.h.router.OnEndpoints(g.h.now, starting)
 }
 
 func (g *restartingGateway) collect() {
@@ -417,7 +426,8 @@
 	}
 }
 
-// establishInFlight has the latest attempts answered that were sent over minAge ms ago, with a latency.
+// establishInFlight answers the recent attempts that were sent more than minAge ms ago, with the given
+// latency.
 func (h *testHost) establishInFlight(minAge, latency float64) {
 	for _, attempt := range h.attempts[max(0, len(h.attempts)-50):] {
 		call := attempt.Call
@@ -427,7 +437,7 @@
 	}
 }
 
-// finish ends an attempt and forgets it.
+// finish ends an attempt and removes it from open.
 func (h *testHost) finish(open map[*routing.Attempt]float64, attempt *routing.Attempt, outcome routing.Outcome) {
 	delete(open, attempt)
 	h.endAttempt(attempt.Call, outcome)
--- a/internal/router/testhost_test.go
+++ b/internal/router/testhost_test.go
@@ -6,13 +6,14 @@
 	"cobaltpier/internal/routing"
 )
 
-// wakeup is a call back that the policy asked for.
+// wakeup is a call to OnWakeup that the policy scheduled.
 type wakeup struct {
 	at   float64
 	call *routing.Call
 }
 
-// testHost is a host that writes down what it is asked, and a slow plain model of the rules beside it.
+// testHost is a host that records the requests of the policy and checks them against a simple model of the
+// rules.
 type testHost struct {
 	now                float64
 	router             *Router
@@ -25,7 +26,7 @@
 	probes             int
 	gossip             [][]byte
 	wakeups            []wakeup
-	onViolation        func(rule int, what string) // hears of a broken rule
+	onViolation        func(rule int, what string) // called for each violation of a rule; may be nil
 	finished           map[*routing.Call]bool
 	inFlight           map[*routing.Call]int
 	retryNotBefore     map[*routing.Call]float64
@@ -40,13 +41,14 @@
 	}
 }
 
-// StartAttempt checks rules 1, 2, 3 and 5 by the plain model, and notes the send for rule 4.
+// StartAttempt checks rules 1, 2, 3 and 5 against the model, and records when the attempt was sent for rule
+// 4.
 func (h *testHost) StartAttempt(call *routing.Call, endpoint *routing.Endpoint, _ float64) {
 	if h.finished[call] || h.now > call.Deadline {
 		h.reportViolation(1, "sent after the answer or the timeout")
 	}
 	if h.inFlight[call]++; h.inFlight[call] > 1 {
-		h.reportViolation(2, "two attempts out")
+		h.reportViolation(2, "two attempts in flight")
 	}
 	if h.drained[endpoint] {
 		h.reportViolation(3, "sent to an endpoint that drains or is gone")
@@ -61,7 +63,7 @@
 
 func (h *testHost) finishCall(call *routing.Call) {
 	if h.finished[call] || h.inFlight[call] > 0 {
-		h.reportViolation(1, "answered twice or with an attempt out")
+		h.reportViolation(1, "answered twice or with an attempt in flight")
 	}
 	if h.now > call.Deadline+h.router.settings.AnswerGrace {
 		h.reportViolation(1, "answered too late")
@@ -134,7 +136,7 @@
 	return h, endpoints
 }
 
-// advance lets time go by, in ticks, with the call backs that fall due.
+// advance moves the clock in steps of a tick and runs the wakeups that are due.
 func (h *testHost) advance(ms float64) {
 	for end := h.now + ms; h.now < end; {
 		h.now = math.Min(end, h.now+h.router.settings.TickInterval)
@@ -163,7 +165,7 @@
 	return call
 }
 
-// establish lets the call's attempt stand after cost.
+// establish reports that the call's attempt was answered with the given latency.
 func (h *testHost) establish(call *routing.Call, latency float64) *routing.Attempt {
 	attempt := call.InFlight
 	attempt.Latency, call.Established = latency, true
@@ -172,7 +174,7 @@
 	return attempt
 }
 
-// endAttempt lets the call's attempt end.
+// endAttempt reports the end of the call's attempt with the given outcome.
 func (h *testHost) endAttempt(call *routing.Call, outcome routing.Outcome) {
 	attempt := call.InFlight
 	attempt.Outcome, attempt.Latency, call.InFlight = outcome, h.now-attempt.SentAt, nil
