--- a/internal/protocol/attempts/attempts.go
+++ b/internal/protocol/attempts/attempts.go
@@ -1,4 +1,4 @@
-// Package attempts keeps the attempts of a call until all of them have ended. It decides nothing.
+// Package attempts tracks the attempts of a call until all of them have ended. It makes no routing decisions.
 package attempts
 
 //tally:decisions
@@ -8,13 +8,13 @@
 // Tracker is a call with its attempts.
 type Tracker struct {
 	*routing.Call
-	ID  string             // the host's name of the call
-	Log []*routing.Attempt // by index, in the order of sending; nil where ended
+	ID  string             // identifies the call at the host
+	Log []*routing.Attempt // in the order of sending; nil once an attempt has ended
 
 	open int
 }
 
-// Begin records an attempt that is sent now. Its HostData is its index in Log.
+// Begin records an attempt that is about to be sent. Its HostData is its index in Log.
 func (t *Tracker) Begin(endpoint *routing.Endpoint, now float64) *routing.Attempt {
 	attempt := &routing.Attempt{Call: t.Call, Endpoint: endpoint, SentAt: now, HostData: len(t.Log)}
 	t.Log = append(t.Log, attempt)
@@ -23,10 +23,10 @@
 	return attempt
 }
 
-// Ended tells whether the end of an attempt was recorded already.
+// Ended reports whether the end of an attempt was recorded.
 func (t *Tracker) Ended(attempt *routing.Attempt) bool { return t.Log[attempt.HostData.(int)] == nil }
 
-// RecordOutcome records the end of an attempt after so many ms; finished: its call needs no answer any more.
+// RecordOutcome records the end of an attempt and its latency in ms; finished: its call needs no further answer.
 func (t *Tracker) RecordOutcome(attempt *routing.Attempt, outcome routing.Outcome, latency float64, finished bool) {
 	t.Log[attempt.HostData.(int)] = nil
 	t.open--
@@ -37,5 +37,5 @@
 	t.Finished = t.Finished || finished
 }
 
-// Done tells whether the call has its final answer and no attempt left, and may be forgotten.
+// Done reports whether the call has its final answer and no attempt in progress, so that it can be removed.
 func (t *Tracker) Done() bool { return t.Finished && t.open == 0 }
--- a/internal/protocol/callcontrol/callcontrol.go
+++ b/internal/protocol/callcontrol/callcontrol.go
@@ -1,9 +1,9 @@
-// Package callcontrol is what all gateways do alike with their calls, whatever the protocol: it keeps each call until
-// its final answer, hands it to the routing policy, and blocks every attempt that would break a rule. It has no I/O and
-// no clock: the time is handed in, in milliseconds.
+// Package callcontrol is the call handling that gateways of all protocols share: it keeps each call until its final
+// answer, passes it to the routing policy, and blocks every attempt that would break a rule. It has no I/O and no
+// clock: the time is passed in, in milliseconds.
 //
-// What the five rules ask of the protocol side is kept in one place each: rule 1 in (*Session).Finish, rules 2, 3 and 5
-// in (*Controller).StartAttempt, which every setup passes.
+// Each of the five rules that concerns the protocol side is enforced in one place: rule 1 in (*Session).Finish,
+// rules 2, 3 and 5 in (*Controller).StartAttempt, which every setup passes.
 package callcontrol
 
 import (
@@ -17,20 +17,20 @@
 
 //tally:decisions
 
-// Counts are what a gateway has counted since its start.
+// Counts are the counters of a gateway since its start.
 type Counts struct {
 	Accepted uint64 `json:"accepted"` // calls that were admitted
-	Shed     uint64 `json:"shed"`     // calls that were not
+	Shed     uint64 `json:"shed"`     // calls that were not admitted
 	Answered uint64 `json:"answered"` // calls that were established
 	Rejected uint64 `json:"rejected"`
 	Failed   uint64 `json:"failed"`
-	HungUp   uint64 `json:"hung_up"` // calls whose callers did not wait
+	HungUp   uint64 `json:"hung_up"` // calls whose callers hung up before the final answer
 	Attempts uint64 `json:"attempts"`
 	Overdue  uint64 `json:"overdue"` // calls that the policy had not answered by their deadline
 	Blocked  uint64 `json:"blocked"` // attempts that would have broken a rule
 
 	Lookups           uint64 `json:"lookups"`            // of called numbers
-	Unrouted          uint64 `json:"unrouted"`           // numbers that the number table refuses
+	Unrouted          uint64 `json:"unrouted"`           // numbers that the number table rejects
 	EnquiriesAnswered uint64 `json:"enquiries_answered"` // ENUM queries answered with an endpoint
 }
 
@@ -39,12 +39,12 @@
 	Settings     *routing.Settings
 	AnswerMargin float64 // ms by which final answers are sent before the caller's timeout ends
 	LoadShedding loadshed.Gate
-	// DisabledGuard switches the guard of one rule off; 0: none. It only serves tests, which show that the conformance
-	// checker sees what the guard prevents.
+	// DisabledGuard is the rule whose guard is switched off; 0: none. It is only for tests, which verify that the
+	// conformance checker detects what the guard prevents.
 	DisabledGuard routing.Rule
 }
 
-// Controller keeps one gateway's calls.
+// Controller manages the calls of one gateway.
 type Controller struct {
 	Counts      Counts
 	Timers      timerqueue.Queue
@@ -53,20 +53,21 @@
 	Classes     map[string]*routing.Class
 	Tenants     map[string]*routing.Tenant
 	LoadShedder loadshed.Gate
-	Now         float64 // of the latest event
+	Now         float64 // time of the latest event
 
 	config      *Config
-	arrived     []*Session // since the latest batch
+	arrived     []*Session // calls read since the latest batch
 	pending     int        // calls without a final answer
 	established int
-	stopped     bool    // no call is admitted any more
+	stopped     bool    // new calls are rejected
 	lastBatchAt float64 // 0: none yet
 }
 
-// heartbeatInterval is how often ProcessBatch is wanted when nothing is due, ms: longer pauses show a stall.
+// heartbeatInterval is the longest wait, in ms, that NextWakeup asks for. A much longer pause between batches shows
+// that the process stalled.
 const heartbeatInterval = 100.0
 
-// New makes a controller; the caller sets its Router.
+// New creates a controller; the caller sets its Router.
 func New(cfg *Config) *Controller {
 	c := &Controller{
 		config:      cfg,
@@ -84,9 +85,10 @@
 	return c
 }
 
-// EarliestArrival is the earliest time at which the events of this batch may have arrived. A process that stalled reads
-// at once what came meanwhile, while its callers' timeouts ran. It guards rule 1 against stalls of any cause; a call
-// that came just at the end of a stall gets less time than its caller has.
+// EarliestArrival returns the earliest time at which the events of this batch may have arrived. After a stall the
+// process reads at once everything that arrived in the meantime, while the timeouts of the callers were running. This
+// guards rule 1 against stalls of any cause. A call that arrived just at the end of a stall gets less time than its
+// caller allows.
 func (c *Controller) EarliestArrival() float64 {
 	if c.lastBatchAt > 0 && c.Now-c.lastBatchAt > 2*heartbeatInterval {
 		return c.lastBatchAt
@@ -94,11 +96,11 @@
 	return c.Now
 }
 
-// Enqueue keeps a session for the end of the batch.
+// Enqueue adds a session to those that ProcessBatch admits or sheds.
 func (c *Controller) Enqueue(session *Session) { c.arrived = append(c.arrived, session) }
 
-// ProcessBatch ends a batch of events: timers that are due run, then onTimers unless it is nil, then the calls that
-// arrived are admitted or shed.
+// ProcessBatch ends a batch of events: it runs the timers that are due, then onTimers unless that is nil, and then
+// admits or sheds the calls that arrived.
 func (c *Controller) ProcessBatch(now float64, onTimers func()) {
 	c.Now = now
 	defer func() { c.lastBatchAt = now }()
@@ -124,7 +126,7 @@
 	}
 }
 
-// NextWakeup is when ProcessBatch is wanted next.
+// NextWakeup returns when ProcessBatch must be called next.
 func (c *Controller) NextWakeup() float64 {
 	if len(c.arrived) > 0 {
 		return c.Now
@@ -132,10 +134,10 @@
 	return math.Min(c.Timers.Next(), math.Max(c.lastBatchAt, c.Now)+heartbeatInterval)
 }
 
-// StopAdmitting rejects new calls from now on; pending and established ones go on.
+// StopAdmitting rejects new calls from now on; pending and established calls continue.
 func (c *Controller) StopAdmitting() { c.stopped = true }
 
-// InProgress is how many calls have no final answer yet, and how many are established.
+// InProgress returns how many calls have no final answer yet, and how many are established.
 func (c *Controller) InProgress() (pending, established int) {
 	return c.pending + len(c.arrived), c.established
 }
@@ -143,8 +145,8 @@
 // AddEstablished changes the number of established calls.
 func (c *Controller) AddEstablished(delta int) { c.established += delta }
 
-// StartAttempt implements routing.Host. Rules 2, 3 and 5 are the policy's to keep; whatever it asks, no attempt that
-// breaks one of them passes here. A blocked attempt ends as not sent.
+// StartAttempt implements routing.Host. The policy is responsible for rules 2, 3 and 5; an attempt that would still
+// break one of them, or rule 1, is blocked here and ends as not sent.
 func (c *Controller) StartAttempt(call *routing.Call, endpoint *routing.Endpoint, timeout float64) {
 	session := call.HostData.(*Session)
 	blocked := c.breaksRule(session, endpoint)
@@ -178,7 +180,7 @@
 	call.HostData.(*Session).SendFailure()
 }
 
-// CancelAttempt implements routing.Host. The attempt stays in flight until it has ended at the endpoint.
+// CancelAttempt implements routing.Host. The attempt remains in flight until it has ended at the endpoint.
 func (c *Controller) CancelAttempt(attempt *routing.Attempt) {
 	attempt.Call.HostData.(*Session).SendCancel(attempt)
 }
--- a/internal/protocol/callcontrol/session.go
+++ b/internal/protocol/callcontrol/session.go
@@ -6,25 +6,26 @@
 	"cobaltpier/internal/timerqueue"
 )
 
-// SignalingLeg is the protocol side of a call: it sends answers to whoever wants one, and setups to endpoints.
+// SignalingLeg is the protocol side of a call: it sends answers to the caller and setups to endpoints.
 type SignalingLeg interface {
 	// SendFailure sends the final answer "failed".
 	SendFailure()
-	// SendRejection sends the final answer "rejected"; a retryAfter above 0 asks the caller to stay away for so many ms.
+	// SendRejection sends the final answer "rejected"; a retryAfter above 0 asks the caller to wait that many ms.
 	SendRejection(retryAfter float64)
 	// SendShed sends the final answer to a call that was not admitted. No state of the call is kept.
 	SendShed()
-	// OnAccepted reports that the call was admitted; false: it is not ready for the policy, and Prepare follows.
+	// OnAccepted reports that the call was admitted. It returns false if the call is not ready for the policy; then
+	// Prepare is called.
 	OnAccepted() bool
-	// Prepare starts what a call needs before PassToRouter, such as a look-up of its number.
+	// Prepare starts the work that a call needs before PassToRouter, such as a look-up of its number.
 	Prepare()
-	// HasAttempt tells whether an attempt of the call is in flight, or the call is established.
+	// HasAttempt reports whether an attempt of the call is in flight, or the call is established.
 	HasAttempt() bool
-	// SendSetup sends the setup of an attempt and gives up after timeout ms; false: it can't be sent.
+	// SendSetup sends the setup of an attempt, which times out after timeout ms; false: it can't be sent.
 	SendSetup(attempt *routing.Attempt, timeout float64) bool
-	// SendCancel gives up an attempt.
+	// SendCancel cancels an attempt.
 	SendCancel(attempt *routing.Attempt)
-	// SendTrying tells the caller that its call is being worked on.
+	// SendTrying sends the caller a provisional answer.
 	SendTrying()
 }
 
@@ -33,19 +34,20 @@
 	attempts.Tracker
 	SignalingLeg
 	Accepted         bool    // it was admitted
-	WithRouter       bool    // the policy has it
+	WithRouter       bool    // it was passed to the policy
 	TimeoutStart     float64 // when the caller's timeout began
-	RequestedTimeout float64 // ms that the caller asked for; 0: nothing
+	RequestedTimeout float64 // ms, as given by the caller; 0: not given
 
 	controller    *Controller
 	deadlineTimer *timerqueue.Timer
 	holdOffUntil  float64 // rule 5: no attempt before this
 }
 
-// tryingDelay is when a caller that heard nothing gets a provisional answer, ms: 200 at most (RFC 3261, 8.2.6.1).
+// tryingDelay is the time, in ms, after which a caller without an answer gets a provisional one: at most 200 (RFC
+// 3261, 8.2.6.1).
 const tryingDelay = 150
 
-// NewSession makes the session of a call that has just been read; its protocol side is set by the caller.
+// NewSession creates the session of a call that has just been read; the caller of NewSession sets its SignalingLeg.
 func (c *Controller) NewSession(call *routing.Call, requestedTimeout float64) *Session {
 	session := &Session{
 		Tracker:          attempts.Tracker{Call: call},
@@ -57,7 +59,7 @@
 	return session
 }
 
-// SetDeadline sets the deadline by the timeout of the call's class, or by the caller's own where that is shorter.
+// SetDeadline sets the deadline from the timeout of the call's class, or from the caller's own if that is shorter.
 func (s *Session) SetDeadline() {
 	timeout := s.Class.Timeout
 	if s.RequestedTimeout > 0 {
@@ -66,7 +68,7 @@
 	s.Deadline = s.TimeoutStart + timeout - s.controller.config.AnswerMargin
 }
 
-// shed answers a call that was not admitted.
+// shed sends the final answer of a call that was not admitted.
 func (s *Session) shed() {
 	if s.Finished {
 		return
@@ -76,7 +78,8 @@
 	s.SendShed()
 }
 
-// accept hands a call that was admitted to the policy, or has it prepared first.
+// accept passes an admitted call to the policy, or first starts its preparation. After StopAdmitting it rejects the
+// call.
 func (s *Session) accept() {
 	c := s.controller
 	c.Counts.Accepted++
@@ -99,13 +102,14 @@
 	}
 }
 
-// PassToRouter hands a call that is ready to the policy.
+// PassToRouter passes a call that is ready to the policy.
 func (s *Session) PassToRouter() {
 	s.WithRouter = true
 	s.controller.Router.OnCall(s.controller.Now, s.Call)
 }
 
-// armDeadline has the caller hear something soon, and guards rule 1: a call that the policy forgets is answered here.
+// armDeadline schedules the provisional answer and a final one shortly after the deadline. The latter guards rule 1
+// if the policy does not answer the call.
 func (s *Session) armDeadline() {
 	c := s.controller
 	s.deadlineTimer = c.Timers.Schedule(c.Now+tryingDelay, func() {
@@ -117,8 +121,8 @@
 	})
 }
 
-// Finish records the final answer of a call that was admitted, the one place that does so; finished: the call is not
-// established. False: it has an answer already, and this one must not be sent.
+// Finish records the final answer of an admitted call; no other function does so. finished: the call is not
+// established. It returns false if the call already has an answer; then this one must not be sent.
 func (s *Session) Finish(finished bool) bool {
 	if s.Finished || s.Established {
 		return false
@@ -129,8 +133,8 @@
 	return true
 }
 
-// EndAttempt records the end of an attempt, unless that was done, and reports it to the policy; finished: its call
-// needs no answer any more.
+// EndAttempt records the end of an attempt, unless it was recorded before, and reports it to the policy; finished:
+// its call needs no further answer.
 func (s *Session) EndAttempt(attempt *routing.Attempt, outcome routing.Outcome, finished bool) {
 	if s.Ended(attempt) {
 		return
--- a/internal/protocol/endpointset/endpointset.go
+++ b/internal/protocol/endpointset/endpointset.go
@@ -1,5 +1,5 @@
-// Package endpointset follows the endpoint list of one gateway: which endpoints there are, by ID and by destination.
-// It decides nothing.
+// Package endpointset holds the endpoints of one gateway's endpoint list, by ID and by destination. It makes no
+// routing decisions.
 package endpointset
 
 //tally:decisions
@@ -11,22 +11,22 @@
 	"cobaltpier/internal/routing"
 )
 
-// Entry is one line of an endpoint list. ID names the process or machine: a replacement has a new one.
+// Entry is one entry of an endpoint list. ID identifies the process or machine: a replacement has a new one.
 type Entry[ID cmp.Ordered] struct {
 	ID            ID
 	DestinationID int
 	State         routing.State
-	StartedAt     float64 // its latest start, ms on the host's clock; 0: long ago
+	StartedAt     float64 // latest start, ms on the host's clock; 0: long ago
 }
 
-// Set is the endpoints that a gateway knows.
+// Set is the set of endpoints that a gateway knows.
 type Set[ID cmp.Ordered] struct {
 	byID          map[ID]*routing.Endpoint
 	ids           map[*routing.Endpoint]ID
 	byDestination map[int]*routing.Endpoint
 }
 
-// New makes an empty set.
+// New returns an empty set.
 func New[ID cmp.Ordered]() *Set[ID] {
 	return &Set[ID]{
 		byID:          map[ID]*routing.Endpoint{},
@@ -35,8 +35,8 @@
 	}
 }
 
-// Apply takes an endpoint list, complete or of changes only. It returns the endpoints that changed, in the order of
-// the list; those that a complete list leaves out are gone and come last, by their IDs.
+// Apply applies an endpoint list, which is complete or contains only changes. It returns the listed endpoints in the
+// order of the list, followed by those newly gone because a complete list omits them, ordered by ID.
 func (s *Set[ID]) Apply(list []Entry[ID], complete bool) []*routing.Endpoint {
 	var changed []*routing.Endpoint
 	listed := map[*routing.Endpoint]bool{}
@@ -61,7 +61,7 @@
 	endpoint.DestinationID = entry.DestinationID
 	endpoint.State = entry.State
 	endpoint.StartedAt = entry.StartedAt
-	// of several endpoints of one destination the latest that is ready counts
+	// Of several endpoints of one destination the most recent ready one is used.
 	old := s.byDestination[endpoint.DestinationID]
 	if old == nil || endpoint.State == routing.Ready || old.State == routing.Gone {
 		s.byDestination[endpoint.DestinationID] = endpoint
@@ -69,7 +69,7 @@
 	return endpoint
 }
 
-// markGone marks all endpoints that are not listed as gone, and returns those that were not before.
+// markGone marks all endpoints that are not listed as gone, and returns those that were not gone before.
 func (s *Set[ID]) markGone(listed map[*routing.Endpoint]bool) []*routing.Endpoint {
 	var gone []*routing.Endpoint
 	for _, endpoint := range s.byID {
@@ -82,7 +82,7 @@
 	return gone
 }
 
-// Remove forgets an endpoint that is gone; others stay. IDs are never used again, so none comes back.
+// Remove removes an endpoint if it is gone. IDs are not reused, so it can't be listed again.
 func (s *Set[ID]) Remove(endpoint *routing.Endpoint) {
 	id, known := s.ids[endpoint]
 	if !known || endpoint.State != routing.Gone {
@@ -95,11 +95,11 @@
 	}
 }
 
-// ByID gives the endpoint with an ID; nil: it was never listed.
+// ByID returns the endpoint with an ID; nil: it was never listed.
 func (s *Set[ID]) ByID(id ID) *routing.Endpoint { return s.byID[id] }
 
-// IDOf gives the ID of an endpoint of this set.
+// IDOf returns the ID of an endpoint of this set.
 func (s *Set[ID]) IDOf(endpoint *routing.Endpoint) ID { return s.ids[endpoint] }
 
-// ByDestination gives the endpoint of a destination; nil: none has that destination ID.
+// ByDestination returns the endpoint of a destination; nil: none has that destination ID.
 func (s *Set[ID]) ByDestination(id int) *routing.Endpoint { return s.byDestination[id] }
--- a/internal/routing/call.go
+++ b/internal/routing/call.go
@@ -3,13 +3,13 @@
 // Class is a class of calls.
 type Class struct {
 	Name                string
-	LatencyObjective    float64      // ms: a call that is established within this has its full weight
-	Timeout             float64      // ms: callers give up after this, over all attempts
+	LatencyObjective    float64      // ms: a call established within this has its full weight
+	Timeout             float64      // ms: callers give up after this, counted over all attempts
 	Weight              float64      // of a call that is established in time
 	LateWeightFraction  float64      // of Weight, for one that is established later
 	MeanHoldingTime     float64      // ms that a call stays established
 	Idempotent          bool         // a setup that may have been executed may be sent again
-	AllowedDestinations map[int]bool // destination IDs that may take it; nil: all
+	AllowedDestinations map[int]bool // destination IDs that calls of the class may be sent to; nil: all
 }
 
 // Tenant is the customer that a call belongs to.
@@ -26,11 +26,11 @@
 	CalledNumber  string
 
 	FirstSeenAt float64 // when its caller first tried, as far as the policy can tell
-	ArrivedAt   float64 // when it was read; the policy sets it back after a stall, in which it waited unread
+	ArrivedAt   float64 // when it was read; after a stall the policy sets it back, because the call waited unread
 	Deadline    float64 // when its caller gives up
-	Resumed     bool    // it was established before and cut
+	Resumed     bool    // it was established before and was cut
 
-	Queued          bool     // the policy holds it until an endpoint has capacity
+	Queued          bool     // it is in the policy's queue until an endpoint has capacity
 	Attempts        int      // so far
 	InFlight        *Attempt // the attempt in flight, also while the call is established
 	Established     bool
@@ -38,7 +38,7 @@
 	MayHaveExecuted bool    // an attempt that was not answered may have been executed
 	RetryNotBefore  float64 // rule 5: no attempt before this
 
-	HostData any // the host's own
+	HostData any // private to the host
 }
 
 // Attempt is one setup of a call at an endpoint.
@@ -51,12 +51,12 @@
 	Outcome       Outcome
 	AtCapacity    bool    // Overloaded: the endpoint has no free agent
 	NumberBusy    bool    // Failed: the called number is busy
-	RetryAfter    float64 // Overloaded: ms that the endpoint asks not to be tried, or 0
-	HasLoadReport bool    // a load report came with the end; it is in Endpoint.LoadReport
+	RetryAfter    float64 // Overloaded: ms for which the endpoint asks for no attempts, or 0
+	HasLoadReport bool    // the end carried a load report; it is in Endpoint.LoadReport
 
-	PresumedLost bool // the policy has found that it was lost
+	PresumedLost bool // the policy considers it lost
 
-	HostData any // the host's own
+	HostData any // private to the host
 }
 
 // Outcome is how an attempt ended.
@@ -68,8 +68,8 @@
 	Failed                           // a fault at the endpoint
 	Overloaded                       // rejected: no agent is free, or the processor is too busy
 	TimedOut                         // no answer in time; the setup may still be executed
-	ConnectionRefused                // the endpoint is down or out of reach
+	ConnectionRefused                // the endpoint is down or unreachable
 	Reset                            // the connection broke, or the established call was cut
-	Canceled                         // given up from here
+	Canceled                         // canceled by this gateway
 	NotSent                          // it never left this gateway
 )
--- a/internal/routing/endpoint.go
+++ b/internal/routing/endpoint.go
@@ -14,25 +14,25 @@
 
 // Endpoint is a group of agents behind one processor that takes calls.
 type Endpoint struct {
-	DestinationID int // calls name their destination by it; a replacement has the same
+	DestinationID int // identifies the destination of calls; a replacement has the same
 	State         State
-	StartedAt     float64    // its latest start; 0: long ago
-	LoadReport    LoadReport // the latest
-	PolicyState   any        // the policy's own
+	StartedAt     float64    // latest start; 0: long ago
+	LoadReport    LoadReport // the latest one
+	PolicyState   any        // private to the policy
 }
 
-// LoadReport is what an endpoint reports of its load.
+// LoadReport is the load that an endpoint reports.
 type LoadReport struct {
-	Capacity     float64 // agents in all
+	Capacity     float64 // total number of agents
 	Free         float64 // free agents
 	Utilization  float64 // busy share of the processor, 0 to 1
 	QueueLength  float64 // setups that wait for the processor
 	QueueDelay   float64 // ms that a setup waits for the processor
-	RateLimit    float64 // setups a second that it takes from all gateways
-	LossFraction float64 // share of setups that it asks each gateway to hold back, 0 to 1
+	RateLimit    float64 // setups a second that it accepts from all gateways together
+	LossFraction float64 // share of setups that it asks each gateway not to send, 0 to 1
 }
 
-// UnknownLoad is the load report in which no figure is known.
+// UnknownLoad returns a load report in which no value is known.
 func UnknownLoad() LoadReport {
 	unknown := math.NaN()
 	return LoadReport{
