--- a/internal/decaysum/decaysum.go
+++ b/internal/decaysum/decaysum.go
@@ -1,16 +1,16 @@
-// Package decaysum sums terms that decay exponentially with time. It has no clock: the time is handed in, in
-// milliseconds.
+// Package decaysum provides sums of terms that decay exponentially with time. It has no clock: the time is passed in,
+// in milliseconds.
 package decaysum
 
 import "math"
 
-// Sum is a decaying sum; the zero value has no window and can't be used.
+// Sum is an exponentially decaying sum. Use New: the zero value has no window.
 type Sum struct{ window, value, updatedAt float64 }
 
-// New makes an empty sum whose terms decay with a time constant, the window, in ms.
+// New returns an empty sum whose terms decay with a time constant of window ms.
 func New(window float64) Sum { return Sum{window: window} }
 
-// Read gives the sum at a time.
+// Read returns the sum at a time.
 func (s *Sum) Read(now float64) float64 {
 	s.value *= math.Exp((s.updatedAt - now) / s.window)
 	s.updatedAt = now
@@ -23,5 +23,5 @@
 	s.updatedAt = now
 }
 
-// Rate gives the terms a millisecond, as a mean over the window.
+// Rate returns the mean over the window, in terms a millisecond.
 func (s *Sum) Rate(now float64) float64 { return s.Read(now) / s.window }
--- a/internal/decaysum/decaysum_test.go
+++ b/internal/decaysum/decaysum_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestSum compares a sum with the plain formula, term by term.
+// TestSum compares a sum with the formula evaluated term by term.
 func TestSum(t *testing.T) {
 	const window = 5000.0
 	sum := New(window)
--- a/internal/decision/connlimit/connlimit.go
+++ b/internal/decision/connlimit/connlimit.go
@@ -1,39 +1,39 @@
-// Package connlimit decides which client connections a gateway closes, and how many connections it keeps. It guards
-// descriptors and memory against clients that connect and send nothing, whatever their reason. It knows no socket and
-// no clock: the time is handed in, in milliseconds.
+// Package connlimit decides which client connections a gateway closes, and how many connections it keeps. It
+// protects descriptors and memory against clients that connect and send nothing, for whatever reason. It uses no
+// sockets and no clock: the time is passed in, in milliseconds.
 package connlimit
 
 //tally:decisions
 
 const (
-	firstByteTimeout     = 250.0   // ms: a client that connects to set up a call sends sooner
-	firstMessageTimeout  = 2000.0  // ms without anything received, or with an incomplete message
-	firstMessageLimit    = 2800.0  // ms without a complete message, whatever parts came
-	stalledReaderTimeout = 10000.0 // ms without taking any of what is sent: the client does not read
+	firstByteTimeout     = 250.0   // ms: a client that connects to set up a call sends within this time
+	firstMessageTimeout  = 2000.0  // ms without any data, or for which a message is incomplete
+	firstMessageLimit    = 2800.0  // ms without a complete message, even if parts of one arrived
+	stalledReaderTimeout = 10000.0 // ms in which the client reads none of the data to be sent
 	idleTimeout          = 12000.0 // ms without a message while no call is pending
 )
 
-// ConnState is what is known of a client's connection.
+// ConnState is the state of a client connection.
 type ConnState struct {
 	OpenedAt         float64
-	LastUsedAt       float64 // when its latest complete message came
-	ReceivedMessage  bool    // a complete message came
-	PartialMessage   bool    // a message has begun that is not complete
-	PartialSince     float64 // when it began
+	LastUsedAt       float64 // when its latest complete message arrived
+	ReceivedMessage  bool    // a complete message has arrived
+	PartialMessage   bool    // the beginning of a message has arrived, not all of it
+	PartialSince     float64 // when that message began
 	PendingCalls     int     // setups without an answer
-	EstablishedCalls int     // calls whose release would be sent on it
-	HasUnsentData    bool    // something that was made for it has not been sent
-	BlockedFor       float64 // ms since anything of that was sent
+	EstablishedCalls int     // calls whose release will be sent on it
+	HasUnsentData    bool    // data for it is waiting to be sent
+	BlockedFor       float64 // ms since any of that data was sent
 }
 
-// hasPendingResponse tells whether a response would be lost with the connection.
+// hasPendingResponse reports whether closing the connection would lose a response.
 func (s *ConnState) hasPendingResponse() bool {
 	return s.PendingCalls > 0 || s.HasUnsentData && s.BlockedFor < stalledReaderTimeout
 }
 
-// ShouldClose tells whether a connection is to be closed though nobody needs its place: it never sent anything, stopped
-// in the middle of a message, or has carried nothing for long. One with a pending response is never closed, and a
-// message that has just begun has its own time, however long the connection was idle before.
+// ShouldClose reports whether a connection must be closed even if the limit is not reached: the client never sent
+// anything, stopped in the middle of a message, or has been idle for long. A connection with a pending response is
+// never closed. A message that has just begun gets its own timeout, however long the connection was idle before.
 func (s *ConnState) ShouldClose(now float64) bool {
 	switch {
 	case s.hasPendingResponse():
@@ -48,12 +48,12 @@
 	return s.EstablishedCalls == 0 && now-s.LastUsedAt > idleTimeout
 }
 
-// evictionRank ranks a connection by what its close would cost, the lowest first.
+// evictionRank returns the cost of closing a connection as a rank; the lowest rank is closed first.
 func (s *ConnState) evictionRank(now float64) int {
 	const (
 		silent = iota
 		idle
-		starting // it has just been opened, or its first message has begun
+		starting // just opened, or its first message has begun
 		establishedCalls
 		furtherMessage // a message after the first has begun
 	)
@@ -70,9 +70,9 @@
 	return furtherMessage
 }
 
-// ChooseEviction gives the index of the connection to close when too many are open: of those of the lowest rank the one
-// that was unused for longest. Connections with a pending response are never chosen; -1: there is no other, and the
-// newcomer is to be closed. A client that keeps used connections does not shut out one that has just come.
+// ChooseEviction returns the index of the connection to close when too many are open: the least recently used one
+// of the lowest rank. Connections with a pending response are never chosen; -1: all have one, and the new
+// connection must be closed. A client that keeps idle connections after use therefore does not exclude new ones.
 func ChooseEviction(now float64, conns []ConnState) int {
 	chosen := -1
 	for i := range conns {
@@ -92,12 +92,12 @@
 	return rank < otherRank || rank == otherRank && s.LastUsedAt < other.LastUsedAt
 }
 
-// MaxConnsPerEndpoint is how many connections a gateway keeps to each endpoint at most: no more than those on which an
-// endpoint reports its load, and to all of them no more than a quarter of the descriptors.
+// MaxConnsPerEndpoint returns the limit of a gateway's connections to each endpoint: the number of connections on
+// which an endpoint reports its load, but no more than a quarter of the descriptors for all endpoints together.
 func MaxConnsPerEndpoint(descriptors, endpoints, reporting int) int {
 	return max(1, min(reporting, descriptors/4/max(1, endpoints)))
 }
 
-// MaxClientConns is how many connections of clients are kept at most: they need a third of the descriptors, and the
-// rest of this number is for those that are about to be closed.
+// MaxClientConns returns the limit of client connections. Clients need a third of the descriptors; the rest of this
+// number is for connections that are about to be closed.
 func MaxClientConns(descriptors int) int { return descriptors * 9 / 20 }
--- a/internal/decision/connlimit/connlimit_test.go
+++ b/internal/decision/connlimit/connlimit_test.go
@@ -4,40 +4,43 @@
 
 func TestShouldClose(t *testing.T) {
 	for _, c := range []struct {
-		what string
+		name string
 		l    ConnState
 		at   float64
 		want bool
 	}{
-		{"new and silent", ConnState{OpenedAt: 0}, 1000, false},
-		{"silent for long", ConnState{OpenedAt: 0}, 2001, true},
-		{"half a message", ConnState{ReceivedMessage: true, PartialMessage: true, LastUsedAt: 0}, 2001, true},
-		{"quiet for long, and a message has just begun", ConnState{ReceivedMessage: true, PartialMessage: true,
+		{"new, no data", ConnState{OpenedAt: 0}, 1000, false},
+		{"no data for too long", ConnState{OpenedAt: 0}, 2001, true},
+		{"incomplete for too long", ConnState{ReceivedMessage: true, PartialMessage: true, LastUsedAt: 0}, 2001, true},
+		{"message begun after a long idle time", ConnState{ReceivedMessage: true, PartialMessage: true,
 			LastUsedAt: 0, PartialSince: 8000}, 9000, false},
-		{"and does not go on", ConnState{ReceivedMessage: true, PartialMessage: true, LastUsedAt: 0, PartialSince: 8000},
+		{"message begun after a long idle time, never completed", ConnState{
+			ReceivedMessage: true, PartialMessage: true, LastUsedAt: 0, PartialSince: 8000},
 			10001, true},
-		{"new, and a first message has begun late", ConnState{PartialMessage: true, PartialSince: 1900}, 2500, false},
-		{"and drips", ConnState{PartialMessage: true, PartialSince: 1900}, 2801, true},
-		{"an answer has not left", ConnState{ReceivedMessage: true, LastUsedAt: 0, HasUnsentData: true, BlockedFor: 9000},
+		{"first message begun late", ConnState{PartialMessage: true, PartialSince: 1900}, 2500, false},
+		{"first message begun late, arrives slowly", ConnState{PartialMessage: true, PartialSince: 1900}, 2801, true},
+		{"unsent answer", ConnState{ReceivedMessage: true, LastUsedAt: 0, HasUnsentData: true, BlockedFor: 9000},
 			60000, false},
-		{"and never will", ConnState{ReceivedMessage: true, LastUsedAt: 0, HasUnsentData: true, BlockedFor: 10000}, 60000,
+		{"unsent answer, client does not read", ConnState{
+			ReceivedMessage: true, LastUsedAt: 0, HasUnsentData: true, BlockedFor: 10000}, 60000,
 			true},
-		{"half a message under a setup", ConnState{ReceivedMessage: true, PartialMessage: true, PendingCalls: 1}, 9000,
+		{"incomplete message, pending call", ConnState{ReceivedMessage: true, PartialMessage: true, PendingCalls: 1}, 9000,
 			false},
-		{"it asked lately", ConnState{ReceivedMessage: true, LastUsedAt: 0}, 8000, false},
-		{"nothing since", ConnState{ReceivedMessage: true, LastUsedAt: 0}, 12001, true},
-		{"a call stands", ConnState{ReceivedMessage: true, LastUsedAt: 0, EstablishedCalls: 1}, 60000, false},
-		{"a setup is open", ConnState{ReceivedMessage: true, LastUsedAt: 0, PendingCalls: 1}, 60000, false},
+		{"used recently", ConnState{ReceivedMessage: true, LastUsedAt: 0}, 8000, false},
+		{"idle for too long", ConnState{ReceivedMessage: true, LastUsedAt: 0}, 12001, true},
+		{"established call", ConnState{ReceivedMessage: true, LastUsedAt: 0, EstablishedCalls: 1}, 60000, false},
+		{"pending call", ConnState{ReceivedMessage: true, LastUsedAt: 0, PendingCalls: 1}, 60000, false},
 	} {
 		if got := c.l.ShouldClose(c.at); got != c.want {
-			t.Errorf("%s: %v", c.what, got)
+			t.Errorf("%s: %v", c.name, got)
 		}
 	}
 }
 
-// TestChooseEviction: silent connections go first, then idle ones; one with a pending response never.
+// TestChooseEviction checks that connections without data are closed first, then idle ones, and never one with a
+// pending response.
 func TestChooseEviction(t *testing.T) {
-	busy, stands := ConnState{
+	busy, established := ConnState{
 		ReceivedMessage: true,
 		LastUsedAt:      1,
 		PendingCalls:    1,
@@ -69,25 +72,25 @@
 	}
 	unsent := ConnState{ReceivedMessage: true, LastUsedAt: 1, HasUnsentData: true}
 	for _, c := range []struct {
-		of   []ConnState
-		want int
+		conns []ConnState
+		want  int
 	}{
-		{[]ConnState{busy, stands, idle, later, silent, fresh}, 4},
+		{[]ConnState{busy, established, idle, later, silent, fresh}, 4},
 		{[]ConnState{busy, fresh, silent}, 2},
-		{[]ConnState{busy, stands, later, idle}, 3},
-		{[]ConnState{busy, idle, fresh, stands}, 1}, // who has just come is not shut out by who keeps an idle connection
-		{[]ConnState{busy, fresh, stands}, 1},
-		{[]ConnState{busy, stands}, 1},
-		{[]ConnState{begun, further, unsent, stands}, 0}, // a message has begun: a further one goes last, and an answer never
+		{[]ConnState{busy, established, later, idle}, 3},
+		{[]ConnState{busy, idle, fresh, established}, 1}, // an idle connection does not exclude a new one
+		{[]ConnState{busy, fresh, established}, 1},
+		{[]ConnState{busy, established}, 1},
+		{[]ConnState{begun, further, unsent, established}, 0}, // later messages rank last, unsent answers never
 		{[]ConnState{begun, idle, unsent}, 1},
-		{[]ConnState{further, unsent, stands}, 2},
+		{[]ConnState{further, unsent, established}, 2},
 		{[]ConnState{further, unsent}, 0},
 		{[]ConnState{unsent, busy}, -1},
 		{[]ConnState{busy}, -1},
 		{nil, -1},
 	} {
-		if got := ChooseEviction(1000, c.of); got != c.want {
-			t.Errorf("%v: %d, want %d", c.of, got, c.want)
+		if got := ChooseEviction(1000, c.conns); got != c.want {
+			t.Errorf("%v: %d, want %d", c.conns, got, c.want)
 		}
 	}
 }
@@ -99,6 +102,6 @@
 		}
 	}
 	if n := MaxClientConns(256); n < 256/3 || n+64 > 256-64 {
-		t.Errorf("%d callers' connections of 256 descriptors", n)
+		t.Errorf("%d client connections of 256 descriptors", n)
 	}
 }
--- a/internal/decision/liveness/liveness.go
+++ b/internal/decision/liveness/liveness.go
@@ -1,29 +1,31 @@
-// Package liveness decides when an endpoint that carries calls and has gone silent is taken for dead. It guards
-// against machines that vanish: their connections stay open, and nothing ever says that their calls are over.
+// Package liveness decides when an endpoint that has calls but sends no messages is considered dead. It guards
+// against machines that disappear without closing their connections: nothing would ever report the end of their
+// calls.
 package liveness
 
 //tally:decisions
 
-// Liveness is what is concluded from an endpoint's silence.
+// Liveness is the assessed state of an endpoint.
 type Liveness int
 
-// The conclusions.
+// The states of an endpoint, as assessed.
 const (
 	Alive   Liveness = iota
-	Suspect          // to be tested by a new connection: a process that works sends a message on it at once
-	Dead             // it answers no new connection either
+	Suspect          // must be tested with a new connection, on which a working process sends a message at once
+	Dead             // it does not answer new connections either
 )
 
 const (
 	suspectAfter      = 1500.0 // ms without a message
-	deadAfter         = 4000.0 // ms without a message, and
-	deadAfterDials    = 2      // attempts to connect without an answer since
+	deadAfter         = 4000.0 // ms without a message, together with deadAfterDials
+	deadAfterDials    = 2      // unanswered attempts to connect since then
 	disconnectedLimit = 6500.0 // ms without a connection: the release of a call must reach its caller within 8 s
 )
 
-// Assess judges an endpoint with calls that sent no message for silentFor ms, to which no connection has been up for
-// disconnectedFor ms, and where so many attempts to connect were not even refused. An endpoint that refuses is there,
-// and may only accept no new connections: its calls go on while one is up on which they can be released.
+// Assess assesses an endpoint with calls that sent no message for silentFor ms, to which no connection has been up
+// for disconnectedFor ms, and to which unansweredDials attempts to connect were neither accepted nor refused. An
+// endpoint that refuses connections is alive and may just accept no new ones: its calls go on while a connection is
+// up on which they can be released.
 func Assess(silentFor, disconnectedFor float64, unansweredDials int) Liveness {
 	switch {
 	case silentFor > deadAfter && unansweredDials >= deadAfterDials, disconnectedFor > disconnectedLimit:
--- a/internal/decision/loadshed/loadshed.go
+++ b/internal/decision/loadshed/loadshed.go
@@ -1,8 +1,8 @@
-// Package loadshed decides which of the calls that arrive together a gateway admits when it can't admit all. It guards
-// the gateway's own memory and processor against floods of any cause. It knows no protocol and no clock: the time is
-// handed in, in milliseconds.
+// Package loadshed decides which calls of a batch a gateway admits when it can't admit all of them. It protects the
+// gateway's own memory and processor against floods of any cause. It depends on no protocol and no clock: the time is
+// passed in, in milliseconds.
 //
-// Shed calls are answered at once. What becomes of admitted calls is the router's decision.
+// Shed calls are answered at once. Admitted calls are passed to the router, which may still reject them.
 package loadshed
 
 import (
@@ -14,28 +14,30 @@
 //tally:decisions
 
 const (
-	reserveFraction = 0.1     // of the pending calls: kept for calls of more than mean weight
-	burstWindow     = 100.0   // ms at the full rate that may come at once after a pause
-	weightWindow    = 10000.0 // ms: time constant with which the mean weight decays
-	maxRemembered   = 1 << 18 // refusals remembered in one generation
+	reserveFraction = 0.1     // of MaxPending: reserved for calls of more than mean weight
+	burstWindow     = 100.0   // ms at the full rate: the burst that is admitted after a pause
+	weightWindow    = 10000.0 // ms: time constant of the mean weight
+	maxRemembered   = 1 << 18 // keys in one generation of Refusals
 )
 
-// Gate bounds the calls of one gateway.
+// Gate limits the calls that one gateway admits.
 type Gate struct {
-	MaxPending    int     // calls without a final answer
-	RatePerSecond float64 // calls admitted a second; 0: any number
+	MaxPending    int     // limit of calls without a final answer
+	RatePerSecond float64 // limit of calls admitted a second; 0: no limit
 
-	weightSum float64 // of recent arrivals, decaying
-	count     float64 // recent arrivals, decaying
+	weightSum float64 // decaying sum of the weights of recent arrivals
+	count     float64 // decaying count of recent arrivals
 	tokens    float64 // calls that may be admitted now
 	updatedAt float64
 }
 
-// Admit tells which of the calls that arrived since the last batch are admitted, with so many pending already. The
-// calls are given by their weights in the order of arrival; the greatest weights go first, and of equals the earlier.
+// Admit returns which calls of a batch are admitted, given the number of pending calls. The calls are given by their
+// weights in the order of arrival; calls of greater weight are admitted first, and calls of equal weight in the order
+// of arrival.
 //
-// The last tenth of the capacity is kept for calls of more than the recent mean weight. Otherwise a flood of calls of
-// low weight that came one batch earlier would shut out what matters. Where all have one weight all may use it.
+// The last tenth of the capacity is reserved for calls of more than the recent mean weight. Otherwise a flood of
+// calls of low weight that arrived one batch earlier would exclude the important ones. If all calls have the same
+// weight, all may use the reserve.
 func (g *Gate) Admit(now float64, weights []float64, pending int) []bool {
 	depth := math.Max(2, g.RatePerSecond*burstWindow/1000)
 	g.refill(now, depth)
@@ -47,7 +49,7 @@
 		if low {
 			capacity *= 1 - reserveFraction
 		}
-		neededTokens := 1 - depth // calls of great weight may use up what comes next
+		neededTokens := 1 - depth // calls of high weight may use tokens in advance
 		if uniform || low {
 			neededTokens = 1
 		}
@@ -69,7 +71,7 @@
 	g.tokens = math.Min(depth, g.tokens+g.RatePerSecond/1000*math.Max(0, now-g.updatedAt))
 }
 
-// updateMean takes the weights of a batch into the mean; uniform: all recent weights are the same.
+// updateMean adds the weights of a batch to the mean; uniform: all recent weights are equal.
 func (g *Gate) updateMean(now float64, weights []float64) (mean float64, uniform bool) {
 	decay := math.Exp(math.Min(0, g.updatedAt-now) / weightWindow)
 	g.weightSum *= decay
@@ -86,7 +88,7 @@
 	return mean, uniform
 }
 
-// byWeight gives the indexes of weights, the greatest first, and of equals the earlier.
+// byWeight returns the indexes of weights, sorted stably by descending weight.
 func byWeight(weights []float64) []int {
 	order := make([]int, len(weights))
 	for i := range order {
@@ -96,16 +98,17 @@
 	return order
 }
 
-// Refusals remembers what was refused, in bounded memory. A retransmission of it must get the same answer: to admit it
-// would give its caller two. Two generations are kept, each for as long as a retransmission may come.
+// Refusals remembers transactions that were answered with a refusal, in bounded memory. A retransmission must get the
+// same answer: if it were admitted, its caller would get two. Two generations are kept, each for as long as a
+// retransmission may arrive.
 type Refusals struct {
-	Retention float64 // ms after which no retransmission comes
+	Retention float64 // ms after which no retransmission arrives
 
 	recent, previous map[uint64]struct{}
 	rotatedAt        float64
 }
 
-// Add remembers a refusal by the hash of its transaction.
+// Add records a refusal by the hash of its transaction.
 func (r *Refusals) Add(now float64, key uint64) {
 	r.rotate(now)
 	if r.recent == nil || len(r.recent) >= maxRemembered {
@@ -114,7 +117,7 @@
 	r.recent[key] = struct{}{}
 }
 
-// Known tells whether a refusal is remembered.
+// Known reports whether a refusal is remembered.
 func (r *Refusals) Known(now float64, key uint64) bool {
 	r.rotate(now)
 	_, recent := r.recent[key]
@@ -122,7 +125,7 @@
 	return recent || previous
 }
 
-// Len is how many are remembered.
+// Len returns the number of remembered refusals.
 func (r *Refusals) Len() int { return len(r.recent) + len(r.previous) }
 
 func (r *Refusals) rotate(now float64) {
--- a/internal/decision/loadshed/loadshed_test.go
+++ b/internal/decision/loadshed/loadshed_test.go
@@ -6,86 +6,87 @@
 	"pgregory.net/rapid"
 )
 
-// TestAdmit: never more than the room or the rate, the most valuable first, and no valuable one rejected while
-// a cheaper one of the same batch is taken.
+// TestAdmit checks that neither the capacity nor the rate is exceeded, and that no call is shed while one of less
+// weight in the same batch is admitted.
 func TestAdmit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := &Gate{
-			MaxPending:    rapid.IntRange(1, 50).Draw(t, "most"),
+			MaxPending:    rapid.IntRange(1, 50).Draw(t, "max pending"),
 			RatePerSecond: rapid.SampledFrom([]float64{0, 1, 5, 100}).Draw(t, "rate"),
 		}
-		held, now, all := 0, 1.0, 0
+		pending, now, total := 0, 1.0, 0
 		for range 20 {
 			now += rapid.Float64Range(0, 5000).Draw(t, "gap")
-			values := rapid.SliceOfN(rapid.SampledFrom([]float64{1, 1, 1, 5, 8}), 0, 40).Draw(t, "values")
-			taken, n, least := g.Admit(now, values, held), 0, 1e9
-			for i, ok := range taken {
+			weights := rapid.SliceOfN(rapid.SampledFrom([]float64{1, 1, 1, 5, 8}), 0, 40).Draw(t, "weights")
+			admitted, n, least := g.Admit(now, weights, pending), 0, 1e9
+			for i, ok := range admitted {
 				if ok {
 					n++
-					least = min(least, values[i])
+					least = min(least, weights[i])
 				}
 			}
-			for i, ok := range taken {
-				if !ok && values[i] > least {
-					t.Fatalf("%v rejected, %v taken", values[i], least)
+			for i, ok := range admitted {
+				if !ok && weights[i] > least {
+					t.Fatalf("call of weight %v shed, one of %v admitted", weights[i], least)
 				}
 			}
-			if held+n > g.MaxPending {
-				t.Fatalf("%d taken with %d held of %d", n, held, g.MaxPending)
+			if pending+n > g.MaxPending {
+				t.Fatalf("%d admitted with %d pending of %d", n, pending, g.MaxPending)
 			}
-			if all += n; g.RatePerSecond > 0 &&
-				float64(all) > g.RatePerSecond*now/1000+2*max(2, g.RatePerSecond*burstWindow/1000)+1 {
-				t.Fatalf("%d taken in %.0f ms at %v a second", all, now, g.RatePerSecond)
+			if total += n; g.RatePerSecond > 0 &&
+				float64(total) > g.RatePerSecond*now/1000+2*max(2, g.RatePerSecond*burstWindow/1000)+1 {
+				t.Fatalf("%d admitted in %.0f ms at %v a second", total, now, g.RatePerSecond)
 			}
-			held = max(0, held+n-rapid.IntRange(0, 30).Draw(t, "ended"))
+			pending = max(0, pending+n-rapid.IntRange(0, 30).Draw(t, "ended"))
 		}
 	})
 }
 
-// The reserve: a flood of cheap calls leaves room for a dear one; where all are worth the same nothing is held back.
+// TestReserveForHighWeight checks that a flood of calls of low weight leaves capacity for one of high weight, and
+// that nothing is reserved if all calls have the same weight.
 func TestReserveForHighWeight(t *testing.T) {
-	count := func(of []bool) (n int) {
-		for _, ok := range of {
+	count := func(admitted []bool) (n int) {
+		for _, ok := range admitted {
 			if ok {
 				n++
 			}
 		}
 		return n
 	}
-	flat := &Gate{MaxPending: 100}
-	if n := count(flat.Admit(0, make([]float64, 200), 0)); n != 100 {
-		t.Errorf("%d of equals taken, want 100", n)
+	uniform := &Gate{MaxPending: 100}
+	if n := count(uniform.Admit(0, make([]float64, 200), 0)); n != 100 {
+		t.Errorf("%d calls of equal weight admitted, want 100", n)
 	}
 	g := &Gate{MaxPending: 100}
-	cheap := make([]float64, 200)
-	for i := range cheap {
-		cheap[i] = 1
+	weights := make([]float64, 200)
+	for i := range weights {
+		weights[i] = 1
 	}
-	cheap[3] = 8
-	if n := count(g.Admit(0, cheap, 0)); n != 90 {
-		t.Errorf("%d taken of a flood, want 90", n)
+	weights[3] = 8
+	if n := count(g.Admit(0, weights, 0)); n != 90 {
+		t.Errorf("%d admitted of a flood, want 90", n)
 	}
 	if n := count(g.Admit(1, []float64{8, 1}, 95)); n != 1 {
-		t.Errorf("%d taken into the reserve, want the dear one", n)
+		t.Errorf("%d admitted into the reserve, want only the call of high weight", n)
 	}
 }
 
-// Refusals are remembered for as long as a repeat may come, in bounded space.
+// TestRefusals checks that refusals are remembered for as long as a retransmission may arrive, in bounded memory.
 func TestRefusals(t *testing.T) {
 	r := &Refusals{Retention: 1000}
 	r.Add(0, 7)
-	for _, x := range []struct {
+	for _, c := range []struct {
 		now  float64
 		want bool
 	}{{500, true}, {999, true}, {1500, true}, {3000, false}} {
-		if got := r.Known(x.now, 7); got != x.want {
-			t.Errorf("at %v known %v", x.now, got)
+		if got := r.Known(c.now, 7); got != c.want {
+			t.Errorf("at %v ms: known %v", c.now, got)
 		}
 	}
 	for i := range uint64(3 * maxRemembered) {
 		r.Add(3000, i)
 	}
 	if r.Len() > 2*maxRemembered {
-		t.Errorf("%d remembered", r.Len())
+		t.Errorf("%d refusals remembered, above the bound", r.Len())
 	}
 }
--- a/internal/decision/shutdown/shutdown.go
+++ b/internal/decision/shutdown/shutdown.go
@@ -1,5 +1,5 @@
-// Package shutdown decides how far the graceful shutdown of a gateway has come. It has no clock: times are handed in,
-// in milliseconds.
+// Package shutdown decides when the graceful shutdown of a gateway moves on to its next stage. It has no clock: times
+// are passed in, in milliseconds.
 package shutdown
 
 import "math"
@@ -12,10 +12,10 @@
 // The stages, in their order. A gateway never goes back to an earlier one.
 const (
 	Serving     Stage = iota // no shutdown was requested
-	Accepting                // calls still arrive and are taken
+	Accepting                // calls still arrive and are admitted
 	Rejecting                // new calls are rejected at once; pending and established ones go on
-	Flushing                 // no connection is accepted; every call has its final answer, which must be sent
-	HalfClosing              // the sending side of client connections is closed, so that no answer is lost to a reset
+	Flushing                 // no connection is accepted; remaining final answers are sent
+	HalfClosing              // the sending side of client connections is closed, so that no answer is lost by a reset
 	Stopped                  // the process may exit
 )
 
@@ -31,19 +31,19 @@
 	OpenConns        int  // client connections
 }
 
-// What the platform grants at a planned restart, and how the time is used, ms.
+// The time that the platform allows for a planned restart, and how it is used, ms.
 const (
-	acceptWindow  = 700.0  // calls may arrive so long after the signal
-	minLinger     = 1100.0 // no exit before, for calls on their way
-	maxTimeout    = 3000.0 // the platform waits for no longer timeout than this before it kills
-	answerReserve = 300.0  // before that: pending calls are answered, to leave time for the two below
-	flushTimeout  = 120.0  // for answers to be sent
-	closeTimeout  = 60.0   // for clients to close
+	acceptWindow  = 700.0  // calls may arrive until this long after the signal
+	minLinger     = 1100.0 // earliest exit after the signal, for calls still in transit
+	maxTimeout    = 3000.0 // longest class timeout that the platform waits for before it kills the process
+	answerReserve = 300.0  // pending calls are answered this long before the kill, for the two timeouts below
+	flushTimeout  = 120.0  // for sending answers
+	closeTimeout  = 60.0   // for clients to close their connections
 )
 
-// Next is the stage after s, or s itself. What is owed is settled before the process exits: calls are answered before
-// connections are refused, answers are sent before connections are closed, and connections are closed before the exit,
-// each within a limit.
+// Next returns the stage after s if s is complete or its time is up, and otherwise s. Calls are answered before
+// connections are refused, answers are sent before connections are closed, and connections are closed before the
+// process exits, each within a time limit.
 func (s Stage) Next(status Status) Stage {
 	killAt := acceptWindow + math.Min(maxTimeout, status.MaxTimeout)
 	lastAnswer := killAt - answerReserve
--- a/internal/detrand/detrand.go
+++ b/internal/detrand/detrand.go
@@ -1,5 +1,5 @@
-// Package detrand gives deterministic random numbers: hashes of a seed and a counter, so that every draw can be made
-// again. They are not for secrets.
+// Package detrand provides reproducible pseudorandom numbers: hashes of values such as a seed and a counter. They are
+// not suitable for cryptography.
 package detrand
 
 import (
@@ -11,7 +11,7 @@
 // multiplying spreads it.
 const mixer = 0xff51afd7ed558ccd
 
-// Hash is the draw as 64 bits: the hash of the values in their order.
+// Hash returns a 64-bit hash of the values; their order matters.
 func Hash(values ...uint64) uint64 {
 	h := fnv.New64a()
 	var encoded [8]byte
@@ -24,5 +24,5 @@
 	return v ^ v>>33
 }
 
-// Float64 is the draw as a number from 0 to below 1.
+// Float64 returns a pseudorandom number in [0, 1) for the values.
 func Float64(values ...uint64) float64 { return float64(Hash(values...)>>11) / (1 << 53) }
--- a/internal/detrand/detrand_test.go
+++ b/internal/detrand/detrand_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Draws are even over their range, and the same for the same numbers.
+// TestUniform checks that numbers are distributed evenly, and equal for equal values.
 func TestUniform(t *testing.T) {
 	var bins [10]int
 	for i := range uint64(20000) {
@@ -14,10 +14,10 @@
 	}
 	for i, n := range bins {
 		if n < 1850 || n > 2150 {
-			t.Errorf("%d of 20000 draws from %d tenths", n, i)
+			t.Errorf("%d of 20000 numbers in the bin from %d tenths", n, i)
 		}
 	}
 	if Float64(1, 2) == Float64(2, 1) {
-		t.Error("the order does not matter")
+		t.Error("the order of the values has no effect")
 	}
 }
--- a/internal/timerqueue/timerqueue.go
+++ b/internal/timerqueue/timerqueue.go
@@ -1,5 +1,5 @@
-// Package timerqueue keeps timers for code that has no clock of its own: the time is handed in, in milliseconds. Of
-// timers that are due at the same time the one that was scheduled first runs first.
+// Package timerqueue provides timers for code that has no clock of its own: the time is passed in, in milliseconds.
+// Timers that are due at the same time run in the order in which they were scheduled.
 package timerqueue
 
 import (
@@ -7,11 +7,11 @@
 	"math"
 )
 
-// Timer is a scheduled call back; a nil pointer means none.
+// Timer is a scheduled callback; a nil pointer means none.
 type Timer struct {
 	at       float64
 	sequence uint64
-	index    int // in the heap, -1 when it is not there
+	index    int // in the heap; -1: not in it
 	callback func()
 }
 
@@ -21,7 +21,7 @@
 	sequence uint64
 }
 
-// Schedule has callback called by the first Run at or after a time.
+// Schedule schedules callback for the first Run at or after a time.
 func (q *Queue) Schedule(at float64, callback func()) *Timer {
 	q.sequence++
 	t := &Timer{at: at, sequence: q.sequence, callback: callback}
@@ -36,7 +36,7 @@
 	}
 }
 
-// Next is when the next timer is due; +Inf: there is none.
+// Next returns when the next timer is due; +Inf: there is none.
 func (q *Queue) Next() float64 {
 	if len(q.heap) == 0 {
 		return math.Inf(1)
@@ -44,11 +44,11 @@
 	return q.heap[0].at
 }
 
-// Len is the number of scheduled timers.
+// Len returns the number of scheduled timers.
 func (q *Queue) Len() int { return len(q.heap) }
 
-// Run runs the timers that are due, including those that are scheduled meanwhile for a time before now. A timer that
-// schedules itself again for now waits for the next Run.
+// Run runs the timers that are due, including those that callbacks schedule for a time before now. A timer that its
+// callback schedules again for now waits for the next Run.
 func (q *Queue) Run(now float64) {
 	last := q.sequence
 	for len(q.heap) > 0 && q.heap[0].at <= now && (q.heap[0].sequence <= last || q.heap[0].at < now) {
--- a/internal/timerqueue/timerqueue_test.go
+++ b/internal/timerqueue/timerqueue_test.go
@@ -8,39 +8,39 @@
 	"pgregory.net/rapid"
 )
 
-// TestAgainstSortedList runs the queue beside a plain list.
+// TestAgainstSortedList compares the queue with a sorted list.
 func TestAgainstSortedList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q Queue
-		type plain struct {
+		type entry struct {
 			at float64
 			n  int
 		}
-		var want []plain
+		var want []entry
 		var got, due []int
-		set := map[int]*Timer{}
+		timers := map[int]*Timer{}
 		now := 0.0
 		for n := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "do") {
 			case 0, 1:
 				at := now + float64(rapid.IntRange(0, 5).Draw(t, "at"))
-				set[n] = q.Schedule(at, func() { got = append(got, n) })
-				want = append(want, plain{at, n})
+				timers[n] = q.Schedule(at, func() { got = append(got, n) })
+				want = append(want, entry{at, n})
 			case 2:
 				if len(want) > 0 {
 					i := rapid.IntRange(0, len(want)-1).Draw(t, "which")
-					q.Cancel(set[want[i].n])
+					q.Cancel(timers[want[i].n])
 					want = slices.Delete(want, i, i+1)
 				}
 			default:
 				now += float64(rapid.IntRange(0, 4).Draw(t, "pass"))
 				q.Run(now)
-				slices.SortStableFunc(want, func(a, b plain) int { return int(a.at - b.at) })
+				slices.SortStableFunc(want, func(a, b entry) int { return int(a.at - b.at) })
 				for len(want) > 0 && want[0].at <= now {
 					due = append(due, want[0].n)
 					want = want[1:]
 				}
-				slices.SortStableFunc(want, func(a, b plain) int { return a.n - b.n })
+				slices.SortStableFunc(want, func(a, b entry) int { return a.n - b.n })
 			}
 		}
 		if !slices.Equal(got, due) {
@@ -56,7 +56,7 @@
 	})
 }
 
-// A timer that sets itself anew for now waits for the next Run.
+// TestRescheduleDuringRun checks that a timer scheduled again for now by its callback waits for the next Run.
 func TestRescheduleDuringRun(t *testing.T) {
 	var q Queue
 	n := 0
