--- a/internal/protocol/callcontrol/session.go
+++ b/internal/protocol/callcontrol/session.go
@@ -43,8 +43,8 @@
 	holdOffUntil  float64 // rule 5: no attempt before this
 }
 
-// tryingDelay is the time, in ms, after which a caller without an answer gets a provisional one: at most 200 (RFC
-// 3261, 8.2.6.1).
+// tryingDelay is the time, in ms, after which a caller without an answer gets a provisional one: at most 200
+// (RFC 3261, 8.2.6.1).
 const tryingDelay = 150
 
 // NewSession creates the session of a call that has just been read; the caller of NewSession sets its SignalingLeg.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -177,7 +177,7 @@
 // OnAnswer handles an attempt whose call is now established.
 func (r *Router) OnAnswer(now float64, attempt *routing.Attempt) { r.onAttempt(now, attempt) }
 
-// OnAttemptEnd handles an attempt that has ended; Call.Finished tells whether its call has its final answer.
+// OnAttemptEnd handles an attempt that has ended; Call.Finished is false if its call needs an answer.
 func (r *Router) OnAttemptEnd(now float64, attempt *routing.Attempt, _ bool) {
 	r.onAttempt(now, attempt)
 }
--- a/internal/router/rules_test.go
+++ b/internal/router/rules_test.go
@@ -288,7 +288,7 @@
 			worst = math.Max(worst, use)
 			if use > 1 {
 				t.Errorf("seed %d: %d gateways, %d of %d endpoints in slow start: %d setups in a second, %.0f ms after the start",
-					seed, f.gateways, f.restartedEndpoints, f.endpoints, n, at-fleetStart)
+					seed, f.gateways, f.slowStartCount, f.endpoints, n, at-fleetStart)
 			}
 		}
 		if total == 0 {
@@ -319,7 +319,7 @@
 	gateways           int
 	capacity           float64
 	interval           float64 // ms between calls at a gateway
-	restartedEndpoints int
+	slowStartCount int
 	maxListDelay       float64 // ms: gateways learn of the start within this
 }
 
@@ -328,7 +328,7 @@
 	f := &restartingFleet{seed: seed, rnd: rnd}
 	f.endpoints, f.gateways = 3+rnd.Intn(8), []int{20, 30}[seed%2]
 	f.capacity, f.interval = 100+rnd.Float64()*400, 150+rnd.Float64()*600
-	f.restartedEndpoints = 1 + rnd.Intn(f.endpoints/2)
+	f.slowStartCount = 1 + rnd.Intn(f.endpoints/2)
 	f.maxListDelay = []float64{0, 500, 1500}[rnd.Intn(3)]
 	return f
 }
@@ -336,7 +336,7 @@
 // run simulates all gateways and returns, for each endpoint in slow start, the times of the setups sent to
 // it, in order.
 func (f *restartingFleet) run() [][]float64 {
-	sent := make([][]float64, f.restartedEndpoints)
+	sent := make([][]float64, f.slowStartCount)
 	for i := range f.gateways {
 		listDelay, restartAt := f.rnd.Float64()*f.maxListDelay, fleetStart+f.rnd.Float64()*8000
 		g := &restartingGateway{fleet: f, index: i, sent: sent, listedAt: fleetStart + listDelay, restartAt: restartAt}
@@ -379,7 +379,7 @@
 func (g *restartingGateway) run() {
 	f := g.fleet
 	g.startProcess(1e6+f.rnd.Float64()*5, 0)
-	g.updateRestarted(routing.Gone, 0) // it is down at first while calls arrive
+	g.updateStarting(routing.Gone, 0) // it is down at first while calls arrive
 	g.nextCallAt = g.h.now + f.rnd.ExpFloat64()*f.interval
 	for g.h.now < fleetStart+12000 {
 		g.h.advance(10)
@@ -388,7 +388,7 @@
 		}
 		if !g.listed && g.h.now >= g.listedAt {
 			g.listed = true
-			g.updateRestarted(routing.Ready, fleetStart)
+			g.updateStarting(routing.Ready, fleetStart)
 		}
 		for ; g.nextCallAt < g.h.now; g.nextCallAt += f.rnd.ExpFloat64() * f.interval {
 			g.h.offerCall(g.endpoints[f.rnd.Intn(f.endpoints)])
@@ -406,14 +406,14 @@
 	g.nextCallAt = g.h.now + g.fleet.rnd.ExpFloat64()*g.fleet.interval
 	g.listed = g.h.now >= g.listedAt
 	if g.listed {
-		g.updateRestarted(routing.Ready, fleetStart)
+		g.updateStarting(routing.Ready, fleetStart)
 	} else {
-		g.updateRestarted(routing.Gone, 0)
+		g.updateStarting(routing.Gone, 0)
 	}
 }
 
-func (g *restartingGateway) updateRestarted(state routing.State, startedAt float64) {
-	starting := g.endpoints[:g.fleet.restartedEndpoints]
+func (g *restartingGateway) updateStarting(state routing.State, startedAt float64) {
+	starting := g.endpoints[:g.fleet.slowStartCount]
 	for _, endpoint := range starting {
 		endpoint.State, endpoint.StartedAt = state, startedAt
 	}
--- a/internal/router/selection.go
+++ b/internal/router/selection.go
@@ -86,7 +86,7 @@
 }
 
 // sustainableRate returns how many calls a second a number of agents can sustain by Little's law; +Inf: not
-// known. Agents are kept free for random variation of the load: without that, small endpoints are overrated.
+// known. Some agents are set aside for random variation of the load: otherwise small endpoints are overrated.
 func (r *Router) sustainableRate(agents float64) float64 {
 	if !(agents > 0) || r.maxHoldingTime <= 0 {
 		return math.Inf(1)
