--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -428,6 +428,7 @@
 	h.endAttempt(a, routing.TimedOut)
 	h.endAttempt(b, routing.TimedOut)
 	if state := stateOf(endpoints[0]); state.unanswered > 0 || state.expectedDelay(h.now, 0) > 0 {
-		t.Errorf("%d unanswered, expected delay %v after a restart", state.unanswered, state.expectedDelay(h.now, 0))
+		t.Errorf("%d unanswered, expected delay %v after a restart",
+			state.unanswered, state.expectedDelay(h.now, 0))
 	}
 }
--- a/internal/router/rules_test.go
+++ b/internal/router/rules_test.go
@@ -287,7 +287,7 @@
 			use, at, n := maxBudgetUse(sent, fullRate)
 			worst = math.Max(worst, use)
 			if use > 1 {
-				t.Errorf("seed %d: %d gateways, %d of %d endpoints in slow start: %d setups in a second, %.0f ms after the start",
+				t.Errorf("seed %d: %d gateways, %d of %d endpoints in slow start: %d setups in a second, %.0f ms after start",
 					seed, f.gateways, f.slowStartCount, f.endpoints, n, at-fleetStart)
 			}
 		}
@@ -313,14 +313,14 @@
 // restartingFleet is a few gateways, each restarted once, that share endpoints of which the first ones are
 // in slow start.
 type restartingFleet struct {
-	seed               int64
-	rnd                *rand.Rand
-	endpoints          int
-	gateways           int
-	capacity           float64
-	interval           float64 // ms between calls at a gateway
+	seed           int64
+	rnd            *rand.Rand
+	endpoints      int
+	gateways       int
+	capacity       float64
+	interval       float64 // ms between calls at a gateway
 	slowStartCount int
-	maxListDelay       float64 // ms: gateways learn of the start within this
+	maxListDelay   float64 // ms: gateways learn of the start within this
 }
 
 func newRestartingFleet(seed int64) *restartingFleet {
@@ -339,7 +339,8 @@
 	sent := make([][]float64, f.slowStartCount)
 	for i := range f.gateways {
 		listDelay, restartAt := f.rnd.Float64()*f.maxListDelay, fleetStart+f.rnd.Float64()*8000
-		g := &restartingGateway{fleet: f, index: i, sent: sent, listedAt: fleetStart + listDelay, restartAt: restartAt}
+		g := &restartingGateway{
+			fleet: f, index: i, sent: sent, listedAt: fleetStart + listDelay, restartAt: restartAt}
 		g.run()
 	}
 	for _, times := range sent {
@@ -438,7 +439,9 @@
 }
 
 // finish ends an attempt and removes it from open.
-func (h *testHost) finish(open map[*routing.Attempt]float64, attempt *routing.Attempt, outcome routing.Outcome) {
+func (h *testHost) finish(
+	open map[*routing.Attempt]float64, attempt *routing.Attempt, outcome routing.Outcome,
+) {
 	delete(open, attempt)
 	h.endAttempt(attempt.Call, outcome)
 }
