--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -237,7 +237,8 @@
 // TestImplausibleReportIgnored checks that a reported queueing delay of weeks is ignored.
 func TestImplausibleReportIgnored(t *testing.T) {
 	h, endpoints := newTestHost(1)
-	endpoints[0].LoadReport.Capacity, endpoints[0].LoadReport.Free, endpoints[0].LoadReport.QueueDelay = 1000, 500, 3e9
+	endpoints[0].LoadReport.Capacity, endpoints[0].LoadReport.Free,
+		endpoints[0].LoadReport.QueueDelay = 1000, 500, 3e9
 	h.router.OnLoadReport(h.now, endpoints[0], true, true)
 	if w := stateOf(endpoints[0]).expectedDelay(h.now, 0); w != 0 {
 		t.Errorf("expected delay %v, want 0", w)
--- a/internal/router/rules_test.go
+++ b/internal/router/rules_test.go
@@ -287,7 +287,7 @@
 			use, at, n := maxBudgetUse(sent, fullRate)
 			worst = math.Max(worst, use)
 			if use > 1 {
-				t.Errorf("seed %d: %d gateways, %d of %d endpoints in slow start: %d setups in a second, %.0f ms after start",
+				t.Errorf("seed %d: %d gateways, %d of %d endpoints starting: %d setups in a second, %.0f ms after start",
 					seed, f.gateways, f.slowStartCount, f.endpoints, n, at-fleetStart)
 			}
 		}
