--- a/internal/router/testhost_test.go
+++ b/internal/router/testhost_test.go
@@ -101,7 +101,7 @@
 
 func newTestHost(endpointCount int) (*testHost, []*routing.Endpoint) {
 	h := &testHost{now: 1e6, timeLeft: 3000, finished: map[*routing.Call]bool{},
-		inFlight: map[*routing.Call]int{},
+		inFlight:       map[*routing.Call]int{},
 		retryNotBefore: map[*routing.Call]float64{}, drained: map[*routing.Endpoint]bool{},
 		startedAt: map[*routing.Endpoint]float64{}, sentAt: map[*routing.Endpoint][]float64{}}
 	h.class = &routing.Class{
