--- a/internal/router/rules_test.go
+++ b/internal/router/rules_test.go
@@ -11,39 +11,39 @@
 	"cobaltpier/internal/routing"
 )
 
-// TestRulesByModel runs the router on generated streams of events beside the plain model in the test host, which looks
-// at every attempt and every answer: calls, redials, lost, late, cut and refused setups, drains, slow starts, wrong
-// load reports and gateways that start with an old list.
-func TestRulesByModel(t *testing.T) {
+// TestRulesAgainstModel runs the router on generated events. The model in the test host checks every
+// attempt and every final answer. The events are calls, retries by callers, attempts that are lost, late,
+// reset or refused, drains, slow starts, wrong load reports and gateways that start with an old list.
+func TestRulesAgainstModel(t *testing.T) {
 	check := func(seed int64) bool {
-		s := newRuleStream(t, seed)
+		s := newRuleWorkload(t, seed)
 		for range 2500 {
 			s.step()
 		}
 		s.h.advance(4000)
 		s.checkAnswered()
 		s.checkSlowStart()
-		return !s.broken
+		return !s.violated
 	}
 	if err := quick.Check(check, &quick.Config{MaxCount: 40, Rand: rand.New(rand.NewSource(1))}); err != nil {
 		t.Error(err)
 	}
 }
 
-// ruleStream is a generated stream of events for one router.
-type ruleStream struct {
+// ruleWorkload is a generated sequence of events for one router.
+type ruleWorkload struct {
 	h         *testHost
 	rnd       *rand.Rand
 	endpoints []*routing.Endpoint
 	open      map[*routing.Attempt]float64 // when each attempt in flight is answered or ends
-	broken    bool
+	violated  bool
 }
 
-func newRuleStream(t *testing.T, seed int64) *ruleStream {
-	s := &ruleStream{rnd: rand.New(rand.NewSource(seed)), open: map[*routing.Attempt]float64{}}
+func newRuleWorkload(t *testing.T, seed int64) *ruleWorkload {
+	s := &ruleWorkload{rnd: rand.New(rand.NewSource(seed)), open: map[*routing.Attempt]float64{}}
 	s.h, s.endpoints = newTestHost(1 + s.rnd.Intn(4))
-	s.h.onBrokenRule = func(rule int, what string) {
-		s.broken = true
+	s.h.onViolation = func(rule int, what string) {
+		s.violated = true
 		t.Logf("seed %d: rule %d at %v: %s", seed, rule, s.h.now, what)
 	}
 	for _, endpoint := range s.endpoints {
@@ -52,7 +52,7 @@
 	return s
 }
 
-func (s *ruleStream) step() {
+func (s *ruleWorkload) step() {
 	s.h.advance(5 * float64(1+s.rnd.Intn(4)))
 	endpoint := s.endpoints[s.rnd.Intn(len(s.endpoints))]
 	switch s.rnd.Intn(60) {
@@ -76,8 +76,8 @@
 	}
 }
 
-// changeState gives an endpoint another state; one that comes back is in slow start.
-func (s *ruleStream) changeState(endpoint *routing.Endpoint) {
+// changeState changes the state of an endpoint; one that becomes ready again is in slow start.
+func (s *ruleWorkload) changeState(endpoint *routing.Endpoint) {
 	endpoint.State = routing.State(s.rnd.Intn(3))
 	if s.h.drained[endpoint] && endpoint.State == routing.Ready {
 		endpoint.StartedAt, s.h.startedAt[endpoint], s.h.sentAt[endpoint] = s.h.now, s.h.now, nil
@@ -86,9 +86,9 @@
 	s.h.router.OnEndpoints(s.h.now, []*routing.Endpoint{endpoint})
 }
 
-// hangUp has a caller leave before its answer.
-func (s *ruleStream) hangUp() {
-	call := pick(s.rnd, s.h.calls)
+// hangUp has a caller hang up before its answer.
+func (s *ruleWorkload) hangUp() {
+	call := randomCall(s.rnd, s.h.calls)
 	if call == nil || call.Finished || call.Established || s.h.inFlight[call] > 0 {
 		return
 	}
@@ -96,7 +96,7 @@
 	s.h.router.OnHangup(s.h.now, call)
 }
 
-func (s *ruleStream) planOutcomes() {
+func (s *ruleWorkload) planOutcomes() {
 	for _, attempt := range s.h.attempts[max(0, len(s.h.attempts)-400):] {
 		if _, known := s.open[attempt]; !known && attempt.Call.InFlight == attempt {
 			s.open[attempt] = s.h.now + s.rnd.ExpFloat64()*[]float64{50, 50, 400, 9000}[s.rnd.Intn(4)]
@@ -104,17 +104,17 @@
 	}
 }
 
-func (s *ruleStream) endCanceled() {
-	for _, attempt := range s.h.cancelled {
+func (s *ruleWorkload) endCanceled() {
+	for _, attempt := range s.h.canceled {
 		if attempt.Call.InFlight == attempt && !attempt.Call.Established {
 			s.h.finish(s.open, attempt, routing.Canceled)
 		}
 	}
-	s.h.cancelled = nil
+	s.h.canceled = nil
 }
 
-// progress has an attempt answered, or ended, when it is due.
-func (s *ruleStream) progress(attempt *routing.Attempt) {
+// progress answers or ends an attempt when it is due.
+func (s *ruleWorkload) progress(attempt *routing.Attempt) {
 	due, known := s.open[attempt]
 	switch call := attempt.Call; {
 	case !known:
@@ -131,53 +131,56 @@
 	}
 }
 
-func (s *ruleStream) checkAnswered() {
+func (s *ruleWorkload) checkAnswered() {
 	for _, call := range s.h.calls {
 		if call.InFlight == nil && !s.h.finished[call] {
-			s.h.reportBroken(1, "never answered")
+			s.h.reportViolation(1, "never answered")
 		}
 	}
 }
 
-// checkSlowStart looks at every window of an endpoint in slow start, with one setup for chance.
-func (s *ruleStream) checkSlowStart() {
-	// what an endpoint at full capacity is sent a second
+// checkSlowStart checks every window of an endpoint in slow start against rule 4, allowing one setup for
+// chance.
+func (s *ruleWorkload) checkSlowStart() {
+	// setups a second to an endpoint at full capacity
 	rate := float64(len(s.h.calls)) / (s.h.now - 1e6) * 1000 / float64(len(s.endpoints))
 	for endpoint, startedAt := range s.h.startedAt {
 		for i, from := range s.h.sentAt[endpoint] {
 			part := 0.3 + 0.7*(from+1000-startedAt)/14000
-			if n := within(s.h.sentAt[endpoint][i:], from+1000); part < 1 && float64(n) > 1+2.5*part*rate {
-				s.h.reportBroken(4, fmt.Sprintf("%d setups in a second to a cold endpoint", n))
+			if n := countBefore(s.h.sentAt[endpoint][i:], from+1000); part < 1 && float64(n) > 1+2.5*part*rate {
+				s.h.reportViolation(4, fmt.Sprintf("%d setups in a second to an endpoint in slow start", n))
 			}
 		}
 	}
 }
 
-// Slow start of one or more endpoints beside many gateways: when it begins, and how capacity grows.
+// Slow start of endpoints in tests with several gateways: when it begins, and how capacity grows.
 const (
 	fleetStart      = 1e6 + 6000.0
-	initialPart     = 0.3
+	initialFraction = 0.3
 	slowStartLength = 14000.0 // ms
 	overloadFactor  = 2.5
 	window          = 1000.0 // ms
 )
 
-// budget is how many setups an endpoint may be sent in the window from a time on; fullRate a second is its usual load.
+// budget returns how many setups an endpoint may be sent in the window that begins at a time; fullRate is the
+// endpoint's normal load in setups a second.
 func budget(from, fullRate float64) float64 {
-	part := math.Min(1, initialPart+(1-initialPart)*(from+window/2-fleetStart)/slowStartLength)
+	part := math.Min(1, initialFraction+(1-initialFraction)*(from+window/2-fleetStart)/slowStartLength)
 	return overloadFactor * part * fullRate
 }
 
-// TestFleetAndColdPool puts many routers beside one endpoint that starts cold, on generated inputs, and counts what
-// they send it together in every window. They are told of the start at different times, some were restarted with an old
-// list, some stall and find a backlog, and the endpoint was down for long before: no time earns a burst.
-func TestFleetAndColdPool(t *testing.T) {
+// TestSlowStartWithManyGateways runs many routers with one endpoint in slow start, on generated inputs, and
+// counts the setups of all routers in every window. The routers learn of the start at different times, some
+// were restarted with an old list, some stall and find a backlog, and the endpoint was down for long
+// before. None of this may cause a burst.
+func TestSlowStartWithManyGateways(t *testing.T) {
 	check := func(seed int64) bool {
-		f := newColdFleet(seed)
+		f := newSlowStartFleet(seed)
 		sent := f.run()
 		fullRate := float64(f.gateways) / f.interval * 1000 / float64(f.endpoints)
 		for i, from := range sent {
-			n, most := within(sent[i:], from+window), budget(from, fullRate)
+			n, most := countBefore(sent[i:], from+window), budget(from, fullRate)
 			if float64(n) > most+math.Sqrt(most)+1 {
 				t.Logf("seed %d: %d gateways, %d endpoints: %d setups in a second, %.0f ms after the start, budget %.0f",
 					seed, f.gateways, f.endpoints, n, from-fleetStart, most)
@@ -191,59 +194,60 @@
 	}
 }
 
-// coldFleet is many gateways beside endpoints of which the first starts cold.
-type coldFleet struct {
+// slowStartFleet is many gateways that share endpoints, of which the first is in slow start.
+type slowStartFleet struct {
 	rnd       *rand.Rand
 	endpoints int
 	gateways  int
 	interval  float64 // ms between calls at a gateway
 	hosts     []*testHost
-	toldAfter []float64 // ms after the start, by gateway
+	listDelay []float64 // ms after the start, by gateway
 }
 
-func newColdFleet(seed int64) *coldFleet {
+func newSlowStartFleet(seed int64) *slowStartFleet {
 	rnd := rand.New(rand.NewSource(seed))
-	f := &coldFleet{rnd: rnd, endpoints: 2 + rnd.Intn(8), gateways: 5 + rnd.Intn(250)}
+	f := &slowStartFleet{rnd: rnd, endpoints: 2 + rnd.Intn(8), gateways: 5 + rnd.Intn(250)}
 	capacity := 200 + rnd.Float64()*800
 	f.interval = 200 + rnd.Float64()*600
-	f.toldAfter = make([]float64, f.gateways)
+	f.listDelay = make([]float64, f.gateways)
 	for i := range f.gateways {
 		h, endpoints := newTestHost(f.endpoints)
-		h.now += rnd.Float64() * 5 // gateways are not in step
+		h.now += rnd.Float64() * 5 // gateways run out of phase
 		h.router.settings.Gateways, h.router.settings.Seed = f.gateways, uint64(seed)+uint64(i)*7919
 		for _, endpoint := range endpoints {
 			endpoint.LoadReport.Capacity, endpoint.LoadReport.Free = capacity, capacity/2
 			stateOf(endpoint).tokens = rnd.Float64()
 		}
 		f.hosts = append(f.hosts, h)
-		f.toldAfter[i] = rnd.Float64() * 500
+		f.listDelay[i] = rnd.Float64() * 500
 	}
 	return f
 }
 
-// run plays all gateways and gives the times of the setups that the cold endpoint got, in order.
-func (f *coldFleet) run() []float64 {
+// run simulates all gateways and returns the times of the setups sent to the endpoint in slow start, in
+// order.
+func (f *slowStartFleet) run() []float64 {
 	var sent []float64
 	for i, h := range f.hosts {
-		sent = append(sent, f.runGateway(h, f.toldAfter[i])...)
+		sent = append(sent, f.runGateway(h, f.listDelay[i])...)
 	}
 	sort.Float64s(sent)
 	return sent
 }
 
-func (f *coldFleet) runGateway(h *testHost, toldAfter float64) []float64 {
-	cold := h.router.endpoints[0]
-	cold.State = routing.Gone // down before: calls arrive all the time
-	h.router.OnEndpoints(h.now, []*routing.Endpoint{cold})
-	next, told := h.now+f.rnd.ExpFloat64()*f.interval, false
+func (f *slowStartFleet) runGateway(h *testHost, listDelay float64) []float64 {
+	starting := h.router.endpoints[0]
+	starting.State = routing.Gone // it is down at first while calls arrive
+	h.router.OnEndpoints(h.now, []*routing.Endpoint{starting})
+	next, listed := h.now+f.rnd.ExpFloat64()*f.interval, false
 	for h.now < fleetStart+10000 {
-		if f.rnd.Intn(400) == 0 { // it stalls, and finds what came meanwhile
+		if f.rnd.Intn(400) == 0 { // stall; the events of the meantime are read at once
 			h.now += 1500
 		}
 		h.advance(10)
-		if !told && h.now >= fleetStart+toldAfter {
-			told = true
-			announceStart(h, cold)
+		if !listed && h.now >= fleetStart+listDelay {
+			listed = true
+			announceStart(h, starting)
 		}
 		for ; next < h.now; next += f.rnd.ExpFloat64() * f.interval {
 			call := h.offerCall(h.router.destinations[f.rnd.Intn(f.endpoints)])
@@ -253,24 +257,26 @@
 		}
 		h.establishInFlight(0, 60)
 	}
-	return h.sentAt[cold]
+	return h.sentAt[starting]
 }
 
-// announceStart tells a gateway of the cold endpoint's start while all others drain: every call wants the cold one.
-func announceStart(h *testHost, cold *routing.Endpoint) {
-	cold.State, cold.StartedAt = routing.Ready, fleetStart
+// announceStart reports the start of the endpoint while all others drain, so that every call is sent to
+// that one.
+func announceStart(h *testHost, starting *routing.Endpoint) {
+	starting.State, starting.StartedAt = routing.Ready, fleetStart
 	for _, other := range h.router.destinations {
-		if other != cold {
+		if other != starting {
 			other.State = routing.Draining
 		}
 	}
 	h.router.OnEndpoints(h.now, h.router.destinations)
 }
 
-// TestFewGatewaysAndColdPools has twenty or thirty routers beside endpoints that start cold in one step, while all
-// gateways are restarted, a few at a time, and forget what they sent. They are told of the start at once or late. In no
-// window do all of them send such an endpoint more than N + 2 root N + 2, N being what the settings allow it then.
-func TestFewGatewaysAndColdPools(t *testing.T) {
+// TestSlowStartWithRestartedGateways runs twenty or thirty routers with endpoints that start at the same
+// time, while all gateways are restarted, a few at a time, and lose their state. The gateways learn of the
+// start at once or late. In no window may all of them send such an endpoint more than N + 2 root N + 2
+// setups, where N is what the settings allow then.
+func TestSlowStartWithRestartedGateways(t *testing.T) {
 	worst := 0.0
 	for seed := int64(1); seed <= 24; seed++ {
 		f := newRestartingFleet(seed)
@@ -278,24 +284,25 @@
 		total := 0
 		for _, sent := range f.run() {
 			total += len(sent)
-			use, at, n := worstUse(sent, fullRate)
+			use, at, n := maxBudgetUse(sent, fullRate)
 			worst = math.Max(worst, use)
 			if use > 1 {
-				t.Errorf("seed %d: %d gateways, %d of %d endpoints cold: %d setups in a second, %.0f ms after the start",
-					seed, f.gateways, f.cold, f.endpoints, n, at-fleetStart)
+				t.Errorf("seed %d: %d gateways, %d of %d endpoints starting: %d setups in a second, %.0f ms after start",
+					seed, f.gateways, f.slowStartCount, f.endpoints, n, at-fleetStart)
 			}
 		}
 		if total == 0 {
-			t.Errorf("seed %d: nothing was sent to a cold endpoint", seed)
+			t.Errorf("seed %d: nothing was sent to an endpoint in slow start", seed)
 		}
 	}
-	t.Logf("at most %.2f of what overloads an endpoint", worst)
+	t.Logf("at most %.2f of the limit was used", worst)
 }
 
-// worstUse finds the window with the largest part of its limit used; n setups in the window from at on.
-func worstUse(sent []float64, fullRate float64) (use, at float64, n int) {
+// maxBudgetUse returns the largest used fraction of the limit in any window, when that window begins and
+// its number of setups.
+func maxBudgetUse(sent []float64, fullRate float64) (use, at float64, n int) {
 	for i, from := range sent {
-		count, allowed := within(sent[i:], from+window), budget(from, fullRate)
+		count, allowed := countBefore(sent[i:], from+window), budget(from, fullRate)
 		if part := float64(count) / (allowed + 2*math.Sqrt(allowed) + 2); part > use {
 			use, at, n = part, from, count
 		}
@@ -303,16 +310,17 @@
 	return use, at, n
 }
 
-// restartingFleet is a few gateways, each restarted once, beside endpoints of which the first ones start cold.
+// restartingFleet is a few gateways, each restarted once, that share endpoints of which the first ones are
+// in slow start.
 type restartingFleet struct {
-	seed      int64
-	rnd       *rand.Rand
-	endpoints int
-	gateways  int
-	capacity  float64
-	interval  float64 // ms between calls at a gateway
-	cold      int
-	late      float64 // gateways are told of the start within this, ms
+	seed           int64
+	rnd            *rand.Rand
+	endpoints      int
+	gateways       int
+	capacity       float64
+	interval       float64 // ms between calls at a gateway
+	slowStartCount int
+	maxListDelay   float64 // ms: gateways learn of the start within this
 }
 
 func newRestartingFleet(seed int64) *restartingFleet {
@@ -320,17 +328,19 @@
 	f := &restartingFleet{seed: seed, rnd: rnd}
 	f.endpoints, f.gateways = 3+rnd.Intn(8), []int{20, 30}[seed%2]
 	f.capacity, f.interval = 100+rnd.Float64()*400, 150+rnd.Float64()*600
-	f.cold = 1 + rnd.Intn(f.endpoints/2)
-	f.late = []float64{0, 500, 1500}[rnd.Intn(3)]
+	f.slowStartCount = 1 + rnd.Intn(f.endpoints/2)
+	f.maxListDelay = []float64{0, 500, 1500}[rnd.Intn(3)]
 	return f
 }
 
-// run plays all gateways and gives, for each cold endpoint, the times of the setups that it got, in order.
+// run simulates all gateways and returns, for each endpoint in slow start, the times of the setups sent to
+// it, in order.
 func (f *restartingFleet) run() [][]float64 {
-	sent := make([][]float64, f.cold)
+	sent := make([][]float64, f.slowStartCount)
 	for i := range f.gateways {
-		toldAfter, restartAt := f.rnd.Float64()*f.late, fleetStart+f.rnd.Float64()*8000
-		g := &restartingGateway{fleet: f, index: i, sent: sent, toldAt: fleetStart + toldAfter, restartAt: restartAt}
+		listDelay, restartAt := f.rnd.Float64()*f.maxListDelay, fleetStart+f.rnd.Float64()*8000
+		g := &restartingGateway{
+			fleet: f, index: i, sent: sent, listedAt: fleetStart + listDelay, restartAt: restartAt}
 		g.run()
 	}
 	for _, times := range sent {
@@ -344,18 +354,18 @@
 	fleet     *restartingFleet
 	index     int
 	sent      [][]float64
-	toldAt    float64
+	listedAt  float64
 	restartAt float64
 
-	h         *testHost
-	endpoints []*routing.Endpoint
-	told      bool
-	restarted bool
-	next      float64 // call
+	h          *testHost
+	endpoints  []*routing.Endpoint
+	listed     bool
+	restarted  bool
+	nextCallAt float64
 }
 
-// begin starts a process, which knows nothing of the one before.
-func (g *restartingGateway) begin(at float64, incarnation int) {
+// startProcess starts a gateway process without any state of the one before.
+func (g *restartingGateway) startProcess(at float64, incarnation int) {
 	f := g.fleet
 	g.h, g.endpoints = newTestHost(f.endpoints)
 	g.h.now = at
@@ -369,19 +379,19 @@
 
 func (g *restartingGateway) run() {
 	f := g.fleet
-	g.begin(1e6+f.rnd.Float64()*5, 0)
-	g.setCold(routing.Gone, 0) // down before: calls arrive all the time
-	g.next = g.h.now + f.rnd.ExpFloat64()*f.interval
+	g.startProcess(1e6+f.rnd.Float64()*5, 0)
+	g.updateStarting(routing.Gone, 0) // it is down at first while calls arrive
+	g.nextCallAt = g.h.now + f.rnd.ExpFloat64()*f.interval
 	for g.h.now < fleetStart+12000 {
 		g.h.advance(10)
 		if !g.restarted && g.h.now >= g.restartAt {
 			g.restart()
 		}
-		if !g.told && g.h.now >= g.toldAt {
-			g.told = true
-			g.setCold(routing.Ready, fleetStart)
+		if !g.listed && g.h.now >= g.listedAt {
+			g.listed = true
+			g.updateStarting(routing.Ready, fleetStart)
 		}
-		for ; g.next < g.h.now; g.next += f.rnd.ExpFloat64() * f.interval {
+		for ; g.nextCallAt < g.h.now; g.nextCallAt += f.rnd.ExpFloat64() * f.interval {
 			g.h.offerCall(g.endpoints[f.rnd.Intn(f.endpoints)])
 		}
 		g.h.establishInFlight(30, 30)
@@ -389,26 +399,26 @@
 	g.collect()
 }
 
-// restart forgets everything; the start, if it was announced, comes with the first list.
+// restart replaces the process; if the start was announced, the first list includes it.
 func (g *restartingGateway) restart() {
 	g.restarted = true
 	g.collect()
-	g.begin(g.h.now+200, 1)
-	g.next = g.h.now + g.fleet.rnd.ExpFloat64()*g.fleet.interval
-	g.told = g.h.now >= g.toldAt
-	if g.told {
-		g.setCold(routing.Ready, fleetStart)
+	g.startProcess(g.h.now+200, 1)
+	g.nextCallAt = g.h.now + g.fleet.rnd.ExpFloat64()*g.fleet.interval
+	g.listed = g.h.now >= g.listedAt
+	if g.listed {
+		g.updateStarting(routing.Ready, fleetStart)
 	} else {
-		g.setCold(routing.Gone, 0)
+		g.updateStarting(routing.Gone, 0)
 	}
 }
 
-func (g *restartingGateway) setCold(state routing.State, startedAt float64) {
-	cold := g.endpoints[:g.fleet.cold]
-	for _, endpoint := range cold {
+func (g *restartingGateway) updateStarting(state routing.State, startedAt float64) {
+	starting := g.endpoints[:g.fleet.slowStartCount]
+	for _, endpoint := range starting {
 		endpoint.State, endpoint.StartedAt = state, startedAt
 	}
-	g.h.router.OnEndpoints(g.h.now, cold)
+	g.h.router.OnEndpoints(g.h.now, starting)
 }
 
 func (g *restartingGateway) collect() {
@@ -417,7 +427,8 @@
 	}
 }
 
-// establishInFlight has the latest attempts answered that were sent over minAge ms ago, with a latency.
+// establishInFlight answers the recent attempts that were sent more than minAge ms ago, with the given
+// latency.
 func (h *testHost) establishInFlight(minAge, latency float64) {
 	for _, attempt := range h.attempts[max(0, len(h.attempts)-50):] {
 		call := attempt.Call
@@ -427,20 +438,22 @@
 	}
 }
 
-// finish ends an attempt and forgets it.
-func (h *testHost) finish(open map[*routing.Attempt]float64, attempt *routing.Attempt, end routing.Outcome) {
+// finish ends an attempt and removes it from open.
+func (h *testHost) finish(
+	open map[*routing.Attempt]float64, attempt *routing.Attempt, outcome routing.Outcome,
+) {
 	delete(open, attempt)
-	h.endAttempt(attempt.Call, end)
+	h.endAttempt(attempt.Call, outcome)
 }
 
-func pick(rnd *rand.Rand, of []*routing.Call) *routing.Call {
+func randomCall(rnd *rand.Rand, of []*routing.Call) *routing.Call {
 	if len(of) == 0 {
 		return nil
 	}
 	return of[rnd.Intn(len(of))]
 }
 
-func within(times []float64, end float64) (n int) {
+func countBefore(times []float64, end float64) (n int) {
 	for _, at := range times {
 		if at < end {
 			n++
