--- a/internal/cli/edgecli/edgecmd.go
+++ b/internal/cli/edgecli/edgecmd.go
@@ -41,11 +41,11 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
-	root.AddCommand(run(), check(), onPlatform(), numbercli.New())
+	root.AddCommand(newRunCommand(), newCheckCommand(), newPlatformCommand(), numbercli.New())
 	return root
 }
 
-func run() *cobra.Command {
+func newRunCommand() *cobra.Command {
 	var config, module, profile string
 	c := &cobra.Command{Use: "run", Short: "Run a gateway until it is told to drain", Args: cobra.NoArgs,
 		Example: "  cobalt-edge run --config edge.hcl",
@@ -72,7 +72,7 @@
 				defer pprof.StopCPUProfile()
 			}
 			if os.Getenv("GOGC") == "" {
-				debug.SetGCPercent(collect)
+				debug.SetGCPercent(gcPercent)
 			}
 			level, _ := zerolog.ParseLevel(set.LogLevel)
 			w := cmd.ErrOrStderr()
@@ -80,7 +80,7 @@
 				w = zerolog.ConsoleWriter{Out: w, TimeFormat: time.TimeOnly}
 			}
 			// a reader of the log that is slow loses lines; the loop goes on
-			d := diode.NewWriter(open{w}, 4096, 10*time.Millisecond, nil)
+			d := diode.NewWriter(unclosableWriter{w}, 4096, 10*time.Millisecond, nil)
 			defer d.Close()
 			log := zerolog.New(d).Level(level).With().Timestamp().Str("gateway", set.Name).Logger()
 			signals, stop := make(chan os.Signal, 4), make(chan struct{}, 4)
@@ -103,15 +103,15 @@
 	return c
 }
 
-// open hides that a writer can be closed: the log's end would else close standard error, and with it why the gateway
+// unclosableWriter hides that a writer can be closed: the log's end would else close standard error, and with it why the gateway
 // ended.
-type open struct{ io.Writer }
+type unclosableWriter struct{ io.Writer }
 
-// collect is the collector's percentage where GOGC sets none: a gateway holds little and makes much garbage, and the
+// gcPercent is the collector's percentage where GOGC sets none: a gateway holds little and makes much garbage, and the
 // collector's passes are what adds to its slowest answers.
-const collect = 400
+const gcPercent = 400
 
-func check() *cobra.Command {
+func newCheckCommand() *cobra.Command {
 	var config string
 	c := &cobra.Command{
 		Use:   "check",
--- a/internal/cli/edgecli/edgecmd_test.go
+++ b/internal/cli/edgecli/edgecmd_test.go
@@ -11,27 +11,27 @@
 	"testing"
 )
 
-// stderr is where the log and the errors go.
-type stderr struct {
+// testStderr is where the log and the errors go.
+type testStderr struct {
 	mu     sync.Mutex
 	text   bytes.Buffer
 	closed bool
 }
 
-func (s *stderr) Write(b []byte) (int, error) {
+func (s *testStderr) Write(b []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.text.Write(b)
 }
 
-func (s *stderr) Close() error {
+func (s *testStderr) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
 	return nil
 }
 
-const text = `
+const sampleConfig = `
 gateway {
   name          = "edge-0"
   sip           = "127.72.1.1:19062"
@@ -59,20 +59,20 @@
 `
 
 // A gateway that can't start says why, and leaves standard error open for whoever prints it.
-func TestCanNotStart(t *testing.T) {
+func TestStartErrors(t *testing.T) {
 	taken, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.72.1.1:19062")))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer taken.Close()
-	for src, want := range map[string]string{text: "another program has the address", text +
+	for src, want := range map[string]string{sampleConfig: "another program has the address", sampleConfig +
 		"numbers {\n table = \"nowhere.hcl\"\n}\n": "another program has the address",
 		"gateway {": "edge.hcl:1"} {
 		f := filepath.Join(t.TempDir(), "edge.hcl")
 		if err := os.WriteFile(f, []byte(src), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		c, w := New(), &stderr{}
+		c, w := New(), &testStderr{}
 		c.SetErr(w)
 		c.SetOut(w)
 		c.SetArgs([]string{"run", "--config", f})
--- a/internal/cli/edgecli/platform.go
+++ b/internal/cli/edgecli/platform.go
@@ -23,7 +23,7 @@
 // configVar names the file that the platform hands a gateway.
 const configVar = "NODE_CONFIG"
 
-func onPlatform() *cobra.Command {
+func newPlatformCommand() *cobra.Command {
 	var level string
 	c := &cobra.Command{
 		Use:   "platform",
@@ -56,7 +56,7 @@
 			if l <= zerolog.DebugLevel {
 				lines = 1 << 16
 			}
-			d := diode.NewWriter(open{cmd.ErrOrStderr()}, lines, 10*time.Millisecond, nil)
+			d := diode.NewWriter(unclosableWriter{cmd.ErrOrStderr()}, lines, 10*time.Millisecond, nil)
 			defer d.Close()
 			log := zerolog.New(d).Level(l).With().Timestamp().Str("gateway", cfg.Name).Logger()
 			signals, told := make(chan os.Signal, 8), make(chan binaryserver.Signal, 8)
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -7,13 +7,13 @@
 	"cobaltpier/internal/routing"
 )
 
-// sample is a deployment's settings as the platform writes them.
+// sampleSettings is a deployment's settings as the platform writes them.
 //
 //go:embed testdata/settings.json
-var sample string
+var sampleSettings string
 
 func TestDecode(t *testing.T) {
-	s, fields, err := Decode([]byte(sample), 7)
+	s, fields, err := Decode([]byte(sampleSettings), 7)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,7 +34,7 @@
 		b.AllowedDestinations != nil {
 		t.Errorf("%+v %+v", a, b)
 	}
-	l, err := DecodeConnections([]byte(sample))
+	l, err := DecodeConnections([]byte(sampleSettings))
 	if err != nil || l != (Connections{ConnectTimeout: 500, IdleTimeout: 600000, MaxPendingCalls: 20000}) {
 		t.Errorf("%+v %v", l, err)
 	}
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestFigure(t *testing.T) {
+func TestSetLoadReportField(t *testing.T) {
 	var r routing.LoadReport
 	if SetLoadReportField(&r, "free", 3) || SetLoadReportField(&r, "size", 40) || !SetLoadReportField(&r, "busy", 0.5) ||
 		SetLoadReportField(&r, "q", -1) ||
--- a/internal/gateway/binaryconfig/config.go
+++ b/internal/gateway/binaryconfig/config.go
@@ -38,7 +38,7 @@
 	Settings         *routing.Settings
 	LoadReportFields []string
 	Connections      deployment.Connections
-	Known            []dnsdiscovery.List // the name server's events up to now
+	InitialLists     []dnsdiscovery.List // the name server's events up to now
 }
 
 // configJSON is the configuration as the platform writes it.
@@ -85,7 +85,7 @@
 		config.readAddresses,
 		config.readLimits,
 		config.readSettings,
-		config.readKnown,
+		config.readInitialLists,
 	} {
 		if err := read(&object); err != nil {
 			return nil, err
@@ -158,16 +158,16 @@
 	return c.Settings.GatewayIndex >= 0 && c.Settings.GatewayIndex < len(c.Peers)
 }
 
-func (c *Config) readKnown(object *configJSON) error {
+func (c *Config) readInitialLists(object *configJSON) error {
 	for i, raw := range object.Known.Events {
 		list, err := dnsdiscovery.ParseEvent(raw)
 		if err != nil {
 			return fmt.Errorf("known.items[%d]: %w", i, err)
 		}
-		c.Known = append(c.Known, list)
+		c.InitialLists = append(c.InitialLists, list)
 	}
-	if n := len(c.Known); n > 0 && c.Known[n-1].Serial < object.Known.Serial {
-		c.Known[n-1].Serial = object.Known.Serial
+	if n := len(c.InitialLists); n > 0 && c.InitialLists[n-1].Serial < object.Known.Serial {
+		c.InitialLists[n-1].Serial = object.Known.Serial
 	}
 	return nil
 }
--- a/internal/gateway/binaryconfig/config_test.go
+++ b/internal/gateway/binaryconfig/config_test.go
@@ -34,7 +34,7 @@
 	if c.Connections.ConnectTimeout != 400 || len(c.LoadReportFields) != 2 {
 		t.Errorf("links %+v, fields %v", c.Connections, c.LoadReportFields)
 	}
-	k := c.Known
+	k := c.InitialLists
 	if len(k) != 2 || !k[0].Complete || k[1].Serial != 41 || k[1].Targets[0].State != routing.Draining ||
 		k[1].Targets[0].StartedAt != 1700000000000 ||
 		k[0].Targets[0].DestinationID != 2 {
@@ -43,7 +43,7 @@
 }
 
 // A fault is told with the field's name.
-func TestFaults(t *testing.T) {
+func TestInvalidConfig(t *testing.T) {
 	for _, c := range [][3]string{
 		{`"listen":"127.0.0.4:5070"`, `"listen":"here"`, `listen: want an address`},
 		{`"nameserver":"127.0.2.1:5353"`, `"nameserver":""`, `nameserver: want an address`},
@@ -82,7 +82,7 @@
 }
 
 // What a tenant's settings can't mean is told with the field.
-func TestCustomersFaults(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	for _, c := range [][2]string{
 		{`{"lanes":[{"name":"a","hardLimit":"soon"}]}`, "lanes.hardLimit"},
 		{`{"lanes":[{"name":"a","hardLimit":-1}]}`, "lanes[0].hardLimit"},
--- a/internal/gateway/binaryserver/deployments_test.go
+++ b/internal/gateway/binaryserver/deployments_test.go
@@ -12,23 +12,23 @@
 	"cobaltpier/internal/routing"
 )
 
-// tenant is a made-up deployment.
-type customer struct {
-	what    string
-	classes []string
-	lane    string // the rest of a class
-	allowed string
-	rules   string
-	stats   string
-	sockets int
-	wait    string // a caller's timeout
+// testDeployment is a made-up deployment.
+type testDeployment struct {
+	name        string
+	classes     []string
+	classFields string // the rest of a class
+	allowed     string
+	rules       string
+	loadReports string
+	descriptors int
+	timeout     string // a caller's timeout
 }
 
-func (c *customer) change(doc map[string]any) {
+func (c *testDeployment) apply(doc map[string]any) {
 	var lanes []string
 	for _, name := range c.classes {
 		b, _ := json.Marshal(name)
-		lanes = append(lanes, fmt.Sprintf(`{"name":%s,%s}`, b, c.lane))
+		lanes = append(lanes, fmt.Sprintf(`{"name":%s,%s}`, b, c.classFields))
 	}
 	doc["settings"] = json.RawMessage(
 		fmt.Sprintf(
@@ -36,10 +36,10 @@
 			c.allowed,
 			strings.Join(lanes, ","),
 			c.rules,
-			c.stats,
+			c.loadReports,
 		),
 	)
-	doc["limits"] = map[string]any{"cores": 0.1, "memory_mb": 32, "sockets": c.sockets}
+	doc["limits"] = map[string]any{"cores": 0.1, "memory_mb": 32, "sockets": c.descriptors}
 }
 
 func manyClasses() (of []string) {
@@ -51,8 +51,8 @@
 
 // Nothing holds for one tenant only: whatever the classes are called and however many there are, with tiny limits or
 // with all that may be switched off switched off, calls of every class pass, and what was never named is refused.
-func TestOtherCustomers(t *testing.T) {
-	for _, c := range []customer{
+func TestOtherDeployments(t *testing.T) {
+	for _, c := range []testDeployment{
 		{"one class with an odd name", []string{"Ångström 1;dest:0 \"x\""},
 			`"aim":700,"hardLimit":1500,"lateWorth":0.5,"worth":0.01,"semantics":"pure"`,
 			`"cancel":true,"maxAttempts":7,"connectTimeout":250`, `"answerSlack":5`, `"fields":["size","free"],"how":"inline"`,
@@ -66,13 +66,13 @@
 			"400"},
 		{"all off", []string{"only"}, `"aim":1000,"hardLimit":2000`, ``, ``, ``, 64, "2000"},
 	} {
-		t.Run(c.what, func(t *testing.T) {
+		t.Run(c.name, func(t *testing.T) {
 			a, b := newTestEndpoint(t, "s-0"), newTestEndpoint(t, "s-1")
 			s := startTestServer(
 				t,
 				newTestNameServer(t, 1, a, b),
 				func(set *routing.Settings, h routing.Host) routing.Policy { return router.New(set, h) },
-				c.change,
+				c.apply,
 				a,
 				b,
 			)
@@ -80,37 +80,37 @@
 			p.waitUntilReady()
 			for i, class := range c.classes {
 				id := uint64(2000 + i)
-				_, _ = p.c.Write(
+				_, _ = p.conn.Write(
 					binarymessage.Append(
 						nil,
 						binarymessage.Setup,
 						id,
 						binarymessage.TextParam(binarymessage.Class, class),
-						binarymessage.TextParam(binarymessage.Timeout, c.wait),
+						binarymessage.TextParam(binarymessage.Timeout, c.timeout),
 						binarymessage.TextParam(binarymessage.Number, fmt.Sprint(i)),
 						binarymessage.TextParam(binarymessage.Figures, "dest:1;width:1;via:-1"),
 						binarymessage.TextParam(binarymessage.Description, "offer"),
 					),
 				)
-				released := func() bool { _, _, n := countFinals(p.got[id]); return n > 0 }
+				released := func() bool { _, _, n := countFinals(p.received[id]); return n > 0 }
 				if !p.waitFor(2*time.Second, released) {
-					t.Errorf("class %q: %x", class, p.got[id])
+					t.Errorf("class %q: %x", class, p.received[id])
 				}
 			}
-			_, _ = p.c.Write(
+			_, _ = p.conn.Write(
 				binarymessage.Append(
 					nil,
 					binarymessage.Setup,
 					9000,
 					binarymessage.TextParam(binarymessage.Class, "voice"),
-					binarymessage.TextParam(binarymessage.Timeout, c.wait),
+					binarymessage.TextParam(binarymessage.Timeout, c.timeout),
 					binarymessage.TextParam(binarymessage.Number, "1"),
 					binarymessage.TextParam(binarymessage.Description, "offer"),
 				),
 			)
-			if !p.waitFor(time.Second, func() bool { return len(p.got[9000]) > 0 }) ||
-				p.got[9000][0].Type() != binarymessage.Release {
-				t.Errorf("a class that this customer does not have: %x", p.got[9000])
+			if !p.waitFor(time.Second, func() bool { return len(p.received[9000]) > 0 }) ||
+				p.received[9000][0].Type() != binarymessage.Release {
+				t.Errorf("a class that this customer does not have: %x", p.received[9000])
 			}
 		})
 	}
--- a/internal/gateway/binaryserver/nameserver_test.go
+++ b/internal/gateway/binaryserver/nameserver_test.go
@@ -11,13 +11,13 @@
 
 // testNameServer is a stand-in of a name server.
 type testNameServer struct {
-	c      *net.UDPConn
-	mu     sync.Mutex
-	serial uint32
-	list   map[*testEndpoint]uint16 // and their priorities
-	asked  int
-	silent bool
-	done   chan struct{}
+	conn       *net.UDPConn
+	mu         sync.Mutex
+	serial     uint32
+	priorities map[*testEndpoint]uint16 // and their priorities
+	queries    int
+	silent     bool
+	done       chan struct{}
 }
 
 func newTestNameServer(t *testing.T, serial uint32, of ...*testEndpoint) *testNameServer {
@@ -26,9 +26,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := &testNameServer{c: c, serial: serial, list: map[*testEndpoint]uint16{}, done: make(chan struct{})}
+	n := &testNameServer{conn: c, serial: serial, priorities: map[*testEndpoint]uint16{}, done: make(chan struct{})}
 	for _, s := range of {
-		n.list[s] = 0
+		n.priorities[s] = 0
 	}
 	go n.serve()
 	t.Cleanup(func() {
@@ -38,13 +38,13 @@
 	return n
 }
 
-func (n *testNameServer) addr() string { return n.c.LocalAddr().String() }
+func (n *testNameServer) addr() string { return n.conn.LocalAddr().String() }
 
 func (n *testNameServer) serve() {
 	defer close(n.done)
 	b := make([]byte, 1500)
 	for {
-		k, from, err := n.c.ReadFromUDPAddrPort(b)
+		k, from, err := n.conn.ReadFromUDPAddrPort(b)
 		if err != nil {
 			return
 		}
@@ -53,10 +53,10 @@
 			continue
 		}
 		n.mu.Lock()
-		n.asked++
+		n.queries++
 		m.Response, m.Compress = true, true
 		q := m.Question[0].Name
-		for s, priority := range n.list {
+		for s, priority := range n.priorities {
 			h := s.id + ".east.hosts."
 			m.Answer = append(
 				m.Answer,
@@ -87,7 +87,7 @@
 		silent := n.silent
 		n.mu.Unlock()
 		if out, err := m.Pack(); err == nil && !silent {
-			_, _ = n.c.WriteToUDPAddrPort(out, from)
+			_, _ = n.conn.WriteToUDPAddrPort(out, from)
 		}
 	}
 }
@@ -96,6 +96,6 @@
 func (n *testNameServer) setPriorities(change func(map[*testEndpoint]uint16)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	change(n.list)
+	change(n.priorities)
 	n.serial++
 }
--- a/internal/gateway/binaryserver/reload.go
+++ b/internal/gateway/binaryserver/reload.go
@@ -3,23 +3,23 @@
 import "cobaltpier/internal/gateway/binaryconfig"
 
 const (
-	maxReloads     = 20   // attempts to read a configuration that can't be used: it may be incomplete as yet
-	reloadInterval = 50.0 // ms between two
+	maxReloadAttempts   = 20   // attempts to read a configuration that can't be used: it may be incomplete as yet
+	reloadRetryInterval = 50.0 // ms between two
 )
 
 // reload follows the name server that a replaced configuration names. One that can't be used changes nothing, and is
 // read again soon, since whoever replaces the file may not be done.
 func (s *Server) reload() {
-	s.reloadsLeft--
-	s.nextReloadAt = s.now() + reloadInterval
+	s.reloadAttemptsLeft--
+	s.nextReloadAt = s.now() + reloadRetryInterval
 	config, err := binaryconfig.Load(s.configPath)
 	if err != nil {
-		if s.reloadsLeft == 0 {
+		if s.reloadAttemptsLeft == 0 {
 			s.log.Error().Err(err).Msg("new configuration not used")
 		}
 		return
 	}
-	s.reloadsLeft = 0
+	s.reloadAttemptsLeft = 0
 	if config.Nameserver != s.discovery.Server {
 		s.discovery.SetServer(config.Nameserver)
 	}
--- a/internal/gateway/binaryserver/server.go
+++ b/internal/gateway/binaryserver/server.go
@@ -65,8 +65,8 @@
 	shutdownAt float64 // when the shutdown was requested
 	stageSince float64
 
-	reloadsLeft  int // attempts to read a configuration that could not be used
-	nextReloadAt float64
+	reloadAttemptsLeft int // attempts to read a configuration that could not be used
+	nextReloadAt       float64
 }
 
 // Run runs a gateway by a configuration that was read from a file, until a shutdown has ended or ctx is done.
@@ -81,8 +81,8 @@
 	}
 	s.gateway = s.newGateway(newPolicy)
 	serial := uint32(0)
-	for i := range config.Known {
-		serial = config.Known[i].Serial
+	for i := range config.InitialLists {
+		serial = config.InitialLists[i].Serial
 	}
 	s.discovery = dnsdiscovery.New(config.Nameserver, serial, config.Settings.Seed)
 	if err := s.listen(); err != nil {
@@ -91,8 +91,8 @@
 	defer s.streams.Close()
 	defer s.datagrams.Close()
 	defer s.events.close()
-	for i := range config.Known {
-		s.gateway.OnEndpointList(s.now(), &config.Known[i])
+	for i := range config.InitialLists {
+		s.gateway.OnEndpointList(s.now(), &config.InitialLists[i])
 	}
 	log.Info().Str("listen", config.Listen.String()).Int("gateway_index", config.Settings.GatewayIndex).
 		Int("gateways", config.Settings.Gateways).Uint32("list_serial", serial).
@@ -181,7 +181,7 @@
 	if query := s.discovery.Query(now); query != nil {
 		s.datagrams.Send(s.queryAddr, s.discovery.Server, query)
 	}
-	if s.reloadsLeft > 0 && now >= s.nextReloadAt {
+	if s.reloadAttemptsLeft > 0 && now >= s.nextReloadAt {
 		s.reload()
 	}
 	s.advanceShutdown(now)
--- a/internal/gateway/binaryserver/server_test.go
+++ b/internal/gateway/binaryserver/server_test.go
@@ -40,7 +40,7 @@
 		p.waitFor(20*time.Second, func() bool { return p.countEnded() >= calls })
 		established := 0
 		for id := uint64(firstID); id < firstID+calls; id++ {
-			answers, refusals, releases := countFinals(p.got[id])
+			answers, refusals, releases := countFinals(p.received[id])
 			if answers+refusals != 1 || releases != answers {
 				t.Errorf("call %d: %d answers, %d refusals, %d releases", id, answers, refusals, releases)
 			}
@@ -69,7 +69,7 @@
 	}
 	for seed := uint64(0); len(wire) > 0; seed++ {
 		n := min(len(wire), 1+int(detrand.Float64(7, seed)*700))
-		if _, err := p.c.Write(wire[:n]); err != nil {
+		if _, err := p.conn.Write(wire[:n]); err != nil {
 			return
 		}
 		wire = wire[n:]
@@ -79,7 +79,7 @@
 
 // countEnded is how many calls were refused, or established and released.
 func (p *testClient) countEnded() (n int) {
-	for _, messages := range p.got {
+	for _, messages := range p.received {
 		answers, refusals, releases := countFinals(messages)
 		if refusals > 0 || answers > 0 && releases > 0 {
 			n++
@@ -129,26 +129,26 @@
 			p := s.dial()
 			go func() { // at full speed, and nobody cares whether it arrives
 				for range 60 {
-					if _, err := p.c.Write(wire); err != nil || len(wire) < len(big) {
+					if _, err := p.conn.Write(wire); err != nil || len(wire) < len(big) {
 						return
 					}
 				}
 			}()
-			over := func() bool { return !p.open || len(p.got) > 0 }
+			over := func() bool { return !p.open || len(p.received) > 0 }
 			if !p.waitFor(3*time.Second, over) {
 				t.Error("neither an answer nor a close")
 			}
-			for _, of := range p.got {
+			for _, of := range p.received {
 				if answers, _, _ := countFinals(of); answers > 0 {
 					t.Error("served")
 				}
 			}
 		})
 		id := uint64(len(what)) + 5000 + detrand.Hash(uint64(len(wire)))%1000
-		_, _ = usual.c.Write(setupMessage(id))
-		if !usual.waitFor(2*time.Second, func() bool { return len(usual.got[id]) > 0 }) ||
-			usual.got[id][0].Type() != binarymessage.Answer {
-			t.Errorf("%s: a usual caller got %x", what, usual.got[id])
+		_, _ = usual.conn.Write(setupMessage(id))
+		if !usual.waitFor(2*time.Second, func() bool { return len(usual.received[id]) > 0 }) ||
+			usual.received[id][0].Type() != binarymessage.Answer {
+			t.Errorf("%s: a usual caller got %x", what, usual.received[id])
 		}
 	}
 }
@@ -173,18 +173,18 @@
 					binarymessage.Append(nil, binarymessage.Release, first+i, binarymessage.CauseParam(binarymessage.Normal))...)
 			}
 		}
-		go func() { _, _ = p.c.Write(wire) }()
+		go func() { _, _ = p.conn.Write(wire) }()
 		time.Sleep(20 * time.Millisecond)
 		id := uint64(9000 + round)
-		_, _ = usual.c.Write(setupMessage(id))
-		if !usual.waitFor(1600*time.Millisecond, func() bool { return len(usual.got[id]) > 0 }) {
+		_, _ = usual.conn.Write(setupMessage(id))
+		if !usual.waitFor(1600*time.Millisecond, func() bool { return len(usual.received[id]) > 0 }) {
 			t.Errorf("taken back %v: a usual caller has no answer", back)
 		}
-		p.waitFor(3*time.Second, func() bool { return !back && len(p.got) == many })
-		if !back && len(p.got) != many {
-			t.Errorf("%d of %d have an answer", len(p.got), many)
+		p.waitFor(3*time.Second, func() bool { return !back && len(p.received) == many })
+		if !back && len(p.received) != many {
+			t.Errorf("%d of %d have an answer", len(p.received), many)
 		}
-		for id, of := range p.got {
+		for id, of := range p.received {
 			if answers, refusals, _ := countFinals(of); answers+refusals > 1 {
 				t.Errorf("taken back %v: call %x has %d answers and %d refusals", back, id, answers, refusals)
 			}
@@ -193,8 +193,8 @@
 	p := s.dial()
 	for n := range uint64(200) { // the same again as soon as it is rejected
 		id := uint64(5)<<40 + n
-		_, _ = p.c.Write(setupMessage(id, binarymessage.TextParam(binarymessage.RetryAfter, "0")))
-		if !p.waitFor(2*time.Second, func() bool { return len(p.got[id]) > 0 }) {
+		_, _ = p.conn.Write(setupMessage(id, binarymessage.TextParam(binarymessage.RetryAfter, "0")))
+		if !p.waitFor(2*time.Second, func() bool { return len(p.received[id]) > 0 }) {
 			t.Fatalf("repeat %d has no answer", n)
 		}
 	}
@@ -210,14 +210,14 @@
 // gossipPolicy is a module that hears other gateways and says something to them.
 type gossipPolicy struct {
 	routing.Policy
-	h     routing.Host
-	heard chan string
+	host     routing.Host
+	received chan string
 }
 
 func (m *gossipPolicy) OnGossip(_ float64, from int, b []byte) {
-	m.heard <- fmt.Sprintf("%d %s", from, b)
-	m.h.SendGossip(from, append([]byte("re "), b...))
-	m.h.SendGossip(from, make([]byte, 257))
+	m.received <- fmt.Sprintf("%d %s", from, b)
+	m.host.SendGossip(from, append([]byte("re "), b...))
+	m.host.SendGossip(from, make([]byte, 257))
 }
 
 // Other gateways are known by the addresses that their messages come from; what comes from elsewhere counts for
@@ -237,7 +237,7 @@
 	own := freePort(t)
 	heard := make(chan string, 10)
 	s := startTestServer(t, newTestNameServer(t, 1, a), func(set *routing.Settings, h routing.Host) routing.Policy {
-		return &gossipPolicy{Policy: router.New(set, h), h: h, heard: heard}
+		return &gossipPolicy{Policy: router.New(set, h), host: h, received: heard}
 	}, func(doc map[string]any) {
 		doc["peer_listen"], doc["peers"] = own, []string{own, peer.LocalAddr().String()}
 		doc["settings"] = json.RawMessage(
@@ -284,10 +284,10 @@
 		defer c.Close()
 	}
 	p := s.dial()
-	_, _ = p.c.Write(setupMessage(4242))
-	if !p.waitFor(2*time.Second, func() bool { return len(p.got[4242]) > 0 }) ||
-		p.got[4242][0].Type() != binarymessage.Answer {
-		t.Errorf("a usual caller among a silent crowd got %x, connection open %v", p.got[4242], p.open)
+	_, _ = p.conn.Write(setupMessage(4242))
+	if !p.waitFor(2*time.Second, func() bool { return len(p.received[4242]) > 0 }) ||
+		p.received[4242][0].Type() != binarymessage.Answer {
+		t.Errorf("a usual caller among a silent crowd got %x, connection open %v", p.received[4242], p.open)
 	}
 }
 
@@ -302,12 +302,12 @@
 	next := uint64(1 << 30)
 	to := func() (served string) {
 		next += 2 // the destination is s-0 every time
-		_, _ = p.c.Write(setupMessage(next))
-		p.waitFor(2*time.Second, func() bool { return len(p.got[next]) > 0 })
-		if len(p.got[next]) == 0 {
+		_, _ = p.conn.Write(setupMessage(next))
+		p.waitFor(2*time.Second, func() bool { return len(p.received[next]) > 0 })
+		if len(p.received[next]) == 0 {
 			return "nothing"
 		}
-		return p.got[next][0].Text(binarymessage.Description)
+		return p.received[next][0].Text(binarymessage.Description)
 	}
 	if got := to(); got != "answer of s-0" {
 		t.Fatalf("before: %q", got)
@@ -319,15 +319,15 @@
 	}
 	ns.setPriorities(func(l map[*testEndpoint]uint16) { l[a] = 0 })
 	time.Sleep(600 * time.Millisecond)
-	s.doc["nameserver"] = "nowhere"
-	s.write()
+	s.config["nameserver"] = "nowhere"
+	s.writeConfig()
 	s.signals <- Reload
 	time.Sleep(300 * time.Millisecond)
 	if got := to(); got != "answer of s-0" {
 		t.Errorf("after a bad configuration: %q", got)
 	}
-	s.doc["nameserver"] = other.addr()
-	s.write()
+	s.config["nameserver"] = other.addr()
+	s.writeConfig()
 	s.signals <- Reload
 	time.Sleep(600 * time.Millisecond)
 	if got := to(); got != "answer of s-1" {
@@ -344,23 +344,23 @@
 	s.signals <- Shutdown
 	time.Sleep(300 * time.Millisecond)
 	q := s.dial() // connections keep coming
-	_, _ = q.c.Write(append(setupMessage(600), binarymessage.Append(nil, binarymessage.HealthCheck, 601,
+	_, _ = q.conn.Write(append(setupMessage(600), binarymessage.Append(nil, binarymessage.HealthCheck, 601,
 		binarymessage.CauseParam(0))...))
-	if !q.waitFor(time.Second, func() bool { return len(q.got[600]) > 0 && len(q.got[601]) > 0 }) ||
-		q.got[600][0].Type() != binarymessage.Answer ||
-		q.got[601][0].Cause() != 0 {
-		t.Errorf("after 0.3 s: %x", q.got)
+	if !q.waitFor(time.Second, func() bool { return len(q.received[600]) > 0 && len(q.received[601]) > 0 }) ||
+		q.received[600][0].Type() != binarymessage.Answer ||
+		q.received[601][0].Cause() != 0 {
+		t.Errorf("after 0.3 s: %x", q.received)
 	}
 	time.Sleep(550 * time.Millisecond)
-	_, _ = p.c.Write(setupMessage(602))
-	if !p.waitFor(time.Second, func() bool { return len(p.got[602]) > 0 }) ||
-		p.got[602][0].Type() != binarymessage.Release ||
-		p.got[602][0].Cause() != binarymessage.Congested {
-		t.Errorf("after 0.85 s: %x", p.got[602])
+	_, _ = p.conn.Write(setupMessage(602))
+	if !p.waitFor(time.Second, func() bool { return len(p.received[602]) > 0 }) ||
+		p.received[602][0].Type() != binarymessage.Release ||
+		p.received[602][0].Cause() != binarymessage.Congested {
+		t.Errorf("after 0.85 s: %x", p.received[602])
 	}
 	select {
-	case err := <-s.ended:
-		s.ended <- err
+	case err := <-s.result:
+		s.result <- err
 		if err != nil {
 			t.Error(err)
 		}
@@ -372,7 +372,7 @@
 // A gateway that leaves stays for the established calls, and passes their releases on, but no longer than it may.
 func TestShutdownWithCalls(t *testing.T) {
 	a, b := newTestEndpoint(t, "s-0"), newTestEndpoint(t, "s-1")
-	a.hold, b.hold = 1800*time.Millisecond, 1800*time.Millisecond
+	a.holdingTime, b.holdingTime = 1800*time.Millisecond, 1800*time.Millisecond
 	a.faultOf = func(n int) fault {
 		if n == 2 {
 			return faultSilent
@@ -382,17 +382,17 @@
 	s := newTestServer(t, newTestNameServer(t, 1, a, b), a, b)
 	p := s.dial()
 	p.waitUntilReady()
-	_, _ = p.c.Write(setupMessage(700))
-	p.waitFor(time.Second, func() bool { return len(p.got[700]) > 0 })
+	_, _ = p.conn.Write(setupMessage(700))
+	p.waitFor(time.Second, func() bool { return len(p.received[700]) > 0 })
 	s.signals <- Shutdown
 	time.Sleep(400 * time.Millisecond)
-	_, _ = p.c.Write(setupMessage(702, binarymessage.Param{Code: binarymessage.Note}))
-	if !p.waitFor(3*time.Second, func() bool { return len(p.got[700]) > 1 }) {
-		t.Errorf("the release of a call that stood did not pass: %x", p.got[700])
+	_, _ = p.conn.Write(setupMessage(702, binarymessage.Param{Code: binarymessage.Note}))
+	if !p.waitFor(3*time.Second, func() bool { return len(p.received[700]) > 1 }) {
+		t.Errorf("the release of a call that stood did not pass: %x", p.received[700])
 	}
-	if !p.waitFor(2*time.Second, func() bool { return !p.open && len(p.got[702]) > 0 }) ||
-		p.got[702][0].Type() != binarymessage.Release {
-		t.Errorf("a call that no switch answers got %x, open %v", p.got[702], p.open)
+	if !p.waitFor(2*time.Second, func() bool { return !p.open && len(p.received[702]) > 0 }) ||
+		p.received[702][0].Type() != binarymessage.Release {
+		t.Errorf("a call that no switch answers got %x, open %v", p.received[702], p.open)
 	}
 }
 
@@ -401,13 +401,13 @@
 	a := newTestEndpoint(t, "s-0")
 	s := newTestServer(t, newTestNameServer(t, 1, a), a)
 	s.dial().waitUntilReady()
-	cfg, err := binaryconfig.Load(s.file)
+	cfg, err := binaryconfig.Load(s.configPath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	err = Run(
 		context.Background(),
-		s.file,
+		s.configPath,
 		cfg,
 		func(set *routing.Settings, h routing.Host) routing.Policy { return router.New(set, h) },
 		zerolog.Nop(),
--- a/internal/gateway/binaryserver/shutdown.go
+++ b/internal/gateway/binaryserver/shutdown.go
@@ -9,7 +9,7 @@
 func (s *Server) handleSignal(signal Signal) {
 	switch {
 	case signal == Reload:
-		s.reloadsLeft = maxReloads
+		s.reloadAttemptsLeft = maxReloadAttempts
 		s.reload()
 	case s.stage == shutdown.Serving:
 		s.log.Info().Msg("graceful shutdown begins")
--- a/internal/gateway/binaryserver/standins_test.go
+++ b/internal/gateway/binaryserver/standins_test.go
@@ -44,7 +44,7 @@
 	established     map[uint64]bool
 	setups          int
 	faultOf         func(n int) fault // of the n-th setup; nil: none
-	hold            time.Duration     // that a call stays established
+	holdingTime     time.Duration     // that a call stays established
 	goroutines      sync.WaitGroup
 }
 
@@ -63,7 +63,7 @@
 		listener:    l,
 		conns:       map[*testEndpointConn]struct{}{},
 		established: map[uint64]bool{},
-		hold:        50 * time.Millisecond,
+		holdingTime: 50 * time.Millisecond,
 	}
 	e.goroutines.Add(1)
 	go e.accept()
@@ -213,7 +213,7 @@
 	default:
 		description := binarymessage.TextParam(binarymessage.Description, "answer of "+e.id)
 		c.send(binarymessage.Answer, id, description, testEndpointLoad)
-		time.AfterFunc(e.hold, func() { e.release(id, c) })
+		time.AfterFunc(e.holdingTime, func() { e.release(id, c) })
 	}
 }
 
@@ -224,12 +224,12 @@
 // testServer is a gateway that a test runs.
 type testServer struct {
 	*testing.T
-	addr    string
-	file    string
-	doc     map[string]any
-	signals chan Signal
-	ended   chan error
-	cancel  context.CancelFunc
+	addr       string
+	configPath string
+	config     map[string]any
+	signals    chan Signal
+	result     chan error
+	cancel     context.CancelFunc
 }
 
 func freePort(t *testing.T) string {
@@ -257,26 +257,26 @@
 	endpoints ...*testEndpoint) *testServer {
 	t.Helper()
 	s := &testServer{
-		T:       t,
-		addr:    freePort(t),
-		file:    filepath.Join(t.TempDir(), "config.json"),
-		signals: make(chan Signal, 4),
-		ended:   make(chan error, 1),
+		T:          t,
+		addr:       freePort(t),
+		configPath: filepath.Join(t.TempDir(), "config.json"),
+		signals:    make(chan Signal, 4),
+		result:     make(chan error, 1),
 	}
-	s.doc = testConfig(s.addr, ns.addr(), endpoints)
-	change(s.doc)
-	s.write()
-	config, err := binaryconfig.Load(s.file)
+	s.config = testConfig(s.addr, ns.addr(), endpoints)
+	change(s.config)
+	s.writeConfig()
+	config, err := binaryconfig.Load(s.configPath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
-	go func() { s.ended <- Run(ctx, s.file, config, newPolicy, zerolog.Nop(), s.signals) }()
+	go func() { s.result <- Run(ctx, s.configPath, config, newPolicy, zerolog.Nop(), s.signals) }()
 	t.Cleanup(func() {
 		cancel()
 		select {
-		case err := <-s.ended:
+		case err := <-s.result:
 			if err != nil {
 				t.Error(err)
 			}
@@ -317,10 +317,10 @@
 	}
 }
 
-func (s *testServer) write() {
-	b, err := json.Marshal(s.doc)
+func (s *testServer) writeConfig() {
+	b, err := json.Marshal(s.config)
 	if err == nil {
-		err = os.WriteFile(s.file, b, 0o600)
+		err = os.WriteFile(s.configPath, b, 0o600)
 	}
 	if err != nil {
 		s.Fatal(err)
@@ -329,11 +329,11 @@
 
 // testClient is one connection of a caller.
 type testClient struct {
-	t    *testing.T
-	c    net.Conn
-	r    binarymessage.Reader
-	got  map[uint64][]binarymessage.Message
-	open bool
+	t        *testing.T
+	conn     net.Conn
+	reader   binarymessage.Reader
+	received map[uint64][]binarymessage.Message
+	open     bool
 }
 
 func (s *testServer) dial() *testClient {
@@ -342,7 +342,7 @@
 		c, err := net.Dial("tcp", s.addr)
 		if err == nil {
 			s.Cleanup(func() { c.Close() })
-			return &testClient{t: s.T, c: c, got: map[uint64][]binarymessage.Message{}, open: true}
+			return &testClient{t: s.T, conn: c, received: map[uint64][]binarymessage.Message{}, open: true}
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -369,10 +369,10 @@
 func (p *testClient) waitFor(within time.Duration, enough func() bool) bool {
 	b := make([]byte, 4096)
 	for end := time.Now().Add(within); p.open && !enough() && time.Now().Before(end); {
-		_ = p.c.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
-		n, err := p.c.Read(b)
-		if ferr := p.r.Feed(b[:n], func(m binarymessage.Message) bool {
-			p.got[m.Call()] = append(p.got[m.Call()], append(binarymessage.Message(nil), m...))
+		_ = p.conn.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
+		n, err := p.conn.Read(b)
+		if ferr := p.reader.Feed(b[:n], func(m binarymessage.Message) bool {
+			p.received[m.Call()] = append(p.received[m.Call()], append(binarymessage.Message(nil), m...))
 			return true
 		}); ferr != nil {
 			p.t.Errorf("the caller was sent what is no message: %v", ferr)
@@ -388,13 +388,13 @@
 // waitUntilReady waits for the gateway to pass a test.
 func (p *testClient) waitUntilReady() {
 	p.t.Helper()
-	_, _ = p.c.Write(binarymessage.Append(nil, binarymessage.HealthCheck, 9, binarymessage.CauseParam(0)))
-	if !p.waitFor(3*time.Second, func() bool { return len(p.got[9]) > 0 }) ||
-		p.got[9][0].Type() != binarymessage.HealthResult ||
-		p.got[9][0].Cause() != 1 {
-		p.t.Fatalf("the test was answered with %x", p.got[9])
+	_, _ = p.conn.Write(binarymessage.Append(nil, binarymessage.HealthCheck, 9, binarymessage.CauseParam(0)))
+	if !p.waitFor(3*time.Second, func() bool { return len(p.received[9]) > 0 }) ||
+		p.received[9][0].Type() != binarymessage.HealthResult ||
+		p.received[9][0].Cause() != 1 {
+		p.t.Fatalf("the test was answered with %x", p.received[9])
 	}
-	delete(p.got, 9)
+	delete(p.received, 9)
 }
 
 // countFinals are a call's final answers, and whether it was released after it stood.
--- a/internal/gateway/reactor/reactor.go
+++ b/internal/gateway/reactor/reactor.go
@@ -27,8 +27,8 @@
 	Lost       atomic.Uint64                       // datagrams that the kernel did not take
 }
 
-// readBuffer is what a socket may hold for us while the loop is busy; the kernel may allow less.
-const readBuffer = 4 << 20
+// udpReceiveBufferSize is what a socket may hold for us while the loop is busy; the kernel may allow less.
+const udpReceiveBufferSize = 4 << 20
 
 var silenceLibraryLog = sync.OnceFunc(func() { logging.SetLevel(logging.LevelNone) })
 
@@ -78,7 +78,7 @@
 	if err != nil {
 		return nil, err
 	}
-	_ = c.SetReadBuffer(readBuffer) // as much as the kernel allows
+	_ = c.SetReadBuffer(udpReceiveBufferSize) // as much as the kernel allows
 	f, err := c.File()
 	if err != nil {
 		c.Close()
--- a/internal/gateway/reactor/reactor_test.go
+++ b/internal/gateway/reactor/reactor_test.go
@@ -7,7 +7,7 @@
 )
 
 // Datagrams go there and back, also to an address that was never heard; an address in use is a clear error.
-func TestSockets(t *testing.T) {
+func TestUDPSockets(t *testing.T) {
 	a, b := netip.MustParseAddrPort("127.0.0.1:0"), netip.MustParseAddrPort("127.71.0.2:19061")
 	got := make(chan string, 16)
 	s, err := Listen(
--- a/internal/gateway/reactor/stream.go
+++ b/internal/gateway/reactor/stream.go
@@ -70,7 +70,7 @@
 // dialGrace is how long after its timeout a dial is ended here, ms: whoever dialed decides first.
 const dialGrace = 100
 
-const streamBuffer = 16 << 10
+const streamReadBufferSize = 16 << 10
 
 // ServeStreams listens on an address, by one poller. No more than most connections are accepted at a time: what comes
 // beyond waits in the kernel. A dial that is not up within so many ms ends.
@@ -85,7 +85,7 @@
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	// The library's own listener is not used: where descriptors have run out it accepts without a pause, and it hands a
 	// connection that was closed meanwhile to the poller.
-	s.engine = nbio.NewEngine(nbio.Config{Name: "streams", NPoller: 1, ReadBufferSize: streamBuffer})
+	s.engine = nbio.NewEngine(nbio.Config{Name: "streams", NPoller: 1, ReadBufferSize: streamReadBufferSize})
 	s.engine.OnData(func(c *nbio.Conn, b []byte) {
 		if stream, ok := c.Session().(*Stream); ok && !stream.closed.Load() {
 			s.reportOpen(stream)
@@ -97,7 +97,7 @@
 			h.Flushed(stream)
 		}
 	})
-	s.engine.OnClose(s.closed)
+	s.engine.OnClose(s.onClose)
 	l, err := net.ListenTCP("tcp",
 		net.TCPAddrFromAddrPort(addr)) // first: an engine that is stopped as it starts may never end
 	if err != nil {
@@ -117,8 +117,8 @@
 const maxOpenFiles = 1 << 16
 
 const (
-	acceptRetry = 20 * time.Millisecond // between two tries to accept while the process has no descriptor left
-	acceptIdle  = 20 * time.Millisecond // without a newcomer: whoever connected before the end has been accepted
+	acceptRetryInterval = 20 * time.Millisecond // between two tries to accept while the process has no descriptor left
+	acceptIdleTimeout   = 20 * time.Millisecond // without a newcomer: whoever connected before the end has been accepted
 )
 
 // accept takes connections, each into a place of its own, till nobody comes after StopAccept.
@@ -134,7 +134,7 @@
 		}
 		last, since := s.stopAccepting.Load(), time.Now()
 		if last {
-			_ = s.listener.SetDeadline(since.Add(acceptIdle))
+			_ = s.listener.SetDeadline(since.Add(acceptIdleTimeout))
 		}
 		c, err := s.listener.Accept()
 		if err == nil {
@@ -147,12 +147,12 @@
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			// the deadline of StopAccept only wakes this loop, and what is pending is not seen past it
-			if last && time.Since(since) >= acceptIdle {
+			if last && time.Since(since) >= acceptIdleTimeout {
 				return
 			}
 		default:
 			select {
-			case <-time.After(acceptRetry):
+			case <-time.After(acceptRetryInterval):
 			case <-s.ctx.Done():
 				return
 			}
@@ -210,7 +210,7 @@
 	s.reportOpen(stream)
 }
 
-func (s *Streams) closed(c *nbio.Conn, err error) {
+func (s *Streams) onClose(c *nbio.Conn, err error) {
 	if stream, ok := c.Session().(*Stream); ok {
 		s.reportClosed(stream, err)
 	}
--- a/internal/gateway/reactor/stream_test.go
+++ b/internal/gateway/reactor/stream_test.go
@@ -13,43 +13,47 @@
 	"time"
 )
 
-// ears is a handler that notes what it hears.
-type ears struct {
-	told      func(*Stream) // done when a stream is told of, before anything else
+// recordingHandler is a handler that notes what it hears.
+type recordingHandler struct {
+	onOpen    func(*Stream) // done when a stream is told of, before anything else
 	mu        sync.Mutex
 	accepted  []*Stream
 	connected int
-	left      int
+	flushed   int
 	data      bytes.Buffer
 	closed    []error
 }
 
-func (e *ears) Accepted(s *Stream, _ netip.Addr) {
-	if e.told != nil {
-		e.told(s)
+func (e *recordingHandler) Accepted(s *Stream, _ netip.Addr) {
+	if e.onOpen != nil {
+		e.onOpen(s)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.accepted = append(e.accepted, s)
 }
-func (e *ears) Connected(s *Stream) {
-	if e.told != nil {
-		e.told(s)
+func (e *recordingHandler) Connected(s *Stream) {
+	if e.onOpen != nil {
+		e.onOpen(s)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.connected++
 }
-func (e *ears) Data(_ *Stream, b []byte) { e.mu.Lock(); defer e.mu.Unlock(); e.data.Write(b) }
-func (e *ears) Flushed(*Stream)          { e.mu.Lock(); defer e.mu.Unlock(); e.left++ }
-func (e *ears) Closed(_ *Stream, err error) {
+func (e *recordingHandler) Data(_ *Stream, b []byte) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.data.Write(b)
+}
+func (e *recordingHandler) Flushed(*Stream) { e.mu.Lock(); defer e.mu.Unlock(); e.flushed++ }
+func (e *recordingHandler) Closed(_ *Stream, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.closed = append(e.closed, err)
 }
 
-// until waits for something that the pollers bring.
-func (e *ears) until(t *testing.T, what string, is func() bool) {
+// waitFor waits for something that the pollers bring.
+func (e *recordingHandler) waitFor(t *testing.T, what string, is func() bool) {
 	t.Helper()
 	for range 400 {
 		e.mu.Lock()
@@ -63,9 +67,11 @@
 	t.Errorf("%s: never", what)
 }
 
-func serve(t *testing.T, most int) (*Streams, *ears) { return serveTo(t, most, &ears{}) }
+func newTestStreams(t *testing.T, most int) (*Streams, *recordingHandler) {
+	return newTestStreamsFor(t, most, &recordingHandler{})
+}
 
-func serveTo(t *testing.T, most int, e *ears) (*Streams, *ears) {
+func newTestStreamsFor(t *testing.T, most int, e *recordingHandler) (*Streams, *recordingHandler) {
 	t.Helper()
 	s, err := ServeStreams(netip.MustParseAddrPort("127.0.0.1:0"), most, 300, e)
 	if err != nil {
@@ -77,7 +83,7 @@
 
 // A dial reaches the very address that it names: the library's own does not.
 func TestDial(t *testing.T) {
-	s, e := serve(t, 4)
+	s, e := newTestStreams(t, 4)
 	l, err := net.Listen("tcp", "127.0.0.7:0")
 	if err != nil {
 		t.Fatal(err)
@@ -90,7 +96,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	e.until(t, "connected", func() bool { return e.connected == 1 })
+	e.waitFor(t, "connected", func() bool { return e.connected == 1 })
 	if !stream.Write([]byte("hello")) {
 		t.Error("five bytes did not leave at once")
 	}
@@ -99,16 +105,16 @@
 		t.Errorf("%q %v", b, err)
 	}
 	_, _ = c.Write([]byte("you"))
-	e.until(t, "data", func() bool { return e.data.String() == "you" })
+	e.waitFor(t, "data", func() bool { return e.data.String() == "you" })
 	c.Close()
-	e.until(t, "closed", func() bool { return len(e.closed) == 1 })
+	e.waitFor(t, "closed", func() bool { return len(e.closed) == 1 })
 	if stream.Write([]byte("x")) {
 		t.Error("a write to a closed stream left")
 	}
 }
 
 func TestRefused(t *testing.T) {
-	s, e := serve(t, 4)
+	s, e := newTestStreams(t, 4)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -116,15 +122,15 @@
 	to := netip.MustParseAddrPort(l.Addr().String())
 	l.Close()
 	s.Dial(&Stream{}, to)
-	e.until(t, "closed", func() bool { return len(e.closed) == 1 })
+	e.waitFor(t, "closed", func() bool { return len(e.closed) == 1 })
 	if len(e.closed) != 1 || !IsRefused(e.closed[0]) || e.connected != 0 {
 		t.Errorf("closed %v, connected %d", e.closed, e.connected)
 	}
 }
 
 // A dial that is shut before it is up is heard of no more.
-func TestShutDial(t *testing.T) {
-	s, e := serve(t, 4)
+func TestCloseBeforePeerAccepts(t *testing.T) {
+	s, e := newTestStreams(t, 4)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -132,7 +138,7 @@
 	defer l.Close()
 	stream := &Stream{}
 	s.Dial(stream, netip.MustParseAddrPort(l.Addr().String()))
-	e.until(t, "connected", func() bool { return e.connected == 1 })
+	e.waitFor(t, "connected", func() bool { return e.connected == 1 })
 	stream.Close()
 	c, err := l.Accept()
 	if err != nil {
@@ -151,14 +157,14 @@
 }
 
 // Bytes that a slow reader does not take are told when they have left.
-func TestLeft(t *testing.T) {
-	s, e := serve(t, 4)
+func TestFlushedToSlowReader(t *testing.T) {
+	s, e := newTestStreams(t, 4)
 	c, err := net.Dial("tcp", s.Local.String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	e.until(t, "accepted", func() bool { return len(e.accepted) == 1 })
+	e.waitFor(t, "accepted", func() bool { return len(e.accepted) == 1 })
 	stream := e.accepted[0]
 	const size = 32 << 20
 	if stream.Write(make([]byte, size)) {
@@ -170,12 +176,12 @@
 	if n, err := io.CopyN(io.Discard, c, size); err != nil {
 		t.Errorf("%d bytes came: %v", n, err)
 	}
-	e.until(t, "left", func() bool { return e.left > 0 && stream.IsFlushed() })
+	e.waitFor(t, "left", func() bool { return e.flushed > 0 && stream.IsFlushed() })
 }
 
 // No more connections are accepted than there is room for; when one ends the next gets in.
-func TestRoom(t *testing.T) {
-	s, e := serve(t, 2)
+func TestMaxAccepted(t *testing.T) {
+	s, e := newTestStreams(t, 2)
 	for range 3 {
 		c, err := net.Dial("tcp", s.Local.String())
 		if err != nil {
@@ -183,7 +189,7 @@
 		}
 		defer c.Close()
 	}
-	e.until(t, "two accepted", func() bool { return len(e.accepted) == 2 })
+	e.waitFor(t, "two accepted", func() bool { return len(e.accepted) == 2 })
 	time.Sleep(50 * time.Millisecond)
 	e.mu.Lock()
 	n := len(e.accepted)
@@ -193,15 +199,15 @@
 		t.Errorf("%d were accepted", n)
 	}
 	first.Close() // from here
-	e.until(t, "the third accepted", func() bool { return len(e.accepted) == 3 })
+	e.waitFor(t, "the third accepted", func() bool { return len(e.accepted) == 3 })
 }
 
 // Whoever is told of a stream may use it at once: what it writes in that very instant leaves, also what the socket does
 // not take at once, and one that it shuts gives back its place and harms no other.
-func TestUsedWhenTold(t *testing.T) {
+func TestWriteWhenOpened(t *testing.T) {
 	const size = 16 << 20
 	for _, dialled := range []bool{false, true} {
-		s, e := serveTo(t, 4, &ears{told: func(stream *Stream) { stream.Write(make([]byte, size)) }})
+		s, e := newTestStreamsFor(t, 4, &recordingHandler{onOpen: func(stream *Stream) { stream.Write(make([]byte, size)) }})
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -222,22 +228,22 @@
 		if n, err := io.CopyN(io.Discard, c, size); err != nil {
 			t.Errorf("dialled %v: %d bytes came: %v", dialled, n, err)
 		}
-		e.until(t, "left", func() bool { return e.left > 0 })
+		e.waitFor(t, "left", func() bool { return e.flushed > 0 })
 	}
 }
 
-func TestShutWhenTold(t *testing.T) {
+func TestCloseWhenAccepted(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	e := &ears{}
-	s, _ := serveTo(t, 2, e)
+	e := &recordingHandler{}
+	s, _ := newTestStreamsFor(t, 2, e)
 	other := make(chan net.Conn, 1)
 	var first atomic.Bool
 	e.mu.Lock()
-	e.told = func(stream *Stream) {
+	e.onOpen = func(stream *Stream) {
 		if first.Swap(true) {
 			return
 		}
@@ -247,7 +253,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-		e.until(t, "connected", func() bool { return e.connected == 1 })
+		e.waitFor(t, "connected", func() bool { return e.connected == 1 })
 		other <- c
 	}
 	e.mu.Unlock()
@@ -258,9 +264,9 @@
 	defer c.Close()
 	o := <-other
 	defer o.Close()
-	e.until(t, "the one that was shut was told of", func() bool { return len(e.accepted) == 1 })
+	e.waitFor(t, "the one that was shut was told of", func() bool { return len(e.accepted) == 1 })
 	_, _ = o.Write([]byte("mine"))
-	e.until(t, "the other is heard", func() bool { return e.data.String() == "mine" })
+	e.waitFor(t, "the other is heard", func() bool { return e.data.String() == "mine" })
 	for range 2 { // its place is free
 		c, err := net.Dial("tcp", s.Local.String())
 		if err != nil {
@@ -268,21 +274,21 @@
 		}
 		defer c.Close()
 	}
-	e.until(t, "two more accepted", func() bool { return len(e.accepted) == 3 })
+	e.waitFor(t, "two more accepted", func() bool { return len(e.accepted) == 3 })
 }
 
-// starvedListener has no descriptor left for the first accepts.
-type starvedListener struct {
+// failingListener has no descriptor left for the first accepts.
+type failingListener struct {
 	listener
-	mu    sync.Mutex
-	fails int
-	asked int
+	mu       sync.Mutex
+	failures int
+	attempts int
 }
 
-func (l *starvedListener) Accept() (net.Conn, error) {
+func (l *failingListener) Accept() (net.Conn, error) {
 	l.mu.Lock()
-	l.asked++
-	fails := l.asked <= l.fails
+	l.attempts++
+	fails := l.attempts <= l.failures
 	l.mu.Unlock()
 	if fails {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
@@ -291,8 +297,8 @@
 }
 
 // Where descriptors have run out the next try waits, and whoever waits in the kernel gets in once there are some again.
-func TestStarved(t *testing.T) {
-	s, e := serve(t, 2)
+func TestAcceptWithoutDescriptors(t *testing.T) {
+	s, e := newTestStreams(t, 2)
 	old := s.listener
 	s.StopAccept() // ends the loop and its listener; another begins
 	s.acceptLoop.Wait()
@@ -300,7 +306,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &starvedListener{listener: again, fails: 3}
+	l := &failingListener{listener: again, failures: 3}
 	s.listener = l
 	s.stopAccepting.Store(false)
 	s.acceptLoop.Add(1)
@@ -310,28 +316,28 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	e.until(t, "accepted", func() bool { return len(e.accepted) == 1 })
+	e.waitFor(t, "accepted", func() bool { return len(e.accepted) == 1 })
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.asked < 4 || l.asked > 6 {
-		t.Errorf("%d accepts", l.asked)
+	if l.attempts < 4 || l.attempts > 6 {
+		t.Errorf("%d accepts", l.attempts)
 	}
 }
 
 // pausedListener holds accepted connections back till it is told, so that some wait in the kernel at the end.
 type pausedListener struct {
 	listener
-	begin chan struct{}
+	resume chan struct{}
 }
 
 func (l *pausedListener) Accept() (net.Conn, error) {
-	<-l.begin
+	<-l.resume
 	return l.listener.Accept()
 }
 
 // At the end whoever has connected is still accepted, what was written is read, and the listener is closed.
 func TestStopAccept(t *testing.T) {
-	s, e := serve(t, 8)
+	s, e := newTestStreams(t, 8)
 	addr := s.listener.Addr().(*net.TCPAddr)
 	s.StopAccept()
 	s.acceptLoop.Wait()
@@ -360,22 +366,22 @@
 		_, _ = c.Write([]byte("ask"))
 	}
 	s.stopAccepting.Store(true) // they are in the kernel's queue, and the end is there
-	close(l.begin)
+	close(l.resume)
 	s.StopAccept()
-	e.until(t, "three accepted and read", func() bool { return len(e.accepted) == 3 && e.data.Len() == 9 })
+	e.waitFor(t, "three accepted and read", func() bool { return len(e.accepted) == 3 && e.data.Len() == 9 })
 	e.accepted[0].CloseWrite()
 }
 
 // What was written before the end of writing is read by the other side, and then the end; what it still sends does no
 // harm.
 func TestCloseWrite(t *testing.T) {
-	s, e := serve(t, 2)
+	s, e := newTestStreams(t, 2)
 	c, err := net.Dial("tcp", s.Local.String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	e.until(t, "accepted", func() bool { return len(e.accepted) == 1 })
+	e.waitFor(t, "accepted", func() bool { return len(e.accepted) == 1 })
 	stream := e.accepted[0]
 	stream.Write([]byte("answer"))
 	stream.CloseWrite()
@@ -385,5 +391,5 @@
 		t.Errorf("%q, %v", b, err)
 	}
 	c.Close()
-	e.until(t, "closed", func() bool { return len(e.closed) == 1 })
+	e.waitFor(t, "closed", func() bool { return len(e.closed) == 1 })
 }
