--- a/internal/gateway/binaryserver/eventqueue.go
+++ b/internal/gateway/binaryserver/eventqueue.go
@@ -18,7 +18,7 @@
 	datagram
 )
 
-// event is what a socket reports.
+// event is a socket event that waits for the event loop.
 type event struct {
 	kind   eventKind
 	stream *reactor.Stream
@@ -28,14 +28,14 @@
 	err    error
 }
 
-// maxQueuedBytes is how much received data may wait for the event loop. Beyond it whoever brings more waits, and with
-// it the senders.
+// maxQueuedBytes limits the received data that waits for the event loop. Above it the pollers block, and TCP flow
+// control slows the senders down.
 const maxQueuedBytes = 512 << 10
 
-// eventQueue is the way to the event loop. Data waits where there is too much of it; what only reports a change never
-// waits.
+// eventQueue carries events to the event loop. Pushing received data blocks while the queue is full; events without
+// data are always queued at once.
 type eventQueue struct {
-	ready   chan struct{} // holds one value when there are events
+	ready   chan struct{} // holds one value while events are queued
 	mu      sync.Mutex
 	notFull *sync.Cond
 	events  []event
@@ -63,7 +63,7 @@
 	}
 }
 
-// drain takes all events.
+// drain removes all queued events and returns them.
 func (q *eventQueue) drain() []event {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -73,7 +73,7 @@
 	return events
 }
 
-// close lets whoever waits go on: nobody takes events any more.
+// close unblocks all waiting pushes: the event loop has ended and no longer takes events.
 func (q *eventQueue) close() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/gateway/binaryserver/events.go
+++ b/internal/gateway/binaryserver/events.go
@@ -9,7 +9,7 @@
 	"cobaltpier/internal/protocol/dnsdiscovery"
 )
 
-// handleEvent hands an event of the queue to the gateway.
+// handleEvent passes a queued event to the gateway.
 func (s *Server) handleEvent(now float64, e event) {
 	switch e.kind {
 	case accepted:
@@ -23,7 +23,7 @@
 	}
 	conn, ok := e.stream.User.(*binarygateway.Conn)
 	if !ok {
-		return // closed as it was accepted
+		return // the gateway closed the connection when it was accepted
 	}
 	switch e.kind {
 	case connected:
@@ -50,7 +50,7 @@
 	return binarygateway.ClosedNormally
 }
 
-// handleDatagram takes a response of the name server or another gateway's message.
+// handleDatagram handles a response of the name server or a message of another gateway.
 func (s *Server) handleDatagram(now float64, e event) {
 	if e.local == s.queryAddr {
 		s.handleDiscoveryResponse(now, e)
--- a/internal/gateway/binaryserver/reload.go
+++ b/internal/gateway/binaryserver/reload.go
@@ -3,12 +3,12 @@
 import "cobaltpier/internal/gateway/binaryconfig"
 
 const (
-	maxReloadAttempts   = 20   // attempts to read a configuration that can't be used: it may be incomplete as yet
-	reloadRetryInterval = 50.0 // ms between two
+	maxReloadAttempts   = 20   // attempts to read a configuration that is invalid: it may still be being written
+	reloadRetryInterval = 50.0 // ms between two attempts
 )
 
-// reload follows the name server that a replaced configuration names. One that can't be used changes nothing, and is
-// read again soon, since whoever replaces the file may not be done.
+// reload reads the configuration file again and switches to the name server that it names. An invalid file changes
+// nothing and is read again after reloadRetryInterval, because it may still be being written.
 func (s *Server) reload() {
 	s.reloadAttemptsLeft--
 	s.nextReloadAt = s.now() + reloadRetryInterval
--- a/internal/gateway/binaryserver/server.go
+++ b/internal/gateway/binaryserver/server.go
@@ -23,7 +23,7 @@
 	"cobaltpier/internal/routing"
 )
 
-// Signal is what the operating system's signals ask of a server.
+// Signal is a request to a server, made by a signal of the operating system.
 type Signal int
 
 // The signals.
@@ -36,12 +36,12 @@
 	// clockOrigin is the gateway's time at the start of the process, ms: endpoints that started earlier have positive
 	// times too.
 	clockOrigin       = 1e9
-	answerMargin      = 5.0     // ms by which final answers are sent before the caller's timeout ends
+	answerMargin      = 5.0     // final answers are sent this many ms before the caller's timeout ends
 	metricsInterval   = 10000.0 // ms between two lines of metrics in the log
-	defaultMaxPending = 2000    // pending calls; also where the settings allow more
-	// spareConns may be accepted beyond those that are kept, while it is decided which one is closed
+	defaultMaxPending = 2000    // upper limit of pending calls, even if the settings allow more
+	// spareConns connections may be accepted above the limit until the gateway has chosen which one to close
 	spareConns      = 4
-	maxWait         = 100.0 // ms in which the loop runs at least once
+	maxWait         = 100.0 // ms; the event loop runs at least once in this time
 	maxShutdownWait = 10.0  // the same during a shutdown
 )
 
@@ -59,17 +59,17 @@
 	startedAt  time.Time
 
 	metricsLoggedAt float64
-	lastBatchAt     float64 // 0: none yet, or a stall has just been found
+	lastBatchAt     float64 // 0: no batch yet, or a stall has just been detected
 
 	stage      shutdown.Stage
 	shutdownAt float64 // when the shutdown was requested
 	stageSince float64
 
-	reloadAttemptsLeft int // attempts to read a configuration that could not be used
+	reloadAttemptsLeft int // attempts that are left to read an invalid configuration again
 	nextReloadAt       float64
 }
 
-// Run runs a gateway by a configuration that was read from a file, until a shutdown has ended or ctx is done.
+// Run runs a gateway with a configuration that was read from configPath, until a shutdown is complete or ctx is done.
 func Run(ctx context.Context, configPath string, config *binaryconfig.Config, newPolicy routing.PolicyFactory,
 	log zerolog.Logger, signals <-chan Signal) error {
 	s := &Server{
@@ -123,7 +123,7 @@
 	return gateway
 }
 
-// listen opens all sockets. Where it fails, none is left open.
+// listen opens all sockets. If it fails, it closes those that it has opened.
 func (s *Server) listen() error {
 	config := s.config
 	maxAccepted := connlimit.MaxClientConns(config.Limits.Descriptors) + spareConns
@@ -131,7 +131,7 @@
 	s.streams, err = reactor.ServeStreams(config.Listen, maxAccepted, config.Connections.ConnectTimeout, s)
 	if err != nil {
 		if reactor.AddressInUse(err) {
-			return fmt.Errorf("listen: another program has %s: %w", config.Listen, err)
+			return fmt.Errorf("listen: address %s is in use by another program: %w", config.Listen, err)
 		}
 		return err
 	}
@@ -156,7 +156,7 @@
 
 func (s *Server) now() float64 { return clockOrigin + float64(time.Since(s.startedAt))/1e6 }
 
-// loop is the event loop, the one owner of the gateway.
+// loop is the event loop. Only its goroutine uses the gateway.
 func (s *Server) loop(ctx context.Context, signals <-chan Signal) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -176,7 +176,7 @@
 	}
 }
 
-// runBatch does everything that is due.
+// runBatch runs all work that is due: discovery queries, reloads, the shutdown, timers and metrics.
 func (s *Server) runBatch(now float64) {
 	if query := s.discovery.Query(now); query != nil {
 		s.datagrams.Send(s.queryAddr, s.discovery.Server, query)
@@ -193,7 +193,7 @@
 	}
 }
 
-// waitForEvents returns when there is an event or something is due; false: ctx is done.
+// waitForEvents waits for an event, a signal or the next timer. It returns false when ctx is done.
 func (s *Server) waitForEvents(ctx context.Context, signals <-chan Signal, timer *time.Timer) bool {
 	wait := math.Min(math.Min(s.gateway.NextWakeup(), s.discovery.NextQuery())-s.now(), maxWait)
 	if s.stage != shutdown.Serving {
@@ -222,12 +222,12 @@
 }
 
 const (
-	stallThreshold = 150.0                // ms between batches, of which there is one every 100: the process stalled
-	stallCatchUp   = 5 * time.Millisecond // for the poller to bring what came meanwhile
+	stallThreshold = 150.0                // ms between batches, which run every 100 ms or sooner: more is a stall
+	stallCatchUp   = 5 * time.Millisecond // lets the poller queue the events that arrived during the stall
 )
 
-// stalled tells, once after a stall, that what the sockets received meanwhile may not have come here yet. A caller may
-// have gone, and no timer may run before that is known.
+// stalled reports, once after each stall, that events from the time of the stall may not be queued yet. No timer may
+// run before they are handled, because a caller may have closed its connection.
 func (s *Server) stalled(now float64) bool {
 	stalled := s.lastBatchAt > 0 && now-s.lastBatchAt > stallThreshold
 	s.lastBatchAt = 0
@@ -249,11 +249,11 @@
 		Str("number", message.Text(binarymessage.Number)).Float64("ms", s.now()-clockOrigin).Msg("message")
 }
 
-// memoryFraction is the part of the allowed memory that the garbage collector aims at. The rest is for the program
-// itself, stacks and what the kernel counts.
+// memoryFraction is the part of the allowed memory that is set as the garbage collector's limit. The rest is for the
+// program itself, stacks and memory that the kernel accounts to the process.
 const memoryFraction = 0.55
 
-// MemoryLimit is the garbage collector's limit for a process with such limits, bytes; 0: the environment sets one.
+// MemoryLimit returns the garbage collector's memory limit in bytes for the given limits, or 0 if GOMEMLIMIT sets it.
 func MemoryLimit(limits binaryconfig.Limits) (bytes int64) {
 	if os.Getenv("GOMEMLIMIT") != "" {
 		return 0
--- a/internal/gateway/binaryserver/shutdown.go
+++ b/internal/gateway/binaryserver/shutdown.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// advanceShutdown goes on to the next stage of a graceful shutdown, where it is due.
+// advanceShutdown enters the next stage of a graceful shutdown if it is due.
 func (s *Server) advanceShutdown(now float64) {
 	if s.stage == shutdown.Serving {
 		return
--- a/internal/gateway/reactor/reactor.go
+++ b/internal/gateway/reactor/reactor.go
@@ -1,5 +1,5 @@
-// Package reactor is the driver of UDP sockets, on nbio: every datagram that comes is handed on with the address that
-// it came to; datagrams are sent from any of the addresses that are listened on.
+// Package reactor runs UDP sockets and TCP connections on nbio. Each received datagram is passed on with the local
+// address that it arrived at; datagrams can be sent from any of the local addresses.
 package reactor
 
 import (
@@ -18,33 +18,34 @@
 	"golang.org/x/net/ipv4"
 )
 
-// UDPSockets are open UDP sockets.
+// UDPSockets is a set of open UDP sockets.
 type UDPSockets struct {
 	engine     *nbio.Engine
 	mu         sync.Mutex
 	conns      map[netip.AddrPort]*net.UDPConn
-	batchConns map[netip.AddrPort]*ipv4.PacketConn // of those, the IPv4 ones
-	Lost       atomic.Uint64                       // datagrams that the kernel did not take
+	batchConns map[netip.AddrPort]*ipv4.PacketConn // the IPv4 sockets of conns
+	Lost       atomic.Uint64                       // datagrams that could not be sent
 }
 
-// udpReceiveBufferSize is what a socket may hold for us while the loop is busy; the kernel may allow less.
+// udpReceiveBufferSize is the receive buffer that is requested for a socket, for datagrams that arrive while the event
+// loop is busy; the kernel may allow less.
 const udpReceiveBufferSize = 4 << 20
 
 var silenceLibraryLog = sync.OnceFunc(func() { logging.SetLevel(logging.LevelNone) })
 
-// Local is the addresses that are listened on, with the ports that the system chose for port 0.
+// Local returns the local addresses, with the ports that the system chose for port 0.
 func (s *UDPSockets) Local() []netip.AddrPort {
-	var of []netip.AddrPort
+	var addrs []netip.AddrPort
 	for a := range s.conns {
-		of = append(of, a)
+		addrs = append(addrs, a)
 	}
-	slices.SortFunc(of, netip.AddrPort.Compare)
-	return of
+	slices.SortFunc(addrs, netip.AddrPort.Compare)
+	return addrs
 }
 
-// Listen opens the addresses. got is called from the pollers, for one address always from the same one; the data is
-// its own. An address that can't be had is an error that names it.
-func Listen(addrs []netip.AddrPort, pollers int, got func(local, from netip.AddrPort, data []byte)) (*UDPSockets,
+// Listen opens a socket on each address. onDatagram is called from the pollers, for one address always from the same
+// poller, and may keep the data. The error names an address that can't be opened.
+func Listen(addrs []netip.AddrPort, pollers int, onDatagram func(local, from netip.AddrPort, data []byte)) (*UDPSockets,
 	error) {
 	silenceLibraryLog()
 	s := &UDPSockets{conns: map[netip.AddrPort]*net.UDPConn{}, batchConns: map[netip.AddrPort]*ipv4.PacketConn{}}
@@ -60,7 +61,7 @@
 		from, ok := c.RemoteAddr().(*net.UDPAddr)
 		local, ok2 := c.LocalAddr().(*net.UDPAddr)
 		if ok && ok2 {
-			got(unmapped(local.AddrPort()), unmapped(from.AddrPort()), append([]byte(nil), data...))
+			onDatagram(unmapped(local.AddrPort()), unmapped(from.AddrPort()), append([]byte(nil), data...))
 		}
 	})
 	if err := s.engine.Start(); err != nil {
@@ -72,7 +73,8 @@
 
 func unmapped(a netip.AddrPort) netip.AddrPort { return netip.AddrPortFrom(a.Addr().Unmap(), a.Port()) }
 
-// listen opens a socket and keeps a second handle of it for sending: the library's own can only answer.
+// listen opens a socket and keeps a second handle of it for sending: the library's socket can only reply to a
+// received datagram.
 func (s *UDPSockets) listen(network string, addr *net.UDPAddr) (*net.UDPConn, error) {
 	c, err := net.ListenUDP(network, addr)
 	if err != nil {
@@ -100,8 +102,8 @@
 	return c, nil
 }
 
-// Send sends a datagram from an address that is listened on. What the kernel does not take is counted in Lost, as the
-// network may lose any datagram.
+// Send sends a datagram from a local address. A failure is only counted in Lost, since the network may lose any
+// datagram.
 func (s *UDPSockets) Send(from, to netip.AddrPort, data []byte) {
 	c := s.conns[from]
 	if c == nil {
@@ -119,35 +121,35 @@
 	Data []byte
 }
 
-// SendAll sends datagrams from one address with as few calls of the kernel as it can, in order.
-func (s *UDPSockets) SendAll(from netip.AddrPort, of []Datagram) {
-	if len(of) < 2 || s.batchConns[from] == nil {
-		for _, p := range of {
+// SendAll sends datagrams from one address in order, with as few system calls as possible.
+func (s *UDPSockets) SendAll(from netip.AddrPort, datagrams []Datagram) {
+	if len(datagrams) < 2 || s.batchConns[from] == nil {
+		for _, p := range datagrams {
 			s.Send(from, p.To, p.Data)
 		}
 		return
 	}
-	ms := make([]ipv4.Message, len(of))
-	for i, p := range of {
-		ms[i] = ipv4.Message{Buffers: [][]byte{p.Data}, Addr: net.UDPAddrFromAddrPort(p.To)}
+	messages := make([]ipv4.Message, len(datagrams))
+	for i, p := range datagrams {
+		messages[i] = ipv4.Message{Buffers: [][]byte{p.Data}, Addr: net.UDPAddrFromAddrPort(p.To)}
 	}
-	for len(ms) > 0 {
-		n, err := s.batchConns[from].WriteBatch(ms, 0)
-		if err != nil || n == 0 { // the first one is at fault
+	for len(messages) > 0 {
+		n, err := s.batchConns[from].WriteBatch(messages, 0)
+		if err != nil || n == 0 { // the first message could not be sent
 			s.Lost.Add(1)
 			n = 1
 		}
-		ms = ms[n:]
+		messages = messages[n:]
 	}
 }
 
-// shutdownEngine stops an engine. The library's poller forgets a stop that comes before it has begun to run, and would
-// be waited for without end: so this waits for a second at most. Whoever closes so soon after the start is about to
+// shutdownEngine stops an engine and waits for at most a second: the library's poller misses a stop that is requested
+// before the poller runs, and waiting for it would never end. A process that closes so soon after the start is about to
 // exit.
 func shutdownEngine(e *nbio.Engine) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	_ = e.Shutdown(ctx) // there is nothing left to be done about it
+	_ = e.Shutdown(ctx) // the error is a timeout, which can't be handled
 }
 
 // Close closes all sockets.
@@ -164,7 +166,7 @@
 	}
 }
 
-// AddressInUse tells whether an error of Listen says that an address is in use by somebody else.
+// AddressInUse reports whether an error of Listen says that an address is already in use.
 func AddressInUse(err error) bool {
 	return err != nil && strings.Contains(err.Error(), "address already in use")
 }
--- a/internal/gateway/reactor/stream.go
+++ b/internal/gateway/reactor/stream.go
@@ -15,17 +15,17 @@
 	"github.com/lesismal/nbio"
 )
 
-// Handler takes the events of streams. It is called from the poller's goroutines and must not block.
+// Handler receives the events of streams. It is called from the poller's goroutines and must not block.
 type Handler interface {
 	// Accepted reports a connection that was accepted. Data and Closed of the stream come after it.
 	Accepted(s *Stream, from netip.Addr)
-	// Connected reports that a stream that was dialed is up.
+	// Connected reports that a dialed stream is connected.
 	Connected(s *Stream)
 	// Data reports received bytes, which are valid only during the call.
 	Data(s *Stream, b []byte)
-	// Flushed reports that what could not be sent at once has been sent; see Stream.IsFlushed.
+	// Flushed reports that data that could not be sent at once has been sent; see Stream.IsFlushed.
 	Flushed(s *Stream)
-	// Closed reports that a stream has ended or never came up, and why.
+	// Closed reports that a stream was closed or could not be connected, and why.
 	Closed(s *Stream, err error)
 }
 
@@ -34,30 +34,30 @@
 	conn          atomic.Pointer[nbio.Conn]
 	bytesWritten  atomic.Int64
 	bytesFlushed  atomic.Int64
-	closed        atomic.Bool // from here
-	accepted      bool        // not dialed: it has a slot
-	closeReported atomic.Bool // Closed was called, or will not be
-	openReported  sync.Once   // guards that Accepted or Connected is called once
-	// adoptMu is held while the poller takes the connection over and while it is closed from here: a descriptor that is
-	// closed and used again by another connection must not be handed to the poller for this one.
+	closed        atomic.Bool // by Close
+	accepted      bool        // accepted by the listener, not dialed: it holds a slot
+	closeReported atomic.Bool // reportClosed has run
+	openReported  sync.Once   // ensures that Accepted or Connected is called once
+	// adoptMu is held while the connection is added to the poller and while Close closes it: a descriptor that was closed
+	// and reused by another connection must not be added to the poller for this one.
 	adoptMu sync.Mutex
 	cancel  context.CancelFunc // of its dial
-	User    any                // the handler's own, set before any event of the stream
+	User    any                // data of the handler, set before any event of the stream is handled
 }
 
-// listener is what is used of a net.TCPListener.
+// listener is the part of net.TCPListener that is used.
 type listener interface {
 	net.Listener
 	SetDeadline(time.Time) error
 }
 
-// Streams are open TCP connections of one listener and of dials.
+// Streams manages the TCP connections that one listener accepted and those that were dialed.
 type Streams struct {
 	engine        *nbio.Engine
 	handler       Handler
 	listener      listener
 	slots         chan struct{} // one for each accepted connection
-	dialTimeout   time.Duration // a dial that is not up by then is given up
+	dialTimeout   time.Duration // after this a dial is aborted
 	ctx           context.Context
 	stop          context.CancelFunc
 	goroutines    sync.WaitGroup // dials, and the accept loop
@@ -67,13 +67,13 @@
 	Local         netip.AddrPort
 }
 
-// dialGrace is how long after its timeout a dial is ended here, ms: whoever dialed decides first.
+// dialGrace is added to the timeout of a dial, ms, so that the caller of Dial can apply its own timeout first.
 const dialGrace = 100
 
 const streamReadBufferSize = 16 << 10
 
-// ServeStreams listens on an address, by one poller. No more than most connections are accepted at a time: what comes
-// beyond waits in the kernel. A dial that is not up within so many ms ends.
+// ServeStreams listens on an address and runs one poller. At most maxAccepted accepted connections are open at a time;
+// further ones wait in the kernel's queue. dialTimeout is in ms.
 func ServeStreams(addr netip.AddrPort, maxAccepted int, dialTimeout float64, h Handler) (*Streams, error) {
 	silenceLibraryLog()
 	nbio.MaxOpenFiles = min(nbio.MaxOpenFiles, maxOpenFiles)
@@ -83,8 +83,8 @@
 		dialTimeout: time.Duration((dialTimeout + dialGrace) * 1e6),
 	}
 	s.ctx, s.stop = context.WithCancel(context.Background())
-	// The library's own listener is not used: where descriptors have run out it accepts without a pause, and it hands a
-	// connection that was closed meanwhile to the poller.
+	// The library's own listener is not used: when descriptors have run out it retries accept without a pause, and it adds
+	// connections to the poller that have been closed in the meantime.
 	s.engine = nbio.NewEngine(nbio.Config{Name: "streams", NPoller: 1, ReadBufferSize: streamReadBufferSize})
 	s.engine.OnData(func(c *nbio.Conn, b []byte) {
 		if stream, ok := c.Session().(*Stream); ok && !stream.closed.Load() {
@@ -99,7 +99,7 @@
 	})
 	s.engine.OnClose(s.onClose)
 	l, err := net.ListenTCP("tcp",
-		net.TCPAddrFromAddrPort(addr)) // first: an engine that is stopped as it starts may never end
+		net.TCPAddrFromAddrPort(addr)) // before the engine starts: one that is stopped while it starts may never end
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
@@ -113,15 +113,16 @@
 	return s, nil
 }
 
-// maxOpenFiles bounds the table that the library keeps of descriptors: it would else hold 16 MB.
+// maxOpenFiles limits the library's table of descriptors, which would otherwise take 16 MB.
 const maxOpenFiles = 1 << 16
 
 const (
-	acceptRetryInterval = 20 * time.Millisecond // between two tries to accept while the process has no descriptor left
-	acceptIdleTimeout   = 20 * time.Millisecond // without a newcomer: whoever connected before the end has been accepted
+	acceptRetryInterval = 20 * time.Millisecond // between attempts to accept while the process has no free descriptor
+	acceptIdleTimeout   = 20 * time.Millisecond // without a new connection in this time after StopAccept the queue is empty
 )
 
-// accept takes connections, each into a place of its own, till nobody comes after StopAccept.
+// accept runs the accept loop. Each connection takes a slot. After StopAccept the loop ends when no further connection
+// arrives within acceptIdleTimeout.
 func (s *Streams) accept() {
 	defer s.acceptLoop.Done()
 	defer s.acceptStopped.Store(true)
@@ -146,7 +147,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			// the deadline of StopAccept only wakes this loop, and what is pending is not seen past it
+			// the deadline that StopAccept sets only wakes this loop: Accept returns no pending connection after it
 			if last && time.Since(since) >= acceptIdleTimeout {
 				return
 			}
@@ -160,17 +161,17 @@
 	}
 }
 
-// StopAccept ends the taking of connections: those whose callers have connected are still accepted, and then the
-// listener closes. It does not wait for that; Accepting tells.
+// StopAccept makes the accept loop accept the connections that wait in the kernel's queue and then close the listener.
+// It does not wait for that; see Accepting.
 func (s *Streams) StopAccept() {
 	s.stopAccepting.Store(true)
 	_ = s.listener.SetDeadline(time.Now())
 }
 
-// Accepting tells whether connections are still accepted.
+// Accepting reports whether connections are still accepted.
 func (s *Streams) Accepting() bool { return !s.acceptStopped.Load() }
 
-// reportOpen tells that a stream is there, once, and before anything else of it.
+// reportOpen calls the handler's Accepted or Connected for a stream, once and before any other event of it.
 func (s *Streams) reportOpen(stream *Stream) {
 	stream.openReported.Do(func() {
 		if !stream.accepted {
@@ -184,8 +185,8 @@
 	})
 }
 
-// adopt hands a connection to the poller. Only then is it told of: what is written before could neither wait for room
-// in the socket nor be counted as left.
+// adopt adds a connection to the poller and reports it to the handler only after that: data that is written before
+// could not be buffered when the socket is full, nor counted as flushed.
 func (s *Streams) adopt(stream *Stream, conn net.Conn) {
 	c, err := nbio.NBConn(conn)
 	if err != nil {
@@ -216,7 +217,7 @@
 	}
 }
 
-// reportClosed tells that a stream has ended, once, and gives its place back.
+// reportClosed releases the slot of a stream and calls the handler's Closed, once.
 func (s *Streams) reportClosed(stream *Stream, err error) {
 	if stream.closeReported.Swap(true) {
 		return
@@ -224,15 +225,17 @@
 	if stream.accepted {
 		<-s.slots
 	}
-	known := true
-	stream.openReported.Do(func() { known = !stream.accepted }) // a caller's that nobody was told of has not been there
-	if known && !stream.closed.Load() {
+	reportable := true
+	// an accepted stream that was not reported as open is not reported as closed either
+	stream.openReported.Do(func() { reportable = !stream.accepted })
+	if reportable && !stream.closed.Load() {
 		s.handler.Closed(stream, err)
 	}
 }
 
-// Dial opens a stream; Connected or Closed follows. The library's own dial reads the first four bytes of an address
-// that may have sixteen, and so reaches another machine; the standard one connects, and the poller takes over.
+// Dial connects a stream; Connected or Closed follows. It uses the standard library's dialer and adds the connection to
+// the poller: the dialer of nbio uses the first four bytes of an address that may have sixteen, and so connects to
+// another machine.
 func (s *Streams) Dial(stream *Stream, to netip.AddrPort) {
 	ctx, cancel := context.WithTimeout(s.ctx, s.dialTimeout)
 	stream.cancel = cancel
@@ -249,15 +252,16 @@
 	}()
 }
 
-// IsRefused tells whether an error says that somebody was there and took no connection.
+// IsRefused reports whether an error says that the peer refused the connection.
 func IsRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// IsReset tells whether an error says that the other side has torn a connection down.
+// IsReset reports whether an error says that the peer reset the connection.
 func IsReset(err error) bool {
 	return errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// Write hands bytes on, in order; it tells whether all that was ever handed has left.
+// Write sends bytes in order, and buffers what the socket does not take. It reports whether everything that was written
+// to the stream has been passed to the kernel.
 func (stream *Stream) Write(b []byte) bool {
 	c := stream.conn.Load()
 	if c == nil || stream.closed.Load() {
@@ -270,12 +274,12 @@
 	return stream.IsFlushed()
 }
 
-// IsFlushed tells whether all that was handed has left.
+// IsFlushed reports whether everything that was written has been passed to the kernel.
 func (stream *Stream) IsFlushed() bool {
 	return stream.bytesFlushed.Load() == stream.bytesWritten.Load()
 }
 
-// Close closes a stream; nothing more is heard of it.
+// Close closes a stream. Closed is not called for it.
 func (stream *Stream) Close() {
 	stream.closed.Store(true)
 	if stream.cancel != nil {
@@ -288,7 +292,7 @@
 	}
 }
 
-// CloseWrite says that nothing more will be written: the other side reads what was, and then the end.
+// CloseWrite closes the sending side of the connection: the peer reads the data written so far, and then EOF.
 func (stream *Stream) CloseWrite() {
 	stream.adoptMu.Lock()
 	defer stream.adoptMu.Unlock()
@@ -297,12 +301,12 @@
 		return
 	}
 	if raw, err := c.SyscallConn(); err == nil {
-		// a connection that is closed already needs none of it
+		// an error means that the connection is already closed
 		_ = raw.Control(func(fd uintptr) { _ = syscall.Shutdown(int(fd), syscall.SHUT_WR) })
 	}
 }
 
-// Close closes all.
+// Close closes the listener and all streams, and stops the poller.
 func (s *Streams) Close() {
 	s.stop()
 	s.listener.Close()
