--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,4 +1,4 @@
-// Benchlink runs the decision module on the bench's wire: batches on standard input, replies on standard
+// Benchlink runs the routing policy over the simulator's protocol: batches on standard input, replies on standard
 // output.
 package main
 
--- a/cmd/cobalt-edge/main.go
+++ b/cmd/cobalt-edge/main.go
@@ -1,4 +1,4 @@
-// Cobalt-edge is a gateway: it takes calls by SIP and sets them up over trunk groups.
+// Cobalt-edge is a gateway that takes calls by SIP and sets them up over trunk groups.
 package main
 
 import (
--- a/cmd/cobalt-lab/main.go
+++ b/cmd/cobalt-lab/main.go
@@ -1,4 +1,4 @@
-// Cobalt-lab is the laboratory.
+// Cobalt-lab is the test laboratory for gateways: it runs, measures and checks them.
 package main
 
 import (
--- a/internal/cli/edgecli/edgecmd.go
+++ b/internal/cli/edgecli/edgecmd.go
@@ -1,4 +1,4 @@
-// Package edgecli is the command line of cobalt-edge, which the laboratory starts too.
+// Package edgecli is the command line of cobalt-edge. cobalt-lab runs it too.
 package edgecli
 
 import (
@@ -24,20 +24,20 @@
 	"cobaltpier/internal/routing"
 )
 
-// ErrForced says that a second signal ended the gateway with calls still held.
-var ErrForced = errors.New("ended at once: contacts that were held have no answer")
+// ErrForced is returned when a second signal ended the gateway while calls were pending.
+var ErrForced = errors.New("stopped by a second signal: pending calls have no final answer")
 
-// New is the command.
+// New returns the root command.
 func New() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "cobalt-edge",
-		Short: "A gateway: takes calls by SIP and sets them up over trunk groups",
-		Long: `cobalt-edge takes calls by SIP over UDP, asks the decision module about each, and sets it up at a
-core switch over a trunk group. The pool list tells it of the switches; answers of the switches tell
-it of their load.
+		Short: "Run a SIP gateway that sets up calls over trunk groups",
+		Long: `cobalt-edge takes calls by SIP over UDP, lets the routing policy choose a core switch for each, and
+sets it up there over a trunk group. The endpoint list names the switches; their answers report
+their load.
 
-Signals: SIGTERM or SIGINT drains (no new contact, all held ones answered, status 0); a second one
-ends it at once (status 1).`,
+Signals: SIGTERM or SIGINT drains the gateway (no new calls, all pending ones answered, exit status 0); a
+second one stops it at once (exit status 1).`,
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
@@ -46,17 +46,17 @@
 }
 
 func newRunCommand() *cobra.Command {
-	var config, module, profile string
-	c := &cobra.Command{Use: "run", Short: "Run a gateway until it is told to drain", Args: cobra.NoArgs,
+	var configPath, module, profile string
+	c := &cobra.Command{Use: "run", Short: "Run a gateway until a signal makes it drain", Args: cobra.NoArgs,
 		Example: "  cobalt-edge run --config edge.hcl",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			set, err := gatewayconfig.Load(config)
+			config, err := gatewayconfig.Load(configPath)
 			if err != nil {
 				return err
 			}
-			mk := func(s *routing.Settings, h routing.Host) routing.Policy { return router.New(s, h) }
+			newPolicy := func(s *routing.Settings, h routing.Host) routing.Policy { return router.New(s, h) }
 			if module != "brain" {
-				if mk = baseline.ByName(module); mk == nil {
+				if newPolicy = baseline.ByName(module); newPolicy == nil {
 					return fmt.Errorf("module %q: want brain, lottery or random", module)
 				}
 			}
@@ -74,15 +74,15 @@
 			if os.Getenv("GOGC") == "" {
 				debug.SetGCPercent(gcPercent)
 			}
-			level, _ := zerolog.ParseLevel(set.LogLevel)
+			level, _ := zerolog.ParseLevel(config.LogLevel)
 			w := cmd.ErrOrStderr()
-			if set.LogConsole {
+			if config.LogConsole {
 				w = zerolog.ConsoleWriter{Out: w, TimeFormat: time.TimeOnly}
 			}
-			// a reader of the log that is slow loses lines; the loop goes on
+			// a slow reader of the log loses lines, so that the event loop never blocks
 			d := diode.NewWriter(unclosableWriter{w}, 4096, 10*time.Millisecond, nil)
 			defer d.Close()
-			log := zerolog.New(d).Level(level).With().Timestamp().Str("gateway", set.Name).Logger()
+			log := zerolog.New(d).Level(level).With().Timestamp().Str("gateway", config.Name).Logger()
 			signals, stop := make(chan os.Signal, 4), make(chan struct{}, 4)
 			signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 			defer signal.Stop(signals)
@@ -91,39 +91,39 @@
 					stop <- struct{}{}
 				}
 			}()
-			out, err := sipserver.Run(cmd.Context(), set, mk, log, stop)
-			if err == nil && out == sipserver.Forced {
+			outcome, err := sipserver.Run(cmd.Context(), config, newPolicy, log, stop)
+			if err == nil && outcome == sipserver.Forced {
 				err = ErrForced
 			}
 			return err
 		}}
-	c.Flags().StringVarP(&config, "config", "c", "edge.hcl", "the settings")
-	c.Flags().StringVar(&module, "module", "brain", "what decides: brain, or the baselines lottery and random")
+	c.Flags().StringVarP(&configPath, "config", "c", "edge.hcl", "the configuration file")
+	c.Flags().StringVar(&module, "module", "brain", "routing policy: brain, or the baselines lottery and random")
 	c.Flags().StringVar(&profile, "profile", "", "write a CPU profile to this file")
 	return c
 }
 
-// unclosableWriter hides that a writer can be closed: the log's end would else close standard error, and with it why the gateway
-// ended.
+// unclosableWriter hides the Close method of a writer: closing the log would otherwise close standard error, and the
+// error that ended the gateway could not be printed.
 type unclosableWriter struct{ io.Writer }
 
-// gcPercent is the collector's percentage where GOGC sets none: a gateway holds little and makes much garbage, and the
-// collector's passes are what adds to its slowest answers.
+// gcPercent is the garbage collector's target percentage if GOGC is not set: a gateway has a small heap and allocates
+// much, and collections add to its slowest answers.
 const gcPercent = 400
 
 func newCheckCommand() *cobra.Command {
-	var config string
+	var configPath string
 	c := &cobra.Command{
 		Use:   "check",
-		Short: "Check a settings file and say what is wrong with it, with file and line",
+		Short: "Check a configuration file and report errors with file and line",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			s, err := gatewayconfig.Load(config)
+			s, err := gatewayconfig.Load(configPath)
 			if err == nil {
 				fmt.Fprintf(
 					cmd.OutOrStdout(),
 					"%s: gateway %s on %s, %d groups, %d skills: fine\n",
-					config,
+					configPath,
 					s.Name,
 					s.Address,
 					len(s.Groups),
@@ -133,6 +133,6 @@
 			return err
 		},
 	}
-	c.Flags().StringVarP(&config, "config", "c", "edge.hcl", "the settings")
+	c.Flags().StringVarP(&configPath, "config", "c", "edge.hcl", "the configuration file")
 	return c
 }
--- a/internal/cli/edgecli/edgecmd_test.go
+++ b/internal/cli/edgecli/edgecmd_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// testStderr is where the log and the errors go.
+// testStderr records what the command writes to standard error, and whether it was closed.
 type testStderr struct {
 	mu     sync.Mutex
 	text   bytes.Buffer
@@ -58,7 +58,7 @@
 }
 `
 
-// A gateway that can't start says why, and leaves standard error open for whoever prints it.
+// A gateway that can't start returns an error with the reason, and leaves standard error open for printing it.
 func TestStartErrors(t *testing.T) {
 	taken, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.72.1.1:19062")))
 	if err != nil {
--- a/internal/cli/edgecli/platform.go
+++ b/internal/cli/edgecli/platform.go
@@ -20,27 +20,27 @@
 	"cobaltpier/internal/routing"
 )
 
-// configVar names the file that the platform hands a gateway.
+// configVar is the environment variable with the name of the configuration file that the platform provides.
 const configVar = "NODE_CONFIG"
 
 func newPlatformCommand() *cobra.Command {
 	var level string
 	c := &cobra.Command{
 		Use:   "platform",
-		Short: "Run a gateway on the platform, by the file that " + configVar + " names",
+		Short: "Run a gateway on the platform with the configuration file that " + configVar + " names",
 		Args:  cobra.NoArgs,
-		Long: `Runs a gateway that speaks the platform's protocol, on the one address that its configuration names,
-within the limits that stand there. Nothing else is opened: no SIP, no ENUM, no gRPC.
+		Long: `Runs a gateway that speaks the platform's protocol, on the address and within the limits of its
+configuration. It opens no SIP, ENUM or gRPC sockets.
 
-Signals: SIGHUP reads the configuration again and follows the name server that it names; SIGTERM
-takes contacts for a while longer, answers all that is held, and ends.`,
+Signals: SIGHUP reads the configuration again and switches to the name server that it names;
+SIGTERM takes calls for a while longer, answers all pending ones, and exits.`,
 		Example: "  NODE_CONFIG=/run/balancer/config.json cobalt-edge platform",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			file := os.Getenv(configVar)
-			if file == "" {
-				return errors.New(configVar + ": want the name of the configuration's file, got none")
+			configPath := os.Getenv(configVar)
+			if configPath == "" {
+				return errors.New(configVar + ": want the name of the configuration file, got none")
 			}
-			cfg, err := binaryconfig.Load(file)
+			cfg, err := binaryconfig.Load(configPath)
 			if err != nil {
 				return err
 			}
@@ -52,32 +52,32 @@
 			if n := binaryserver.MemoryLimit(cfg.Limits); n > 0 {
 				debug.SetMemoryLimit(n)
 			}
-			lines := 256 // that may wait for a slow reader of the log; more are lost
+			lines := 256 // that are buffered for a slow reader of the log; further ones are lost
 			if l <= zerolog.DebugLevel {
 				lines = 1 << 16
 			}
 			d := diode.NewWriter(unclosableWriter{cmd.ErrOrStderr()}, lines, 10*time.Millisecond, nil)
 			defer d.Close()
 			log := zerolog.New(d).Level(l).With().Timestamp().Str("gateway", cfg.Name).Logger()
-			signals, told := make(chan os.Signal, 8), make(chan binaryserver.Signal, 8)
+			signals, requests := make(chan os.Signal, 8), make(chan binaryserver.Signal, 8)
 			signal.Notify(signals, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT)
 			defer signal.Stop(signals)
 			go func() {
 				for s := range signals {
 					if s == syscall.SIGHUP {
-						told <- binaryserver.Reload
+						requests <- binaryserver.Reload
 					} else {
-						told <- binaryserver.Shutdown
+						requests <- binaryserver.Shutdown
 					}
 				}
 			}()
 			return binaryserver.Run(
 				cmd.Context(),
-				file,
+				configPath,
 				cfg,
 				func(s *routing.Settings, h routing.Host) routing.Policy { return router.New(s, h) },
 				log,
-				told,
+				requests,
 			)
 		},
 	}
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -1,5 +1,5 @@
-// Package deployment decodes a deployment's settings from the platform's JSON, which is the same on the simulator's
-// wire and in a gateway's configuration, and the fields of load reports that they name.
+// Package deployment decodes a deployment's settings from the platform's JSON, which has the same format on the
+// simulator's wire and in a gateway's configuration. It also sets the load report fields that the settings name.
 package deployment
 
 import (
@@ -10,7 +10,7 @@
 	"cobaltpier/internal/routing"
 )
 
-// loadReportFields set the figures of a load report by the names that the settings give them.
+// loadReportFields holds a setter for each field of a load report, by the name that the settings use.
 var loadReportFields = map[string]func(*routing.LoadReport, float64){
 	"free":      func(r *routing.LoadReport, v float64) { r.Free = v },
 	"size":      func(r *routing.LoadReport, v float64) { r.Capacity = v },
@@ -21,8 +21,8 @@
 	"hold_back": func(r *routing.LoadReport, v float64) { r.LossFraction = v },
 }
 
-// SetLoadReportField sets a figure of a load report by its name in the settings. Negative ones are not known, and
-// ignored. It tells whether it set a figure of the processor.
+// SetLoadReportField sets a field of a load report by its name in the settings. A negative value means unknown and is
+// ignored. It returns true if it has set a field that reports the processor's load, not the number of lines.
 func SetLoadReportField(report *routing.LoadReport, field string, value float64) bool {
 	set := loadReportFields[field]
 	if set == nil || !(value >= 0) {
@@ -77,13 +77,13 @@
 	Weight             *float64 `json:"worth"`
 }
 
-// Words of the platform's settings.
+// Values in the platform's settings.
 const (
 	semanticsPure   = "pure" // a setup may be executed twice
 	deliveryByProbe = "on_probe"
 )
 
-// unmarshal reads JSON. Errors name the field as the platform spells it.
+// unmarshal decodes JSON. Type errors name the field as the platform spells it.
 func unmarshal(text []byte, into any) error {
 	err := json.Unmarshal(text, into)
 	var typeError *json.UnmarshalTypeError
@@ -93,7 +93,8 @@
 	return err
 }
 
-// validate finds what no deployment can mean. Other figures below 0 switch off what they limit.
+// validate rejects settings that are invalid in every deployment. Other negative values are allowed: they switch off
+// the limit that they set.
 func (o *settingsObject) validate() error {
 	indexes := map[string]int{}
 	for i, class := range o.Classes {
@@ -117,7 +118,7 @@
 	return nil
 }
 
-// Decode reads the routing settings, and the names of the fields of load reports in their order.
+// Decode decodes the routing settings, and the names of the load report fields in their order.
 func Decode(text []byte, seed uint64) (*routing.Settings, []string, error) {
 	var object settingsObject
 	if err := unmarshal(text, &object); err != nil {
@@ -180,14 +181,14 @@
 	return class
 }
 
-// Connections are the settings of connections. Times are milliseconds.
+// Connections are the connection settings. Times are in milliseconds.
 type Connections struct {
-	ConnectTimeout  float64 // a connection that is not up by then is given up
-	IdleTimeout     float64 // idle connections are closed after this
-	MaxPendingCalls int     // of one gateway
+	ConnectTimeout  float64 // after this an attempt to connect is aborted
+	IdleTimeout     float64 // after this an idle connection is closed
+	MaxPendingCalls int     // per gateway
 }
 
-// DecodeConnections reads the settings of connections.
+// DecodeConnections decodes the connection settings.
 func DecodeConnections(text []byte) (Connections, error) {
 	var object struct {
 		Allowed struct {
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -39,7 +39,7 @@
 		t.Errorf("%+v %v", l, err)
 	}
 	if _, _, err := Decode([]byte(`{"balancers":"many"}`), 1); err == nil {
-		t.Error("a text for a number passes")
+		t.Error("a string was accepted for a number")
 	}
 }
 
@@ -48,7 +48,7 @@
 	if SetLoadReportField(&r, "free", 3) || SetLoadReportField(&r, "size", 40) || !SetLoadReportField(&r, "busy", 0.5) ||
 		SetLoadReportField(&r, "q", -1) ||
 		SetLoadReportField(&r, "nothing", 1) {
-		t.Error("which figures are the processor's")
+		t.Error("wrong result of SetLoadReportField")
 	}
 	if r.Free != 3 || r.Capacity != 40 || r.Utilization != 0.5 || r.QueueLength != 0 {
 		t.Errorf("%+v", r)
--- a/internal/gateway/binaryconfig/config.go
+++ b/internal/gateway/binaryconfig/config.go
@@ -1,5 +1,5 @@
-// Package binaryconfig reads the configuration that the platform hands a gateway at its start: one JSON object, checked
-// as a whole. Errors name the field.
+// Package binaryconfig reads the configuration that the platform gives a gateway at its start: one JSON object,
+// which is validated as a whole. Errors name the field.
 package binaryconfig
 
 import (
@@ -17,10 +17,10 @@
 	"cobaltpier/internal/routing"
 )
 
-// minDescriptors is what a gateway needs to run at all.
+// minDescriptors is the smallest number of descriptors that a gateway can run with.
 const minDescriptors = 32
 
-// Limits are what the gateway's machine allows it.
+// Limits are the resources that the platform allows the gateway.
 type Limits struct {
 	Cores       float64 `json:"cores"`
 	MemoryMB    float64 `json:"memory_mb"`
@@ -31,14 +31,14 @@
 type Config struct {
 	Name             string
 	Listen           netip.AddrPort
-	PeerListen       netip.AddrPort   // not valid: no gossip
+	PeerListen       netip.AddrPort   // the zero value: no gossip
 	Peers            []netip.AddrPort // of all gateways, by index
 	Nameserver       netip.AddrPort
 	Limits           Limits
 	Settings         *routing.Settings
 	LoadReportFields []string
 	Connections      deployment.Connections
-	InitialLists     []dnsdiscovery.List // the name server's events up to now
+	InitialLists     []dnsdiscovery.List // the name server's events up to the start
 }
 
 // configJSON is the configuration as the platform writes it.
--- a/internal/gateway/binaryconfig/config_test.go
+++ b/internal/gateway/binaryconfig/config_test.go
@@ -10,7 +10,7 @@
 	"cobaltpier/internal/routing"
 )
 
-// completeConfig is a configuration with everything that a gateway is told, as the platform writes it.
+// completeConfig is a configuration with all fields, as the platform writes it.
 //
 //go:embed testdata/config.json
 var completeConfig string
@@ -32,7 +32,7 @@
 		t.Errorf("settings %+v", s)
 	}
 	if c.Connections.ConnectTimeout != 400 || len(c.LoadReportFields) != 2 {
-		t.Errorf("links %+v, fields %v", c.Connections, c.LoadReportFields)
+		t.Errorf("connections %+v, fields %v", c.Connections, c.LoadReportFields)
 	}
 	k := c.InitialLists
 	if len(k) != 2 || !k[0].Complete || k[1].Serial != 41 || k[1].Targets[0].State != routing.Draining ||
@@ -42,7 +42,7 @@
 	}
 }
 
-// A fault is told with the field's name.
+// An error names the invalid field.
 func TestInvalidConfig(t *testing.T) {
 	for _, c := range [][3]string{
 		{`"listen":"127.0.0.4:5070"`, `"listen":"here"`, `listen: want an address`},
@@ -81,7 +81,7 @@
 	}
 }
 
-// What a tenant's settings can't mean is told with the field.
+// An error in a deployment's settings names the field.
 func TestInvalidSettings(t *testing.T) {
 	for _, c := range [][2]string{
 		{`{"lanes":[{"name":"a","hardLimit":"soon"}]}`, "lanes.hardLimit"},
--- a/internal/gateway/reactor/stream.go
+++ b/internal/gateway/reactor/stream.go
@@ -118,7 +118,7 @@
 
 const (
 	acceptRetryInterval = 20 * time.Millisecond // between attempts to accept while the process has no free descriptor
-	acceptIdleTimeout   = 20 * time.Millisecond // without a new connection in this time after StopAccept the queue is empty
+	acceptIdleTimeout   = 20 * time.Millisecond // after StopAccept: no connection in this time ends the loop
 )
 
 // accept runs the accept loop. Each connection takes a slot. After StopAccept the loop ends when no further connection
