--- a/internal/gateway/binaryserver/deployments_test.go
+++ b/internal/gateway/binaryserver/deployments_test.go
@@ -16,7 +16,7 @@
 type testDeployment struct {
 	name        string
 	classes     []string
-	classFields string // the rest of a class
+	classFields string // JSON fields of each class besides its name
 	allowed     string
 	rules       string
 	loadReports string
@@ -42,18 +42,18 @@
 	doc["limits"] = map[string]any{"cores": 0.1, "memory_mb": 32, "sockets": c.descriptors}
 }
 
-func manyClasses() (of []string) {
+func manyClasses() (names []string) {
 	for i := range 40 {
-		of = append(of, fmt.Sprintf("class %d; of:many=%d", i, i*i))
+		names = append(names, fmt.Sprintf("class %d; of:many=%d", i, i*i))
 	}
 	return
 }
 
-// Nothing holds for one tenant only: whatever the classes are called and however many there are, with tiny limits or
-// with all that may be switched off switched off, calls of every class pass, and what was never named is refused.
+// The server works with any deployment's settings: any names and number of classes, very small limits, and all optional
+// features off. Calls of every class are established and released; a call of an unknown class is refused.
 func TestOtherDeployments(t *testing.T) {
 	for _, c := range []testDeployment{
-		{"one class with an odd name", []string{"Ångström 1;dest:0 \"x\""},
+		{"one class with special characters in its name", []string{"Ångström 1;dest:0 \"x\""},
 			`"aim":700,"hardLimit":1500,"lateWorth":0.5,"worth":0.01,"semantics":"pure"`,
 			`"cancel":true,"maxAttempts":7,"connectTimeout":250`, `"answerSlack":5`, `"fields":["size","free"],"how":"inline"`,
 			256, "1500"},
@@ -110,7 +110,7 @@
 			)
 			if !p.waitFor(time.Second, func() bool { return len(p.received[9000]) > 0 }) ||
 				p.received[9000][0].Type() != binarymessage.Release {
-				t.Errorf("a class that this customer does not have: %x", p.received[9000])
+				t.Errorf("a class that this deployment does not have: %x", p.received[9000])
 			}
 		})
 	}
--- a/internal/gateway/binaryserver/nameserver_test.go
+++ b/internal/gateway/binaryserver/nameserver_test.go
@@ -9,25 +9,25 @@
 	"github.com/miekg/dns"
 )
 
-// testNameServer is a stand-in of a name server.
+// testNameServer is a stand-in for a name server.
 type testNameServer struct {
 	conn       *net.UDPConn
 	mu         sync.Mutex
 	serial     uint32
-	priorities map[*testEndpoint]uint16 // and their priorities
+	priorities map[*testEndpoint]uint16 // SRV priority of each listed endpoint
 	queries    int
 	silent     bool
 	done       chan struct{}
 }
 
-func newTestNameServer(t *testing.T, serial uint32, of ...*testEndpoint) *testNameServer {
+func newTestNameServer(t *testing.T, serial uint32, endpoints ...*testEndpoint) *testNameServer {
 	t.Helper()
 	c, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
 	if err != nil {
 		t.Fatal(err)
 	}
 	n := &testNameServer{conn: c, serial: serial, priorities: map[*testEndpoint]uint16{}, done: make(chan struct{})}
-	for _, s := range of {
+	for _, s := range endpoints {
 		n.priorities[s] = 0
 	}
 	go n.serve()
@@ -92,7 +92,7 @@
 	}
 }
 
-// setPriorities changes the list.
+// setPriorities changes the endpoint list and increments its serial.
 func (n *testNameServer) setPriorities(change func(map[*testEndpoint]uint16)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/gateway/binaryserver/server_test.go
+++ b/internal/gateway/binaryserver/server_test.go
@@ -20,8 +20,8 @@
 	"cobaltpier/internal/routing"
 )
 
-// TestCallsUnderFaults: calls pass over real sockets while connections break in every way. Each has one final answer,
-// and what was established is released.
+// Calls over real sockets while endpoints reset connections, send garbage, reject setups, cut answers off or never
+// answer: each call gets exactly one final answer, and each established call is released.
 func TestCallsUnderFaults(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreTopFunction("github.com/lesismal/nbio/timer.(*Timer).Start.func1"))
 	t.Run("faults", func(t *testing.T) {
@@ -52,7 +52,7 @@
 	})
 }
 
-// drawFault gives 6 of 40 setups one of the faults, or none.
+// drawFault returns a fault for 6 of 40 setups (one of the six is noFault), and noFault for the others.
 func drawFault(endpoint, n int) fault {
 	faults := []fault{noFault, faultReset, faultNoise, faultFull, faultSilent, faultHalf}
 	if x := int(detrand.Float64(uint64(endpoint), uint64(n)) * 40); x < len(faults) {
@@ -61,7 +61,7 @@
 	return noFault
 }
 
-// writeFragmented sends setups in pieces that end anywhere.
+// writeFragmented sends setups in fragments that ignore message boundaries.
 func (p *testClient) writeFragmented(firstID, calls uint64) {
 	var wire []byte
 	for id := firstID; id < firstID+calls; id++ {
@@ -77,7 +77,7 @@
 	}
 }
 
-// countEnded is how many calls were refused, or established and released.
+// countEnded returns how many calls were refused, or established and released.
 func (p *testClient) countEnded() (n int) {
 	for _, messages := range p.received {
 		answers, refusals, releases := countFinals(messages)
@@ -88,86 +88,88 @@
 	return n
 }
 
-// Callers that send what can't be used get a refusal or a close soon, and usual ones do not notice.
+// Clients that send invalid or incomplete messages are refused or closed soon, and a normal client is still served.
 func TestMisbehavingClients(t *testing.T) {
 	a, b := newTestEndpoint(t, "s-0"), newTestEndpoint(t, "s-1")
 	s := newTestServer(t, newTestNameServer(t, 1, a, b), a, b)
-	usual := s.dial()
-	usual.waitUntilReady()
+	normal := s.dial()
+	normal.waitUntilReady()
 	big := make([]byte, 1<<20)
 	for i := range big {
 		big[i] = 0x7f
 	}
-	odd := func(id uint64, of ...binarymessage.Param) []byte {
-		return binarymessage.Append(nil, binarymessage.Setup, id, of...)
+	invalidSetup := func(id uint64, params ...binarymessage.Param) []byte {
+		return binarymessage.Append(nil, binarymessage.Setup, id, params...)
 	}
 	class, wait, number := binarymessage.TextParam(binarymessage.Class, "voice"),
 		binarymessage.TextParam(binarymessage.Timeout, "900"), binarymessage.TextParam(binarymessage.Number, "1")
-	for what, wire := range map[string][]byte{
+	for name, wire := range map[string][]byte{
 		"no message":        []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
 		"nothing":           nil,
 		"half a message":    setupMessage(77)[:20],
 		"length zero":       {0, 0, 0, 0},
 		"60 MB":             big,
-		"class unknown":     odd(1<<41+1, binarymessage.TextParam(binarymessage.Class, "video"), wait, number),
-		"no class":          odd(1<<41+2, wait, number),
-		"timeout no figure": odd(1<<41+3, class, binarymessage.TextParam(binarymessage.Timeout, "soon"), number),
-		"timeout below 0":   odd(1<<41+4, class, binarymessage.TextParam(binarymessage.Timeout, "-5"), number),
-		"timeout endless":   odd(1<<41+5, class, binarymessage.TextParam(binarymessage.Timeout, "1e300"), number),
-		"no number":         odd(1<<41+6, class, wait),
-		"figures too large": odd(1<<41+7, class, wait, number, binarymessage.TextParam(binarymessage.Figures,
+		"class unknown":     invalidSetup(1<<41+1, binarymessage.TextParam(binarymessage.Class, "video"), wait, number),
+		"no class":          invalidSetup(1<<41+2, wait, number),
+		"timeout no figure": invalidSetup(1<<41+3, class, binarymessage.TextParam(binarymessage.Timeout, "soon"), number),
+		"timeout below 0":   invalidSetup(1<<41+4, class, binarymessage.TextParam(binarymessage.Timeout, "-5"), number),
+		"timeout endless":   invalidSetup(1<<41+5, class, binarymessage.TextParam(binarymessage.Timeout, "1e300"), number),
+		"no number":         invalidSetup(1<<41+6, class, wait),
+		"figures too large": invalidSetup(1<<41+7, class, wait, number, binarymessage.TextParam(binarymessage.Figures,
 			"dest:99999999999999999999")),
-		"figures no number": odd(1<<41+8, class, wait, number, binarymessage.TextParam(binarymessage.Figures, "width:many")),
-		"no id":             odd(0, class, wait, number),
-		"unknown switch": odd(1<<41+9, class, wait, number, binarymessage.TextParam(binarymessage.Figures,
+		"figures no number": invalidSetup(1<<41+8, class, wait, number, binarymessage.TextParam(binarymessage.Figures,
+			"width:many")),
+		"no id": invalidSetup(0, class, wait, number),
+		"unknown switch": invalidSetup(1<<41+9, class, wait, number, binarymessage.TextParam(binarymessage.Figures,
 			"at:s-nowhere")),
 		"one id twice": append(setupMessage(1<<41+10), setupMessage(1<<41+10, binarymessage.TextParam(binarymessage.Note,
 			"x"))...),
 		"odd type": binarymessage.Append(nil, 200, 5),
 	} {
-		t.Run(what, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			p := s.dial()
-			go func() { // at full speed, and nobody cares whether it arrives
+			go func() { // as fast as possible; a write error means that the gateway has closed the connection
 				for range 60 {
 					if _, err := p.conn.Write(wire); err != nil || len(wire) < len(big) {
 						return
 					}
 				}
 			}()
-			over := func() bool { return !p.open || len(p.received) > 0 }
-			if !p.waitFor(3*time.Second, over) {
+			done := func() bool { return !p.open || len(p.received) > 0 }
+			if !p.waitFor(3*time.Second, done) {
 				t.Error("neither an answer nor a close")
 			}
-			for _, of := range p.received {
-				if answers, _, _ := countFinals(of); answers > 0 {
-					t.Error("served")
+			for _, messages := range p.received {
+				if answers, _, _ := countFinals(messages); answers > 0 {
+					t.Error("an invalid setup was answered")
 				}
 			}
 		})
-		id := uint64(len(what)) + 5000 + detrand.Hash(uint64(len(wire)))%1000
-		_, _ = usual.conn.Write(setupMessage(id))
-		if !usual.waitFor(2*time.Second, func() bool { return len(usual.received[id]) > 0 }) ||
-			usual.received[id][0].Type() != binarymessage.Answer {
-			t.Errorf("%s: a usual caller got %x", what, usual.received[id])
+		id := uint64(len(name)) + 5000 + detrand.Hash(uint64(len(wire)))%1000
+		_, _ = normal.conn.Write(setupMessage(id))
+		if !normal.waitFor(2*time.Second, func() bool { return len(normal.received[id]) > 0 }) ||
+			normal.received[id][0].Type() != binarymessage.Answer {
+			t.Errorf("%s: a normal caller got %x", name, normal.received[id])
 		}
 	}
 }
 
-// Hundreds of setups at once, or taken back at once, or again as soon as they are rejected: each has one answer or none
-// is owed, and a usual caller has its own in time.
+// Hundreds of setups at once, with and without an immediate release, or one after another as soon as the last one is
+// rejected: each call gets at most one final answer (exactly one if it was not released), and a normal caller gets its
+// answer in time.
 func TestFloods(t *testing.T) {
 	a, b := newTestEndpoint(t, "s-0"), newTestEndpoint(t, "s-1")
 	s := newTestServer(t, newTestNameServer(t, 1, a, b), a, b)
-	usual := s.dial()
-	usual.waitUntilReady()
+	normal := s.dial()
+	normal.waitUntilReady()
 	const many = 400
-	for round, back := range []bool{false, true} {
+	for round, released := range []bool{false, true} {
 		p := s.dial()
 		var wire []byte
 		first := uint64(round+1) << 40
 		for i := range uint64(many) {
 			wire = append(wire, setupMessage(first+i)...)
-			if back {
+			if released {
 				wire = append(
 					wire,
 					binarymessage.Append(nil, binarymessage.Release, first+i, binarymessage.CauseParam(binarymessage.Normal))...)
@@ -176,22 +178,22 @@
 		go func() { _, _ = p.conn.Write(wire) }()
 		time.Sleep(20 * time.Millisecond)
 		id := uint64(9000 + round)
-		_, _ = usual.conn.Write(setupMessage(id))
-		if !usual.waitFor(1600*time.Millisecond, func() bool { return len(usual.received[id]) > 0 }) {
-			t.Errorf("taken back %v: a usual caller has no answer", back)
+		_, _ = normal.conn.Write(setupMessage(id))
+		if !normal.waitFor(1600*time.Millisecond, func() bool { return len(normal.received[id]) > 0 }) {
+			t.Errorf("released %v: a normal caller has no answer", released)
 		}
-		p.waitFor(3*time.Second, func() bool { return !back && len(p.received) == many })
-		if !back && len(p.received) != many {
+		p.waitFor(3*time.Second, func() bool { return !released && len(p.received) == many })
+		if !released && len(p.received) != many {
 			t.Errorf("%d of %d have an answer", len(p.received), many)
 		}
-		for id, of := range p.received {
-			if answers, refusals, _ := countFinals(of); answers+refusals > 1 {
-				t.Errorf("taken back %v: call %x has %d answers and %d refusals", back, id, answers, refusals)
+		for id, messages := range p.received {
+			if answers, refusals, _ := countFinals(messages); answers+refusals > 1 {
+				t.Errorf("released %v: call %x has %d answers and %d refusals", released, id, answers, refusals)
 			}
 		}
 	}
 	p := s.dial()
-	for n := range uint64(200) { // the same again as soon as it is rejected
+	for n := range uint64(200) { // the next setup as soon as the last one is rejected
 		id := uint64(5)<<40 + n
 		_, _ = p.conn.Write(setupMessage(id, binarymessage.TextParam(binarymessage.RetryAfter, "0")))
 		if !p.waitFor(2*time.Second, func() bool { return len(p.received[id]) > 0 }) {
@@ -203,11 +205,11 @@
 	defer a.mu.Unlock()
 	defer b.mu.Unlock()
 	if a.setups+b.setups == 0 {
-		t.Error("no setup came to a switch")
+		t.Error("no setup reached an endpoint")
 	}
 }
 
-// gossipPolicy is a module that hears other gateways and says something to them.
+// gossipPolicy is a policy that records gossip and replies to it.
 type gossipPolicy struct {
 	routing.Policy
 	host     routing.Host
@@ -220,8 +222,8 @@
 	m.host.SendGossip(from, make([]byte, 257))
 }
 
-// Other gateways are known by the addresses that their messages come from; what comes from elsewhere counts for
-// nothing.
+// A gateway identifies its peers by the source address of their messages. Messages from other addresses, and messages
+// above the maximum size of 256 bytes, are dropped.
 func TestGossip(t *testing.T) {
 	a := newTestEndpoint(t, "s-0")
 	peer, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
@@ -235,9 +237,9 @@
 	}
 	defer stranger.Close()
 	own := freePort(t)
-	heard := make(chan string, 10)
+	received := make(chan string, 10)
 	s := startTestServer(t, newTestNameServer(t, 1, a), func(set *routing.Settings, h routing.Host) routing.Policy {
-		return &gossipPolicy{Policy: router.New(set, h), host: h, received: heard}
+		return &gossipPolicy{Policy: router.New(set, h), host: h, received: received}
 	}, func(doc map[string]any) {
 		doc["peer_listen"], doc["peers"] = own, []string{own, peer.LocalAddr().String()}
 		doc["settings"] = json.RawMessage(
@@ -253,12 +255,12 @@
 	_, _ = peer.WriteToUDP(make([]byte, 257), to)
 	_, _ = peer.WriteToUDP([]byte("news"), to)
 	select {
-	case got := <-heard:
+	case got := <-received:
 		if got != "1 news" {
-			t.Errorf("the module heard %q", got)
+			t.Errorf("the policy received %q", got)
 		}
 	case <-time.After(3 * time.Second):
-		t.Fatal("the module heard nothing")
+		t.Fatal("the policy received nothing")
 	}
 	b := make([]byte, 1000)
 	_ = peer.SetReadDeadline(time.Now().Add(3 * time.Second))
@@ -267,11 +269,11 @@
 	}
 	_ = peer.SetReadDeadline(time.Now().Add(200 * time.Millisecond))
 	if n, _, err := peer.ReadFromUDP(b); err == nil {
-		t.Errorf("and %d bytes more", n)
+		t.Errorf("the other gateway got another message of %d bytes", n)
 	}
 }
 
-// Hundreds connect and say nothing: descriptors hold, and a usual caller gets in.
+// Hundreds of clients connect and send nothing: descriptors do not run out, and a normal caller is served.
 func TestSilentClients(t *testing.T) {
 	a, b := newTestEndpoint(t, "s-0"), newTestEndpoint(t, "s-1")
 	s := newTestServer(t, newTestNameServer(t, 1, a, b), a, b)
@@ -287,12 +289,12 @@
 	_, _ = p.conn.Write(setupMessage(4242))
 	if !p.waitFor(2*time.Second, func() bool { return len(p.received[4242]) > 0 }) ||
 		p.received[4242][0].Type() != binarymessage.Answer {
-		t.Errorf("a usual caller among a silent crowd got %x, connection open %v", p.received[4242], p.open)
+		t.Errorf("a normal caller among silent clients got %x, connection open %v", p.received[4242], p.open)
 	}
 }
 
-// A drain that the name server tells of is kept; a new configuration names another name server, whose list counts; one
-// that can't be used changes nothing.
+// An endpoint that the name server lists as draining gets no calls. After a reload the list of the new name server is
+// used; an invalid configuration changes nothing.
 func TestListAndReload(t *testing.T) {
 	a, b := newTestEndpoint(t, "s-0"), newTestEndpoint(t, "s-1")
 	ns, other := newTestNameServer(t, 1, a, b), newTestNameServer(t, 10, b)
@@ -300,7 +302,7 @@
 	p := s.dial()
 	p.waitUntilReady()
 	next := uint64(1 << 30)
-	to := func() (served string) {
+	setUpCall := func() (answer string) {
 		next += 2 // the destination is s-0 every time
 		_, _ = p.conn.Write(setupMessage(next))
 		p.waitFor(2*time.Second, func() bool { return len(p.received[next]) > 0 })
@@ -309,12 +311,12 @@
 		}
 		return p.received[next][0].Text(binarymessage.Description)
 	}
-	if got := to(); got != "answer of s-0" {
+	if got := setUpCall(); got != "answer of s-0" {
 		t.Fatalf("before: %q", got)
 	}
 	ns.setPriorities(func(l map[*testEndpoint]uint16) { l[a] = 1 })
 	time.Sleep(600 * time.Millisecond)
-	if got := to(); got != "answer of s-1" {
+	if got := setUpCall(); got != "answer of s-1" {
 		t.Errorf("s-0 drains: %q", got)
 	}
 	ns.setPriorities(func(l map[*testEndpoint]uint16) { l[a] = 0 })
@@ -323,19 +325,20 @@
 	s.writeConfig()
 	s.signals <- Reload
 	time.Sleep(300 * time.Millisecond)
-	if got := to(); got != "answer of s-0" {
+	if got := setUpCall(); got != "answer of s-0" {
 		t.Errorf("after a bad configuration: %q", got)
 	}
 	s.config["nameserver"] = other.addr()
 	s.writeConfig()
 	s.signals <- Reload
 	time.Sleep(600 * time.Millisecond)
-	if got := to(); got != "answer of s-1" {
-		t.Errorf("the new name server says that s-0 is gone: %q", got)
+	if got := setUpCall(); got != "answer of s-1" {
+		t.Errorf("s-0 is not in the new name server's list: %q", got)
 	}
 }
 
-// Told to leave, a gateway goes on taking calls for a while, fails tests, answers what it holds, and ends.
+// After the shutdown signal a gateway accepts calls for a while, fails health checks, answers all pending calls, and
+// stops.
 func TestShutdown(t *testing.T) {
 	a, b := newTestEndpoint(t, "s-0"), newTestEndpoint(t, "s-1")
 	s := newTestServer(t, newTestNameServer(t, 1, a, b), a, b)
@@ -343,7 +346,7 @@
 	p.waitUntilReady()
 	s.signals <- Shutdown
 	time.Sleep(300 * time.Millisecond)
-	q := s.dial() // connections keep coming
+	q := s.dial() // connections are still accepted
 	_, _ = q.conn.Write(append(setupMessage(600), binarymessage.Append(nil, binarymessage.HealthCheck, 601,
 		binarymessage.CauseParam(0))...))
 	if !q.waitFor(time.Second, func() bool { return len(q.received[600]) > 0 && len(q.received[601]) > 0 }) ||
@@ -365,11 +368,12 @@
 			t.Error(err)
 		}
 	case <-time.After(3 * time.Second):
-		t.Error("it does not end")
+		t.Error("the gateway does not stop")
 	}
 }
 
-// A gateway that leaves stays for the established calls, and passes their releases on, but no longer than it may.
+// During a shutdown a gateway waits for the established calls and forwards their releases, but no longer than the
+// platform allows.
 func TestShutdownWithCalls(t *testing.T) {
 	a, b := newTestEndpoint(t, "s-0"), newTestEndpoint(t, "s-1")
 	a.holdingTime, b.holdingTime = 1800*time.Millisecond, 1800*time.Millisecond
@@ -388,15 +392,15 @@
 	time.Sleep(400 * time.Millisecond)
 	_, _ = p.conn.Write(setupMessage(702, binarymessage.Param{Code: binarymessage.Note}))
 	if !p.waitFor(3*time.Second, func() bool { return len(p.received[700]) > 1 }) {
-		t.Errorf("the release of a call that stood did not pass: %x", p.received[700])
+		t.Errorf("the release of an established call was not forwarded: %x", p.received[700])
 	}
 	if !p.waitFor(2*time.Second, func() bool { return !p.open && len(p.received[702]) > 0 }) ||
 		p.received[702][0].Type() != binarymessage.Release {
-		t.Errorf("a call that no switch answers got %x, open %v", p.received[702], p.open)
+		t.Errorf("a call that no endpoint answers got %x, open %v", p.received[702], p.open)
 	}
 }
 
-// An address that is taken is told.
+// An error about a listen address that is in use names the address.
 func TestAddressInUse(t *testing.T) {
 	a := newTestEndpoint(t, "s-0")
 	s := newTestServer(t, newTestNameServer(t, 1, a), a)
@@ -418,15 +422,15 @@
 	}
 }
 
-// After a stall the sockets are read once more before any timer runs; else nothing waits.
+// After a stall the sockets are read once more before any timer runs; without a stall there is no such pause.
 func TestEventsAfterStall(t *testing.T) {
 	s := &Server{}
 	for i, c := range []struct {
-		looked, now float64
-		want        bool
+		lastBatchAt, now float64
+		want             bool
 	}{{0, 5000, false}, {1000, 1100, false}, {1000, 1151, true}, {0, 1160, false}} {
-		if c.looked > 0 {
-			s.lastBatchAt = c.looked
+		if c.lastBatchAt > 0 {
+			s.lastBatchAt = c.lastBatchAt
 		}
 		if got := s.stalled(c.now); got != c.want {
 			t.Errorf("%d: %v", i, got)
--- a/internal/gateway/binaryserver/shutdown_test.go
+++ b/internal/gateway/binaryserver/shutdown_test.go
@@ -14,14 +14,14 @@
 	"cobaltpier/internal/protocol/binarymessage"
 )
 
-// runWithLeakCheck runs a test in which everything that was started has to have ended.
+// runWithLeakCheck runs a test and fails if it leaves goroutines behind.
 func runWithLeakCheck(t *testing.T, do func(t *testing.T)) {
 	t.Helper()
 	defer goleak.VerifyNone(t, goleak.IgnoreTopFunction("github.com/lesismal/nbio/timer.(*Timer).Start.func1"))
 	t.Run("clean", do)
 }
 
-// waitUntilStopped waits for a gateway to end by itself.
+// waitUntilStopped waits for a gateway to stop by itself.
 func (s *testServer) waitUntilStopped(within time.Duration) {
 	s.Helper()
 	select {
@@ -31,11 +31,12 @@
 			s.Error(err)
 		}
 	case <-time.After(within):
-		s.Error("it does not end")
+		s.Error("the gateway does not stop")
 	}
 }
 
-// readToEOF reads till the other side ends the connection, and tells whether it did so in order.
+// readToEOF reads until the gateway closes the connection. It returns an error if the connection is reset or stays
+// open.
 func (p *testClient) readToEOF(within time.Duration) error {
 	_ = p.conn.SetReadDeadline(time.Now().Add(within))
 	b := make([]byte, 4096)
@@ -54,8 +55,8 @@
 	}
 }
 
-// A setup that is half read when the gateway is told to go is answered: taken while calls come, rejected after that;
-// so is one on a connection that is just accepted. All connections end in order.
+// A setup that is received in part when the shutdown begins is answered once it is complete: it is served while calls
+// are accepted and rejected after that. All connections are closed without a reset.
 func TestShutdownWithPartialSetups(t *testing.T) {
 	runWithLeakCheck(t, func(t *testing.T) {
 		a := newTestEndpoint(t, "s-0")
@@ -69,19 +70,19 @@
 		_, _ = soon.conn.Write(one[11:])
 		if !soon.waitFor(time.Second, func() bool { return len(soon.received[600]) > 0 }) ||
 			soon.received[600][0].Type() != binarymessage.Answer {
-			t.Errorf("half read, and whole soon after: %x", soon.received[600])
+			t.Errorf("complete soon after the shutdown began: %x", soon.received[600])
 		}
 		time.Sleep(800 * time.Millisecond)
 		_, _ = late.conn.Write(two[len(two)-1:])
 		if !late.waitFor(time.Second, func() bool { return len(late.received[602]) > 0 }) ||
 			late.received[602][0].Cause() != binarymessage.Congested {
-			t.Errorf("whole when nothing is taken any more: %x", late.received[602])
+			t.Errorf("complete after calls are no longer accepted: %x", late.received[602])
 		}
 		var end sync.WaitGroup
 		for _, p := range []*testClient{soon, late, idle} {
 			end.Go(func() {
 				if err := p.readToEOF(4 * time.Second); err != nil {
-					t.Errorf("a connection did not end in order: %v", err)
+					t.Errorf("a connection was not closed cleanly: %v", err)
 				}
 				p.conn.Close()
 			})
@@ -91,8 +92,7 @@
 	})
 }
 
-// Told to go twice, and to read its configuration meanwhile, a gateway goes once; told within its start it goes as
-// well.
+// Further shutdown signals and a reload do not prolong a shutdown; a shutdown signal during the start is obeyed too.
 func TestRepeatedShutdown(t *testing.T) {
 	runWithLeakCheck(t, func(t *testing.T) {
 		a, b := newTestEndpoint(t, "s-0"), newTestEndpoint(t, "s-1")
@@ -110,7 +110,7 @@
 			p.received[700][0].Text(binarymessage.Description) != "answer of s-1" {
 			t.Errorf("%q", p.received[700])
 		}
-		for range 15 { // it does not stay the longer
+		for range 15 { // further signals do not prolong the shutdown
 			time.Sleep(200 * time.Millisecond)
 			select {
 			case s.signals <- Shutdown:
@@ -127,8 +127,8 @@
 	})
 }
 
-// A caller that is told nothing more reads its last answer even where it has just written again: its connection ends in
-// order, and is not reset under the answer.
+// A client that keeps writing during the shutdown still reads its last answer: its connection is closed without a
+// reset, which would discard the answer.
 func TestLastAnswerIsNotReset(t *testing.T) {
 	runWithLeakCheck(t, func(t *testing.T) {
 		a := newTestEndpoint(t, "s-0")
@@ -136,9 +136,9 @@
 		s := newTestServer(t, newTestNameServer(t, 1, a), a)
 		p := s.dial()
 		p.waitUntilReady()
-		stop, gone := make(chan struct{}), make(chan struct{})
-		go func() { // it never stops writing what means nothing
-			defer close(gone)
+		stop, writerDone := make(chan struct{}), make(chan struct{})
+		go func() { // keeps writing messages that the gateway ignores
+			defer close(writerDone)
 			for {
 				select {
 				case <-stop:
@@ -160,20 +160,20 @@
 				binarymessage.TextParam(binarymessage.Number, "1"),
 				binarymessage.TextParam(binarymessage.Timeout, "9000"),
 			),
-		) // it waits longer than the gateway may stay
+		) // its timeout is longer than the gateway's shutdown may take
 		s.signals <- Shutdown
 		err := p.readToEOF(6 * time.Second)
 		close(stop)
-		<-gone
+		<-writerDone
 		p.conn.Close()
-		if of := p.received[800]; err != nil || len(of) != 1 || of[0].Type() != binarymessage.Release {
-			t.Errorf("%x, %v", of, err)
+		if messages := p.received[800]; err != nil || len(messages) != 1 || messages[0].Type() != binarymessage.Release {
+			t.Errorf("%x, %v", messages, err)
 		}
 		s.waitUntilStopped(5 * time.Second)
 	})
 }
 
-// A configuration that is replaced while it is read is read again.
+// A configuration file that is incomplete when it is read is read again.
 func TestReloadIncompleteFile(t *testing.T) {
 	runWithLeakCheck(t, func(t *testing.T) {
 		a, b := newTestEndpoint(t, "s-0"), newTestEndpoint(t, "s-1")
@@ -189,19 +189,19 @@
 		s.writeConfig()
 		for range 100 {
 			other.mu.Lock()
-			asked := other.queries
+			queries := other.queries
 			other.mu.Unlock()
-			if asked > 0 {
+			if queries > 0 {
 				return
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
-		t.Error("the new name server is never asked")
+		t.Error("the new name server gets no query")
 	})
 }
 
-// Callers that asked once and keep their connections hold all places while the name server says nothing: who comes now
-// is let in and served, and a gateway that has just started passes its test.
+// Idle clients use up all connections while the name server does not answer: new clients are still accepted and served,
+// and a gateway that has just started passes its health check.
 func TestIdleClientsWithoutEndpointList(t *testing.T) {
 	runWithLeakCheck(t, func(t *testing.T) {
 		a := newTestEndpoint(t, "s-0")
@@ -220,7 +220,7 @@
 			_, _ = c.Write(binarymessage.Append(nil, binarymessage.HealthCheck, 5000+i, binarymessage.CauseParam(0)))
 			_ = c.SetReadDeadline(time.Now().Add(2 * time.Second))
 			if _, err := io.ReadFull(c, make([]byte, 11)); err != nil {
-				t.Fatalf("caller %d was shut out: %v", i, err)
+				t.Fatalf("client %d was not served: %v", i, err)
 			}
 		}
 		p := s.dial()
@@ -228,43 +228,43 @@
 		_, _ = p.conn.Write(setupMessage(900))
 		if !p.waitFor(2*time.Second, func() bool { return len(p.received[900]) > 0 }) ||
 			p.received[900][0].Type() != binarymessage.Answer {
-			t.Errorf("a usual caller got %x, connection open %v", p.received[900], p.open)
+			t.Errorf("a normal caller got %x, connection open %v", p.received[900], p.open)
 		}
 	})
 }
 
-// A caller that closes under its attempt has gone: the attempt is given up, and no other begins.
+// A client closes its connection during an attempt: the attempt is canceled, and no other one is made.
 func TestClientClosesDuringAttempt(t *testing.T) {
 	runWithLeakCheck(t, func(t *testing.T) {
 		a, b := newTestEndpoint(t, "s-0"), newTestEndpoint(t, "s-1")
-		rung := make(chan struct{}, 10)
-		never := func(int) fault {
-			rung <- struct{}{}
+		setups := make(chan struct{}, 10)
+		silent := func(int) fault {
+			setups <- struct{}{}
 			return faultSilent
 		}
-		a.faultOf, b.faultOf = never, never
+		a.faultOf, b.faultOf = silent, silent
 		s := newTestServer(t, newTestNameServer(t, 1, a, b), a, b)
 		p, other := s.dial(), s.dial()
 		p.waitUntilReady()
 		_, _ = p.conn.Write(setupMessage(1000))
-		<-rung
+		<-setups
 		p.conn.Close()
-		givenUp := func() bool {
+		canceled := func() bool {
 			a.mu.Lock()
 			defer a.mu.Unlock()
 			b.mu.Lock()
 			defer b.mu.Unlock()
 			return len(a.established)+len(b.established) == 0
 		}
-		for i := 0; i < 100 && !givenUp(); i++ {
+		for i := 0; i < 100 && !canceled(); i++ {
 			time.Sleep(10 * time.Millisecond)
 		}
-		if !givenUp() {
-			t.Error("the attempt was not given up")
+		if !canceled() {
+			t.Error("the attempt was not canceled")
 		}
 		other.waitFor(1200*time.Millisecond, func() bool { return false }) // well past the retry hold-off
-		if n := len(rung); n != 0 {
-			t.Errorf("%d more attempts", n)
+		if n := len(setups); n != 0 {
+			t.Errorf("%d further attempts", n)
 		}
 	})
 }
--- a/internal/gateway/binaryserver/standins_test.go
+++ b/internal/gateway/binaryserver/standins_test.go
@@ -21,30 +21,30 @@
 	"cobaltpier/internal/routing"
 )
 
-// fault is what a stand-in of an endpoint does with a setup.
+// fault is how a stand-in for an endpoint mishandles a setup.
 type fault string
 
 const (
 	noFault     fault = ""
 	faultReset  fault = "reset"  // the connection is reset
-	faultNoise  fault = "noise"  // what is sent is no message
-	faultFull   fault = "full"   // the setup is rejected
-	faultSilent fault = "silent" // it is never answered
+	faultNoise  fault = "noise"  // bytes are sent that are not a message
+	faultFull   fault = "full"   // the setup is rejected for lack of capacity
+	faultSilent fault = "silent" // the setup is never answered
 	faultHalf   fault = "half"   // the answer is cut off
 )
 
-// testEndpoint is a stand-in of an endpoint on TCP.
+// testEndpoint is a stand-in for an endpoint on TCP.
 type testEndpoint struct {
 	t               *testing.T
 	id              string
 	listener        net.Listener
 	mu              sync.Mutex
 	conns           map[*testEndpointConn]struct{}
-	pendingReleases []uint64 // for the next connection
+	pendingReleases []uint64 // releases to send on the next connection
 	established     map[uint64]bool
 	setups          int
 	faultOf         func(n int) fault // of the n-th setup; nil: none
-	holdingTime     time.Duration     // that a call stays established
+	holdingTime     time.Duration     // how long a call stays established
 	goroutines      sync.WaitGroup
 }
 
@@ -93,7 +93,7 @@
 	e.goroutines.Wait()
 }
 
-// onSetup counts a setup and gives the fault that it meets.
+// onSetup counts a setup and returns the fault to apply to it.
 func (e *testEndpoint) onSetup(id uint64) fault {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -105,8 +105,8 @@
 	return e.faultOf(e.setups)
 }
 
-// release ends a call: on the connection of its setup, else on any and, as a real endpoint does, also on the next one,
-// for the gateway may just have closed the one at hand.
+// release ends a call. It sends the release on the connection of the setup, or else on any open one, and, as a real
+// endpoint does, again on the next connection, because the gateway may just have closed the present one.
 func (e *testEndpoint) release(id uint64, conn *testEndpointConn) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -140,7 +140,7 @@
 func (c *testEndpointConn) sendRaw(data []byte) {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
-	_, _ = c.conn.Write(data) // a connection that has closed is seen by the reader
+	_, _ = c.conn.Write(data) // the reader detects a closed connection
 }
 
 func (c *testEndpointConn) serve() {
@@ -161,13 +161,13 @@
 			return
 		}
 		if err := reader.Feed(buffer[:n], c.handle); err != nil {
-			e.t.Errorf("endpoint %s was sent what is no message: %v", e.id, err)
+			e.t.Errorf("endpoint %s received an invalid message: %v", e.id, err)
 			return
 		}
 	}
 }
 
-// open sends the load report, and the releases that waited for a connection.
+// open sends the load report and the pending releases.
 func (c *testEndpointConn) open() {
 	e := c.endpoint
 	c.send(binarymessage.LoadState, 0, testEndpointLoad)
@@ -242,17 +242,17 @@
 	return l.Addr().String()
 }
 
-func newTestServer(t *testing.T, ns *testNameServer, of ...*testEndpoint) *testServer {
+func newTestServer(t *testing.T, ns *testNameServer, endpoints ...*testEndpoint) *testServer {
 	t.Helper()
 	return startTestServer(
 		t,
 		ns,
 		func(set *routing.Settings, h routing.Host) routing.Policy { return router.New(set, h) },
 		func(map[string]any) {},
-		of...)
+		endpoints...)
 }
 
-// startTestServer starts a gateway whose configuration was changed.
+// startTestServer starts a gateway with a configuration that change has modified.
 func startTestServer(t *testing.T, ns *testNameServer, newPolicy routing.PolicyFactory, change func(map[string]any),
 	endpoints ...*testEndpoint) *testServer {
 	t.Helper()
@@ -281,7 +281,7 @@
 				t.Error(err)
 			}
 		case <-time.After(5 * time.Second):
-			t.Error("the gateway does not end")
+			t.Error("the gateway does not stop")
 		}
 	})
 	return s
@@ -327,7 +327,7 @@
 	}
 }
 
-// testClient is one connection of a caller.
+// testClient is one client connection.
 type testClient struct {
 	t        *testing.T
 	conn     net.Conn
@@ -351,7 +351,7 @@
 }
 
 // setupMessage is a caller's setup.
-func setupMessage(id uint64, of ...binarymessage.Param) []byte {
+func setupMessage(id uint64, params ...binarymessage.Param) []byte {
 	return binarymessage.Append(
 		nil,
 		binarymessage.Setup,
@@ -362,10 +362,11 @@
 			binarymessage.TextParam(binarymessage.Number, fmt.Sprintf("%x", id)),
 			binarymessage.TextParam(binarymessage.Figures, fmt.Sprintf("dest:%d;width:1;via:-1", id%2)),
 			binarymessage.TextParam(binarymessage.Description, "offer"),
-		}, of...)...)
+		}, params...)...)
 }
 
-// waitFor reads until enough says so, or for a time.
+// waitFor reads until enough returns true, the connection is closed or the time is over. It returns the result of
+// enough.
 func (p *testClient) waitFor(within time.Duration, enough func() bool) bool {
 	b := make([]byte, 4096)
 	for end := time.Now().Add(within); p.open && !enough() && time.Now().Before(end); {
@@ -375,7 +376,7 @@
 			p.received[m.Call()] = append(p.received[m.Call()], append(binarymessage.Message(nil), m...))
 			return true
 		}); ferr != nil {
-			p.t.Errorf("the caller was sent what is no message: %v", ferr)
+			p.t.Errorf("the client received an invalid message: %v", ferr)
 		}
 		var netErr net.Error
 		if err != nil && (!errors.As(err, &netErr) || !netErr.Timeout()) {
@@ -385,21 +386,21 @@
 	return enough()
 }
 
-// waitUntilReady waits for the gateway to pass a test.
+// waitUntilReady sends a health check and fails the test unless the gateway passes it.
 func (p *testClient) waitUntilReady() {
 	p.t.Helper()
 	_, _ = p.conn.Write(binarymessage.Append(nil, binarymessage.HealthCheck, 9, binarymessage.CauseParam(0)))
 	if !p.waitFor(3*time.Second, func() bool { return len(p.received[9]) > 0 }) ||
 		p.received[9][0].Type() != binarymessage.HealthResult ||
 		p.received[9][0].Cause() != 1 {
-		p.t.Fatalf("the test was answered with %x", p.received[9])
+		p.t.Fatalf("the health check was answered with %x", p.received[9])
 	}
 	delete(p.received, 9)
 }
 
-// countFinals are a call's final answers, and whether it was released after it stood.
-func countFinals(of []binarymessage.Message) (answers, refusals, releases int) {
-	for _, m := range of {
+// countFinals counts the answers, refusals and releases of a call; a release counts as a refusal before an answer.
+func countFinals(messages []binarymessage.Message) (answers, refusals, releases int) {
+	for _, m := range messages {
 		switch {
 		case m.Type() == binarymessage.Answer:
 			answers++
--- a/internal/gateway/reactor/reactor_test.go
+++ b/internal/gateway/reactor/reactor_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Datagrams go there and back, also to an address that was never heard; an address in use is a clear error.
+// Datagrams are exchanged between two sockets, also with an address that has sent none before; an address that is in
+// use is reported as such.
 func TestUDPSockets(t *testing.T) {
 	a, b := netip.MustParseAddrPort("127.0.0.1:0"), netip.MustParseAddrPort("127.71.0.2:19061")
 	got := make(chan string, 16)
@@ -39,10 +40,10 @@
 				t.Errorf("got %q", g)
 			}
 		case <-time.After(5 * time.Second):
-			t.Fatal("a datagram did not come")
+			t.Fatal("a datagram did not arrive")
 		}
 	}
 	if s.Lost.Load() != 1 {
-		t.Errorf("%d lost, want the one from an address that is not ours", s.Lost.Load())
+		t.Errorf("%d lost, want 1: the datagram from an address without a socket", s.Lost.Load())
 	}
 }
--- a/internal/gateway/reactor/stream_test.go
+++ b/internal/gateway/reactor/stream_test.go
@@ -13,9 +13,9 @@
 	"time"
 )
 
-// recordingHandler is a handler that notes what it hears.
+// recordingHandler is a Handler that records the events.
 type recordingHandler struct {
-	onOpen    func(*Stream) // done when a stream is told of, before anything else
+	onOpen    func(*Stream) // called first in Accepted and Connected
 	mu        sync.Mutex
 	accepted  []*Stream
 	connected int
@@ -52,7 +52,7 @@
 	e.closed = append(e.closed, err)
 }
 
-// waitFor waits for something that the pollers bring.
+// waitFor waits until is returns true, for at most 4 s; the events come from the pollers.
 func (e *recordingHandler) waitFor(t *testing.T, what string, is func() bool) {
 	t.Helper()
 	for range 400 {
@@ -64,7 +64,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Errorf("%s: never", what)
+	t.Errorf("%s: did not happen", what)
 }
 
 func newTestStreams(t *testing.T, most int) (*Streams, *recordingHandler) {
@@ -81,7 +81,7 @@
 	return s, e
 }
 
-// A dial reaches the very address that it names: the library's own does not.
+// A dial connects to the given address, unlike a dial of nbio, which may connect to another one.
 func TestDial(t *testing.T) {
 	s, e := newTestStreams(t, 4)
 	l, err := net.Listen("tcp", "127.0.0.7:0")
@@ -98,7 +98,7 @@
 	defer c.Close()
 	e.waitFor(t, "connected", func() bool { return e.connected == 1 })
 	if !stream.Write([]byte("hello")) {
-		t.Error("five bytes did not leave at once")
+		t.Error("five bytes were not flushed at once")
 	}
 	b := make([]byte, 5)
 	if _, err := io.ReadFull(c, b); err != nil || string(b) != "hello" {
@@ -109,7 +109,7 @@
 	c.Close()
 	e.waitFor(t, "closed", func() bool { return len(e.closed) == 1 })
 	if stream.Write([]byte("x")) {
-		t.Error("a write to a closed stream left")
+		t.Error("a write to a closed stream was flushed")
 	}
 }
 
@@ -128,7 +128,7 @@
 	}
 }
 
-// A dial that is shut before it is up is heard of no more.
+// After Close, a dialed stream that the peer has not accepted yet is closed and reports no further event.
 func TestCloseBeforePeerAccepts(t *testing.T) {
 	s, e := newTestStreams(t, 4)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -146,17 +146,17 @@
 	}
 	defer c.Close()
 	if n, err := c.Read(make([]byte, 1)); err == nil {
-		t.Errorf("%d bytes from a stream that was shut", n)
+		t.Errorf("%d bytes from a closed stream", n)
 	}
 	time.Sleep(50 * time.Millisecond)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(e.closed) != 0 {
-		t.Errorf("heard of: %v", e.closed)
+		t.Errorf("closed was reported: %v", e.closed)
 	}
 }
 
-// Bytes that a slow reader does not take are told when they have left.
+// Data that a slow reader does not take at once is reported by Flushed after it was sent.
 func TestFlushedToSlowReader(t *testing.T) {
 	s, e := newTestStreams(t, 4)
 	c, err := net.Dial("tcp", s.Local.String())
@@ -168,18 +168,18 @@
 	stream := e.accepted[0]
 	const size = 32 << 20
 	if stream.Write(make([]byte, size)) {
-		t.Fatal("32 MiB left at once to a reader that reads nothing")
+		t.Fatal("32 MiB were flushed at once to a reader that reads nothing")
 	}
 	if stream.IsFlushed() {
-		t.Error("they are said to have left")
+		t.Error("unsent data is reported as flushed")
 	}
 	if n, err := io.CopyN(io.Discard, c, size); err != nil {
-		t.Errorf("%d bytes came: %v", n, err)
+		t.Errorf("%d bytes were received: %v", n, err)
 	}
-	e.waitFor(t, "left", func() bool { return e.flushed > 0 && stream.IsFlushed() })
+	e.waitFor(t, "flushed", func() bool { return e.flushed > 0 && stream.IsFlushed() })
 }
 
-// No more connections are accepted than there is room for; when one ends the next gets in.
+// At most maxAccepted connections are accepted; when one is closed, the next one is accepted.
 func TestMaxAccepted(t *testing.T) {
 	s, e := newTestStreams(t, 2)
 	for range 3 {
@@ -198,15 +198,15 @@
 	if n != 2 {
 		t.Errorf("%d were accepted", n)
 	}
-	first.Close() // from here
+	first.Close()
 	e.waitFor(t, "the third accepted", func() bool { return len(e.accepted) == 3 })
 }
 
-// Whoever is told of a stream may use it at once: what it writes in that very instant leaves, also what the socket does
-// not take at once, and one that it shuts gives back its place and harms no other.
+// A handler may write to a stream in Accepted or Connected: everything is sent, also what the socket does not take at
+// once.
 func TestWriteWhenOpened(t *testing.T) {
 	const size = 16 << 20
-	for _, dialled := range []bool{false, true} {
+	for _, dialed := range []bool{false, true} {
 		s, e := newTestStreamsFor(t, 4, &recordingHandler{onOpen: func(stream *Stream) { stream.Write(make([]byte, size)) }})
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -214,7 +214,7 @@
 		}
 		defer l.Close()
 		var c net.Conn
-		if dialled {
+		if dialed {
 			s.Dial(&Stream{}, netip.MustParseAddrPort(l.Addr().String()))
 			c, err = l.Accept()
 		} else {
@@ -226,12 +226,13 @@
 		defer c.Close()
 		_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
 		if n, err := io.CopyN(io.Discard, c, size); err != nil {
-			t.Errorf("dialled %v: %d bytes came: %v", dialled, n, err)
+			t.Errorf("dialed %v: %d bytes were received: %v", dialed, n, err)
 		}
-		e.waitFor(t, "left", func() bool { return e.flushed > 0 })
+		e.waitFor(t, "flushed", func() bool { return e.flushed > 0 })
 	}
 }
 
+// A handler may close a stream in Accepted: its slot is released, and a connection that reuses the descriptor works.
 func TestCloseWhenAccepted(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -248,7 +249,7 @@
 			return
 		}
 		stream.Close()
-		s.Dial(&Stream{}, netip.MustParseAddrPort(l.Addr().String())) // it gets the descriptor that has just been closed
+		s.Dial(&Stream{}, netip.MustParseAddrPort(l.Addr().String())) // it reuses the descriptor that has just been closed
 		c, err := l.Accept()
 		if err != nil {
 			t.Error(err)
@@ -264,10 +265,10 @@
 	defer c.Close()
 	o := <-other
 	defer o.Close()
-	e.waitFor(t, "the one that was shut was told of", func() bool { return len(e.accepted) == 1 })
+	e.waitFor(t, "the closed stream was accepted", func() bool { return len(e.accepted) == 1 })
 	_, _ = o.Write([]byte("mine"))
-	e.waitFor(t, "the other is heard", func() bool { return e.data.String() == "mine" })
-	for range 2 { // its place is free
+	e.waitFor(t, "data of the other connection", func() bool { return e.data.String() == "mine" })
+	for range 2 { // the slot of the closed stream is free
 		c, err := net.Dial("tcp", s.Local.String())
 		if err != nil {
 			t.Fatal(err)
@@ -277,7 +278,7 @@
 	e.waitFor(t, "two more accepted", func() bool { return len(e.accepted) == 3 })
 }
 
-// failingListener has no descriptor left for the first accepts.
+// failingListener fails the first accepts as if the process had no free descriptor.
 type failingListener struct {
 	listener
 	mu       sync.Mutex
@@ -296,11 +297,12 @@
 	return l.listener.Accept()
 }
 
-// Where descriptors have run out the next try waits, and whoever waits in the kernel gets in once there are some again.
+// When descriptors have run out, accept is retried after a pause, and a connection that waits in the kernel's queue is
+// accepted once there are free ones.
 func TestAcceptWithoutDescriptors(t *testing.T) {
 	s, e := newTestStreams(t, 2)
 	old := s.listener
-	s.StopAccept() // ends the loop and its listener; another begins
+	s.StopAccept() // ends the accept loop and closes its listener; both are replaced
 	s.acceptLoop.Wait()
 	again, err := net.ListenTCP("tcp", old.Addr().(*net.TCPAddr))
 	if err != nil {
@@ -324,7 +326,7 @@
 	}
 }
 
-// pausedListener holds accepted connections back till it is told, so that some wait in the kernel at the end.
+// pausedListener delays Accept until resume is closed, so that connections wait in the kernel's queue at StopAccept.
 type pausedListener struct {
 	listener
 	resume chan struct{}
@@ -335,18 +337,18 @@
 	return l.listener.Accept()
 }
 
-// At the end whoever has connected is still accepted, what was written is read, and the listener is closed.
+// After StopAccept, connections in the kernel's queue are still accepted and read, and then the listener is closed.
 func TestStopAccept(t *testing.T) {
 	s, e := newTestStreams(t, 8)
 	addr := s.listener.Addr().(*net.TCPAddr)
 	s.StopAccept()
 	s.acceptLoop.Wait()
 	if s.Accepting() {
-		t.Error("it is said to accept")
+		t.Error("Accepting is true after the accept loop has ended")
 	}
 	if c, err := net.Dial("tcp", addr.String()); err == nil {
 		c.Close()
-		t.Error("it still listens")
+		t.Error("the listener is still open")
 	}
 	again, err := net.ListenTCP("tcp", addr)
 	if err != nil {
@@ -365,15 +367,14 @@
 		defer c.Close()
 		_, _ = c.Write([]byte("ask"))
 	}
-	s.stopAccepting.Store(true) // they are in the kernel's queue, and the end is there
+	s.stopAccepting.Store(true) // StopAccept while the connections are in the kernel's queue
 	close(l.resume)
 	s.StopAccept()
 	e.waitFor(t, "three accepted and read", func() bool { return len(e.accepted) == 3 && e.data.Len() == 9 })
 	e.accepted[0].CloseWrite()
 }
 
-// What was written before the end of writing is read by the other side, and then the end; what it still sends does no
-// harm.
+// After CloseWrite the peer reads all data written before and then EOF; data that it sends after that causes no reset.
 func TestCloseWrite(t *testing.T) {
 	s, e := newTestStreams(t, 2)
 	c, err := net.Dial("tcp", s.Local.String())
