--- a/internal/gateway/binaryserver/server_test.go
+++ b/internal/gateway/binaryserver/server_test.go
@@ -321,14 +321,14 @@
 	}
 	ns.setPriorities(func(l map[*testEndpoint]uint16) { l[a] = 0 })
 	time.Sleep(600 * time.Millisecond)
-	s.config["nameserver"] = "nowhere"
+	s.configDoc["nameserver"] = "nowhere"
 	s.writeConfig()
 	s.signals <- Reload
 	time.Sleep(300 * time.Millisecond)
 	if got := setUpCall(); got != "answer of s-0" {
 		t.Errorf("after a bad configuration: %q", got)
 	}
-	s.config["nameserver"] = other.addr()
+	s.configDoc["nameserver"] = other.addr()
 	s.writeConfig()
 	s.signals <- Reload
 	time.Sleep(600 * time.Millisecond)
@@ -426,11 +426,11 @@
 func TestEventsAfterStall(t *testing.T) {
 	s := &Server{}
 	for i, c := range []struct {
-		lastBatchAt, now float64
-		want             bool
+		previousBatchAt, now float64
+		want                 bool
 	}{{0, 5000, false}, {1000, 1100, false}, {1000, 1151, true}, {0, 1160, false}} {
-		if c.lastBatchAt > 0 {
-			s.lastBatchAt = c.lastBatchAt
+		if c.previousBatchAt > 0 {
+			s.lastBatchAt = c.previousBatchAt
 		}
 		if got := s.stalled(c.now); got != c.want {
 			t.Errorf("%d: %v", i, got)
--- a/internal/gateway/binaryserver/shutdown_test.go
+++ b/internal/gateway/binaryserver/shutdown_test.go
@@ -101,7 +101,7 @@
 		p := s.dial()
 		p.waitUntilReady()
 		s.signals <- Shutdown
-		s.config["nameserver"] = other.addr()
+		s.configDoc["nameserver"] = other.addr()
 		s.writeConfig()
 		s.signals <- Reload
 		time.Sleep(350 * time.Millisecond)
@@ -185,7 +185,7 @@
 		}
 		s.signals <- Reload
 		time.Sleep(200 * time.Millisecond)
-		s.config["nameserver"] = other.addr()
+		s.configDoc["nameserver"] = other.addr()
 		s.writeConfig()
 		for range 100 {
 			other.mu.Lock()
--- a/internal/gateway/binaryserver/standins_test.go
+++ b/internal/gateway/binaryserver/standins_test.go
@@ -226,7 +226,7 @@
 	*testing.T
 	addr       string
 	configPath string
-	config     map[string]any
+	configDoc  map[string]any
 	signals    chan Signal
 	result     chan error
 	cancel     context.CancelFunc
@@ -263,8 +263,8 @@
 		signals:    make(chan Signal, 4),
 		result:     make(chan error, 1),
 	}
-	s.config = testConfig(s.addr, ns.addr(), endpoints)
-	change(s.config)
+	s.configDoc = testConfig(s.addr, ns.addr(), endpoints)
+	change(s.configDoc)
 	s.writeConfig()
 	config, err := binaryconfig.Load(s.configPath)
 	if err != nil {
@@ -318,7 +318,7 @@
 }
 
 func (s *testServer) writeConfig() {
-	b, err := json.Marshal(s.config)
+	b, err := json.Marshal(s.configDoc)
 	if err == nil {
 		err = os.WriteFile(s.configPath, b, 0o600)
 	}
