--- a/internal/gateway/reactor/stream.go
+++ b/internal/gateway/reactor/stream.go
@@ -133,8 +133,8 @@
 		case <-s.ctx.Done():
 			return
 		}
-		last, since := s.stopAccepting.Load(), time.Now()
-		if last {
+		stopping, since := s.stopAccepting.Load(), time.Now()
+		if stopping {
 			_ = s.listener.SetDeadline(since.Add(acceptIdleTimeout))
 		}
 		c, err := s.listener.Accept()
@@ -148,7 +148,7 @@
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			// the deadline that StopAccept sets only wakes this loop: Accept returns no pending connection after it
-			if last && time.Since(since) >= acceptIdleTimeout {
+			if stopping && time.Since(since) >= acceptIdleTimeout {
 				return
 			}
 		default:
--- a/internal/gateway/reactor/stream_test.go
+++ b/internal/gateway/reactor/stream_test.go
@@ -52,12 +52,12 @@
 	e.closed = append(e.closed, err)
 }
 
-// waitFor waits until is returns true, for at most 4 s; the events come from the pollers.
-func (e *recordingHandler) waitFor(t *testing.T, what string, is func() bool) {
+// waitFor waits until condition returns true, for at most 4 s; the events come from the pollers.
+func (e *recordingHandler) waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for range 400 {
 		e.mu.Lock()
-		ok := is()
+		ok := condition()
 		e.mu.Unlock()
 		if ok {
 			return
@@ -67,13 +67,13 @@
 	t.Errorf("%s: did not happen", what)
 }
 
-func newTestStreams(t *testing.T, most int) (*Streams, *recordingHandler) {
-	return newTestStreamsFor(t, most, &recordingHandler{})
+func newTestStreams(t *testing.T, maxAccepted int) (*Streams, *recordingHandler) {
+	return newTestStreamsFor(t, maxAccepted, &recordingHandler{})
 }
 
-func newTestStreamsFor(t *testing.T, most int, e *recordingHandler) (*Streams, *recordingHandler) {
+func newTestStreamsFor(t *testing.T, maxAccepted int, e *recordingHandler) (*Streams, *recordingHandler) {
 	t.Helper()
-	s, err := ServeStreams(netip.MustParseAddrPort("127.0.0.1:0"), most, 300, e)
+	s, err := ServeStreams(netip.MustParseAddrPort("127.0.0.1:0"), maxAccepted, 300, e)
 	if err != nil {
 		t.Fatal(err)
 	}
