--- a/internal/gateway/binaryconfig/config_test.go
+++ b/internal/gateway/binaryconfig/config_test.go
@@ -10,7 +10,7 @@
 	"cobaltpier/internal/routing"
 )
 
-// completeConfig is a configuration with everything that a gateway is told, as the platform writes it.
+// completeConfig is a configuration with all fields, as the platform writes it.
 //
 //go:embed testdata/config.json
 var completeConfig string
@@ -32,9 +32,9 @@
 		t.Errorf("settings %+v", s)
 	}
 	if c.Connections.ConnectTimeout != 400 || len(c.LoadReportFields) != 2 {
-		t.Errorf("links %+v, fields %v", c.Connections, c.LoadReportFields)
+		t.Errorf("connections %+v, fields %v", c.Connections, c.LoadReportFields)
 	}
-	k := c.Known
+	k := c.InitialLists
 	if len(k) != 2 || !k[0].Complete || k[1].Serial != 41 || k[1].Targets[0].State != routing.Draining ||
 		k[1].Targets[0].StartedAt != 1700000000000 ||
 		k[0].Targets[0].DestinationID != 2 {
@@ -42,8 +42,8 @@
 	}
 }
 
-// A fault is told with the field's name.
-func TestFaults(t *testing.T) {
+// An error names the invalid field.
+func TestInvalidConfig(t *testing.T) {
 	for _, c := range [][3]string{
 		{`"listen":"127.0.0.4:5070"`, `"listen":"here"`, `listen: want an address`},
 		{`"nameserver":"127.0.2.1:5353"`, `"nameserver":""`, `nameserver: want an address`},
@@ -81,8 +81,8 @@
 	}
 }
 
-// What a tenant's settings can't mean is told with the field.
-func TestCustomersFaults(t *testing.T) {
+// An error in a deployment's settings names the field.
+func TestInvalidSettings(t *testing.T) {
 	for _, c := range [][2]string{
 		{`{"lanes":[{"name":"a","hardLimit":"soon"}]}`, "lanes.hardLimit"},
 		{`{"lanes":[{"name":"a","hardLimit":-1}]}`, "lanes[0].hardLimit"},
--- a/internal/gateway/binaryserver/shutdown.go
+++ b/internal/gateway/binaryserver/shutdown.go
@@ -9,7 +9,7 @@
 func (s *Server) handleSignal(signal Signal) {
 	switch {
 	case signal == Reload:
-		s.reloadsLeft = maxReloads
+		s.reloadAttemptsLeft = maxReloadAttempts
 		s.reload()
 	case s.stage == shutdown.Serving:
 		s.log.Info().Msg("graceful shutdown begins")
@@ -18,7 +18,7 @@
 	}
 }
 
-// advanceShutdown goes on to the next stage of a graceful shutdown, where it is due.
+// advanceShutdown enters the next stage of a graceful shutdown if it is due.
 func (s *Server) advanceShutdown(now float64) {
 	if s.stage == shutdown.Serving {
 		return
--- a/internal/gateway/binaryserver/standins_test.go
+++ b/internal/gateway/binaryserver/standins_test.go
@@ -21,30 +21,30 @@
 	"cobaltpier/internal/routing"
 )
 
-// fault is what a stand-in of an endpoint does with a setup.
+// fault is how a stand-in for an endpoint mishandles a setup.
 type fault string
 
 const (
 	noFault     fault = ""
 	faultReset  fault = "reset"  // the connection is reset
-	faultNoise  fault = "noise"  // what is sent is no message
-	faultFull   fault = "full"   // the setup is rejected
-	faultSilent fault = "silent" // it is never answered
+	faultNoise  fault = "noise"  // bytes are sent that are not a message
+	faultFull   fault = "full"   // the setup is rejected for lack of capacity
+	faultSilent fault = "silent" // the setup is never answered
 	faultHalf   fault = "half"   // the answer is cut off
 )
 
-// testEndpoint is a stand-in of an endpoint on TCP.
+// testEndpoint is a stand-in for an endpoint on TCP.
 type testEndpoint struct {
 	t               *testing.T
 	id              string
 	listener        net.Listener
 	mu              sync.Mutex
 	conns           map[*testEndpointConn]struct{}
-	pendingReleases []uint64 // for the next connection
+	pendingReleases []uint64 // releases to send on the next connection
 	established     map[uint64]bool
 	setups          int
 	faultOf         func(n int) fault // of the n-th setup; nil: none
-	hold            time.Duration     // that a call stays established
+	holdingTime     time.Duration     // how long a call stays established
 	goroutines      sync.WaitGroup
 }
 
@@ -63,7 +63,7 @@
 		listener:    l,
 		conns:       map[*testEndpointConn]struct{}{},
 		established: map[uint64]bool{},
-		hold:        50 * time.Millisecond,
+		holdingTime: 50 * time.Millisecond,
 	}
 	e.goroutines.Add(1)
 	go e.accept()
@@ -93,7 +93,7 @@
 	e.goroutines.Wait()
 }
 
-// onSetup counts a setup and gives the fault that it meets.
+// onSetup counts a setup and returns the fault to apply to it.
 func (e *testEndpoint) onSetup(id uint64) fault {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -105,8 +105,8 @@
 	return e.faultOf(e.setups)
 }
 
-// release ends a call: on the connection of its setup, else on any and, as a real endpoint does, also on the next one,
-// for the gateway may just have closed the one at hand.
+// release ends a call. It sends the release on the connection of the setup, or else on any open one, and, as a real
+// endpoint does, again on the next connection, because the gateway may just have closed the present one.
 func (e *testEndpoint) release(id uint64, conn *testEndpointConn) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -140,7 +140,7 @@
 func (c *testEndpointConn) sendRaw(data []byte) {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
-	_, _ = c.conn.Write(data) // a connection that has closed is seen by the reader
+	_, _ = c.conn.Write(data) // the reader detects a closed connection
 }
 
 func (c *testEndpointConn) serve() {
@@ -161,13 +161,13 @@
 			return
 		}
 		if err := reader.Feed(buffer[:n], c.handle); err != nil {
-			e.t.Errorf("endpoint %s was sent what is no message: %v", e.id, err)
+			e.t.Errorf("endpoint %s received an invalid message: %v", e.id, err)
 			return
 		}
 	}
 }
 
-// open sends the load report, and the releases that waited for a connection.
+// open sends the load report and the pending releases.
 func (c *testEndpointConn) open() {
 	e := c.endpoint
 	c.send(binarymessage.LoadState, 0, testEndpointLoad)
@@ -213,7 +213,7 @@
 	default:
 		description := binarymessage.TextParam(binarymessage.Description, "answer of "+e.id)
 		c.send(binarymessage.Answer, id, description, testEndpointLoad)
-		time.AfterFunc(e.hold, func() { e.release(id, c) })
+		time.AfterFunc(e.holdingTime, func() { e.release(id, c) })
 	}
 }
 
@@ -224,12 +224,12 @@
 // testServer is a gateway that a test runs.
 type testServer struct {
 	*testing.T
-	addr    string
-	file    string
-	doc     map[string]any
-	signals chan Signal
-	ended   chan error
-	cancel  context.CancelFunc
+	addr       string
+	configPath string
+	configDoc  map[string]any
+	signals    chan Signal
+	result     chan error
+	cancel     context.CancelFunc
 }
 
 func freePort(t *testing.T) string {
@@ -242,46 +242,46 @@
 	return l.Addr().String()
 }
 
-func newTestServer(t *testing.T, ns *testNameServer, of ...*testEndpoint) *testServer {
+func newTestServer(t *testing.T, ns *testNameServer, endpoints ...*testEndpoint) *testServer {
 	t.Helper()
 	return startTestServer(
 		t,
 		ns,
 		func(set *routing.Settings, h routing.Host) routing.Policy { return router.New(set, h) },
 		func(map[string]any) {},
-		of...)
+		endpoints...)
 }
 
-// startTestServer starts a gateway whose configuration was changed.
+// startTestServer starts a gateway with a configuration that change has modified.
 func startTestServer(t *testing.T, ns *testNameServer, newPolicy routing.PolicyFactory, change func(map[string]any),
 	endpoints ...*testEndpoint) *testServer {
 	t.Helper()
 	s := &testServer{
-		T:       t,
-		addr:    freePort(t),
-		file:    filepath.Join(t.TempDir(), "config.json"),
-		signals: make(chan Signal, 4),
-		ended:   make(chan error, 1),
+		T:          t,
+		addr:       freePort(t),
+		configPath: filepath.Join(t.TempDir(), "config.json"),
+		signals:    make(chan Signal, 4),
+		result:     make(chan error, 1),
 	}
-	s.doc = testConfig(s.addr, ns.addr(), endpoints)
-	change(s.doc)
-	s.write()
-	config, err := binaryconfig.Load(s.file)
+	s.configDoc = testConfig(s.addr, ns.addr(), endpoints)
+	change(s.configDoc)
+	s.writeConfig()
+	config, err := binaryconfig.Load(s.configPath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
-	go func() { s.ended <- Run(ctx, s.file, config, newPolicy, zerolog.Nop(), s.signals) }()
+	go func() { s.result <- Run(ctx, s.configPath, config, newPolicy, zerolog.Nop(), s.signals) }()
 	t.Cleanup(func() {
 		cancel()
 		select {
-		case err := <-s.ended:
+		case err := <-s.result:
 			if err != nil {
 				t.Error(err)
 			}
 		case <-time.After(5 * time.Second):
-			t.Error("the gateway does not end")
+			t.Error("the gateway does not stop")
 		}
 	})
 	return s
@@ -317,23 +317,23 @@
 	}
 }
 
-func (s *testServer) write() {
-	b, err := json.Marshal(s.doc)
+func (s *testServer) writeConfig() {
+	b, err := json.Marshal(s.configDoc)
 	if err == nil {
-		err = os.WriteFile(s.file, b, 0o600)
+		err = os.WriteFile(s.configPath, b, 0o600)
 	}
 	if err != nil {
 		s.Fatal(err)
 	}
 }
 
-// testClient is one connection of a caller.
+// testClient is one client connection.
 type testClient struct {
-	t    *testing.T
-	c    net.Conn
-	r    binarymessage.Reader
-	got  map[uint64][]binarymessage.Message
-	open bool
+	t        *testing.T
+	conn     net.Conn
+	reader   binarymessage.Reader
+	received map[uint64][]binarymessage.Message
+	open     bool
 }
 
 func (s *testServer) dial() *testClient {
@@ -342,7 +342,7 @@
 		c, err := net.Dial("tcp", s.addr)
 		if err == nil {
 			s.Cleanup(func() { c.Close() })
-			return &testClient{t: s.T, c: c, got: map[uint64][]binarymessage.Message{}, open: true}
+			return &testClient{t: s.T, conn: c, received: map[uint64][]binarymessage.Message{}, open: true}
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -351,7 +351,7 @@
 }
 
 // setupMessage is a caller's setup.
-func setupMessage(id uint64, of ...binarymessage.Param) []byte {
+func setupMessage(id uint64, params ...binarymessage.Param) []byte {
 	return binarymessage.Append(
 		nil,
 		binarymessage.Setup,
@@ -362,20 +362,21 @@
 			binarymessage.TextParam(binarymessage.Number, fmt.Sprintf("%x", id)),
 			binarymessage.TextParam(binarymessage.Figures, fmt.Sprintf("dest:%d;width:1;via:-1", id%2)),
 			binarymessage.TextParam(binarymessage.Description, "offer"),
-		}, of...)...)
+		}, params...)...)
 }
 
-// waitFor reads until enough says so, or for a time.
+// waitFor reads until enough returns true, the connection is closed or the time is over. It returns the result of
+// enough.
 func (p *testClient) waitFor(within time.Duration, enough func() bool) bool {
 	b := make([]byte, 4096)
 	for end := time.Now().Add(within); p.open && !enough() && time.Now().Before(end); {
-		_ = p.c.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
-		n, err := p.c.Read(b)
-		if ferr := p.r.Feed(b[:n], func(m binarymessage.Message) bool {
-			p.got[m.Call()] = append(p.got[m.Call()], append(binarymessage.Message(nil), m...))
+		_ = p.conn.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
+		n, err := p.conn.Read(b)
+		if ferr := p.reader.Feed(b[:n], func(m binarymessage.Message) bool {
+			p.received[m.Call()] = append(p.received[m.Call()], append(binarymessage.Message(nil), m...))
 			return true
 		}); ferr != nil {
-			p.t.Errorf("the caller was sent what is no message: %v", ferr)
+			p.t.Errorf("the client received an invalid message: %v", ferr)
 		}
 		var netErr net.Error
 		if err != nil && (!errors.As(err, &netErr) || !netErr.Timeout()) {
@@ -385,21 +386,21 @@
 	return enough()
 }
 
-// waitUntilReady waits for the gateway to pass a test.
+// waitUntilReady sends a health check and fails the test unless the gateway passes it.
 func (p *testClient) waitUntilReady() {
 	p.t.Helper()
-	_, _ = p.c.Write(binarymessage.Append(nil, binarymessage.HealthCheck, 9, binarymessage.CauseParam(0)))
-	if !p.waitFor(3*time.Second, func() bool { return len(p.got[9]) > 0 }) ||
-		p.got[9][0].Type() != binarymessage.HealthResult ||
-		p.got[9][0].Cause() != 1 {
-		p.t.Fatalf("the test was answered with %x", p.got[9])
+	_, _ = p.conn.Write(binarymessage.Append(nil, binarymessage.HealthCheck, 9, binarymessage.CauseParam(0)))
+	if !p.waitFor(3*time.Second, func() bool { return len(p.received[9]) > 0 }) ||
+		p.received[9][0].Type() != binarymessage.HealthResult ||
+		p.received[9][0].Cause() != 1 {
+		p.t.Fatalf("the health check was answered with %x", p.received[9])
 	}
-	delete(p.got, 9)
+	delete(p.received, 9)
 }
 
-// countFinals are a call's final answers, and whether it was released after it stood.
-func countFinals(of []binarymessage.Message) (answers, refusals, releases int) {
-	for _, m := range of {
+// countFinals counts the answers, refusals and releases of a call; a release counts as a refusal before an answer.
+func countFinals(messages []binarymessage.Message) (answers, refusals, releases int) {
+	for _, m := range messages {
 		switch {
 		case m.Type() == binarymessage.Answer:
 			answers++
--- a/internal/gateway/reactor/stream_test.go
+++ b/internal/gateway/reactor/stream_test.go
@@ -13,61 +13,67 @@
 	"time"
 )
 
-// ears is a handler that notes what it hears.
-type ears struct {
-	told      func(*Stream) // done when a stream is told of, before anything else
+// recordingHandler is a Handler that records the events.
+type recordingHandler struct {
+	onOpen    func(*Stream) // called first in Accepted and Connected
 	mu        sync.Mutex
 	accepted  []*Stream
 	connected int
-	left      int
+	flushed   int
 	data      bytes.Buffer
 	closed    []error
 }
 
-func (e *ears) Accepted(s *Stream, _ netip.Addr) {
-	if e.told != nil {
-		e.told(s)
+func (e *recordingHandler) Accepted(s *Stream, _ netip.Addr) {
+	if e.onOpen != nil {
+		e.onOpen(s)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.accepted = append(e.accepted, s)
 }
-func (e *ears) Connected(s *Stream) {
-	if e.told != nil {
-		e.told(s)
+func (e *recordingHandler) Connected(s *Stream) {
+	if e.onOpen != nil {
+		e.onOpen(s)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.connected++
 }
-func (e *ears) Data(_ *Stream, b []byte) { e.mu.Lock(); defer e.mu.Unlock(); e.data.Write(b) }
-func (e *ears) Flushed(*Stream)          { e.mu.Lock(); defer e.mu.Unlock(); e.left++ }
-func (e *ears) Closed(_ *Stream, err error) {
+func (e *recordingHandler) Data(_ *Stream, b []byte) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.data.Write(b)
+}
+func (e *recordingHandler) Flushed(*Stream) { e.mu.Lock(); defer e.mu.Unlock(); e.flushed++ }
+func (e *recordingHandler) Closed(_ *Stream, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.closed = append(e.closed, err)
 }
 
-// until waits for something that the pollers bring.
-func (e *ears) until(t *testing.T, what string, is func() bool) {
+// waitFor waits until condition returns true, for at most 4 s; the events come from the pollers.
+func (e *recordingHandler) waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for range 400 {
 		e.mu.Lock()
-		ok := is()
+		ok := condition()
 		e.mu.Unlock()
 		if ok {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Errorf("%s: never", what)
+	t.Errorf("%s: did not happen", what)
 }
 
-func serve(t *testing.T, most int) (*Streams, *ears) { return serveTo(t, most, &ears{}) }
+func newTestStreams(t *testing.T, maxAccepted int) (*Streams, *recordingHandler) {
+	return newTestStreamsFor(t, maxAccepted, &recordingHandler{})
+}
 
-func serveTo(t *testing.T, most int, e *ears) (*Streams, *ears) {
+func newTestStreamsFor(t *testing.T, maxAccepted int, e *recordingHandler) (*Streams, *recordingHandler) {
 	t.Helper()
-	s, err := ServeStreams(netip.MustParseAddrPort("127.0.0.1:0"), most, 300, e)
+	s, err := ServeStreams(netip.MustParseAddrPort("127.0.0.1:0"), maxAccepted, 300, e)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,9 +81,9 @@
 	return s, e
 }
 
-// A dial reaches the very address that it names: the library's own does not.
+// A dial connects to the given address, unlike a dial of nbio, which may connect to another one.
 func TestDial(t *testing.T) {
-	s, e := serve(t, 4)
+	s, e := newTestStreams(t, 4)
 	l, err := net.Listen("tcp", "127.0.0.7:0")
 	if err != nil {
 		t.Fatal(err)
@@ -90,25 +96,25 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	e.until(t, "connected", func() bool { return e.connected == 1 })
+	e.waitFor(t, "connected", func() bool { return e.connected == 1 })
 	if !stream.Write([]byte("hello")) {
-		t.Error("five bytes did not leave at once")
+		t.Error("five bytes were not flushed at once")
 	}
 	b := make([]byte, 5)
 	if _, err := io.ReadFull(c, b); err != nil || string(b) != "hello" {
 		t.Errorf("%q %v", b, err)
 	}
 	_, _ = c.Write([]byte("you"))
-	e.until(t, "data", func() bool { return e.data.String() == "you" })
+	e.waitFor(t, "data", func() bool { return e.data.String() == "you" })
 	c.Close()
-	e.until(t, "closed", func() bool { return len(e.closed) == 1 })
+	e.waitFor(t, "closed", func() bool { return len(e.closed) == 1 })
 	if stream.Write([]byte("x")) {
-		t.Error("a write to a closed stream left")
+		t.Error("a write to a closed stream was flushed")
 	}
 }
 
 func TestRefused(t *testing.T) {
-	s, e := serve(t, 4)
+	s, e := newTestStreams(t, 4)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -116,15 +122,15 @@
 	to := netip.MustParseAddrPort(l.Addr().String())
 	l.Close()
 	s.Dial(&Stream{}, to)
-	e.until(t, "closed", func() bool { return len(e.closed) == 1 })
+	e.waitFor(t, "closed", func() bool { return len(e.closed) == 1 })
 	if len(e.closed) != 1 || !IsRefused(e.closed[0]) || e.connected != 0 {
 		t.Errorf("closed %v, connected %d", e.closed, e.connected)
 	}
 }
 
-// A dial that is shut before it is up is heard of no more.
-func TestShutDial(t *testing.T) {
-	s, e := serve(t, 4)
+// After Close, a dialed stream that the peer has not accepted yet is closed and reports no further event.
+func TestCloseBeforePeerAccepts(t *testing.T) {
+	s, e := newTestStreams(t, 4)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -132,7 +138,7 @@
 	defer l.Close()
 	stream := &Stream{}
 	s.Dial(stream, netip.MustParseAddrPort(l.Addr().String()))
-	e.until(t, "connected", func() bool { return e.connected == 1 })
+	e.waitFor(t, "connected", func() bool { return e.connected == 1 })
 	stream.Close()
 	c, err := l.Accept()
 	if err != nil {
@@ -140,42 +146,42 @@
 	}
 	defer c.Close()
 	if n, err := c.Read(make([]byte, 1)); err == nil {
-		t.Errorf("%d bytes from a stream that was shut", n)
+		t.Errorf("%d bytes from a closed stream", n)
 	}
 	time.Sleep(50 * time.Millisecond)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(e.closed) != 0 {
-		t.Errorf("heard of: %v", e.closed)
+		t.Errorf("closed was reported: %v", e.closed)
 	}
 }
 
-// Bytes that a slow reader does not take are told when they have left.
-func TestLeft(t *testing.T) {
-	s, e := serve(t, 4)
+// Data that a slow reader does not take at once is reported by Flushed after it was sent.
+func TestFlushedToSlowReader(t *testing.T) {
+	s, e := newTestStreams(t, 4)
 	c, err := net.Dial("tcp", s.Local.String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	e.until(t, "accepted", func() bool { return len(e.accepted) == 1 })
+	e.waitFor(t, "accepted", func() bool { return len(e.accepted) == 1 })
 	stream := e.accepted[0]
 	const size = 32 << 20
 	if stream.Write(make([]byte, size)) {
-		t.Fatal("32 MiB left at once to a reader that reads nothing")
+		t.Fatal("32 MiB were flushed at once to a reader that reads nothing")
 	}
 	if stream.IsFlushed() {
-		t.Error("they are said to have left")
+		t.Error("unsent data is reported as flushed")
 	}
 	if n, err := io.CopyN(io.Discard, c, size); err != nil {
-		t.Errorf("%d bytes came: %v", n, err)
+		t.Errorf("%d bytes were received: %v", n, err)
 	}
-	e.until(t, "left", func() bool { return e.left > 0 && stream.IsFlushed() })
+	e.waitFor(t, "flushed", func() bool { return e.flushed > 0 && stream.IsFlushed() })
 }
 
-// No more connections are accepted than there is room for; when one ends the next gets in.
-func TestRoom(t *testing.T) {
-	s, e := serve(t, 2)
+// At most maxAccepted connections are accepted; when one is closed, the next one is accepted.
+func TestMaxAccepted(t *testing.T) {
+	s, e := newTestStreams(t, 2)
 	for range 3 {
 		c, err := net.Dial("tcp", s.Local.String())
 		if err != nil {
@@ -183,7 +189,7 @@
 		}
 		defer c.Close()
 	}
-	e.until(t, "two accepted", func() bool { return len(e.accepted) == 2 })
+	e.waitFor(t, "two accepted", func() bool { return len(e.accepted) == 2 })
 	time.Sleep(50 * time.Millisecond)
 	e.mu.Lock()
 	n := len(e.accepted)
@@ -192,23 +198,23 @@
 	if n != 2 {
 		t.Errorf("%d were accepted", n)
 	}
-	first.Close() // from here
-	e.until(t, "the third accepted", func() bool { return len(e.accepted) == 3 })
+	first.Close()
+	e.waitFor(t, "the third accepted", func() bool { return len(e.accepted) == 3 })
 }
 
-// Whoever is told of a stream may use it at once: what it writes in that very instant leaves, also what the socket does
-// not take at once, and one that it shuts gives back its place and harms no other.
-func TestUsedWhenTold(t *testing.T) {
+// A handler may write to a stream in Accepted or Connected: everything is sent, also what the socket does not take at
+// once.
+func TestWriteWhenOpened(t *testing.T) {
 	const size = 16 << 20
-	for _, dialled := range []bool{false, true} {
-		s, e := serveTo(t, 4, &ears{told: func(stream *Stream) { stream.Write(make([]byte, size)) }})
+	for _, dialed := range []bool{false, true} {
+		s, e := newTestStreamsFor(t, 4, &recordingHandler{onOpen: func(stream *Stream) { stream.Write(make([]byte, size)) }})
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer l.Close()
 		var c net.Conn
-		if dialled {
+		if dialed {
 			s.Dial(&Stream{}, netip.MustParseAddrPort(l.Addr().String()))
 			c, err = l.Accept()
 		} else {
@@ -220,34 +226,35 @@
 		defer c.Close()
 		_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
 		if n, err := io.CopyN(io.Discard, c, size); err != nil {
-			t.Errorf("dialled %v: %d bytes came: %v", dialled, n, err)
+			t.Errorf("dialed %v: %d bytes were received: %v", dialed, n, err)
 		}
-		e.until(t, "left", func() bool { return e.left > 0 })
+		e.waitFor(t, "flushed", func() bool { return e.flushed > 0 })
 	}
 }
 
-func TestShutWhenTold(t *testing.T) {
+// A handler may close a stream in Accepted: its slot is released, and a connection that reuses the descriptor works.
+func TestCloseWhenAccepted(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	e := &ears{}
-	s, _ := serveTo(t, 2, e)
+	e := &recordingHandler{}
+	s, _ := newTestStreamsFor(t, 2, e)
 	other := make(chan net.Conn, 1)
 	var first atomic.Bool
 	e.mu.Lock()
-	e.told = func(stream *Stream) {
+	e.onOpen = func(stream *Stream) {
 		if first.Swap(true) {
 			return
 		}
 		stream.Close()
-		s.Dial(&Stream{}, netip.MustParseAddrPort(l.Addr().String())) // it gets the descriptor that has just been closed
+		s.Dial(&Stream{}, netip.MustParseAddrPort(l.Addr().String())) // it reuses the descriptor that has just been closed
 		c, err := l.Accept()
 		if err != nil {
 			t.Error(err)
 		}
-		e.until(t, "connected", func() bool { return e.connected == 1 })
+		e.waitFor(t, "connected", func() bool { return e.connected == 1 })
 		other <- c
 	}
 	e.mu.Unlock()
@@ -258,31 +265,31 @@
 	defer c.Close()
 	o := <-other
 	defer o.Close()
-	e.until(t, "the one that was shut was told of", func() bool { return len(e.accepted) == 1 })
+	e.waitFor(t, "the closed stream was accepted", func() bool { return len(e.accepted) == 1 })
 	_, _ = o.Write([]byte("mine"))
-	e.until(t, "the other is heard", func() bool { return e.data.String() == "mine" })
-	for range 2 { // its place is free
+	e.waitFor(t, "data of the other connection", func() bool { return e.data.String() == "mine" })
+	for range 2 { // the slot of the closed stream is free
 		c, err := net.Dial("tcp", s.Local.String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
 	}
-	e.until(t, "two more accepted", func() bool { return len(e.accepted) == 3 })
+	e.waitFor(t, "two more accepted", func() bool { return len(e.accepted) == 3 })
 }
 
-// starvedListener has no descriptor left for the first accepts.
-type starvedListener struct {
+// failingListener fails the first accepts as if the process had no free descriptor.
+type failingListener struct {
 	listener
-	mu    sync.Mutex
-	fails int
-	asked int
+	mu       sync.Mutex
+	failures int
+	attempts int
 }
 
-func (l *starvedListener) Accept() (net.Conn, error) {
+func (l *failingListener) Accept() (net.Conn, error) {
 	l.mu.Lock()
-	l.asked++
-	fails := l.asked <= l.fails
+	l.attempts++
+	fails := l.attempts <= l.failures
 	l.mu.Unlock()
 	if fails {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
@@ -290,17 +297,18 @@
 	return l.listener.Accept()
 }
 
-// Where descriptors have run out the next try waits, and whoever waits in the kernel gets in once there are some again.
-func TestStarved(t *testing.T) {
-	s, e := serve(t, 2)
+// When descriptors have run out, accept is retried after a pause, and a connection that waits in the kernel's queue is
+// accepted once there are free ones.
+func TestAcceptWithoutDescriptors(t *testing.T) {
+	s, e := newTestStreams(t, 2)
 	old := s.listener
-	s.StopAccept() // ends the loop and its listener; another begins
+	s.StopAccept() // ends the accept loop and closes its listener; both are replaced
 	s.acceptLoop.Wait()
 	again, err := net.ListenTCP("tcp", old.Addr().(*net.TCPAddr))
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &starvedListener{listener: again, fails: 3}
+	l := &failingListener{listener: again, failures: 3}
 	s.listener = l
 	s.stopAccepting.Store(false)
 	s.acceptLoop.Add(1)
@@ -310,37 +318,37 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	e.until(t, "accepted", func() bool { return len(e.accepted) == 1 })
+	e.waitFor(t, "accepted", func() bool { return len(e.accepted) == 1 })
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.asked < 4 || l.asked > 6 {
-		t.Errorf("%d accepts", l.asked)
+	if l.attempts < 4 || l.attempts > 6 {
+		t.Errorf("%d accepts", l.attempts)
 	}
 }
 
-// pausedListener holds accepted connections back till it is told, so that some wait in the kernel at the end.
+// pausedListener delays Accept until resume is closed, so that connections wait in the kernel's queue at StopAccept.
 type pausedListener struct {
 	listener
-	begin chan struct{}
+	resume chan struct{}
 }
 
 func (l *pausedListener) Accept() (net.Conn, error) {
-	<-l.begin
+	<-l.resume
 	return l.listener.Accept()
 }
 
-// At the end whoever has connected is still accepted, what was written is read, and the listener is closed.
+// After StopAccept, connections in the kernel's queue are still accepted and read, and then the listener is closed.
 func TestStopAccept(t *testing.T) {
-	s, e := serve(t, 8)
+	s, e := newTestStreams(t, 8)
 	addr := s.listener.Addr().(*net.TCPAddr)
 	s.StopAccept()
 	s.acceptLoop.Wait()
 	if s.Accepting() {
-		t.Error("it is said to accept")
+		t.Error("Accepting is true after the accept loop has ended")
 	}
 	if c, err := net.Dial("tcp", addr.String()); err == nil {
 		c.Close()
-		t.Error("it still listens")
+		t.Error("the listener is still open")
 	}
 	again, err := net.ListenTCP("tcp", addr)
 	if err != nil {
@@ -359,23 +367,22 @@
 		defer c.Close()
 		_, _ = c.Write([]byte("ask"))
 	}
-	s.stopAccepting.Store(true) // they are in the kernel's queue, and the end is there
-	close(l.begin)
+	s.stopAccepting.Store(true) // StopAccept while the connections are in the kernel's queue
+	close(l.resume)
 	s.StopAccept()
-	e.until(t, "three accepted and read", func() bool { return len(e.accepted) == 3 && e.data.Len() == 9 })
+	e.waitFor(t, "three accepted and read", func() bool { return len(e.accepted) == 3 && e.data.Len() == 9 })
 	e.accepted[0].CloseWrite()
 }
 
-// What was written before the end of writing is read by the other side, and then the end; what it still sends does no
-// harm.
+// After CloseWrite the peer reads all data written before and then EOF; data that it sends after that causes no reset.
 func TestCloseWrite(t *testing.T) {
-	s, e := serve(t, 2)
+	s, e := newTestStreams(t, 2)
 	c, err := net.Dial("tcp", s.Local.String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	e.until(t, "accepted", func() bool { return len(e.accepted) == 1 })
+	e.waitFor(t, "accepted", func() bool { return len(e.accepted) == 1 })
 	stream := e.accepted[0]
 	stream.Write([]byte("answer"))
 	stream.CloseWrite()
@@ -385,5 +392,5 @@
 		t.Errorf("%q, %v", b, err)
 	}
 	c.Close()
-	e.until(t, "closed", func() bool { return len(e.closed) == 1 })
+	e.waitFor(t, "closed", func() bool { return len(e.closed) == 1 })
 }
