--- a/internal/protocol/dnsclient/cache.go
+++ b/internal/protocol/dnsclient/cache.go
@@ -21,34 +21,34 @@
 // cache keeps answers, those that were used last.
 type cache struct {
 	times CacheTimes
-	of    *simplelru.LRU[string, *entry]
+	lru   *simplelru.LRU[string, *entry]
 }
 
 type entry struct {
-	rules  []enum.Rule // none: there are none
-	until  float64
-	stale  float64 // it may be served till then
-	failed float64 // no query before this
+	rules         []enum.Rule // none: there are none
+	expires       float64
+	staleUntil    float64 // it may be served till then
+	noQueryBefore float64 // no query before this
 }
 
-func newCache(t CacheTimes) *cache {
-	of, err := simplelru.NewLRU[string, *entry](max(1, t.MaxEntries), nil)
+func newCache(times CacheTimes) *cache {
+	lru, err := simplelru.NewLRU[string, *entry](max(1, times.MaxEntries), nil)
 	if err != nil {
 		panic(err) // only for a size below 1
 	}
-	return &cache{t, of}
+	return &cache{times, lru}
 }
 
 // fresh finds an answer whose time is not over; else what is left of it.
 func (c *cache) fresh(now float64, name string) (*entry, bool) {
-	k, ok := c.of.Get(name)
-	return k, ok && now < k.until
+	e, ok := c.lru.Get(name)
+	return e, ok && now < e.expires
 }
 
 // stale finds an answer that ran out but may be served.
 func (c *cache) stale(now float64, name string) *entry {
-	if k, ok := c.of.Get(name); ok && now < k.stale && k.until > 0 {
-		return k
+	if e, ok := c.lru.Get(name); ok && now < e.staleUntil && e.expires > 0 {
+		return e
 	}
 	return nil
 }
@@ -58,20 +58,20 @@
 	ttl = math.Min(ttl, c.times.MaxTTL)
 	if len(rules) == 0 {
 		if ttl = math.Min(ttl, c.times.MaxNegativeTTL); ttl <= 0 {
-			c.of.Remove(name)
+			c.lru.Remove(name)
 			return
 		}
 	}
 	ttl = math.Max(ttl, c.times.MinTTL)
-	c.of.Add(name, &entry{rules: rules, until: now + ttl, stale: now + ttl + c.times.StaleTime})
+	c.lru.Add(name, &entry{rules: rules, expires: now + ttl, staleUntil: now + ttl + c.times.StaleTime})
 }
 
 // fail notes that a query for a name came to nothing.
 func (c *cache) fail(now float64, name string) {
-	k, ok := c.of.Get(name)
+	e, ok := c.lru.Get(name)
 	if !ok {
-		k = &entry{}
-		c.of.Add(name, k)
+		e = &entry{}
+		c.lru.Add(name, e)
 	}
-	k.failed = now + c.times.FailureTTL
+	e.noQueryBefore = now + c.times.FailureTTL
 }
--- a/internal/protocol/dnsclient/client.go
+++ b/internal/protocol/dnsclient/client.go
@@ -61,25 +61,25 @@
 
 // Client asks. One goroutine owns it.
 type Client struct {
-	Counts  Counts
-	cfg     Config
-	out     Transport
-	timers  timerqueue.Queue
-	health  *Health
-	cache   *cache
-	flights map[string]*lookup
-	tries   map[queryAttempt]*outstandingQuery
-	streams map[uint64]*outstandingQuery
-	plain   map[int]bool    // servers that know no EDNS (RFC 6891 7)
-	doubt   map[int]float64 // till then a server is asked by stream: somebody guesses
-	strays  map[int]int     // answers from it that match nothing, since the latest that did
-	drawn   uint64
-	seq     uint64
-	now     float64
+	Counts          Counts
+	cfg             Config
+	transport       Transport
+	timers          timerqueue.Queue
+	health          *Health
+	cache           *cache
+	lookups         map[string]*lookup
+	outstanding     map[responseKey]*outstandingQuery
+	streams         map[uint64]*outstandingQuery
+	noEDNS          map[int]bool    // servers that know no EDNS (RFC 6891 7)
+	streamOnlyUntil map[int]float64 // till then a server is asked by stream: somebody guesses
+	mismatches      map[int]int     // answers from it that match nothing, since the latest that did
+	drawCount       uint64
+	seq             uint64
+	now             float64
 }
 
-// queryAttempt is all that an answer must match.
-type queryAttempt struct {
+// responseKey is all that an answer must match.
+type responseKey struct {
 	port int
 	from netip.AddrPort
 	id   uint16
@@ -87,10 +87,10 @@
 
 // outstandingQuery is one query on its way.
 type outstandingQuery struct {
-	flight *lookup
+	lookup *lookup
 	server int
-	at     float64
-	key    queryAttempt
+	sentAt float64
+	key    responseKey
 	name   string // as it was sent: letters at random large and small
 	timer  *timerqueue.Timer
 	token  uint64
@@ -98,21 +98,21 @@
 
 // lookup is a name that is asked for.
 type lookup struct {
-	name    string
-	key     string
-	tried   []int
-	out     []*outstandingQuery
-	askers  []*waiter
-	sends   int
-	last    bool // nothing more is sent
-	settled bool
+	name         string
+	key          string
+	triedServers []int
+	queries      []*outstandingQuery
+	waiters      []*waiter
+	sent         int
+	allSent      bool // nothing more is sent
+	finished     bool
 }
 
 type waiter struct {
-	done  func(now float64, a Answer)
-	limit *timerqueue.Timer
-	early *timerqueue.Timer // when stale answers are given
-	over  bool
+	done       func(now float64, a Answer)
+	deadline   *timerqueue.Timer
+	staleTimer *timerqueue.Timer // when stale answers are given
+	finished   bool
 }
 
 const (
@@ -128,18 +128,18 @@
 )
 
 // New makes a client.
-func New(cfg Config, out Transport) *Client {
+func New(cfg Config, transport Transport) *Client {
 	return &Client{
-		cfg:     cfg,
-		out:     out,
-		health:  NewHealth(len(cfg.Servers)),
-		cache:   newCache(cfg.Cache),
-		flights: map[string]*lookup{},
-		tries:   map[queryAttempt]*outstandingQuery{},
-		streams: map[uint64]*outstandingQuery{},
-		plain:   map[int]bool{},
-		doubt:   map[int]float64{},
-		strays:  map[int]int{},
+		cfg:             cfg,
+		transport:       transport,
+		health:          NewHealth(len(cfg.Servers)),
+		cache:           newCache(cfg.Cache),
+		lookups:         map[string]*lookup{},
+		outstanding:     map[responseKey]*outstandingQuery{},
+		streams:         map[uint64]*outstandingQuery{},
+		noEDNS:          map[int]bool{},
+		streamOnlyUntil: map[int]float64{},
+		mismatches:      map[int]int{},
 	}
 }
 
@@ -153,16 +153,16 @@
 }
 
 // OpenCounts is how many names are asked for, and how many are kept.
-func (c *Client) OpenCounts() (flights, kept int) { return len(c.flights), c.cache.of.Len() }
+func (c *Client) OpenCounts() (lookups, cached int) { return len(c.lookups), c.cache.lru.Len() }
 
 func (c *Client) draw() uint64 {
-	c.drawn++
-	return detrand.Hash(c.cfg.Seed, c.drawn)
+	c.drawCount++
+	return detrand.Hash(c.cfg.Seed, c.drawCount)
 }
 
 // Query asks for a name's rules. done is called once, within the time given, at once where the answer is at hand; stop
 // cancels it, and done is not called then.
-func (c *Client) Query(now float64, name string, within float64, done func(now float64, a Answer)) (stop func()) {
+func (c *Client) Query(now float64, name string, within float64, done func(now float64, w Answer)) (stop func()) {
 	c.now = now
 	c.Counts.Lookups++
 	name = strings.ToLower(dns.Fqdn(name))
@@ -171,35 +171,35 @@
 		done(now, Answer{Status: Failed})
 		return func() {}
 	}
-	k, fresh := c.cache.fresh(now, name)
+	e, fresh := c.cache.fresh(now, name)
 	if fresh {
 		c.Counts.Cached++
-		done(now, k.answer(false))
+		done(now, e.answer(false))
 		return func() {}
 	}
 	stale := c.cache.stale(now, name)
-	if k != nil && now < k.failed { // it came to nothing a moment ago
+	if e != nil && now < e.noQueryBefore { // it came to nothing a moment ago
 		c.respondLater(now, stale, done)
 		return func() {}
 	}
-	f := c.flights[name]
-	if f == nil || c.cfg.Alone {
-		if len(c.flights) >= c.cfg.MaxLookups || c.cfg.Alone && len(c.tries) >= c.cfg.MaxLookups {
+	l := c.lookups[name]
+	if l == nil || c.cfg.Alone {
+		if len(c.lookups) >= c.cfg.MaxLookups || c.cfg.Alone && len(c.outstanding) >= c.cfg.MaxLookups {
 			c.Counts.Full++
 			c.respondLater(now, stale, done)
 			return func() {}
 		}
-		f = &lookup{name: name, key: name}
+		l = &lookup{name: name, key: name}
 		if c.cfg.Alone {
 			c.seq++
-			f.key += " " + strconv.FormatUint(c.seq, 10)
+			l.key += " " + strconv.FormatUint(c.seq, 10)
 		}
-		if !c.sendQuery(f) { // no server is worth a query
+		if !c.sendQuery(l) { // no server is worth a query
 			c.Counts.Down++
 			c.respondLater(now, stale, done)
 			return func() {}
 		}
-		c.flights[f.key] = f
+		c.lookups[l.key] = l
 	} else if c.health.UpCount(now) == 0 { // the one that finds out is on its way
 		c.Counts.Down++
 		c.respondLater(now, stale, done)
@@ -208,24 +208,24 @@
 		c.Counts.Shared++
 	}
 	a := &waiter{done: done}
-	f.askers = append(f.askers, a)
-	a.limit = c.timers.Schedule(now+within, func() {
+	l.waiters = append(l.waiters, a)
+	a.deadline = c.timers.Schedule(now+within, func() {
 		c.Counts.Late++
 		c.notify(a, c.cache.stale(c.now, name))
 	})
 	if stale != nil && c.cfg.StaleAfter < within {
-		a.early = c.timers.Schedule(now+c.cfg.StaleAfter, func() { c.notify(a, c.cache.stale(c.now, name)) })
+		a.staleTimer = c.timers.Schedule(now+c.cfg.StaleAfter, func() { c.notify(a, c.cache.stale(c.now, name)) })
 	}
 	return func() {
-		a.over = true
-		c.timers.Cancel(a.limit)
-		c.timers.Cancel(a.early)
+		a.finished = true
+		c.timers.Cancel(a.deadline)
+		c.timers.Cancel(a.staleTimer)
 	}
 }
 
-func (k *entry) answer(stale bool) Answer {
-	a := Answer{Status: Found, Rules: k.rules, Stale: stale, Cached: true}
-	if len(k.rules) == 0 {
+func (e *entry) answer(stale bool) Answer {
+	a := Answer{Status: Found, Rules: e.rules, Stale: stale, Cached: true}
+	if len(e.rules) == 0 {
 		a.Status = None
 	}
 	return a
@@ -243,87 +243,87 @@
 }
 
 // notify answers an caller before its name has an answer.
-func (c *Client) notify(a *waiter, stale *entry) {
-	if a.over {
+func (c *Client) notify(w *waiter, stale *entry) {
+	if w.finished {
 		return
 	}
-	a.over = true
-	c.timers.Cancel(a.limit)
-	c.timers.Cancel(a.early)
-	c.respondLater(c.now, stale, a.done)
+	w.finished = true
+	c.timers.Cancel(w.deadline)
+	c.timers.Cancel(w.staleTimer)
+	c.respondLater(c.now, stale, w.done)
 }
 
 // sendQuery sends a lookup's next query; false: no server is worth one.
-func (c *Client) sendQuery(f *lookup) bool {
-	r := c.draw()
-	i, wait := c.health.Choose(c.now, f.tried, float64(r>>11)/(1<<53))
-	if i < 0 {
+func (c *Client) sendQuery(l *lookup) bool {
+	random := c.draw()
+	server, wait := c.health.Choose(c.now, l.triedServers, float64(random>>11)/(1<<53))
+	if server < 0 {
 		return false
 	}
-	f.tried = append(f.tried, i)
-	f.sends++
-	if c.now < c.doubt[i] {
-		c.sendStreamQuery(f, i)
+	l.triedServers = append(l.triedServers, server)
+	l.sent++
+	if c.now < c.streamOnlyUntil[server] {
+		c.sendStreamQuery(l, server)
 		return true
 	}
-	s := &outstandingQuery{flight: f, server: i, at: c.now, name: c.randomizeCase(f.name)}
+	q := &outstandingQuery{lookup: l, server: server, sentAt: c.now, name: c.randomizeCase(l.name)}
 	for {
-		r = c.draw()
-		s.key = queryAttempt{int(r>>32) % max(1, c.cfg.Ports), c.cfg.Servers[i], uint16(r)}
-		if c.tries[s.key] == nil {
+		random = c.draw()
+		q.key = responseKey{int(random>>32) % max(1, c.cfg.Ports), c.cfg.Servers[server], uint16(random)}
+		if c.outstanding[q.key] == nil {
 			break
 		}
 	}
-	data, err := c.buildQuery(s, i)
+	data, err := c.buildQuery(q, server)
 	if err != nil {
 		return false // never: the name was looked at
 	}
-	c.tries[s.key] = s
-	f.out = append(f.out, s)
+	c.outstanding[q.key] = q
+	l.queries = append(l.queries, q)
 	c.Counts.Sent++
-	c.out.Query(s.key.port, s.key.from, data)
-	s.timer = c.timers.Schedule(c.now+wait, func() {
-		c.health.OnTimeout(i, c.now, s.at)
-		c.retry(f)
+	c.transport.Query(q.key.port, q.key.from, data)
+	q.timer = c.timers.Schedule(c.now+wait, func() {
+		c.health.OnTimeout(server, c.now, q.sentAt)
+		c.retry(l)
 	})
 	return true
 }
 
 // sendStreamQuery asks a server over TCP.
-func (c *Client) sendStreamQuery(f *lookup, i int) {
+func (c *Client) sendStreamQuery(l *lookup, server int) {
 	if len(c.streams) >= maxStreams {
 		c.Counts.Full++
-		c.retry(f)
+		c.retry(l)
 		return
 	}
 	c.seq++
-	s := &outstandingQuery{
-		flight: f,
-		server: i,
-		at:     c.now,
+	q := &outstandingQuery{
+		lookup: l,
+		server: server,
+		sentAt: c.now,
 		token:  c.seq,
-		name:   c.randomizeCase(f.name),
-		key:    queryAttempt{from: c.cfg.Servers[i], id: uint16(c.draw())},
+		name:   c.randomizeCase(l.name),
+		key:    responseKey{from: c.cfg.Servers[server], id: uint16(c.draw())},
 	}
-	data, err := c.buildQuery(s, i)
+	data, err := c.buildQuery(q, server)
 	if err != nil {
 		return
 	}
-	c.streams[s.token] = s
-	f.out = append(f.out, s)
+	c.streams[q.token] = q
+	l.queries = append(l.queries, q)
 	c.Counts.Streams++
-	s.timer = c.timers.Schedule(
+	q.timer = c.timers.Schedule(
 		c.now+streamTimeout,
-		func() { c.OnStreamResponse(c.now, s.token, nil) },
+		func() { c.OnStreamResponse(c.now, q.token, nil) },
 	) // whatever the driver does
-	c.out.Stream(s.token, s.key.from, data, streamTimeout)
+	c.transport.Stream(q.token, q.key.from, data, streamTimeout)
 }
 
-func (c *Client) buildQuery(s *outstandingQuery, server int) ([]byte, error) {
+func (c *Client) buildQuery(q *outstandingQuery, server int) ([]byte, error) {
 	m := new(dns.Msg)
-	m.SetQuestion(s.name, dns.TypeNAPTR)
-	m.Id = s.key.id
-	if !c.plain[server] {
+	m.SetQuestion(q.name, dns.TypeNAPTR)
+	m.Id = q.key.id
+	if !c.noEDNS[server] {
 		m.SetEdns0(maxUDPSize, false)
 	}
 	return m.Pack()
@@ -332,36 +332,36 @@
 // randomizeCase writes a name's letters large or small at random: one more thing that who guesses must guess.
 func (c *Client) randomizeCase(name string) string {
 	b := []byte(name)
-	r := c.draw()
+	random := c.draw()
 	for i, x := range b {
 		if x >= 'a' && x <= 'z' {
-			if r&1 == 1 {
+			if random&1 == 1 {
 				b[i] = x - 'a' + 'A'
 			}
-			r = r>>1 | r<<63
+			random = random>>1 | random<<63
 		}
 	}
 	return string(b)
 }
 
 // retry asks on, or gives the lookup up.
-func (c *Client) retry(f *lookup) {
-	if f.settled {
+func (c *Client) retry(l *lookup) {
+	if l.finished {
 		return
 	}
-	if !f.last && f.sends < c.cfg.Tries && c.sendQuery(f) {
+	if !l.allSent && l.sent < c.cfg.Tries && c.sendQuery(l) {
 		return
 	}
-	if !f.last { // all is sent; answers may only be slow, and whoever asked has its own limit
-		f.last = true
-		c.timers.Schedule(c.now+lastTimeout, func() { c.retry(f) })
+	if !l.allSent { // all is sent; answers may only be slow, and whoever asked has its own limit
+		l.allSent = true
+		c.timers.Schedule(c.now+lastTimeout, func() { c.retry(l) })
 		return
 	}
-	c.cache.fail(c.now, f.name)
-	c.finish(f, func(a *waiter) Answer {
-		if k := c.cache.stale(c.now, f.name); k != nil {
+	c.cache.fail(c.now, l.name)
+	c.finish(l, func(a *waiter) Answer {
+		if e := c.cache.stale(c.now, l.name); e != nil {
 			c.Counts.Stale++
-			return k.answer(true)
+			return e.answer(true)
 		}
 		c.Counts.Failed++
 		return Answer{Status: Failed}
@@ -369,21 +369,21 @@
 }
 
 // finish ends a lookup and tells all who asked.
-func (c *Client) finish(f *lookup, say func(*waiter) Answer) {
-	f.settled = true
-	delete(c.flights, f.key)
-	for _, s := range f.out {
-		c.timers.Cancel(s.timer)
-		delete(c.tries, s.key)
-		delete(c.streams, s.token)
+func (c *Client) finish(l *lookup, answerFor func(*waiter) Answer) {
+	l.finished = true
+	delete(c.lookups, l.key)
+	for _, q := range l.queries {
+		c.timers.Cancel(q.timer)
+		delete(c.outstanding, q.key)
+		delete(c.streams, q.token)
 	}
-	for _, a := range f.askers {
-		if a.over {
+	for _, w := range l.waiters {
+		if w.finished {
 			continue
 		}
-		a.over = true
-		c.timers.Cancel(a.limit)
-		c.timers.Cancel(a.early)
-		a.done(c.now, say(a))
+		w.finished = true
+		c.timers.Cancel(w.deadline)
+		c.timers.Cancel(w.staleTimer)
+		w.done(c.now, answerFor(w))
 	}
 }
--- a/internal/protocol/dnsclient/client_test.go
+++ b/internal/protocol/dnsclient/client_test.go
@@ -113,8 +113,8 @@
 			if late > 0 || failed > 4 {
 				t.Errorf("of 2000 %d late, %d failed", late, failed)
 			}
-			if f, k := r.c.OpenCounts(); f != 0 || k == 0 || len(r.c.tries) != 0 || len(r.c.streams) != 0 {
-				t.Errorf("left over: %d names, %d questions, %d streams", f, len(r.c.tries), len(r.c.streams))
+			if f, k := r.c.OpenCounts(); f != 0 || k == 0 || len(r.c.outstanding) != 0 || len(r.c.streams) != 0 {
+				t.Errorf("left over: %d names, %d questions, %d streams", f, len(r.c.outstanding), len(r.c.streams))
 			}
 			t.Logf("%v datagrams, %d streams, %+v", r.sent, r.streams, r.c.Counts)
 		})
--- a/internal/protocol/dnsclient/health_test.go
+++ b/internal/protocol/dnsclient/health_test.go
@@ -56,7 +56,7 @@
 	mixed := map[string]bool{}
 	for i := range 2000 {
 		r.ask(fmt.Sprint(14180000000+i), 500)
-		for k, s := range r.c.tries {
+		for k, s := range r.c.outstanding {
 			_ = k
 			mixed[s.name[len(s.name)-10:]] = true
 		}
--- a/internal/protocol/dnsclient/response.go
+++ b/internal/protocol/dnsclient/response.go
@@ -16,21 +16,21 @@
 		c.Counts.Strays++
 		return
 	}
-	s := c.tries[queryAttempt{port, from, uint16(data[0])<<8 | uint16(data[1])}]
+	q := c.outstanding[responseKey{port, from, uint16(data[0])<<8 | uint16(data[1])}]
 	m := new(dns.Msg)
-	if s == nil || m.Unpack(data) != nil || !matches(m, s.name) {
+	if q == nil || m.Unpack(data) != nil || !matches(m, q.name) {
 		c.onMismatch(from)
 		return
 	}
-	c.strays[s.server] = 0
-	c.timers.Cancel(s.timer)
-	delete(c.tries, s.key)
-	c.health.OnResponse(s.server, now, now-s.at)
+	c.mismatches[q.server] = 0
+	c.timers.Cancel(q.timer)
+	delete(c.outstanding, q.key)
+	c.health.OnResponse(q.server, now, now-q.sentAt)
 	if m.Truncated { // RFC 2181 9: what came is not used
-		c.sendStreamQuery(s.flight, s.server)
+		c.sendStreamQuery(q.lookup, q.server)
 		return
 	}
-	c.onResponse(s, m)
+	c.onResponse(q, m)
 }
 
 // onMismatch notes an answer that matches nothing. Many of one server are somebody's guesses, or the server's answers
@@ -39,8 +39,8 @@
 	c.Counts.Strays++
 	for i, a := range c.cfg.Servers {
 		if a == from {
-			if c.strays[i]++; c.strays[i] >= maxMismatches {
-				c.strays[i], c.doubt[i] = 0, c.now+streamOnlyTime
+			if c.mismatches[i]++; c.mismatches[i] >= maxMismatches {
+				c.mismatches[i], c.streamOnlyUntil[i] = 0, c.now+streamOnlyTime
 			}
 		}
 	}
@@ -49,20 +49,20 @@
 // OnStreamResponse takes what a stream brought; nil: nothing.
 func (c *Client) OnStreamResponse(now float64, token uint64, data []byte) {
 	c.now = now
-	s := c.streams[token]
-	if s == nil {
+	q := c.streams[token]
+	if q == nil {
 		return
 	}
 	delete(c.streams, token)
-	c.timers.Cancel(s.timer)
+	c.timers.Cancel(q.timer)
 	m := new(dns.Msg)
-	if data == nil || m.Unpack(data) != nil || m.Id != s.key.id || !matches(m, s.name) {
-		c.health.OnTimeout(s.server, now, s.at)
-		c.retry(s.flight)
+	if data == nil || m.Unpack(data) != nil || m.Id != q.key.id || !matches(m, q.name) {
+		c.health.OnTimeout(q.server, now, q.sentAt)
+		c.retry(q.lookup)
 		return
 	}
-	c.health.OnResponse(s.server, now, now-s.at)
-	c.onResponse(s, m)
+	c.health.OnResponse(q.server, now, now-q.sentAt)
+	c.onResponse(q, m)
 }
 
 // matches tells whether a message answers the query that was sent, letter by letter.
@@ -72,40 +72,40 @@
 }
 
 // onResponse takes an answer to a query.
-func (c *Client) onResponse(s *outstandingQuery, m *dns.Msg) {
-	f := s.flight
-	if f.settled {
+func (c *Client) onResponse(q *outstandingQuery, m *dns.Msg) {
+	l := q.lookup
+	if l.finished {
 		return
 	}
-	rules, ttl, negative, leads := parseRules(m, f.name)
+	rules, ttl, negativeTTL, referral := parseRules(m, l.name)
 	switch {
-	case m.Rcode == dns.RcodeFormatError && !c.plain[s.server]:
-		c.plain[s.server] = true
-		f.sends = min(f.sends, c.cfg.Tries-1) // the same query once more, as the server knows it
-		c.retry(f)
+	case m.Rcode == dns.RcodeFormatError && !c.noEDNS[q.server]:
+		c.noEDNS[q.server] = true
+		l.sent = min(l.sent, c.cfg.Tries-1) // the same query once more, as the server knows it
+		c.retry(l)
 	case m.Rcode == dns.RcodeSuccess && len(rules) > 0:
 		c.Counts.Answered++
-		c.health.OnValid(s.server)
-		c.cache.put(c.now, f.name, rules, ttl)
-		c.finish(f, func(*waiter) Answer { return Answer{Status: Found, Rules: rules} })
-	case (m.Rcode == dns.RcodeSuccess || m.Rcode == dns.RcodeNameError) && !leads && (m.Authoritative || negative >= 0 ||
+		c.health.OnValid(q.server)
+		c.cache.put(c.now, l.name, rules, ttl)
+		c.finish(l, func(*waiter) Answer { return Answer{Status: Found, Rules: rules} })
+	case (m.Rcode == dns.RcodeSuccess || m.Rcode == dns.RcodeNameError) && !referral && (m.Authoritative || negativeTTL >= 0 ||
 		m.RecursionAvailable):
 		c.Counts.None++
-		c.health.OnValid(s.server)
-		c.cache.put(c.now, f.name, nil, max(0, negative))
-		c.finish(f, func(*waiter) Answer { return Answer{Status: None} })
+		c.health.OnValid(q.server)
+		c.cache.put(c.now, l.name, nil, max(0, negativeTTL))
+		c.finish(l, func(*waiter) Answer { return Answer{Status: None} })
 	default: // a fault, a refusal, or a server that knows nothing of the zone and points elsewhere
 		c.Counts.Lame++
-		c.health.OnLame(s.server, c.now)
-		c.retry(f)
+		c.health.OnLame(q.server, c.now)
+		c.retry(l)
 	}
 }
 
 // parseRules takes from an answer what answers the query and nothing else: rules of the name or of what it is
 // another name of, and how long they hold in ms; of a negative answer how long it holds (RFC 2308 5), -1 where it does
 // not say. leads says that the answer only points to other servers.
-func parseRules(m *dns.Msg, name string) (rules []enum.Rule, ttl, negative float64, leads bool) {
-	ttl, negative = 1e12, -1
+func parseRules(m *dns.Msg, name string) (rules []enum.Rule, ttl, negativeTTL float64, referral bool) {
+	ttl, negativeTTL = 1e12, -1
 	for range 8 { // names of names
 		next := ""
 		for _, rr := range m.Answer {
@@ -137,13 +137,13 @@
 		switch rr := rr.(type) {
 		case *dns.SOA:
 			if dns.IsSubDomain(rr.Hdr.Name, name) {
-				negative = 1000 * float64(min(rr.Hdr.Ttl, rr.Minttl))
+				negativeTTL = 1000 * float64(min(rr.Hdr.Ttl, rr.Minttl))
 			}
 		case *dns.NS:
-			leads = len(m.Answer) == 0
+			referral = len(m.Answer) == 0
 		}
 	}
-	return rules, ttl, negative, leads && negative < 0
+	return rules, ttl, negativeTTL, referral && negativeTTL < 0
 }
 
 // textOf is a character string as it was on the wire: the library hands it on in the form of zone files, with quotes
--- a/internal/protocol/dnsclient/response_test.go
+++ b/internal/protocol/dnsclient/response_test.go
@@ -137,7 +137,7 @@
 		r := newTestHost(t, 1, nil)
 		r.servers[0].Faults.Silent = true
 		g := r.ask("1234", 500)
-		for k, s := range r.c.tries {
+		for k, s := range r.c.outstanding {
 			if len(data) > 2 {
 				data = slices.Clone(data)
 				data[0], data[1] = byte(k.id>>8), byte(k.id)
@@ -204,8 +204,8 @@
 				}
 			}
 		}
-		if f, _ := r.c.OpenCounts(); f != 0 || len(r.c.tries) != 0 {
-			rt.Fatalf("left over: %d names, %d questions", f, len(r.c.tries))
+		if f, _ := r.c.OpenCounts(); f != 0 || len(r.c.outstanding) != 0 {
+			rt.Fatalf("left over: %d names, %d questions", f, len(r.c.outstanding))
 		}
 	})
 }
--- a/internal/protocol/dnsclient/testhost_test.go
+++ b/internal/protocol/dnsclient/testhost_test.go
@@ -137,7 +137,7 @@
 
 // pending is the one question that is out.
 func (r *testHost) pending() *outstandingQuery {
-	for _, s := range r.c.tries {
+	for _, s := range r.c.outstanding {
 		return s
 	}
 	for _, s := range r.c.streams {
