--- a/internal/protocol/dnsclient/cache.go
+++ b/internal/protocol/dnsclient/cache.go
@@ -8,27 +8,27 @@
 	"cobaltpier/internal/decision/enum"
 )
 
-// CacheTimes bound what is kept; times are ms.
+// CacheTimes configures the cache; times are in ms.
 type CacheTimes struct {
 	MaxEntries     int     // names
-	MinTTL         float64 // an answer is kept at least so long: a TTL of 0 would ask for each call
-	MaxTTL         float64 // and at most
-	MaxNegativeTTL float64 // "there is none" is kept at most so long (RFC 2308 5)
-	StaleTime      float64 // an answer that ran out is served for so long where nothing newer comes (RFC 8767); 0: never
-	FailureTTL     float64 // a name that failed is not asked for again for so long (RFC 9520 3.2)
+	MinTTL         float64 // lower bound on the TTL: a TTL of 0 would mean a query for each call
+	MaxTTL         float64 // upper bound on the TTL
+	MaxNegativeTTL float64 // upper bound on the TTL of negative answers (RFC 2308 5)
+	StaleTime      float64 // how long after expiry an answer may be served without a newer one (RFC 8767); 0: never
+	FailureTTL     float64 // after a failed look-up, no query for the name is sent for this long (RFC 9520 3.2)
 }
 
-// cache keeps answers, those that were used last.
+// cache is an LRU cache of answers by name.
 type cache struct {
 	times CacheTimes
 	lru   *simplelru.LRU[string, *entry]
 }
 
 type entry struct {
-	rules         []enum.Rule // none: there are none
+	rules         []enum.Rule // empty: negative answer
 	expires       float64
-	staleUntil    float64 // it may be served till then
-	noQueryBefore float64 // no query before this
+	staleUntil    float64 // until then it may be served as a stale answer
+	noQueryBefore float64 // no query for the name is sent before this time, because the last look-up failed
 }
 
 func newCache(times CacheTimes) *cache {
@@ -39,13 +39,13 @@
 	return &cache{times, lru}
 }
 
-// fresh finds an answer whose time is not over; else what is left of it.
+// fresh returns the entry of a name, which may be nil or expired, and whether it is still fresh.
 func (c *cache) fresh(now float64, name string) (*entry, bool) {
 	e, ok := c.lru.Get(name)
 	return e, ok && now < e.expires
 }
 
-// stale finds an answer that ran out but may be served.
+// stale returns an entry that may be served as a stale answer, or nil.
 func (c *cache) stale(now float64, name string) *entry {
 	if e, ok := c.lru.Get(name); ok && now < e.staleUntil && e.expires > 0 {
 		return e
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// put keeps an answer; ttl in ms. Without rules it is a negative one.
+// put stores an answer; ttl is in ms. Without rules it is a negative answer.
 func (c *cache) put(now float64, name string, rules []enum.Rule, ttl float64) {
 	ttl = math.Min(ttl, c.times.MaxTTL)
 	if len(rules) == 0 {
@@ -66,7 +66,7 @@
 	c.lru.Add(name, &entry{rules: rules, expires: now + ttl, staleUntil: now + ttl + c.times.StaleTime})
 }
 
-// fail notes that a query for a name came to nothing.
+// fail records that the look-up of a name failed.
 func (c *cache) fail(now float64, name string) {
 	e, ok := c.lru.Get(name)
 	if !ok {
--- a/internal/protocol/dnsclient/client.go
+++ b/internal/protocol/dnsclient/client.go
@@ -1,10 +1,10 @@
-// Package dnsclient asks DNS servers for NAPTR records (RFC 1035, RFC 6891) without I/O: datagrams, answers over
-// streams and the time come in through methods, queries go out through Transport. Which server is asked, how long its
-// answer is waited for and what is kept are decisions of this package. What was asked for by several at once goes out
-// once.
+// Package dnsclient queries DNS servers for NAPTR records (RFC 1035, RFC 6891). It does no I/O: datagrams, responses
+// over TCP and the time come in through methods, queries go out through Transport. The package selects the server,
+// sets the timeout and caches answers. Concurrent look-ups of one name share a query.
 //
-// An answer counts only if it comes from the server that was asked, to the port that asked, with the id, the query
-// and even the case of its letters that were sent, all drawn at random; and of it only what answers the query.
+// A response is accepted only if it comes from the server that was queried, arrives at the source port of the query
+// and repeats the query's id and name, including the random case of its letters. Port, id and case are drawn at random
+// for each query. Only records that answer the query are used.
 package dnsclient
 
 import (
@@ -21,45 +21,45 @@
 
 //tally:decisions
 
-// Transport is what a client asks of its driver.
+// Transport sends a client's queries.
 type Transport interface {
-	// Query sends a datagram from one of the client's ports, by its number from 0.
+	// Query sends a datagram from the source port with the given index, counted from 0.
 	Query(port int, to netip.AddrPort, data []byte)
-	// Stream sends a message over TCP and hands what comes back to Streamed, or nil if nothing does in time.
+	// Stream sends a message over TCP and passes the response to OnStreamResponse, or nil if none arrives in time.
 	Stream(token uint64, to netip.AddrPort, data []byte, within float64)
 }
 
-// Config is what a client is told. Times are ms.
+// Config configures a Client. Times are in ms.
 type Config struct {
 	Servers    []netip.AddrPort
-	Ports      int     // source ports that the driver has
-	Seed       uint64  // of ids and ports: nobody else may know it
-	MaxLookups int     // names asked for at once; beyond it a query fails at once
-	Tries      int     // datagrams for one name
-	StaleAfter float64 // what ran out is served where nothing newer comes in this time (RFC 8767 5: client response timer)
+	Ports      int     // number of source ports
+	Seed       uint64  // of ids, ports and letter case; must be kept secret
+	MaxLookups int     // concurrent look-ups; further ones fail immediately
+	Tries      int     // queries sent for one look-up at most
+	StaleAfter float64 // time without a response until a stale answer is served (RFC 8767 5: client response timer)
 	Cache      CacheTimes
-	Alone      bool // queries for one name are not shared: only to measure what sharing saves
+	Alone      bool // look-ups of one name do not share queries; only to measure what sharing saves
 }
 
-// Status is what an answer says.
+// Status is the outcome of a look-up.
 type Status int
 
-// The states of an answer.
+// The outcomes of a look-up.
 const (
 	Found  Status = iota
-	None          // there is no such name, or it has no rules
-	Failed        // nobody said
+	None          // the name does not exist or has no rules
+	Failed        // no server gave a usable response
 )
 
-// Answer is what a query came to.
+// Answer is the result of a look-up.
 type Answer struct {
 	Status Status
-	Rules  []enum.Rule // only to be read
-	Stale  bool        // it ran out, and nothing newer came
+	Rules  []enum.Rule // read-only
+	Stale  bool        // it expired, and no newer one is available
 	Cached bool
 }
 
-// Client asks. One goroutine owns it.
+// Client looks up names. It is not safe for concurrent use.
 type Client struct {
 	Counts          Counts
 	cfg             Config
@@ -70,33 +70,33 @@
 	lookups         map[string]*lookup
 	outstanding     map[responseKey]*outstandingQuery
 	streams         map[uint64]*outstandingQuery
-	noEDNS          map[int]bool    // servers that know no EDNS (RFC 6891 7)
-	streamOnlyUntil map[int]float64 // till then a server is asked by stream: somebody guesses
-	mismatches      map[int]int     // answers from it that match nothing, since the latest that did
+	noEDNS          map[int]bool    // servers that do not support EDNS (RFC 6891 7)
+	streamOnlyUntil map[int]float64 // until then a server is queried over TCP only, because responses may be spoofed
+	mismatches      map[int]int     // responses from a server that match no query, since the latest that did
 	drawCount       uint64
 	seq             uint64
 	now             float64
 }
 
-// responseKey is all that an answer must match.
+// responseKey identifies the query that a datagram answers.
 type responseKey struct {
 	port int
 	from netip.AddrPort
 	id   uint16
 }
 
-// outstandingQuery is one query on its way.
+// outstandingQuery is a query that awaits its response.
 type outstandingQuery struct {
 	lookup *lookup
 	server int
 	sentAt float64
 	key    responseKey
-	name   string // as it was sent: letters at random large and small
+	name   string // as sent, with letters in random case
 	timer  *timerqueue.Timer
 	token  uint64
 }
 
-// lookup is a name that is asked for.
+// lookup is a look-up in progress, shared by all that wait for the name.
 type lookup struct {
 	name         string
 	key          string
@@ -104,30 +104,30 @@
 	queries      []*outstandingQuery
 	waiters      []*waiter
 	sent         int
-	allSent      bool // nothing more is sent
+	allSent      bool // no further query is sent; late responses are still accepted
 	finished     bool
 }
 
 type waiter struct {
 	done       func(now float64, a Answer)
 	deadline   *timerqueue.Timer
-	staleTimer *timerqueue.Timer // when stale answers are given
+	staleTimer *timerqueue.Timer // serves a stale answer
 	finished   bool
 }
 
 const (
-	maxMismatches  = 8      // answers that match nothing, after which a server is asked by stream
-	streamOnlyTime = 2000.0 // ms: so long
-	maxUDPSize     = 1232   // octets of an answer by datagram (RFC 6891 6.2.5, as far as no fragments come)
-	// ms: answers that come so long after the last query was given up still count. It guards against servers that all
-	// got slower than the waits that were learned.
+	maxMismatches  = 8      // unmatched responses after which a server is queried over TCP only
+	streamOnlyTime = 2000.0 // ms: how long it is
+	maxUDPSize     = 1232   // octets of a UDP response that avoid fragmentation (RFC 6891 6.2.5)
+	// ms: responses are accepted this long after the last query timed out, in case all servers have become slower than
+	// the timeouts that were learned.
 	lastTimeout   = 500.0
-	streamTimeout = 1000.0 // ms: most that a stream may take
-	// streams open at once: truncated answers would else open as many as there are names asked for
+	streamTimeout = 1000.0 // ms: timeout of a query over TCP
+	// concurrent TCP queries; without a limit, truncated responses could open one for each look-up
 	maxStreams = 64
 )
 
-// New makes a client.
+// New returns a client.
 func New(cfg Config, transport Transport) *Client {
 	return &Client{
 		cfg:             cfg,
@@ -143,16 +143,16 @@
 	}
 }
 
-// NextWakeup is when Step is wanted next.
+// NextWakeup returns the time at which Step must be called next.
 func (c *Client) NextWakeup() float64 { return c.timers.Next() }
 
-// Step runs what is due.
+// Step runs the timers that are due.
 func (c *Client) Step(now float64) {
 	c.now = now
 	c.timers.Run(now)
 }
 
-// OpenCounts is how many names are asked for, and how many are kept.
+// OpenCounts returns the number of look-ups in progress and of cached names.
 func (c *Client) OpenCounts() (lookups, cached int) { return len(c.lookups), c.cache.lru.Len() }
 
 func (c *Client) draw() uint64 {
@@ -160,8 +160,8 @@
 	return detrand.Hash(c.cfg.Seed, c.drawCount)
 }
 
-// Query asks for a name's rules. done is called once, within the time given, at once where the answer is at hand; stop
-// cancels it, and done is not called then.
+// Query looks up a name's rules. done is called once within the given time, before Query returns if the answer is known
+// already. stop cancels the look-up, and done is not called after that.
 func (c *Client) Query(now float64, name string, within float64, done func(now float64, w Answer)) (stop func()) {
 	c.now = now
 	c.Counts.Lookups++
@@ -178,15 +178,15 @@
 		return func() {}
 	}
 	stale := c.cache.stale(now, name)
-	if e != nil && now < e.noQueryBefore { // it came to nothing a moment ago
-		c.respondLater(now, stale, done)
+	if e != nil && now < e.noQueryBefore { // the last look-up failed recently
+		c.respondFromCache(now, stale, done)
 		return func() {}
 	}
 	l := c.lookups[name]
 	if l == nil || c.cfg.Alone {
 		if len(c.lookups) >= c.cfg.MaxLookups || c.cfg.Alone && len(c.outstanding) >= c.cfg.MaxLookups {
 			c.Counts.Full++
-			c.respondLater(now, stale, done)
+			c.respondFromCache(now, stale, done)
 			return func() {}
 		}
 		l = &lookup{name: name, key: name}
@@ -194,15 +194,15 @@
 			c.seq++
 			l.key += " " + strconv.FormatUint(c.seq, 10)
 		}
-		if !c.sendQuery(l) { // no server is worth a query
+		if !c.sendQuery(l) { // no server may be queried now
 			c.Counts.Down++
-			c.respondLater(now, stale, done)
+			c.respondFromCache(now, stale, done)
 			return func() {}
 		}
 		c.lookups[l.key] = l
-	} else if c.health.UpCount(now) == 0 { // the one that finds out is on its way
+	} else if c.health.UpCount(now) == 0 { // a query that tests a server is already outstanding
 		c.Counts.Down++
-		c.respondLater(now, stale, done)
+		c.respondFromCache(now, stale, done)
 		return func() {}
 	} else {
 		c.Counts.Shared++
@@ -211,10 +211,10 @@
 	l.waiters = append(l.waiters, a)
 	a.deadline = c.timers.Schedule(now+within, func() {
 		c.Counts.Late++
-		c.notify(a, c.cache.stale(c.now, name))
+		c.respondEarly(a, c.cache.stale(c.now, name))
 	})
 	if stale != nil && c.cfg.StaleAfter < within {
-		a.staleTimer = c.timers.Schedule(now+c.cfg.StaleAfter, func() { c.notify(a, c.cache.stale(c.now, name)) })
+		a.staleTimer = c.timers.Schedule(now+c.cfg.StaleAfter, func() { c.respondEarly(a, c.cache.stale(c.now, name)) })
 	}
 	return func() {
 		a.finished = true
@@ -231,8 +231,8 @@
 	return a
 }
 
-// respondLater answers at once from what is left.
-func (c *Client) respondLater(now float64, stale *entry, done func(float64, Answer)) {
+// respondFromCache responds immediately with a stale answer, or with a failure if there is none.
+func (c *Client) respondFromCache(now float64, stale *entry, done func(float64, Answer)) {
 	if stale != nil {
 		c.Counts.Stale++
 		done(now, stale.answer(true))
@@ -242,18 +242,18 @@
 	done(now, Answer{Status: Failed})
 }
 
-// notify answers an caller before its name has an answer.
-func (c *Client) notify(w *waiter, stale *entry) {
+// respondEarly responds to a waiter before its look-up has finished.
+func (c *Client) respondEarly(w *waiter, stale *entry) {
 	if w.finished {
 		return
 	}
 	w.finished = true
 	c.timers.Cancel(w.deadline)
 	c.timers.Cancel(w.staleTimer)
-	c.respondLater(c.now, stale, w.done)
+	c.respondFromCache(c.now, stale, w.done)
 }
 
-// sendQuery sends a lookup's next query; false: no server is worth one.
+// sendQuery sends a look-up's next query. It returns false if no server may be queried now.
 func (c *Client) sendQuery(l *lookup) bool {
 	random := c.draw()
 	server, wait := c.health.Choose(c.now, l.triedServers, float64(random>>11)/(1<<53))
@@ -276,7 +276,7 @@
 	}
 	data, err := c.buildQuery(q, server)
 	if err != nil {
-		return false // never: the name was looked at
+		return false // cannot happen: Query checked the name
 	}
 	c.outstanding[q.key] = q
 	l.queries = append(l.queries, q)
@@ -289,7 +289,7 @@
 	return true
 }
 
-// sendStreamQuery asks a server over TCP.
+// sendStreamQuery queries a server over TCP.
 func (c *Client) sendStreamQuery(l *lookup, server int) {
 	if len(c.streams) >= maxStreams {
 		c.Counts.Full++
@@ -315,7 +315,7 @@
 	q.timer = c.timers.Schedule(
 		c.now+streamTimeout,
 		func() { c.OnStreamResponse(c.now, q.token, nil) },
-	) // whatever the driver does
+	) // in case the transport never responds
 	c.transport.Stream(q.token, q.key.from, data, streamTimeout)
 }
 
@@ -329,7 +329,7 @@
 	return m.Pack()
 }
 
-// randomizeCase writes a name's letters large or small at random: one more thing that who guesses must guess.
+// randomizeCase sets the case of a name's letters at random, which makes spoofed responses less likely to match.
 func (c *Client) randomizeCase(name string) string {
 	b := []byte(name)
 	random := c.draw()
@@ -344,7 +344,7 @@
 	return string(b)
 }
 
-// retry asks on, or gives the lookup up.
+// retry sends the next query of a look-up, or ends it as failed.
 func (c *Client) retry(l *lookup) {
 	if l.finished {
 		return
@@ -352,7 +352,7 @@
 	if !l.allSent && l.sent < c.cfg.Tries && c.sendQuery(l) {
 		return
 	}
-	if !l.allSent { // all is sent; answers may only be slow, and whoever asked has its own limit
+	if !l.allSent { // responses may only be slow, and each waiter has its own deadline
 		l.allSent = true
 		c.timers.Schedule(c.now+lastTimeout, func() { c.retry(l) })
 		return
@@ -368,7 +368,7 @@
 	})
 }
 
-// finish ends a lookup and tells all who asked.
+// finish ends a look-up and passes the answer to all waiters.
 func (c *Client) finish(l *lookup, answerFor func(*waiter) Answer) {
 	l.finished = true
 	delete(c.lookups, l.key)
--- a/internal/protocol/dnsclient/health.go
+++ b/internal/protocol/dnsclient/health.go
@@ -4,58 +4,57 @@
 
 //tally:decisions
 
-// What a server's silence means. Figures after RFC 6298 for times, as every sender that has no better knowledge uses
-// them.
+// Timeouts follow the estimator of RFC 6298; the other constants define when a server counts as down.
 const (
-	initialTimeout  = 250.0  // ms: a server that never answered
-	minTimeout      = 20.0   // ms: below this the machine's own delays decide
-	maxTimeout      = 1000.0 // ms: longer than this another server is always the better bet
-	downAfterMisses = 3      // in a row, and
-	// ms without any answer: the server counts as down; a burst that it was late for is no more than late
+	initialTimeout  = 250.0  // ms: of a server that has never responded
+	minTimeout      = 20.0   // ms: below this, delays of the local machine dominate
+	maxTimeout      = 1000.0 // ms: beyond this, querying another server is always better
+	downAfterMisses = 3      // consecutive timeouts, together with downAfterSilence
+	// ms without any response: the server counts as down; a server that is only late for one burst does not
 	downAfterSilence = 250.0
-	initialDownTime  = 500.0   // ms: a server that is down is tried again after this, doubling
+	initialDownTime  = 500.0   // ms: a server that is down is tried again after this time, which doubles with each failure
 	maxDownTime      = 10000.0 // ms
-	lameDownTime     = 5000.0  // ms: a server that says that it does not know the zone, or is at fault
-	allDownRetry     = 1000.0  // ms: where no server is up each is tried so often, for nobody else can tell
-	// share of queries that try another server than the best, to learn whether it has become faster
+	lameDownTime     = 5000.0  // ms: how long a server that is lame or responds with errors is not queried
+	allDownRetry     = 1000.0  // ms: interval at which each server is tried while none is up
+	// share of queries sent to a server chosen at random, to learn whether it has become faster
 	explorationShare = 0.05
 )
 
-// Health is what is known of the servers of a zone, and decides which one is asked next. It guards against servers that
-// are dead, slow or at fault, by what they do: silence, late answers, errors. Times are ms.
+// Health tracks the servers of a zone and selects the one to query next. It avoids servers that are down, slow or
+// faulty, judged by timeouts, response times and errors. Times are in ms.
 type Health struct {
 	servers []server
 }
 
 type server struct {
-	rtt, dev float64 // of its answers; rtt 0: none yet
-	misses   int     // in a row
-	heard    float64 // its latest answer
-	first    float64 // when the first of the missed was sent
-	down     bool
-	bad      int     // refusals and faults in a row
-	away     float64 // how long it is left alone when it misses again
-	until    float64 // it is left alone till then
-	probe    float64 // a query is out to find whether it is back, till then
-	asked    float64 // the latest query to it, and that there was one
-	was      bool
+	rtt, dev      float64 // response time and its deviation; rtt 0: no response yet
+	misses        int     // consecutive timeouts
+	lastResponse  float64 // time of the latest response
+	firstMissSent float64 // send time of the first of the consecutive timed-out queries
+	down          bool
+	lameCount     int     // consecutive lame or error responses
+	downTime      float64 // current back-off; doubles at the next failure
+	avoidUntil    float64 // not queried before this time
+	probeUntil    float64 // until then a query that tests whether it is up again is outstanding
+	lastQuery     float64 // time of the latest query; only valid if queried is set
+	queried       bool
 }
 
-// NewHealth is the health of so many servers of which nothing is known.
+// NewHealth returns the state of the given number of servers, of which nothing is known yet.
 func NewHealth(servers int) *Health { return &Health{make([]server, servers)} }
 
-// Choose chooses a server for a query that was sent to some already, and how long to wait for its answer; -1: none
-// is worth a query now. A server that is down gets one query when its time is over, and no other till that has
-// ended.
+// Choose selects a server for the next query of a look-up that has already queried the servers in tried, and the
+// timeout of that query; -1: no server may be queried now. A server that is down gets a single query when its back-off
+// is over, and no other until that one has ended.
 func (h *Health) Choose(now float64, tried []int, draw float64) (server int, wait float64) {
 	best, cost := -1, math.Inf(1)
 	var up []int
 	for i := range h.servers {
 		s := &h.servers[i]
-		if s.down || s.until > now {
-			if now >= s.until && now >= s.probe && len(tried) == 0 { // it may be back: one query finds out
-				s.probe = now + h.timeout(i, 0)
-				s.asked, s.was = now, true
+		if s.down || s.avoidUntil > now {
+			if now >= s.avoidUntil && now >= s.probeUntil && len(tried) == 0 { // it may be up again: test it with one query
+				s.probeUntil = now + h.timeout(i, 0)
+				s.lastQuery, s.queried = now, true
 				return i, h.timeout(i, 0)
 			}
 			continue
@@ -68,7 +67,7 @@
 		}
 		up = append(up, i)
 		c := h.timeout(i, 0) * float64(1+3*n) * (1 + float64(s.misses))
-		if c < cost || c == cost && chooseLater(draw, len(up)) {
+		if c < cost || c == cost && replaceTied(draw, len(up)) {
 			best, cost = i, c
 		}
 	}
@@ -84,17 +83,18 @@
 			n++
 		}
 	}
-	h.servers[best].asked, h.servers[best].was = now, true
+	h.servers[best].lastQuery, h.servers[best].queried = now, true
 	return best, h.timeout(best, n)
 }
 
-// chooseAllDown chooses where no server is up: the one that was left alone the longest, if that is long enough.
+// chooseAllDown selects a server while none is up: the one that was queried least recently, if that was at least
+// allDownRetry ago.
 func (h *Health) chooseAllDown(now float64, tries int) (server int, wait float64) {
 	best := -1
 	for i := range h.servers {
 		s := &h.servers[i]
-		if tries == 0 && now >= s.probe && (!s.was || now >= s.asked+allDownRetry) &&
-			(best < 0 || s.asked < h.servers[best].asked) {
+		if tries == 0 && now >= s.probeUntil && (!s.queried || now >= s.lastQuery+allDownRetry) &&
+			(best < 0 || s.lastQuery < h.servers[best].lastQuery) {
 			best = i
 		}
 	}
@@ -102,18 +102,18 @@
 		return -1, 0
 	}
 	s := &h.servers[best]
-	s.probe = now + h.timeout(best, 0)
-	s.asked, s.was = now, true
+	s.probeUntil = now + h.timeout(best, 0)
+	s.lastQuery, s.queried = now, true
 	return best, h.timeout(best, 0)
 }
 
-// chooseLater lets equals share: the n-th of them takes the place with a chance of 1/n.
-func chooseLater(draw float64, n int) bool {
+// replaceTied breaks ties evenly: the n-th of the equal candidates replaces the current one with probability 1/n.
+func replaceTied(draw float64, n int) bool {
 	_, part := math.Modf(draw * 1009)
 	return part*float64(n) < 1
 }
 
-// timeout is how long an answer may take before the query goes elsewhere.
+// timeout returns the time to wait for a response, doubled for each earlier query of the look-up to this server.
 func (h *Health) timeout(i, again int) float64 {
 	s := &h.servers[i]
 	w := initialTimeout
@@ -123,7 +123,7 @@
 	return math.Min(maxTimeout, math.Max(minTimeout, w)*float64(int(1)<<min(again, 6)))
 }
 
-// OnResponse notes an answer that took so long: the server is up.
+// OnResponse records a response and its response time: the server is up.
 func (h *Health) OnResponse(i int, now, took float64) {
 	s := &h.servers[i]
 	if s.rtt == 0 {
@@ -132,47 +132,47 @@
 		s.dev = 0.75*s.dev + 0.25*math.Abs(took-s.rtt)
 		s.rtt = 0.875*s.rtt + 0.125*took
 	}
-	s.heard, s.misses, s.away, s.probe, s.down = now, 0, 0, 0, false
-	if s.bad < downAfterMisses {
-		s.until = 0
+	s.lastResponse, s.misses, s.downTime, s.probeUntil, s.down = now, 0, 0, 0, false
+	if s.lameCount < downAfterMisses {
+		s.avoidUntil = 0
 	}
 }
 
-// OnTimeout notes that no answer came in time to a query that was sent at a time. What was sent before the latest
-// answer says nothing of the server now.
+// OnTimeout records that a query sent at the given time timed out. A query sent before the latest response is ignored,
+// as it says nothing about the current state of the server.
 func (h *Health) OnTimeout(i int, now, at float64) {
 	s := &h.servers[i]
-	if at < s.heard {
+	if at < s.lastResponse {
 		return
 	}
 	if s.misses == 0 {
-		s.first = at
+		s.firstMissSent = at
 	}
 	s.misses++
-	if s.misses >= downAfterMisses && now-s.first >= downAfterSilence && now >= s.until {
+	if s.misses >= downAfterMisses && now-s.firstMissSent >= downAfterSilence && now >= s.avoidUntil {
 		s.down = true
-		s.away = math.Min(maxDownTime, math.Max(initialDownTime, 2*s.away))
-		s.until, s.probe = now+s.away, 0
+		s.downTime = math.Min(maxDownTime, math.Max(initialDownTime, 2*s.downTime))
+		s.avoidUntil, s.probeUntil = now+s.downTime, 0
 	}
 }
 
-// OnLame notes that a server refused, is at fault or knows nothing of the zone. One such answer may be the name's
-// fault; several in a row, of whatever names, and others are asked for a while.
+// OnLame records that a server refused a query, reported an error or does not serve the zone. A single such response
+// may be due to the name; after several in a row the server is not queried for a while.
 func (h *Health) OnLame(i int, now float64) {
 	s := &h.servers[i]
-	if s.bad++; s.bad >= downAfterMisses {
-		s.until, s.probe = now+lameDownTime, 0
+	if s.lameCount++; s.lameCount >= downAfterMisses {
+		s.avoidUntil, s.probeUntil = now+lameDownTime, 0
 	}
 }
 
-// OnValid notes that a server's answer said something of its zone.
-func (h *Health) OnValid(i int) { h.servers[i].bad, h.servers[i].until = 0, 0 }
+// OnValid records that a server gave a valid response for the zone.
+func (h *Health) OnValid(i int) { h.servers[i].lameCount, h.servers[i].avoidUntil = 0, 0 }
 
-// UpCount is how many servers are asked at present.
+// UpCount returns the number of servers that may be queried.
 func (h *Health) UpCount(now float64) int {
 	n := 0
 	for i := range h.servers {
-		if s := &h.servers[i]; !s.down && s.until <= now {
+		if s := &h.servers[i]; !s.down && s.avoidUntil <= now {
 			n++
 		}
 	}
--- a/internal/protocol/dnsclient/response.go
+++ b/internal/protocol/dnsclient/response.go
@@ -9,7 +9,7 @@
 	"cobaltpier/internal/decision/enum"
 )
 
-// Receive takes a datagram that came to one of the ports. What matches no query is dropped and counted.
+// Receive processes a datagram that arrived at one of the ports. Responses that match no query are dropped and counted.
 func (c *Client) Receive(now float64, port int, from netip.AddrPort, data []byte) {
 	c.now = now
 	if len(data) < 12 {
@@ -26,15 +26,15 @@
 	c.timers.Cancel(q.timer)
 	delete(c.outstanding, q.key)
 	c.health.OnResponse(q.server, now, now-q.sentAt)
-	if m.Truncated { // RFC 2181 9: what came is not used
+	if m.Truncated { // RFC 2181 9: the records of a truncated response are not used
 		c.sendStreamQuery(q.lookup, q.server)
 		return
 	}
 	c.onResponse(q, m)
 }
 
-// onMismatch notes an answer that matches nothing. Many of one server are somebody's guesses, or the server's answers
-// to queries given up: either way the next queries to it go where no guess gets in.
+// onMismatch records a response that matches no query. Many of them from one server are either spoofed or belong to
+// queries that were given up; in both cases the next queries to it go over TCP, where spoofing is hard.
 func (c *Client) onMismatch(from netip.AddrPort) {
 	c.Counts.Strays++
 	for i, a := range c.cfg.Servers {
@@ -46,7 +46,7 @@
 	}
 }
 
-// OnStreamResponse takes what a stream brought; nil: nothing.
+// OnStreamResponse processes a response over TCP; nil: none arrived.
 func (c *Client) OnStreamResponse(now float64, token uint64, data []byte) {
 	c.now = now
 	q := c.streams[token]
@@ -65,13 +65,13 @@
 	c.onResponse(q, m)
 }
 
-// matches tells whether a message answers the query that was sent, letter by letter.
+// matches reports whether a message answers the query that was sent, including the case of the name's letters.
 func matches(m *dns.Msg, name string) bool {
 	return m.Response && len(m.Question) == 1 && m.Question[0].Name == name && m.Question[0].Qtype == dns.TypeNAPTR &&
 		m.Question[0].Qclass == dns.ClassINET
 }
 
-// onResponse takes an answer to a query.
+// onResponse processes a response that matches a query.
 func (c *Client) onResponse(q *outstandingQuery, m *dns.Msg) {
 	l := q.lookup
 	if l.finished {
@@ -81,32 +81,32 @@
 	switch {
 	case m.Rcode == dns.RcodeFormatError && !c.noEDNS[q.server]:
 		c.noEDNS[q.server] = true
-		l.sent = min(l.sent, c.cfg.Tries-1) // the same query once more, as the server knows it
+		l.sent = min(l.sent, c.cfg.Tries-1) // allows one more query, without EDNS
 		c.retry(l)
 	case m.Rcode == dns.RcodeSuccess && len(rules) > 0:
 		c.Counts.Answered++
 		c.health.OnValid(q.server)
 		c.cache.put(c.now, l.name, rules, ttl)
 		c.finish(l, func(*waiter) Answer { return Answer{Status: Found, Rules: rules} })
-	case (m.Rcode == dns.RcodeSuccess || m.Rcode == dns.RcodeNameError) && !referral && (m.Authoritative || negativeTTL >= 0 ||
-		m.RecursionAvailable):
+	case (m.Rcode == dns.RcodeSuccess || m.Rcode == dns.RcodeNameError) && !referral &&
+		(m.Authoritative || negativeTTL >= 0 || m.RecursionAvailable):
 		c.Counts.None++
 		c.health.OnValid(q.server)
 		c.cache.put(c.now, l.name, nil, max(0, negativeTTL))
 		c.finish(l, func(*waiter) Answer { return Answer{Status: None} })
-	default: // a fault, a refusal, or a server that knows nothing of the zone and points elsewhere
+	default: // an error, a refusal, or a referral from a server that does not serve the zone
 		c.Counts.Lame++
 		c.health.OnLame(q.server, c.now)
 		c.retry(l)
 	}
 }
 
-// parseRules takes from an answer what answers the query and nothing else: rules of the name or of what it is
-// another name of, and how long they hold in ms; of a negative answer how long it holds (RFC 2308 5), -1 where it does
-// not say. leads says that the answer only points to other servers.
+// parseRules extracts only the records that answer the query: the rules of the name or of the CNAMEs it leads to, and
+// their TTL in ms. For a negative answer it returns the negative TTL (RFC 2308 5), or -1 if there is none.
+// referral reports that the response only points to other servers.
 func parseRules(m *dns.Msg, name string) (rules []enum.Rule, ttl, negativeTTL float64, referral bool) {
 	ttl, negativeTTL = 1e12, -1
-	for range 8 { // names of names
+	for range 8 { // length limit on a chain of CNAMEs
 		next := ""
 		for _, rr := range m.Answer {
 			h := rr.Header()
@@ -115,11 +115,11 @@
 			}
 			switch rr := rr.(type) {
 			case *dns.NAPTR:
-				if len(rules) <= enum.MaxRules { // one too many shows that there are too many
+				if len(rules) <= enum.MaxRules { // one above the limit lets Apply detect the excess
 					rules = append(
 						rules,
-						enum.Rule{Order: rr.Order, Preference: rr.Preference, Flags: textOf(rr.Flags), Service: textOf(rr.Service),
-							Regexp: textOf(rr.Regexp), Replacement: rr.Replacement},
+						enum.Rule{Order: rr.Order, Preference: rr.Preference, Flags: unescape(rr.Flags), Service: unescape(rr.Service),
+							Regexp: unescape(rr.Regexp), Replacement: rr.Replacement},
 					)
 				}
 				ttl = min(ttl, 1000*float64(h.Ttl))
@@ -146,9 +146,9 @@
 	return rules, ttl, negativeTTL, referral && negativeTTL < 0
 }
 
-// textOf is a character string as it was on the wire: the library hands it on in the form of zone files, with quotes
+// unescape returns a character string as it was on the wire: the library represents it as in zone files, with quotes
 // and backslashes escaped and other octets as \DDD.
-func textOf(s string) string {
+func unescape(s string) string {
 	if !strings.Contains(s, "\\") {
 		return s
 	}
