--- a/internal/decision/enum/enum.go
+++ b/internal/decision/enum/enum.go
@@ -1,7 +1,6 @@
-// Package enum is what ENUM (RFC 6116) makes of numbers and of NAPTR records, without any look-up: the domain of a
-// number, and where a set of rules leads. Rules of a domain are tried by order and preference; a rule that fits ends
-// the search of its order (RFC 3403 4.1). Regular expressions run in linear time whatever they say, and are bounded in
-// length.
+// Package enum maps numbers to ENUM domains and evaluates NAPTR records (RFC 6116). It does no look-ups. The rules of a
+// domain are tried by order and preference; the first rule that matches ends the search (RFC 3403 4.1). Regular
+// expressions are limited in length and run in linear time.
 package enum
 
 import (
@@ -15,20 +14,20 @@
 
 //tally:decisions
 
-// Bounds on what is taken from the network.
+// Limits on records from the network.
 const (
-	MaxRules   = 64  // of one domain
-	mostRegexp = 255 // octets: what a character string of a NAPTR holds (RFC 1035 3.3)
-	mostResult = 512 // octets that a rule may make
+	MaxRules        = 64  // of one domain
+	maxRegexpLength = 255 // octets: maximum of a character string (RFC 1035 3.3)
+	maxResultLength = 512 // octets: maximum result of a rule
 )
 
-// Errors of rules; what is wrong stands with them.
+// Errors of rules; they are wrapped with the details.
 var (
-	ErrNoRule = errors.New("enum: no rule fits")
-	ErrBad    = errors.New("enum: a bad rule")
+	ErrNoRule  = errors.New("enum: no rule matches")
+	ErrInvalid = errors.New("enum: invalid rule")
 )
 
-// Domain is where the rules of a number stand: its digits the other way round under an apex (RFC 6116 2.4), such as
+// Domain returns the domain of a number: its digits in reverse order under an apex (RFC 6116 2.4), e.g.
 // "4.3.2.1.5.5.5.8.1.4.1.e164.arpa." for 14185551234. Anything but 1 to 40 digits is an error.
 func Domain(number, apex string) (string, error) {
 	if number == "" || len(number) > 40 || strings.Trim(number, "0123456789") != "" {
@@ -41,12 +40,12 @@
 	return string(b) + strings.TrimPrefix(strings.TrimSuffix(apex, ".")+".", "."), nil
 }
 
-// Number is the number of a domain; an error if it does not lie under the apex, or is none.
+// Number returns the number of a domain; an error if the domain is not under the apex or holds no number.
 func Number(domain, apex string) (string, error) {
 	apex = strings.TrimSuffix(strings.ToLower(apex), ".") + "."
 	d, ok := strings.CutSuffix(strings.ToLower(strings.TrimSuffix(domain, ".")+"."), "."+apex)
 	if !ok {
-		return "", fmt.Errorf("enum: %s does not lie under %s", domain, apex)
+		return "", fmt.Errorf("enum: %s is not under %s", domain, apex)
 	}
 	parts := strings.Split(d, ".")
 	if len(parts) > 40 {
@@ -55,7 +54,7 @@
 	var b strings.Builder
 	for _, p := range slices.Backward(parts) {
 		if len(p) != 1 || p[0] < '0' || p[0] > '9' {
-			return "", fmt.Errorf("enum: %s: %q is no digit", domain, p)
+			return "", fmt.Errorf("enum: %s: %q is not a digit", domain, p)
 		}
 		b.WriteString(p)
 	}
@@ -70,17 +69,17 @@
 	Replacement       string
 }
 
-// Result is where rules lead; one of them is set.
+// Result is the result of a rule; exactly one field is set.
 type Result struct {
-	URI  string // the end
-	Next string // a domain whose rules go on (RFC 6116 2.4.2: a non-terminal rule)
+	URI  string // of a terminal rule
+	Next string // of a non-terminal rule: the domain to look up next (RFC 6116 2.4.2)
 }
 
-// Apply finds the first rule for one of the services that fits a number, in the form "+14185551234" (RFC 6116 3.1). Bad
-// rules are passed over (RFC 6116 5.1.2), and told with ErrBad if none fits else.
+// Apply applies the first rule for one of the services that matches a number in the form "+14185551234" (RFC 6116 3.1).
+// Invalid rules are skipped (RFC 6116 5.1.2), and reported as ErrInvalid if no other rule matches.
 func Apply(number string, rules []Rule, services ...string) (Result, error) {
 	if len(rules) > MaxRules {
-		return Result{}, fmt.Errorf("%w: %d rules of one domain, want %d at most", ErrBad, len(rules), MaxRules)
+		return Result{}, fmt.Errorf("%w: %d rules of one domain, want %d at most", ErrInvalid, len(rules), MaxRules)
 	}
 	rules = slices.Clone(rules)
 	slices.SortStableFunc(rules, func(a, b Rule) int {
@@ -103,33 +102,33 @@
 			if err == nil {
 				return Result{URI: uri}, nil
 			}
-			if errors.Is(err, ErrBad) {
+			if errors.Is(err, ErrInvalid) {
 				found = err
 			}
-		case "": // non-terminal: by a replacement, or by an expression that makes a domain; whose service is empty
+		case "": // non-terminal, without a service: a replacement, or an expression that results in a domain
 			next := r.Replacement
 			if r.Regexp != "" {
 				var err error
 				if next, err = substitute(number, r.Regexp); err != nil {
-					if errors.Is(err, ErrBad) {
+					if errors.Is(err, ErrInvalid) {
 						found = err
 					}
 					continue
 				}
 			}
 			if next = strings.TrimSuffix(next, "."); next == "" || len(next) > 253 {
-				found = fmt.Errorf("%w: it leads to no domain", ErrBad)
+				found = fmt.Errorf("%w: non-terminal rule without a valid domain", ErrInvalid)
 				continue
 			}
 			return Result{Next: strings.ToLower(next) + "."}, nil
 		default:
-			found = fmt.Errorf("%w: flags %q", ErrBad, r.Flags)
+			found = fmt.Errorf("%w: flags %q", ErrInvalid, r.Flags)
 		}
 	}
 	return Result{}, found
 }
 
-// Serves tells whether a service field "E2U+type:subtype+..." (RFC 6116 3.4.3) has one of some enumservices.
+// Serves reports whether a service field "E2U+type:subtype+..." (RFC 6116 3.4.3) has one of the given enumservices.
 func Serves(field string, services ...string) bool {
 	parts := strings.Split(strings.ToLower(field), "+")
 	if parts[0] != "e2u" {
@@ -143,28 +142,28 @@
 	return false
 }
 
-// substitute does what the regexp field of a rule says (RFC 3402 3.2): delimiter, extended expression, delimiter,
-// replacement with \0 to \9, delimiter, and i where case does not matter.
+// substitute applies the regexp field of a rule (RFC 3402 3.2): delimiter, extended expression, delimiter,
+// replacement with \0 to \9, delimiter, and an optional i to ignore case.
 func substitute(number, field string) (string, error) {
-	if len(field) < 3 || len(field) > mostRegexp {
-		return "", fmt.Errorf("%w: regexp of %d octets", ErrBad, len(field))
+	if len(field) < 3 || len(field) > maxRegexpLength {
+		return "", fmt.Errorf("%w: regexp of %d octets", ErrInvalid, len(field))
 	}
 	d := field[0]
 	if d >= '0' && d <= '9' || d == '\\' || d == 'i' || d > 126 {
-		return "", fmt.Errorf("%w: delimiter %q", ErrBad, d)
+		return "", fmt.Errorf("%w: delimiter %q", ErrInvalid, d)
 	}
 	parts := split(field[1:], d)
 	if len(parts) != 3 || parts[2] != "" && parts[2] != "i" {
-		return "", fmt.Errorf("%w: regexp %q: want three delimiters", ErrBad, field)
+		return "", fmt.Errorf("%w: regexp %q: want three delimiters", ErrInvalid, field)
 	}
 	if parts[2] == "i" {
 		parts[0] = "(?i)" + parts[0]
 	}
-	re, err := regexp.Compile(parts[0]) // it refuses counts that come to more than a thousand copies, nested ones too
+	re, err := regexp.Compile(parts[0]) // rejects repeat counts of more than a thousand copies, nested ones included
 	if err != nil {
-		return "", fmt.Errorf("%w: regexp %q: %w", ErrBad, field, err)
+		return "", fmt.Errorf("%w: regexp %q: %w", ErrInvalid, field, err)
 	}
-	re.Longest() // as POSIX has it
+	re.Longest() // leftmost-longest match, as in POSIX
 	m := re.FindStringSubmatch(number)
 	if m == nil {
 		return "", ErrNoRule
@@ -176,7 +175,7 @@
 			i++
 			if c = parts[1][i]; c >= '0' && c <= '9' {
 				if int(c-'0') >= len(m) {
-					return "", fmt.Errorf("%w: regexp %q: no group %c", ErrBad, field, c)
+					return "", fmt.Errorf("%w: regexp %q: no group %c", ErrInvalid, field, c)
 				}
 				b.WriteString(m[c-'0'])
 				continue
@@ -184,13 +183,13 @@
 		}
 		b.WriteByte(c)
 	}
-	if b.Len() > mostResult {
-		return "", fmt.Errorf("%w: regexp %q makes %d octets", ErrBad, field, b.Len())
+	if b.Len() > maxResultLength {
+		return "", fmt.Errorf("%w: regexp %q results in %d octets", ErrInvalid, field, b.Len())
 	}
 	return b.String(), nil
 }
 
-// split cuts at delimiters that no backslash stands before; one that is escaped loses its backslash.
+// split splits at unescaped delimiters; an escaped delimiter loses its backslash.
 func split(s string, d byte) []string {
 	parts, cur := []string{}, []byte{}
 	for i := 0; i < len(s); i++ {
@@ -210,30 +209,29 @@
 	return append(parts, string(cur))
 }
 
-// Ported is what a portability look-up says of a number.
+// Ported holds the portability parameters of a number.
 type Ported struct {
-	Looked  bool   // npdi: somebody looked
+	Looked  bool   // npdi: a portability look-up was done
 	Routing string // rn in global form or with its context, digits with a +; "": the number is not ported
 	Carrier string // cic
 }
 
-// Tel reads the portability parameters (RFC 4694 3) of a tel URI, or of the user part of a SIP URI. What is no such
-// thing is an error.
+// Tel parses the number and the portability parameters (RFC 4694 3) of a tel URI. Any other URI is an error.
 func Tel(uri string) (number string, p Ported, err error) {
 	rest, ok := strings.CutPrefix(strings.ToLower(uri), "tel:")
 	if !ok {
-		return "", p, fmt.Errorf("%w: %q is no tel URI", ErrBad, uri)
+		return "", p, fmt.Errorf("%w: %q is not a tel URI", ErrInvalid, uri)
 	}
 	number, params, _ := strings.Cut(rest, ";")
 	p, err = Params(params)
 	if err == nil && strings.Trim(strings.TrimPrefix(number, "+"), "0123456789-.()") != "" {
-		err = fmt.Errorf("%w: %q: not a number", ErrBad, uri)
+		err = fmt.Errorf("%w: %q: not a number", ErrInvalid, uri)
 	}
 	return number, p, err
 }
 
-// Params reads the portability parameters of a telephone number, cut at semicolons. One that stands twice is an error
-// (RFC 4694 3), as is a routing number that is none.
+// Params parses the portability parameters of a telephone number, separated by semicolons. A repeated parameter is an
+// error (RFC 4694 3), and so is an invalid routing number.
 func Params(params string) (Ported, error) {
 	var p Ported
 	seen := map[string]bool{}
@@ -241,7 +239,7 @@
 	for s := range strings.SplitSeq(strings.ToLower(params), ";") {
 		k, v, _ := strings.Cut(s, "=")
 		if seen[k] && (k == "rn" || k == "cic" || k == "npdi" || k == "rn-context") {
-			return Ported{}, fmt.Errorf("%w: %s stands twice", ErrBad, k)
+			return Ported{}, fmt.Errorf("%w: %s is repeated", ErrInvalid, k)
 		}
 		seen[k] = true
 		switch k {
@@ -249,23 +247,23 @@
 			p.Looked = true
 		case "rn":
 			if n := strings.Trim(v, "+0123456789-.()"); n != "" || strings.Trim(v, "+-.()") == "" {
-				return Ported{}, fmt.Errorf("%w: rn=%s is no number", ErrBad, v)
+				return Ported{}, fmt.Errorf("%w: rn=%s is not a number", ErrInvalid, v)
 			}
 			p.Routing = v
 		case "rn-context":
 			if n := strings.TrimPrefix(v, "+"); n == "" || strings.Trim(n, "0123456789-.()") != "" {
-				return Ported{}, fmt.Errorf("%w: rn-context=%s is no number", ErrBad, v)
+				return Ported{}, fmt.Errorf("%w: rn-context=%s is not a number", ErrInvalid, v)
 			}
 			context = v
 		case "cic":
 			if n := strings.TrimPrefix(v, "+"); n == "" || strings.Trim(n, "0123456789-.()") != "" {
-				return Ported{}, fmt.Errorf("%w: cic=%s is no carrier's number", ErrBad, v)
+				return Ported{}, fmt.Errorf("%w: cic=%s is not a carrier code", ErrInvalid, v)
 			}
 			p.Carrier = v
 		}
 	}
 	if p.Routing != "" && !strings.HasPrefix(p.Routing, "+") && strings.HasPrefix(context, "+") {
-		p.Routing = context + p.Routing // a local routing number stands under its context
+		p.Routing = context + p.Routing // a local routing number is prefixed with its context
 	}
 	return p, nil
 }
--- a/internal/decision/enum/enum_test.go
+++ b/internal/decision/enum/enum_test.go
@@ -57,22 +57,22 @@
 		{"non-terminal", []Rule{{1, 1, "", "", "", "4.3.2.1.Example.com."}}, Result{Next: "4.3.2.1.example.com."}, nil},
 		{"non-terminal by expression", []Rule{{1, 1, "", "", `!^\+1(.).*$!\1.example.com!`, ""}},
 			Result{Next: "4.example.com."}, nil},
-		{"non-terminal to nowhere", []Rule{{1, 1, "", "", "", "."}}, Result{}, ErrBad},
-		{"unknown flag", []Rule{{1, 1, "q", "E2U+sip", "!^.*$!sip:a@x!", ""}}, Result{}, ErrBad},
-		{"no delimiter", []Rule{sip(1, 1, "!^.*$!sip:a")}, Result{}, ErrBad},
-		{"a digit as delimiter", []Rule{sip(1, 1, "1^.*$1sip:a1")}, Result{}, ErrBad},
-		{"no such group", []Rule{sip(1, 1, `!^.*$!sip:\1!`)}, Result{}, ErrBad},
-		{"bad expression", []Rule{sip(1, 1, `!^(.*$!sip:a!`)}, Result{}, ErrBad},
+		{"non-terminal to nowhere", []Rule{{1, 1, "", "", "", "."}}, Result{}, ErrInvalid},
+		{"unknown flag", []Rule{{1, 1, "q", "E2U+sip", "!^.*$!sip:a@x!", ""}}, Result{}, ErrInvalid},
+		{"no delimiter", []Rule{sip(1, 1, "!^.*$!sip:a")}, Result{}, ErrInvalid},
+		{"a digit as delimiter", []Rule{sip(1, 1, "1^.*$1sip:a1")}, Result{}, ErrInvalid},
+		{"no such group", []Rule{sip(1, 1, `!^.*$!sip:\1!`)}, Result{}, ErrInvalid},
+		{"bad expression", []Rule{sip(1, 1, `!^(.*$!sip:a!`)}, Result{}, ErrInvalid},
 		{"made to run for ever", []Rule{sip(1, 1, `!^((((.*)*)*)*)*x$!sip:a!`)}, Result{}, ErrNoRule},
-		{"made to take all memory", []Rule{sip(1, 1, `!^((.{1000}){1000}){1000}$!sip:a!`)}, Result{}, ErrBad},
-		{"counts in counts", []Rule{sip(1, 1, `!^(((((.{9}){9}){9}){9}){9})$!sip:a!`)}, Result{}, ErrBad},
+		{"made to take all memory", []Rule{sip(1, 1, `!^((.{1000}){1000}){1000}$!sip:a!`)}, Result{}, ErrInvalid},
+		{"counts in counts", []Rule{sip(1, 1, `!^(((((.{9}){9}){9}){9}){9})$!sip:a!`)}, Result{}, ErrInvalid},
 		{"a bad one does not hide a good one", []Rule{sip(1, 1, `!^(.*$!sip:a!`), sip(1, 2, "!^.*$!sip:b!")},
 			Result{URI: "sip:b"}, nil},
-		{"too many", slices.Repeat([]Rule{sip(1, 1, "!^.*$!sip:a@x!")}, MaxRules+1), Result{}, ErrBad},
+		{"too many", slices.Repeat([]Rule{sip(1, 1, "!^.*$!sip:a@x!")}, MaxRules+1), Result{}, ErrInvalid},
 		{"as many as may be", slices.Repeat([]Rule{sip(1, 1, "!^.*$!sip:a@x!")}, MaxRules), Result{URI: "sip:a@x"}, nil},
 		{"the longest way to fit", []Rule{sip(1, 1, `!^\+1(4|41)!sip:\1@x!`)}, Result{URI: "sip:41@x"}, nil},
-		{"a domain too long", []Rule{{1, 1, "", "", "", strings.Repeat("a.", 130)}}, Result{}, ErrBad},
-		{"an expression too long", []Rule{sip(1, 1, "!^.*$!sip:"+strings.Repeat("a", 250)+"!")}, Result{}, ErrBad},
+		{"a domain too long", []Rule{{1, 1, "", "", "", strings.Repeat("a.", 130)}}, Result{}, ErrInvalid},
+		{"an expression too long", []Rule{sip(1, 1, "!^.*$!sip:"+strings.Repeat("a", 250)+"!")}, Result{}, ErrInvalid},
 	} {
 		got, err := Apply(n, c.rules, "sip")
 		if got != c.want || !errors.Is(err, c.err) {
@@ -80,7 +80,7 @@
 		}
 	}
 	long := sip(1, 1, "!^.*$!"+strings.Repeat(`\0`, 80)+"!")
-	if got, err := Apply(n, []Rule{long}, "sip"); !errors.Is(err, ErrBad) {
+	if got, err := Apply(n, []Rule{long}, "sip"); !errors.Is(err, ErrInvalid) {
 		t.Errorf("a result of 960 octets: %v, %v", got, err)
 	}
 }
@@ -122,7 +122,7 @@
 		if err == nil && (got.URI == "") == (got.Next == "") && (got.URI != "" || flags == "") {
 			t.Errorf("%q: %+v", re, got)
 		}
-		if len(got.URI) > mostResult || len(got.Next) > 254 {
+		if len(got.URI) > maxResultLength || len(got.Next) > 254 {
 			t.Errorf("%q: %d octets", re, len(got.URI))
 		}
 	})
--- a/internal/protocol/enumserver/limit.go
+++ b/internal/protocol/enumserver/limit.go
@@ -11,34 +11,34 @@
 
 //tally:decisions
 
-// Verdict is what is done with a query that came by datagram.
+// Verdict is the rate limiter's decision on a query over UDP.
 type Verdict int
 
 // The verdicts.
 const (
 	Answer Verdict = iota
-	Slip           // an empty answer that is truncated: who really asked comes back over TCP, which nobody can forge
-	Drop           // nothing
-	Refuse         // this client is not served
+	Slip           // send an empty truncated response: a real client retries over TCP, where its address cannot be forged
+	Drop           // send no response
+	Refuse         // respond REFUSED: this client is not served
 )
 
-// Limits bound what clients may ask by datagram, where the sender's address may be forged. It guards others against
-// answers that they never asked for, and this gateway against floods.
+// Limits bounds the queries over UDP, where the source address may be forged. The limits protect third parties against
+// reflected responses, and this gateway against floods.
 type Limits struct {
-	Rate    float64 // queries a second of one client network; 0: any number
-	Burst   float64 // so many at once
-	Total   float64 // answers a second to all; 0: any number
-	Clients int     // networks remembered
-	Nets    []Net   // networks with rates of their own
+	Rate    float64 // queries per second of one client network; 0: unlimited
+	Burst   float64 // queries at once
+	Total   float64 // responses per second in total; 0: unlimited
+	Clients int     // client networks tracked
+	Nets    []Net   // networks with their own rates
 }
 
 // Net is a network of clients.
 type Net struct {
 	Prefix netip.Prefix
-	Rate   float64 // queries a second of each client network in it; 0: they are refused
+	Rate   float64 // queries per second of each client network in it; 0: refused
 }
 
-// limiter decides; a network of clients is a /24 of IPv4 or a /56 of IPv6, as its addresses are one holder's.
+// limiter is a rate limiter by client network, a /24 of IPv4 or a /56 of IPv6, which usually belongs to one holder.
 type limiter struct {
 	set   Limits
 	nets  *bart.Table[float64]
@@ -61,12 +61,12 @@
 	return l
 }
 
-// bucket allows so many a second, and so many at once.
+// bucket returns a token bucket with the given rate per second and burst.
 func bucket(each, burst float64) *rate.Limiter {
 	return rate.NewLimiter(rate.Limit(each), int(math.Max(1, burst)))
 }
 
-// check judges a query from an address.
+// check decides what to do with a query from an address.
 func (l *limiter) check(now float64, from netip.Addr) Verdict {
 	from = from.Unmap()
 	each, burst := l.set.Rate, l.set.Burst
@@ -74,7 +74,7 @@
 		if r <= 0 {
 			return Refuse
 		}
-		each, burst = r, math.Max(burst, r) // after a stall of ours a second's queries come at once
+		each, burst = r, math.Max(burst, r) // after a stall of this process, the queries of a second arrive at once
 	}
 	at := time.Unix(0, int64(now*1e6))
 	if each > 0 && !l.client(from, each, burst).AllowN(at, 1) || l.set.Total > 0 && !l.total.AllowN(at, 1) {
@@ -83,8 +83,8 @@
 	return Answer
 }
 
-// slipOrDrop: every second query too many gets an answer that sends its caller to TCP, and is no larger than the
-// query.
+// slipOrDrop lets every second query over the limit be answered as truncated, which sends the client to TCP with a
+// response no larger than the query. The others are dropped.
 func (l *limiter) slipOrDrop() Verdict {
 	l.slips++
 	if l.slips%2 == 1 {
@@ -93,8 +93,8 @@
 	return Drop
 }
 
-// client is the bucket of an address's network. Two generations are kept, so that a flood of forged addresses takes no
-// more memory than that; what it makes us forget is only how much a network has left.
+// client returns the bucket of an address's network. Two generations of buckets are kept, which bounds the memory that
+// a flood of forged addresses can use. Evicting a bucket only resets the tokens of its network.
 func (l *limiter) client(from netip.Addr, each, burst float64) *rate.Limiter {
 	bits := 24
 	if from.Is6() {
--- a/internal/protocol/enumserver/server.go
+++ b/internal/protocol/enumserver/server.go
@@ -1,7 +1,7 @@
-// Package enumserver answers ENUM look-ups (RFC 6116) of kiosks without I/O: a number's domain is asked for, and the
-// answer names the endpoint that the gateway's decisions give at this moment. Messages come in with a way to reply;
-// what a query asks goes into an enquiry, and its answer goes out, once. Whatever comes by datagram is bounded: by
-// client, in all, and in what is sent for what came.
+// Package enumserver answers ENUM look-ups (RFC 6116) of ENUM clients. A query for a number's domain starts an enquiry
+// at the gateway, and the response names the endpoint that the gateway selects at this moment. The package does no I/O:
+// messages are passed in with a function that sends the reply, at most once. Queries over UDP are limited by client
+// network and in total, and so is the size of a response relative to its query.
 package enumserver
 
 import (
@@ -18,7 +18,7 @@
 	"cobaltpier/internal/protocol/b2bua"
 )
 
-// Enquirer is what decides: a gateway.
+// Enquirer selects the endpoint for a number; a gateway implements it.
 type Enquirer interface {
 	StartEnquiry(
 		now float64,
@@ -28,22 +28,22 @@
 	) (stop func())
 }
 
-// Config is what a front is told. Times are ms.
+// Config configures a Server. Times are in ms.
 type Config struct {
 	Apex       string
-	Class      string  // of the calls
-	TTL        uint32  // s: of answers that name an endpoint
-	Negative   uint32  // s: of "there is no such number"
-	Patience   float64 // a resolver asks again or gives up after this
-	Repeat     float64 // the same query of the same client within this is a repeat: it gets the same answer
-	Gain       float64 // octets of an answer by datagram for each that came; a longer one is truncated
-	MaxPending int     // queries that wait for an answer
-	Keep       int     // answers remembered for repeats; the oldest go first
+	Class      string  // class of the calls
+	TTL        uint32  // s: of responses that name an endpoint
+	Negative   uint32  // s: of negative responses
+	Patience   float64 // timeout of an enquiry; after this a resolver has retried or given up
+	Repeat     float64 // a query repeated by its client within this time gets the same answer
+	Gain       float64 // maximum size of a UDP response relative to its query; a longer one is truncated
+	MaxPending int     // queries that may await an enquiry
+	Keep       int     // answers kept for repeated queries; the oldest are dropped first
 	Context    string  // trunk-context (RFC 4904)
 	Limits     Limits
 }
 
-// Counts are what a front has seen.
+// Counts are the counters of a server.
 type Counts struct {
 	Queries   uint64 `json:"queries"`
 	Named     uint64 `json:"named"` // queries answered with an endpoint
@@ -57,28 +57,28 @@
 	Bad       uint64 `json:"bad"` // malformed messages
 }
 
-// Server answers. One goroutine owns it.
+// Server answers ENUM queries. It is not safe for concurrent use.
 type Server struct {
 	Counts Counts
 	cfg    Config
 	ask    Enquirer
 	limits *limiter
 	open   map[queryKey]*pendingQuery
-	kept   []cachedResult // of those the answered, the oldest first
-	waits  int            // those that wait
+	kept   []cachedResult // answered queries kept for repeats, oldest first
+	waits  int            // queries that await their enquiry
 	now    float64
 }
 
-// queryKey is what makes a query the same as another: who asks, its id, and what it asks for.
+// queryKey identifies a repeated query: client address, id and name.
 type queryKey struct {
 	from netip.AddrPort
 	id   uint16
 	name string
 }
 
-// pendingQuery is one that waits for its answer, or whose answer is kept for repeats.
+// pendingQuery is a query that awaits its enquiry, or whose answer is kept for repeats.
 type pendingQuery struct {
-	replies []replyTo // what waits
+	replies []replyTo // to be answered by the enquiry
 	named   *b2bua.EnquiryResult
 	stop    func()
 }
@@ -91,17 +91,17 @@
 
 type replyTo struct {
 	msg  *dns.Msg // the query
-	size int      // most octets of the answer; 0: any number, over TCP
+	size int      // maximum response size in octets; 0: unlimited, over TCP
 	send func([]byte)
 }
 
-// New makes a front.
+// New returns a server.
 func New(cfg Config, ask Enquirer) *Server {
 	cfg.Apex = dns.Fqdn(strings.ToLower(cfg.Apex))
 	return &Server{cfg: cfg, ask: ask, limits: newLimiter(cfg.Limits), open: map[queryKey]*pendingQuery{}}
 }
 
-// dropExpired lets go of answers whose time is over, and of the oldest where there are too many.
+// dropExpired removes expired answers, and the oldest ones above the limit Keep.
 func (f *Server) dropExpired() {
 	n := 0
 	for n < len(f.kept) && (f.now >= f.kept[n].until || len(f.kept)-n > f.cfg.Keep) {
@@ -113,17 +113,17 @@
 	f.kept = f.kept[n:]
 }
 
-// OpenCount is how many queries are held.
+// OpenCount returns the number of queries held, pending or kept for repeats.
 func (f *Server) OpenCount() int { return len(f.open) }
 
 const (
-	minUDPSize = 512  // octets: what any client takes (RFC 1035 4.2.1)
-	maxUDPSize = 1232 // octets: what goes by datagram without fragments, whatever a client says that it takes
-	// repeats of a pending query that get the answer too; a client that repeats more has it by then
+	minUDPSize = 512  // octets: every client accepts this size (RFC 1035 4.2.1)
+	maxUDPSize = 1232 // octets: avoids fragmentation, whatever size a client advertises
+	// messages of a pending query that are answered; a client that repeats it more often has an answer by then
 	maxReplies = 4
 )
 
-// Receive takes a message; send replies to it, once at most. stream: it came over TCP.
+// Receive processes a message; send is called at most once, with the response. stream: it arrived over TCP.
 func (f *Server) Receive(now float64, from netip.AddrPort, data []byte, stream bool, send func([]byte)) {
 	f.now = now
 	f.Counts.Queries++
@@ -159,11 +159,11 @@
 	f.onQuery(from, r)
 }
 
-// rejectMalformed answers what is no query, where it has at least an id; never an answer to an answer.
+// rejectMalformed responds to a malformed query over TCP that has at least a header. Responses are never answered.
 func (f *Server) rejectMalformed(m *dns.Msg, data []byte, stream bool, send func([]byte)) {
 	f.Counts.Bad++
 	if len(data) < 12 || data[2]&0x80 != 0 || !stream {
-		return // by datagram: whoever forges gets nothing sent
+		return // over UDP nothing is sent, as the source address may be forged
 	}
 	out := &dns.Msg{
 		MsgHdr: dns.MsgHdr{Id: uint16(data[0])<<8 | uint16(data[1]), Response: true, Rcode: dns.RcodeFormatError},
@@ -171,7 +171,7 @@
 	f.send(replyTo{msg: m, send: send}, out)
 }
 
-// onQuery answers a query, or asks for what it is about.
+// onQuery answers a query, or starts an enquiry for its number.
 func (f *Server) onQuery(from netip.AddrPort, r replyTo) {
 	q := r.msg.Question[0]
 	name := strings.ToLower(q.Name)
@@ -197,7 +197,7 @@
 	if x := f.open[k]; x != nil {
 		f.Counts.Repeats++
 		switch {
-		case x.named == nil: // it has one call, whatever is repeated
+		case x.named == nil: // repeats share the enquiry
 			if len(x.replies) < maxReplies {
 				x.replies = append(x.replies, r)
 			}
@@ -206,7 +206,7 @@
 			f.answer(r, x.named)
 			return
 		}
-		delete(f.open, k) // the endpoint drains by now: the answer is decided anew
+		delete(f.open, k) // the endpoint is draining or gone: select again
 	}
 	if f.waits >= f.cfg.MaxPending {
 		f.Counts.Failed++
@@ -231,7 +231,7 @@
 	}
 }
 
-// Close takes back all queries that wait and fails them.
+// Close stops all pending enquiries and answers their queries with an error.
 func (f *Server) Close(now float64) {
 	f.now = now
 	for _, k := range slices.SortedFunc(maps.Keys(f.open), queryKey.compare) {
@@ -251,7 +251,7 @@
 	return cmp.Or(a.from.Compare(b.from), cmp.Compare(a.id, b.id), strings.Compare(a.name, b.name))
 }
 
-// answer says what an enquiry came to. A SIP URI names endpoint and trunk group (RFC 6116 3.4, RFC 3764, RFC 4904).
+// answer sends the result of an enquiry. A SIP URI names endpoint and trunk group (RFC 6116 3.4, RFC 3764, RFC 4904).
 func (f *Server) answer(r replyTo, n *b2bua.EnquiryResult) {
 	switch n.Code {
 	case 200:
@@ -278,7 +278,7 @@
 		f.send(r, out)
 	case 404, 484, 410, 604:
 		f.respondEmpty(r, dns.RcodeNameError)
-	default: // rejected, failed: a resolver does not keep that (RFC 2308 7), and says why (RFC 8914)
+	default: // rejected or failed: resolvers need not cache it (RFC 2308 7); the reason goes into an EDE option (RFC 8914)
 		f.Counts.Failed++
 		out := f.newResponse(r)
 		out.Rcode = dns.RcodeServerFailure
@@ -293,8 +293,8 @@
 	}
 }
 
-// respondEmpty says that there is no such number, or nothing of that type, with the time for which that holds (RFC
-// 2308).
+// respondEmpty sends a negative response, for a missing name or a missing type, with the SOA record that sets its
+// negative TTL (RFC 2308).
 func (f *Server) respondEmpty(r replyTo, code int) {
 	f.Counts.None++
 	out := f.newResponse(r)
@@ -329,7 +329,7 @@
 	return out
 }
 
-// respondTruncated tells an caller to come back over TCP, in no more octets than it sent.
+// respondTruncated tells a client to retry over TCP. The response is no longer than the query.
 func (f *Server) respondTruncated(r replyTo) {
 	out := new(dns.Msg)
 	out.SetReply(r.msg)
@@ -337,7 +337,7 @@
 	f.write(r, out)
 }
 
-// send sends an answer, truncated where it is longer than may be.
+// send sends a response, truncated if it exceeds the maximum size.
 func (f *Server) send(r replyTo, out *dns.Msg) {
 	if r.size > 0 && out.Len() > r.size {
 		f.Counts.Truncated++
@@ -349,12 +349,12 @@
 
 func (f *Server) write(r replyTo, out *dns.Msg) {
 	b, err := out.Pack()
-	if err != nil { // a text of the answer is longer than a character string may be (RFC 1035 3.3)
+	if err != nil { // a text is too long for a character string (RFC 1035 3.3)
 		f.Counts.Failed++
 		fail := new(dns.Msg)
 		fail.SetRcode(r.msg, dns.RcodeServerFailure)
 		if b, err = fail.Pack(); err != nil {
-			return // never: it is what was read
+			return // cannot happen: the question was unpacked from a message
 		}
 	}
 	r.send(b)
--- a/internal/protocol/portability/finder.go
+++ b/internal/protocol/portability/finder.go
@@ -1,5 +1,6 @@
-// Package portability finds out where a number was ported to: by ENUM (RFC 6116), with routing numbers in the form of
-// RFC 4694. It follows rules that lead on to other domains, within a bound and never round in a loop. It knows no wire.
+// Package portability looks up the routing number of a ported number by ENUM (RFC 6116), with the portability
+// parameters of RFC 4694. It follows non-terminal rules to other domains, up to a limit and without loops. It does no
+// I/O.
 package portability
 
 import (
@@ -12,33 +13,33 @@
 
 //tally:decisions
 
-// maxSteps is how many domains one look-up goes through (RFC 6116 5.2.1 asks for five at least).
+// maxSteps is the maximum number of domains that one look-up visits (RFC 6116 5.2.1 requires at least five).
 const maxSteps = 5
 
-// Resolver asks for the rules of a domain; a dnsclient.Client is one.
+// Resolver looks up the rules of a domain; dnsclient.Client implements it.
 type Resolver interface {
 	Query(now float64, name string, within float64, done func(now float64, a dnsclient.Answer)) (stop func())
 }
 
-// Finder looks numbers up.
+// Finder looks up ported numbers.
 type Finder struct {
 	Resolver Resolver
 	Apex     string
-	Services []string // enumservices whose rules count, such as "pstn:tel" (RFC 4769)
+	Services []string // enumservices whose rules are used, e.g. "pstn:tel" (RFC 4769)
 	Counts   Counts
 }
 
-// Counts are what a finder has seen.
+// Counts are the counters of a finder.
 type Counts struct {
 	Ported uint64 `json:"ported"`
 	Same   uint64 `json:"same"`   // numbers that were not ported
 	Silent uint64 `json:"silent"` // look-ups without an answer
-	Bad    uint64 `json:"bad"`    // records that make no sense
+	Bad    uint64 `json:"bad"`    // invalid records
 	Stale  uint64 `json:"stale"`
 }
 
-// Resolve looks a number up, digits only. done is called once within the time given, maybe at once; stop takes the
-// question back. Rules that make no sense count as silence: what is done then is settled by the number's table.
+// Resolve looks up a number, given as digits only. done is called once within the given time, possibly before Resolve
+// returns; stop cancels the look-up. Invalid rules count as no answer, for which the number table defines the action.
 func (f *Finder) Resolve(
 	now float64,
 	digits string,
@@ -84,7 +85,7 @@
 	}
 }
 
-// interpret says what an answer comes to: a domain that goes on, or an end.
+// interpret returns the next domain of a non-terminal rule, or the final result.
 func (f *Finder) interpret(full string, a dnsclient.Answer) (next string, found numberplan.Found) {
 	switch a.Status {
 	case dnsclient.Failed:
@@ -96,7 +97,7 @@
 	}
 	res, err := enum.Apply(full, a.Rules, f.Services...)
 	switch {
-	case errors.Is(err, enum.ErrNoRule): // rules for other things only
+	case errors.Is(err, enum.ErrNoRule): // rules for other services only
 		f.Counts.Same++
 		return "", numberplan.Found{Answer: numberplan.NotPorted}
 	case err == nil && res.Next != "":
