--- a/internal/decision/enum/enum_test.go
+++ b/internal/decision/enum/enum_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// Numbers and their domains turn into each other, and nothing else is a number.
+// Numbers convert to domains and back; anything else is rejected.
 func TestDomain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.StringMatching(`[0-9]{1,40}`).Draw(t, "number")
@@ -47,7 +47,7 @@
 		{"order before preference", []Rule{sip(2, 1, "!^.*$!sip:b@x!"), sip(1, 9, "!^.*$!sip:a@x!")},
 			Result{URI: "sip:a@x"}, nil},
 		{"preference", []Rule{sip(1, 9, "!^.*$!sip:b@x!"), sip(1, 2, "!^.*$!sip:a@x!")}, Result{URI: "sip:a@x"}, nil},
-		{"one that fits not is passed over", []Rule{sip(1, 1, `!^\+33.*$!sip:b@x!`), sip(2, 1, "!^.*$!sip:a@x!")},
+		{"a rule that does not match is skipped", []Rule{sip(1, 1, `!^\+33.*$!sip:b@x!`), sip(2, 1, "!^.*$!sip:a@x!")},
 			Result{URI: "sip:a@x"}, nil},
 		{"groups", []Rule{sip(1, 1, `!^\+1(418)(.*)$!sip:\2@\1.x!`)}, Result{URI: "sip:5551234@418.x"}, nil},
 		{"escaped delimiter", []Rule{sip(1, 1, `/^.*$/sip:a\/b@x/`)}, Result{URI: "sip:a/b@x"}, nil},
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestPortability(t *testing.T) {
+func TestTel(t *testing.T) {
 	for _, c := range []struct {
 		uri    string
 		number string
@@ -113,7 +113,7 @@
 	}
 }
 
-// Whatever a rule says, it is answered in bounded space.
+// The result of any rule is bounded in size.
 func FuzzApply(f *testing.F) {
 	f.Add("!^.*$!sip:a@x!", "E2U+sip", "u", "")
 	f.Add(`!^\+1(.)(.*)$!\2.\1.x!`, "", "", "x.")
--- a/internal/protocol/dnsclient/cache_test.go
+++ b/internal/protocol/dnsclient/cache_test.go
@@ -8,8 +8,8 @@
 	"cobaltpier/internal/emulator/dnsserver"
 )
 
-// How long what is kept: no shorter and no longer than the bounds, whatever the TTL; a name that failed is left alone
-// for a while, and asked for again after it.
+// An answer is cached for its TTL within the configured bounds. After a failed look-up, no query for the name is sent
+// until FailureTTL has passed.
 func TestCacheTimes(t *testing.T) {
 	for _, c := range []struct{ ttl, kept float64 }{{0, 1000}, {60, 60e3}, {1e6, 3600e3}} {
 		r := silent(t, nil)
@@ -29,7 +29,7 @@
 	for _, s := range r.servers {
 		s.Faults = dnsserver.Faults{Delay: 5, ServFail: true}
 	}
-	r.c.cfg.Tries = 2 // so that no server counts as lame
+	r.c.cfg.Tries = 2 // too few for a server to count as lame
 	g := r.ask("1", 5000)
 	r.run(1000)
 	if sent := r.sent[0] + r.sent[1]; g.n != 1 || g.Status != Failed || sent != 2 {
@@ -44,7 +44,7 @@
 	}
 }
 
-// What ran out is served when nothing newer comes soon, though the answer is on its way; and that one is kept.
+// A stale answer is served after StaleAfter while the query is still outstanding; its late response is cached.
 func TestStaleAfter(t *testing.T) {
 	r := newTestHost(t, 1, nil)
 	r.servers[0].Zone.TTL = 1
--- a/internal/protocol/dnsclient/client_test.go
+++ b/internal/protocol/dnsclient/client_test.go
@@ -8,8 +8,8 @@
 	"cobaltpier/internal/emulator/dnsserver"
 )
 
-// An answer is given, kept for its time and shared by all who ask meanwhile; what none has is kept too.
-func TestAnswer(t *testing.T) {
+// Concurrent look-ups share a query, and answers, negative ones too, are cached for their TTL.
+func TestAnswersSharedAndCached(t *testing.T) {
 	r := newTestHost(t, 2, nil)
 	n := r.ported()
 	a, b := r.ask(n, 500), r.ask(n, 500)
@@ -52,7 +52,7 @@
 	}
 }
 
-// Each trouble of one of two servers: answers come within the time, from the other one, and none is false.
+// Whatever fault one of two servers has, answers arrive before the deadline and are correct.
 func TestServerFaults(t *testing.T) {
 	for name, f := range map[string]dnsserver.Faults{
 		"silent":     {Silent: true},
@@ -114,15 +114,15 @@
 				t.Errorf("of 2000 %d late, %d failed", late, failed)
 			}
 			if f, k := r.c.OpenCounts(); f != 0 || k == 0 || len(r.c.outstanding) != 0 || len(r.c.streams) != 0 {
-				t.Errorf("left over: %d names, %d questions, %d streams", f, len(r.c.outstanding), len(r.c.streams))
+				t.Errorf("left over: %d names, %d queries, %d streams", f, len(r.c.outstanding), len(r.c.streams))
 			}
 			t.Logf("%v datagrams, %d streams, %+v", r.sent, r.streams, r.c.Counts)
 		})
 	}
 }
 
-// A server that is dead costs few questions, and is found again soon after it is back.
-func TestDeadAndBack(t *testing.T) {
+// A dead server gets few queries, and is used again soon after it has recovered.
+func TestDeadServerRecovers(t *testing.T) {
 	r := newTestHost(t, 2, nil)
 	r.servers[0].Faults.Silent = true
 	load := func(span float64) {
@@ -135,7 +135,7 @@
 	r.sent[0] = 0
 	load(20000)
 	if r.sent[0] > 12 {
-		t.Errorf("a dead server got %d questions in 20 s", r.sent[0])
+		t.Errorf("a dead server got %d queries in 20 s", r.sent[0])
 	}
 	r.servers[0].Faults.Silent = false
 	load(12000)
@@ -146,9 +146,9 @@
 	}
 }
 
-// All servers are dead for 30 s: what is kept is served though it ran out, the rest fails at once but for the few that
-// find out whether a server is back; 1.5 s after one is all is as before.
-func TestAllDead(t *testing.T) {
+// While all servers are dead for 30 s, stale answers are served and other look-ups fail immediately, except the few
+// that test whether a server has recovered. 1.5 s after recovery, look-ups succeed again.
+func TestAllServersDead(t *testing.T) {
 	r := newTestHost(t, 2, nil)
 	r.servers[0].Zone.TTL = 1
 	warm := r.ported()
@@ -183,7 +183,7 @@
 		s.Faults.Silent = false
 	}
 	r.run(r.now + 1500)
-	r.ask(fmt.Sprint(15150000000), 500) // the one that finds out
+	r.ask(fmt.Sprint(15150000000), 500) // tests whether a server has recovered
 	r.run(r.now + 500)
 	if g := r.ask(fmt.Sprint(15150000001), 500); g.n != 0 {
 		t.Errorf("after they are back: %+v at once", g)
@@ -192,8 +192,8 @@
 	}
 }
 
-// Questions that were taken back are not answered, and one whose time is over is answered once.
-func TestStop(t *testing.T) {
+// A canceled look-up is not answered, and one whose deadline has passed is answered once.
+func TestCanceledAndTimedOutLookups(t *testing.T) {
 	r := newTestHost(t, 1, nil)
 	r.servers[0].Faults.Delay = 200
 	d, _ := enum.Domain("14185551234", "e164.test.")
@@ -206,7 +206,7 @@
 		t.Errorf("stopped: %d, %+v", called, g)
 	}
 	r.run(1000)
-	if h := r.ask("14185551234", 100); h.n != 1 || !h.Cached { // the answer that nobody waited for is kept
+	if h := r.ask("14185551234", 100); h.n != 1 || !h.Cached { // the late response is cached
 		t.Errorf("%+v", h)
 	}
 	if called != 0 || g.n != 1 {
@@ -214,8 +214,8 @@
 	}
 }
 
-// The bound on names asked for holds under a flood of names, and those above it fail at once.
-func TestFlood(t *testing.T) {
+// No more than MaxLookups look-ups are open at once; further ones fail immediately.
+func TestMaxLookups(t *testing.T) {
 	r := newTestHost(t, 1, func(c *Config) { c.MaxLookups, c.Cache.MaxEntries = 100, 50 })
 	for i := range 1000 {
 		r.ask(fmt.Sprint(14180000000+i), 500)
@@ -229,7 +229,7 @@
 	}
 }
 
-// Truncated answers of many names don't open as many streams; the names that have none fail, in time.
+// Truncated responses open no more than maxStreams streams at once; all look-ups fail before their deadline.
 func TestStreamsBounded(t *testing.T) {
 	r := newTestHost(t, 1, nil)
 	r.servers[0].Faults = dnsserver.Faults{Delay: 5, Truncated: 1, NoStream: true}
@@ -252,8 +252,8 @@
 	}
 }
 
-// Answers that come after the last question was given up still count.
-func TestSlowAll(t *testing.T) {
+// A response that arrives after the last query has timed out is still accepted.
+func TestAnswerAfterLastTimeout(t *testing.T) {
 	r := newTestHost(t, 1, func(c *Config) { c.Tries = 1 })
 	r.servers[0].Faults.Delay = 600
 	g := r.ask(r.ported(), 2000)
@@ -262,7 +262,7 @@
 	}
 }
 
-// A server that knows no EDNS is asked without it from then on.
+// A server without EDNS support is queried without EDNS from then on.
 func TestNoEDNS(t *testing.T) {
 	r := newTestHost(t, 1, nil)
 	r.servers[0].Faults.NoEDNS = true
--- a/internal/protocol/dnsclient/health_test.go
+++ b/internal/protocol/dnsclient/health_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// What counts against a server, and what does not.
+// Which responses and timeouts take a server down, and how timeouts grow with repeated queries.
 func TestHealth(t *testing.T) {
 	h := NewHealth(2)
 	h.OnLame(0, 1)
@@ -50,8 +50,8 @@
 	}
 }
 
-// Ids, ports and letters are drawn: who guesses has all of them to guess.
-func TestDraws(t *testing.T) {
+// Ids, ports and letter case are random, so a spoofed response has to guess all of them.
+func TestQueriesRandomized(t *testing.T) {
 	r := newTestHost(t, 1, nil)
 	mixed := map[string]bool{}
 	for i := range 2000 {
--- a/internal/protocol/dnsclient/response_test.go
+++ b/internal/protocol/dnsclient/response_test.go
@@ -13,7 +13,7 @@
 	"cobaltpier/internal/emulator/dnsserver"
 )
 
-// An answer must match in everything: the server, the port, the id, the name to its letters, the type.
+// A response must match the query in server, port, id, name including letter case, and type.
 func TestMatches(t *testing.T) {
 	r := silent(t, func(c *Config) { c.Tries = 1 })
 	g := r.ask("14185551234", 5000)
@@ -49,7 +49,7 @@
 	}
 }
 
-// Over TCP too an answer must match, and have the id that was sent.
+// A response over TCP must match the query, including its id.
 func TestStreamMatches(t *testing.T) {
 	for what, change := range map[string]func(m *dns.Msg){"another id": func(m *dns.Msg) { m.Id++ },
 		"another name":  func(m *dns.Msg) { m.Question[0].Name = "1.e164.test." },
@@ -70,9 +70,8 @@
 	}
 }
 
-// What is read of an answer: names of names are followed; a zone's end of another zone says nothing, and who only
-// points elsewhere has not said that there is none.
-func TestRead(t *testing.T) {
+// CNAMEs are followed; an SOA record of another zone does not make a negative answer, and neither does a referral.
+func TestParseResponse(t *testing.T) {
 	soa := func(zone string) []dns.RR {
 		return []dns.RR{
 			&dns.SOA{
@@ -119,7 +118,7 @@
 	}
 }
 
-// What is read of an answer is what answers the question, whatever else stands in it, and never a panic.
+// Any datagram is handled without a panic, and a look-up is answered exactly once.
 func FuzzReceive(f *testing.F) {
 	m := new(dns.Msg)
 	m.SetQuestion("4.3.2.1.e164.test.", dns.TypeNAPTR)
@@ -152,9 +151,9 @@
 	})
 }
 
-// A name's answer never comes from another name: a model that knows each name's rules looks on while servers, times and
-// troubles are drawn.
-func TestNeverAnothersAnswer(t *testing.T) {
+// A name is never answered with the rules of another name. Answers are checked against the zone, with random look-ups,
+// timing and server faults.
+func TestAnswersBelongToName(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		r := newTestHost(t, 3, func(c *Config) { c.Seed = rapid.Uint64().Draw(rt, "seed"); c.Cache.MaxEntries = 20 })
 		r.servers[0].Zone.TTL = uint32(rapid.IntRange(0, 3).Draw(rt, "ttl"))
@@ -188,7 +187,7 @@
 			qs = append(qs, q{n, r.ask(n, within), r.now + within})
 			r.run(r.now + rapid.Float64Range(0, 400).Draw(rt, "pause"))
 		}
-		r.run(r.now + 10000) // five tries of a second each, and streams
+		r.run(r.now + 10000) // five queries of a second each, and streams
 		for _, q := range qs {
 			if q.g.n != 1 || q.g.at > q.until+1e-6 {
 				rt.Fatalf("%s: %d answers, at %.1f of %.1f", q.n, q.g.n, q.g.at, q.until)
@@ -205,7 +204,7 @@
 			}
 		}
 		if f, _ := r.c.OpenCounts(); f != 0 || len(r.c.outstanding) != 0 {
-			rt.Fatalf("left over: %d names, %d questions", f, len(r.c.outstanding))
+			rt.Fatalf("left over: %d names, %d queries", f, len(r.c.outstanding))
 		}
 	})
 }
--- a/internal/protocol/dnsclient/testhost_test.go
+++ b/internal/protocol/dnsclient/testhost_test.go
@@ -14,7 +14,7 @@
 	"cobaltpier/internal/timerqueue"
 )
 
-// testHost is a client and stand-in servers in virtual time.
+// testHost runs a client and stand-in servers in virtual time.
 type testHost struct {
 	t       testing.TB
 	c       *Client
@@ -22,7 +22,7 @@
 	now     float64
 	servers []*dnsserver.Server
 	addrs   []netip.AddrPort
-	sent    []int // by server, datagrams
+	sent    []int // datagrams by server
 	streams int
 	ids     map[uint16]bool
 	ports   map[int]int
@@ -86,7 +86,7 @@
 	r.streams++
 	xs := r.servers[slices.Index(r.addrs, to)].Stream(data)
 	if len(xs) == 0 {
-		return // the client's own bound must do
+		return // the client's own timeout ends the query
 	}
 	r.events.Schedule(r.now+xs[0].After, func() { r.c.OnStreamResponse(r.now, token, xs[0].Data) })
 }
@@ -120,7 +120,7 @@
 	return g
 }
 
-// find is a number that a test of its zone holds for.
+// find returns a number that satisfies the condition.
 func (r *testHost) find(want func(z *dnsserver.Zone, n string) bool) string {
 	for i := range 10000 {
 		if n := fmt.Sprint(14185550000 + i); want(r.servers[0].Zone, n) {
@@ -135,7 +135,7 @@
 	return r.find(func(z *dnsserver.Zone, n string) bool { return z.Routing(n) != "" })
 }
 
-// pending is the one question that is out.
+// pending returns the one outstanding query.
 func (r *testHost) pending() *outstandingQuery {
 	for _, s := range r.c.outstanding {
 		return s
@@ -143,11 +143,11 @@
 	for _, s := range r.c.streams {
 		return s
 	}
-	r.t.Fatal("no question is out")
+	r.t.Fatal("no outstanding query")
 	return nil
 }
 
-// reply is an answer to a question, changed by a test.
+// reply builds a response to a query, modified by change.
 func (r *testHost) reply(s *outstandingQuery, change func(m *dns.Msg)) []byte {
 	m := new(dns.Msg)
 	m.SetQuestion(s.name, dns.TypeNAPTR)
@@ -173,7 +173,7 @@
 	}
 }
 
-// silent is a rig whose servers say nothing: a test answers.
+// silent returns a host whose server does not respond, so that the test supplies the responses.
 func silent(t testing.TB, change func(*Config)) *testHost {
 	r := newTestHost(t, 1, change)
 	r.servers[0].Faults = dnsserver.Faults{Silent: true}
--- a/internal/protocol/enumserver/limit.go
+++ b/internal/protocol/enumserver/limit.go
@@ -40,20 +40,20 @@
 
 // limiter is a rate limiter by client network, a /24 of IPv4 or a /56 of IPv6, which usually belongs to one holder.
 type limiter struct {
-	set   Limits
-	nets  *bart.Table[float64]
-	new   map[netip.Prefix]*rate.Limiter
-	old   map[netip.Prefix]*rate.Limiter
-	total *rate.Limiter
-	slips uint64
+	set       Limits
+	nets      *bart.Table[float64]
+	current   map[netip.Prefix]*rate.Limiter
+	previous  map[netip.Prefix]*rate.Limiter
+	total     *rate.Limiter
+	overLimit uint64
 }
 
 func newLimiter(set Limits) *limiter {
 	l := &limiter{
-		set:   set,
-		nets:  &bart.Table[float64]{},
-		new:   map[netip.Prefix]*rate.Limiter{},
-		total: bucket(set.Total, set.Total/10),
+		set:     set,
+		nets:    &bart.Table[float64]{},
+		current: map[netip.Prefix]*rate.Limiter{},
+		total:   bucket(set.Total, set.Total/10),
 	}
 	for _, n := range set.Nets {
 		l.nets.Insert(n.Prefix.Masked(), n.Rate)
@@ -86,8 +86,8 @@
 // slipOrDrop lets every second query over the limit be answered as truncated, which sends the client to TCP with a
 // response no larger than the query. The others are dropped.
 func (l *limiter) slipOrDrop() Verdict {
-	l.slips++
-	if l.slips%2 == 1 {
+	l.overLimit++
+	if l.overLimit%2 == 1 {
 		return Slip
 	}
 	return Drop
@@ -104,16 +104,16 @@
 	if err != nil {
 		p = netip.PrefixFrom(from, from.BitLen())
 	}
-	if b := l.new[p]; b != nil {
+	if b := l.current[p]; b != nil {
 		return b
 	}
-	b := l.old[p]
+	b := l.previous[p]
 	if b == nil {
 		b = bucket(each, burst)
 	}
-	if len(l.new) >= max(1, l.set.Clients/2) {
-		l.old, l.new = l.new, map[netip.Prefix]*rate.Limiter{}
+	if len(l.current) >= max(1, l.set.Clients/2) {
+		l.previous, l.current = l.current, map[netip.Prefix]*rate.Limiter{}
 	}
-	l.new[p] = b
+	l.current[p] = b
 	return b
 }
--- a/internal/protocol/enumserver/server_test.go
+++ b/internal/protocol/enumserver/server_test.go
@@ -11,31 +11,31 @@
 	"cobaltpier/internal/protocol/b2bua"
 )
 
-// desk is a gateway that a test plays.
-type desk struct {
-	asked   []string
-	done    []func(now float64, n b2bua.EnquiryResult)
-	stopped int
-	ready   bool
-	atOnce  *b2bua.EnquiryResult
+// fakeEnquirer stands in for a gateway; the test supplies the results.
+type fakeEnquirer struct {
+	asked     []string
+	done      []func(now float64, n b2bua.EnquiryResult)
+	stopped   int
+	ready     bool
+	immediate *b2bua.EnquiryResult
 }
 
-func (d *desk) StartEnquiry(
+func (d *fakeEnquirer) StartEnquiry(
 	now float64,
 	number, skill string,
 	patience float64,
 	done func(float64, b2bua.EnquiryResult),
 ) func() {
 	d.asked = append(d.asked, number+" "+skill)
-	if d.atOnce != nil {
-		done(now, *d.atOnce)
+	if d.immediate != nil {
+		done(now, *d.immediate)
 		return func() {}
 	}
 	d.done = append(d.done, done)
 	return func() { d.stopped++ }
 }
 
-func (d *desk) named() b2bua.EnquiryResult {
+func (d *fakeEnquirer) success() b2bua.EnquiryResult {
 	return b2bua.EnquiryResult{
 		Code:   200,
 		Addr:   netip.MustParseAddrPort("127.0.0.3:5060"),
@@ -46,16 +46,16 @@
 	}
 }
 
-type rig struct {
+type testServer struct {
 	*testing.T
-	f    *Server
-	d    *desk
-	got  []*dns.Msg
-	size []int
-	now  float64
+	f        *Server
+	enquirer *fakeEnquirer
+	got      []*dns.Msg
+	size     []int
+	now      float64
 }
 
-func newRig(t *testing.T, change func(*Config)) *rig {
+func newTestServer(t *testing.T, change func(*Config)) *testServer {
 	c := Config{
 		Apex:       "e164.test",
 		Class:      "shift-lookup",
@@ -71,12 +71,12 @@
 	if change != nil {
 		change(&c)
 	}
-	r := &rig{T: t, d: &desk{ready: true}, now: 1000}
-	r.f = New(c, r.d)
+	r := &testServer{T: t, enquirer: &fakeEnquirer{ready: true}, now: 1000}
+	r.f = New(c, r.enquirer)
 	return r
 }
 
-var kiosk = netip.MustParseAddrPort("10.0.0.1:4000")
+var clientAddr = netip.MustParseAddrPort("10.0.0.1:4000")
 
 func query(name string, kind, id uint16, edns uint16) *dns.Msg {
 	m := new(dns.Msg)
@@ -88,7 +88,7 @@
 	return m
 }
 
-func (r *rig) ask(from netip.AddrPort, m *dns.Msg, stream bool) {
+func (r *testServer) ask(from netip.AddrPort, m *dns.Msg, stream bool) {
 	b, err := m.Pack()
 	if err != nil {
 		r.Fatal(err)
@@ -104,14 +104,14 @@
 
 const name = "4.3.2.1.5.5.5.8.1.4.1.e164.test."
 
-// A look-up is answered once with the endpoint that is decided, and a failure with what it was.
+// A query is answered once, with the selected endpoint or with the response code and reason of the failure.
 func TestAnswers(t *testing.T) {
-	r := newRig(t, nil)
-	r.ask(kiosk, query(strings.ToUpper(name), dns.TypeNAPTR, 7, 1232), false)
-	if len(r.got) != 0 || len(r.d.asked) != 1 || r.d.asked[0] != "+14185551234 shift-lookup" {
-		t.Fatalf("%v, asked %v", r.got, r.d.asked)
+	r := newTestServer(t, nil)
+	r.ask(clientAddr, query(strings.ToUpper(name), dns.TypeNAPTR, 7, 1232), false)
+	if len(r.got) != 0 || len(r.enquirer.asked) != 1 || r.enquirer.asked[0] != "+14185551234 shift-lookup" {
+		t.Fatalf("%v, asked %v", r.got, r.enquirer.asked)
 	}
-	r.d.done[0](1100, r.d.named())
+	r.enquirer.done[0](1100, r.enquirer.success())
 	m := r.got[0]
 	n, ok := m.Answer[0].(*dns.NAPTR)
 	if !ok || m.Id != 7 || !m.Authoritative || n.Hdr.Ttl != 0 || n.Hdr.Name != strings.ToUpper(name) || n.Flags != "u" ||
@@ -130,8 +130,8 @@
 		{b2bua.EnquiryResult{Code: 500, Reason: "fault"}, dns.RcodeServerFailure, "fault"},
 	} {
 		r.got = nil
-		r.d.atOnce = &c.n
-		r.ask(kiosk, query(name, dns.TypeNAPTR, uint16(100+i), 1232), false)
+		r.enquirer.immediate = &c.n
+		r.ask(clientAddr, query(name, dns.TypeNAPTR, uint16(100+i), 1232), false)
 		m := r.got[0]
 		if len(r.got) != 1 || m.Rcode != c.rcode || len(m.Answer) != 0 || c.rcode == dns.RcodeNameError && len(m.Ns) != 1 {
 			t.Errorf("%+v: %v", c.n, m)
@@ -145,21 +145,21 @@
 	}
 }
 
-// A name too long for any answer is a failure that the kiosk hears of. Found by generated inputs.
-func TestTooLong(t *testing.T) {
-	r := newRig(t, nil)
-	n := r.d.named()
+// A URI too long for a NAPTR record is answered with SERVFAIL. Found by generated inputs.
+func TestURITooLong(t *testing.T) {
+	r := newTestServer(t, nil)
+	n := r.enquirer.success()
 	n.Params = strings.Repeat("x", 250)
-	r.d.atOnce = &n
-	r.ask(kiosk, query(name, dns.TypeNAPTR, 1, 1232), true)
+	r.enquirer.immediate = &n
+	r.ask(clientAddr, query(name, dns.TypeNAPTR, 1, 1232), true)
 	if len(r.got) != 1 || r.got[0].Rcode != dns.RcodeServerFailure || r.got[0].Id != 1 || len(r.got[0].Question) != 1 {
 		t.Errorf("%v", r.got)
 	}
 }
 
-// What is no question for a number here is answered without any call, and an answer is never answered.
-func TestOthers(t *testing.T) {
-	r := newRig(t, nil)
+// Queries that do not ask for a number in the zone start no enquiry, and a response is never answered.
+func TestQueriesWithoutEnquiry(t *testing.T) {
+	r := newTestServer(t, nil)
 	reply := query(name, dns.TypeNAPTR, 1, 0)
 	reply.Response = true
 	notify := query(name, dns.TypeNAPTR, 1, 0)
@@ -181,88 +181,88 @@
 		"41 digits":         {query(strings.Repeat("1.", 41)+"e164.test.", dns.TypeNAPTR, 1, 0), dns.RcodeNameError},
 	} {
 		r.got = nil
-		r.ask(kiosk, c.m, false)
+		r.ask(clientAddr, c.m, false)
 		if c.want < 0 && len(r.got) != 0 ||
 			c.want >= 0 && (len(r.got) != 1 || r.got[0].Rcode != c.want || len(r.got[0].Answer) != 0) {
 			t.Errorf("%s: %v", what, r.got)
 		}
 	}
-	if len(r.d.asked) != 0 {
-		t.Errorf("asked %v", r.d.asked)
+	if len(r.enquirer.asked) != 0 {
+		t.Errorf("asked %v", r.enquirer.asked)
 	}
 	r.got = nil
-	r.f.Receive(0, kiosk, []byte{0, 1, 2}, true, func([]byte) { t.Error("answered three octets") })
+	r.f.Receive(0, clientAddr, []byte{0, 1, 2}, true, func([]byte) { t.Error("answered three octets") })
 	r.f.Receive(
 		0,
-		kiosk,
+		clientAddr,
 		append([]byte{0, 9, 0, 0}, make([]byte, 3)...),
 		false,
-		func([]byte) { t.Error("answered damage by datagram") },
+		func([]byte) { t.Error("answered a malformed query over UDP") },
 	)
 }
 
-// A question that is repeated while it waits is one call, and gets its answer; repeated after, the same answer, but not
-// once the endpoint drains: then it is decided anew. Another id or client is another call.
+// Repeats of a pending query share its enquiry. Later repeats get the same answer, unless the endpoint is draining:
+// then a new enquiry starts. Another id or client starts an enquiry of its own.
 func TestRepeats(t *testing.T) {
-	r := newRig(t, nil)
+	r := newTestServer(t, nil)
 	q := query(name, dns.TypeNAPTR, 7, 1232)
-	r.ask(kiosk, q, false)
-	r.ask(kiosk, q, false)
-	if len(r.d.asked) != 1 {
-		t.Fatalf("asked %v", r.d.asked)
+	r.ask(clientAddr, q, false)
+	r.ask(clientAddr, q, false)
+	if len(r.enquirer.asked) != 1 {
+		t.Fatalf("asked %v", r.enquirer.asked)
 	}
-	r.d.done[0](r.now, r.d.named())
-	r.ask(kiosk, q, false)
-	if len(r.got) != 3 || len(r.d.asked) != 1 {
-		t.Fatalf("%d answers, asked %v", len(r.got), r.d.asked)
+	r.enquirer.done[0](r.now, r.enquirer.success())
+	r.ask(clientAddr, q, false)
+	if len(r.got) != 3 || len(r.enquirer.asked) != 1 {
+		t.Fatalf("%d answers, asked %v", len(r.got), r.enquirer.asked)
 	}
-	r.ask(kiosk, query(name, dns.TypeNAPTR, 8, 1232), false)
+	r.ask(clientAddr, query(name, dns.TypeNAPTR, 8, 1232), false)
 	r.ask(netip.MustParseAddrPort("10.0.0.2:4000"), q, false)
-	if len(r.d.asked) != 3 {
-		t.Fatalf("asked %v", r.d.asked)
+	if len(r.enquirer.asked) != 3 {
+		t.Fatalf("asked %v", r.enquirer.asked)
 	}
-	r.d.ready = false
-	r.ask(kiosk, q, false)
-	if len(r.got) != 3 || len(r.d.asked) != 4 {
-		t.Errorf("while the pool drains: %d answers, asked %v", len(r.got), r.d.asked)
+	r.enquirer.ready = false
+	r.ask(clientAddr, q, false)
+	if len(r.got) != 3 || len(r.enquirer.asked) != 4 {
+		t.Errorf("while the pool drains: %d answers, asked %v", len(r.got), r.enquirer.asked)
 	}
 	r.f.Close(r.now)
-	if r.d.stopped != 3 || len(r.got) != 6 || r.got[5].Rcode != dns.RcodeServerFailure || r.f.OpenCount() != 0 {
-		t.Errorf("closed: %d stopped, %d answers, %d open", r.d.stopped, len(r.got), r.f.OpenCount())
+	if r.enquirer.stopped != 3 || len(r.got) != 6 || r.got[5].Rcode != dns.RcodeServerFailure || r.f.OpenCount() != 0 {
+		t.Errorf("closed: %d stopped, %d answers, %d open", r.enquirer.stopped, len(r.got), r.f.OpenCount())
 	}
 }
 
-// Answers are remembered for a while only, and no more questions are held than may be.
-func TestBounded(t *testing.T) {
-	r := newRig(t, nil)
+// Answers are kept for a limited time, and the numbers of pending and kept queries are limited.
+func TestHeldQueriesBounded(t *testing.T) {
+	r := newTestServer(t, nil)
 	for i := range 300 {
-		r.ask(kiosk, query(name, dns.TypeNAPTR, uint16(i), 0), true)
+		r.ask(clientAddr, query(name, dns.TypeNAPTR, uint16(i), 0), true)
 	}
 	if r.f.OpenCount() != 100 || len(r.got) != 200 {
 		t.Errorf("%d held, %d failed", r.f.OpenCount(), len(r.got))
 	}
-	for _, d := range r.d.done {
-		d(r.now, r.d.named())
+	for _, d := range r.enquirer.done {
+		d(r.now, r.enquirer.success())
 	}
 	n := b2bua.EnquiryResult{Code: 404}
-	r.d.atOnce = &n
+	r.enquirer.immediate = &n
 	for i := range 200 {
-		r.ask(kiosk, query(name, dns.TypeNAPTR, uint16(1000+i), 0), true)
+		r.ask(clientAddr, query(name, dns.TypeNAPTR, uint16(1000+i), 0), true)
 	}
 	if r.f.OpenCount() < 150 || r.f.OpenCount() > 151 {
 		t.Errorf("%d remembered", r.f.OpenCount())
 	}
 	r.now += 5001
-	if r.ask(kiosk, query(name, dns.TypeNAPTR, 2000, 0), true); r.f.OpenCount() != 1 {
+	if r.ask(clientAddr, query(name, dns.TypeNAPTR, 2000, 0), true); r.f.OpenCount() != 1 {
 		t.Errorf("%d remembered too long", r.f.OpenCount())
 	}
 }
 
-// A client that asks too much by datagram gets no more than its rate, of the rest half truncated in no more octets than
-// it sent; over TCP it is served. Forged addresses take bounded memory.
+// A client over its UDP rate gets no more than the rate; half of the other queries get a truncated response no longer
+// than the query. Over TCP it is served. Forged addresses use bounded memory.
 func TestLimits(t *testing.T) {
 	n := b2bua.EnquiryResult{Code: 404}
-	r := newRig(t, func(c *Config) {
+	r := newTestServer(t, func(c *Config) {
 		c.Limits = Limits{
 			Rate:    10,
 			Burst:   20,
@@ -270,7 +270,7 @@
 			Nets:    []Net{{netip.MustParsePrefix("10.1.0.0/16"), 1000}, {netip.MustParsePrefix("10.2.0.0/16"), 0}},
 		}
 	})
-	r.d.atOnce = &n
+	r.enquirer.immediate = &n
 	flood := func(from string, count int) (answered, slipped, refused int) {
 		r.got, r.size = nil, nil
 		for i := range count {
@@ -301,7 +301,7 @@
 	if a, s, _ := flood("10.1.0.1:1", 1000); a != 1000 || s != 0 {
 		t.Errorf("a known network: %d answered, %d truncated", a, s)
 	}
-	r.now += 5000 // it stalls: what came meanwhile comes at once
+	r.now += 5000 // after a stall, the delayed queries arrive at once
 	r.got = nil
 	for i := range 900 {
 		r.ask(netip.MustParseAddrPort("10.1.0.1:1"), query(name, dns.TypeNAPTR, uint16(2000+i), 1232), false)
@@ -323,11 +323,11 @@
 	for i := range 100000 {
 		r.f.limits.check(r.now, netip.AddrFrom4([4]byte{byte(20 + i>>16), byte(i >> 8), byte(i), 1}))
 	}
-	if n := len(r.f.limits.new) + len(r.f.limits.old); n > 1000 {
+	if n := len(r.f.limits.current) + len(r.f.limits.previous); n > 1000 {
 		t.Errorf("%d networks remembered", n)
 	}
-	r = newRig(t, func(c *Config) { c.Limits = Limits{Total: 100} })
-	r.d.atOnce = &n
+	r = newTestServer(t, func(c *Config) { c.Limits = Limits{Total: 100} })
+	r.enquirer.immediate = &n
 	answered := 0
 	for i := range 2000 {
 		r.now++
@@ -346,21 +346,21 @@
 	}
 }
 
-// Whatever is asked by datagram, what is sent is no more than the gain, nor more than the client takes; and one message
-// for each that came, at most.
-func TestGain(t *testing.T) {
+// A UDP response exceeds neither the amplification limit nor the size that the client accepts, and each query gets at
+// most one response.
+func TestAmplificationBounded(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		gain := rapid.Float64Range(1, 10).Draw(rt, "gain")
-		r := newRig(t, func(c *Config) { c.Gain = gain })
-		n := r.d.named()
+		r := newTestServer(t, func(c *Config) { c.Gain = gain })
+		n := r.enquirer.success()
 		n.Params = strings.Repeat("x", rapid.IntRange(0, 200).Draw(rt, "long"))
 		switch rapid.IntRange(0, 2).Draw(rt, "what") {
 		case 0:
-			r.d.atOnce = &n
+			r.enquirer.immediate = &n
 		case 1:
-			r.d.atOnce = &b2bua.EnquiryResult{Code: 404}
+			r.enquirer.immediate = &b2bua.EnquiryResult{Code: 404}
 		case 2:
-			r.d.atOnce = &b2bua.EnquiryResult{Code: 503, Reason: strings.Repeat("y", 50), RetryAfter: 3}
+			r.enquirer.immediate = &b2bua.EnquiryResult{Code: 503, Reason: strings.Repeat("y", 50), RetryAfter: 3}
 		}
 		edns := uint16(rapid.SampledFrom([]int{0, 100, 512, 1232, 65535}).Draw(rt, "edns"))
 		q := query(
@@ -370,11 +370,11 @@
 			edns,
 		)
 		b, _ := q.Pack()
-		r.ask(kiosk, q, false)
+		r.ask(clientAddr, q, false)
 		if len(r.got) != 1 {
 			rt.Fatalf("%d answers", len(r.got))
 		}
-		// a truncated one holds the question alone
+		// a truncated response holds only the question
 		if s := r.size[0]; float64(s) > max(gain*float64(len(b)), float64(len(b))) || s > 1232 || edns < 513 && s > 512 {
 			rt.Fatalf("%d octets for %d, gain %.1f, edns %d", s, len(b), gain, edns)
 		}
@@ -386,11 +386,11 @@
 	f.Add(b, true)
 	f.Add([]byte{0, 1, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 1}, true)
 	f.Fuzz(func(t *testing.T, b []byte, stream bool) {
-		r := newRig(t, nil)
-		n := r.d.named()
-		r.d.atOnce = &n
+		r := newTestServer(t, nil)
+		n := r.enquirer.success()
+		r.enquirer.immediate = &n
 		sent := 0
-		r.f.Receive(1, kiosk, b, stream, func(out []byte) {
+		r.f.Receive(1, clientAddr, b, stream, func(out []byte) {
 			sent++
 			if !stream && float64(len(out)) > 8*float64(len(b)) {
 				t.Errorf("%d octets for %d", len(out), len(b))
--- a/internal/protocol/portability/finder_test.go
+++ b/internal/protocol/portability/finder_test.go
@@ -9,17 +9,17 @@
 	"cobaltpier/internal/protocol/dnsclient"
 )
 
-// book answers at once, or when it is told to.
-type book struct {
-	of      map[string]dnsclient.Answer
-	waiting []func()
-	later   bool
-	withins []float64
-	stopped int
+// fakeResolver answers immediately, or with later set when the test runs the waiting callbacks.
+type fakeResolver struct {
+	of       map[string]dnsclient.Answer
+	waiting  []func()
+	later    bool
+	timeouts []float64
+	stopped  int
 }
 
-func (b *book) Query(now float64, name string, within float64, done func(float64, dnsclient.Answer)) func() {
-	b.withins = append(b.withins, within)
+func (b *fakeResolver) Query(now float64, name string, within float64, done func(float64, dnsclient.Answer)) func() {
+	b.timeouts = append(b.timeouts, within)
 	a, ok := b.of[name]
 	if !ok {
 		a.Status = dnsclient.Failed
@@ -36,9 +36,9 @@
 
 func tel(re string) enum.Rule { return enum.Rule{Flags: "u", Service: "E2U+pstn:tel", Regexp: re} }
 
-func TestFind(t *testing.T) {
+func TestResolve(t *testing.T) {
 	loop := rules(enum.Rule{Replacement: "1.p.test."})
-	b := &book{of: map[string]dnsclient.Answer{
+	b := &fakeResolver{of: map[string]dnsclient.Answer{
 		"1.p.test.":   loop,
 		"2.p.test.":   rules(tel(`!^(.*)$!tel:\1;npdi;rn=+1514!`)),
 		"8.7.p.test.": rules(tel(`!^(.*)$!tel:\1;npdi;rn=+1514;cic=+1-6789!`)),
@@ -69,9 +69,9 @@
 	}
 }
 
-// All steps together have the time that was given, and a question that was taken back is not answered.
-func TestTime(t *testing.T) {
-	b := &book{
+// All steps share one deadline, and a canceled look-up is not answered.
+func TestDeadlineAndCancel(t *testing.T) {
+	b := &fakeResolver{
 		later: true,
 		of: map[string]dnsclient.Answer{
 			"7.p.test.": rules(enum.Rule{Replacement: "2.p.test."}),
@@ -82,12 +82,12 @@
 	calls := 0
 	stop := f.Resolve(0, "7", 500, func(float64, numberplan.Found) { calls++ })
 	b.waiting[0]()
-	if len(b.withins) != 2 || b.withins[1] != 400 {
-		t.Errorf("times given: %v", b.withins)
+	if len(b.timeouts) != 2 || b.timeouts[1] != 400 {
+		t.Errorf("times given: %v", b.timeouts)
 	}
 	stop()
 	b.waiting[1]()
 	if calls != 0 || b.stopped != 1 {
-		t.Errorf("answered %d times after it was taken back, stopped %d", calls, b.stopped)
+		t.Errorf("answered %d times after it was canceled, stopped %d", calls, b.stopped)
 	}
 }
