--- a/internal/protocol/enumserver/limit.go
+++ b/internal/protocol/enumserver/limit.go
@@ -40,7 +40,7 @@
 
 // limiter is a rate limiter by client network, a /24 of IPv4 or a /56 of IPv6, which usually belongs to one holder.
 type limiter struct {
-	set       Limits
+	limits    Limits
 	nets      *bart.Table[float64]
 	current   map[netip.Prefix]*rate.Limiter
 	previous  map[netip.Prefix]*rate.Limiter
@@ -48,36 +48,37 @@
 	overLimit uint64
 }
 
-func newLimiter(set Limits) *limiter {
+func newLimiter(limits Limits) *limiter {
 	l := &limiter{
-		set:     set,
+		limits:  limits,
 		nets:    &bart.Table[float64]{},
 		current: map[netip.Prefix]*rate.Limiter{},
-		total:   bucket(set.Total, set.Total/10),
+		total:   newBucket(limits.Total, limits.Total/10),
 	}
-	for _, n := range set.Nets {
+	for _, n := range limits.Nets {
 		l.nets.Insert(n.Prefix.Masked(), n.Rate)
 	}
 	return l
 }
 
-// bucket returns a token bucket with the given rate per second and burst.
-func bucket(each, burst float64) *rate.Limiter {
-	return rate.NewLimiter(rate.Limit(each), int(math.Max(1, burst)))
+// newBucket returns a token bucket with the given rate per second and burst.
+func newBucket(perSecond, burst float64) *rate.Limiter {
+	return rate.NewLimiter(rate.Limit(perSecond), int(math.Max(1, burst)))
 }
 
 // check decides what to do with a query from an address.
 func (l *limiter) check(now float64, from netip.Addr) Verdict {
 	from = from.Unmap()
-	each, burst := l.set.Rate, l.set.Burst
+	perSecond, burst := l.limits.Rate, l.limits.Burst
 	if r, ok := l.nets.Lookup(from); ok {
 		if r <= 0 {
 			return Refuse
 		}
-		each, burst = r, math.Max(burst, r) // after a stall of this process, the queries of a second arrive at once
+		perSecond, burst = r, math.Max(burst, r) // after a stall of this process, the queries of a second arrive at once
 	}
 	at := time.Unix(0, int64(now*1e6))
-	if each > 0 && !l.client(from, each, burst).AllowN(at, 1) || l.set.Total > 0 && !l.total.AllowN(at, 1) {
+	if perSecond > 0 && !l.clientBucket(from, perSecond, burst).AllowN(at, 1) ||
+		l.limits.Total > 0 && !l.total.AllowN(at, 1) {
 		return l.slipOrDrop()
 	}
 	return Answer
@@ -93,9 +94,9 @@
 	return Drop
 }
 
-// client returns the bucket of an address's network. Two generations of buckets are kept, which bounds the memory that
-// a flood of forged addresses can use. Evicting a bucket only resets the tokens of its network.
-func (l *limiter) client(from netip.Addr, each, burst float64) *rate.Limiter {
+// clientBucket returns the bucket of an address's network. Two generations of buckets are kept, which bounds the memory
+// that a flood of forged addresses can use. Evicting a bucket only resets the tokens of its network.
+func (l *limiter) clientBucket(from netip.Addr, perSecond, burst float64) *rate.Limiter {
 	bits := 24
 	if from.Is6() {
 		bits = 56
@@ -109,9 +110,9 @@
 	}
 	b := l.previous[p]
 	if b == nil {
-		b = bucket(each, burst)
+		b = newBucket(perSecond, burst)
 	}
-	if len(l.current) >= max(1, l.set.Clients/2) {
+	if len(l.current) >= max(1, l.limits.Clients/2) {
 		l.previous, l.current = l.current, map[netip.Prefix]*rate.Limiter{}
 	}
 	l.current[p] = b
--- a/internal/protocol/enumserver/server.go
+++ b/internal/protocol/enumserver/server.go
@@ -59,14 +59,14 @@
 
 // Server answers ENUM queries. It is not safe for concurrent use.
 type Server struct {
-	Counts Counts
-	cfg    Config
-	ask    Enquirer
-	limits *limiter
-	open   map[queryKey]*pendingQuery
-	kept   []cachedResult // answered queries kept for repeats, oldest first
-	waits  int            // queries that await their enquiry
-	now    float64
+	Counts     Counts
+	cfg        Config
+	enquirer   Enquirer
+	limits     *limiter
+	open       map[queryKey]*pendingQuery
+	remembered []rememberedQuery // answered queries kept for repeats, oldest first
+	pending    int               // queries that await their enquiry
+	now        float64
 }
 
 // queryKey identifies a repeated query: client address, id and name.
@@ -79,42 +79,42 @@
 // pendingQuery is a query that awaits its enquiry, or whose answer is kept for repeats.
 type pendingQuery struct {
 	replies []replyTo // to be answered by the enquiry
-	named   *b2bua.EnquiryResult
+	result  *b2bua.EnquiryResult
 	stop    func()
 }
 
-type cachedResult struct {
-	key   queryKey
-	of    *pendingQuery
-	until float64
+type rememberedQuery struct {
+	key     queryKey
+	query   *pendingQuery
+	expires float64
 }
 
 type replyTo struct {
-	msg  *dns.Msg // the query
-	size int      // maximum response size in octets; 0: unlimited, over TCP
-	send func([]byte)
+	msg     *dns.Msg // the query
+	maxSize int      // maximum response size in octets; 0: unlimited, over TCP
+	send    func([]byte)
 }
 
 // New returns a server.
-func New(cfg Config, ask Enquirer) *Server {
+func New(cfg Config, enquirer Enquirer) *Server {
 	cfg.Apex = dns.Fqdn(strings.ToLower(cfg.Apex))
-	return &Server{cfg: cfg, ask: ask, limits: newLimiter(cfg.Limits), open: map[queryKey]*pendingQuery{}}
+	return &Server{cfg: cfg, enquirer: enquirer, limits: newLimiter(cfg.Limits), open: map[queryKey]*pendingQuery{}}
 }
 
 // dropExpired removes expired answers, and the oldest ones above the limit Keep.
-func (f *Server) dropExpired() {
+func (s *Server) dropExpired() {
 	n := 0
-	for n < len(f.kept) && (f.now >= f.kept[n].until || len(f.kept)-n > f.cfg.Keep) {
-		if k := f.kept[n]; f.open[k.key] == k.of {
-			delete(f.open, k.key)
+	for n < len(s.remembered) && (s.now >= s.remembered[n].expires || len(s.remembered)-n > s.cfg.Keep) {
+		if k := s.remembered[n]; s.open[k.key] == k.query {
+			delete(s.open, k.key)
 		}
 		n++
 	}
-	f.kept = f.kept[n:]
+	s.remembered = s.remembered[n:]
 }
 
 // OpenCount returns the number of queries held, pending or kept for repeats.
-func (f *Server) OpenCount() int { return len(f.open) }
+func (s *Server) OpenCount() int { return len(s.open) }
 
 const (
 	minUDPSize = 512  // octets: every client accepts this size (RFC 1035 4.2.1)
@@ -124,127 +124,130 @@
 )
 
 // Receive processes a message; send is called at most once, with the response. stream: it arrived over TCP.
-func (f *Server) Receive(now float64, from netip.AddrPort, data []byte, stream bool, send func([]byte)) {
-	f.now = now
-	f.Counts.Queries++
-	f.dropExpired()
+func (s *Server) Receive(now float64, from netip.AddrPort, data []byte, stream bool, send func([]byte)) {
+	s.now = now
+	s.Counts.Queries++
+	s.dropExpired()
 	m := new(dns.Msg)
 	if err := m.Unpack(data); err != nil || m.Response || len(m.Question) != 1 {
-		f.rejectMalformed(m, data, stream, send)
+		s.rejectMalformed(m, data, stream, send)
 		return
 	}
 	r := replyTo{msg: m, send: send}
 	if !stream {
-		switch f.limits.check(now, from.Addr()) {
+		switch s.limits.check(now, from.Addr()) {
 		case Drop:
-			f.Counts.Dropped++
+			s.Counts.Dropped++
 			return
 		case Slip:
-			f.Counts.Slipped++
-			f.respondTruncated(r)
+			s.Counts.Slipped++
+			s.respondTruncated(r)
 			return
 		case Refuse:
-			f.Counts.Refused++
-			f.respondCode(r, dns.RcodeRefused)
+			s.Counts.Refused++
+			s.respondCode(r, dns.RcodeRefused)
 			return
 		}
-		r.size = minUDPSize
+		r.maxSize = minUDPSize
 		if e := m.IsEdns0(); e != nil {
-			r.size = int(max(minUDPSize, min(e.UDPSize(), maxUDPSize)))
+			r.maxSize = int(max(minUDPSize, min(e.UDPSize(), maxUDPSize)))
 		}
-		if f.cfg.Gain > 0 {
-			r.size = min(r.size, int(f.cfg.Gain*float64(len(data))))
+		if s.cfg.Gain > 0 {
+			r.maxSize = min(r.maxSize, int(s.cfg.Gain*float64(len(data))))
 		}
 	}
-	f.onQuery(from, r)
+	s.onQuery(from, r)
 }
 
 // rejectMalformed responds to a malformed query over TCP that has at least a header. Responses are never answered.
-func (f *Server) rejectMalformed(m *dns.Msg, data []byte, stream bool, send func([]byte)) {
-	f.Counts.Bad++
+func (s *Server) rejectMalformed(m *dns.Msg, data []byte, stream bool, send func([]byte)) {
+	s.Counts.Bad++
 	if len(data) < 12 || data[2]&0x80 != 0 || !stream {
 		return // over UDP nothing is sent, as the source address may be forged
 	}
 	out := &dns.Msg{
 		MsgHdr: dns.MsgHdr{Id: uint16(data[0])<<8 | uint16(data[1]), Response: true, Rcode: dns.RcodeFormatError},
 	}
-	f.send(replyTo{msg: m, send: send}, out)
+	s.send(replyTo{msg: m, send: send}, out)
 }
 
 // onQuery answers a query, or starts an enquiry for its number.
-func (f *Server) onQuery(from netip.AddrPort, r replyTo) {
+func (s *Server) onQuery(from netip.AddrPort, r replyTo) {
 	q := r.msg.Question[0]
 	name := strings.ToLower(q.Name)
 	switch {
 	case r.msg.Opcode != dns.OpcodeQuery:
-		f.respondCode(r, dns.RcodeNotImplemented)
+		s.respondCode(r, dns.RcodeNotImplemented)
 		return
-	case q.Qclass != dns.ClassINET || !dns.IsSubDomain(f.cfg.Apex, name):
-		f.Counts.Refused++
-		f.respondCode(r, dns.RcodeRefused)
+	case q.Qclass != dns.ClassINET || !dns.IsSubDomain(s.cfg.Apex, name):
+		s.Counts.Refused++
+		s.respondCode(r, dns.RcodeRefused)
 		return
 	}
-	number, err := enum.Number(name, f.cfg.Apex)
-	if name == f.cfg.Apex || err == nil && q.Qtype != dns.TypeNAPTR {
-		f.respondEmpty(r, dns.RcodeSuccess)
+	number, err := enum.Number(name, s.cfg.Apex)
+	if name == s.cfg.Apex || err == nil && q.Qtype != dns.TypeNAPTR {
+		s.respondEmpty(r, dns.RcodeSuccess)
 		return
 	}
 	if err != nil {
-		f.respondEmpty(r, dns.RcodeNameError)
+		s.respondEmpty(r, dns.RcodeNameError)
 		return
 	}
 	k := queryKey{from, r.msg.Id, name}
-	if x := f.open[k]; x != nil {
-		f.Counts.Repeats++
+	if x := s.open[k]; x != nil {
+		s.Counts.Repeats++
 		switch {
-		case x.named == nil: // repeats share the enquiry
+		case x.result == nil: // repeats share the enquiry
 			if len(x.replies) < maxReplies {
 				x.replies = append(x.replies, r)
 			}
 			return
-		case x.named.Code != 200 || x.named.Valid():
-			f.answer(r, x.named)
+		case x.result.Code != 200 || x.result.Valid():
+			s.answer(r, x.result)
 			return
 		}
-		delete(f.open, k) // the endpoint is draining or gone: select again
+		delete(s.open, k) // the endpoint is draining or gone: select again
 	}
-	if f.waits >= f.cfg.MaxPending {
-		f.Counts.Failed++
-		f.respondCode(r, dns.RcodeServerFailure)
+	if s.pending >= s.cfg.MaxPending {
+		s.Counts.Failed++
+		s.respondCode(r, dns.RcodeServerFailure)
 		return
 	}
 	x := &pendingQuery{replies: []replyTo{r}}
-	f.open[k] = x
-	f.waits++
-	stop := f.ask.StartEnquiry(f.now, "+"+number, f.cfg.Class, f.cfg.Patience, func(now float64, n b2bua.EnquiryResult) {
-		f.now = now
-		f.waits--
-		x.named, x.stop = &n, nil
+	s.open[k] = x
+	s.pending++
+	stop := s.enquirer.StartEnquiry(s.now, "+"+number, s.cfg.Class, s.cfg.Patience, func(
+		now float64,
+		n b2bua.EnquiryResult,
+	) {
+		s.now = now
+		s.pending--
+		x.result, x.stop = &n, nil
 		for _, r := range x.replies {
-			f.answer(r, &n)
+			s.answer(r, &n)
 		}
 		x.replies = nil
-		f.kept = append(f.kept, cachedResult{k, x, now + f.cfg.Repeat})
+		s.remembered = append(s.remembered, rememberedQuery{k, x, now + s.cfg.Repeat})
 	})
-	if x.named == nil {
+	if x.result == nil {
 		x.stop = stop
 	}
 }
 
 // Close stops all pending enquiries and answers their queries with an error.
-func (f *Server) Close(now float64) {
-	f.now = now
-	for _, k := range slices.SortedFunc(maps.Keys(f.open), queryKey.compare) {
-		x := f.open[k]
+func (s *Server) Close(now float64) {
+	s.now = now
+	for _, k := range slices.SortedFunc(maps.Keys(s.open), queryKey.compare) {
+		x := s.open[k]
 		if x.stop != nil {
 			x.stop()
 			for _, r := range x.replies {
-				f.respondCode(r, dns.RcodeServerFailure)
+				s.respondCode(r, dns.RcodeServerFailure)
 			}
 		}
-		delete(f.open, k)
+		delete(s.open, k)
 	}
-	f.kept, f.waits = nil, 0
+	s.remembered, s.pending = nil, 0
 }
 
 func (a queryKey) compare(b queryKey) int {
@@ -252,12 +255,12 @@
 }
 
 // answer sends the result of an enquiry. A SIP URI names endpoint and trunk group (RFC 6116 3.4, RFC 3764, RFC 4904).
-func (f *Server) answer(r replyTo, n *b2bua.EnquiryResult) {
+func (s *Server) answer(r replyTo, n *b2bua.EnquiryResult) {
 	switch n.Code {
 	case 200:
-		f.Counts.Named++
-		uri := fmt.Sprintf("sip:%s%s;tgrp=%s;trunk-context=%s@%s", n.Number, n.Params, n.Group, f.cfg.Context, n.Addr)
-		out := f.newResponse(r)
+		s.Counts.Named++
+		uri := fmt.Sprintf("sip:%s%s;tgrp=%s;trunk-context=%s@%s", n.Number, n.Params, n.Group, s.cfg.Context, n.Addr)
+		out := s.newResponse(r)
 		out.Authoritative = true
 		out.Answer = []dns.RR{
 			&dns.NAPTR{
@@ -265,7 +268,7 @@
 					Name:   r.msg.Question[0].Name,
 					Rrtype: dns.TypeNAPTR,
 					Class:  dns.ClassINET,
-					Ttl:    f.cfg.TTL,
+					Ttl:    s.cfg.TTL,
 				},
 				Order:       10,
 				Preference:  10,
@@ -275,12 +278,12 @@
 				Replacement: ".",
 			},
 		}
-		f.send(r, out)
+		s.send(r, out)
 	case 404, 484, 410, 604:
-		f.respondEmpty(r, dns.RcodeNameError)
+		s.respondEmpty(r, dns.RcodeNameError)
 	default: // rejected or failed: resolvers need not cache it (RFC 2308 7); the reason goes into an EDE option (RFC 8914)
-		f.Counts.Failed++
-		out := f.newResponse(r)
+		s.Counts.Failed++
+		out := s.newResponse(r)
 		out.Rcode = dns.RcodeServerFailure
 		if o := out.IsEdns0(); o != nil {
 			text := n.Reason
@@ -289,38 +292,38 @@
 			}
 			o.Option = append(o.Option, &dns.EDNS0_EDE{InfoCode: dns.ExtendedErrorCodeNotReady, ExtraText: text})
 		}
-		f.send(r, out)
+		s.send(r, out)
 	}
 }
 
 // respondEmpty sends a negative response, for a missing name or a missing type, with the SOA record that sets its
 // negative TTL (RFC 2308).
-func (f *Server) respondEmpty(r replyTo, code int) {
-	f.Counts.None++
-	out := f.newResponse(r)
+func (s *Server) respondEmpty(r replyTo, code int) {
+	s.Counts.None++
+	out := s.newResponse(r)
 	out.Authoritative, out.Rcode = true, code
 	out.Ns = []dns.RR{
 		&dns.SOA{
-			Hdr:     dns.RR_Header{Name: f.cfg.Apex, Rrtype: dns.TypeSOA, Class: dns.ClassINET, Ttl: f.cfg.Negative},
-			Ns:      "ns." + f.cfg.Apex,
-			Mbox:    "hostmaster." + f.cfg.Apex,
+			Hdr:     dns.RR_Header{Name: s.cfg.Apex, Rrtype: dns.TypeSOA, Class: dns.ClassINET, Ttl: s.cfg.Negative},
+			Ns:      "ns." + s.cfg.Apex,
+			Mbox:    "hostmaster." + s.cfg.Apex,
 			Serial:  1,
 			Refresh: 3600,
 			Retry:   600,
 			Expire:  86400,
-			Minttl:  f.cfg.Negative,
+			Minttl:  s.cfg.Negative,
 		},
 	}
-	f.send(r, out)
+	s.send(r, out)
 }
 
-func (f *Server) respondCode(r replyTo, code int) {
-	out := f.newResponse(r)
+func (s *Server) respondCode(r replyTo, code int) {
+	out := s.newResponse(r)
 	out.Rcode = code
-	f.send(r, out)
+	s.send(r, out)
 }
 
-func (f *Server) newResponse(r replyTo) *dns.Msg {
+func (s *Server) newResponse(r replyTo) *dns.Msg {
 	out := new(dns.Msg)
 	out.SetReply(r.msg)
 	if r.msg.IsEdns0() != nil {
@@ -330,27 +333,27 @@
 }
 
 // respondTruncated tells a client to retry over TCP. The response is no longer than the query.
-func (f *Server) respondTruncated(r replyTo) {
+func (s *Server) respondTruncated(r replyTo) {
 	out := new(dns.Msg)
 	out.SetReply(r.msg)
 	out.Truncated = true
-	f.write(r, out)
+	s.write(r, out)
 }
 
 // send sends a response, truncated if it exceeds the maximum size.
-func (f *Server) send(r replyTo, out *dns.Msg) {
-	if r.size > 0 && out.Len() > r.size {
-		f.Counts.Truncated++
-		f.respondTruncated(r)
+func (s *Server) send(r replyTo, out *dns.Msg) {
+	if r.maxSize > 0 && out.Len() > r.maxSize {
+		s.Counts.Truncated++
+		s.respondTruncated(r)
 		return
 	}
-	f.write(r, out)
+	s.write(r, out)
 }
 
-func (f *Server) write(r replyTo, out *dns.Msg) {
+func (s *Server) write(r replyTo, out *dns.Msg) {
 	b, err := out.Pack()
 	if err != nil { // a text is too long for a character string (RFC 1035 3.3)
-		f.Counts.Failed++
+		s.Counts.Failed++
 		fail := new(dns.Msg)
 		fail.SetRcode(r.msg, dns.RcodeServerFailure)
 		if b, err = fail.Pack(); err != nil {
--- a/internal/protocol/portability/finder.go
+++ b/internal/protocol/portability/finder.go
@@ -53,7 +53,7 @@
 		return func() {}
 	}
 	until, seen := now+within, map[string]bool{}
-	over, undo := false, func() {}
+	canceled, cancelQuery := false, func() {}
 	var step func(now float64, name string)
 	step = func(now float64, name string) {
 		if seen[name] || len(seen) == maxSteps {
@@ -62,8 +62,8 @@
 			return
 		}
 		seen[name] = true
-		take := func(now float64, a dnsclient.Answer) {
-			if over {
+		onAnswer := func(now float64, a dnsclient.Answer) {
+			if canceled {
 				return
 			}
 			if a.Stale {
@@ -76,17 +76,17 @@
 			}
 			done(now, found)
 		}
-		undo = f.Resolver.Query(now, name, until-now, take)
+		cancelQuery = f.Resolver.Query(now, name, until-now, onAnswer)
 	}
 	step(now, name)
 	return func() {
-		over = true
-		undo()
+		canceled = true
+		cancelQuery()
 	}
 }
 
 // interpret returns the next domain of a non-terminal rule, or the final result.
-func (f *Finder) interpret(full string, a dnsclient.Answer) (next string, found numberplan.Found) {
+func (f *Finder) interpret(number string, a dnsclient.Answer) (next string, found numberplan.Found) {
 	switch a.Status {
 	case dnsclient.Failed:
 		f.Counts.Silent++
@@ -95,7 +95,7 @@
 		f.Counts.Same++
 		return "", numberplan.Found{Answer: numberplan.NotPorted}
 	}
-	res, err := enum.Apply(full, a.Rules, f.Services...)
+	res, err := enum.Apply(number, a.Rules, f.Services...)
 	switch {
 	case errors.Is(err, enum.ErrNoRule): // rules for other services only
 		f.Counts.Same++
