--- a/internal/protocol/dnsclient/client.go
+++ b/internal/protocol/dnsclient/client.go
@@ -112,7 +112,7 @@
 	done       func(now float64, a Answer)
 	deadline   *timerqueue.Timer
 	staleTimer *timerqueue.Timer // serves a stale answer
-	finished   bool
+	closed     bool              // answered or canceled
 }
 
 const (
@@ -217,7 +217,7 @@
 		a.staleTimer = c.timers.Schedule(now+c.cfg.StaleAfter, func() { c.respondEarly(a, c.cache.stale(c.now, name)) })
 	}
 	return func() {
-		a.finished = true
+		a.closed = true
 		c.timers.Cancel(a.deadline)
 		c.timers.Cancel(a.staleTimer)
 	}
@@ -244,10 +244,10 @@
 
 // respondEarly responds to a waiter before its look-up has finished.
 func (c *Client) respondEarly(w *waiter, stale *entry) {
-	if w.finished {
+	if w.closed {
 		return
 	}
-	w.finished = true
+	w.closed = true
 	c.timers.Cancel(w.deadline)
 	c.timers.Cancel(w.staleTimer)
 	c.respondFromCache(c.now, stale, w.done)
@@ -378,10 +378,10 @@
 		delete(c.streams, q.token)
 	}
 	for _, w := range l.waiters {
-		if w.finished {
+		if w.closed {
 			continue
 		}
-		w.finished = true
+		w.closed = true
 		c.timers.Cancel(w.deadline)
 		c.timers.Cancel(w.staleTimer)
 		w.done(c.now, answerFor(w))
