--- a/internal/gateway/sipserver/numbers.go
+++ b/internal/gateway/sipserver/numbers.go
@@ -77,12 +77,12 @@
 	n.keeper = tableversions.New(n, n.initialTable, shelf)
 	table := n.initialTable
 	n.server.log.Info().Str("table", table.Name).Uint64("version", table.Version).
-		Str("checksum", table.Sum[:shownChecksum]).Int("rules", table.Size()).Msg("number table")
+		Str("checksum", table.Sum[:loggedChecksumDigits]).Int("rules", table.Size()).Msg("number table")
 	return nil
 }
 
-// shownChecksum is how many digits of a table's checksum stand in the log.
-const shownChecksum = 16
+// loggedChecksumDigits is how many digits of a table's checksum stand in the log.
+const loggedChecksumDigits = 16
 
 func (n *numberService) recoverTable() (tableversions.Shelf, error) {
 	store, err := tablestore.Open(n.config.Store)
@@ -185,8 +185,8 @@
 // NextWakeup implements b2bua.Lookup.
 func (n *numberService) NextWakeup() float64 { return n.client.NextWakeup() }
 
-// answered takes a datagram of the resolver's ports.
-func (n *numberService) answered(now float64, e event) {
+// onDNSResponse takes a datagram of the resolver's ports.
+func (n *numberService) onDNSResponse(now float64, e event) {
 	for i, p := range n.ports {
 		if p == e.local {
 			n.client.Receive(now, i, e.from, e.data)
@@ -203,7 +203,7 @@
 // Stream implements dnsclient.Transport (RFC 1035 4.2.2): truncated answers are rare, so a goroutine for each will do.
 func (n *numberService) Stream(token uint64, to netip.AddrPort, data []byte, within float64) {
 	go func() {
-		b, err := overTCP(to, data, time.Duration(within*1e6))
+		b, err := exchangeTCP(to, data, time.Duration(within*1e6))
 		if err != nil {
 			n.server.log.Debug().Err(err).Stringer("server", to).Msg("look-up by stream")
 			b = nil
@@ -212,7 +212,7 @@
 	}()
 }
 
-func overTCP(to netip.AddrPort, data []byte, within time.Duration) ([]byte, error) {
+func exchangeTCP(to netip.AddrPort, data []byte, within time.Duration) ([]byte, error) {
 	c, err := dns.DialTimeout("tcp", to.String(), within)
 	if err != nil {
 		return nil, err
@@ -270,18 +270,18 @@
 	ctx context.Context // ends with the gateway
 }
 
-// in runs something in the loop and waits for its word.
-func (a *admin) in(ctx context.Context, do func(done func(error))) error {
-	said := make(chan error, 1)
+// runInLoop runs something in the loop and waits for its word.
+func (a *admin) runInLoop(ctx context.Context, do func(done func(error))) error {
+	result := make(chan error, 1)
 	select {
-	case a.n.server.events <- event{kind: callback, do: func(float64) { do(func(err error) { said <- err }) }}:
+	case a.n.server.events <- event{kind: callback, do: func(float64) { do(func(err error) { result <- err }) }}:
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-a.ctx.Done():
 		return status.Error(codes.Unavailable, "the gateway ends")
 	}
 	select {
-	case err := <-said:
+	case err := <-result:
 		return err
 	case <-ctx.Done():
 		return ctx.Err()
@@ -292,8 +292,8 @@
 
 // Put implements the service.
 func (a *admin) Put(ctx context.Context, req *api.PutTable) (*api.TableState, error) {
-	if err := a.in(ctx, func(done func(error)) { a.n.keeper.Put(req.Table, req.Note, done) }); err != nil {
-		return nil, asStatus(err)
+	if err := a.runInLoop(ctx, func(done func(error)) { a.n.keeper.Put(req.Table, req.Note, done) }); err != nil {
+		return nil, statusError(err)
 	}
 	return a.state(ctx)
 }
@@ -303,13 +303,13 @@
 	if a.n.store == nil {
 		return nil, status.Error(codes.FailedPrecondition, "numbers: without a store nothing is kept to go back to")
 	}
-	if err := a.in(ctx, func(done func(error)) { a.n.keeper.Back(done) }); err != nil {
-		return nil, asStatus(err)
+	if err := a.runInLoop(ctx, func(done func(error)) { a.n.keeper.Back(done) }); err != nil {
+		return nil, statusError(err)
 	}
 	return a.state(ctx)
 }
 
-func asStatus(err error) error {
+func statusError(err error) error {
 	if status.Code(err) != codes.Unknown {
 		return err
 	}
@@ -323,7 +323,7 @@
 
 func (a *admin) state(ctx context.Context) (*api.TableState, error) {
 	s := &api.TableState{}
-	err := a.in(ctx, func(done func(error)) {
+	err := a.runInLoop(ctx, func(done func(error)) {
 		k := a.n.keeper
 		t := k.Running
 		s.Running = &api.KeptTable{
@@ -351,7 +351,7 @@
 // Explain implements the service.
 func (a *admin) Explain(ctx context.Context, req *api.ExplainRequest) (*api.Explained, error) {
 	var t *numberplan.Table
-	if err := a.in(ctx, func(done func(error)) { t = a.n.keeper.Running; done(nil) }); err != nil {
+	if err := a.runInLoop(ctx, func(done func(error)) { t = a.n.keeper.Running; done(nil) }); err != nil {
 		return nil, err
 	}
 	at := time.Now()
--- a/internal/gateway/sipserver/numbers_test.go
+++ b/internal/gateway/sipserver/numbers_test.go
@@ -58,7 +58,7 @@
 func TestNumbers(t *testing.T) {
 	now := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, now) })
-	k, list := start(t)
+	k, list := startListServer(t)
 	sw, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.72.0.19:19062")))
 	if err != nil {
 		t.Fatal(err)
@@ -123,7 +123,7 @@
 		k.send <- &api.Update{Version: 3, Whole: true, Members: []*api.Member{{Id: "m", State: api.State_READY, AgeMs: -1,
 			Addr: "127.72.0.19:19062"}}}
 		go func() {
-			out, err := Run(context.Background(), read(), mind, zerolog.Nop(), stop)
+			out, err := Run(context.Background(), read(), newRouter, zerolog.Nop(), stop)
 			over <- end{out, err}
 		}()
 	}
--- a/internal/gateway/sipserver/server.go
+++ b/internal/gateway/sipserver/server.go
@@ -352,7 +352,7 @@
 			s.agent.OnPeerMessage(now, int(binary.BigEndian.Uint16(e.data)), e.data[gossipHeaderSize:])
 		}
 	case dnsResponse:
-		s.numbers.answered(now, e)
+		s.numbers.onDNSResponse(now, e)
 	case callback:
 		e.do(now)
 	case endpointList:
--- a/internal/gateway/sipserver/server_test.go
+++ b/internal/gateway/sipserver/server_test.go
@@ -20,8 +20,8 @@
 	"cobaltpier/internal/routing"
 )
 
-// keeper is an endpoint list that a test writes.
-type keeper struct {
+// listServer is an endpoint list server whose updates a test sends.
+type listServer struct {
 	api.UnimplementedPoolListServer
 	mu    sync.Mutex
 	asked []uint64
@@ -29,7 +29,7 @@
 	cut   chan struct{}
 }
 
-func (k *keeper) Follow(req *api.FollowRequest, stream grpc.ServerStreamingServer[api.Update]) error {
+func (k *listServer) Follow(req *api.FollowRequest, stream grpc.ServerStreamingServer[api.Update]) error {
 	k.mu.Lock()
 	k.asked = append(k.asked, req.Have)
 	k.mu.Unlock()
@@ -47,13 +47,13 @@
 	}
 }
 
-func start(t *testing.T) (*keeper, string) {
+func startListServer(t *testing.T) (*listServer, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	k := &keeper{send: make(chan *api.Update, 16), cut: make(chan struct{})}
+	k := &listServer{send: make(chan *api.Update, 16), cut: make(chan struct{})}
 	s := grpc.NewServer()
 	api.RegisterPoolListServer(s, k)
 	go func() { _ = s.Serve(l) }() // ends with Stop
@@ -96,7 +96,7 @@
 	return s
 }
 
-func mind(s *routing.Settings, h routing.Host) routing.Policy { return router.New(s, h) }
+func newRouter(s *routing.Settings, h routing.Host) routing.Policy { return router.New(s, h) }
 
 type end struct {
 	out Outcome
@@ -133,12 +133,13 @@
 	return v
 }
 
-// TestLife runs a gateway on real sockets: a call is set up at the endpoint that the list names, the gateway drains
-// while it is not answered yet and while it stands, answers and releases it, and ends with nothing left over.
-func TestLife(t *testing.T) {
+// TestGatewayLifecycle runs a gateway on real sockets. A call is set up at the listed endpoint; the gateway starts to
+// drain before the call is answered, passes the answer on, releases the call when the drain timeout is over and exits
+// without leaked goroutines. A second stop signal ends the gateway at once.
+func TestGatewayLifecycle(t *testing.T) {
 	now := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, now) }) // after the list has stopped
-	k, addr := start(t)
+	k, addr := startListServer(t)
 	sw, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.72.0.9:19062")))
 	if err != nil {
 		t.Fatal(err)
@@ -154,7 +155,7 @@
 	set := config(t, addr, 1, "200ms", "")
 	stop, over := make(chan struct{}, 4), make(chan end, 1)
 	go func() {
-		out, err := Run(context.Background(), set, mind, zerolog.Nop(), stop)
+		out, err := Run(context.Background(), set, newRouter, zerolog.Nop(), stop)
 		over <- end{out, err}
 	}()
 	invite := func(id string) {
@@ -215,14 +216,14 @@
 	k.send <- &api.Update{Version: 3, Whole: true, Members: []*api.Member{{Id: "m", State: api.State_READY, AgeMs: -1,
 		Addr: "127.72.0.9:19062"}}}
 	go func() {
-		out, err := Run(context.Background(), set, mind, zerolog.Nop(), stop)
+		out, err := Run(context.Background(), set, newRouter, zerolog.Nop(), stop)
 		over <- end{out, err}
 	}()
 	rung("three")
 	if _, err := Run(
 		context.Background(),
 		set,
-		mind,
+		newRouter,
 		zerolog.Nop(),
 		nil,
 	); err == nil ||
@@ -236,13 +237,14 @@
 	}
 }
 
-// TestListComesBack cuts the list's stream: the gateway keeps what it had and comes back with the version of that.
-func TestListComesBack(t *testing.T) {
-	k, addr := start(t)
+// TestEndpointListReconnect cuts the stream of the endpoint list: the gateway reconnects with the version that it has,
+// and asks for the whole list after a gap in the versions.
+func TestEndpointListReconnect(t *testing.T) {
+	k, addr := startListServer(t)
 	set := config(t, addr, 2, "0s", "")
 	stop, over := make(chan struct{}, 4), make(chan end, 1)
 	go func() {
-		out, err := Run(context.Background(), set, mind, zerolog.Nop(), stop)
+		out, err := Run(context.Background(), set, newRouter, zerolog.Nop(), stop)
 		over <- end{out, err}
 	}()
 	k.send <- &api.Update{Version: 7, Whole: true, Members: []*api.Member{{Id: "m", State: api.State_READY, AgeMs: -1,
--- a/internal/protocol/b2bua/agent.go
+++ b/internal/protocol/b2bua/agent.go
@@ -99,22 +99,22 @@
 	*callcontrol.Controller
 	OnCallEnd func(CallRecord) // may be nil
 
-	config    *Config
-	transport Transport
-	names     siptransaction.Generator
-	sip       *siptransaction.Layer
-	addresses map[*routing.Endpoint]netip.AddrPort
-	groups    map[int]*Group     // by endpoint
-	byName    map[string]*Group  // by tgrp
-	dialogs   map[string]*dialog // by local tag
-	refusals  loadshed.Refusals
-	table     *numberplan.Table
-	tables    map[*numberplan.Table]int // with the calls without a final answer that use each
-	draws     uint64
+	config              *Config
+	transport           Transport
+	ids                 siptransaction.Generator
+	sip                 *siptransaction.Layer
+	addresses           map[*routing.Endpoint]netip.AddrPort
+	groupsByDestination map[int]*Group     // by endpoint
+	groupsByName        map[string]*Group  // by tgrp
+	dialogs             map[string]*dialog // by local tag
+	refusals            loadshed.Refusals
+	table               *numberplan.Table
+	tables              map[*numberplan.Table]int // with the calls without a final answer that use each
+	drawCount           uint64
 }
 
 // New makes an agent; mk makes its routing policy.
-func New(cfg *Config, mk routing.PolicyFactory, out Transport) *Agent {
+func New(cfg *Config, newPolicy routing.PolicyFactory, out Transport) *Agent {
 	a := &Agent{
 		Controller: callcontrol.New(
 			&callcontrol.Config{
@@ -124,28 +124,28 @@
 				DisabledGuard: cfg.DisabledGuard,
 			},
 		),
-		config:    cfg,
-		transport: out,
-		addresses: map[*routing.Endpoint]netip.AddrPort{},
-		groups:    map[int]*Group{},
-		byName:    map[string]*Group{},
-		dialogs:   map[string]*dialog{},
-		table:     cfg.Table,
-		tables:    map[*numberplan.Table]int{},
+		config:              cfg,
+		transport:           out,
+		addresses:           map[*routing.Endpoint]netip.AddrPort{},
+		groupsByDestination: map[int]*Group{},
+		groupsByName:        map[string]*Group{},
+		dialogs:             map[string]*dialog{},
+		table:               cfg.Table,
+		tables:              map[*numberplan.Table]int{},
 	}
 	h := fnv.New64a()
 	h.Write([]byte(cfg.Name))
-	a.names.Seed = cfg.Settings.Seed ^ h.Sum64()
+	a.ids.Seed = cfg.Settings.Seed ^ h.Sum64()
 	for i := range cfg.Groups {
 		g := &cfg.Groups[i]
-		a.groups[g.DestinationID], a.byName[g.Name] = g, g
+		a.groupsByDestination[g.DestinationID], a.groupsByName[g.Name] = g, g
 	}
 	a.refusals.Retention = 64 * cfg.Times.T1
-	a.sip = siptransaction.NewLayer(cfg.Address, cfg.Times, &a.names, &a.Timers, a, out.Send)
+	a.sip = siptransaction.NewLayer(cfg.Address, cfg.Times, &a.ids, &a.Timers, a, out.Send)
 	if cfg.Parse != nil {
 		a.sip.Parse = cfg.Parse
 	}
-	a.Router = mk(cfg.Settings, a)
+	a.Router = newPolicy(cfg.Settings, a)
 	return a
 }
 
@@ -165,7 +165,7 @@
 
 // OnEndpointList takes an endpoint list, complete or of changes only. It counts at once (rule 3): setups to an endpoint
 // that drains or is gone are not retransmitted any more.
-func (a *Agent) OnEndpointList(now float64, list []ListEntry, whole bool) {
+func (a *Agent) OnEndpointList(now float64, list []ListEntry, complete bool) {
 	a.Now, a.sip.Now = now, now
 	entries := make([]endpointset.Entry[string], len(list))
 	for i, m := range list {
@@ -176,11 +176,11 @@
 			StartedAt:     m.StartedAt,
 		}
 	}
-	changed := a.Endpoints.Apply(entries, whole)
+	changed := a.Endpoints.Apply(entries, complete)
 	for _, m := range list {
 		endpoint := a.Endpoints.ByID(m.ID)
 		if _, known := a.addresses[endpoint]; !known {
-			if g := a.groups[endpoint.DestinationID]; g != nil {
+			if g := a.groupsByDestination[endpoint.DestinationID]; g != nil {
 				endpoint.LoadReport.Capacity, endpoint.LoadReport.Free = float64(g.Circuits), float64(g.Circuits)
 			}
 		}
@@ -246,9 +246,9 @@
 	req := sip.NewRequest(sip.OPTIONS, sip.Uri{Scheme: "sip", Host: to.Addr().String(), Port: int(to.Port())})
 	a.addCommonHeaders(
 		req,
-		&sip.FromHeader{Address: a.ownURI(""), Params: sip.HeaderParams{{K: "tag", V: a.names.Next()}}},
+		&sip.FromHeader{Address: a.ownURI(""), Params: sip.HeaderParams{{K: "tag", V: a.ids.Next()}}},
 		&sip.ToHeader{Address: req.Recipient},
-		a.names.Next()+"@"+a.config.Name,
+		a.ids.Next()+"@"+a.config.Name,
 		1,
 	)
 	a.sip.Send(req, to, overloadControlParams, func(res *sip.Response) {
@@ -272,18 +272,18 @@
 	case req.Method == sip.INVITE && tag == "":
 		a.onInvite(s, req)
 	case req.Method == sip.OPTIONS && tag == "":
-		s.Respond(siptransaction.Response(req, 200, "OK", a.names.Next()))
+		s.Respond(siptransaction.Response(req, 200, "OK", a.ids.Next()))
 	case tag != "" && d == nil:
 		s.Respond(siptransaction.Response(req, 481, "Call/Transaction Does Not Exist", ""))
 	case req.Method == sip.BYE && d != nil:
 		s.Respond(siptransaction.Response(req, 200, "OK", ""))
-		d.bye(req)
+		d.onBye(req)
 	case req.Method == sip.INVITE:
 		s.Respond(siptransaction.Response(req, 488, "Not Acceptable Here", "")) // the call goes on as it is
 	case req.Method == sip.OPTIONS:
 		s.Respond(siptransaction.Response(req, 200, "OK", ""))
 	default:
-		res := siptransaction.Response(req, 405, "Method Not Allowed", a.names.Next())
+		res := siptransaction.Response(req, 405, "Method Not Allowed", a.ids.Next())
 		res.AppendHeader(sip.NewHeader("Allow", "INVITE, ACK, CANCEL, BYE, OPTIONS"))
 		s.Respond(res)
 	}
--- a/internal/protocol/b2bua/agent_test.go
+++ b/internal/protocol/b2bua/agent_test.go
@@ -13,53 +13,54 @@
 )
 
 var (
-	self    = netip.MustParseAddrPort("127.0.0.1:5060")
-	caller  = netip.MustParseAddrPort("127.0.0.2:5060")
-	switchA = netip.MustParseAddrPort("127.0.0.3:5060")
-	switchB = netip.MustParseAddrPort("127.0.0.4:5060")
+	gatewayAddr = netip.MustParseAddrPort("127.0.0.1:5060")
+	caller      = netip.MustParseAddrPort("127.0.0.2:5060")
+	switchA     = netip.MustParseAddrPort("127.0.0.3:5060")
+	switchB     = netip.MustParseAddrPort("127.0.0.4:5060")
 )
 
 // A whole call, with the load report, and its release by the caller.
 func TestCall(t *testing.T) {
 	r := newTestHost(t)
-	r.get(caller, callerSays("INVITE", "1a", ""))
-	inv := r.sent(switchA, "INVITE sip:+14185550123;tgrp=TG-0;trunk-context=x.example@127.0.0.3")
-	r.pass(151)
-	r.sent(caller, "SIP/2.0 100")
+	r.receive(caller, callerRequest("INVITE", "1a", ""))
+	inv := r.expectSent(switchA, "INVITE sip:+14185550123;tgrp=TG-0;trunk-context=x.example@127.0.0.3")
+	r.advance(151)
+	r.expectSent(caller, "SIP/2.0 100")
 	if s := siptransaction.SessionIDOf(inv.(*sip.Request)); s != strings.Repeat("1", 32) {
 		t.Errorf("Session-ID %q on the trunk", s)
 	}
-	r.answer(switchA, inv, 180, "s1", "Cobalt-Load: util=0.5;queue=3;lines=90;free=80")
-	r.sent(caller, "SIP/2.0 180")
-	r.pass(50)
-	r.answer(switchA, inv, 200, "s1", "")
-	r.sent(switchA, "ACK ")
-	ok := r.sent(caller, "SIP/2.0 200")
+	r.respond(switchA, inv, 180, "s1", "Cobalt-Load: util=0.5;queue=3;lines=90;free=80")
+	r.expectSent(caller, "SIP/2.0 180")
+	r.advance(50)
+	r.respond(switchA, inv, 200, "s1", "")
+	r.expectSent(switchA, "ACK ")
+	ok := r.expectSent(caller, "SIP/2.0 200")
 	tag := ";tag=" + siptransaction.Tag(ok.To().Params)
-	if p := r.m.pools[0].LoadReport; p.Utilization != 0.5 || p.QueueLength != 3 || p.Capacity != 90 || p.Free != 80 {
+	if p := r.policy.endpoints[0].LoadReport; p.Utilization != 0.5 || p.QueueLength != 3 ||
+		p.Capacity != 90 || p.Free != 80 {
 		t.Errorf("report %+v", p)
 	}
-	r.pass(900)
+	r.advance(900)
 	if n := r.count(caller, "SIP/2.0 200"); n != 2 {
 		t.Errorf("200 sent %d times in 900 ms without an ACK, want 2", n)
 	}
-	r.get(caller, callerSays("ACK", "1a", tag))
-	r.answer(switchA, inv, 200, "s1", "") // the switch did not get our ACK
+	r.receive(caller, callerRequest("ACK", "1a", tag))
+	r.respond(switchA, inv, 200, "s1", "") // the switch did not get our ACK
 	if n := r.count(switchA, "ACK "); n != 2 {
 		t.Errorf("%d ACKs to the switch, want 2", n)
 	}
-	r.pass(3000)
+	r.advance(3000)
 	if n := r.count(caller, "SIP/2.0 200"); n != 2 {
 		t.Errorf("200 repeated after its ACK")
 	}
-	r.get(caller, callerSays("BYE", "1a", tag))
-	r.sent(switchA, "BYE ")
-	r.heard("report true true", "stood", "ended 0 closed true wait 0")
-	if w, s := r.e.InProgress(); w != 0 || s != 0 {
+	r.receive(caller, callerRequest("BYE", "1a", tag))
+	r.expectSent(switchA, "BYE ")
+	r.expectEvents("report true true", "stood", "ended 0 closed true wait 0")
+	if w, s := r.agent.InProgress(); w != 0 || s != 0 {
 		t.Errorf("held %d, standing %d", w, s)
 	}
-	r.pass(100000)
-	if d, x, timers := r.e.OpenCounts(); d+x+timers != 0 {
+	r.advance(100000)
+	if d, x, timers := r.agent.OpenCounts(); d+x+timers != 0 {
 		t.Errorf("left over: %d dialogs, %d transactions, %d timers", d, x, timers)
 	}
 }
@@ -67,12 +68,12 @@
 // A BYE overtakes the ACK: the 200 is not repeated after it.
 func TestByeOvertakesAck(t *testing.T) {
 	r := newTestHost(t)
-	r.get(caller, callerSays("INVITE", "1e", ""))
-	r.answer(switchA, r.sent(switchA, "INVITE"), 200, "s", "")
-	tag := ";tag=" + siptransaction.Tag(r.sent(caller, "SIP/2.0 200").To().Params)
-	r.get(caller, callerSays("BYE", "1e", tag))
-	r.get(caller, callerSays("ACK", "1e", tag))
-	r.pass(5000)
+	r.receive(caller, callerRequest("INVITE", "1e", ""))
+	r.respond(switchA, r.expectSent(switchA, "INVITE"), 200, "s", "")
+	tag := ";tag=" + siptransaction.Tag(r.expectSent(caller, "SIP/2.0 200").To().Params)
+	r.receive(caller, callerRequest("BYE", "1e", tag))
+	r.receive(caller, callerRequest("ACK", "1e", tag))
+	r.advance(5000)
 	if n := r.count(caller, "SIP/2.0 200"); n != 2 { // of the INVITE and of the BYE
 		t.Errorf("%d answers 200, want 2", n)
 	}
@@ -82,33 +83,34 @@
 // hold-off.
 func TestCancelCrosses200(t *testing.T) {
 	r := newTestHost(t)
-	r.m.ended = func(now float64, x *routing.Attempt) { r.m.h.ScheduleWakeup(now+1, x.Call) }
-	r.m.woken = func(now float64, routed *routing.Call) {
+	r.policy.onAttemptEnd = func(now float64, x *routing.Attempt) { r.policy.host.ScheduleWakeup(now+1, x.Call) }
+	r.policy.onWakeup = func(now float64, routed *routing.Call) {
 		if !routed.Finished && routed.InFlight == nil {
-			r.m.h.StartAttempt(routed, r.m.pools[1], routed.Deadline-now) // before the retry hold-off is over: barred
-			r.m.h.ScheduleWakeup(now+100, routed)
+			// before the retry hold-off is over: blocked
+			r.policy.host.StartAttempt(routed, r.policy.endpoints[1], routed.Deadline-now)
+			r.policy.host.ScheduleWakeup(now+100, routed)
 		}
 	}
-	r.get(caller, callerSays("INVITE", "2a", ""))
-	inv := r.sent(switchA, "INVITE")
-	r.answer(switchA, inv, 180, "s", "")
-	r.m.h.CancelAttempt(r.e.dialogs[siptransaction.Tag(inv.From().Params)].leg.attempt)
-	r.sent(switchA, "CANCEL")
-	r.pass(10)
+	r.receive(caller, callerRequest("INVITE", "2a", ""))
+	inv := r.expectSent(switchA, "INVITE")
+	r.respond(switchA, inv, 180, "s", "")
+	r.policy.host.CancelAttempt(r.agent.dialogs[siptransaction.Tag(inv.From().Params)].leg.attempt)
+	r.expectSent(switchA, "CANCEL")
+	r.advance(10)
 	if r.count(switchB, "INVITE") != 0 {
 		t.Error("second ring while the first was out")
 	}
-	r.answer(switchA, inv, 200, "s", "")
-	r.sent(switchA, "ACK")
-	bye := r.sent(switchA, "BYE")
+	r.respond(switchA, inv, 200, "s", "")
+	r.expectSent(switchA, "ACK")
+	bye := r.expectSent(switchA, "BYE")
 	if tag := siptransaction.Tag(bye.To().Params); tag != "s" {
 		t.Errorf("BYE to tag %q", tag)
 	}
-	r.pass(480)
+	r.advance(480)
 	if r.count(switchB, "INVITE") != 0 {
 		t.Error("ring before the clear wait was over")
 	}
-	r.pass(200)
+	r.advance(200)
 	if r.count(switchB, "INVITE") != 1 {
 		t.Error("no ring after the clear wait")
 	}
@@ -117,70 +119,72 @@
 // A 200 after the time-out: the caller has its answer, the call that stood is released.
 func TestLate200(t *testing.T) {
 	r := newTestHost(t)
-	r.m.ended = func(_ float64, x *routing.Attempt) {
+	r.policy.onAttemptEnd = func(_ float64, x *routing.Attempt) {
 		if !x.Call.Finished {
-			r.m.h.Fail(x.Call)
+			r.policy.host.Fail(x.Call)
 		}
 	}
-	r.get(caller, callerSays("INVITE", "3a", ""))
-	inv := r.sent(switchA, "INVITE")
-	r.pass(8999)
+	r.receive(caller, callerRequest("INVITE", "3a", ""))
+	inv := r.expectSent(switchA, "INVITE")
+	r.advance(8999)
 	if r.count(caller, "SIP/2.0 500") != 0 {
 		t.Error("answered before its time")
 	}
-	r.pass(2)
-	r.sent(caller, "SIP/2.0 500")
+	r.advance(2)
+	r.expectSent(caller, "SIP/2.0 500")
 	n := r.count(switchA, "INVITE")
-	r.answer(switchA, inv, 200, "s", "")
-	r.sent(switchA, "ACK")
-	r.sent(switchA, "BYE")
-	r.pass(20000)
+	r.respond(switchA, inv, 200, "s", "")
+	r.expectSent(switchA, "ACK")
+	r.expectSent(switchA, "BYE")
+	r.advance(20000)
 	if m := r.count(switchA, "INVITE"); m != n {
 		t.Errorf("%d set-ups repeated after the answer", m-n)
 	}
 	if r.count(caller, "SIP/2.0 200") != 0 {
 		t.Error("a second final answer")
 	}
-	r.heard("ended 3 closed false wait 0")
+	r.expectEvents("ended 3 closed false wait 0")
 }
 
 // The time-out before any answer: RFC 3261 9.1 forbids the CANCEL till a provisional one comes, and then asks for it.
 func TestCancelWaitsForProvisional(t *testing.T) {
 	r := newTestHost(t)
-	r.get(caller, callerSays("INVITE", "4a", ""))
-	inv := r.sent(switchA, "INVITE")
-	r.get(caller, callerSays("CANCEL", "4a", ""))
-	r.sent(caller, "SIP/2.0 200")
-	r.sent(caller, "SIP/2.0 487")
+	r.receive(caller, callerRequest("INVITE", "4a", ""))
+	inv := r.expectSent(switchA, "INVITE")
+	r.receive(caller, callerRequest("CANCEL", "4a", ""))
+	r.expectSent(caller, "SIP/2.0 200")
+	r.expectSent(caller, "SIP/2.0 487")
 	if r.count(switchA, "CANCEL") != 0 {
 		t.Error("CANCEL before a provisional answer")
 	}
-	r.answer(switchA, inv, 180, "s", "")
-	r.sent(switchA, "CANCEL")
-	r.answer(switchA, inv, 487, "s", "")
-	r.sent(switchA, "ACK")
-	r.heard("left", "ended 6 closed true wait 0")
+	r.respond(switchA, inv, 180, "s", "")
+	r.expectSent(switchA, "CANCEL")
+	r.respond(switchA, inv, 487, "s", "")
+	r.expectSent(switchA, "ACK")
+	r.expectEvents("left", "ended 6 closed true wait 0")
 }
 
 // The caller cancels while its call is in the retry hold-off.
-func TestCallerLeavesInHoldOff(t *testing.T) {
+func TestCallerCancelsInHoldOff(t *testing.T) {
 	r := newTestHost(t)
-	r.m.ended = func(now float64, x *routing.Attempt) { r.m.h.ScheduleWakeup(now+500, x.Call) }
-	r.m.woken = func(now float64, routed *routing.Call) { r.m.h.StartAttempt(routed, r.m.pools[1], 100) }
-	r.get(caller, callerSays("INVITE", "5a", ""))
-	inv := r.sent(switchA, "INVITE")
-	r.answer(switchA, inv, 408, "s", "")
-	r.pass(100)
-	r.get(caller, callerSays("CANCEL", "5a", ""))
-	r.sent(caller, "SIP/2.0 487")
-	r.pass(2000) // the policy attempts all the same: barred
+	r.policy.onAttemptEnd = func(now float64, x *routing.Attempt) { r.policy.host.ScheduleWakeup(now+500, x.Call) }
+	r.policy.onWakeup = func(now float64, routed *routing.Call) {
+		r.policy.host.StartAttempt(routed, r.policy.endpoints[1], 100)
+	}
+	r.receive(caller, callerRequest("INVITE", "5a", ""))
+	inv := r.expectSent(switchA, "INVITE")
+	r.respond(switchA, inv, 408, "s", "")
+	r.advance(100)
+	r.receive(caller, callerRequest("CANCEL", "5a", ""))
+	r.expectSent(caller, "SIP/2.0 487")
+	r.advance(2000) // the policy attempts all the same: barred
 	if r.count(switchB, "INVITE") != 0 {
 		t.Error("a ring after the final answer")
 	}
 }
 
 // 503 with a Retry-After, in seconds and with the exact wait; "no line here" and "busy everywhere".
-func TestRefusals(t *testing.T) {
+func TestFailureResponses(t *testing.T) {
 	for i, x := range []struct {
 		code       int
 		more, want string
@@ -194,12 +198,12 @@
 		{302, "Contact: <sip:127.0.0.9>", "ended 1 closed false wait 0"},
 	} {
 		r := newTestHost(t)
-		r.m.ended = func(_ float64, x *routing.Attempt) { r.m.h.Reject(x.Call, 300) }
-		r.get(caller, callerSays("INVITE", fmt.Sprintf("%da", i+1), ""))
-		r.answer(switchA, r.sent(switchA, "INVITE"), x.code, "s", x.more)
-		r.sent(switchA, "ACK")
-		r.heard(x.want)
-		res := r.sent(caller, "SIP/2.0 503").(*sip.Response)
+		r.policy.onAttemptEnd = func(_ float64, x *routing.Attempt) { r.policy.host.Reject(x.Call, 300) }
+		r.receive(caller, callerRequest("INVITE", fmt.Sprintf("%da", i+1), ""))
+		r.respond(switchA, r.expectSent(switchA, "INVITE"), x.code, "s", x.more)
+		r.expectSent(switchA, "ACK")
+		r.expectEvents(x.want)
+		res := r.expectSent(caller, "SIP/2.0 503").(*sip.Response)
 		retryAfter := siptransaction.HeaderValue(res, siptransaction.RetryAfter)
 		if siptransaction.ParseRetryAfter(retryAfter) != 300 {
 			t.Errorf("caller told to wait %q", siptransaction.HeaderValue(res, siptransaction.RetryAfter))
@@ -210,13 +214,13 @@
 // A drain that is heard while a setup waits unanswered: it is not repeated there, for that could be its first arrival.
 func TestDrainStopsRetransmissions(t *testing.T) {
 	r := newTestHost(t)
-	r.get(caller, callerSays("INVITE", "6a", ""))
-	r.pass(500)
+	r.receive(caller, callerRequest("INVITE", "6a", ""))
+	r.advance(500)
 	if n := r.count(switchA, "INVITE"); n != 2 {
 		t.Fatalf("%d set-ups in 500 ms, want 2", n)
 	}
-	r.list(routing.Draining)
-	r.pass(5000)
+	r.sendList(routing.Draining)
+	r.advance(5000)
 	if n := r.count(switchA, "INVITE"); n != 2 {
 		t.Errorf("%d set-ups repeated to a pool that drains", n-2)
 	}
@@ -224,21 +228,21 @@
 
 // A switch that restarted does not know the dialog: 481 to our BYE ends it all the same; and its own BYE for a cut call
 // is told as a reset and passed on with its reason.
-func TestEndpointForgets(t *testing.T) {
+func TestEndpointLosesDialog(t *testing.T) {
 	r := newTestHost(t)
 	stand := func(id string) (inv sip.Message, tag string) {
-		r.get(caller, callerSays("INVITE", id, ""))
-		inv = r.sent(switchA, "INVITE")
-		r.answer(switchA, inv, 200, "s"+id, "")
-		tag = ";tag=" + siptransaction.Tag(r.sent(caller, "SIP/2.0 200").To().Params)
-		r.get(caller, callerSays("ACK", id, tag))
+		r.receive(caller, callerRequest("INVITE", id, ""))
+		inv = r.expectSent(switchA, "INVITE")
+		r.respond(switchA, inv, 200, "s"+id, "")
+		tag = ";tag=" + siptransaction.Tag(r.expectSent(caller, "SIP/2.0 200").To().Params)
+		r.receive(caller, callerRequest("ACK", id, tag))
 		return inv, tag
 	}
 	_, tag := stand("7a")
-	r.get(caller, callerSays("BYE", "7a", tag))
-	r.answer(switchA, r.sent(switchA, "BYE"), 481, "", "")
+	r.receive(caller, callerRequest("BYE", "7a", tag))
+	r.respond(switchA, r.expectSent(switchA, "BYE"), 481, "", "")
 	inv, _ := stand("8a")
-	r.get(
+	r.receive(
 		switchA,
 		"BYE sip:127.0.0.1 SIP/2.0\nVia: SIP/2.0/UDP 127.0.0.3:5060;branch=z9hG4bKx\nFrom: <sip:x@y>;tag=s8a\nTo: "+
 			"<sip:a@b>;tag="+
@@ -246,21 +250,21 @@
 			*inv.CallID(),
 		)+"\nCSeq: 1 BYE\nReason: Q.850;cause=41\nContent-Length: 0",
 	)
-	bye := r.sent(caller, "BYE").(*sip.Request)
+	bye := r.expectSent(caller, "BYE").(*sip.Request)
 	if !strings.Contains(siptransaction.HeaderValue(bye, siptransaction.Reason), "cause=41") {
 		t.Errorf("reason %q to the caller", siptransaction.HeaderValue(bye, siptransaction.Reason))
 	}
-	r.heard("stood", "ended 0 closed true wait 0", "stood", "ended 5 closed true wait 0")
-	r.get(caller, callerSays("BYE", "8a", ";tag=nobody"))
-	r.sent(caller, "SIP/2.0 481")
+	r.expectEvents("stood", "ended 0 closed true wait 0", "stood", "ended 5 closed true wait 0")
+	r.receive(caller, callerRequest("BYE", "8a", ";tag=nobody"))
+	r.expectSent(caller, "SIP/2.0 481")
 }
 
 // One caller's INVITE that comes over two ways is one call: the second is told 482 (RFC 3261 8.2.2.2).
 func TestMergedRequests(t *testing.T) {
 	r := newTestHost(t)
-	r.get(caller, callerSays("INVITE", "9a", ""))
-	r.get(caller, strings.Replace(callerSays("INVITE", "9a", ""), "z9hG4bK9a", "z9hG4bKother", 1))
-	r.sent(caller, "SIP/2.0 482")
+	r.receive(caller, callerRequest("INVITE", "9a", ""))
+	r.receive(caller, strings.Replace(callerRequest("INVITE", "9a", ""), "z9hG4bK9a", "z9hG4bKother", 1))
+	r.expectSent(caller, "SIP/2.0 482")
 	if n := r.count(switchA, "INVITE"); n != 1 {
 		t.Errorf("%d set-ups, want 1", n)
 	}
@@ -269,13 +273,13 @@
 // A gateway stalls past a repeat and the timeout: the answer goes, and no repeat with it.
 func TestStallPastTimeout(t *testing.T) {
 	r := newTestHost(t)
-	r.m.ended = func(_ float64, x *routing.Attempt) { r.m.h.Fail(x.Call) }
-	r.get(caller, callerSays("INVITE", "1d", ""))
-	r.pass(2000) // the next repeat is due at 2800, the timeout ends at 9000
+	r.policy.onAttemptEnd = func(_ float64, x *routing.Attempt) { r.policy.host.Fail(x.Call) }
+	r.receive(caller, callerRequest("INVITE", "1d", ""))
+	r.advance(2000) // the next repeat is due at 2800, the timeout ends at 9000
 	n := r.count(switchA, "INVITE")
 	r.now += 8000
-	r.pass(50)
-	r.sent(caller, "SIP/2.0 500")
+	r.advance(50)
+	r.expectSent(caller, "SIP/2.0 500")
 	if m := r.count(switchA, "INVITE"); m != n {
 		t.Errorf("%d set-ups repeated with the answer", m-n)
 	}
@@ -285,27 +289,27 @@
 // the earliest. One that was merely idle takes it as new.
 func TestStall(t *testing.T) {
 	r := newTestHost(t)
-	r.m.ended = func(_ float64, x *routing.Attempt) {
+	r.policy.onAttemptEnd = func(_ float64, x *routing.Attempt) {
 		if !x.Call.Finished {
-			r.m.h.Fail(x.Call)
+			r.policy.host.Fail(x.Call)
 		}
 	}
-	r.pass(1000)
+	r.advance(1000)
 	r.now += 4000
-	r.get(caller, callerSays("INVITE", "1c", ""))
-	r.pass(4999)
+	r.receive(caller, callerRequest("INVITE", "1c", ""))
+	r.advance(4999)
 	if r.count(caller, "SIP/2.0 500") != 0 {
 		t.Error("answered before its time")
 	}
-	r.pass(2)
-	r.sent(caller, "SIP/2.0 500")
+	r.advance(2)
+	r.expectSent(caller, "SIP/2.0 500")
 	for range 40 { // idle, woken at its beat
-		r.now = r.e.NextWakeup()
-		r.e.Step(r.now)
+		r.now = r.agent.NextWakeup()
+		r.agent.Step(r.now)
 	}
-	r.get(caller, callerSays("INVITE", "2c", ""))
-	r.pass(8990)
-	if r.e.Counts.Failed != 1 {
+	r.receive(caller, callerRequest("INVITE", "2c", ""))
+	r.advance(8990)
+	if r.agent.Counts.Failed != 1 {
 		t.Error("an idle edge took a new contact for an old one")
 	}
 }
@@ -313,38 +317,38 @@
 // A call that is shed gets one answer, also when its INVITE is retransmitted after capacity has come.
 func TestShedStaysShed(t *testing.T) {
 	r := newTestHost(t)
-	r.e.LoadShedder.MaxPending = 1
-	r.get(caller, callerSays("INVITE", "1a", ""))
-	inv := r.sent(switchA, "INVITE")
-	r.get(caller, callerSays("INVITE", "2a", ""))
-	r.sent(caller, "SIP/2.0 503")
-	r.answer(switchA, inv, 200, "s", "")
-	r.get(caller, callerSays("INVITE", "2a", ""))
-	r.sent(caller, "SIP/2.0 503")
-	if r.e.Counts.Accepted != 1 {
-		t.Errorf("%d taken", r.e.Counts.Accepted)
+	r.agent.LoadShedder.MaxPending = 1
+	r.receive(caller, callerRequest("INVITE", "1a", ""))
+	inv := r.expectSent(switchA, "INVITE")
+	r.receive(caller, callerRequest("INVITE", "2a", ""))
+	r.expectSent(caller, "SIP/2.0 503")
+	r.respond(switchA, inv, 200, "s", "")
+	r.receive(caller, callerRequest("INVITE", "2a", ""))
+	r.expectSent(caller, "SIP/2.0 503")
+	if r.agent.Counts.Accepted != 1 {
+		t.Errorf("%d taken", r.agent.Counts.Accepted)
 	}
 }
 
 // A module that forgets a call or answers it twice: rule 1 is kept all the same.
-func TestForgottenCall(t *testing.T) {
+func TestPolicyForgetsCall(t *testing.T) {
 	r := newTestHost(t)
-	r.m.offered = func(float64, *routing.Call) {}
-	r.get(caller, callerSays("INVITE", "1b", ""))
-	r.pass(9011)
-	r.sent(caller, "SIP/2.0 500")
-	r.m.offered = func(_ float64, routed *routing.Call) { r.m.h.Reject(routed, 0); r.m.h.Fail(routed) }
-	r.get(caller, callerSays("INVITE", "2b", ""))
-	r.sent(caller, "SIP/2.0 503")
-	if n := r.count(caller, "SIP/2.0 500"); n < 1 || r.e.Counts.Overdue != 1 {
-		t.Errorf("%d answers 500, %d overdue", n, r.e.Counts.Overdue)
+	r.policy.onCall = func(float64, *routing.Call) {}
+	r.receive(caller, callerRequest("INVITE", "1b", ""))
+	r.advance(9011)
+	r.expectSent(caller, "SIP/2.0 500")
+	r.policy.onCall = func(_ float64, routed *routing.Call) { r.policy.host.Reject(routed, 0); r.policy.host.Fail(routed) }
+	r.receive(caller, callerRequest("INVITE", "2b", ""))
+	r.expectSent(caller, "SIP/2.0 503")
+	if n := r.count(caller, "SIP/2.0 500"); n < 1 || r.agent.Counts.Overdue != 1 {
+		t.Errorf("%d answers 500, %d overdue", n, r.agent.Counts.Overdue)
 	}
 }
 
 // No datagram makes the agent fall: cut short, long, random, hostile. Seeds of our own; go test -fuzz goes on from
 // them.
 func FuzzReceive(f *testing.F) {
-	invite := strings.ReplaceAll(callerSays("INVITE", "1a", ""), "\n", "\r\n") + "\r\n\r\n"
+	invite := strings.ReplaceAll(callerRequest("INVITE", "1a", ""), "\n", "\r\n") + "\r\n\r\n"
 	for _, s := range []string{invite, invite[:60], invite[:len(invite)-40], strings.Repeat("A", 65535),
 		"\x00\xff\r\n\r\n",
 		strings.Replace(invite, "\r\n", "\r\n"+strings.Repeat("Via: SIP/2.0/UDP 1.2.3.4:5;branch=z9hG4bKv\r\n", 1500), 1),
@@ -359,9 +363,9 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		r := newTestHost(t)
-		r.e.Receive(r.now, caller, data)
-		r.e.Step(r.now)
-		r.e.Receive(r.now, caller, data)
-		r.pass(5)
+		r.agent.Receive(r.now, caller, data)
+		r.agent.Step(r.now)
+		r.agent.Receive(r.now, caller, data)
+		r.advance(5)
 	})
 }
--- a/internal/protocol/b2bua/call.go
+++ b/internal/protocol/b2bua/call.go
@@ -41,39 +41,39 @@
 
 // onInvite takes an INVITE: the call is handed to the policy at the end of the batch.
 func (a *Agent) onInvite(s *siptransaction.Server, req *sip.Request) {
-	name, ok := strings.CutPrefix(siptransaction.HeaderValue(req, siptransaction.Service), servicePrefix)
+	className, ok := strings.CutPrefix(siptransaction.HeaderValue(req, siptransaction.Service), servicePrefix)
 	if !ok {
-		name = a.config.DefaultClass
+		className = a.config.DefaultClass
 	}
 	user, params, _ := strings.Cut(req.Recipient.User, ";")
-	skill := a.Classes[name]
+	class := a.Classes[className]
 	switch {
 	case a.refusals.Known(a.Now, transactionKey(req)):
 		s.RespondStateless(a.overloadedResponse(req))
 		return
-	case skill == nil:
-		s.Respond(siptransaction.Response(req, 404, "Not Found", a.names.Next()))
+	case class == nil:
+		s.Respond(siptransaction.Response(req, 404, "Not Found", a.ids.Next()))
 		return
 	case user == "":
-		s.Respond(siptransaction.Response(req, 484, "Address Incomplete", a.names.Next()))
+		s.Respond(siptransaction.Response(req, 484, "Address Incomplete", a.ids.Next()))
 		return
 	case req.Contact() == nil:
-		s.Respond(siptransaction.Response(req, 400, "Missing Contact", a.names.Next()))
+		s.Respond(siptransaction.Response(req, 400, "Missing Contact", a.ids.Next()))
 		return
 	}
-	routed := &routing.Call{
-		Class:         skill,
+	routingCall := &routing.Call{
+		Class:         class,
 		Tenant:        a.Tenants[req.From().Address.Host],
 		CalledNumber:  user,
 		ArrivedAt:     a.Now,
 		DestinationID: -1,
 	}
-	if g := a.byName[numberParameter(params, "tgrp")]; g != nil {
-		routed.DestinationID = g.DestinationID
+	if g := a.groupsByName[numberParameter(params, "tgrp")]; g != nil {
+		routingCall.DestinationID = g.DestinationID
 	}
 	c := &call{
 		session: &session{
-			Session:   a.NewSession(routed, siptransaction.ParseRetryAfter(siptransaction.HeaderValue(req, "Expires"))),
+			Session:   a.NewSession(routingCall, siptransaction.ParseRetryAfter(siptransaction.HeaderValue(req, "Expires"))),
 			agent:     a,
 			sessionID: siptransaction.SessionIDOf(req),
 		},
@@ -89,7 +89,7 @@
 	if a.table != nil && !c.startAnalysis(user, params) {
 		return
 	}
-	routed.Destination = a.Endpoints.ByDestination(routed.DestinationID)
+	routingCall.Destination = a.Endpoints.ByDestination(routingCall.DestinationID)
 	a.Enqueue(c.Session)
 }
 
@@ -125,12 +125,12 @@
 }
 
 // respond implements responder. Of a call that was not admitted nothing is kept.
-func (c *call) respond(code int, why string) {
+func (c *call) respond(code int, reason string) {
 	if c.tag == "" {
-		c.server.Respond(siptransaction.Response(c.invite, code, why, c.agent.names.Next()))
+		c.server.Respond(siptransaction.Response(c.invite, code, reason, c.agent.ids.Next()))
 		return
 	}
-	c.answer(siptransaction.Response(c.invite, code, why, c.tag))
+	c.sendFinal(siptransaction.Response(c.invite, code, reason, c.tag))
 }
 
 // SendRejection implements callcontrol.SignalingLeg.
@@ -139,7 +139,7 @@
 	if wait > 0 && c.agent.config.Settings.RetryAfterEnabled {
 		res.AppendHeader(sip.NewHeader(siptransaction.RetryAfter, siptransaction.FormatRetryAfter(wait)))
 	}
-	c.answer(res)
+	c.sendFinal(res)
 }
 
 // HasAttempt implements callcontrol.SignalingLeg.
@@ -154,7 +154,7 @@
 
 // OnAccepted implements callcontrol.SignalingLeg: a number that has to be looked up is not ready.
 func (c *call) OnAccepted() bool {
-	c.tag = c.agent.names.Next()
+	c.tag = c.agent.ids.Next()
 	return c.number.lookupNumber == ""
 }
 
@@ -165,8 +165,8 @@
 	}
 }
 
-// answer sends a final answer. A second one is never sent.
-func (c *call) answer(res *sip.Response) {
+// sendFinal sends a final sendFinal. A second one is never sent.
+func (c *call) sendFinal(res *sip.Response) {
 	if !c.finishWithCode(res.StatusCode) {
 		return
 	}
@@ -176,8 +176,8 @@
 	}
 }
 
-// ringing tells the caller that an endpoint is ringing.
-func (c *call) ringing() {
+// sendRinging tells the caller that an endpoint is sendRinging.
+func (c *call) sendRinging() {
 	if !c.ringingSent && !c.Finished {
 		c.ringingSent = true
 		c.server.Respond(siptransaction.Response(c.invite, 180, "Ringing", c.tag))
@@ -185,12 +185,12 @@
 }
 
 // establish tells the caller that the call is established.
-func (c *call) establish(from *sip.Response) {
+func (c *call) establish(answer *sip.Response) {
 	a := c.agent
 	res := siptransaction.Response(c.invite, 200, "OK", c.tag)
 	res.AppendHeader(&sip.ContactHeader{Address: a.ownURI("")})
-	copyBody(from, res)
-	c.answer(res)
+	copyBody(answer, res)
+	c.sendFinal(res)
 	c.Established = true
 	a.AddEstablished(1)
 	a.Counts.Answered++
@@ -211,10 +211,10 @@
 	if c.tag == "" { // not taken yet
 		c.Finished = true
 		c.releaseTable()
-		s.Respond(siptransaction.Response(c.invite, 487, "Request Terminated", a.names.Next()))
+		s.Respond(siptransaction.Response(c.invite, 487, "Request Terminated", a.ids.Next()))
 		return
 	}
-	c.answer(siptransaction.Response(c.invite, 487, "Request Terminated", c.tag))
+	c.sendFinal(siptransaction.Response(c.invite, 487, "Request Terminated", c.tag))
 	if c.WithRouter {
 		a.Router.OnHangup(a.Now, c.Call)
 	}
@@ -227,27 +227,27 @@
 	}
 }
 
-// bye ends a call from either side.
-func (d *dialog) bye(req *sip.Request) {
+// onBye ends a call from either side.
+func (d *dialog) onBye(req *sip.Request) {
 	if d.call == nil || !d.call.Established {
 		return
 	}
-	how, why := routing.Completed, normalClearing
+	outcome, reason := routing.Completed, normalClearing
 	if v := siptransaction.HeaderValue(req, siptransaction.Reason); strings.Contains(v, "Q.850") &&
 		!strings.Contains(v, "cause=16") {
-		how, why = routing.Reset, v
+		outcome, reason = routing.Reset, v
 	}
 	c := d.call
 	if d.leg == nil {
 		delete(c.agent.dialogs, c.tag) // nothing more goes to this side
 	} else {
-		d.leg.closed = true
+		d.leg.releasedByPeer = true
 	}
-	c.release(how, why)
+	c.release(outcome, reason)
 }
 
 // release ends an established call on the sides that do not know of it yet.
-func (c *call) release(how routing.Outcome, why string) {
+func (c *call) release(outcome routing.Outcome, reason string) {
 	if !c.Established || c.leg == nil {
 		return
 	}
@@ -261,25 +261,25 @@
 		from, to := c.invite.From(), c.invite.To()
 		a.addCommonHeaders(req, &sip.FromHeader{Address: to.Address, Params: sip.HeaderParams{{K: "tag", V: c.tag}}},
 			&sip.ToHeader{Address: from.Address, Params: from.Params}, string(*c.invite.CallID()), 1)
-		a.bye(req, c, why)
+		a.addByeHeaders(req, c, reason)
 		a.sip.Send(req, c.server.ResponseAddress(), nil, func(*sip.Response) {})
 	}
-	if !l.closed {
-		l.bye(why)
+	if !l.releasedByPeer {
+		l.sendBye(reason)
 	}
 	l.reported = true
-	l.forget()
-	c.EndAttempt(l.attempt, how, true)
+	l.discard()
+	c.EndAttempt(l.attempt, outcome, true)
 }
 
-// bye gives a BYE its Session-ID and reason.
-func (a *Agent) bye(req *sip.Request, c *call, why string) {
+// addByeHeaders gives a BYE its Session-ID and reason.
+func (a *Agent) addByeHeaders(req *sip.Request, c *call, reason string) {
 	req.AppendHeader(sip.NewHeader(siptransaction.SessionID, siptransaction.FormatSessionID(c.sessionID)))
-	req.AppendHeader(sip.NewHeader(siptransaction.Reason, why))
+	req.AppendHeader(sip.NewHeader(siptransaction.Reason, reason))
 }
 
 // newSessionID is an ID for a call whose caller gave none.
-func (a *Agent) newSessionID() string { return siptransaction.NewSessionID(&a.names) }
+func (a *Agent) newSessionID() string { return siptransaction.NewSessionID(&a.ids) }
 
 func copyBody(from, to interface {
 	GetHeader(string) sip.Header
--- a/internal/protocol/b2bua/enquiry.go
+++ b/internal/protocol/b2bua/enquiry.go
@@ -31,25 +31,25 @@
 // attempt does. stop cancels the enquiry.
 func (a *Agent) StartEnquiry(
 	now float64,
-	number, class string,
+	number, className string,
 	timeout float64,
 	done func(now float64, n EnquiryResult),
 ) (stop func()) {
 	a.Now, a.sip.Now = now, now
-	k := a.Classes[class]
-	if k == nil {
+	class := a.Classes[className]
+	if class == nil {
 		done(now, EnquiryResult{Code: 404, Reason: "no such skill"})
 		return func() {}
 	}
-	routed := &routing.Call{Class: k, CalledNumber: number, ArrivedAt: now, DestinationID: -1}
-	q := &enquiry{session: &session{Session: a.NewSession(routed, timeout), agent: a, sessionID: a.newSessionID()},
+	routingCall := &routing.Call{Class: class, CalledNumber: number, ArrivedAt: now, DestinationID: -1}
+	q := &enquiry{session: &session{Session: a.NewSession(routingCall, timeout), agent: a, sessionID: a.newSessionID()},
 		done: done}
 	q.SignalingLeg, q.responder = q, q
 	q.SetDeadline()
 	if a.table != nil && !q.startAnalysis(number, "") {
 		return func() {}
 	}
-	routed.Destination = a.Endpoints.ByDestination(routed.DestinationID)
+	routingCall.Destination = a.Endpoints.ByDestination(routingCall.DestinationID)
 	a.Enqueue(q.Session)
 	return q.stop
 }
@@ -79,13 +79,13 @@
 func (q *enquiry) OnAccepted() bool { return q.number.lookupNumber == "" }
 
 // respond implements responder.
-func (q *enquiry) respond(code int, why string) {
+func (q *enquiry) respond(code int, reason string) {
 	if !q.Accepted {
 		q.Finished = true
 	} else if !q.finishWithCode(code) {
 		return
 	}
-	q.done(q.agent.Now, EnquiryResult{Code: code, Reason: why})
+	q.done(q.agent.Now, EnquiryResult{Code: code, Reason: reason})
 }
 
 // SendRejection implements callcontrol.SignalingLeg.
@@ -106,7 +106,7 @@
 // it is over for us; the policy counts it as one that was sent and taken.
 func (q *enquiry) SendSetup(attempt *routing.Attempt, _ float64) bool {
 	a := q.agent
-	g := a.groups[attempt.Endpoint.DestinationID]
+	g := a.groupsByDestination[attempt.Endpoint.DestinationID]
 	if g == nil || g.inUse >= g.Circuits || !q.finishWithCode(200) {
 		return false
 	}
--- a/internal/protocol/b2bua/numberanalysis.go
+++ b/internal/protocol/b2bua/numberanalysis.go
@@ -44,7 +44,7 @@
 		s.respond(400, "Bad Portability Parameters")
 		return false
 	}
-	a.draws++
+	a.drawCount++
 	analysis, outcome := a.table.Begin(
 		numberplan.Call{
 			Dialled:  user,
@@ -52,7 +52,7 @@
 			Routing:  p.Routing,
 			Carrier:  p.Carrier,
 			At:       a.config.Epoch.Add(time.Duration(a.Now * float64(time.Millisecond))),
-			Draw:     detrand.Float64(a.names.Seed, a.draws),
+			Draw:     detrand.Float64(a.ids.Seed, a.drawCount),
 		},
 	)
 	s.number.analysis, s.number.tableVersion = analysis, analysis.Table.Version
@@ -60,7 +60,7 @@
 	if outcome.Refusal != nil {
 		a.Counts.Unrouted++
 		s.releaseTable()
-		s.respond(outcome.Refusal.Code, phrase(outcome.Refusal.Why))
+		s.respond(outcome.Refusal.Code, reasonPhrase(outcome.Refusal.Why))
 		return false
 	}
 	if outcome.Route != nil {
@@ -78,10 +78,10 @@
 // startLookup looks up what the analysis needs, for no longer than a part of what is left of the caller's timeout.
 func (s *session) startLookup() {
 	a := s.agent
-	within := min(s.number.lookupTimeout, a.config.LookupShare*(s.Deadline-a.Now))
-	over := false
+	timeout := min(s.number.lookupTimeout, a.config.LookupShare*(s.Deadline-a.Now))
+	answered := false
 	done := func(now float64, found numberplan.Found) {
-		over = true
+		answered = true
 		s.number.cancelLookup = nil
 		if s.Finished {
 			return
@@ -89,13 +89,13 @@
 		a.Now, a.sip.Now = now, now
 		s.onAnalysisEnd(s.number.analysis.Answered(found))
 	}
-	if a.config.NumberLookup == nil || within <= 0 {
+	if a.config.NumberLookup == nil || timeout <= 0 {
 		done(a.Now, numberplan.Found{Answer: numberplan.Silent})
 		return
 	}
 	a.Counts.Lookups++
-	stop := a.config.NumberLookup.Resolve(a.Now, s.number.lookupNumber, within, done)
-	if !over {
+	stop := a.config.NumberLookup.Resolve(a.Now, s.number.lookupNumber, timeout, done)
+	if !answered {
 		s.number.cancelLookup = stop
 	}
 }
@@ -106,7 +106,7 @@
 	switch {
 	case o.Refusal != nil:
 		a.Counts.Unrouted++
-		s.respond(o.Refusal.Code, phrase(o.Refusal.Why))
+		s.respond(o.Refusal.Code, reasonPhrase(o.Refusal.Why))
 	case o.Route == nil || !s.applyRoute(o.Route):
 		a.Fail(s.Call)
 	default:
@@ -118,7 +118,7 @@
 // applyRoute puts a route's fields into the call; false: it names what this agent does not have.
 func (s *session) applyRoute(r *numberplan.Route) bool {
 	a := s.agent
-	g := a.byName[r.Group]
+	g := a.groupsByName[r.Group]
 	if g == nil {
 		return false
 	}
@@ -165,8 +165,8 @@
 	r.analysis = nil
 }
 
-// phrase makes a reason phrase (RFC 3261 7.2) of a table's text: one line.
-func phrase(s string) string {
+// reasonPhrase makes a reason reasonPhrase (RFC 3261 7.2) of a table's text: one line.
+func reasonPhrase(s string) string {
 	s = strings.Map(func(c rune) rune {
 		if c < ' ' || c == 127 {
 			return ' '
--- a/internal/protocol/b2bua/outboundleg.go
+++ b/internal/protocol/b2bua/outboundleg.go
@@ -23,25 +23,25 @@
 	dialog          *dialog
 	timeout         *timerqueue.Timer
 	invite          *sip.Request
-	remote          *sip.Response // the 2xx that set the dialog up
+	answer          *sip.Response // the 2xx that set the dialog up
 	ack             []byte
 	active          bool // false: the caller or the policy gave it up
 	reported        bool // the policy knows the attempt's end
-	closed          bool // the other side released it
+	releasedByPeer  bool // the other side released it
 	circuitReleased bool // its circuit is free
 }
 
 // SendSetup implements callcontrol.SignalingLeg: it sends a setup over a trunk group and gives up after so many ms. A
 // group without a free circuit takes none.
-func (c *call) SendSetup(attempt *routing.Attempt, limit float64) bool {
+func (c *call) SendSetup(attempt *routing.Attempt, timeout float64) bool {
 	a := c.agent
-	g := a.groups[attempt.Endpoint.DestinationID]
+	g := a.groupsByDestination[attempt.Endpoint.DestinationID]
 	if g == nil || g.inUse >= g.Circuits {
 		return false
 	}
 	to := a.addresses[attempt.Endpoint]
 	l := &outboundLeg{call: c, attempt: attempt, group: g, to: to, active: true}
-	tag, id := a.names.Next(), a.names.Next()+"@"+a.config.Name
+	tag, id := a.ids.Next(), a.ids.Next()+"@"+a.config.Name
 	l.dialog = &dialog{agent: a, call: c, leg: l, callID: id, tag: tag}
 	a.dialogs[tag] = l.dialog
 	g.inUse++
@@ -63,7 +63,7 @@
 	l.invite.AppendHeader(sip.NewHeader(siptransaction.Service, servicePrefix+c.Class.Name))
 	copyBody(c.invite, l.invite)
 	l.tx = a.sip.Send(l.invite, to, overloadControlParams, l.onResponse)
-	l.timeout = a.Timers.Schedule(a.Now+limit, l.onTimeout)
+	l.timeout = a.Timers.Schedule(a.Now+timeout, l.onTimeout)
 	return true
 }
 
@@ -94,16 +94,16 @@
 		l.onTransactionTimeout()
 		return
 	}
-	complete := a.applyLoadReport(l.attempt.Endpoint, res)
+	fullReport := a.applyLoadReport(l.attempt.Endpoint, res)
 	switch code := res.StatusCode; {
 	case code < 200:
-		l.onProvisional(code, complete)
-	case code < 300 && l.remote != nil:
+		l.onProvisional(code, fullReport)
+	case code < 300 && l.answer != nil:
 		l.onFurtherAnswer(res)
 	case code < 300:
-		l.onAnswer(res, complete)
+		l.onAnswer(res, fullReport)
 	default:
-		l.onFailure(res, complete)
+		l.onFailure(res, fullReport)
 	}
 }
 
@@ -113,42 +113,42 @@
 	} else {
 		l.reportEnd(routing.Canceled)
 	}
-	l.forget()
+	l.discard()
 }
 
-func (l *outboundLeg) onProvisional(code int, complete bool) {
+func (l *outboundLeg) onProvisional(code int, fullReport bool) {
 	a := l.call.agent
-	if complete {
+	if fullReport {
 		a.Router.OnLoadReport(a.Now, l.attempt.Endpoint, true, true)
 	}
 	if !l.active {
 		l.tx.Cancel()
 	} else if code > sip.StatusTrying {
-		l.call.ringing()
+		l.call.sendRinging()
 	}
 }
 
 // onFurtherAnswer takes a 2xx after the first: a retransmission, or that of another branch of a forked setup.
 func (l *outboundLeg) onFurtherAnswer(res *sip.Response) {
-	if siptransaction.Tag(res.To().Params) == siptransaction.Tag(l.remote.To().Params) {
+	if siptransaction.Tag(res.To().Params) == siptransaction.Tag(l.answer.To().Params) {
 		l.call.agent.transport.Send(l.to, l.ack)
 		return
 	}
 	l.releaseForked(res)
 }
 
-func (l *outboundLeg) onAnswer(res *sip.Response, complete bool) {
+func (l *outboundLeg) onAnswer(res *sip.Response, fullReport bool) {
 	c := l.call
 	a := c.agent
-	l.remote = res
-	l.ack = l.acknowledge(res)
-	if complete {
+	l.answer = res
+	l.ack = l.sendAck(res)
+	if fullReport {
 		a.Router.OnLoadReport(a.Now, l.attempt.Endpoint, true, true)
 	}
 	if !l.active || l.reported || c.Finished || c.Established { // it crossed a cancel: nobody is there for it
-		l.bye(normalClearing)
+		l.sendBye(normalClearing)
 		l.reportEnd(routing.Canceled)
-		l.forget()
+		l.discard()
 		return
 	}
 	a.Timers.Cancel(l.timeout)
@@ -159,7 +159,7 @@
 }
 
 // onFailure takes a final response other than 2xx; docs/gateway.md lists what each code means.
-func (l *outboundLeg) onFailure(res *sip.Response, complete bool) {
+func (l *outboundLeg) onFailure(res *sip.Response, fullReport bool) {
 	outcome := routing.Failed
 	l.attempt.RetryAfter = 0
 	switch res.StatusCode {
@@ -177,13 +177,13 @@
 	case sip.StatusRequestTimeout:
 		outcome = routing.TimedOut
 	}
-	l.attempt.HasLoadReport = complete
+	l.attempt.HasLoadReport = fullReport
 	l.reportEnd(outcome)
-	l.forget()
+	l.discard()
 }
 
 // reportEnd tells the policy how the attempt ended, once, and frees the circuit where nothing is left of it.
-func (l *outboundLeg) reportEnd(how routing.Outcome) {
+func (l *outboundLeg) reportEnd(outcome routing.Outcome) {
 	if l.reported {
 		return
 	}
@@ -193,14 +193,14 @@
 	if c.leg == l {
 		c.leg = nil
 	}
-	c.EndAttempt(l.attempt, how, c.Finished)
+	c.EndAttempt(l.attempt, outcome, c.Finished)
 }
 
-// forget removes the leg's dialog and frees its circuit.
-func (l *outboundLeg) forget() {
+// discard removes the leg's dialog and frees its circuit.
+func (l *outboundLeg) discard() {
 	a := l.call.agent
 	delete(a.dialogs, l.dialog.tag)
-	if l.remote != nil && l.reported {
+	if l.answer != nil && l.reported {
 		l.tx.Discard() // a repeat of the 2xx finds the dialog released
 	}
 	a.Timers.Cancel(l.timeout)
@@ -210,8 +210,8 @@
 	}
 }
 
-// inDialog makes a request in the dialog that an answer set up.
-func (l *outboundLeg) inDialog(method sip.RequestMethod, res *sip.Response, seq uint32) *sip.Request {
+// newDialogRequest makes a request in the dialog that an answer set up.
+func (l *outboundLeg) newDialogRequest(method sip.RequestMethod, res *sip.Response, seq uint32) *sip.Request {
 	target := l.invite.Recipient
 	if c := res.Contact(); c != nil {
 		target = c.Address // the datagram goes where the setup went, whatever the Contact says
@@ -221,26 +221,26 @@
 	return req
 }
 
-// acknowledge sends the ACK of a 2xx (RFC 3261 13.2.2.4) and returns it for repeats.
-func (l *outboundLeg) acknowledge(res *sip.Response) []byte {
+// sendAck sends the ACK of a 2xx (RFC 3261 13.2.2.4) and returns it for repeats.
+func (l *outboundLeg) sendAck(res *sip.Response) []byte {
 	a := l.call.agent
-	req := l.inDialog(sip.ACK, res, 1)
+	req := l.newDialogRequest(sip.ACK, res, 1)
 	req.AppendHeader(sip.NewHeader(siptransaction.SessionID, siptransaction.FormatSessionID(l.call.sessionID)))
 	return a.sip.SendAck(req, l.to)
 }
 
-// bye releases the dialog.
-func (l *outboundLeg) bye(why string) {
-	req := l.inDialog(sip.BYE, l.remote, 2)
-	l.call.agent.bye(req, l.call, why)
+// sendBye releases the dialog.
+func (l *outboundLeg) sendBye(reason string) {
+	req := l.newDialogRequest(sip.BYE, l.answer, 2)
+	l.call.agent.addByeHeaders(req, l.call, reason)
 	l.call.agent.sip.Send(req, l.to, nil, func(*sip.Response) {})
 }
 
 // releaseForked acknowledges and releases a second answer of a setup that was forked on its way (RFC 3261 13.2.2.4).
 func (l *outboundLeg) releaseForked(res *sip.Response) {
-	l.acknowledge(res)
-	req := l.inDialog(sip.BYE, res, 2)
-	l.call.agent.bye(req, l.call, normalClearing)
+	l.sendAck(res)
+	req := l.newDialogRequest(sip.BYE, res, 2)
+	l.call.agent.addByeHeaders(req, l.call, normalClearing)
 	l.call.agent.sip.Send(req, l.to, nil, func(*sip.Response) {})
 }
 
--- a/internal/protocol/b2bua/testhost_test.go
+++ b/internal/protocol/b2bua/testhost_test.go
@@ -15,44 +15,44 @@
 
 // scriptedPolicy is a module that a test plays by hand.
 type scriptedPolicy struct {
-	h       routing.Host
-	pools   []*routing.Endpoint
-	offered func(now float64, c *routing.Call)
-	ended   func(now float64, r *routing.Attempt)
-	woken   func(now float64, c *routing.Call)
-	heard   []string
+	host         routing.Host
+	endpoints    []*routing.Endpoint
+	onCall       func(now float64, c *routing.Call)
+	onAttemptEnd func(now float64, r *routing.Attempt)
+	onWakeup     func(now float64, c *routing.Call)
+	events       []string
 }
 
 func (m *scriptedPolicy) OnEndpoints(_ float64, ps []*routing.Endpoint) {
-	if m.pools == nil {
-		m.pools = ps
+	if m.endpoints == nil {
+		m.endpoints = ps
 	}
 }
 
-func (m *scriptedPolicy) OnCall(now float64, routed *routing.Call) { m.offered(now, routed) }
+func (m *scriptedPolicy) OnCall(now float64, routed *routing.Call) { m.onCall(now, routed) }
 
 func (m *scriptedPolicy) OnAnswer(_ float64, attempt *routing.Attempt) {
-	m.heard = append(m.heard, "stood")
+	m.events = append(m.events, "stood")
 }
 
 func (m *scriptedPolicy) OnAttemptEnd(now float64, attempt *routing.Attempt, closed bool) {
-	m.heard = append(m.heard, fmt.Sprintf("ended %d closed %v wait %v", attempt.Outcome, closed, attempt.RetryAfter))
-	if m.ended != nil {
-		m.ended(now, attempt)
+	m.events = append(m.events, fmt.Sprintf("ended %d closed %v wait %v", attempt.Outcome, closed, attempt.RetryAfter))
+	if m.onAttemptEnd != nil {
+		m.onAttemptEnd(now, attempt)
 	}
 }
 
-func (m *scriptedPolicy) OnHangup(float64, *routing.Call) { m.heard = append(m.heard, "left") }
+func (m *scriptedPolicy) OnHangup(float64, *routing.Call) { m.events = append(m.events, "left") }
 
 func (m *scriptedPolicy) OnLoadReport(_ float64, endpoint *routing.Endpoint, ok, full bool) {
-	m.heard = append(m.heard, fmt.Sprintf("report %v %v", ok, full))
+	m.events = append(m.events, fmt.Sprintf("report %v %v", ok, full))
 }
 
 func (m *scriptedPolicy) OnGossip(float64, int, []byte) {}
 
 func (m *scriptedPolicy) OnWakeup(now float64, routed *routing.Call) {
-	if m.woken != nil {
-		m.woken(now, routed)
+	if m.onWakeup != nil {
+		m.onWakeup(now, routed)
 	}
 }
 
@@ -64,21 +64,21 @@
 // testHost is a gateway with a hand-played module and wire.
 type testHost struct {
 	*testing.T
-	e    *Agent
-	m    *scriptedPolicy
-	now  float64
-	out  []packet
-	said int
+	agent      *Agent
+	policy     *scriptedPolicy
+	now        float64
+	packets    []packet
+	nextPacket int
 }
 
 func (r *testHost) Send(to netip.AddrPort, data []byte) {
-	r.out = append(r.out, packet{to, string(data)})
+	r.packets = append(r.packets, packet{to, string(data)})
 }
 
 func (r *testHost) SendGossip(int, []byte) {}
 
 func newTestHost(t *testing.T) *testHost {
-	r := &testHost{T: t, m: &scriptedPolicy{}, now: 1e6}
+	r := &testHost{T: t, policy: &scriptedPolicy{}, now: 1e6}
 	set := &routing.Settings{
 		Gateways:          1,
 		Seed:              3,
@@ -93,10 +93,10 @@
 			{Name: "claim", LatencyObjective: 1000, Timeout: 6000, Weight: 5},
 		},
 	}
-	r.e = New(
+	r.agent = New(
 		&Config{
 			Name:         "e",
-			Address:      self,
+			Address:      gatewayAddr,
 			TrunkContext: "x.example",
 			Settings:     set,
 			Times:        siptransaction.Timers{T1: 400, T2: 3200, T4: 5000},
@@ -107,16 +107,18 @@
 			},
 			LoadShedding: loadshed.Gate{MaxPending: 100},
 		},
-		func(_ *routing.Settings, h routing.Host) routing.Policy { r.m.h = h; return r.m },
+		func(_ *routing.Settings, h routing.Host) routing.Policy { r.policy.host = h; return r.policy },
 		r,
 	)
-	r.m.offered = func(now float64, routed *routing.Call) { r.m.h.StartAttempt(routed, r.m.pools[0], routed.Deadline-now) }
-	r.list(routing.Ready)
+	r.policy.onCall = func(now float64, routed *routing.Call) {
+		r.policy.host.StartAttempt(routed, r.policy.endpoints[0], routed.Deadline-now)
+	}
+	r.sendList(routing.Ready)
 	return r
 }
 
-func (r *testHost) list(a routing.State) {
-	r.e.OnEndpointList(
+func (r *testHost) sendList(a routing.State) {
+	r.agent.OnEndpointList(
 		r.now,
 		[]ListEntry{
 			{ID: "a", DestinationID: 0, State: a, Addr: switchA},
@@ -126,24 +128,24 @@
 	)
 }
 
-func (r *testHost) pass(ms float64) {
+func (r *testHost) advance(ms float64) {
 	for end := r.now + ms; r.now < end; {
 		r.now++
-		r.e.Step(r.now)
+		r.agent.Step(r.now)
 	}
 }
 
-// get is what a caller or switch sends.
-func (r *testHost) get(from netip.AddrPort, text string) {
+// receive is what a caller or switch sends.
+func (r *testHost) receive(from netip.AddrPort, text string) {
 	head, body, _ := strings.Cut(text, "\n\n")
-	r.e.Receive(r.now, from, []byte(strings.ReplaceAll(head, "\n", "\r\n")+"\r\n\r\n"+body))
-	r.e.Step(r.now)
+	r.agent.Receive(r.now, from, []byte(strings.ReplaceAll(head, "\n", "\r\n")+"\r\n\r\n"+body))
+	r.agent.Step(r.now)
 }
 
-func callerSays(method, id, more string) string {
-	n := "1 " + method
+func callerRequest(method, id, toParams string) string {
+	cseq := "1 " + method
 	if method == "BYE" {
-		n = "2 BYE"
+		cseq = "2 BYE"
 	}
 	branch := id
 	if method == "BYE" || method == "ACK" {
@@ -151,20 +153,20 @@
 	}
 	return method + " sip:+14185550123;tgrp=TG-0;trunk-context=x.example@127.0.0.1 SIP/2.0\nVia: SIP/2.0/UDP " +
 		"127.0.0.2:5060;rport;branch=z9hG4bK" + branch +
-		"\nFrom: <sip:staff@epicerie.example>;tag=c" + id + "\nTo: <sip:+14185550123@127.0.0.1>" + more + "\nCall-ID: " +
-		id + "\nCSeq: " + n +
+		"\nFrom: <sip:staff@epicerie.example>;tag=c" + id + "\nTo: <sip:+14185550123@127.0.0.1>" + toParams + "\nCall-ID: " +
+		id + "\nCSeq: " + cseq +
 		"\nContact: <sip:127.0.0.2:5060>\nMax-Forwards: 70\nSession-ID: " + strings.Repeat(id[:1], 32) + ";remote=" +
 		strings.Repeat("0", 32) +
 		"\nExpires: 9\nContent-Length: 0"
 }
 
-// sent waits for the next message to somebody that begins with a text, and fails without one.
-func (r *testHost) sent(to netip.AddrPort, begins string) sip.Message {
+// expectSent waits for the next message to somebody that begins with a text, and fails without one.
+func (r *testHost) expectSent(to netip.AddrPort, begins string) sip.Message {
 	r.Helper()
-	for ; r.said < len(r.out); r.said++ {
-		p := r.out[r.said]
+	for ; r.nextPacket < len(r.packets); r.nextPacket++ {
+		p := r.packets[r.nextPacket]
 		if p.to == to && strings.HasPrefix(p.data, begins) {
-			r.said++
+			r.nextPacket++
 			m, err := siptransaction.Parse([]byte(p.data))
 			if err != nil {
 				r.Fatalf("%q: %v", p.data, err)
@@ -173,7 +175,7 @@
 		}
 	}
 	var all []string
-	for _, p := range r.out {
+	for _, p := range r.packets {
 		l, _, _ := strings.Cut(p.data, "\r\n")
 		all = append(all, p.to.String()+" "+l)
 	}
@@ -183,7 +185,7 @@
 
 // count is how many messages to somebody begin with a text.
 func (r *testHost) count(to netip.AddrPort, begins string) (n int) {
-	for _, p := range r.out {
+	for _, p := range r.packets {
 		if p.to == to && strings.HasPrefix(p.data, begins) {
 			n++
 		}
@@ -191,8 +193,8 @@
 	return n
 }
 
-// answer is a switch's answer to a request.
-func (r *testHost) answer(from netip.AddrPort, to sip.Message, code int, tag, more string) {
+// respond is a switch's respond to a request.
+func (r *testHost) respond(from netip.AddrPort, to sip.Message, code int, tag, more string) {
 	res := siptransaction.Response(to.(*sip.Request), code, "X", tag)
 	if code == 200 && to.(*sip.Request).Method == sip.INVITE {
 		res.AppendHeader(
@@ -202,13 +204,13 @@
 	if k, v, ok := strings.Cut(more, ": "); ok {
 		res.AppendHeader(sip.NewHeader(k, v))
 	}
-	r.e.Receive(r.now, from, []byte(res.String()))
-	r.e.Step(r.now)
+	r.agent.Receive(r.now, from, []byte(res.String()))
+	r.agent.Step(r.now)
 }
 
-func (r *testHost) heard(want ...string) {
+func (r *testHost) expectEvents(want ...string) {
 	r.Helper()
-	if got := strings.Join(r.m.heard, ", "); got != strings.Join(want, ", ") {
+	if got := strings.Join(r.policy.events, ", "); got != strings.Join(want, ", ") {
 		r.Errorf("the module heard %s, want %s", got, strings.Join(want, ", "))
 	}
 }
--- a/internal/protocol/siptransaction/client.go
+++ b/internal/protocol/siptransaction/client.go
@@ -30,21 +30,22 @@
 // Send sends a request, with a Via of its own, and retransmits it until a response comes. onResponse gets every
 // response that is no retransmission, but every 2xx to an INVITE, since each needs its ACK (RFC 6026 8), and nil when
 // none came within 64 T1.
-func (l *Layer) Send(req *sip.Request, to netip.AddrPort, via sip.HeaderParams, heard func(*sip.Response)) *Client {
+func (l *Layer) Send(req *sip.Request, to netip.AddrPort, via sip.HeaderParams,
+	onResponse func(*sip.Response)) *Client {
 	branch := "z9hG4bK" + l.Generator.Next()
 	p := via.Clone()
 	p.Add("branch", branch)
 	req.PrependHeader(&sip.ViaHeader{ProtocolName: "SIP", ProtocolVersion: "2.0", Transport: "UDP",
 		Host: l.Address.Addr().String(), Port: int(l.Address.Port()), Params: p})
 	c := &Client{layer: l, key: string(req.Method) + branch, request: req, to: to, data: l.encode(req),
-		interval: l.Times.T1, onResponse: heard}
+		interval: l.Times.T1, onResponse: onResponse}
 	l.clients[c.key] = c
 	l.send(to, c.data)
 	c.timer = l.Timers.Schedule(l.Now+c.interval, c.retransmit) // timers A and E
 	c.expiry = l.Timers.Schedule(l.Now+64*l.Times.T1, func() {  // timers B and F
 		c.discard()
 		if c.final == 0 {
-			heard(nil)
+			onResponse(nil)
 		}
 	})
 	return c
@@ -127,7 +128,7 @@
 	c.timer = l.Timers.Schedule(c.dueAt, c.retransmit)
 }
 
-func (c *Client) onResponseReceived(res *sip.Response) {
+func (c *Client) receive(res *sip.Response) {
 	l, invite := c.layer, c.request.Method == sip.INVITE
 	code := res.StatusCode
 	switch {
--- a/internal/protocol/siptransaction/layer.go
+++ b/internal/protocol/siptransaction/layer.go
@@ -126,7 +126,7 @@
 	switch m := m.(type) {
 	case *sip.Response:
 		if c := l.clients[string(m.CSeq().MethodName)+branch]; c != nil {
-			c.onResponseReceived(m)
+			c.receive(m)
 		} else if m.CSeq().MethodName == sip.INVITE && m.StatusCode >= 200 && m.StatusCode < 300 {
 			l.user.OnStrayResponse(m, from)
 		}
--- a/internal/protocol/siptransaction/signal_test.go
+++ b/internal/protocol/siptransaction/layer_test.go
@@ -11,7 +11,7 @@
 	"cobaltpier/internal/timerqueue"
 )
 
-var ua, ub = netip.MustParseAddrPort("127.0.0.1:5060"), netip.MustParseAddrPort("127.0.0.2:5060")
+var clientAddr, serverAddr = netip.MustParseAddrPort("127.0.0.1:5060"), netip.MustParseAddrPort("127.0.0.2:5060")
 
 // side is one end of a lossy wire, with all that it hears counted.
 type side struct {
@@ -34,7 +34,7 @@
 func (s *side) OnAck(req *sip.Request)                        { s.acked++ }
 func (s *side) OnStrayResponse(*sip.Response, netip.AddrPort) { s.strays++ }
 
-type flight struct {
+type inFlight struct {
 	at   float64
 	to   *side
 	from netip.AddrPort
@@ -48,20 +48,20 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := 0.0
 		a, b := &side{}, &side{}
-		var wire []flight
+		var wire []inFlight
 		loss := rapid.SampledFrom([]float64{0, 0.1, 0.4}).Draw(t, "loss")
 		n := &Generator{Seed: uint64(rapid.IntRange(0, 1<<30).Draw(t, "seed"))}
 		send := func(from netip.AddrPort, to *side) func(netip.AddrPort, []byte) {
 			return func(_ netip.AddrPort, data []byte) {
 				for range 1 + int(n.Float64()*1.2) {
 					if n.Float64() >= loss {
-						wire = append(wire, flight{now + 1 + 30*n.Float64(), to, from, data})
+						wire = append(wire, inFlight{now + 1 + 30*n.Float64(), to, from, data})
 					}
 				}
 			}
 		}
-		a.l = NewLayer(ua, Timers{100, 800, 500}, &Generator{Seed: 1}, &a.timers, a, send(ua, b))
-		b.l = NewLayer(ub, Timers{100, 800, 500}, &Generator{Seed: 2}, &b.timers, b, send(ub, a))
+		a.l = NewLayer(clientAddr, Timers{100, 800, 500}, &Generator{Seed: 1}, &a.timers, a, send(clientAddr, b))
+		b.l = NewLayer(serverAddr, Timers{100, 800, 500}, &Generator{Seed: 2}, &b.timers, b, send(serverAddr, a))
 		method := rapid.SampledFrom([]sip.RequestMethod{sip.INVITE, sip.BYE}).Draw(t, "method")
 		code := rapid.SampledFrom([]int{200, 486, 503}).Draw(t, "code")
 		ring, cancel := rapid.Bool().Draw(t, "ring"), rapid.Bool().Draw(t, "cancel")
@@ -82,7 +82,7 @@
 		req.AppendHeader(&id)
 		req.AppendHeader(&sip.CSeqHeader{SeqNo: 1, MethodName: method})
 		var c *Client
-		c = a.l.Send(req, ub, oc(), func(res *sip.Response) {
+		c = a.l.Send(req, serverAddr, overloadParams(), func(res *sip.Response) {
 			switch {
 			case res == nil:
 				nothing = true
@@ -96,7 +96,7 @@
 			}
 		})
 		for ; now < 45000; now++ {
-			var rest []flight
+			var rest []inFlight
 			due := wire
 			wire = nil
 			for _, f := range due {
@@ -134,7 +134,9 @@
 	})
 }
 
-func oc() sip.HeaderParams { return sip.HeaderParams{{K: "oc"}, {K: "oc-algo", V: `"loss,rate"`}} }
+func overloadParams() sip.HeaderParams {
+	return sip.HeaderParams{{K: "oc"}, {K: "oc-algo", V: `"loss,rate"`}}
+}
 
 // A quoted value in a Via, with what parts parameters inside it, is read and written as it is.
 func TestQuotedVia(t *testing.T) {
@@ -155,7 +157,7 @@
 	}
 }
 
-func TestWaits(t *testing.T) {
+func TestRetryAfter(t *testing.T) {
 	for in, want := range map[string]float64{"": 0, "5": 5000, "1;ms=300": 300, " 2 (later);duration=9": 2000,
 		"3(soon)": 3000, "-1": 0, "x": 0, "9999999999999": 0} {
 		if got := ParseRetryAfter(in); got != want {
