--- a/internal/protocol/b2bua/agent.go
+++ b/internal/protocol/b2bua/agent.go
@@ -1,10 +1,10 @@
-// Package b2bua is a call-stateful back-to-back user agent (RFC 3261, section 6): it takes calls by SIP, asks the
-// routing policy about each and sets it up over trunk groups. It has no I/O and no clock. Datagrams, endpoint lists,
-// gossip and the time come in through methods; datagrams go out through Transport. Package callcontrol keeps the calls
-// and guards the rules, as for the binary gateway.
+// Package b2bua is a call-stateful back-to-back user agent (RFC 3261, section 6): it accepts SIP calls, hands
+// each to the routing policy and sets it up over a trunk group. It has no I/O and no clock: datagrams, endpoint lists,
+// gossip and the current time are passed to its methods, and datagrams leave through Transport. Package callcontrol
+// keeps the calls and enforces the rules, as it does for the binary gateway.
 //
-// A call passes its caller's dialog, load shedding, the analysis of its number if there is a table, the routing policy
-// and an outbound leg. What comes back runs the other way.
+// A call passes through the caller's dialog, load shedding, number analysis if a number table is set, the routing
+// policy and an outbound leg. Responses take the reverse path.
 package b2bua
 
 import (
@@ -26,11 +26,11 @@
 
 //tally:decisions
 
-// Transport is what a gateway asks of its driver.
+// Transport sends the agent's messages.
 type Transport interface {
-	// Send puts a SIP datagram on the wire.
+	// Send sends a SIP datagram.
 	Send(to netip.AddrPort, data []byte)
-	// SendGossip sends a message of at most 256 bytes to another gateway, by its number.
+	// SendGossip sends a message of at most 256 bytes to the gateway with this index.
 	SendGossip(gateway int, data []byte)
 }
 
@@ -42,10 +42,11 @@
 	inUse         int // in use by this gateway
 }
 
-// Lookup finds out where numbers were ported to, for number tables that need it.
+// Lookup resolves the portability of numbers, for number tables that ask for it.
 type Lookup interface {
-	// Resolve looks a number up and calls done once, within so many ms, maybe at once; stop cancels it.
-	Resolve(now float64, digits string, within float64, done func(now float64, found numberplan.Found)) (stop func())
+	// Resolve looks a number up. It calls done exactly once, within timeout ms and possibly before it returns; stop
+	// cancels the look-up.
+	Resolve(now float64, digits string, timeout float64, done func(now float64, found numberplan.Found)) (stop func())
 	Wake(now float64)
 	NextWakeup() float64
 }
@@ -59,15 +60,15 @@
 	Times        siptransaction.Timers
 	Groups       []Group
 	DefaultClass string  // the class of a call that names none
-	AnswerMargin float64 // ms: final answers leave so long before the caller's timeout ends
+	AnswerMargin float64 // ms before the caller's timeout by which the final answer is sent
 	LoadShedding loadshed.Gate
 	Parse        func([]byte) (sip.Message, error) // nil: siptransaction.Parse
-	// Table says what becomes of called numbers; nil: callers name class and trunk group themselves.
+	// Table routes called numbers; nil: callers name class and trunk group themselves.
 	Table        *numberplan.Table
-	NumberLookup Lookup    // nil: no number can be looked up
-	LookupShare  float64   // of what is left of a call's timeout that a look-up may use
+	NumberLookup Lookup    // nil: look-ups are not available
+	LookupShare  float64   // share of a call's remaining timeout that a look-up may use
 	Epoch        time.Time // the wall clock when this agent's clock stood at 0, for times of day
-	// DisabledGuard switches the guard of one rule off, for tests of the conformance checker; 0: none.
+	// DisabledGuard turns off the enforcement of one rule, for tests of the conformance checker; 0: none.
 	DisabledGuard routing.Rule
 }
 
@@ -80,7 +81,7 @@
 	Addr          netip.AddrPort
 }
 
-// Counts are what an agent has counted since its start.
+// Counts are the agent's counters since its start.
 type Counts = callcontrol.Counts
 
 // CallRecord is a call's final answer, for logs.
@@ -90,8 +91,8 @@
 	Answer     int // the final answer's code
 	Attempts   int
 	DurationMs float64 // ms from its arrival to its final answer
-	Table      uint64  // version of the number table that routed it; 0: none
-	Route      string  // its name, "": none
+	Table      uint64  // version of the number table that was used; 0: none
+	Route      string  // name of the route; "": none
 }
 
 // Agent is one gateway. It is not safe for concurrent use: one event loop owns it.
@@ -104,16 +105,16 @@
 	ids                 siptransaction.Generator
 	sip                 *siptransaction.Layer
 	addresses           map[*routing.Endpoint]netip.AddrPort
-	groupsByDestination map[int]*Group     // by endpoint
+	groupsByDestination map[int]*Group     // by destination ID
 	groupsByName        map[string]*Group  // by tgrp
 	dialogs             map[string]*dialog // by local tag
 	refusals            loadshed.Refusals
 	table               *numberplan.Table
-	tables              map[*numberplan.Table]int // with the calls without a final answer that use each
+	tables              map[*numberplan.Table]int // number of calls without a final answer per table
 	drawCount           uint64
 }
 
-// New makes an agent; mk makes its routing policy.
+// New returns an agent; newPolicy makes its routing policy.
 func New(cfg *Config, newPolicy routing.PolicyFactory, out Transport) *Agent {
 	a := &Agent{
 		Controller: callcontrol.New(
@@ -163,8 +164,8 @@
 	}
 }
 
-// OnEndpointList takes an endpoint list, complete or of changes only. It counts at once (rule 3): setups to an endpoint
-// that drains or is gone are not retransmitted any more.
+// OnEndpointList applies an endpoint list, complete or of changes only. It takes effect at once (rule 3): setups to an
+// endpoint that drains or is gone are no longer retransmitted.
 func (a *Agent) OnEndpointList(now float64, list []ListEntry, complete bool) {
 	a.Now, a.sip.Now = now, now
 	entries := make([]endpointset.Entry[string], len(list))
@@ -198,7 +199,7 @@
 	a.Router.OnEndpoints(now, changed)
 }
 
-// Step ends a batch of events: timers that are due run, then calls that arrived are handed to the policy.
+// Step ends a batch of events: it runs due timers, then hands calls that arrived to the policy.
 func (a *Agent) Step(now float64) {
 	a.sip.Now = now
 	a.ProcessBatch(now, func() {
@@ -208,7 +209,7 @@
 	})
 }
 
-// NextWakeup is when Step is wanted next.
+// NextWakeup returns the time at which Step has to be called next.
 func (a *Agent) NextWakeup() float64 {
 	at := a.Controller.NextWakeup()
 	if a.config.NumberLookup != nil {
@@ -217,7 +218,7 @@
 	return at
 }
 
-// ReleaseAll ends all established calls.
+// ReleaseAll releases all established calls.
 func (a *Agent) ReleaseAll(now float64) {
 	a.Now, a.sip.Now = now, now
 	var tags []string
@@ -234,13 +235,13 @@
 	}
 }
 
-// OpenCounts is how much the agent holds: dialogs, transactions and timers.
+// OpenCounts returns the number of open dialogs, transactions and timers.
 func (a *Agent) OpenCounts() (dialogs, transactions, timers int) {
 	c, s := a.sip.OpenCounts()
 	return len(a.dialogs), c + s, a.Timers.Len()
 }
 
-// ProbeHealth implements routing.Host: OPTIONS (RFC 3261 11).
+// ProbeHealth implements routing.Host: it sends OPTIONS (RFC 3261 11).
 func (a *Agent) ProbeHealth(endpoint *routing.Endpoint) {
 	to := a.addresses[endpoint]
 	req := sip.NewRequest(sip.OPTIONS, sip.Uri{Scheme: "sip", Host: to.Addr().String(), Port: int(to.Port())})
@@ -279,7 +280,7 @@
 		s.Respond(siptransaction.Response(req, 200, "OK", ""))
 		d.onBye(req)
 	case req.Method == sip.INVITE:
-		s.Respond(siptransaction.Response(req, 488, "Not Acceptable Here", "")) // the call goes on as it is
+		s.Respond(siptransaction.Response(req, 488, "Not Acceptable Here", "")) // re-INVITE: the call continues unchanged
 	case req.Method == sip.OPTIONS:
 		s.Respond(siptransaction.Response(req, 200, "OK", ""))
 	default:
@@ -289,12 +290,12 @@
 	}
 }
 
-// ownURI is this agent's own URI.
+// ownURI returns this agent's URI with a user part.
 func (a *Agent) ownURI(user string) sip.Uri {
 	return sip.Uri{Scheme: "sip", User: user, Host: a.config.Address.Addr().String(), Port: int(a.config.Address.Port())}
 }
 
-// addCommonHeaders gives a request the header fields that all have (RFC 3261 8.1.1), without its Via.
+// addCommonHeaders adds the header fields that every request has (RFC 3261 8.1.1), except Via.
 func (a *Agent) addCommonHeaders(req *sip.Request, from *sip.FromHeader, to *sip.ToHeader, callID string, seq uint32) {
 	id := sip.CallIDHeader(callID)
 	req.AppendHeader(from)
--- a/internal/protocol/b2bua/call.go
+++ b/internal/protocol/b2bua/call.go
@@ -16,30 +16,30 @@
 	temporaryFailure = `Q.850;cause=41;text="Temporary failure"`
 )
 
-// servicePrefix is what RFC 6050 puts before the name of a service.
+// servicePrefix precedes the name of a service (RFC 6050).
 const servicePrefix = "urn:urn-7:"
 
 // dialog is our side of a SIP dialog, with a caller or with an endpoint.
 type dialog struct {
 	agent  *Agent
-	call   *call        // nil: it was given up
-	leg    *outboundLeg // nil: the caller's
+	call   *call        // nil: abandoned
+	leg    *outboundLeg // nil: this is the caller's dialog
 	callID string
 	tag    string
 }
 
-// call is a call of a caller by SIP, with its legs.
+// call is a SIP call from a caller, with its legs.
 type call struct {
 	*session
 	invite      *sip.Request
 	server      *siptransaction.Server
 	tag         string
-	tenantHost  string       // host of the caller's address
+	tenantHost  string       // host of the caller's From address
 	leg         *outboundLeg // of the attempt in flight, or of the established call
-	ringingSent bool         // the caller was sent 180 Ringing
+	ringingSent bool         // 180 Ringing was sent to the caller
 }
 
-// onInvite takes an INVITE: the call is handed to the policy at the end of the batch.
+// onInvite handles a new INVITE. The call is handed to the policy at the end of the batch.
 func (a *Agent) onInvite(s *siptransaction.Server, req *sip.Request) {
 	className, ok := strings.CutPrefix(siptransaction.HeaderValue(req, siptransaction.Service), servicePrefix)
 	if !ok {
@@ -93,7 +93,7 @@
 	a.Enqueue(c.Session)
 }
 
-// numberParameter is a parameter of a telephone number in a user part (RFC 3261 19.1.6, RFC 4904).
+// numberParameter returns a parameter of the telephone number in a user part (RFC 3261 19.1.6, RFC 4904).
 func numberParameter(params, name string) string {
 	for p := range strings.SplitSeq(params, ";") {
 		if k, v, _ := strings.Cut(p, "="); strings.EqualFold(k, name) {
@@ -103,7 +103,7 @@
 	return ""
 }
 
-// transactionKey identifies an INVITE's transaction in little space.
+// transactionKey identifies an INVITE's transaction by a hash, to save memory.
 func transactionKey(req *sip.Request) uint64 {
 	h := fnv.New64a()
 	branch, _ := req.Via().Params.Get("branch")
@@ -112,7 +112,7 @@
 	return h.Sum64()
 }
 
-// overloadedResponse is the answer to a call that is shed; it needs no state.
+// overloadedResponse is the response to a call that is shed. It is the same each time, so no state is kept for it.
 func (a *Agent) overloadedResponse(req *sip.Request) *sip.Response {
 	return siptransaction.Response(req, 503, "Service Unavailable", "busy")
 }
@@ -124,7 +124,7 @@
 	c.server.RespondStateless(c.agent.overloadedResponse(c.invite))
 }
 
-// respond implements responder. Of a call that was not admitted nothing is kept.
+// respond implements responder. No state is kept for a call that was not admitted.
 func (c *call) respond(code int, reason string) {
 	if c.tag == "" {
 		c.server.Respond(siptransaction.Response(c.invite, code, reason, c.agent.ids.Next()))
@@ -152,7 +152,7 @@
 	}
 }
 
-// OnAccepted implements callcontrol.SignalingLeg: a number that has to be looked up is not ready.
+// OnAccepted implements callcontrol.SignalingLeg. A call whose number has to be looked up is not ready for the policy.
 func (c *call) OnAccepted() bool {
 	c.tag = c.agent.ids.Next()
 	return c.number.lookupNumber == ""
@@ -184,7 +184,7 @@
 	}
 }
 
-// establish tells the caller that the call is established.
+// establish answers the caller with 200 and opens the caller's dialog.
 func (c *call) establish(answer *sip.Response) {
 	a := c.agent
 	res := siptransaction.Response(c.invite, 200, "OK", c.tag)
@@ -197,10 +197,10 @@
 	a.dialogs[c.tag] = &dialog{agent: a, call: c, callID: string(*c.invite.CallID()), tag: c.tag}
 	c.server.OnUnacknowledged(
 		func() { c.release(routing.Completed, normalClearing) },
-	) // RFC 3261 13.3.1.4: no ACK ever came
+	) // RFC 3261 13.3.1.4: no ACK arrived
 }
 
-// OnCancel implements siptransaction.User: the caller is gone before its answer.
+// OnCancel implements siptransaction.User: the caller cancels before the final answer.
 func (a *Agent) OnCancel(s *siptransaction.Server, _ *sip.Request) {
 	a.Now = a.sip.Now
 	c, ok := s.User.(*call)
@@ -208,7 +208,7 @@
 		return
 	}
 	a.Counts.HungUp++
-	if c.tag == "" { // not taken yet
+	if c.tag == "" { // not admitted yet
 		c.Finished = true
 		c.releaseTable()
 		s.Respond(siptransaction.Response(c.invite, 487, "Request Terminated", a.ids.Next()))
@@ -227,7 +227,7 @@
 	}
 }
 
-// onBye ends a call from either side.
+// onBye handles a BYE from either side and releases the call.
 func (d *dialog) onBye(req *sip.Request) {
 	if d.call == nil || !d.call.Established {
 		return
@@ -239,20 +239,20 @@
 	}
 	c := d.call
 	if d.leg == nil {
-		delete(c.agent.dialogs, c.tag) // nothing more goes to this side
+		delete(c.agent.dialogs, c.tag) // no BYE is sent back to this side
 	} else {
 		d.leg.releasedByPeer = true
 	}
 	c.release(outcome, reason)
 }
 
-// release ends an established call on the sides that do not know of it yet.
+// release ends an established call and sends BYE to each side that has not released it.
 func (c *call) release(outcome routing.Outcome, reason string) {
 	if !c.Established || c.leg == nil {
 		return
 	}
 	a, l := c.agent, c.leg
-	c.server.Acknowledge() // a BYE may overtake the ACK: the 200 is not repeated any more
+	c.server.Acknowledge() // a BYE may overtake the ACK: stop retransmitting the 200
 	a.AddEstablished(-1)
 	c.leg = nil
 	if _, open := a.dialogs[c.tag]; open {
@@ -272,13 +272,13 @@
 	c.EndAttempt(l.attempt, outcome, true)
 }
 
-// addByeHeaders gives a BYE its Session-ID and reason.
+// addByeHeaders adds Session-ID and Reason to a BYE.
 func (a *Agent) addByeHeaders(req *sip.Request, c *call, reason string) {
 	req.AppendHeader(sip.NewHeader(siptransaction.SessionID, siptransaction.FormatSessionID(c.sessionID)))
 	req.AppendHeader(sip.NewHeader(siptransaction.Reason, reason))
 }
 
-// newSessionID is an ID for a call whose caller gave none.
+// newSessionID makes a session ID for a call without one.
 func (a *Agent) newSessionID() string { return siptransaction.NewSessionID(&a.ids) }
 
 func copyBody(from, to interface {
--- a/internal/protocol/b2bua/enquiry.go
+++ b/internal/protocol/b2bua/enquiry.go
@@ -6,29 +6,29 @@
 	"cobaltpier/internal/routing"
 )
 
-// EnquiryResult is the answer to an enquiry: which endpoint to call, or why none.
+// EnquiryResult is the answer to an enquiry: the endpoint to call, or the reason why there is none.
 type EnquiryResult struct {
-	Code       int // 200: an endpoint is named; else as of SIP
+	Code       int // 200: an endpoint is named; otherwise a SIP status code
 	Reason     string
-	RetryAfter float64 // ms after which to ask again; 0: not given
+	RetryAfter float64 // ms to wait before the next enquiry; 0: not given
 	Addr       netip.AddrPort
 	Group      string
-	Number     string // to be called there
-	Params     string // that go with it (RFC 4694)
-	// Valid tells whether the endpoint may still be called: it neither drains nor is gone.
+	Number     string // the number to call there
+	Params     string // portability parameters of the number (RFC 4694)
+	// Valid reports whether the endpoint may still be called: it is neither draining nor gone.
 	Valid func() bool
 }
 
-// enquiry is a call of somebody who asks which endpoint to call, and calls it itself.
+// enquiry is a request for the endpoint of a call that the client then sets up itself.
 type enquiry struct {
 	*session
 	attempt *routing.Attempt
 	done    func(now float64, n EnquiryResult)
 }
 
-// StartEnquiry asks for the endpoint that a call of a class with a number, as it would be dialled, would be sent to at
-// this moment. done is called once, within timeout ms; what the policy decides counts for drains and cold budgets as an
-// attempt does. stop cancels the enquiry.
+// StartEnquiry asks which endpoint a call to this number, as dialled, and of this class would be sent to now. done is
+// called once, within timeout ms. The policy's decision counts as an attempt for drains and slow-start budgets. stop
+// cancels the enquiry.
 func (a *Agent) StartEnquiry(
 	now float64,
 	number, className string,
@@ -102,8 +102,8 @@
 // HasAttempt implements callcontrol.SignalingLeg.
 func (q *enquiry) HasAttempt() bool { return q.attempt != nil }
 
-// SendSetup implements callcontrol.SignalingLeg: the answer is the attempt. Whoever asked calls the endpoint itself, so
-// it is over for us; the policy counts it as one that was sent and taken.
+// SendSetup implements callcontrol.SignalingLeg: it returns the endpoint to the client, which sets the call up itself.
+// The attempt ends here; for the policy it was sent and completed.
 func (q *enquiry) SendSetup(attempt *routing.Attempt, _ float64) bool {
 	a := q.agent
 	g := a.groupsByDestination[attempt.Endpoint.DestinationID]
@@ -125,7 +125,7 @@
 	return true
 }
 
-// SendCancel implements callcontrol.SignalingLeg: an answer that was given can't be taken back.
+// SendCancel implements callcontrol.SignalingLeg: a result that was returned can't be withdrawn.
 func (*enquiry) SendCancel(*routing.Attempt) {}
 
 // SendTrying implements callcontrol.SignalingLeg.
--- a/internal/protocol/b2bua/loadreport.go
+++ b/internal/protocol/b2bua/loadreport.go
@@ -11,7 +11,7 @@
 	"cobaltpier/internal/routing"
 )
 
-// loadReportFields set the figures of a load report by the names in the Cobalt-Load header field.
+// loadReportFields maps the parameter names of the Cobalt-Load header field to setters of the load report.
 var loadReportFields = map[string]func(*routing.LoadReport, float64){
 	"util":  func(r *routing.LoadReport, v float64) { r.Utilization = v },
 	"queue": func(r *routing.LoadReport, v float64) { r.QueueLength = v },
@@ -20,8 +20,9 @@
 	"free":  func(r *routing.LoadReport, v float64) { r.Free = v },
 }
 
-// applyLoadReport reads what an answer says of an endpoint's load: overload control in our own Via (RFC 7339 4, RFC
-// 7415 3) and the load header. It tells whether figures of the processor came. What makes no sense is passed over.
+// applyLoadReport updates an endpoint's load report from a response: overload control parameters in our own Via (RFC
+// 7339 4, RFC 7415 3) and the Cobalt-Load header field. It reports whether any value other than lines and free was
+// present. Invalid values are ignored.
 func (a *Agent) applyLoadReport(endpoint *routing.Endpoint, res *sip.Response) bool {
 	full := false
 	if via := res.Via(); via != nil {
@@ -32,7 +33,7 @@
 			switch strings.Trim(algo, `"`) {
 			case "loss":
 				endpoint.LoadReport.LossFraction, full = min(1, n/100), true
-			case "rate": // what this client may send; the module wants what all may
+			case "rate": // the limit of this client; the policy uses the limit of all gateways together
 				endpoint.LoadReport.RateLimit, full = n*float64(max(1, a.config.Settings.Gateways)), true
 			}
 		}
@@ -48,7 +49,7 @@
 	return full
 }
 
-// parseNumber reads a number from 0 up.
+// parseNumber parses a finite number that is not negative.
 func parseNumber(s string) (float64, bool) {
 	n, err := strconv.ParseFloat(s, 64)
 	return n, err == nil && n >= 0 && !math.IsInf(n, 0)
--- a/internal/protocol/b2bua/numberanalysis.go
+++ b/internal/protocol/b2bua/numberanalysis.go
@@ -9,34 +9,35 @@
 	"cobaltpier/internal/detrand"
 )
 
-// numberAnalysis is the state of a number's analysis. A call uses one number table until its final answer, whatever
-// table new calls get meanwhile.
+// numberAnalysis is the state of the analysis of a called number. A call keeps its number table until its final
+// answer, even if new calls get another one meanwhile.
 type numberAnalysis struct {
 	analysis      *numberplan.Analysis
 	lookupNumber  string // the number to be looked up
 	lookupTimeout float64
-	cancelLookup  func() // nil: none is open
+	cancelLookup  func() // nil: no look-up is pending
 	tableVersion  uint64
 	routeName     string
-	params        string // portability parameters that go with the number (RFC 4694)
+	params        string // portability parameters of the number (RFC 4694)
 }
 
-// SetTable gives new calls another number table; nil: none. Pending calls keep theirs.
+// SetTable sets the number table of new calls; nil: none. Pending calls keep theirs.
 func (a *Agent) SetTable(t *numberplan.Table) { a.table = t }
 
-// Tables counts the older tables in use, and their calls without a final answer.
-func (a *Agent) Tables() (old, contacts int) {
+// Tables returns the number of older tables in use, and of calls without a final answer that use them.
+func (a *Agent) Tables() (old, calls int) {
 	for t, n := range a.tables {
 		if t != a.table {
 			old++
-			contacts += n
+			calls += n
 		}
 	}
 	return
 }
 
-// startAnalysis begins the analysis of a call's number. What the table refuses at once is answered here and needs no
-// state; a question goes out only when the call was admitted, so that a flood asks for nothing.
+// startAnalysis begins the analysis of a call's number; false: the call was answered. A number that the table refuses
+// is answered here without keeping state. A look-up starts only after admission, so that a flood of shed calls causes
+// no DNS queries.
 func (s *session) startAnalysis(user, params string) bool {
 	a := s.agent
 	p, err := enum.Params(params)
@@ -75,7 +76,7 @@
 	return true
 }
 
-// startLookup looks up what the analysis needs, for no longer than a part of what is left of the caller's timeout.
+// startLookup looks up the number for the analysis, within a share of the call's remaining timeout.
 func (s *session) startLookup() {
 	a := s.agent
 	timeout := min(s.number.lookupTimeout, a.config.LookupShare*(s.Deadline-a.Now))
@@ -100,7 +101,8 @@
 	}
 }
 
-// onAnalysisEnd takes the end of an analysis that needed a look-up: the policy gets the call, or the caller its answer.
+// onAnalysisEnd handles the outcome of an analysis that needed a look-up: it passes the call to the policy or answers
+// it.
 func (s *session) onAnalysisEnd(o numberplan.Outcome) {
 	a := s.agent
 	switch {
@@ -115,7 +117,7 @@
 	}
 }
 
-// applyRoute puts a route's fields into the call; false: it names what this agent does not have.
+// applyRoute copies a route into the call; false: this agent lacks the route's trunk group, class or tenant.
 func (s *session) applyRoute(r *numberplan.Route) bool {
 	a := s.agent
 	g := a.groupsByName[r.Group]
@@ -148,7 +150,7 @@
 	return true
 }
 
-// releaseTable ends a call's use of its table and cancels its look-up.
+// releaseTable drops the call's reference to its number table and cancels a pending look-up.
 func (s *session) releaseTable() {
 	r := &s.number
 	if r.cancelLookup != nil {
--- a/internal/protocol/b2bua/outboundleg.go
+++ b/internal/protocol/b2bua/outboundleg.go
@@ -10,10 +10,11 @@
 	"cobaltpier/internal/timerqueue"
 )
 
-// overloadControlParams says in a Via which kinds of overload control this agent heeds (RFC 7339 4.1, RFC 7415).
+// overloadControlParams are the Via parameters that announce the supported overload control algorithms (RFC 7339 4.1,
+// RFC 7415).
 var overloadControlParams = sip.HeaderParams{{K: "oc"}, {K: "oc-algo", V: `"loss,rate"`}}
 
-// outboundLeg is the SIP side of one attempt. It outlives the attempt where the endpoint may still have the call.
+// outboundLeg is the SIP side of one attempt. It outlives the attempt while the endpoint may still have the call.
 type outboundLeg struct {
 	call            *call
 	attempt         *routing.Attempt
@@ -23,16 +24,16 @@
 	dialog          *dialog
 	timeout         *timerqueue.Timer
 	invite          *sip.Request
-	answer          *sip.Response // the 2xx that set the dialog up
+	answer          *sip.Response // the 2xx that established the dialog
 	ack             []byte
-	active          bool // false: the caller or the policy gave it up
-	reported        bool // the policy knows the attempt's end
-	releasedByPeer  bool // the other side released it
-	circuitReleased bool // its circuit is free
+	active          bool // false: canceled or timed out
+	reported        bool // the attempt's end was reported to the policy
+	releasedByPeer  bool // the endpoint sent BYE
+	circuitReleased bool // its circuit was freed
 }
 
-// SendSetup implements callcontrol.SignalingLeg: it sends a setup over a trunk group and gives up after so many ms. A
-// group without a free circuit takes none.
+// SendSetup implements callcontrol.SignalingLeg: it sends a setup over the endpoint's trunk group, with a timeout in
+// ms; false: the group has no free circuit.
 func (c *call) SendSetup(attempt *routing.Attempt, timeout float64) bool {
 	a := c.agent
 	g := a.groupsByDestination[attempt.Endpoint.DestinationID]
@@ -67,8 +68,8 @@
 	return true
 }
 
-// onTimeout takes the end of the attempt's timeout. The policy is told at once, since the caller's answer is due; the
-// endpoint as soon as SIP allows.
+// onTimeout handles the attempt's timeout. It is reported to the policy at once, since the caller's answer is due; the
+// CANCEL is sent as soon as SIP allows it.
 func (l *outboundLeg) onTimeout() {
 	l.cancel()
 	if !l.tx.HasResponse() {
@@ -77,8 +78,9 @@
 	l.reportEnd(routing.TimedOut)
 }
 
-// cancel calls the setup off. Where no provisional answer came yet RFC 3261 9.1 forbids the CANCEL: it follows the
-// first one, and till then the attempt is in flight. Rule 1: of a call that has its answer nothing is repeated either.
+// cancel cancels the setup. RFC 3261 9.1 forbids a CANCEL before the first provisional response: it is sent after that
+// response, and until then the attempt counts as in flight. Rule 1: once the call has its final answer, the setup is no
+// longer retransmitted either.
 func (l *outboundLeg) cancel() {
 	l.active = false
 	if !l.tx.Cancel() && l.call.Finished && !l.tx.HasResponse() {
@@ -86,7 +88,7 @@
 	}
 }
 
-// onResponse takes a response of the endpoint; nil: the transaction has timed out.
+// onResponse handles a response of the endpoint; nil: the transaction timed out.
 func (l *outboundLeg) onResponse(res *sip.Response) {
 	a := l.call.agent
 	a.Now = a.sip.Now
@@ -128,7 +130,7 @@
 	}
 }
 
-// onFurtherAnswer takes a 2xx after the first: a retransmission, or that of another branch of a forked setup.
+// onFurtherAnswer handles a 2xx after the first: a retransmission, or one from another branch of a forked setup.
 func (l *outboundLeg) onFurtherAnswer(res *sip.Response) {
 	if siptransaction.Tag(res.To().Params) == siptransaction.Tag(l.answer.To().Params) {
 		l.call.agent.transport.Send(l.to, l.ack)
@@ -145,7 +147,7 @@
 	if fullReport {
 		a.Router.OnLoadReport(a.Now, l.attempt.Endpoint, true, true)
 	}
-	if !l.active || l.reported || c.Finished || c.Established { // it crossed a cancel: nobody is there for it
+	if !l.active || l.reported || c.Finished || c.Established { // it crossed a cancel: no caller waits for it
 		l.sendBye(normalClearing)
 		l.reportEnd(routing.Canceled)
 		l.discard()
@@ -158,7 +160,7 @@
 	a.Router.OnAnswer(a.Now, l.attempt)
 }
 
-// onFailure takes a final response other than 2xx; docs/gateway.md lists what each code means.
+// onFailure handles a final response other than 2xx; docs/gateway.md lists what each code means.
 func (l *outboundLeg) onFailure(res *sip.Response, fullReport bool) {
 	outcome := routing.Failed
 	l.attempt.RetryAfter = 0
@@ -182,7 +184,7 @@
 	l.discard()
 }
 
-// reportEnd tells the policy how the attempt ended, once, and frees the circuit where nothing is left of it.
+// reportEnd reports the end of the attempt to the policy, once.
 func (l *outboundLeg) reportEnd(outcome routing.Outcome) {
 	if l.reported {
 		return
@@ -201,7 +203,7 @@
 	a := l.call.agent
 	delete(a.dialogs, l.dialog.tag)
 	if l.answer != nil && l.reported {
-		l.tx.Discard() // a repeat of the 2xx finds the dialog released
+		l.tx.Discard() // a retransmitted 2xx is then handled by OnStrayResponse
 	}
 	a.Timers.Cancel(l.timeout)
 	if !l.circuitReleased {
@@ -210,18 +212,18 @@
 	}
 }
 
-// newDialogRequest makes a request in the dialog that an answer set up.
+// newDialogRequest makes a request in the dialog that a response established.
 func (l *outboundLeg) newDialogRequest(method sip.RequestMethod, res *sip.Response, seq uint32) *sip.Request {
 	target := l.invite.Recipient
 	if c := res.Contact(); c != nil {
-		target = c.Address // the datagram goes where the setup went, whatever the Contact says
+		target = c.Address // Request-URI only: the datagram goes to the setup's address
 	}
 	req := sip.NewRequest(method, target)
 	l.call.agent.addCommonHeaders(req, l.invite.From(), res.To(), l.dialog.callID, seq)
 	return req
 }
 
-// sendAck sends the ACK of a 2xx (RFC 3261 13.2.2.4) and returns it for repeats.
+// sendAck sends the ACK of a 2xx (RFC 3261 13.2.2.4) and returns it for retransmissions.
 func (l *outboundLeg) sendAck(res *sip.Response) []byte {
 	a := l.call.agent
 	req := l.newDialogRequest(sip.ACK, res, 1)
@@ -229,7 +231,7 @@
 	return a.sip.SendAck(req, l.to)
 }
 
-// sendBye releases the dialog.
+// sendBye sends a BYE in the leg's dialog.
 func (l *outboundLeg) sendBye(reason string) {
 	req := l.newDialogRequest(sip.BYE, l.answer, 2)
 	l.call.agent.addByeHeaders(req, l.call, reason)
@@ -244,9 +246,9 @@
 	l.call.agent.sip.Send(req, l.to, nil, func(*sip.Response) {})
 }
 
-// OnStrayResponse implements siptransaction.User: an endpoint answers a call that is unknown here, a setup
-// of a process before this one, or one whose dialog was released since. It is acknowledged and released, so that no
-// circuit stays in use; only if the address is that of a listed endpoint.
+// OnStrayResponse implements siptransaction.User: an endpoint answers a setup that is unknown here: it was sent
+// by an earlier process, or its dialog was released since. The answer is acknowledged and released, so that no circuit
+// stays in use, but only if it comes from the address of a listed endpoint.
 func (a *Agent) OnStrayResponse(res *sip.Response, from netip.AddrPort) {
 	a.Now = a.sip.Now
 	known := false
--- a/internal/protocol/b2bua/session.go
+++ b/internal/protocol/b2bua/session.go
@@ -2,7 +2,7 @@
 
 import "cobaltpier/internal/protocol/callcontrol"
 
-// session is what calls and enquiries have in common: the call control's session and the analysis of the number.
+// session is the common part of calls and enquiries: the call control session and the number analysis.
 type session struct {
 	*callcontrol.Session
 	responder
@@ -11,13 +11,13 @@
 	number    numberAnalysis
 }
 
-// responder sends final answers that the policy does not decide about.
+// responder sends final answers that the policy does not decide.
 type responder interface {
 	// respond sends a final answer with a SIP status code and reason.
-	respond(code int, why string)
+	respond(code int, reason string)
 }
 
-// finishWithCode notes a final answer, by its code, and lets go of the number's table; false: it has one already.
+// finishWithCode records the final answer's code and releases the number table; false: there was a final answer before.
 func (s *session) finishWithCode(code int) bool {
 	if !s.Finish(code >= 300) {
 		return false
@@ -42,5 +42,5 @@
 // SendFailure implements callcontrol.SignalingLeg.
 func (s *session) SendFailure() { s.respond(500, "Server Internal Error") }
 
-// Prepare looks a call's number up before the policy gets it.
+// Prepare looks up the call's number before the policy gets the call.
 func (s *session) Prepare() { s.startLookup() }
