--- a/internal/gateway/sipserver/enumlistener.go
+++ b/internal/gateway/sipserver/enumlistener.go
@@ -14,8 +14,8 @@
 	"cobaltpier/internal/protocol/enumserver"
 )
 
-// enumListener drives the ENUM front: datagrams by the reactor, streams by a goroutine each (RFC 7766). The front
-// itself is the loop's.
+// enumListener connects the ENUM server to its sockets: the reactor reads datagrams, and one goroutine reads each TCP
+// connection (RFC 7766). Only the event loop may use the ENUM server itself.
 type enumListener struct {
 	server     *Server
 	enum       *enumserver.Server
@@ -26,10 +26,10 @@
 	goroutines sync.WaitGroup
 }
 
-// maxPendingWrites is how many answers may wait for a slow reader of a stream; beyond it is cut off.
+// maxPendingWrites limits the answers that wait for a slow TCP client. Beyond it the connection is closed.
 const maxPendingWrites = 64
 
-// listenENUM listens for look-ups.
+// listenENUM opens the ENUM server's UDP and TCP sockets.
 func (s *Server) listenENUM() (*enumListener, error) {
 	set := &s.config.ENUMServer
 	d := &enumListener{server: s, enum: enumserver.New(set.Config, s.agent), conns: map[*net.TCPConn]struct{}{}}
@@ -39,7 +39,7 @@
 		case s.events <- event{kind: callback, do: func(now float64) {
 			d.enum.Receive(now, from, data, false, func(b []byte) { d.sockets.Send(local, from, b) })
 		}}:
-		default: // lost, as on the way
+		default: // queue full: dropped, as the network may drop it
 		}
 	})
 	if err != nil {
@@ -51,7 +51,7 @@
 	}
 	d.goroutines.Add(1)
 	go d.accept()
-	s.log.Info().Str("addr", set.Listen.String()).Str("apex", set.Apex).Msg("look-ups are answered here")
+	s.log.Info().Str("addr", set.Listen.String()).Str("apex", set.Apex).Msg("ENUM server listening")
 	return d, nil
 }
 
@@ -88,7 +88,7 @@
 	}
 }
 
-// serve reads questions of a stream; answers go out as they come.
+// serve reads queries from a connection. A second goroutine writes the answers as they become available.
 func (d *enumListener) serve(c *net.TCPConn) {
 	defer d.goroutines.Done()
 	out, done := make(chan []byte, maxPendingWrites), make(chan struct{})
--- a/internal/gateway/sipserver/numbers.go
+++ b/internal/gateway/sipserver/numbers.go
@@ -26,8 +26,8 @@
 	"cobaltpier/internal/protocol/portability"
 )
 
-// numberService drives what concerns numbers: the resolver's sockets, the store and the changes of tables. Its state is
-// the loop's; work that takes time runs beside it and comes back as an event.
+// numberService runs number analysis for the gateway: the DNS client's sockets, the table store and table changes. Only
+// the event loop may use its state; slow work runs in goroutines, which return results as events.
 type numberService struct {
 	server       *Server
 	config       *gatewayconfig.Numbers
@@ -72,7 +72,7 @@
 		}
 	}
 	if n.initialTable == nil {
-		return errors.New("numbers: no table: the store has none that can be used, and settings name none")
+		return errors.New("numbers: the store has no usable table and the configuration names none")
 	}
 	n.keeper = tableversions.New(n, n.initialTable, shelf)
 	table := n.initialTable
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// loggedChecksumDigits is how many digits of a table's checksum stand in the log.
+// loggedChecksumDigits is the number of digits of a table's checksum in the log.
 const loggedChecksumDigits = 16
 
 func (n *numberService) recoverTable() (tableversions.Shelf, error) {
@@ -131,7 +131,7 @@
 func (n *numberService) openDNS() error {
 	var seed [8]byte
 	if _, err := rand.Read(seed[:]); err != nil {
-		return fmt.Errorf("numbers: a seed that nobody knows: %w", err)
+		return fmt.Errorf("numbers: random seed for the DNS client: %w", err)
 	}
 	config := n.config.DNS
 	config.Seed = binary.LittleEndian.Uint64(seed[:])
@@ -149,7 +149,7 @@
 		}
 	})
 	if err != nil {
-		return fmt.Errorf("numbers: ports for look-ups: %w", err)
+		return fmt.Errorf("numbers: open DNS client sockets: %w", err)
 	}
 	n.ports = n.sockets.Local()
 	close(ready)
@@ -185,7 +185,7 @@
 // NextWakeup implements b2bua.Lookup.
 func (n *numberService) NextWakeup() float64 { return n.client.NextWakeup() }
 
-// onDNSResponse takes a datagram of the resolver's ports.
+// onDNSResponse hands a datagram to the DNS client, with the index of the port that received it.
 func (n *numberService) onDNSResponse(now float64, e event) {
 	for i, p := range n.ports {
 		if p == e.local {
@@ -200,12 +200,12 @@
 	n.sockets.Send(n.ports[port], to, data)
 }
 
-// Stream implements dnsclient.Transport (RFC 1035 4.2.2): truncated answers are rare, so a goroutine for each will do.
+// Stream implements dnsclient.Transport (RFC 1035 4.2.2): truncated answers are rare, so each gets a goroutine.
 func (n *numberService) Stream(token uint64, to netip.AddrPort, data []byte, within float64) {
 	go func() {
 		b, err := exchangeTCP(to, data, time.Duration(within*1e6))
 		if err != nil {
-			n.server.log.Debug().Err(err).Stringer("server", to).Msg("look-up by stream")
+			n.server.log.Debug().Err(err).Stringer("server", to).Msg("DNS query over TCP failed")
 			b = nil
 		}
 		n.server.enqueue(event{kind: callback, do: func(now float64) { n.client.OnStreamResponse(now, token, b) }})
@@ -229,7 +229,7 @@
 	return b[:n], err
 }
 
-// Check implements tables.Work: beside the loop, for a large table takes longer than a tick.
+// Check implements tableversions.Work. It runs outside the loop, since a large table takes longer than a tick.
 func (n *numberService) Check(s tableversions.Source) {
 	go func() {
 		var c tableversions.Checked
@@ -244,7 +244,7 @@
 	}()
 }
 
-// Keep implements tables.Work.
+// Keep implements tableversions.Work.
 func (n *numberService) Keep(c tableversions.Checked, note string, serial uint64, shelf tableversions.Shelf) {
 	if n.store == nil {
 		n.keeper.Kept(n.keeper.Shelf.Running+1, nil)
@@ -256,21 +256,21 @@
 	}()
 }
 
-// Swap implements tables.Work.
+// Swap implements tableversions.Work.
 func (n *numberService) Swap(t *numberplan.Table) {
 	n.server.agent.SetTable(t)
 	n.server.log.Info().Str("table", t.Name).Uint64("version", t.Version).Str("sum", t.Sum[:16]).Int("rules", t.Size()).
 		Msg("number table changed")
 }
 
-// admin is the service that changes tables.
+// admin is the gRPC service for number tables.
 type admin struct {
 	api.UnimplementedNumbersServer
 	n   *numberService
 	ctx context.Context // ends with the gateway
 }
 
-// runInLoop runs something in the loop and waits for its word.
+// runInLoop runs do in the event loop and waits until it calls done.
 func (a *admin) runInLoop(ctx context.Context, do func(done func(error))) error {
 	result := make(chan error, 1)
 	select {
@@ -278,7 +278,7 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-a.ctx.Done():
-		return status.Error(codes.Unavailable, "the gateway ends")
+		return status.Error(codes.Unavailable, "the gateway is shutting down")
 	}
 	select {
 	case err := <-result:
@@ -286,7 +286,7 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-a.ctx.Done():
-		return status.Error(codes.Unavailable, "the gateway ends")
+		return status.Error(codes.Unavailable, "the gateway is shutting down")
 	}
 }
 
@@ -301,7 +301,7 @@
 // Back implements the service.
 func (a *admin) Back(ctx context.Context, _ *api.BackRequest) (*api.TableState, error) {
 	if a.n.store == nil {
-		return nil, status.Error(codes.FailedPrecondition, "numbers: without a store nothing is kept to go back to")
+		return nil, status.Error(codes.FailedPrecondition, "numbers: no table store is configured to go back in")
 	}
 	if err := a.runInLoop(ctx, func(done func(error)) { a.n.keeper.Back(done) }); err != nil {
 		return nil, statusError(err)
@@ -364,7 +364,7 @@
 	}, nil
 }
 
-// serve offers the service until ctx ends.
+// serve serves the gRPC service until ctx ends.
 func (n *numberService) serve(ctx context.Context, log zerolog.Logger) error {
 	if n.config.Admin == "" {
 		return nil
@@ -384,6 +384,6 @@
 			log.Error().Err(err).Msg("numbers: admin")
 		}
 	}()
-	log.Info().Str("addr", lis.Addr().String()).Msg("number tables are changed here")
+	log.Info().Str("addr", lis.Addr().String()).Msg("number table service listening")
 	return nil
 }
--- a/internal/gateway/sipserver/server.go
+++ b/internal/gateway/sipserver/server.go
@@ -20,31 +20,31 @@
 	"cobaltpier/internal/routing"
 )
 
-// Outcome is how a gateway ended.
+// Outcome is how a gateway's run ended.
 type Outcome int
 
 // The outcomes.
 const (
 	Drained Outcome = iota // every call has its final answer
-	Forced                 // told twice to end: pending calls are lost
+	Forced                 // a second stop signal ended it: pending calls are lost
 )
 
 const (
 	// clockOrigin is the agent's time at the start of the process, ms: endpoints that started earlier have positive
 	// times too.
 	clockOrigin         = 1e9
-	maxWait             = 100.0 // ms in which the loop runs at least once
+	maxWait             = 100.0 // ms: the longest wait of the event loop
 	maxDrainWait        = 10.0  // the same while draining
-	finalReleaseTimeout = 2000  // ms that a drained gateway waits for answers that only have to be released
+	finalReleaseTimeout = 2000  // ms that a drained gateway waits for late answers to release
 	maxGossipSize       = 256   // bytes
 	gossipHeaderSize    = 2     // the sender's index
 )
 
-// event is what reaches the event loop.
+// event is an input of the event loop.
 type event struct {
 	kind  eventKind
 	from  netip.AddrPort
-	local netip.AddrPort // of a dnsResponse: the address that it came to
+	local netip.AddrPort // of a dnsResponse: the receiving address
 	data  []byte
 	list  *api.Update
 	at    time.Time
@@ -69,17 +69,17 @@
 	datagrams     *reactor.UDPSockets
 	events        chan event
 	startedAt     time.Time
-	droppedEvents uint64 // datagrams that found the queue full
+	droppedEvents uint64 // datagrams dropped because the queue was full
 	outgoing      []reactor.Datagram
 	numbers       *numberService
 	enumListener  *enumListener
 	done          <-chan struct{}
 
 	lastBatchAt   float64
-	drainingSince float64 // 0: it does not drain
+	drainingSince float64 // 0: not draining
 }
 
-// Run runs a gateway until stop is received from: the first value lets it drain, the second ends it at once.
+// Run runs a gateway. The first value received from stop starts a drain; the second ends the gateway at once.
 func Run(ctx context.Context, config *gatewayconfig.Config, newPolicy routing.PolicyFactory, log zerolog.Logger,
 	stop <-chan struct{}) (Outcome, error) {
 	ctx, cancel := context.WithCancel(ctx)
@@ -112,7 +112,7 @@
 	return outcome, nil
 }
 
-// start opens all sockets and makes the agent. What it opened is closed by closeSockets, also after an error.
+// start opens all sockets and makes the agent. closeSockets closes them, also after an error.
 func (s *Server) start(ctx context.Context, newPolicy routing.PolicyFactory) (err error) {
 	addresses := []netip.AddrPort{s.config.Address, s.config.PeerListen}
 	if s.datagrams, err = reactor.Listen(addresses, 1, s.onDatagram); err != nil {
@@ -164,7 +164,7 @@
 	}
 }
 
-// followEndpointList brings the endpoint list to the event loop until ctx is done.
+// followEndpointList hands updates of the endpoint list to the event loop until ctx is done.
 func (s *Server) followEndpointList(ctx context.Context) {
 	server := s.config.EndpointList
 	onUpdate := func(update *api.Update) {
@@ -191,7 +191,7 @@
 		Uint64("table", record.Table).Str("route", record.Route).Msg("call answered")
 }
 
-// logCounts writes what was counted to the log, at the end.
+// logCounts logs the counters at the end of the run.
 func (s *Server) logCounts(outcome Outcome) {
 	if s.enumListener != nil {
 		s.log.Info().Interface("counts", s.enumListener.enum.Counts).Msg("ENUM server stopped")
@@ -289,8 +289,8 @@
 	s.log.Info().Msg("draining")
 }
 
-// waitForBatch waits until there is an event or something is due, and at least until the tick of the batch before is
-// over; stopped: a value came on stop.
+// waitForBatch waits for an event or a due timer, and at least until the tick of the previous batch is over. stopped
+// reports a value on stop.
 func (s *Server) waitForBatch(timer *time.Timer, stop <-chan struct{}) (now float64, stopped bool) {
 	now = s.now()
 	wait := math.Min(s.agent.NextWakeup()-now, maxWait)
@@ -314,7 +314,7 @@
 	return now, false
 }
 
-// finishTick sleeps until the tick of the latest batch is over, and gives the time.
+// finishTick sleeps until the tick of the latest batch is over and returns the time.
 func (s *Server) finishTick(now float64) float64 {
 	left := s.config.Tick - (now - s.lastBatchAt)
 	if left <= 0 {
@@ -324,8 +324,8 @@
 	return s.now()
 }
 
-// isDrained tells whether a gateway that drains may exit: no call is pending, and established calls have ended or were
-// released when their time was over, with a while for the release to arrive.
+// isDrained reports whether a draining gateway may exit: no call is pending, all established calls have ended or were
+// released after the drain timeout, and late answers to abandoned setups had finalReleaseTimeout to be released.
 func (s *Server) isDrained(now float64) bool {
 	drainingFor := now - s.drainingSince
 	pending, established := s.agent.InProgress()
@@ -339,7 +339,7 @@
 		}
 		return false
 	}
-	dialogs, _, _ := s.agent.OpenCounts() // setups that were given up, and that an endpoint may still answer
+	dialogs, _, _ := s.agent.OpenCounts() // includes abandoned setups that an endpoint may still answer
 	return dialogs == 0 || drainingFor > s.config.DrainTimeout+finalReleaseTimeout
 }
 
--- a/internal/protocol/siptransaction/client.go
+++ b/internal/protocol/siptransaction/client.go
@@ -19,17 +19,17 @@
 	dueAt       float64 // the next retransmission
 	timer       *timerqueue.Timer
 	expiry      *timerqueue.Timer
-	onResponse  func(*sip.Response) // called with nil: none came in time
-	provisional bool                // a provisional response came
+	onResponse  func(*sip.Response) // called with nil if no response came in time
+	provisional bool                // a provisional response was received
 	final       int
 	ack         []byte
-	stopped     bool // no retransmissions any more
+	stopped     bool // retransmission has been stopped
 	cancelSent  bool
 }
 
-// Send sends a request, with a Via of its own, and retransmits it until a response comes. onResponse gets every
-// response that is no retransmission, but every 2xx to an INVITE, since each needs its ACK (RFC 6026 8), and nil when
-// none came within 64 T1.
+// Send adds a Via to a request, sends it and retransmits it until a response comes. onResponse is called for every
+// response that is not a retransmission and, since each needs an ACK, for every 2xx to an INVITE (RFC 6026 8). It is
+// called with nil if there was no final response within 64 T1.
 func (l *Layer) Send(req *sip.Request, to netip.AddrPort, via sip.HeaderParams,
 	onResponse func(*sip.Response)) *Client {
 	branch := "z9hG4bK" + l.Generator.Next()
@@ -51,8 +51,8 @@
 	return c
 }
 
-// SendAck sends the ACK of a 2xx, a transaction of its own without a response (RFC 3261 13.2.2.4), and returns its
-// bytes.
+// SendAck sends the ACK of a 2xx, which is a separate transaction without a response (RFC 3261 13.2.2.4), and returns
+// the encoded message.
 func (l *Layer) SendAck(req *sip.Request, to netip.AddrPort) []byte {
 	req.PrependHeader(&sip.ViaHeader{ProtocolName: "SIP", ProtocolVersion: "2.0", Transport: "UDP",
 		Host: l.Address.Addr().String(), Port: int(l.Address.Port()),
@@ -62,20 +62,20 @@
 	return data
 }
 
-// Request is its request, with the Via.
+// Request returns the request, including its Via.
 func (c *Client) Request() *sip.Request { return c.request }
 
-// HasResponse tells whether any response came.
+// HasResponse reports whether any response was received.
 func (c *Client) HasResponse() bool { return c.provisional || c.final != 0 }
 
-// StopRetransmitting ends the retransmissions of a request that must not reach its receiver any more.
+// StopRetransmitting stops retransmission, for a request that must no longer reach its receiver.
 func (c *Client) StopRetransmitting() {
 	c.stopped = true
 	c.layer.Timers.Cancel(c.timer)
 }
 
-// Cancel sends a CANCEL (RFC 3261 9.1) where that is allowed: a provisional response came and no final one. It
-// tells whether it was.
+// Cancel sends a CANCEL if RFC 3261 9.1 allows it: after a provisional and before a final response. It reports whether
+// a CANCEL was sent, now or before.
 func (c *Client) Cancel() bool {
 	if !c.provisional || c.final != 0 || c.cancelSent {
 		return c.cancelSent
@@ -99,7 +99,7 @@
 	k.dueAt = l.Now + k.interval
 	k.timer = l.Timers.Schedule(k.dueAt, k.retransmit)
 	k.expiry = l.Timers.Schedule(l.Now+64*l.Times.T1, k.discard)
-	l.Timers.Cancel(c.expiry) // RFC 3261 9.1: 64 T1 after the CANCEL nothing more will come
+	l.Timers.Cancel(c.expiry) // RFC 3261 9.1: no response is expected later than 64 T1 after the CANCEL
 	c.expiry = l.Timers.Schedule(l.Now+64*l.Times.T1, func() {
 		c.discard()
 		if c.final == 0 {
@@ -114,7 +114,8 @@
 	if c.stopped || c.final != 0 || c.provisional && c.request.Method == sip.INVITE {
 		return
 	}
-	if l.Now-c.dueAt > l.Times.T1/2 { // the process stalled: other overdue timers run first, and may end this
+	// the process stalled: run other overdue timers first, as they may end this transaction
+	if l.Now-c.dueAt > l.Times.T1/2 {
 		c.dueAt = l.Now + 1
 		c.timer = l.Timers.Schedule(c.dueAt, c.retransmit)
 		return
@@ -166,7 +167,7 @@
 	c.onResponse(res)
 }
 
-// ackFor is the ACK of a final response other than 2xx (RFC 3261 17.1.1.3).
+// ackFor encodes the ACK of a final response other than 2xx (RFC 3261 17.1.1.3).
 func (c *Client) ackFor(res *sip.Response) []byte {
 	r := sip.NewRequest(sip.ACK, c.request.Recipient)
 	r.AppendHeader(c.request.Via())
@@ -178,7 +179,7 @@
 	return c.layer.encode(r)
 }
 
-// Discard removes a transaction whose user needs nothing more of it.
+// Discard removes a transaction that its user no longer needs.
 func (c *Client) Discard() { c.discard() }
 
 func (c *Client) discard() {
--- a/internal/protocol/siptransaction/layer.go
+++ b/internal/protocol/siptransaction/layer.go
@@ -17,18 +17,18 @@
 type User interface {
 	// OnRequest reports a new request: neither a retransmission, nor a CANCEL of a known transaction, nor an ACK.
 	OnRequest(s *Server, req *sip.Request)
-	// OnCancel reports a CANCEL for a request without a final response. The CANCEL itself was answered.
+	// OnCancel reports a CANCEL for a request without a final response. The layer has answered the CANCEL itself.
 	OnCancel(s *Server, req *sip.Request)
 	// OnAck reports the ACK of a 2xx.
 	OnAck(req *sip.Request)
-	// OnStrayResponse reports a 2xx to an INVITE that no transaction waits for: the peer has a call that is unknown here.
+	// OnStrayResponse reports a 2xx to an INVITE that matches no transaction: the peer has a call that is unknown here.
 	OnStrayResponse(res *sip.Response, from netip.AddrPort)
 }
 
 // Timers are a layer's timers (RFC 3261 17.1.1.1), in milliseconds.
 type Timers struct {
 	T1 float64 // the first interval between retransmissions
-	T2 float64 // the longest interval, other than of an INVITE
+	T2 float64 // the longest interval, except for an INVITE request
 	T4 float64 // the longest time that a message stays in the network
 }
 
@@ -38,11 +38,11 @@
 	Generator *Generator
 	Timers    *timerqueue.Queue
 	Times     Timers
-	Now       float64 // the latest time handed in
-	Malformed int     // datagrams that were not SIP messages
-	// Parse reads datagrams. The emulator sets one with a cache: parsed messages are never changed.
+	Now       float64 // the time of the latest event
+	Malformed int     // datagrams that could not be parsed
+	// Parse parses datagrams. The emulator sets a caching parser; it may, since parsed messages are never changed.
 	Parse func([]byte) (sip.Message, error)
-	// OnRepeat, if set, is called for retransmissions of a request, which the layer answers itself.
+	// OnRepeat, if set, is called for each retransmitted request. The layer answers these itself.
 	OnRepeat func(*Server)
 
 	user    User
@@ -54,9 +54,9 @@
 	buffer  bytes.Buffer
 }
 
-// endedTransactions remembers transactions that have ended, in little space that the garbage collector need not scan:
-// by the hash of the transaction, the code of the final response that a retransmission gets, or 0 for none (RFC 6026
-// 7.1). Two generations are kept, each for as long as a retransmission may come.
+// endedTransactions maps the hash of an ended transaction to the code of the final response that a retransmission gets,
+// or 0 for none (RFC 6026 7.1). The maps are compact and hold no pointers, so the garbage collector doesn't scan them.
+// Two generations are kept, each for as long as a retransmission may arrive.
 type endedTransactions struct {
 	recent, previous map[uint64]int16
 	rotatedAt        float64
@@ -97,24 +97,24 @@
 	return h
 }
 
-// encode is a message as it is sent.
+// encode returns a message in wire format.
 func (l *Layer) encode(m interface{ StringWrite(io.StringWriter) }) []byte {
 	l.buffer.Reset()
 	m.StringWrite(&l.buffer)
 	return bytes.Clone(l.buffer.Bytes())
 }
 
-// NewLayer makes a layer for an address that sends through out.
+// NewLayer returns a layer for a local address that sends datagrams through out.
 func NewLayer(self netip.AddrPort, t Timers, names *Generator, timers *timerqueue.Queue, user User,
 	out func(netip.AddrPort, []byte)) *Layer {
 	return &Layer{Parse: Parse, Address: self, Generator: names, Timers: timers, Times: t, user: user, send: out,
 		clients: map[string]*Client{}, servers: map[string]*Server{}, merged: map[string]*Server{}}
 }
 
-// OpenCounts is the number of transactions held.
+// OpenCounts returns the number of open client and server transactions.
 func (l *Layer) OpenCounts() (clients, servers int) { return len(l.clients), len(l.servers) }
 
-// Receive takes a datagram. One that is not a SIP message is counted in Malformed and ignored.
+// Receive handles a datagram. One that is not a SIP message is counted in Malformed and dropped.
 func (l *Layer) Receive(now float64, from netip.AddrPort, data []byte) {
 	l.Now = now
 	m, err := l.Parse(data)
@@ -199,7 +199,7 @@
 
 // Server is a server transaction.
 type Server struct {
-	User             any // the transaction user's own
+	User             any // data that the transaction user attaches
 	layer            *Layer
 	key              string
 	mergeKey         string
@@ -214,16 +214,16 @@
 	onUnacknowledged func() // called when a 2xx to an INVITE was never acknowledged
 }
 
-// Request is its request.
+// Request returns the request.
 func (s *Server) Request() *sip.Request { return s.request }
 
-// Final is the code of its final response; 0: none yet.
+// Final returns the code of the final response; 0: none yet.
 func (s *Server) Final() int { return s.final }
 
-// ResponseAddress is where responses are sent.
+// ResponseAddress returns the address to which responses are sent.
 func (s *Server) ResponseAddress() netip.AddrPort { return s.to }
 
-// Respond sends a response. After a final one none is sent any more. A final response to an INVITE is retransmitted
+// Respond sends a response, unless a final one was sent before. A final response to an INVITE is retransmitted
 // until its ACK (RFC 3261 17.2.1 and 13.3.1.4).
 func (s *Server) Respond(res *sip.Response) {
 	if s.final != 0 {
@@ -236,7 +236,7 @@
 		return
 	}
 	s.final = res.StatusCode
-	if s.request.Method != sip.INVITE { // timer J: a retransmission is answered from what is remembered
+	if s.request.Method != sip.INVITE { // timer J: retransmissions get the stored response
 		if s.final < 300 {
 			s.archive(s.final)
 		} else {
@@ -249,8 +249,8 @@
 	s.expiry = l.Timers.Schedule(l.Now+64*l.Times.T1, s.onTimeout) // timer H
 }
 
-// RespondStateless sends a final response and discards the transaction at once (RFC 3261 8.2.7): for floods, where the
-// user remembers it in less space.
+// RespondStateless sends a final response and discards the transaction at once (RFC 3261 8.2.7). It is for floods,
+// where the user keeps its own, smaller record of the request.
 func (s *Server) RespondStateless(res *sip.Response) {
 	if s.final != 0 {
 		return
@@ -260,10 +260,10 @@
 	s.discard()
 }
 
-// OnUnacknowledged sets what is called when a 2xx was not acknowledged within 64 T1.
+// OnUnacknowledged sets a function to call if a 2xx is not acknowledged within 64 T1.
 func (s *Server) OnUnacknowledged(do func()) { s.onUnacknowledged = do }
 
-// Acknowledge ends the retransmissions of a 2xx, when its ACK came.
+// Acknowledge stops the retransmission of a 2xx after its ACK was received.
 func (s *Server) Acknowledge() {
 	s.onUnacknowledged = nil
 	s.archive(0)
@@ -271,7 +271,7 @@
 
 func (s *Server) onAck() { s.archive(0) }
 
-// archive discards a transaction but for its response.
+// archive discards a transaction and keeps only the code that a retransmission gets.
 func (s *Server) archive(code int) {
 	if s.archived {
 		return
--- a/internal/protocol/siptransaction/layer_test.go
+++ b/internal/protocol/siptransaction/layer_test.go
@@ -13,7 +13,7 @@
 
 var clientAddr, serverAddr = netip.MustParseAddrPort("127.0.0.1:5060"), netip.MustParseAddrPort("127.0.0.2:5060")
 
-// side is one end of a lossy wire, with all that it hears counted.
+// side is one end of a lossy link and counts the events of its layer.
 type side struct {
 	l                            *Layer
 	timers                       timerqueue.Queue
@@ -41,9 +41,8 @@
 	data []byte
 }
 
-// TestLossyWire sends requests over a wire that loses, doubles and delays, and holds the transactions to what they are
-// for: the other side is asked once, the asker hears one kind of final answer, a refusal is acknowledged, and all is
-// forgotten in the end.
+// TestLossyWire sends requests over a link that loses, duplicates and delays datagrams. The server's user must get the
+// request once, the client's user one kind of final response, and no transaction may be left at the end.
 func TestLossyWire(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := 0.0
@@ -138,7 +137,7 @@
 	return sip.HeaderParams{{K: "oc"}, {K: "oc-algo", V: `"loss,rate"`}}
 }
 
-// A quoted value in a Via, with what parts parameters inside it, is read and written as it is.
+// A quoted value in a Via that contains separators is parsed and written unchanged.
 func TestQuotedVia(t *testing.T) {
 	text := "OPTIONS sip:a SIP/2.0\r\nVia: SIP/2.0/UDP 1.2.3.4:5060;oc;oc-algo=\"loss,rate;x\";branch=z9hG4bKq, " +
 		"SIP/2.0/UDP 5.6.7.8;branch=z9hG4bKr\r\n" +
--- a/internal/protocol/siptransaction/message.go
+++ b/internal/protocol/siptransaction/message.go
@@ -1,6 +1,6 @@
-// Package siptransaction runs SIP transactions (RFC 3261 section 17, RFC 6026) without I/O: datagrams and the time come
-// in, datagrams go out through a function, and timers run when the time is handed in. Messages are those of the sip
-// library; the transaction machines are ours, so that the same ones run on sockets and in virtual time.
+// Package siptransaction runs SIP transactions (RFC 3261 section 17, RFC 6026) without I/O: datagrams and the time are
+// passed in, and datagrams leave through a function. Messages are those of package sip of sipgo; the transaction state
+// machines are implemented here, so that the same code runs on sockets and in virtual time.
 package siptransaction
 
 import (
@@ -15,70 +15,71 @@
 	"cobaltpier/internal/detrand"
 )
 
-// Header fields that the project reads by name.
+// Names of the header fields that are read or written by name.
 const (
 	SessionID  = "Session-ID"          // RFC 7989: one call on all its legs
 	Reason     = "Reason"              // RFC 3326: why a call was released
 	RetryAfter = "Retry-After"         // RFC 3261 20.33
-	Service    = "P-Preferred-Service" // RFC 6050: the class asked for
-	Load       = "Cobalt-Load"         // ours: util, queue, wait, lines, free; see docs/gateway.md
+	Service    = "P-Preferred-Service" // RFC 6050: the requested class
+	Load       = "Cobalt-Load"         // private to this project: util, queue, wait, lines, free; see docs/gateway.md
 )
 
-// Generator makes the tags, branches and call ids of one process by chance from a seed and a counter.
+// Generator makes pseudo-random tags, branches and call IDs from a seed and a counter.
 type Generator struct {
 	Seed    uint64
 	counter uint64
 }
 
-// Next is a name that this process has not used before.
+// Next returns a string that this generator has not returned before.
 func (s *Generator) Next() string {
 	s.counter++
 	return strconv.FormatUint(detrand.Hash(s.Seed, s.counter), 36)
 }
 
-// Float64 is a number from 0 to 1 by the same draw.
+// Float64 returns a number from 0 to 1 from the same sequence.
 func (s *Generator) Float64() float64 {
 	s.counter++
 	return detrand.Float64(s.Seed, s.counter)
 }
 
-// Parse reads a datagram. A message that lacks what every message must have (RFC 3261 8.1.1) is an error, and so is
-// one that the library can't take; whatever is sent to us, Parse returns.
+// Parse parses a datagram. It returns an error if a mandatory header field is missing (RFC 3261 8.1.1) or the library
+// can't parse the message. It recovers from panics of the library, so that no datagram can end the process.
 func Parse(data []byte) (m sip.Message, err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			m, err = nil, fmt.Errorf("parse: the library gave up: %v", p)
+			m, err = nil, fmt.Errorf("parse SIP message: parser panicked: %v", p)
 		}
 	}()
 	if len(data) < 16 {
-		return nil, fmt.Errorf("parse: %d bytes are no message", len(data))
+		return nil, fmt.Errorf("parse SIP message: %d bytes are too short", len(data))
 	}
 	m, err = parser.ParseSIP(data)
 	if err != nil {
-		return nil, fmt.Errorf("parse: %w", err)
+		return nil, fmt.Errorf("parse SIP message: %w", err)
 	}
 	switch {
 	case m.Via() == nil || m.Via().Host == "":
-		return nil, fmt.Errorf("parse: want a Via")
+		return nil, fmt.Errorf("parse SIP message: Via is missing or has no host")
 	case m.From() == nil || m.To() == nil:
-		return nil, fmt.Errorf("parse: want From and To")
+		return nil, fmt.Errorf("parse SIP message: From or To is missing")
 	case m.CallID() == nil || *m.CallID() == "":
-		return nil, fmt.Errorf("parse: want a Call-ID")
+		return nil, fmt.Errorf("parse SIP message: Call-ID is missing or empty")
 	case m.CSeq() == nil:
-		return nil, fmt.Errorf("parse: want a CSeq")
+		return nil, fmt.Errorf("parse SIP message: CSeq is missing")
 	}
 	if r, ok := m.(*sip.Request); ok && r.Method != r.CSeq().MethodName {
-		return nil, fmt.Errorf("parse: %s with the CSeq of %s", r.Method, r.CSeq().MethodName)
+		return nil, fmt.Errorf("parse SIP message: method %s differs from CSeq method %s", r.Method, r.CSeq().MethodName)
 	}
 	return m, nil
 }
 
-// parser is read only once made.
+// parser is not changed after initialization.
 var parser = newParser()
 
-// newParser is the library's, but for quoted values in a Via: the library takes a comma in them for the end of the
-// Via, and loses its place after the closing quote; RFC 7339 4.1 writes its list of algorithms so. They are hidden
-// from it behind bytes that no message may hold, and put back after.
+// newParser returns the library's parser with a workaround for quoted values in a Via, which the list of algorithms in
+// RFC 7339 4.1 needs. The library takes a comma inside quotes for the end of the Via and misparses what follows the
+// closing quote. Quotes and separators inside them are replaced by control characters, which no message may contain,
+// before parsing, and restored after it.
 func newParser() *sip.Parser {
 	m := maps.Clone(sip.DefaultHeadersParser())
 	plain := m["via"]
@@ -100,10 +101,10 @@
 	return sip.NewParser(sip.WithHeadersParsers(m))
 }
 
-// quotedReplacer is read only once made.
+// quotedReplacer restores the characters that hideQuoted replaced.
 var quotedReplacer = strings.NewReplacer("\x1d", `"`, "\x1e", ";", "\x1f", ",")
 
-// hideQuoted puts other bytes in the place of quotes, and of what parts parameters inside them.
+// hideQuoted replaces quotes, and semicolons and commas inside quotes, by control characters.
 func hideQuoted(s string) string {
 	b, quoted := []byte(s), false
 	for i, c := range b {
@@ -120,7 +121,7 @@
 	return string(b)
 }
 
-// HeaderValue is a header field's value, "" where there is none.
+// HeaderValue returns the value of a header field, or "" if it is missing.
 func HeaderValue(m interface{ GetHeader(string) sip.Header }, name string) string {
 	if h := m.GetHeader(name); h != nil {
 		return h.Value()
@@ -128,13 +129,13 @@
 	return ""
 }
 
-// Tag is the tag of a From or To field, "" without one.
+// Tag returns the tag of a From or To field, or "" if it has none.
 func Tag(p sip.HeaderParams) string {
 	t, _ := p.Get("tag")
 	return t
 }
 
-// Response makes the answer to a request (RFC 3261 8.2.6); tag is put into To where that has none yet.
+// Response makes a response to a request (RFC 3261 8.2.6). tag is added to To if that has none.
 func Response(req *sip.Request, code int, reason, tag string) *sip.Response {
 	res := sip.NewResponse(code, reason)
 	for _, h := range req.GetHeaders("Via") {
@@ -155,14 +156,14 @@
 	return res
 }
 
-// FormatRetryAfter writes a wait in milliseconds as RFC 3261 20.33 has it: whole seconds, rounded up; the exact wait
-// stands in a parameter of ours, which the grammar allows.
+// FormatRetryAfter formats a wait in milliseconds as a Retry-After value (RFC 3261 20.33): whole seconds, rounded up,
+// and the exact wait in the extension parameter ms.
 func FormatRetryAfter(ms float64) string {
 	s := int((ms + 999) / 1000)
 	return fmt.Sprintf("%d;ms=%d", s, int(ms+0.5))
 }
 
-// ParseRetryAfter reads such a field, in milliseconds; 0 where there is none or it makes no sense.
+// ParseRetryAfter returns the wait of a Retry-After value in milliseconds, or 0 if it is empty or invalid.
 func ParseRetryAfter(v string) float64 {
 	parts := strings.Split(v, ";")
 	for _, p := range parts[1:] {
@@ -181,7 +182,7 @@
 	return float64(n) * 1000
 }
 
-// responseAddress is where the answer to a request goes (RFC 3261 18.2.2, RFC 3581).
+// responseAddress returns the address to which a response is sent (RFC 3261 18.2.2, RFC 3581).
 func responseAddress(from netip.AddrPort, via *sip.ViaHeader) netip.AddrPort {
 	if via.Params.Has("rport") {
 		return from
@@ -195,7 +196,7 @@
 
 const nilSessionID = "00000000000000000000000000000000"
 
-// SessionIDOf is the call's id (RFC 7989 5): the first of a Session-ID's two that is not the nil one. "" without.
+// SessionIDOf returns the call's ID (RFC 7989 5): the first of the two UUIDs in Session-ID that is not nil, or "".
 func SessionIDOf(m interface{ GetHeader(string) sip.Header }) string {
 	local, rest, _ := strings.Cut(HeaderValue(m, SessionID), ";")
 	if local = strings.TrimSpace(local); local != "" && local != nilSessionID {
@@ -208,10 +209,10 @@
 	return remote
 }
 
-// FormatSessionID is the header's value in a request of a call's own side.
+// FormatSessionID formats the Session-ID value of a request whose remote UUID is not known.
 func FormatSessionID(id string) string { return id + ";remote=" + nilSessionID }
 
-// NewSessionID makes an id: 32 lower-case hex digits (RFC 7989 4.1).
+// NewSessionID makes a session ID: 32 lower-case hex digits (RFC 7989 4.1).
 func NewSessionID(n *Generator) string {
 	a, b := n.Float64(), n.Float64()
 	return fmt.Sprintf("%016x%016x", uint64(a*(1<<53))|1<<63, uint64(b*(1<<53))|1<<62)
