--- a/internal/protocol/b2bua/agent_test.go
+++ b/internal/protocol/b2bua/agent_test.go
@@ -19,7 +19,7 @@
 	switchB     = netip.MustParseAddrPort("127.0.0.4:5060")
 )
 
-// A whole call, with the load report, and its release by the caller.
+// A complete call with a load report, released by the caller.
 func TestCall(t *testing.T) {
 	r := newTestHost(t)
 	r.receive(caller, callerRequest("INVITE", "1a", ""))
@@ -57,7 +57,7 @@
 	r.expectSent(switchA, "BYE ")
 	r.expectEvents("report true true", "stood", "ended 0 closed true wait 0")
 	if w, s := r.agent.InProgress(); w != 0 || s != 0 {
-		t.Errorf("held %d, standing %d", w, s)
+		t.Errorf("%d pending, %d established calls", w, s)
 	}
 	r.advance(100000)
 	if d, x, timers := r.agent.OpenCounts(); d+x+timers != 0 {
@@ -65,7 +65,7 @@
 	}
 }
 
-// A BYE overtakes the ACK: the 200 is not repeated after it.
+// A BYE that overtakes the ACK stops the retransmission of the 200.
 func TestByeOvertakesAck(t *testing.T) {
 	r := newTestHost(t)
 	r.receive(caller, callerRequest("INVITE", "1e", ""))
@@ -79,8 +79,8 @@
 	}
 }
 
-// CANCEL and 200 cross: the call that stood is acknowledged and released, and nothing attempts before the retry
-// hold-off.
+// CANCEL and 200 cross: the answered call is acknowledged and released, and no attempt starts before the end of the
+// retry hold-off.
 func TestCancelCrosses200(t *testing.T) {
 	r := newTestHost(t)
 	r.policy.onAttemptEnd = func(now float64, x *routing.Attempt) { r.policy.host.ScheduleWakeup(now+1, x.Call) }
@@ -98,7 +98,7 @@
 	r.expectSent(switchA, "CANCEL")
 	r.advance(10)
 	if r.count(switchB, "INVITE") != 0 {
-		t.Error("second ring while the first was out")
+		t.Error("second attempt while the first was in flight")
 	}
 	r.respond(switchA, inv, 200, "s", "")
 	r.expectSent(switchA, "ACK")
@@ -108,15 +108,15 @@
 	}
 	r.advance(480)
 	if r.count(switchB, "INVITE") != 0 {
-		t.Error("ring before the clear wait was over")
+		t.Error("attempt before the end of the retry hold-off")
 	}
 	r.advance(200)
 	if r.count(switchB, "INVITE") != 1 {
-		t.Error("no ring after the clear wait")
+		t.Error("no attempt after the retry hold-off")
 	}
 }
 
-// A 200 after the time-out: the caller has its answer, the call that stood is released.
+// A 200 after the timeout: the caller already has its final answer, so the answered call is released.
 func TestLate200(t *testing.T) {
 	r := newTestHost(t)
 	r.policy.onAttemptEnd = func(_ float64, x *routing.Attempt) {
@@ -146,7 +146,7 @@
 	r.expectEvents("ended 3 closed false wait 0")
 }
 
-// The time-out before any answer: RFC 3261 9.1 forbids the CANCEL till a provisional one comes, and then asks for it.
+// The caller cancels before any response of the endpoint: RFC 3261 9.1 forbids a CANCEL until a provisional response.
 func TestCancelWaitsForProvisional(t *testing.T) {
 	r := newTestHost(t)
 	r.receive(caller, callerRequest("INVITE", "4a", ""))
@@ -179,11 +179,11 @@
 	r.expectSent(caller, "SIP/2.0 487")
 	r.advance(2000) // the policy attempts all the same: barred
 	if r.count(switchB, "INVITE") != 0 {
-		t.Error("a ring after the final answer")
+		t.Error("an attempt after the final answer")
 	}
 }
 
-// 503 with a Retry-After, in seconds and with the exact wait; "no line here" and "busy everywhere".
+// 503 with Retry-After in seconds and with the exact wait, 486 (no free circuit) and 600 (busy everywhere).
 func TestFailureResponses(t *testing.T) {
 	for i, x := range []struct {
 		code       int
@@ -211,7 +211,8 @@
 	}
 }
 
-// A drain that is heard while a setup waits unanswered: it is not repeated there, for that could be its first arrival.
+// The endpoint drains while a setup has no response: the setup is not retransmitted, since the retransmission could be
+// the first copy to arrive there.
 func TestDrainStopsRetransmissions(t *testing.T) {
 	r := newTestHost(t)
 	r.receive(caller, callerRequest("INVITE", "6a", ""))
@@ -226,8 +227,8 @@
 	}
 }
 
-// A switch that restarted does not know the dialog: 481 to our BYE ends it all the same; and its own BYE for a cut call
-// is told as a reset and passed on with its reason.
+// An endpoint that restarted answers our BYE with 481, which ends the dialog too. Its own BYE for an aborted call is
+// reported as a reset and passed on with its reason.
 func TestEndpointLosesDialog(t *testing.T) {
 	r := newTestHost(t)
 	stand := func(id string) (inv sip.Message, tag string) {
@@ -259,7 +260,7 @@
 	r.expectSent(caller, "SIP/2.0 481")
 }
 
-// One caller's INVITE that comes over two ways is one call: the second is told 482 (RFC 3261 8.2.2.2).
+// An INVITE that arrives twice over different paths is one call: the second copy gets 482 (RFC 3261 8.2.2.2).
 func TestMergedRequests(t *testing.T) {
 	r := newTestHost(t)
 	r.receive(caller, callerRequest("INVITE", "9a", ""))
@@ -270,7 +271,7 @@
 	}
 }
 
-// A gateway stalls past a repeat and the timeout: the answer goes, and no repeat with it.
+// A gateway that stalls past a retransmission and the timeout sends the answer without a retransmission.
 func TestStallPastTimeout(t *testing.T) {
 	r := newTestHost(t)
 	r.policy.onAttemptEnd = func(_ float64, x *routing.Attempt) { r.policy.host.Fail(x.Call) }
@@ -285,8 +286,8 @@
 	}
 }
 
-// A gateway that stalled finds an INVITE that may have come at any time since: it is answered within the timeout from
-// the earliest. One that was merely idle takes it as new.
+// After a stall an INVITE may have arrived at any time during it, so the timeout counts from the start of the stall. A
+// gateway that was merely idle counts from the receipt.
 func TestStall(t *testing.T) {
 	r := newTestHost(t)
 	r.policy.onAttemptEnd = func(_ float64, x *routing.Attempt) {
@@ -310,11 +311,11 @@
 	r.receive(caller, callerRequest("INVITE", "2c", ""))
 	r.advance(8990)
 	if r.agent.Counts.Failed != 1 {
-		t.Error("an idle edge took a new contact for an old one")
+		t.Error("an idle gateway counted the timeout of a new call from before its receipt")
 	}
 }
 
-// A call that is shed gets one answer, also when its INVITE is retransmitted after capacity has come.
+// A call that was shed gets the same answer if its INVITE is retransmitted when there is capacity again.
 func TestShedStaysShed(t *testing.T) {
 	r := newTestHost(t)
 	r.agent.LoadShedder.MaxPending = 1
@@ -330,7 +331,7 @@
 	}
 }
 
-// A module that forgets a call or answers it twice: rule 1 is kept all the same.
+// Rule 1 holds even if the policy forgets a call or answers it twice.
 func TestPolicyForgetsCall(t *testing.T) {
 	r := newTestHost(t)
 	r.policy.onCall = func(float64, *routing.Call) {}
@@ -345,8 +346,7 @@
 	}
 }
 
-// No datagram makes the agent fall: cut short, long, random, hostile. Seeds of our own; go test -fuzz goes on from
-// them.
+// No datagram makes the agent panic: truncated, oversized, random or hostile.
 func FuzzReceive(f *testing.F) {
 	invite := strings.ReplaceAll(callerRequest("INVITE", "1a", ""), "\n", "\r\n") + "\r\n\r\n"
 	for _, s := range []string{invite, invite[:60], invite[:len(invite)-40], strings.Repeat("A", 65535),
--- a/internal/protocol/b2bua/enquiry_test.go
+++ b/internal/protocol/b2bua/enquiry_test.go
@@ -9,7 +9,7 @@
 	"cobaltpier/internal/routing"
 )
 
-// An enquiry's answer names the endpoint that the policy attempts, once; the policy hears that the attempt is over.
+// An enquiry is answered once, with the endpoint that the policy attempts; the attempt's end is reported to the policy.
 func TestEnquiry(t *testing.T) {
 	r, b := newNumberTestHost(t)
 	r.policy.onCall = func(now float64, routed *routing.Call) {
@@ -39,11 +39,11 @@
 	}
 	r.agent.OnEndpointList(r.now, []ListEntry{{ID: "b", DestinationID: 1, State: routing.Draining, Addr: switchB}}, false)
 	if got[0].Valid() {
-		t.Error("a pool that drains may still be named")
+		t.Error("a result for a draining endpoint is still valid")
 	}
 }
 
-// Rules 2 and 3 hold for enquiries at the same place as for calls, rule 1 whatever the policy does.
+// Rules 2 and 3 are enforced for enquiries as for calls, and rule 1 whatever the policy does.
 func TestEnquiryRules(t *testing.T) {
 	r := newTestHost(t)
 	var got []EnquiryResult
--- a/internal/protocol/b2bua/numberanalysis.go
+++ b/internal/protocol/b2bua/numberanalysis.go
@@ -167,7 +167,7 @@
 	r.analysis = nil
 }
 
-// reasonPhrase makes a reason reasonPhrase (RFC 3261 7.2) of a table's text: one line.
+// reasonPhrase turns a text of a table into a reason phrase (RFC 3261 7.2): one line of at most 200 bytes.
 func reasonPhrase(s string) string {
 	s = strings.Map(func(c rune) rune {
 		if c < ' ' || c == 127 {
--- a/internal/protocol/b2bua/numberanalysis_test.go
+++ b/internal/protocol/b2bua/numberanalysis_test.go
@@ -75,7 +75,7 @@
 	return x
 }
 
-// manualLookup is a look-up that a test answers by hand.
+// manualLookup records look-ups, which the test answers.
 type manualLookup struct {
 	asked   []string
 	within  []float64
@@ -97,8 +97,8 @@
 	return r, b
 }
 
-// A number whose portability is looked up is set up over its route's group with its routing number, and its class's
-// timeout holds.
+// A call to a ported number is set up over the route's trunk group with the routing number, and the timeout of the
+// route's class applies.
 func TestPortedNumber(t *testing.T) {
 	r, b := newNumberTestHost(t)
 	var got *routing.Call
@@ -119,14 +119,14 @@
 	}
 	req := r.expectSent(switchB, "INVITE sip:+14185550123;npdi;rn=+70115145550000;cic=+1-6789;tgrp=TG-1;")
 	if siptransaction.HeaderValue(req.(*sip.Request), siptransaction.Service) != "urn:urn-7:claim" {
-		t.Error("the wrong skill")
+		t.Error("wrong class in the setup")
 	}
 	if n, _ := r.agent.Tables(); n != 0 {
 		t.Errorf("%d old tables", n)
 	}
 }
 
-// A look-up uses no more than its part of what is left of the caller's timeout.
+// A look-up uses no more than its share of the call's remaining timeout.
 func TestLookupTimeoutShare(t *testing.T) {
 	r, b := newNumberTestHost(t)
 	r.receive(caller, strings.Replace(callerRequest("INVITE", "a1", ""), "Expires: 9", "Expires: 1", 1))
@@ -135,7 +135,7 @@
 	}
 }
 
-// Where look-ups may use no time nothing is asked.
+// No look-up starts if the share of look-ups is 0.
 func TestZeroLookupShare(t *testing.T) {
 	r, b := newNumberTestHost(t)
 	r.agent.config.LookupShare = 0
@@ -147,7 +147,7 @@
 	}
 }
 
-// A caller that hangs up takes its question back; an answer that comes then, or after the call's end, changes nothing.
+// A caller's CANCEL cancels its look-up. An answer after the CANCEL or the call's end has no effect.
 func TestLookupAnswerTooLate(t *testing.T) {
 	r, b := newNumberTestHost(t)
 	r.policy.onCall = func(float64, *routing.Call) { t.Error("offered") }
@@ -170,8 +170,8 @@
 	}
 }
 
-// A thousand calls are half analysed when their table changes: each ends by the table that it began with, and then the
-// old table is let go.
+// The table changes while 1000 calls wait for look-ups: each call keeps its table, and the old tables are released
+// after the calls' final answers.
 func TestTableChangeDuringLookups(t *testing.T) {
 	r, b := newNumberTestHost(t)
 	r.agent.LoadShedder.MaxPending = 5000
@@ -204,8 +204,8 @@
 	}
 }
 
-// An old table is gone from memory when the last call that carries it has its answer, and not before; established calls
-// need none.
+// An old table is garbage-collected after the last call that uses it has its final answer, and not before. Established
+// calls don't keep it.
 func TestOldTableIsFreed(t *testing.T) {
 	r, b := newNumberTestHost(t)
 	r.policy.onCall = func(now float64, routed *routing.Call) {
@@ -236,8 +236,7 @@
 	}
 }
 
-// What a table refuses is answered at once and asks for nothing, and so is a number that is none; a route that this
-// edge does not have is a fault of its own.
+// Refused and malformed numbers are answered at once without a look-up. A route to an unknown trunk group gets 500.
 func TestNumberRefused(t *testing.T) {
 	r, b := newNumberTestHost(t)
 	r.policy.onCall = func(float64, *routing.Call) { t.Error("offered") }
@@ -253,7 +252,7 @@
 	}
 }
 
-// A flood that is shed asks for nothing.
+// Calls that are shed cause no look-ups.
 func TestShedCallsAreNotLookedUp(t *testing.T) {
 	r, b := newNumberTestHost(t)
 	r.agent.LoadShedder.MaxPending = 10
@@ -265,7 +264,8 @@
 	}
 }
 
-// A call held for its look-up is served when the agent drains meanwhile; to the endpoint that the list has then.
+// A call that waits for a look-up is served although the agent drains meanwhile; the endpoint's state at the end of the
+// look-up counts (rule 3).
 func TestDrainDuringLookup(t *testing.T) {
 	r, b := newNumberTestHost(t)
 	r.policy.onCall = func(now float64, routed *routing.Call) {
@@ -282,7 +282,7 @@
 	}
 	for _, p := range r.packets {
 		if p.to == switchA && strings.HasPrefix(p.data, "INVITE") {
-			t.Error("sent to a pool that drains")
+			t.Error("setup to a draining endpoint")
 		}
 	}
 	r.sendList(routing.Ready)
--- a/internal/protocol/b2bua/testhost_test.go
+++ b/internal/protocol/b2bua/testhost_test.go
@@ -13,7 +13,7 @@
 	"cobaltpier/internal/routing"
 )
 
-// scriptedPolicy is a module that a test plays by hand.
+// scriptedPolicy is a routing policy whose decisions a test sets; it records what it is told.
 type scriptedPolicy struct {
 	host         routing.Host
 	endpoints    []*routing.Endpoint
@@ -61,7 +61,7 @@
 	data string
 }
 
-// testHost is a gateway with a hand-played module and wire.
+// testHost is an agent with a scripted policy that records sent packets.
 type testHost struct {
 	*testing.T
 	agent      *Agent
