--- a/internal/gateway/sipserver/numbers_test.go
+++ b/internal/gateway/sipserver/numbers_test.go
@@ -59,16 +59,16 @@
 	now := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, now) })
 	k, list := startListServer(t)
-	sw, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.72.0.19:19062")))
+	switchConn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.72.0.19:19062")))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer sw.Close()
-	who, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.72.0.18:19062")))
+	defer switchConn.Close()
+	callerConn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.72.0.18:19062")))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer who.Close()
+	defer callerConn.Close()
 	zone := &dnsserver.Zone{Apex: "e164.test.", Seed: 1, Ported: 1, TTL: 60, Routes: []string{"+15145550000"}}
 	server, err := dnsserver.Serve(
 		&dnsserver.Server{Zone: zone, Faults: dnsserver.Faults{Truncated: 1}},
@@ -118,13 +118,13 @@
 }
 `, table(1, "TG-0"), filepath.Join(dir, "store"), admin, server.Addr()))
 	}
-	stop, over := make(chan struct{}, 4), make(chan end, 1)
+	stop, over := make(chan struct{}, 4), make(chan runResult, 1)
 	run := func() {
 		k.send <- &api.Update{Version: 3, Whole: true, Members: []*api.Member{{Id: "m", State: api.State_READY, AgeMs: -1,
 			Addr: "127.72.0.19:19062"}}}
 		go func() {
 			out, err := Run(context.Background(), read(), newRouter, zerolog.Nop(), stop)
-			over <- end{out, err}
+			over <- runResult{out, err}
 		}()
 	}
 	calls := 0
@@ -134,7 +134,7 @@
 		for range 60 {
 			calls++
 			id := fmt.Sprint("n", calls)
-			_, _ = who.WriteToUDPAddrPort(
+			_, _ = callerConn.WriteToUDPAddrPort(
 				[]byte(
 					strings.ReplaceAll(
 						"INVITE sip:+1418555"+id[1:]+"@127.72.0.11 SIP/2.0\nVia: SIP/2.0/UDP 127.72.0.18:19062;rport;branch=z9hG4bK"+id+
@@ -146,7 +146,7 @@
 				),
 				netip.MustParseAddrPort("127.72.0.11:19062"),
 			)
-			if _, _, ok := within(sw, 300*time.Millisecond, "INVITE "+begins, ";npdi;rn=+15145550000;"); ok {
+			if _, _, ok := readUntil(switchConn, 300*time.Millisecond, "INVITE "+begins, ";npdi;rn=+15145550000;"); ok {
 				return
 			}
 		}
@@ -222,7 +222,7 @@
 		t.Errorf("back from the first: %v", err)
 	}
 	server.Change(func(s *dnsserver.Server) { s.Faults = dnsserver.Faults{Silent: true} })
-	_, _ = who.WriteToUDPAddrPort(
+	_, _ = callerConn.WriteToUDPAddrPort(
 		[]byte(
 			strings.ReplaceAll(
 				"INVITE sip:+14189999999@127.72.0.11 SIP/2.0\nVia: SIP/2.0/UDP 127.72.0.18:19062;rport;branch=z9hG4bKlast"+
@@ -234,7 +234,7 @@
 		),
 		netip.MustParseAddrPort("127.72.0.11:19062"),
 	)
-	if _, _, ok := within(who, 10*time.Second, "SIP/2.0 504 no answer", "Call-ID: last"); !ok {
+	if _, _, ok := readUntil(callerConn, 10*time.Second, "SIP/2.0 504 no answer", "Call-ID: last"); !ok {
 		t.Error("a look-up without an answer does not end as the table says")
 	}
 	stop <- struct{}{}
--- a/internal/gateway/sipserver/server_test.go
+++ b/internal/gateway/sipserver/server_test.go
@@ -23,15 +23,15 @@
 // listServer is an endpoint list server whose updates a test sends.
 type listServer struct {
 	api.UnimplementedPoolListServer
-	mu    sync.Mutex
-	asked []uint64
-	send  chan *api.Update
-	cut   chan struct{}
+	mu        sync.Mutex
+	requested []uint64
+	send      chan *api.Update
+	cut       chan struct{}
 }
 
 func (k *listServer) Follow(req *api.FollowRequest, stream grpc.ServerStreamingServer[api.Update]) error {
 	k.mu.Lock()
-	k.asked = append(k.asked, req.Have)
+	k.requested = append(k.requested, req.Have)
 	k.mu.Unlock()
 	for {
 		select {
@@ -98,22 +98,22 @@
 
 func newRouter(s *routing.Settings, h routing.Host) routing.Policy { return router.New(s, h) }
 
-type end struct {
+type runResult struct {
 	out Outcome
 	err error
 }
 
-// read gets the next message that begins with a text and holds another.
-func read(t *testing.T, c *net.UDPConn, begins, holds string) (string, netip.AddrPort) {
+// readMessage returns the next message that begins with a text and holds another.
+func readMessage(t *testing.T, c *net.UDPConn, begins, holds string) (string, netip.AddrPort) {
 	t.Helper()
-	msg, from, ok := within(c, 10*time.Second, begins, holds)
+	msg, from, ok := readUntil(c, 10*time.Second, begins, holds)
 	if !ok {
 		t.Fatalf("no %q with %q", begins, holds)
 	}
 	return msg, from
 }
 
-func within(c *net.UDPConn, wait time.Duration, begins, holds string) (string, netip.AddrPort, bool) {
+func readUntil(c *net.UDPConn, wait time.Duration, begins, holds string) (string, netip.AddrPort, bool) {
 	_ = c.SetReadDeadline(time.Now().Add(wait))
 	b := make([]byte, 1<<16)
 	for {
@@ -127,7 +127,7 @@
 	}
 }
 
-func line(msg, name string) string {
+func headerField(msg, name string) string {
 	_, rest, _ := strings.Cut(msg, "\r\n"+name+": ")
 	v, _, _ := strings.Cut(rest, "\r\n")
 	return v
@@ -140,26 +140,26 @@
 	now := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, now) }) // after the list has stopped
 	k, addr := startListServer(t)
-	sw, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.72.0.9:19062")))
+	switchConn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.72.0.9:19062")))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer sw.Close()
-	who, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.72.0.8:19062")))
+	defer switchConn.Close()
+	callerConn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.72.0.8:19062")))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer who.Close()
+	defer callerConn.Close()
 	k.send <- &api.Update{Version: 3, Whole: true, Members: []*api.Member{{Id: "m", State: api.State_READY, AgeMs: -1,
 		Addr: "127.72.0.9:19062"}}}
 	set := config(t, addr, 1, "200ms", "")
-	stop, over := make(chan struct{}, 4), make(chan end, 1)
+	stop, over := make(chan struct{}, 4), make(chan runResult, 1)
 	go func() {
 		out, err := Run(context.Background(), set, newRouter, zerolog.Nop(), stop)
-		over <- end{out, err}
+		over <- runResult{out, err}
 	}()
 	invite := func(id string) {
-		_, _ = who.WriteToUDPAddrPort(
+		_, _ = callerConn.WriteToUDPAddrPort(
 			[]byte(
 				strings.ReplaceAll(
 					"INVITE sip:+1418;tgrp=TG-0@127.72.0.1 SIP/2.0\nVia: SIP/2.0/UDP 127.72.0.8:19062;rport;branch=z9hG4bK"+id+
@@ -176,7 +176,7 @@
 	rung := func(id string) (string, netip.AddrPort) {
 		for i := range 60 {
 			invite(fmt.Sprint(id, i))
-			if msg, from, ok := within(sw, 200*time.Millisecond, "INVITE", ""); ok {
+			if msg, from, ok := readUntil(switchConn, 200*time.Millisecond, "INVITE", ""); ok {
 				return msg, from
 			}
 		}
@@ -187,22 +187,23 @@
 	stop <- struct{}{}
 	time.Sleep(50 * time.Millisecond)
 	invite("two")
-	read(t, who, "SIP/2.0 503", "Call-ID: two")
-	_, _ = sw.WriteToUDPAddrPort(
+	readMessage(t, callerConn, "SIP/2.0 503", "Call-ID: two")
+	_, _ = switchConn.WriteToUDPAddrPort(
 		[]byte(
-			"SIP/2.0 200 OK\r\nVia: "+line(msg, "Via")+"\r\nFrom: "+line(msg, "From")+"\r\nTo: "+line(msg, "To")+
+			"SIP/2.0 200 OK\r\nVia: "+headerField(msg, "Via")+"\r\nFrom: "+headerField(msg, "From")+"\r\nTo: "+
+				headerField(msg, "To")+
 				";tag=s\r\nCall-ID: "+
-				line(
+				headerField(
 					msg,
 					"Call-ID",
 				)+"\r\nCSeq: 1 INVITE\r\nContact: <sip:127.72.0.9:19062>\r\nContent-Length: 0\r\n\r\n",
 		),
 		from,
 	)
-	read(t, sw, "ACK", "")
-	read(t, who, "SIP/2.0 200", "")
-	read(t, who, "BYE", "") // its time to drain is over
-	read(t, sw, "BYE", "")
+	readMessage(t, switchConn, "ACK", "")
+	readMessage(t, callerConn, "SIP/2.0 200", "")
+	readMessage(t, callerConn, "BYE", "") // its time to drain is over
+	readMessage(t, switchConn, "BYE", "")
 	select {
 	case e := <-over:
 		if e.out != Drained || e.err != nil {
@@ -217,7 +218,7 @@
 		Addr: "127.72.0.9:19062"}}}
 	go func() {
 		out, err := Run(context.Background(), set, newRouter, zerolog.Nop(), stop)
-		over <- end{out, err}
+		over <- runResult{out, err}
 	}()
 	rung("three")
 	if _, err := Run(
@@ -242,10 +243,10 @@
 func TestEndpointListReconnect(t *testing.T) {
 	k, addr := startListServer(t)
 	set := config(t, addr, 2, "0s", "")
-	stop, over := make(chan struct{}, 4), make(chan end, 1)
+	stop, over := make(chan struct{}, 4), make(chan runResult, 1)
 	go func() {
 		out, err := Run(context.Background(), set, newRouter, zerolog.Nop(), stop)
-		over <- end{out, err}
+		over <- runResult{out, err}
 	}()
 	k.send <- &api.Update{Version: 7, Whole: true, Members: []*api.Member{{Id: "m", State: api.State_READY, AgeMs: -1,
 		Addr: "127.72.0.9:19062"}}}
@@ -258,9 +259,9 @@
 	wait := func(n int) []uint64 {
 		for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 			k.mu.Lock()
-			if len(k.asked) >= n {
+			if len(k.requested) >= n {
 				defer k.mu.Unlock()
-				return k.asked
+				return k.requested
 			}
 			k.mu.Unlock()
 		}
--- a/internal/protocol/b2bua/agent_test.go
+++ b/internal/protocol/b2bua/agent_test.go
@@ -223,7 +223,7 @@
 	r.sendList(routing.Draining)
 	r.advance(5000)
 	if n := r.count(switchA, "INVITE"); n != 2 {
-		t.Errorf("%d set-ups repeated to a pool that drains", n-2)
+		t.Errorf("%d setups retransmitted to a draining endpoint", n-2)
 	}
 }
 
@@ -327,7 +327,7 @@
 	r.receive(caller, callerRequest("INVITE", "2a", ""))
 	r.expectSent(caller, "SIP/2.0 503")
 	if r.agent.Counts.Accepted != 1 {
-		t.Errorf("%d taken", r.agent.Counts.Accepted)
+		t.Errorf("%d accepted", r.agent.Counts.Accepted)
 	}
 }
 
--- a/internal/protocol/b2bua/enquiry_test.go
+++ b/internal/protocol/b2bua/enquiry_test.go
@@ -19,10 +19,10 @@
 	r.agent.StartEnquiry(r.now, "14185550123", "shift-lookup", 2000,
 		func(_ float64, n EnquiryResult) { got = append(got, n) })
 	r.advance(1)
-	if len(b.asked) != 1 || len(got) != 0 {
-		t.Fatalf("asked %v, %v", b.asked, got)
+	if len(b.numbers) != 1 || len(got) != 0 {
+		t.Fatalf("asked %v, %v", b.numbers, got)
 	}
-	b.done[0](r.now, numberplan.Found{Answer: numberplan.Ported, Routing: "+15145550000"})
+	b.callbacks[0](r.now, numberplan.Found{Answer: numberplan.Ported, Routing: "+15145550000"})
 	if len(got) != 1 || got[0].Code != 200 || got[0].Addr != switchB || got[0].Group != "TG-1" ||
 		got[0].Number != "+14185550123" ||
 		got[0].Params != ";npdi;rn=+70115145550000" ||
@@ -32,7 +32,7 @@
 	r.advance(2)
 	if want := fmt.Sprintf("ended %d closed true wait 0", routing.Completed); len(r.policy.events) != 1 ||
 		r.policy.events[0] != want {
-		t.Errorf("the module heard %v", r.policy.events)
+		t.Errorf("the policy recorded %v", r.policy.events)
 	}
 	if held, _ := r.agent.InProgress(); held != 0 || r.agent.Counts.EnquiriesAnswered != 1 || len(r.agent.tables) != 0 {
 		t.Errorf("%d held, %+v", held, r.agent.Counts)
@@ -56,7 +56,7 @@
 	r.agent.StartEnquiry(r.now, "1", "shift-lookup", 2000, done)
 	r.advance(2)
 	if len(got) != 1 || got[0].Code != 200 || r.agent.Counts.Blocked != 1 {
-		t.Errorf("two rings and a deferral: %+v, barred %d", got, r.agent.Counts.Blocked)
+		t.Errorf("two attempts and a deferral: %+v, blocked %d", got, r.agent.Counts.Blocked)
 	}
 	got = nil
 	r.sendList(routing.Draining)
@@ -66,7 +66,7 @@
 	r.agent.StartEnquiry(r.now, "1", "shift-lookup", 2000, done)
 	r.advance(1990)
 	if len(got) != 0 {
-		t.Errorf("a pool that drains: %+v", got)
+		t.Errorf("a draining endpoint: %+v", got)
 	}
 	r.advance(30) // the policy forgets it
 	if len(got) != 1 || got[0].Code != 500 || r.agent.Counts.Overdue != 1 {
@@ -80,7 +80,7 @@
 	stop()
 	r.advance(3000)
 	if len(got) != 0 || r.policy.events[len(r.policy.events)-1] != "left" {
-		t.Errorf("taken back: %+v, heard %v", got, r.policy.events)
+		t.Errorf("canceled: %+v, events %v", got, r.policy.events)
 	}
 	r.agent.StopAdmitting()
 	r.agent.StartEnquiry(r.now, "1", "shift-lookup", 2000, done)
@@ -111,6 +111,6 @@
 	}
 	r.advance(1)
 	if n["busy"] != 90 || r.agent.Counts.Shed != 90 {
-		t.Errorf("%v, turned %d", n, r.agent.Counts.Shed)
+		t.Errorf("%v, %d shed", n, r.agent.Counts.Shed)
 	}
 }
--- a/internal/protocol/b2bua/numberanalysis_test.go
+++ b/internal/protocol/b2bua/numberanalysis_test.go
@@ -77,15 +77,15 @@
 
 // manualLookup records look-ups, which the test answers.
 type manualLookup struct {
-	asked   []string
-	within  []float64
-	done    []func(now float64, found numberplan.Found)
-	stopped int
+	numbers   []string
+	timeouts  []float64
+	callbacks []func(now float64, found numberplan.Found)
+	stops     int
 }
 
 func (b *manualLookup) Resolve(_ float64, digits string, within float64, done func(float64, numberplan.Found)) func() {
-	b.asked, b.within, b.done = append(b.asked, digits), append(b.within, within), append(b.done, done)
-	return func() { b.stopped++ }
+	b.numbers, b.timeouts, b.callbacks = append(b.numbers, digits), append(b.timeouts, within), append(b.callbacks, done)
+	return func() { b.stops++ }
 }
 func (b *manualLookup) Wake(float64)        {}
 func (b *manualLookup) NextWakeup() float64 { return 1e18 }
@@ -107,12 +107,12 @@
 		r.policy.host.StartAttempt(routed, r.policy.endpoints[1], routed.Deadline-now)
 	}
 	r.receive(caller, callerRequest("INVITE", "a1", ""))
-	if len(b.asked) != 1 || b.asked[0] != "14185550123" || b.within[0] != 400 || got != nil {
-		t.Fatalf("asked %v within %v, offered %v", b.asked, b.within, got)
+	if len(b.numbers) != 1 || b.numbers[0] != "14185550123" || b.timeouts[0] != 400 || got != nil {
+		t.Fatalf("asked %v within %v, offered %v", b.numbers, b.timeouts, got)
 	}
 	r.advance(200)
 	r.expectSent(caller, "SIP/2.0 100")
-	b.done[0](r.now, numberplan.Found{Answer: numberplan.Ported, Routing: "+15145550000", Carrier: "+1-6789"})
+	b.callbacks[0](r.now, numberplan.Found{Answer: numberplan.Ported, Routing: "+15145550000", Carrier: "+1-6789"})
 	if got == nil || got.Class.Name != "claim" || got.DestinationID != 1 || got.Destination != r.policy.endpoints[1] ||
 		got.Deadline != got.ArrivedAt+6000 {
 		t.Fatalf("offered %+v", got)
@@ -130,8 +130,8 @@
 func TestLookupTimeoutShare(t *testing.T) {
 	r, b := newNumberTestHost(t)
 	r.receive(caller, strings.Replace(callerRequest("INVITE", "a1", ""), "Expires: 9", "Expires: 1", 1))
-	if len(b.within) != 1 || b.within[0] != 250 {
-		t.Errorf("within %v", b.within)
+	if len(b.timeouts) != 1 || b.timeouts[0] != 250 {
+		t.Errorf("within %v", b.timeouts)
 	}
 }
 
@@ -142,8 +142,8 @@
 	home := -1
 	r.policy.onCall = func(_ float64, routed *routing.Call) { home = routed.DestinationID }
 	r.receive(caller, callerRequest("INVITE", "a1", ""))
-	if len(b.asked) != 0 || home != 0 {
-		t.Errorf("asked %v, offered with destination %d", b.asked, home)
+	if len(b.numbers) != 0 || home != 0 {
+		t.Errorf("asked %v, offered with destination %d", b.numbers, home)
 	}
 }
 
@@ -154,19 +154,19 @@
 	r.receive(caller, callerRequest("INVITE", "a1", ""))
 	r.receive(caller, callerRequest("CANCEL", "a1", ""))
 	r.expectSent(caller, "SIP/2.0 487")
-	b.done[0](r.now, numberplan.Found{Answer: numberplan.NotPorted})
-	if b.stopped != 1 || len(r.policy.events) != 0 {
-		t.Errorf("stopped %d, the module heard %v", b.stopped, r.policy.events)
+	b.callbacks[0](r.now, numberplan.Found{Answer: numberplan.NotPorted})
+	if b.stops != 1 || len(r.policy.events) != 0 {
+		t.Errorf("stopped %d, the policy recorded %v", b.stops, r.policy.events)
 	}
 	r.receive(caller, callerRequest("INVITE", "b1", ""))
 	r.advance(9500) // the look-up never returns
 	r.expectSent(caller, "SIP/2.0 500")
-	b.done[1](r.now, numberplan.Found{Answer: numberplan.NotPorted})
-	if b.stopped != 2 || r.agent.Counts.Overdue != 1 {
-		t.Errorf("stopped %d, overdue %d", b.stopped, r.agent.Counts.Overdue)
+	b.callbacks[1](r.now, numberplan.Found{Answer: numberplan.NotPorted})
+	if b.stops != 2 || r.agent.Counts.Overdue != 1 {
+		t.Errorf("stopped %d, overdue %d", b.stops, r.agent.Counts.Overdue)
 	}
 	if old, n := r.agent.Tables(); old != 0 || n != 0 {
-		t.Errorf("%d contacts hold %d tables", n, old)
+		t.Errorf("%d calls use %d old tables", n, old)
 	}
 }
 
@@ -188,19 +188,19 @@
 	}
 	old, n := r.agent.Tables()
 	if old != 3 || n != 750 {
-		t.Fatalf("%d contacts hold %d old tables", n, old)
+		t.Fatalf("%d calls use %d old tables", n, old)
 	}
 	r.agent.SetTable(numbers(t, 5))
 	for i := range 1000 {
-		b.done[i](r.now, numberplan.Found{Answer: numberplan.NotPorted})
+		b.callbacks[i](r.now, numberplan.Found{Answer: numberplan.NotPorted})
 	}
 	for i, s := range sent {
 		if want := fmt.Sprintf("+%d14185550123;npdi", 701+i/250); s != want {
-			t.Fatalf("contact %d was sent to %s, want %s", i, s, want)
+			t.Fatalf("call %d was sent to %s, want %s", i, s, want)
 		}
 	}
 	if old, n := r.agent.Tables(); len(sent) != 1000 || old != 0 || n != 0 {
-		t.Errorf("%d offered; %d contacts hold %d old tables", len(sent), n, old)
+		t.Errorf("%d offered; %d calls use %d old tables", len(sent), n, old)
 	}
 }
 
@@ -220,19 +220,19 @@
 	r.agent.SetTable(numbers(t, 3))
 	runtime.GC()
 	if old.Value() == nil {
-		t.Fatal("gone while a contact carries it")
+		t.Fatal("table freed while a call uses it")
 	}
-	b.done[0](r.now, numberplan.Found{Answer: numberplan.NotPorted})
-	b.done = nil
+	b.callbacks[0](r.now, numberplan.Found{Answer: numberplan.NotPorted})
+	b.callbacks = nil
 	r.respond(switchB, r.expectSent(switchB, "INVITE"), 200, "s1", "")
 	r.expectSent(caller, "SIP/2.0 200")
 	runtime.GC()
 	runtime.GC()
 	if old.Value() != nil {
-		t.Error("still there")
+		t.Error("old table not freed")
 	}
 	if _, standing := r.agent.InProgress(); standing != 1 {
-		t.Errorf("%d stand", standing)
+		t.Errorf("%d established calls", standing)
 	}
 }
 
@@ -247,8 +247,8 @@
 		r.expectSent(caller, want)
 		r.nextPacket = 0
 	}
-	if held, _ := r.agent.InProgress(); held != 0 || len(b.asked) != 0 || len(r.agent.tables) != 0 {
-		t.Errorf("%d held, asked %v, %d tables", held, b.asked, len(r.agent.tables))
+	if held, _ := r.agent.InProgress(); held != 0 || len(b.numbers) != 0 || len(r.agent.tables) != 0 {
+		t.Errorf("%d held, asked %v, %d tables", held, b.numbers, len(r.agent.tables))
 	}
 }
 
@@ -259,8 +259,8 @@
 	for i := range 200 {
 		r.receive(caller, callerRequest("INVITE", fmt.Sprintf("f%d", i), ""))
 	}
-	if len(b.asked) > 10 || r.agent.Counts.Shed < 190 {
-		t.Errorf("%d asked, %d turned away", len(b.asked), r.agent.Counts.Shed)
+	if len(b.numbers) > 10 || r.agent.Counts.Shed < 190 {
+		t.Errorf("%d looked up, %d shed", len(b.numbers), r.agent.Counts.Shed)
 	}
 }
 
@@ -274,11 +274,11 @@
 	r.receive(caller, callerRequest("INVITE", "a1", ""))
 	r.agent.StopAdmitting()
 	r.sendList(routing.Draining)
-	b.done[0](r.now, numberplan.Found{Answer: numberplan.Silent})
+	b.callbacks[0](r.now, numberplan.Found{Answer: numberplan.Silent})
 	r.advance(1)
 	if len(r.policy.events) != 1 || !strings.HasPrefix(r.policy.events[0], fmt.Sprintf("ended %d", routing.NotSent)) ||
 		r.agent.Counts.Blocked != 1 {
-		t.Errorf("rule 3: heard %v, barred %d", r.policy.events, r.agent.Counts.Blocked)
+		t.Errorf("rule 3: events %v, blocked %d", r.policy.events, r.agent.Counts.Blocked)
 	}
 	for _, p := range r.packets {
 		if p.to == switchA && strings.HasPrefix(p.data, "INVITE") {
--- a/internal/protocol/b2bua/testhost_test.go
+++ b/internal/protocol/b2bua/testhost_test.go
@@ -135,7 +135,7 @@
 	}
 }
 
-// receive is what a caller or switch sends.
+// receive hands a message of a caller or endpoint to the agent.
 func (r *testHost) receive(from netip.AddrPort, text string) {
 	head, body, _ := strings.Cut(text, "\n\n")
 	r.agent.Receive(r.now, from, []byte(strings.ReplaceAll(head, "\n", "\r\n")+"\r\n\r\n"+body))
@@ -160,7 +160,7 @@
 		"\nExpires: 9\nContent-Length: 0"
 }
 
-// expectSent waits for the next message to somebody that begins with a text, and fails without one.
+// expectSent returns the next packet to an address that starts with a text; the test fails if there is none.
 func (r *testHost) expectSent(to netip.AddrPort, begins string) sip.Message {
 	r.Helper()
 	for ; r.nextPacket < len(r.packets); r.nextPacket++ {
@@ -183,7 +183,7 @@
 	return nil
 }
 
-// count is how many messages to somebody begin with a text.
+// count returns the number of packets to an address that start with a text.
 func (r *testHost) count(to netip.AddrPort, begins string) (n int) {
 	for _, p := range r.packets {
 		if p.to == to && strings.HasPrefix(p.data, begins) {
@@ -193,7 +193,7 @@
 	return n
 }
 
-// respond is a switch's respond to a request.
+// respond sends the agent a response of an endpoint to a request.
 func (r *testHost) respond(from netip.AddrPort, to sip.Message, code int, tag, more string) {
 	res := siptransaction.Response(to.(*sip.Request), code, "X", tag)
 	if code == 200 && to.(*sip.Request).Method == sip.INVITE {
@@ -211,6 +211,6 @@
 func (r *testHost) expectEvents(want ...string) {
 	r.Helper()
 	if got := strings.Join(r.policy.events, ", "); got != strings.Join(want, ", ") {
-		r.Errorf("the module heard %s, want %s", got, strings.Join(want, ", "))
+		r.Errorf("the policy recorded %s, want %s", got, strings.Join(want, ", "))
 	}
 }
--- a/internal/protocol/siptransaction/layer_test.go
+++ b/internal/protocol/siptransaction/layer_test.go
@@ -13,30 +13,30 @@
 
 var clientAddr, serverAddr = netip.MustParseAddrPort("127.0.0.1:5060"), netip.MustParseAddrPort("127.0.0.2:5060")
 
-// side is one end of a lossy link and counts the events of its layer.
-type side struct {
-	l                            *Layer
-	timers                       timerqueue.Queue
-	asked, called, acked, strays int
-	answer                       func(s *Server, req *sip.Request)
+// testUser is one end of a lossy link and counts the events of its layer.
+type testUser struct {
+	l                               *Layer
+	timers                          timerqueue.Queue
+	requests, cancels, acks, strays int
+	answer                          func(s *Server, req *sip.Request)
 }
 
-func (s *side) OnRequest(sv *Server, req *sip.Request) {
-	s.asked++
+func (s *testUser) OnRequest(sv *Server, req *sip.Request) {
+	s.requests++
 	if s.answer != nil {
 		s.answer(sv, req)
 	}
 }
-func (s *side) OnCancel(sv *Server, req *sip.Request) {
-	s.called++
+func (s *testUser) OnCancel(sv *Server, req *sip.Request) {
+	s.cancels++
 	sv.Respond(Response(sv.Request(), 487, "Request Terminated", "t"))
 }
-func (s *side) OnAck(req *sip.Request)                        { s.acked++ }
-func (s *side) OnStrayResponse(*sip.Response, netip.AddrPort) { s.strays++ }
+func (s *testUser) OnAck(req *sip.Request)                        { s.acks++ }
+func (s *testUser) OnStrayResponse(*sip.Response, netip.AddrPort) { s.strays++ }
 
 type inFlight struct {
 	at   float64
-	to   *side
+	to   *testUser
 	from netip.AddrPort
 	data []byte
 }
@@ -46,11 +46,11 @@
 func TestLossyWire(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := 0.0
-		a, b := &side{}, &side{}
+		a, b := &testUser{}, &testUser{}
 		var wire []inFlight
 		loss := rapid.SampledFrom([]float64{0, 0.1, 0.4}).Draw(t, "loss")
 		n := &Generator{Seed: uint64(rapid.IntRange(0, 1<<30).Draw(t, "seed"))}
-		send := func(from netip.AddrPort, to *side) func(netip.AddrPort, []byte) {
+		send := func(from netip.AddrPort, to *testUser) func(netip.AddrPort, []byte) {
 			return func(_ netip.AddrPort, data []byte) {
 				for range 1 + int(n.Float64()*1.2) {
 					if n.Float64() >= loss {
@@ -73,7 +73,7 @@
 			b.timers.Schedule(now+150, func() { s.Respond(Response(req, code, "X", "t")) })
 		}
 		var finals []int
-		nothing := false
+		timedOut := false
 		req := sip.NewRequest(method, sip.Uri{Scheme: "sip", Host: "127.0.0.2"})
 		id := sip.CallIDHeader("c")
 		req.AppendHeader(&sip.FromHeader{Address: req.Recipient, Params: sip.HeaderParams{{K: "tag", V: "f"}}})
@@ -84,7 +84,7 @@
 		c = a.l.Send(req, serverAddr, overloadParams(), func(res *sip.Response) {
 			switch {
 			case res == nil:
-				nothing = true
+				timedOut = true
 			case res.StatusCode >= 200:
 				finals = append(finals, res.StatusCode)
 				if res.StatusCode < 300 && method == sip.INVITE {
@@ -110,25 +110,25 @@
 			a.timers.Run(now)
 			b.timers.Run(now)
 		}
-		if b.asked > 1 || b.called > 1 {
-			t.Fatalf("asked %d times, called off %d times", b.asked, b.called)
+		if b.requests > 1 || b.cancels > 1 {
+			t.Fatalf("%d requests, %d cancels", b.requests, b.cancels)
 		}
 		for _, f := range finals {
 			if f != finals[0] {
 				t.Fatalf("final answers %v", finals)
 			}
 		}
-		if len(finals) == 0 && !nothing || len(finals) > 0 && nothing {
-			t.Fatalf("final answers %v, told of none %v", finals, nothing)
+		if len(finals) == 0 && !timedOut || len(finals) > 0 && timedOut {
+			t.Fatalf("final answers %v, timed out %v", finals, timedOut)
 		}
 		if (method != sip.INVITE || len(finals) > 0 && finals[0] >= 300) && len(finals) > 1 {
-			t.Fatalf("heard %v", finals)
+			t.Fatalf("several final answers %v", finals)
 		}
 		if ac, as := a.l.OpenCounts(); ac+as != 0 {
-			t.Fatalf("the asker still holds %d transactions", ac+as)
+			t.Fatalf("the client still holds %d transactions", ac+as)
 		}
 		if bc, bs := b.l.OpenCounts(); bc+bs != 0 {
-			t.Fatalf("the asked still holds %d transactions", bc+bs)
+			t.Fatalf("the server still holds %d transactions", bc+bs)
 		}
 	})
 }
