--- a/internal/protocol/b2bua/call.go
+++ b/internal/protocol/b2bua/call.go
@@ -165,7 +165,7 @@
 	}
 }
 
-// sendFinal sends a final sendFinal. A second one is never sent.
+// sendFinal sends the final response. A second one is never sent (rule 1).
 func (c *call) sendFinal(res *sip.Response) {
 	if !c.finishWithCode(res.StatusCode) {
 		return
@@ -176,7 +176,7 @@
 	}
 }
 
-// sendRinging tells the caller that an endpoint is sendRinging.
+// sendRinging sends the caller 180 Ringing, once.
 func (c *call) sendRinging() {
 	if !c.ringingSent && !c.Finished {
 		c.ringingSent = true
