--- a/internal/protocol/b2bua/call.go
+++ b/internal/protocol/b2bua/call.go
@@ -16,64 +16,64 @@
 	temporaryFailure = `Q.850;cause=41;text="Temporary failure"`
 )
 
-// servicePrefix is what RFC 6050 puts before the name of a service.
+// servicePrefix precedes the name of a service (RFC 6050).
 const servicePrefix = "urn:urn-7:"
 
 // dialog is our side of a SIP dialog, with a caller or with an endpoint.
 type dialog struct {
 	agent  *Agent
-	call   *call        // nil: it was given up
-	leg    *outboundLeg // nil: the caller's
+	call   *call        // nil: abandoned
+	leg    *outboundLeg // nil: this is the caller's dialog
 	callID string
 	tag    string
 }
 
-// call is a call of a caller by SIP, with its legs.
+// call is a SIP call from a caller, with its legs.
 type call struct {
 	*session
 	invite      *sip.Request
 	server      *siptransaction.Server
 	tag         string
-	tenantHost  string       // host of the caller's address
+	tenantHost  string       // host of the caller's From address
 	leg         *outboundLeg // of the attempt in flight, or of the established call
-	ringingSent bool         // the caller was sent 180 Ringing
+	ringingSent bool         // 180 Ringing was sent to the caller
 }
 
-// onInvite takes an INVITE: the call is handed to the policy at the end of the batch.
+// onInvite handles a new INVITE. The call is handed to the policy at the end of the batch.
 func (a *Agent) onInvite(s *siptransaction.Server, req *sip.Request) {
-	name, ok := strings.CutPrefix(siptransaction.HeaderValue(req, siptransaction.Service), servicePrefix)
+	className, ok := strings.CutPrefix(siptransaction.HeaderValue(req, siptransaction.Service), servicePrefix)
 	if !ok {
-		name = a.config.DefaultClass
+		className = a.config.DefaultClass
 	}
 	user, params, _ := strings.Cut(req.Recipient.User, ";")
-	skill := a.Classes[name]
+	class := a.Classes[className]
 	switch {
 	case a.refusals.Known(a.Now, transactionKey(req)):
 		s.RespondStateless(a.overloadedResponse(req))
 		return
-	case skill == nil:
-		s.Respond(siptransaction.Response(req, 404, "Not Found", a.names.Next()))
+	case class == nil:
+		s.Respond(siptransaction.Response(req, 404, "Not Found", a.ids.Next()))
 		return
 	case user == "":
-		s.Respond(siptransaction.Response(req, 484, "Address Incomplete", a.names.Next()))
+		s.Respond(siptransaction.Response(req, 484, "Address Incomplete", a.ids.Next()))
 		return
 	case req.Contact() == nil:
-		s.Respond(siptransaction.Response(req, 400, "Missing Contact", a.names.Next()))
+		s.Respond(siptransaction.Response(req, 400, "Missing Contact", a.ids.Next()))
 		return
 	}
-	routed := &routing.Call{
-		Class:         skill,
+	routingCall := &routing.Call{
+		Class:         class,
 		Tenant:        a.Tenants[req.From().Address.Host],
 		CalledNumber:  user,
 		ArrivedAt:     a.Now,
 		DestinationID: -1,
 	}
-	if g := a.byName[numberParameter(params, "tgrp")]; g != nil {
-		routed.DestinationID = g.DestinationID
+	if g := a.groupsByName[numberParameter(params, "tgrp")]; g != nil {
+		routingCall.DestinationID = g.DestinationID
 	}
 	c := &call{
 		session: &session{
-			Session:   a.NewSession(routed, siptransaction.ParseRetryAfter(siptransaction.HeaderValue(req, "Expires"))),
+			Session:   a.NewSession(routingCall, siptransaction.ParseRetryAfter(siptransaction.HeaderValue(req, "Expires"))),
 			agent:     a,
 			sessionID: siptransaction.SessionIDOf(req),
 		},
@@ -89,11 +89,11 @@
 	if a.table != nil && !c.startAnalysis(user, params) {
 		return
 	}
-	routed.Destination = a.Endpoints.ByDestination(routed.DestinationID)
+	routingCall.Destination = a.Endpoints.ByDestination(routingCall.DestinationID)
 	a.Enqueue(c.Session)
 }
 
-// numberParameter is a parameter of a telephone number in a user part (RFC 3261 19.1.6, RFC 4904).
+// numberParameter returns a parameter of the telephone number in a user part (RFC 3261 19.1.6, RFC 4904).
 func numberParameter(params, name string) string {
 	for p := range strings.SplitSeq(params, ";") {
 		if k, v, _ := strings.Cut(p, "="); strings.EqualFold(k, name) {
@@ -103,7 +103,7 @@
 	return ""
 }
 
-// transactionKey identifies an INVITE's transaction in little space.
+// transactionKey identifies an INVITE's transaction by a hash, to save memory.
 func transactionKey(req *sip.Request) uint64 {
 	h := fnv.New64a()
 	branch, _ := req.Via().Params.Get("branch")
@@ -112,7 +112,7 @@
 	return h.Sum64()
 }
 
-// overloadedResponse is the answer to a call that is shed; it needs no state.
+// overloadedResponse is the response to a call that is shed. It is the same each time, so no state is kept for it.
 func (a *Agent) overloadedResponse(req *sip.Request) *sip.Response {
 	return siptransaction.Response(req, 503, "Service Unavailable", "busy")
 }
@@ -124,13 +124,13 @@
 	c.server.RespondStateless(c.agent.overloadedResponse(c.invite))
 }
 
-// respond implements responder. Of a call that was not admitted nothing is kept.
-func (c *call) respond(code int, why string) {
+// respond implements responder. No state is kept for a call that was not admitted.
+func (c *call) respond(code int, reason string) {
 	if c.tag == "" {
-		c.server.Respond(siptransaction.Response(c.invite, code, why, c.agent.names.Next()))
+		c.server.Respond(siptransaction.Response(c.invite, code, reason, c.agent.ids.Next()))
 		return
 	}
-	c.answer(siptransaction.Response(c.invite, code, why, c.tag))
+	c.sendFinal(siptransaction.Response(c.invite, code, reason, c.tag))
 }
 
 // SendRejection implements callcontrol.SignalingLeg.
@@ -139,7 +139,7 @@
 	if wait > 0 && c.agent.config.Settings.RetryAfterEnabled {
 		res.AppendHeader(sip.NewHeader(siptransaction.RetryAfter, siptransaction.FormatRetryAfter(wait)))
 	}
-	c.answer(res)
+	c.sendFinal(res)
 }
 
 // HasAttempt implements callcontrol.SignalingLeg.
@@ -152,9 +152,9 @@
 	}
 }
 
-// OnAccepted implements callcontrol.SignalingLeg: a number that has to be looked up is not ready.
+// OnAccepted implements callcontrol.SignalingLeg. A call whose number has to be looked up is not ready for the policy.
 func (c *call) OnAccepted() bool {
-	c.tag = c.agent.names.Next()
+	c.tag = c.agent.ids.Next()
 	return c.number.lookupNumber == ""
 }
 
@@ -165,8 +165,8 @@
 	}
 }
 
-// answer sends a final answer. A second one is never sent.
-func (c *call) answer(res *sip.Response) {
+// sendFinal sends the final response. A second one is never sent (rule 1).
+func (c *call) sendFinal(res *sip.Response) {
 	if !c.finishWithCode(res.StatusCode) {
 		return
 	}
@@ -176,31 +176,31 @@
 	}
 }
 
-// ringing tells the caller that an endpoint is ringing.
-func (c *call) ringing() {
+// sendRinging sends the caller 180 Ringing, once.
+func (c *call) sendRinging() {
 	if !c.ringingSent && !c.Finished {
 		c.ringingSent = true
 		c.server.Respond(siptransaction.Response(c.invite, 180, "Ringing", c.tag))
 	}
 }
 
-// establish tells the caller that the call is established.
-func (c *call) establish(from *sip.Response) {
+// establish answers the caller with 200 and opens the caller's dialog.
+func (c *call) establish(answer *sip.Response) {
 	a := c.agent
 	res := siptransaction.Response(c.invite, 200, "OK", c.tag)
 	res.AppendHeader(&sip.ContactHeader{Address: a.ownURI("")})
-	copyBody(from, res)
-	c.answer(res)
+	copyBody(answer, res)
+	c.sendFinal(res)
 	c.Established = true
 	a.AddEstablished(1)
 	a.Counts.Answered++
 	a.dialogs[c.tag] = &dialog{agent: a, call: c, callID: string(*c.invite.CallID()), tag: c.tag}
 	c.server.OnUnacknowledged(
 		func() { c.release(routing.Completed, normalClearing) },
-	) // RFC 3261 13.3.1.4: no ACK ever came
+	) // RFC 3261 13.3.1.4: no ACK arrived
 }
 
-// OnCancel implements siptransaction.User: the caller is gone before its answer.
+// OnCancel implements siptransaction.User: the caller cancels before the final answer.
 func (a *Agent) OnCancel(s *siptransaction.Server, _ *sip.Request) {
 	a.Now = a.sip.Now
 	c, ok := s.User.(*call)
@@ -208,13 +208,13 @@
 		return
 	}
 	a.Counts.HungUp++
-	if c.tag == "" { // not taken yet
+	if c.tag == "" { // not admitted yet
 		c.Finished = true
 		c.releaseTable()
-		s.Respond(siptransaction.Response(c.invite, 487, "Request Terminated", a.names.Next()))
+		s.Respond(siptransaction.Response(c.invite, 487, "Request Terminated", a.ids.Next()))
 		return
 	}
-	c.answer(siptransaction.Response(c.invite, 487, "Request Terminated", c.tag))
+	c.sendFinal(siptransaction.Response(c.invite, 487, "Request Terminated", c.tag))
 	if c.WithRouter {
 		a.Router.OnHangup(a.Now, c.Call)
 	}
@@ -227,32 +227,32 @@
 	}
 }
 
-// bye ends a call from either side.
-func (d *dialog) bye(req *sip.Request) {
+// onBye handles a BYE from either side and releases the call.
+func (d *dialog) onBye(req *sip.Request) {
 	if d.call == nil || !d.call.Established {
 		return
 	}
-	how, why := routing.Completed, normalClearing
+	outcome, reason := routing.Completed, normalClearing
 	if v := siptransaction.HeaderValue(req, siptransaction.Reason); strings.Contains(v, "Q.850") &&
 		!strings.Contains(v, "cause=16") {
-		how, why = routing.Reset, v
+		outcome, reason = routing.Reset, v
 	}
 	c := d.call
 	if d.leg == nil {
-		delete(c.agent.dialogs, c.tag) // nothing more goes to this side
+		delete(c.agent.dialogs, c.tag) // no BYE is sent back to this side
 	} else {
-		d.leg.closed = true
+		d.leg.releasedByPeer = true
 	}
-	c.release(how, why)
+	c.release(outcome, reason)
 }
 
-// release ends an established call on the sides that do not know of it yet.
-func (c *call) release(how routing.Outcome, why string) {
+// release ends an established call and sends BYE to each side that has not released it.
+func (c *call) release(outcome routing.Outcome, reason string) {
 	if !c.Established || c.leg == nil {
 		return
 	}
 	a, l := c.agent, c.leg
-	c.server.Acknowledge() // a BYE may overtake the ACK: the 200 is not repeated any more
+	c.server.Acknowledge() // a BYE may overtake the ACK: stop retransmitting the 200
 	a.AddEstablished(-1)
 	c.leg = nil
 	if _, open := a.dialogs[c.tag]; open {
@@ -261,25 +261,25 @@
 		from, to := c.invite.From(), c.invite.To()
 		a.addCommonHeaders(req, &sip.FromHeader{Address: to.Address, Params: sip.HeaderParams{{K: "tag", V: c.tag}}},
 			&sip.ToHeader{Address: from.Address, Params: from.Params}, string(*c.invite.CallID()), 1)
-		a.bye(req, c, why)
+		a.addByeHeaders(req, c, reason)
 		a.sip.Send(req, c.server.ResponseAddress(), nil, func(*sip.Response) {})
 	}
-	if !l.closed {
-		l.bye(why)
+	if !l.releasedByPeer {
+		l.sendBye(reason)
 	}
 	l.reported = true
-	l.forget()
-	c.EndAttempt(l.attempt, how, true)
+	l.discard()
+	c.EndAttempt(l.attempt, outcome, true)
 }
 
-// bye gives a BYE its Session-ID and reason.
-func (a *Agent) bye(req *sip.Request, c *call, why string) {
+// addByeHeaders adds Session-ID and Reason to a BYE.
+func (a *Agent) addByeHeaders(req *sip.Request, c *call, reason string) {
 	req.AppendHeader(sip.NewHeader(siptransaction.SessionID, siptransaction.FormatSessionID(c.sessionID)))
-	req.AppendHeader(sip.NewHeader(siptransaction.Reason, why))
+	req.AppendHeader(sip.NewHeader(siptransaction.Reason, reason))
 }
 
-// newSessionID is an ID for a call whose caller gave none.
-func (a *Agent) newSessionID() string { return siptransaction.NewSessionID(&a.names) }
+// newSessionID makes a session ID for a call without one.
+func (a *Agent) newSessionID() string { return siptransaction.NewSessionID(&a.ids) }
 
 func copyBody(from, to interface {
 	GetHeader(string) sip.Header
--- a/internal/protocol/b2bua/enquiry.go
+++ b/internal/protocol/b2bua/enquiry.go
@@ -6,50 +6,50 @@
 	"cobaltpier/internal/routing"
 )
 
-// EnquiryResult is the answer to an enquiry: which endpoint to call, or why none.
+// EnquiryResult is the answer to an enquiry: the endpoint to call, or the reason why there is none.
 type EnquiryResult struct {
-	Code       int // 200: an endpoint is named; else as of SIP
+	Code       int // 200: an endpoint is named; otherwise a SIP status code
 	Reason     string
-	RetryAfter float64 // ms after which to ask again; 0: not given
+	RetryAfter float64 // ms to wait before the next enquiry; 0: not given
 	Addr       netip.AddrPort
 	Group      string
-	Number     string // to be called there
-	Params     string // that go with it (RFC 4694)
-	// Valid tells whether the endpoint may still be called: it neither drains nor is gone.
+	Number     string // the number to call there
+	Params     string // portability parameters of the number (RFC 4694)
+	// Valid reports whether the endpoint may still be called: it is neither draining nor gone.
 	Valid func() bool
 }
 
-// enquiry is a call of somebody who asks which endpoint to call, and calls it itself.
+// enquiry is a request for the endpoint of a call that the client then sets up itself.
 type enquiry struct {
 	*session
 	attempt *routing.Attempt
 	done    func(now float64, n EnquiryResult)
 }
 
-// StartEnquiry asks for the endpoint that a call of a class with a number, as it would be dialled, would be sent to at
-// this moment. done is called once, within timeout ms; what the policy decides counts for drains and cold budgets as an
-// attempt does. stop cancels the enquiry.
+// StartEnquiry asks which endpoint a call to this number, as dialled, and of this class would be sent to now. done is
+// called once, within timeout ms. The policy's decision counts as an attempt for drains and slow-start budgets. stop
+// cancels the enquiry.
 func (a *Agent) StartEnquiry(
 	now float64,
-	number, class string,
+	number, className string,
 	timeout float64,
 	done func(now float64, n EnquiryResult),
 ) (stop func()) {
 	a.Now, a.sip.Now = now, now
-	k := a.Classes[class]
-	if k == nil {
+	class := a.Classes[className]
+	if class == nil {
 		done(now, EnquiryResult{Code: 404, Reason: "no such skill"})
 		return func() {}
 	}
-	routed := &routing.Call{Class: k, CalledNumber: number, ArrivedAt: now, DestinationID: -1}
-	q := &enquiry{session: &session{Session: a.NewSession(routed, timeout), agent: a, sessionID: a.newSessionID()},
+	routingCall := &routing.Call{Class: class, CalledNumber: number, ArrivedAt: now, DestinationID: -1}
+	q := &enquiry{session: &session{Session: a.NewSession(routingCall, timeout), agent: a, sessionID: a.newSessionID()},
 		done: done}
 	q.SignalingLeg, q.responder = q, q
 	q.SetDeadline()
 	if a.table != nil && !q.startAnalysis(number, "") {
 		return func() {}
 	}
-	routed.Destination = a.Endpoints.ByDestination(routed.DestinationID)
+	routingCall.Destination = a.Endpoints.ByDestination(routingCall.DestinationID)
 	a.Enqueue(q.Session)
 	return q.stop
 }
@@ -79,13 +79,13 @@
 func (q *enquiry) OnAccepted() bool { return q.number.lookupNumber == "" }
 
 // respond implements responder.
-func (q *enquiry) respond(code int, why string) {
+func (q *enquiry) respond(code int, reason string) {
 	if !q.Accepted {
 		q.Finished = true
 	} else if !q.finishWithCode(code) {
 		return
 	}
-	q.done(q.agent.Now, EnquiryResult{Code: code, Reason: why})
+	q.done(q.agent.Now, EnquiryResult{Code: code, Reason: reason})
 }
 
 // SendRejection implements callcontrol.SignalingLeg.
@@ -102,11 +102,11 @@
 // HasAttempt implements callcontrol.SignalingLeg.
 func (q *enquiry) HasAttempt() bool { return q.attempt != nil }
 
-// SendSetup implements callcontrol.SignalingLeg: the answer is the attempt. Whoever asked calls the endpoint itself, so
-// it is over for us; the policy counts it as one that was sent and taken.
+// SendSetup implements callcontrol.SignalingLeg: it returns the endpoint to the client, which sets the call up itself.
+// The attempt ends here; for the policy it was sent and completed.
 func (q *enquiry) SendSetup(attempt *routing.Attempt, _ float64) bool {
 	a := q.agent
-	g := a.groups[attempt.Endpoint.DestinationID]
+	g := a.groupsByDestination[attempt.Endpoint.DestinationID]
 	if g == nil || g.inUse >= g.Circuits || !q.finishWithCode(200) {
 		return false
 	}
@@ -125,7 +125,7 @@
 	return true
 }
 
-// SendCancel implements callcontrol.SignalingLeg: an answer that was given can't be taken back.
+// SendCancel implements callcontrol.SignalingLeg: a result that was returned can't be withdrawn.
 func (*enquiry) SendCancel(*routing.Attempt) {}
 
 // SendTrying implements callcontrol.SignalingLeg.
--- a/internal/protocol/b2bua/numberanalysis.go
+++ b/internal/protocol/b2bua/numberanalysis.go
@@ -9,34 +9,35 @@
 	"cobaltpier/internal/detrand"
 )
 
-// numberAnalysis is the state of a number's analysis. A call uses one number table until its final answer, whatever
-// table new calls get meanwhile.
+// numberAnalysis is the state of the analysis of a called number. A call keeps its number table until its final
+// answer, even if new calls get another one meanwhile.
 type numberAnalysis struct {
 	analysis      *numberplan.Analysis
 	lookupNumber  string // the number to be looked up
 	lookupTimeout float64
-	cancelLookup  func() // nil: none is open
+	cancelLookup  func() // nil: no look-up is pending
 	tableVersion  uint64
 	routeName     string
-	params        string // portability parameters that go with the number (RFC 4694)
+	params        string // portability parameters of the number (RFC 4694)
 }
 
-// SetTable gives new calls another number table; nil: none. Pending calls keep theirs.
+// SetTable sets the number table of new calls; nil: none. Pending calls keep theirs.
 func (a *Agent) SetTable(t *numberplan.Table) { a.table = t }
 
-// Tables counts the older tables in use, and their calls without a final answer.
-func (a *Agent) Tables() (old, contacts int) {
+// Tables returns the number of older tables in use, and of calls without a final answer that use them.
+func (a *Agent) Tables() (old, calls int) {
 	for t, n := range a.tables {
 		if t != a.table {
 			old++
-			contacts += n
+			calls += n
 		}
 	}
 	return
 }
 
-// startAnalysis begins the analysis of a call's number. What the table refuses at once is answered here and needs no
-// state; a question goes out only when the call was admitted, so that a flood asks for nothing.
+// startAnalysis begins the analysis of a call's number; false: the call was answered. A number that the table refuses
+// is answered here without keeping state. A look-up starts only after admission, so that a flood of shed calls causes
+// no DNS queries.
 func (s *session) startAnalysis(user, params string) bool {
 	a := s.agent
 	p, err := enum.Params(params)
@@ -44,7 +45,7 @@
 		s.respond(400, "Bad Portability Parameters")
 		return false
 	}
-	a.draws++
+	a.drawCount++
 	analysis, outcome := a.table.Begin(
 		numberplan.Call{
 			Dialled:  user,
@@ -52,7 +53,7 @@
 			Routing:  p.Routing,
 			Carrier:  p.Carrier,
 			At:       a.config.Epoch.Add(time.Duration(a.Now * float64(time.Millisecond))),
-			Draw:     detrand.Float64(a.names.Seed, a.draws),
+			Draw:     detrand.Float64(a.ids.Seed, a.drawCount),
 		},
 	)
 	s.number.analysis, s.number.tableVersion = analysis, analysis.Table.Version
@@ -60,7 +61,7 @@
 	if outcome.Refusal != nil {
 		a.Counts.Unrouted++
 		s.releaseTable()
-		s.respond(outcome.Refusal.Code, phrase(outcome.Refusal.Why))
+		s.respond(outcome.Refusal.Code, reasonPhrase(outcome.Refusal.Why))
 		return false
 	}
 	if outcome.Route != nil {
@@ -75,13 +76,13 @@
 	return true
 }
 
-// startLookup looks up what the analysis needs, for no longer than a part of what is left of the caller's timeout.
+// startLookup looks up the number for the analysis, within a share of the call's remaining timeout.
 func (s *session) startLookup() {
 	a := s.agent
-	within := min(s.number.lookupTimeout, a.config.LookupShare*(s.Deadline-a.Now))
-	over := false
+	timeout := min(s.number.lookupTimeout, a.config.LookupShare*(s.Deadline-a.Now))
+	answered := false
 	done := func(now float64, found numberplan.Found) {
-		over = true
+		answered = true
 		s.number.cancelLookup = nil
 		if s.Finished {
 			return
@@ -89,24 +90,25 @@
 		a.Now, a.sip.Now = now, now
 		s.onAnalysisEnd(s.number.analysis.Answered(found))
 	}
-	if a.config.NumberLookup == nil || within <= 0 {
+	if a.config.NumberLookup == nil || timeout <= 0 {
 		done(a.Now, numberplan.Found{Answer: numberplan.Silent})
 		return
 	}
 	a.Counts.Lookups++
-	stop := a.config.NumberLookup.Resolve(a.Now, s.number.lookupNumber, within, done)
-	if !over {
+	stop := a.config.NumberLookup.Resolve(a.Now, s.number.lookupNumber, timeout, done)
+	if !answered {
 		s.number.cancelLookup = stop
 	}
 }
 
-// onAnalysisEnd takes the end of an analysis that needed a look-up: the policy gets the call, or the caller its answer.
+// onAnalysisEnd handles the outcome of an analysis that needed a look-up: it passes the call to the policy or answers
+// it.
 func (s *session) onAnalysisEnd(o numberplan.Outcome) {
 	a := s.agent
 	switch {
 	case o.Refusal != nil:
 		a.Counts.Unrouted++
-		s.respond(o.Refusal.Code, phrase(o.Refusal.Why))
+		s.respond(o.Refusal.Code, reasonPhrase(o.Refusal.Why))
 	case o.Route == nil || !s.applyRoute(o.Route):
 		a.Fail(s.Call)
 	default:
@@ -115,10 +117,10 @@
 	}
 }
 
-// applyRoute puts a route's fields into the call; false: it names what this agent does not have.
+// applyRoute copies a route into the call; false: this agent lacks the route's trunk group, class or tenant.
 func (s *session) applyRoute(r *numberplan.Route) bool {
 	a := s.agent
-	g := a.byName[r.Group]
+	g := a.groupsByName[r.Group]
 	if g == nil {
 		return false
 	}
@@ -148,7 +150,7 @@
 	return true
 }
 
-// releaseTable ends a call's use of its table and cancels its look-up.
+// releaseTable drops the call's reference to its number table and cancels a pending look-up.
 func (s *session) releaseTable() {
 	r := &s.number
 	if r.cancelLookup != nil {
@@ -165,8 +167,8 @@
 	r.analysis = nil
 }
 
-// phrase makes a reason phrase (RFC 3261 7.2) of a table's text: one line.
-func phrase(s string) string {
+// reasonPhrase turns a text of a table into a reason phrase (RFC 3261 7.2): one line of at most 200 bytes.
+func reasonPhrase(s string) string {
 	s = strings.Map(func(c rune) rune {
 		if c < ' ' || c == 127 {
 			return ' '
--- a/internal/protocol/siptransaction/signal_test.go
+++ b/internal/protocol/siptransaction/layer_test.go
@@ -11,57 +11,56 @@
 	"cobaltpier/internal/timerqueue"
 )
 
-var ua, ub = netip.MustParseAddrPort("127.0.0.1:5060"), netip.MustParseAddrPort("127.0.0.2:5060")
+var clientAddr, serverAddr = netip.MustParseAddrPort("127.0.0.1:5060"), netip.MustParseAddrPort("127.0.0.2:5060")
 
-// side is one end of a lossy wire, with all that it hears counted.
-type side struct {
-	l                            *Layer
-	timers                       timerqueue.Queue
-	asked, called, acked, strays int
-	answer                       func(s *Server, req *sip.Request)
+// testUser is one end of a lossy link and counts the events of its layer.
+type testUser struct {
+	l                               *Layer
+	timers                          timerqueue.Queue
+	requests, cancels, acks, strays int
+	answer                          func(s *Server, req *sip.Request)
 }
 
-func (s *side) OnRequest(sv *Server, req *sip.Request) {
-	s.asked++
+func (s *testUser) OnRequest(sv *Server, req *sip.Request) {
+	s.requests++
 	if s.answer != nil {
 		s.answer(sv, req)
 	}
 }
-func (s *side) OnCancel(sv *Server, req *sip.Request) {
-	s.called++
+func (s *testUser) OnCancel(sv *Server, req *sip.Request) {
+	s.cancels++
 	sv.Respond(Response(sv.Request(), 487, "Request Terminated", "t"))
 }
-func (s *side) OnAck(req *sip.Request)                        { s.acked++ }
-func (s *side) OnStrayResponse(*sip.Response, netip.AddrPort) { s.strays++ }
+func (s *testUser) OnAck(req *sip.Request)                        { s.acks++ }
+func (s *testUser) OnStrayResponse(*sip.Response, netip.AddrPort) { s.strays++ }
 
-type flight struct {
+type inFlight struct {
 	at   float64
-	to   *side
+	to   *testUser
 	from netip.AddrPort
 	data []byte
 }
 
-// TestLossyWire sends requests over a wire that loses, doubles and delays, and holds the transactions to what they are
-// for: the other side is asked once, the asker hears one kind of final answer, a refusal is acknowledged, and all is
-// forgotten in the end.
+// TestLossyWire sends requests over a link that loses, duplicates and delays datagrams. The server's user must get the
+// request once, the client's user one kind of final response, and no transaction may be left at the end.
 func TestLossyWire(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := 0.0
-		a, b := &side{}, &side{}
-		var wire []flight
+		a, b := &testUser{}, &testUser{}
+		var wire []inFlight
 		loss := rapid.SampledFrom([]float64{0, 0.1, 0.4}).Draw(t, "loss")
 		n := &Generator{Seed: uint64(rapid.IntRange(0, 1<<30).Draw(t, "seed"))}
-		send := func(from netip.AddrPort, to *side) func(netip.AddrPort, []byte) {
+		send := func(from netip.AddrPort, to *testUser) func(netip.AddrPort, []byte) {
 			return func(_ netip.AddrPort, data []byte) {
 				for range 1 + int(n.Float64()*1.2) {
 					if n.Float64() >= loss {
-						wire = append(wire, flight{now + 1 + 30*n.Float64(), to, from, data})
+						wire = append(wire, inFlight{now + 1 + 30*n.Float64(), to, from, data})
 					}
 				}
 			}
 		}
-		a.l = NewLayer(ua, Timers{100, 800, 500}, &Generator{Seed: 1}, &a.timers, a, send(ua, b))
-		b.l = NewLayer(ub, Timers{100, 800, 500}, &Generator{Seed: 2}, &b.timers, b, send(ub, a))
+		a.l = NewLayer(clientAddr, Timers{100, 800, 500}, &Generator{Seed: 1}, &a.timers, a, send(clientAddr, b))
+		b.l = NewLayer(serverAddr, Timers{100, 800, 500}, &Generator{Seed: 2}, &b.timers, b, send(serverAddr, a))
 		method := rapid.SampledFrom([]sip.RequestMethod{sip.INVITE, sip.BYE}).Draw(t, "method")
 		code := rapid.SampledFrom([]int{200, 486, 503}).Draw(t, "code")
 		ring, cancel := rapid.Bool().Draw(t, "ring"), rapid.Bool().Draw(t, "cancel")
@@ -74,7 +73,7 @@
 			b.timers.Schedule(now+150, func() { s.Respond(Response(req, code, "X", "t")) })
 		}
 		var finals []int
-		nothing := false
+		timedOut := false
 		req := sip.NewRequest(method, sip.Uri{Scheme: "sip", Host: "127.0.0.2"})
 		id := sip.CallIDHeader("c")
 		req.AppendHeader(&sip.FromHeader{Address: req.Recipient, Params: sip.HeaderParams{{K: "tag", V: "f"}}})
@@ -82,10 +81,10 @@
 		req.AppendHeader(&id)
 		req.AppendHeader(&sip.CSeqHeader{SeqNo: 1, MethodName: method})
 		var c *Client
-		c = a.l.Send(req, ub, oc(), func(res *sip.Response) {
+		c = a.l.Send(req, serverAddr, overloadParams(), func(res *sip.Response) {
 			switch {
 			case res == nil:
-				nothing = true
+				timedOut = true
 			case res.StatusCode >= 200:
 				finals = append(finals, res.StatusCode)
 				if res.StatusCode < 300 && method == sip.INVITE {
@@ -96,7 +95,7 @@
 			}
 		})
 		for ; now < 45000; now++ {
-			var rest []flight
+			var rest []inFlight
 			due := wire
 			wire = nil
 			for _, f := range due {
@@ -111,32 +110,34 @@
 			a.timers.Run(now)
 			b.timers.Run(now)
 		}
-		if b.asked > 1 || b.called > 1 {
-			t.Fatalf("asked %d times, called off %d times", b.asked, b.called)
+		if b.requests > 1 || b.cancels > 1 {
+			t.Fatalf("%d requests, %d cancels", b.requests, b.cancels)
 		}
 		for _, f := range finals {
 			if f != finals[0] {
 				t.Fatalf("final answers %v", finals)
 			}
 		}
-		if len(finals) == 0 && !nothing || len(finals) > 0 && nothing {
-			t.Fatalf("final answers %v, told of none %v", finals, nothing)
+		if len(finals) == 0 && !timedOut || len(finals) > 0 && timedOut {
+			t.Fatalf("final answers %v, timed out %v", finals, timedOut)
 		}
 		if (method != sip.INVITE || len(finals) > 0 && finals[0] >= 300) && len(finals) > 1 {
-			t.Fatalf("heard %v", finals)
+			t.Fatalf("several final answers %v", finals)
 		}
 		if ac, as := a.l.OpenCounts(); ac+as != 0 {
-			t.Fatalf("the asker still holds %d transactions", ac+as)
+			t.Fatalf("the client still holds %d transactions", ac+as)
 		}
 		if bc, bs := b.l.OpenCounts(); bc+bs != 0 {
-			t.Fatalf("the asked still holds %d transactions", bc+bs)
+			t.Fatalf("the server still holds %d transactions", bc+bs)
 		}
 	})
 }
 
-func oc() sip.HeaderParams { return sip.HeaderParams{{K: "oc"}, {K: "oc-algo", V: `"loss,rate"`}} }
+func overloadParams() sip.HeaderParams {
+	return sip.HeaderParams{{K: "oc"}, {K: "oc-algo", V: `"loss,rate"`}}
+}
 
-// A quoted value in a Via, with what parts parameters inside it, is read and written as it is.
+// A quoted value in a Via that contains separators is parsed and written unchanged.
 func TestQuotedVia(t *testing.T) {
 	text := "OPTIONS sip:a SIP/2.0\r\nVia: SIP/2.0/UDP 1.2.3.4:5060;oc;oc-algo=\"loss,rate;x\";branch=z9hG4bKq, " +
 		"SIP/2.0/UDP 5.6.7.8;branch=z9hG4bKr\r\n" +
@@ -155,7 +156,7 @@
 	}
 }
 
-func TestWaits(t *testing.T) {
+func TestRetryAfter(t *testing.T) {
 	for in, want := range map[string]float64{"": 0, "5": 5000, "1;ms=300": 300, " 2 (later);duration=9": 2000,
 		"3(soon)": 3000, "-1": 0, "x": 0, "9999999999999": 0} {
 		if got := ParseRetryAfter(in); got != want {
