--- a/internal/conformance/checker.go
+++ b/internal/conformance/checker.go
@@ -41,32 +41,32 @@
 
 // Checker takes the records of a capture in their order.
 type Checker struct {
-	Findings        []Finding
-	Totals          Totals
-	Parse           func([]byte) (sip.Message, error) // siptransaction.Parse, or one that remembers
-	Keep            bool                              // keep how cold budgets were used
-	Cold            []Cold                            // with Keep: after Finish
-	rules           *api.Rules
-	nodes           map[string]*api.Node
-	calls           map[string]*call               // by edge and session
-	byTx            map[string]*attempt            // a setup's transaction, by edge and branch
-	byDialog        map[string]*attempt            // by edge and Call-ID
-	answers         map[string]*call               // the caller's INVITE transaction, by edge and branch
-	listings        map[string]map[string]*listing // by edge's name and address
-	stalledGateways map[string]bool
-	killedAt        map[string]float64
-	startsByAddr    map[string][]*start // by address
-	queries         map[string]*enumQuery
-	namedEndpoints  map[string][]float64 // by kiosk and endpoint: when it was named and not called yet
-	latestAt        float64
+	Findings              []Finding
+	Totals                Totals
+	Parse                 func([]byte) (sip.Message, error) // siptransaction.Parse, or one that remembers
+	Keep                  bool                              // keep how cold budgets were used
+	Cold                  []Cold                            // with Keep: after Finish
+	rules                 *api.Rules
+	nodes                 map[string]*api.Node
+	calls                 map[string]*call                 // by gateway and session
+	attemptsByTransaction map[string]*attempt              // a setup's transaction, by gateway and branch
+	attemptsByDialog      map[string]*attempt              // by gateway and Call-ID
+	callsByTransaction    map[string]*call                 // the caller's INVITE transaction, by gateway and branch
+	endpointLists         map[string]map[string]*listEntry // by gateway's name and address
+	stalledGateways       map[string]bool
+	killedAt              map[string]float64
+	startsByAddr          map[string][]*endpointStart // by address
+	queries               map[string]*enumQuery
+	namedEndpoints        map[string][]float64 // by kiosk and endpoint: when it was named and not called yet
+	latestAt              float64
 }
 
 // call is one call at one gateway.
 type call struct {
-	id, edge     string
+	id, gateway  string
 	arrivedAt    float64
 	deadline     float64
-	final        string  // status and tag of its final answer
+	finalAnswer  string  // status and tag of its final answer
 	answeredAt   float64 // when it left
 	attempts     []*attempt
 	holdOffUntil float64 // rule 5: no send before this
@@ -83,8 +83,8 @@
 	ended       bool
 }
 
-// listing is what a gateway was told of an address.
-type listing struct {
+// listEntry is what a gateway was told of an address.
+type listEntry struct {
 	state     string
 	since     float64 // delivered
 	startedAt float64
@@ -94,68 +94,68 @@
 // New makes a checker.
 func New() *Checker {
 	return &Checker{
-		Parse:           siptransaction.Parse,
-		rules:           &api.Rules{},
-		nodes:           map[string]*api.Node{},
-		calls:           map[string]*call{},
-		byTx:            map[string]*attempt{},
-		byDialog:        map[string]*attempt{},
-		answers:         map[string]*call{},
-		listings:        map[string]map[string]*listing{},
-		stalledGateways: map[string]bool{},
-		killedAt:        map[string]float64{},
-		startsByAddr:    map[string][]*start{},
-		queries:         map[string]*enumQuery{},
-		namedEndpoints:  map[string][]float64{},
+		Parse:                 siptransaction.Parse,
+		rules:                 &api.Rules{},
+		nodes:                 map[string]*api.Node{},
+		calls:                 map[string]*call{},
+		attemptsByTransaction: map[string]*attempt{},
+		attemptsByDialog:      map[string]*attempt{},
+		callsByTransaction:    map[string]*call{},
+		endpointLists:         map[string]map[string]*listEntry{},
+		stalledGateways:       map[string]bool{},
+		killedAt:              map[string]float64{},
+		startsByAddr:          map[string][]*endpointStart{},
+		queries:               map[string]*enumQuery{},
+		namedEndpoints:        map[string][]float64{},
 	}
 }
 
-func (k *Checker) report(rule int, c *call, what string, args ...any) {
-	k.Findings = append(k.Findings, Finding{rule, k.latestAt, c.edge, c.id, fmt.Sprintf(what, args...)})
+func (k *Checker) report(rule int, c *call, format string, args ...any) {
+	k.Findings = append(k.Findings, Finding{rule, k.latestAt, c.gateway, c.id, fmt.Sprintf(format, args...)})
 }
 
 // Add takes the next record.
 func (k *Checker) Add(r *api.Record) {
 	k.latestAt = math.Max(k.latestAt, r.At)
-	switch v := r.What.(type) {
+	switch what := r.What.(type) {
 	case *api.Record_Rules:
-		k.rules = v.Rules
+		k.rules = what.Rules
 	case *api.Record_Node:
-		k.nodes[v.Node.Addr] = v.Node
+		k.nodes[what.Node.Addr] = what.Node
 	case *api.Record_Listing:
-		k.onListing(r.At, v.Listing)
+		k.onListing(r.At, what.Listing)
 	case *api.Record_Mark:
-		k.onMark(r.At, v.Mark)
+		k.onMark(r.At, what.Mark)
 	case *api.Record_Datagram:
 		k.Totals.Datagrams++
-		k.onDatagram(r.At, v.Datagram)
+		k.onDatagram(r.At, what.Datagram)
 	}
 }
 
 func (k *Checker) onListing(at float64, l *api.Listing) {
-	m := k.listings[l.Edge]
-	if m == nil {
-		m = map[string]*listing{}
-		k.listings[l.Edge] = m
+	byAddr := k.endpointLists[l.Edge]
+	if byAddr == nil {
+		byAddr = map[string]*listEntry{}
+		k.endpointLists[l.Edge] = byAddr
 	}
 	named := map[string]bool{}
 	for _, e := range l.Entries {
 		named[e.Addr] = true
-		if p := m[e.Addr]; p == nil || p.state != e.State || p.id != e.Id || p.startedAt != e.Since {
-			if p != nil && p.id != e.Id && e.State == "gone" {
+		if entry := byAddr[e.Addr]; entry == nil || entry.state != e.State || entry.id != e.Id || entry.startedAt != e.Since {
+			if entry != nil && entry.id != e.Id && e.State == "gone" {
 				continue // the machine before the one that has the address now
 			}
 			since := at
-			if p != nil && p.state != "ready" && e.State != "ready" {
-				since = p.since // told before
+			if entry != nil && entry.state != "ready" && e.State != "ready" {
+				since = entry.since // told before
 			}
-			m[e.Addr] = &listing{state: e.State, since: since, startedAt: e.Since, id: e.Id}
+			byAddr[e.Addr] = &listEntry{state: e.State, since: since, startedAt: e.Since, id: e.Id}
 		}
 	}
 	if l.Whole {
-		for a, p := range m {
-			if !named[a] && p.state == "ready" {
-				p.state, p.since = "gone", at
+		for addr, entry := range byAddr {
+			if !named[addr] && entry.state == "ready" {
+				entry.state, entry.since = "gone", at
 			}
 		}
 	}
@@ -182,10 +182,10 @@
 		if node.Name != m.Who {
 			continue
 		}
-		if old := k.startsByAddr[address]; len(old) > 0 {
-			old[len(old)-1].end = at
+		if previous := k.startsByAddr[address]; len(previous) > 0 {
+			previous[len(previous)-1].end = at
 		}
-		started := &start{at: at, who: m.Who, model: m.Start, end: math.Inf(1)}
+		started := &endpointStart{at: at, endpoint: m.Who, model: m.Start, end: math.Inf(1)}
 		k.startsByAddr[address] = append(k.startsByAddr[address], started)
 	}
 }
@@ -204,13 +204,13 @@
 // onGatewayResumed takes the end of a stall: what was delivered meanwhile the gateway could read from now on, and that
 // it could not answer counts as the machine's fault.
 func (k *Checker) onGatewayResumed(at float64, m *api.Mark) {
-	k.closeQueries(at, m)
+	k.excuseQueries(at, m)
 	k.stalledGateways[m.Who] = false
-	for _, p := range k.listings[m.Who] {
-		p.since = math.Max(p.since, at)
+	for _, entry := range k.endpointLists[m.Who] {
+		entry.since = math.Max(entry.since, at)
 	}
 	for _, c := range k.calls {
-		if c.edge != m.Who || c.final != "" {
+		if c.gateway != m.Who || c.finalAnswer != "" {
 			continue
 		}
 		c.deadline = math.Max(c.deadline, at+1000)
@@ -223,12 +223,12 @@
 // onGatewayReplaced takes the end of a gateway's process: its calls are not the next one's, to which a retransmission
 // is new.
 func (k *Checker) onGatewayReplaced(at float64, m *api.Mark) {
-	k.closeQueries(at, m)
+	k.excuseQueries(at, m)
 	if m.What == "edge-kill" {
 		k.killedAt[m.Who] = at
 	}
 	for _, c := range k.calls {
-		if c.edge != m.Who {
+		if c.gateway != m.Who {
 			continue
 		}
 		for _, a := range c.attempts {
@@ -275,13 +275,13 @@
 	}
 }
 
-func (k *Checker) onCallerRequest(at float64, edge string, r *sip.Request, branch string) {
+func (k *Checker) onCallerRequest(at float64, gateway string, r *sip.Request, branch string) {
 	switch r.Method {
 	case sip.INVITE:
 		if siptransaction.Tag(r.To().Params) != "" {
 			return
 		}
-		key := edge + siptransaction.SessionIDOf(r)
+		key := gateway + siptransaction.SessionIDOf(r)
 		if k.calls[key] != nil {
 			return // a repeat
 		}
@@ -289,28 +289,28 @@
 		if patience == 0 {
 			patience = math.Inf(1)
 		}
-		c := &call{id: siptransaction.SessionIDOf(r), edge: edge, arrivedAt: at, deadline: at + patience}
-		k.calls[key], k.answers[edge+branch] = c, c
+		c := &call{id: siptransaction.SessionIDOf(r), gateway: gateway, arrivedAt: at, deadline: at + patience}
+		k.calls[key], k.callsByTransaction[gateway+branch] = c, c
 		k.Totals.Calls++
 	case sip.CANCEL:
-		if c := k.answers[edge+branch]; c != nil && c.final == "" && c.canceledAt == 0 {
+		if c := k.callsByTransaction[gateway+branch]; c != nil && c.finalAnswer == "" && c.canceledAt == 0 {
 			c.canceledAt = at
 		}
 	}
 }
 
-func (k *Checker) onResponseToCaller(at float64, edge string, r *sip.Response, branch string) {
-	c := k.answers[edge+branch]
+func (k *Checker) onResponseToCaller(at float64, gateway string, r *sip.Response, branch string) {
+	c := k.callsByTransaction[gateway+branch]
 	if c == nil || r.CSeq().MethodName != sip.INVITE || r.StatusCode < 200 {
 		return
 	}
 	final := fmt.Sprintf("%d %s", r.StatusCode, siptransaction.Tag(r.To().Params))
 	switch {
-	case c.final == "":
-		c.final, c.answeredAt = final, at
+	case c.finalAnswer == "":
+		c.finalAnswer, c.answeredAt = final, at
 		k.Totals.Answers++
 		// a call of a process that was killed since is no longer its duty: its caller's repeat is new to the next one
-		if kill, killed := k.killedAt[edge]; killed && c.arrivedAt <= kill {
+		if kill, killed := k.killedAt[gateway]; killed && c.arrivedAt <= kill {
 			return
 		}
 		if at > c.deadline+k.rules.SlackMs {
@@ -319,89 +319,89 @@
 		if c.canceledAt > 0 && at > c.canceledAt+1000 {
 			k.report(1, c, "called off, and answered only %.0f ms later", at-c.canceledAt)
 		}
-	case c.final != final:
-		k.report(1, c, "second final answer %s after %s", final, c.final)
+	case c.finalAnswer != final:
+		k.report(1, c, "second final answer %s after %s", final, c.finalAnswer)
 	}
 }
 
-func (k *Checker) onSetupRequest(at float64, edge, to string, r *sip.Request, branch, id string) {
+func (k *Checker) onSetupRequest(at float64, gateway, to string, r *sip.Request, branch, id string) {
 	switch r.Method {
 	case sip.INVITE:
 		if siptransaction.Tag(r.To().Params) != "" {
 			return
 		}
-		g := k.byTx[edge+branch]
-		c := k.calls[edge+siptransaction.SessionIDOf(r)]
+		a := k.attemptsByTransaction[gateway+branch]
+		c := k.calls[gateway+siptransaction.SessionIDOf(r)]
 		if c == nil {
-			k.report(1, &call{edge: edge, id: siptransaction.SessionIDOf(r)}, "a set-up of a contact that never came")
+			k.report(1, &call{gateway: gateway, id: siptransaction.SessionIDOf(r)}, "a set-up of a contact that never came")
 			return
 		}
-		repeat := g != nil
-		if c.final != "" && at-c.answeredAt >= k.rules.BlurMs {
-			k.report(1, c, "set-up sent %.0f ms after the final answer %s", at-c.answeredAt, c.final)
+		repeat := a != nil
+		if c.finalAnswer != "" && at-c.answeredAt >= k.rules.BlurMs {
+			k.report(1, c, "set-up sent %.0f ms after the final answer %s", at-c.answeredAt, c.finalAnswer)
 		}
-		k.checkDraining(at, edge, to, c)
-		k.countSlowStart(at, edge, to, repeat)
+		k.checkDraining(at, gateway, to, c)
+		k.recordSlowStartWork(at, gateway, to, repeat)
 		if repeat {
 			k.Totals.Retransmissions++
 			return
 		}
 		k.Totals.Attempts++
-		for _, o := range c.attempts {
-			if !o.ended {
-				k.report(2, c, "second ring to %s while the one to %s is out", k.name(to), k.name(o.endpoint))
+		for _, other := range c.attempts {
+			if !other.ended {
+				k.report(2, c, "second ring to %s while the one to %s is out", k.name(to), k.name(other.endpoint))
 			}
 		}
 		if at < c.holdOffUntil {
 			k.report(5, c, "sent %.0f ms before the clear wait was over", c.holdOffUntil-at)
 		}
-		g = &attempt{call: c, endpoint: to}
+		a = &attempt{call: c, endpoint: to}
 		c.attemptCount++
-		c.attempts = append(c.attempts, g)
-		k.byTx[edge+branch], k.byDialog[edge+id] = g, g
+		c.attempts = append(c.attempts, a)
+		k.attemptsByTransaction[gateway+branch], k.attemptsByDialog[gateway+id] = a, a
 	case sip.CANCEL:
-		if g := k.byTx[edge+branch]; g != nil {
-			g.canceled = true
+		if a := k.attemptsByTransaction[gateway+branch]; a != nil {
+			a.canceled = true
 		}
 	case sip.BYE:
-		if g := k.byDialog[edge+id]; g != nil && !g.ended {
-			g.ended = true
-			if g.canceled || !g.established { // a call that stood after it was given up: released now
-				g.call.holdOffUntil = math.Max(g.call.holdOffUntil, at+k.rules.ClearMs)
+		if a := k.attemptsByDialog[gateway+id]; a != nil && !a.ended {
+			a.ended = true
+			if a.canceled || !a.established { // a call that stood after it was given up: released now
+				a.call.holdOffUntil = math.Max(a.call.holdOffUntil, at+k.rules.ClearMs)
 			}
 		}
 	}
 }
 
-func (k *Checker) onSwitchMessage(at float64, edge string, m sip.Message, branch, id string) {
+func (k *Checker) onSwitchMessage(at float64, gateway string, m sip.Message, branch, id string) {
 	switch m := m.(type) {
 	case *sip.Response:
-		g := k.byTx[edge+branch]
-		if g == nil || m.CSeq().MethodName != sip.INVITE || m.StatusCode < 200 || g.ended {
+		a := k.attemptsByTransaction[gateway+branch]
+		if a == nil || m.CSeq().MethodName != sip.INVITE || m.StatusCode < 200 || a.ended {
 			return
 		}
 		if m.StatusCode < 300 {
-			g.established = true
+			a.established = true
 			return
 		}
-		g.ended = true
+		a.ended = true
 		if m.StatusCode == 487 || m.StatusCode == 408 {
-			g.call.holdOffUntil = math.Max(g.call.holdOffUntil, at+k.rules.ClearMs)
+			a.call.holdOffUntil = math.Max(a.call.holdOffUntil, at+k.rules.ClearMs)
 		}
 	case *sip.Request:
-		if g := k.byDialog[edge+id]; g != nil && m.Method == sip.BYE && !g.ended {
-			g.ended = true
+		if a := k.attemptsByDialog[gateway+id]; a != nil && m.Method == sip.BYE && !a.ended {
+			a.ended = true
 			if !strings.Contains(siptransaction.HeaderValue(m, siptransaction.Reason), "cause=16") {
-				g.call.holdOffUntil = math.Max(g.call.holdOffUntil, at+k.rules.ClearMs)
+				a.call.holdOffUntil = math.Max(a.call.holdOffUntil, at+k.rules.ClearMs)
 			}
 		}
 	}
 }
 
 // checkDraining is rule 3.
-func (k *Checker) checkDraining(at float64, edge, to string, c *call) {
-	if p := k.listings[edge][to]; p != nil && p.state != "ready" && at > p.since+k.rules.GraceMs {
-		k.report(3, c, "set-up to %s %.0f ms after it was told %s", k.name(to), at-p.since, p.state)
+func (k *Checker) checkDraining(at float64, gateway, to string, c *call) {
+	if entry := k.endpointLists[gateway][to]; entry != nil && entry.state != "ready" && at > entry.since+k.rules.GraceMs {
+		k.report(3, c, "set-up to %s %.0f ms after it was told %s", k.name(to), at-entry.since, entry.state)
 	}
 }
 
@@ -415,17 +415,18 @@
 // Finish judges what can be judged only at the end, and sorts the findings by time.
 func (k *Checker) Finish() {
 	for _, c := range k.calls {
-		if kill, killed := k.killedAt[c.edge]; killed && c.arrivedAt <= kill && (c.final == "" || c.answeredAt > kill) {
+		if kill, killed := k.killedAt[c.gateway]; killed && c.arrivedAt <= kill &&
+			(c.finalAnswer == "" || c.answeredAt > kill) {
 			continue // what a gateway held when it was killed is no longer its duty
 		}
-		if due := math.Min(c.deadline, whenSet(c.canceledAt)+1000); c.final == "" && k.latestAt > due+k.rules.SlackMs &&
-			!k.stalledGateways[c.edge] {
+		if due := math.Min(c.deadline, orInf(c.canceledAt)+1000); c.finalAnswer == "" && k.latestAt > due+k.rules.SlackMs &&
+			!k.stalledGateways[c.gateway] {
 			k.report(1, c, "never answered; due at %.0f ms", due)
 		}
 	}
-	for addr, of := range k.startsByAddr {
-		for _, s := range of {
-			k.window(addr, s)
+	for addr, starts := range k.startsByAddr {
+		for _, s := range starts {
+			k.checkSlowStart(addr, s)
 		}
 	}
 	sort.Slice(k.Findings, func(i, j int) bool {
@@ -439,9 +440,9 @@
 
 // Verdicts are the numbers of findings by rule, from 1.
 func (k *Checker) Verdicts() [6]int {
-	var v [6]int
+	var counts [6]int
 	for _, f := range k.Findings {
-		v[f.Rule]++
+		counts[f.Rule]++
 	}
-	return v
+	return counts
 }
--- a/internal/conformance/checker_test.go
+++ b/internal/conformance/checker_test.go
@@ -8,10 +8,10 @@
 	"cobaltpier/api"
 )
 
-// tape makes a capture by hand.
-type tape struct{ of []*api.Record }
+// captureBuilder makes a capture by hand.
+type captureBuilder struct{ records []*api.Record }
 
-func (t *tape) add(at float64, what any) *tape {
+func (t *captureBuilder) add(at float64, what any) *captureBuilder {
 	r := &api.Record{At: at}
 	switch v := what.(type) {
 	case *api.Node:
@@ -25,32 +25,32 @@
 	case *api.Datagram:
 		r.What = &api.Record_Datagram{Datagram: v}
 	}
-	t.of = append(t.of, r)
+	t.records = append(t.records, r)
 	return t
 }
 
 const (
-	edgeAt, callerAt, one, two = "127.0.0.1:1", "127.0.0.2:1", "127.0.0.3:1", "127.0.0.4:1"
+	gatewayAddr, callerAddr, firstAddr, secondAddr = "127.0.0.1:1", "127.0.0.2:1", "127.0.0.3:1", "127.0.0.4:1"
 )
 
-func begin() *tape {
-	t := &tape{}
+func newCapture() *captureBuilder {
+	t := &captureBuilder{}
 	t.add(0, &api.Rules{SlackMs: 20, GraceMs: 250, ClearMs: 500, TipMultiple: 2, TipMs: 1000})
-	for a, n := range map[string]*api.Node{edgeAt: {Role: "edge", Name: "edge"}, callerAt: {Role: "caller",
+	for a, n := range map[string]*api.Node{gatewayAddr: {Role: "edge", Name: "edge"}, callerAddr: {Role: "caller",
 		Name: "caller"},
-		one: {Role: "switch", Name: "one"}, two: {Role: "switch", Name: "two"}} {
+		firstAddr: {Role: "switch", Name: "one"}, secondAddr: {Role: "switch", Name: "two"}} {
 		n.Addr = a
 		t.add(0, n)
 	}
-	return t.list(0, one, "ready", 0).list(0, two, "ready", 0)
+	return t.list(0, firstAddr, "ready", 0).list(0, secondAddr, "ready", 0)
 }
 
-func (t *tape) list(at float64, addr, state string, since float64) *tape {
+func (t *captureBuilder) list(at float64, addr, state string, since float64) *captureBuilder {
 	return t.add(at, &api.Listing{Edge: "edge", Entries: []*api.Entry{{Id: addr, Addr: addr, State: state, Since: since}}})
 }
 
-// msg is a request, or where code is set an answer, of call c on leg b (its branch and Call-ID).
-func (t *tape) msg(at float64, from, to, method string, code int, c, b string) *tape {
+// message is a request, or where code is set an answer, of call c on leg b (its branch and Call-ID).
+func (t *captureBuilder) message(at float64, from, to, method string, code int, c, b string) *captureBuilder {
 	start := method + " sip:1@x SIP/2.0"
 	tag := ""
 	if code > 0 {
@@ -63,33 +63,33 @@
 	return t.add(at, &api.Datagram{From: from, To: to, Data: []byte(m)})
 }
 
-func (t *tape) call(at float64, c string) *tape {
-	return t.msg(at, callerAt, edgeAt, "INVITE", 0, c, "in"+c)
+func (t *captureBuilder) call(at float64, c string) *captureBuilder {
+	return t.message(at, callerAddr, gatewayAddr, "INVITE", 0, c, "in"+c)
 }
-func (t *tape) final(at float64, code int, c string) *tape {
-	return t.msg(at, edgeAt, callerAt, "INVITE", code, c, "in"+c)
+func (t *captureBuilder) final(at float64, code int, c string) *captureBuilder {
+	return t.message(at, gatewayAddr, callerAddr, "INVITE", code, c, "in"+c)
 }
-func (t *tape) ring(at float64, to, c, b string) *tape {
-	return t.msg(at, edgeAt, to, "INVITE", 0, c, b)
+func (t *captureBuilder) setup(at float64, to, c, b string) *captureBuilder {
+	return t.message(at, gatewayAddr, to, "INVITE", 0, c, b)
 }
-func (t *tape) reply(at float64, code int, c, b string) *tape {
-	return t.msg(at, one, edgeAt, "INVITE", code, c, b)
+func (t *captureBuilder) reply(at float64, code int, c, b string) *captureBuilder {
+	return t.message(at, firstAddr, gatewayAddr, "INVITE", code, c, b)
 }
 
-func (t *tape) pushed(told float64, from, gap float64) *tape {
+func (t *captureBuilder) slowStartLoad(informedAt float64, from, gap float64) *captureBuilder {
 	t.add(
 		1000,
 		&api.Mark{What: "start", Who: "one", Start: &api.Start{ColdShare: 0.5, WarmMs: 10000, SetupMs: 50, RepeatMs: 10}},
 	)
-	if told < from {
-		t.list(told, one, "ready", 1000)
+	if informedAt < from {
+		t.list(informedAt, firstAddr, "ready", 1000)
 	}
 	for i := 0; i < 30; i++ {
 		c, at := string(rune('a'+i%26))+fmt.Sprint(i/26), from+float64(i)*gap
-		t.call(at, c).ring(at, one, c, "r"+c).reply(at+1, 486, c, "r"+c).final(at+2, 503, c)
+		t.call(at, c).setup(at, firstAddr, c, "r"+c).reply(at+1, 486, c, "r"+c).final(at+2, 503, c)
 	}
-	if told >= from {
-		t.list(told, one, "ready", 1000)
+	if informedAt >= from {
+		t.list(informedAt, firstAddr, "ready", 1000)
 	}
 	return t
 }
@@ -97,54 +97,58 @@
 // TestHandMadeCaptures breaks each rule by hand, and keeps it narrowly.
 func TestHandMadeCaptures(t *testing.T) {
 	for _, x := range []struct {
-		name string
-		of   *tape
-		rule int // 0: kept
+		name    string
+		capture *captureBuilder
+		rule    int // 0: kept
 	}{
-		{"a call that stands", begin().call(1, "a").ring(2, one, "a", "r").reply(9, 200, "a", "r").final(10, 200, "a").
-			final(400, 200, "a"), 0},
-		{"two final answers", begin().call(1, "a").final(5, 503, "a").final(9, 500, "a"), 1},
-		{"no answer", begin().call(1, "a").add(9500, &api.Mark{What: "trouble"}), 1},
-		{"not due yet", begin().call(1, "a").add(9010, &api.Mark{What: "trouble"}), 0},
-		{"answered late", begin().call(1, "a").final(9030, 500, "a"), 1},
-		{"answered within the slack", begin().call(1, "a").final(9015, 500, "a"), 0},
-		{"called off and not answered", begin().call(1, "a").msg(100, callerAt, edgeAt, "CANCEL", 0, "a", "ina").add(1200,
-			&api.Mark{What: "trouble"}), 1},
-		{"a ring after the answer", begin().call(1, "a").final(5, 503, "a").ring(6, one, "a", "r"), 1},
-		{"a repeat after the answer", begin().call(1, "a").ring(2, one, "a", "r").final(5, 503, "a").ring(402, one, "a",
-			"r"), 1},
-		{"a ring of nobody", begin().ring(6, one, "a", "r"), 1},
-		{"held when killed", begin().call(1, "a").add(2, &api.Mark{What: "edge-kill", Who: "edge"}).add(9500,
-			&api.Mark{What: "trouble"}), 0},
-		{"two rings out", begin().call(1, "a").ring(2, one, "a", "r").ring(3, two, "a", "s").final(9, 503, "a"), 2},
-		{"a repeat is no second ring", begin().call(1, "a").ring(2, one, "a", "r").ring(402, one, "a", "r").reply(500, 486,
-			"a", "r").ring(501, two, "a", "s").final(900, 503, "a"), 0},
-		{"CANCEL does not end a ring", begin().call(1, "a").ring(2, one, "a", "r").msg(3, edgeAt, one, "CANCEL", 0, "a",
-			"r").ring(800, two, "a", "s").final(900, 503, "a"), 2},
-		{"to a drained pool", begin().call(1, "a").list(100, one, "draining", 0).ring(351, one, "a", "r").final(900, 503,
-			"a"), 3},
-		{"within the grace", begin().call(1, "a").list(100, one, "draining", 0).ring(349, one, "a", "r").final(900, 503,
-			"a"), 0},
-		{"gone after draining: told once", begin().call(1, "a").list(100, one, "draining", 0).list(300, one, "gone", 0).
-			ring(400, one, "a", "r").final(900, 503, "a"), 3},
-		{"a repeat to a drained pool", begin().call(1, "a").ring(2, one, "a", "r").list(100, one, "draining", 0).ring(402,
-			one, "a", "r").final(900, 503, "a"), 3},
-		{"told while it stood still", begin().call(1, "a").add(50, &api.Mark{What: "edge-stop", Who: "edge"}).list(100, one,
-			"draining", 0).
-			add(1000, &api.Mark{What: "edge-go", Who: "edge"}).ring(1100, one, "a", "r").final(1200, 503, "a"), 0},
-		{"pushed over", begin().pushed(1100, 2000, 20), 4},
-		{"within the budget", begin().pushed(1100, 2000, 60), 0},
-		{"pushed by those who were not told", begin().pushed(9000, 2000, 20), 0},
-		{"sent before the release", begin().call(1, "a").ring(2, one, "a", "r").reply(100, 487, "a", "r").ring(599,
-			two, "a", "s").final(900, 503, "a"), 5},
-		{"the release awaited", begin().call(1, "a").ring(2, one, "a", "r").reply(100, 487, "a", "r").ring(601, two,
-			"a", "s").final(900, 503, "a"), 0},
-		{"a call that crossed its CANCEL", begin().call(1, "a").ring(2, one, "a", "r").msg(3, edgeAt, one, "CANCEL", 0, "a",
-			"r").reply(4, 200, "a", "r").
-			msg(5, edgeAt, one, "BYE", 0, "a", "r").ring(400, two, "a", "s").final(900, 503, "a"), 5},
+		{"a call that stands", newCapture().call(1, "a").setup(2, firstAddr, "a", "r").reply(9, 200, "a", "r").
+			final(10, 200, "a").final(400, 200, "a"), 0},
+		{"two final answers", newCapture().call(1, "a").final(5, 503, "a").final(9, 500, "a"), 1},
+		{"no answer", newCapture().call(1, "a").add(9500, &api.Mark{What: "trouble"}), 1},
+		{"not due yet", newCapture().call(1, "a").add(9010, &api.Mark{What: "trouble"}), 0},
+		{"answered late", newCapture().call(1, "a").final(9030, 500, "a"), 1},
+		{"answered within the slack", newCapture().call(1, "a").final(9015, 500, "a"), 0},
+		{"called off and not answered", newCapture().call(1, "a").
+			message(100, callerAddr, gatewayAddr, "CANCEL", 0, "a", "ina").add(1200, &api.Mark{What: "trouble"}), 1},
+		{"a ring after the answer", newCapture().call(1, "a").final(5, 503, "a").setup(6, firstAddr, "a", "r"), 1},
+		{"a repeat after the answer", newCapture().call(1, "a").setup(2, firstAddr, "a", "r").final(5, 503, "a").
+			setup(402, firstAddr, "a", "r"), 1},
+		{"a ring of nobody", newCapture().setup(6, firstAddr, "a", "r"), 1},
+		{"held when killed", newCapture().call(1, "a").add(2, &api.Mark{What: "edge-kill", Who: "edge"}).
+			add(9500, &api.Mark{What: "trouble"}), 0},
+		{"two rings out", newCapture().call(1, "a").setup(2, firstAddr, "a", "r").setup(3, secondAddr, "a", "s").
+			final(9, 503, "a"), 2},
+		{"a repeat is no second ring", newCapture().call(1, "a").setup(2, firstAddr, "a", "r").
+			setup(402, firstAddr, "a", "r").reply(500, 486, "a", "r").setup(501, secondAddr, "a", "s").
+			final(900, 503, "a"), 0},
+		{"CANCEL does not end a ring", newCapture().call(1, "a").setup(2, firstAddr, "a", "r").
+			message(3, gatewayAddr, firstAddr, "CANCEL", 0, "a", "r").setup(800, secondAddr, "a", "s").
+			final(900, 503, "a"), 2},
+		{"to a drained pool", newCapture().call(1, "a").list(100, firstAddr, "draining", 0).
+			setup(351, firstAddr, "a", "r").final(900, 503, "a"), 3},
+		{"within the grace", newCapture().call(1, "a").list(100, firstAddr, "draining", 0).
+			setup(349, firstAddr, "a", "r").final(900, 503, "a"), 0},
+		{"gone after draining: told once", newCapture().call(1, "a").list(100, firstAddr, "draining", 0).
+			list(300, firstAddr, "gone", 0).setup(400, firstAddr, "a", "r").final(900, 503, "a"), 3},
+		{"a repeat to a drained pool", newCapture().call(1, "a").setup(2, firstAddr, "a", "r").
+			list(100, firstAddr, "draining", 0).setup(402, firstAddr, "a", "r").final(900, 503, "a"), 3},
+		{"told while it stood still", newCapture().call(1, "a").add(50, &api.Mark{What: "edge-stop", Who: "edge"}).
+			list(100, firstAddr, "draining", 0).add(1000, &api.Mark{What: "edge-go", Who: "edge"}).
+			setup(1100, firstAddr, "a", "r").final(1200, 503, "a"), 0},
+		{"pushed over", newCapture().slowStartLoad(1100, 2000, 20), 4},
+		{"within the budget", newCapture().slowStartLoad(1100, 2000, 60), 0},
+		{"pushed by those who were not told", newCapture().slowStartLoad(9000, 2000, 20), 0},
+		{"sent before the release", newCapture().call(1, "a").setup(2, firstAddr, "a", "r").reply(100, 487, "a", "r").
+			setup(599, secondAddr, "a", "s").final(900, 503, "a"), 5},
+		{"the release awaited", newCapture().call(1, "a").setup(2, firstAddr, "a", "r").reply(100, 487, "a", "r").
+			setup(601, secondAddr, "a", "s").final(900, 503, "a"), 0},
+		{"a call that crossed its CANCEL", newCapture().call(1, "a").setup(2, firstAddr, "a", "r").
+			message(3, gatewayAddr, firstAddr, "CANCEL", 0, "a", "r").reply(4, 200, "a", "r").
+			message(5, gatewayAddr, firstAddr, "BYE", 0, "a", "r").setup(400, secondAddr, "a", "s").final(900, 503, "a"),
+			5},
 	} {
 		k := New()
-		for _, r := range x.of.of {
+		for _, r := range x.capture.records {
 			k.Add(r)
 		}
 		k.Finish()
--- a/internal/conformance/enum.go
+++ b/internal/conformance/enum.go
@@ -16,20 +16,20 @@
 
 // enumQuery is one look-up of a kiosk: a client, an id, a name.
 type enumQuery struct {
-	c         *call
-	asked     float64
-	due       float64
-	answered  float64 // first
-	questions int
-	answers   int
-	text      string // of the latest answer
-	to        string // the endpoint that it names
+	call       *call
+	askedAt    float64
+	deadline   float64
+	answeredAt float64 // first
+	queries    int
+	responses  int
+	answer     string // of the latest answer
+	endpoint   string // the endpoint that it names
 }
 
 const (
-	lookPatience = 3000.0 // ms: an answer that comes later finds nobody
-	again        = 4900.0 // ms after its answer: nothing that comes with the same id is a repeat
-	fresh        = 200.0  // ms: a kiosk calls the endpoint that was named within this
+	lookupTimeout = 3000.0 // ms: an answer that comes later finds nobody
+	idReuseDelay  = 4900.0 // ms after its answer: nothing that comes with the same id is a repeat
+	maxNamingAge  = 200.0  // ms: a kiosk calls the endpoint that was named within this
 )
 
 // onLookup judges what passes between a kiosk and a gateway's front. An answer that names an endpoint is an attempt:
@@ -39,76 +39,77 @@
 	if m.Unpack(d.Data) != nil || len(m.Question) != 1 {
 		return
 	}
-	client, edge := d.From, to.Name
+	client, gateway := d.From, to.Name
 	if m.Response {
-		client, edge = d.To, from.Name
+		client, gateway = d.To, from.Name
 	}
 	id := fmt.Sprintf("%s %d %s", client, m.Id, strings.ToLower(m.Question[0].Name))
-	x := k.queries[id]
-	if x != nil && !m.Response && (x.answered > 0 && at-x.answered > again || at-x.asked > 2*lookPatience) {
-		x = nil // the id is used again
-	}
-	if x == nil {
-		x = &enumQuery{c: &call{edge: edge, id: id, arrivedAt: at}, asked: at, due: at + lookPatience}
-		k.queries[id] = x
+	query := k.queries[id]
+	if query != nil && !m.Response &&
+		(query.answeredAt > 0 && at-query.answeredAt > idReuseDelay || at-query.askedAt > 2*lookupTimeout) {
+		query = nil // the id is used again
+	}
+	if query == nil {
+		query = &enumQuery{call: &call{gateway: gateway, id: id, arrivedAt: at}, askedAt: at, deadline: at + lookupTimeout}
+		k.queries[id] = query
 		if m.Response {
-			k.report(1, x.c, "an answer to what was not asked")
+			k.report(1, query.call, "an answer to what was not asked")
 		}
 	}
 	if !m.Response {
-		if x.questions == 0 {
+		if query.queries == 0 {
 			k.Totals.Queries++
 		}
-		x.questions++
+		query.queries++
 		return
 	}
-	if x.answers++; x.answers > x.questions {
-		k.report(1, x.c, "%d answers to %d questions", x.answers, x.questions)
+	if query.responses++; query.responses > query.queries {
+		k.report(1, query.call, "%d answers to %d questions", query.responses, query.queries)
 	}
 	if m.Truncated {
-		x.questions++ // it is asked again over TCP, which is not seen here
+		query.queries++ // it is asked again over TCP, which is not seen here
 		return
 	}
-	first := x.answered == 0
+	first := query.answeredAt == 0
 	if first {
-		x.answered = at
+		query.answeredAt = at
 	}
-	if first && at > x.due+k.rules.SlackMs { // a repeat gets it again
-		k.report(1, x.c, "answered %.0f ms after it was asked", at-x.asked)
+	if first && at > query.deadline+k.rules.SlackMs { // a repeat gets it again
+		k.report(1, query.call, "answered %.0f ms after it was asked", at-query.askedAt)
 	}
-	text := fmt.Sprint(m.Rcode, m.Answer)
+	answer := fmt.Sprint(m.Rcode, m.Answer)
 	_, addr, ok := enumclient.Named(m)
-	if x.text != "" && x.text != text && k.ready(edge, x.to) {
-		k.report(1, x.c, "a second answer, %s after %s", text, x.text)
+	if query.answer != "" && query.answer != answer && k.isReady(gateway, query.endpoint) {
+		k.report(1, query.call, "a second answer, %s after %s", answer, query.answer)
 	}
-	x.text, x.to = text, ""
+	query.answer, query.endpoint = answer, ""
 	if !ok {
 		return
 	}
 	k.Totals.Answered++
-	x.to = addr.String()
-	k.checkDraining(at, edge, x.to, x.c)
-	k.namedEndpoints[client+" "+x.to] = append(k.namedEndpoints[client+" "+x.to], at)
+	query.endpoint = addr.String()
+	k.checkDraining(at, gateway, query.endpoint, query.call)
+	k.namedEndpoints[client+" "+query.endpoint] = append(k.namedEndpoints[client+" "+query.endpoint], at)
 }
 
-// closeQueries excuses look-ups by what was done to a gateway, as for calls: what a killed process held is lost, and
+// excuseQueries excuses look-ups by what was done to a gateway, as for calls: what a killed process held is lost, and
 // one that stood still could not answer.
-func (k *Checker) closeQueries(at float64, m *api.Mark) {
-	for id, x := range k.queries {
+func (k *Checker) excuseQueries(at float64, m *api.Mark) {
+	for id, query := range k.queries {
 		switch {
-		case x.c.edge != m.Who:
+		case query.call.gateway != m.Who:
 		case m.What != "edge-go": // killed, or started: what came between reached nobody
 			delete(k.queries, id)
-		case x.answers == 0:
-			x.due = math.Max(x.due, at+1000)
+		case query.responses == 0:
+			query.deadline = math.Max(query.deadline, at+1000)
 		}
 	}
 }
 
-// ready tells whether an edge knows of no reason against an endpoint.
-func (k *Checker) ready(edge, addr string) bool {
-	p := k.listings[edge][addr]
-	return p != nil && p.state == "ready"
+// isReady tells whether a gateway knows of no reason against an endpoint.
+func (k *Checker) isReady(gateway, addr string) bool {
+	entry := k.endpointLists[gateway][addr]
+	return entry != nil && entry.state == "ready"
 }
 
 // onKioskCall judges a kiosk's own call: it goes to an endpoint that was named just before, once for each naming.
@@ -118,35 +119,35 @@
 	if err != nil || !ok || r.Method != sip.INVITE {
 		return
 	}
-	if _, repeat := k.byTx[d.From+siptransaction.SessionIDOf(r)]; repeat {
+	if _, repeat := k.attemptsByTransaction[d.From+siptransaction.SessionIDOf(r)]; repeat {
 		return
 	}
-	k.byTx[d.From+siptransaction.SessionIDOf(r)] = &attempt{}
+	k.attemptsByTransaction[d.From+siptransaction.SessionIDOf(r)] = &attempt{}
 	k.Totals.KioskCalls++
-	ap, err := netip.ParseAddrPort(d.From)
+	addr, err := netip.ParseAddrPort(d.From)
 	if err != nil {
 		return
 	}
-	edge, client := from.Name, ""
+	gateway, client := from.Name, ""
 	for a, n := range k.nodes {
 		if n.Role == "kiosk" && n.Name == from.Name {
 			client = a
 		}
 	}
-	k.countSlowStart(at, edge, d.To, false)
+	k.recordSlowStartWork(at, gateway, d.To, false)
 	key := client + " " + d.To
-	of := k.namedEndpoints[key]
+	namedAt := k.namedEndpoints[key]
 	latest := math.Inf(-1)
-	for len(of) > 0 && at-latest > fresh { // those that are older were of answers that were lost
-		latest, of = of[0], of[1:]
+	for len(namedAt) > 0 && at-latest > maxNamingAge { // those that are older were of answers that were lost
+		latest, namedAt = namedAt[0], namedAt[1:]
 	}
-	k.namedEndpoints[key] = of
-	if at-latest > fresh {
+	k.namedEndpoints[key] = namedAt
+	if at-latest > maxNamingAge {
 		k.report(
 			3,
-			&call{edge: edge, id: siptransaction.SessionIDOf(r)},
+			&call{gateway: gateway, id: siptransaction.SessionIDOf(r)},
 			"%v calls %s, %.0f ms after it was named",
-			ap,
+			addr,
 			k.name(d.To),
 			at-latest,
 		)
--- a/internal/conformance/enum_test.go
+++ b/internal/conformance/enum_test.go
@@ -24,7 +24,7 @@
 		}
 	}
 	const kiosk, front, phone = "127.0.0.1:1", "127.0.0.2:53", "127.0.0.1:2"
-	pass := func(at float64, from, to string, id uint16, pool string, change func(*dns.Msg)) *api.Record {
+	message := func(at float64, from, to string, id uint16, pool string, change func(*dns.Msg)) *api.Record {
 		m := new(dns.Msg)
 		m.SetQuestion("1.kiosk.test.", dns.TypeNAPTR)
 		m.Id, m.Response = id, from == front
@@ -48,8 +48,8 @@
 		}
 		return &api.Record{At: at, What: &api.Record_Datagram{Datagram: &api.Datagram{From: from, To: to, Data: b}}}
 	}
-	ask := func(at float64, id uint16) *api.Record { return pass(at, kiosk, front, id, "", nil) }
-	answer := func(at float64, id uint16, pool string) *api.Record { return pass(at, front, kiosk, id, pool, nil) }
+	ask := func(at float64, id uint16) *api.Record { return message(at, kiosk, front, id, "", nil) }
+	answer := func(at float64, id uint16, pool string) *api.Record { return message(at, front, kiosk, id, pool, nil) }
 	call := func(at float64, session string) *api.Record {
 		text := "INVITE sip:+1@127.0.0.3 SIP/2.0\nVia: SIP/2.0/UDP " + phone + ";branch=z9hG4bK" + session +
 			"\nFrom: <sip:a@b>;tag=1\nTo: <sip:c@d>\nCall-ID: " + session +
@@ -64,29 +64,33 @@
 	}
 	const a, b = "127.0.0.3:5060", "127.0.0.4:5060"
 	for name, c := range map[string]struct {
-		of   []*api.Record
-		want string
+		records []*api.Record
+		want    string
 	}{
-		"all well":                    {[]*api.Record{ask(10, 1), answer(20, 1, a), call(30, "a"), call(31, "a")}, ""},
-		"the same answer to a repeat": {[]*api.Record{ask(10, 1), ask(15, 1), answer(20, 1, a), answer(21, 1, a)}, ""},
-		"another once the first one drains": {[]*api.Record{ask(10, 1), ask(15, 1), answer(20, 1, a), list(21, "draining"),
-			answer(22, 1, b)}, ""},
-		"truncated, then over TCP": {[]*api.Record{ask(10, 1), pass(20, front, kiosk, 1, "",
-			func(m *dns.Msg) { m.Truncated = true }), answer(30, 1, a)}, ""},
-		"truncated, repeats on their way": {[]*api.Record{ask(6000, 1), ask(6010, 1), pass(6020, front, kiosk, 1, "",
-			func(m *dns.Msg) { m.Truncated = true }), ask(6030, 1),
+		"all well": {[]*api.Record{ask(10, 1), answer(20, 1, a), call(30, "a"),
+			call(31, "a")}, ""},
+		"the same answer to a repeat": {[]*api.Record{ask(10, 1), ask(15, 1), answer(20, 1, a),
+			answer(21, 1, a)}, ""},
+		"another once the first one drains": {[]*api.Record{ask(10, 1), ask(15, 1), answer(20, 1, a),
+			list(21, "draining"), answer(22, 1, b)}, ""},
+		"truncated, then over TCP": {[]*api.Record{ask(10, 1),
+			message(20, front, kiosk, 1, "", func(m *dns.Msg) { m.Truncated = true }), answer(30, 1, a)}, ""},
+		"truncated, repeats on their way": {[]*api.Record{ask(6000, 1), ask(6010, 1),
+			message(6020, front, kiosk, 1, "", func(m *dns.Msg) { m.Truncated = true }), ask(6030, 1),
 			answer(6040, 1, a), answer(6041, 1, a)}, ""},
 		"an answer to nothing": {[]*api.Record{answer(20, 1, a)}, "not asked"},
 		"two answers to one question": {[]*api.Record{ask(10, 1), answer(20, 1, a), answer(21, 1, a)},
 			"2 answers to 1 questions"},
 		"two different ones": {[]*api.Record{ask(10, 1), ask(15, 1), answer(20, 1, a), answer(21, 1, b)},
 			"a second answer"},
-		"too late":                           {[]*api.Record{ask(10, 1), answer(3200, 1, a)}, "ms after it was asked"},
-		"a pool that drains, past the grace": {[]*api.Record{list(5, "draining"), ask(10, 1), answer(400, 1, a)}, "drain"},
-		"a call that nobody named":           {[]*api.Record{ask(10, 1), answer(20, 1, b), call(30, "a")}, "calls"},
+		"too late": {[]*api.Record{ask(10, 1), answer(3200, 1, a)}, "ms after it was asked"},
+		"a pool that drains, past the grace": {[]*api.Record{list(5, "draining"), ask(10, 1), answer(400, 1, a)},
+			"drain"},
+		"a call that nobody named": {[]*api.Record{ask(10, 1), answer(20, 1, b), call(30, "a")}, "calls"},
 		"a call long after": {[]*api.Record{ask(10, 1), answer(20, 1, a), call(330, "a")},
 			"310 ms after it was named"},
-		"two calls of one answer": {[]*api.Record{ask(10, 1), answer(20, 1, a), call(30, "a"), call(31, "b")}, "calls"},
+		"two calls of one answer": {[]*api.Record{ask(10, 1), answer(20, 1, a), call(30, "a"), call(31, "b")},
+			"calls"},
 	} {
 		k := New()
 		head := []*api.Record{
@@ -98,7 +102,7 @@
 			node(b, "switch", "s2"),
 			list(0, "ready"),
 		}
-		for _, r := range append(head, c.of...) {
+		for _, r := range append(head, c.records...) {
 			k.Add(r)
 		}
 		var got []string
--- a/internal/conformance/slowstart.go
+++ b/internal/conformance/slowstart.go
@@ -13,12 +13,12 @@
 	Used   float64 // 1: the limit
 }
 
-type start struct {
-	at    float64
-	who   string
-	model *api.Start
-	sends []send
-	end   float64
+type endpointStart struct {
+	at       float64
+	endpoint string
+	model    *api.Start
+	sends    []send
+	end      float64
 }
 
 type send struct {
@@ -26,13 +26,13 @@
 	gatewayKnew bool
 }
 
-// countSlowStart notes work that goes to a switch that started lately.
-func (k *Checker) countSlowStart(at float64, edge, to string, repeat bool) {
-	of := k.startsByAddr[to]
-	if len(of) == 0 {
+// recordSlowStartWork notes work that goes to a switch that started lately.
+func (k *Checker) recordSlowStartWork(at float64, gateway, to string, repeat bool) {
+	starts := k.startsByAddr[to]
+	if len(starts) == 0 {
 		return
 	}
-	s := of[len(of)-1]
+	s := starts[len(starts)-1]
 	if at > s.end || at > s.at+s.model.WarmMs+k.rules.TipMs {
 		return
 	}
@@ -40,58 +40,58 @@
 	if repeat {
 		work = s.model.RepeatMs
 	}
-	p := k.listings[edge][to]
-	s.sends = append(s.sends, send{at, work, p != nil && p.startedAt > 0 && p.startedAt >= s.at-1000})
+	entry := k.endpointLists[gateway][to]
+	s.sends = append(s.sends, send{at, work, entry != nil && entry.startedAt > 0 && entry.startedAt >= s.at-1000})
 }
 
-func whenSet(at float64) float64 {
+func orInf(at float64) float64 {
 	if at == 0 {
 		return math.Inf(1)
 	}
 	return at
 }
 
-// window is rule 4: the work sent to a cold switch in any window, by all gateways together, stays under the stated
-// multiple of what it can do then, with some slack for chance; broken if two thirds of it came from gateways that had
+// checkSlowStart is rule 4: the work sent to a cold switch in any window, by all gateways together, stays under the
+// stated multiple of what it can do then, with some slack for chance; broken if two thirds of it came from gateways that had
 // been told of its start.
-func (k *Checker) window(addr string, s *start) {
-	sum, told, from := 0.0, 0.0, 0
-	for _, x := range s.sends {
-		sum += x.work
-		if x.gatewayKnew {
-			told += x.work
+func (k *Checker) checkSlowStart(addr string, s *endpointStart) {
+	sum, informed, oldest := 0.0, 0.0, 0
+	for _, sent := range s.sends {
+		sum += sent.work
+		if sent.gatewayKnew {
+			informed += sent.work
 		}
-		for s.sends[from].at <= x.at-k.rules.TipMs {
-			sum -= s.sends[from].work
-			if s.sends[from].gatewayKnew {
-				told -= s.sends[from].work
+		for s.sends[oldest].at <= sent.at-k.rules.TipMs {
+			sum -= s.sends[oldest].work
+			if s.sends[oldest].gatewayKnew {
+				informed -= s.sends[oldest].work
 			}
-			from++
+			oldest++
 		}
-		part := math.Min(1, s.model.ColdShare+(1-s.model.ColdShare)*math.Max(0, x.at-s.at)/s.model.WarmMs)
-		if part >= 1 {
+		capacity := math.Min(1, s.model.ColdShare+(1-s.model.ColdShare)*math.Max(0, sent.at-s.at)/s.model.WarmMs)
+		if capacity >= 1 {
 			continue
 		}
-		most := k.rules.TipMultiple * part * k.rules.TipMs
-		use := sum / most
-		if told <= sum*2/3 { // mostly from gateways that could not know
-			use = told / most
+		limit := k.rules.TipMultiple * capacity * k.rules.TipMs
+		use := sum / limit
+		if informed <= sum*2/3 { // mostly from gateways that could not know
+			use = informed / limit
 		}
 		k.Totals.SlowStartUse = math.Max(k.Totals.SlowStartUse, use)
 		if k.Keep {
-			k.Cold = append(k.Cold, Cold{x.at, s.who, use})
+			k.Cold = append(k.Cold, Cold{sent.at, s.endpoint, use})
 		}
-		if sum > most+math.Sqrt(most*s.model.SetupMs)+s.model.SetupMs && told > sum*2/3 {
-			k.latestAt = x.at
+		if sum > limit+math.Sqrt(limit*s.model.SetupMs)+s.model.SetupMs && informed > sum*2/3 {
+			k.latestAt = sent.at
 			k.report(
 				4,
-				&call{edge: "all", id: s.who},
+				&call{gateway: "all", id: s.endpoint},
 				"%.0f ms of work in %.0f ms to %s, %.0f ms after its start: %.0f allowed",
 				sum,
 				k.rules.TipMs,
 				k.name(addr),
-				x.at-s.at,
-				most,
+				sent.at-s.at,
+				limit,
 			)
 			return
 		}
--- a/internal/conformance/tables_test.go
+++ b/internal/conformance/tables_test.go
@@ -14,7 +14,7 @@
 	node := func(addr, role, name string) *api.Record {
 		return &api.Record{What: &api.Record_Node{Node: &api.Node{Addr: addr, Role: role, Name: name}}}
 	}
-	say := func(at float64, what string, version int) *api.Record {
+	event := func(at float64, what string, version int) *api.Record {
 		return &api.Record{At: at, What: &api.Record_Mark{Mark: &api.Mark{What: what, Who: "e", Text: fmt.Sprint(version)}}}
 	}
 	invite := func(at float64, from, to, user, session string) *api.Record {
@@ -30,39 +30,43 @@
 		}
 	}
 	caller := func(at float64, session string) *api.Record { return invite(at, "c:1", "e:1", "+1418", session) }
-	ring := func(at float64, user, session string) *api.Record { return invite(at, "e:1", "s:1", user, session) }
+	setup := func(at float64, user, session string) *api.Record { return invite(at, "e:1", "s:1", user, session) }
 	for name, c := range map[string]struct {
-		of   []*api.Record
-		want string
+		records []*api.Record
+		want    string
 	}{
-		"the table in force": {[]*api.Record{say(0, "table-in", 1), caller(1, "a"), ring(2, "+10011418;npdi",
-			"a")}, ""},
-		"by its routing number": {[]*api.Record{say(0, "table-in", 1), caller(1, "a"), ring(2,
-			"+1418;npdi;rn=+10011999;tgrp=x", "a")}, ""},
-		"changed while it was analysed": {[]*api.Record{say(0, "table-in", 1), caller(1, "a"), say(2, "table-sent", 2),
-			say(3, "table-in", 2), ring(4, "+10011418", "a")}, ""},
-		"sent and not yet in": {[]*api.Record{say(0, "table-in", 1), say(2, "table-sent", 2), caller(3, "a"),
-			ring(4, "+10021418", "a")}, ""},
-		"one that came later": {[]*api.Record{say(0, "table-in", 1), caller(1, "a"), say(2, "table-sent", 2),
-			say(3, "table-in", 2), ring(4, "+10021418", "a")}, "not in force then"},
-		"found after it stood still": {[]*api.Record{say(0, "table-in", 1), say(0, "edge-stop", 0), caller(1, "a"),
-			say(2, "table-sent", 2), say(3, "edge-go", 0), say(3, "table-in", 2), ring(4, "+10021418", "a")}, ""},
-		"an old one": {[]*api.Record{say(0, "table-in", 1), say(2, "table-sent", 2), say(3, "table-in",
-			2), caller(30, "a"), ring(40, "+10011418", "a")}, "not in force then"},
-		"one that came after it": {[]*api.Record{say(0, "table-in", 1), caller(1, "a"), ring(2, "+10021418", "a")},
+		"the table in force": {[]*api.Record{event(0, "table-in", 1), caller(1, "a"), setup(2, "+10011418;npdi", "a")},
+			""},
+		"by its routing number": {[]*api.Record{event(0, "table-in", 1), caller(1, "a"),
+			setup(2, "+1418;npdi;rn=+10011999;tgrp=x", "a")}, ""},
+		"changed while it was analysed": {[]*api.Record{event(0, "table-in", 1), caller(1, "a"),
+			event(2, "table-sent", 2), event(3, "table-in", 2), setup(4, "+10011418", "a")}, ""},
+		"sent and not yet in": {[]*api.Record{event(0, "table-in", 1), event(2, "table-sent", 2), caller(3, "a"),
+			setup(4, "+10021418", "a")}, ""},
+		"one that came later": {[]*api.Record{event(0, "table-in", 1), caller(1, "a"), event(2, "table-sent", 2),
+			event(3, "table-in", 2), setup(4, "+10021418", "a")}, "not in force then"},
+		"found after it stood still": {[]*api.Record{event(0, "table-in", 1), event(0, "edge-stop", 0), caller(1, "a"),
+			event(2, "table-sent", 2), event(3, "edge-go", 0), event(3, "table-in", 2), setup(4, "+10021418", "a")}, ""},
+		"an old one": {[]*api.Record{event(0, "table-in", 1), event(2, "table-sent", 2), event(3, "table-in", 2),
+			caller(30, "a"), setup(40, "+10011418", "a")}, "not in force then"},
+		"one that came after it": {[]*api.Record{event(0, "table-in", 1), caller(1, "a"), setup(2, "+10021418", "a")},
 			"of no table"},
-		"another one on the second ring": {[]*api.Record{say(0, "table-in", 1), say(0, "table-sent", 2), caller(1, "a"),
-			ring(2, "+10011418", "a"), ring(3, "+10021418", "a")}, "before that with 1001"},
-		"none": {[]*api.Record{say(0, "table-in", 1), caller(1, "a"), ring(2, "+1418", "a")}, "of no table"},
+		"another one on the second ring": {[]*api.Record{event(0, "table-in", 1), event(0, "table-sent", 2),
+			caller(1, "a"), setup(2, "+10011418", "a"), setup(3, "+10021418", "a")}, "before that with 1001"},
+		"none": {[]*api.Record{event(0, "table-in", 1), caller(1, "a"), setup(2, "+1418", "a")}, "of no table"},
 	} {
 		k := NewTables(mark)
 		for _, r := range append([]*api.Record{node("c:1", "caller", "c"), node("e:1", "edge", "e"), node("s:1", "switch",
-			"s")}, c.of...) {
+			"s")}, c.records...) {
 			k.Add(r)
 		}
 		got := strings.Join(k.Findings, "; ")
 		if c.want == "" {
-			if k.Record("e", strings.Repeat("a", 32), k.byMark[k.marks["e "+strings.Repeat("a", 32)]]); len(k.Findings) != 0 ||
+			if k.Record(
+				"e",
+				strings.Repeat("a", 32),
+				k.versionByMark[k.markByCall["e "+strings.Repeat("a", 32)]],
+			); len(k.Findings) != 0 ||
 				k.Records != 1 {
 				t.Errorf("%s: %v, %d records", name, k.Findings, k.Records)
 			}
