--- a/internal/conformance/checker.go
+++ b/internal/conformance/checker.go
@@ -1,6 +1,14 @@
-// Package conformance judges the five rules from a capture alone: what crossed the gateways' sockets, the lists that
-// were delivered to them, and the starts of the switches. It knows nothing of any program's state. A call is followed
-// by its Session-ID (RFC 7989) through all its legs.
+// Package conformance checks the five rules using a capture alone: the datagrams at the gateways' sockets, the
+// endpoint lists that were delivered to them, and the starts of the switches. It sees no program's internal state.
+// A call is followed through all its legs by its Session-ID (RFC 7989).
+//
+// The rules:
+//
+//  1. A call has one final answer, before the client's deadline.
+//  2. A call never has two attempts in flight.
+//  3. Nothing is sent to an endpoint later than the grace period after it is known to drain or be gone.
+//  4. All gateways together never overload an endpoint in slow start.
+//  5. A call has no attempt until the hold-off after a time-out, reset or cancel is over.
 package conformance
 
 //tally:standin
@@ -17,7 +25,7 @@
 	"cobaltpier/internal/protocol/siptransaction"
 )
 
-// Finding is a broken rule.
+// Finding is one violation of a rule.
 type Finding struct {
 	Rule        int
 	At          float64 // ms
@@ -27,54 +35,54 @@
 }
 
 func (f Finding) String() string {
-	return fmt.Sprintf("rule %d at %.1f ms, %s, contact %.12s: %s", f.Rule, f.At, f.Gateway, f.SessionID, f.Description)
+	return fmt.Sprintf("rule %d at %.1f ms, %s, call %.12s: %s", f.Rule, f.At, f.Gateway, f.SessionID, f.Description)
 }
 
-// Totals are what the capture held.
+// Totals count what the capture contains.
 type Totals struct {
 	Calls, Answers, Attempts, Retransmissions, Datagrams int
-	// ENUM queries, those answered with an endpoint, and the calls that their askers made
+	// ENUM queries, the ones answered with an endpoint, and the calls that the kiosks made after them
 	Queries, Answered, KioskCalls int
-	// the largest part of a slow start budget that was used by gateways that had been told of the start
+	// the largest part of a slow-start budget that was used by gateways that had been told of the start
 	SlowStartUse float64
 }
 
-// Checker takes the records of a capture in their order.
+// Checker checks a capture. Its records are added in order.
 type Checker struct {
 	Findings              []Finding
 	Totals                Totals
-	Parse                 func([]byte) (sip.Message, error) // siptransaction.Parse, or one that remembers
-	Keep                  bool                              // keep how cold budgets were used
-	Cold                  []Cold                            // with Keep: after Finish
+	Parse                 func([]byte) (sip.Message, error) // siptransaction.Parse, or one that caches
+	Keep                  bool                              // record how slow-start budgets are used, in Cold
+	Cold                  []Cold                            // set by Finish if Keep is set
 	rules                 *api.Rules
 	nodes                 map[string]*api.Node
 	calls                 map[string]*call                 // by gateway and session
-	attemptsByTransaction map[string]*attempt              // a setup's transaction, by gateway and branch
+	attemptsByTransaction map[string]*attempt              // the INVITE transaction to a switch, by gateway and branch
 	attemptsByDialog      map[string]*attempt              // by gateway and Call-ID
 	callsByTransaction    map[string]*call                 // the caller's INVITE transaction, by gateway and branch
-	endpointLists         map[string]map[string]*listEntry // by gateway's name and address
+	endpointLists         map[string]map[string]*listEntry // by gateway and address
 	stalledGateways       map[string]bool
 	killedAt              map[string]float64
 	startsByAddr          map[string][]*endpointStart // by address
 	queries               map[string]*enumQuery
-	namedEndpoints        map[string][]float64 // by kiosk and endpoint: when it was named and not called yet
+	namedEndpoints        map[string][]float64 // by kiosk and endpoint: when answers named it that have had no call yet
 	latestAt              float64
 }
 
-// call is one call at one gateway.
+// call is a call at one gateway.
 type call struct {
 	id, gateway  string
 	arrivedAt    float64
 	deadline     float64
-	finalAnswer  string  // status and tag of its final answer
-	answeredAt   float64 // when it left
+	finalAnswer  string  // status and To tag
+	answeredAt   float64 // when the final answer was sent
 	attempts     []*attempt
-	holdOffUntil float64 // rule 5: no send before this
-	canceledAt   float64 // the caller canceled
+	holdOffUntil float64 // rule 5: no attempt before this
+	canceledAt   float64 // when the caller canceled
 	attemptCount int
 }
 
-// attempt is one setup on the wire.
+// attempt is a setup of a call at a switch.
 type attempt struct {
 	call        *call
 	endpoint    string
@@ -83,15 +91,15 @@
 	ended       bool
 }
 
-// listEntry is what a gateway was told of an address.
+// listEntry is what a gateway was told about an address.
 type listEntry struct {
 	state     string
-	since     float64 // delivered
+	since     float64 // when the gateway was told of the state
 	startedAt float64
 	id        string
 }
 
-// New makes a checker.
+// New returns a checker.
 func New() *Checker {
 	return &Checker{
 		Parse:                 siptransaction.Parse,
@@ -114,7 +122,7 @@
 	k.Findings = append(k.Findings, Finding{rule, k.latestAt, c.gateway, c.id, fmt.Sprintf(format, args...)})
 }
 
-// Add takes the next record.
+// Add handles the next record.
 func (k *Checker) Add(r *api.Record) {
 	k.latestAt = math.Max(k.latestAt, r.At)
 	switch what := r.What.(type) {
@@ -143,11 +151,11 @@
 		named[e.Addr] = true
 		if entry := byAddr[e.Addr]; entry == nil || entry.state != e.State || entry.id != e.Id || entry.startedAt != e.Since {
 			if entry != nil && entry.id != e.Id && e.State == "gone" {
-				continue // the machine before the one that has the address now
+				continue // about the previous endpoint of an address that was reused
 			}
 			since := at
 			if entry != nil && entry.state != "ready" && e.State != "ready" {
-				since = entry.since // told before
+				since = entry.since // it was already told that the endpoint takes no calls
 			}
 			byAddr[e.Addr] = &listEntry{state: e.State, since: since, startedAt: e.Since, id: e.Id}
 		}
@@ -161,7 +169,7 @@
 	}
 }
 
-// onMark takes what was done to a process: an endpoint or, with the prefix "edge-", a gateway.
+// onMark handles what was done to a process: an endpoint or, with the prefix "edge-", a gateway.
 func (k *Checker) onMark(at float64, m *api.Mark) {
 	switch m.What {
 	case "start":
@@ -201,8 +209,8 @@
 	}
 }
 
-// onGatewayResumed takes the end of a stall: what was delivered meanwhile the gateway could read from now on, and that
-// it could not answer counts as the machine's fault.
+// onGatewayResumed handles the end of a gateway's stall. The gateway could not read what was delivered meanwhile,
+// nor answer: lists count as delivered now, and calls that have no final answer yet get another second.
 func (k *Checker) onGatewayResumed(at float64, m *api.Mark) {
 	k.excuseQueries(at, m)
 	k.stalledGateways[m.Who] = false
@@ -220,8 +228,8 @@
 	}
 }
 
-// onGatewayReplaced takes the end of a gateway's process: its calls are not the next one's, to which a retransmission
-// is new.
+// onGatewayReplaced handles the end of a gateway's process. The next process does not know its calls: to it, a
+// retransmission is a new call.
 func (k *Checker) onGatewayReplaced(at float64, m *api.Mark) {
 	k.excuseQueries(at, m)
 	if m.What == "edge-kill" {
@@ -253,7 +261,7 @@
 	}
 	m, err := k.Parse(d.Data)
 	if err != nil {
-		return // not SIP: other gateways' messages, garbage
+		return // not SIP: gossip between gateways, or garbage
 	}
 	branch, _ := m.Via().Params.Get("branch")
 	id := string(*m.CallID())
@@ -283,7 +291,7 @@
 		}
 		key := gateway + siptransaction.SessionIDOf(r)
 		if k.calls[key] != nil {
-			return // a repeat
+			return // a retransmission
 		}
 		patience := siptransaction.ParseRetryAfter(siptransaction.HeaderValue(r, "Expires"))
 		if patience == 0 {
@@ -309,15 +317,15 @@
 	case c.finalAnswer == "":
 		c.finalAnswer, c.answeredAt = final, at
 		k.Totals.Answers++
-		// a call of a process that was killed since is no longer its duty: its caller's repeat is new to the next one
+		// The process that had this call was killed: to the next process the caller's retransmission is a new call.
 		if kill, killed := k.killedAt[gateway]; killed && c.arrivedAt <= kill {
 			return
 		}
 		if at > c.deadline+k.rules.SlackMs {
-			k.report(1, c, "answered %s %.0f ms after its patience", final, at-c.deadline)
+			k.report(1, c, "final answer %s %.0f ms after the deadline", final, at-c.deadline)
 		}
 		if c.canceledAt > 0 && at > c.canceledAt+1000 {
-			k.report(1, c, "called off, and answered only %.0f ms later", at-c.canceledAt)
+			k.report(1, c, "canceled, but the final answer came only %.0f ms later", at-c.canceledAt)
 		}
 	case c.finalAnswer != final:
 		k.report(1, c, "second final answer %s after %s", final, c.finalAnswer)
@@ -333,12 +341,12 @@
 		a := k.attemptsByTransaction[gateway+branch]
 		c := k.calls[gateway+siptransaction.SessionIDOf(r)]
 		if c == nil {
-			k.report(1, &call{gateway: gateway, id: siptransaction.SessionIDOf(r)}, "a set-up of a contact that never came")
+			k.report(1, &call{gateway: gateway, id: siptransaction.SessionIDOf(r)}, "setup of a call that no caller sent")
 			return
 		}
 		repeat := a != nil
 		if c.finalAnswer != "" && at-c.answeredAt >= k.rules.BlurMs {
-			k.report(1, c, "set-up sent %.0f ms after the final answer %s", at-c.answeredAt, c.finalAnswer)
+			k.report(1, c, "setup sent %.0f ms after the final answer %s", at-c.answeredAt, c.finalAnswer)
 		}
 		k.checkDraining(at, gateway, to, c)
 		k.recordSlowStartWork(at, gateway, to, repeat)
@@ -349,11 +357,11 @@
 		k.Totals.Attempts++
 		for _, other := range c.attempts {
 			if !other.ended {
-				k.report(2, c, "second ring to %s while the one to %s is out", k.name(to), k.name(other.endpoint))
+				k.report(2, c, "second attempt, at %s, while the one at %s is in flight", k.name(to), k.name(other.endpoint))
 			}
 		}
 		if at < c.holdOffUntil {
-			k.report(5, c, "sent %.0f ms before the clear wait was over", c.holdOffUntil-at)
+			k.report(5, c, "attempt sent %.0f ms before the hold-off was over", c.holdOffUntil-at)
 		}
 		a = &attempt{call: c, endpoint: to}
 		c.attemptCount++
@@ -366,7 +374,7 @@
 	case sip.BYE:
 		if a := k.attemptsByDialog[gateway+id]; a != nil && !a.ended {
 			a.ended = true
-			if a.canceled || !a.established { // a call that stood after it was given up: released now
+			if a.canceled || !a.established { // established after the gateway gave it up: released only now
 				a.call.holdOffUntil = math.Max(a.call.holdOffUntil, at+k.rules.ClearMs)
 			}
 		}
@@ -398,13 +406,14 @@
 	}
 }
 
-// checkDraining is rule 3.
+// checkDraining checks rule 3 for a setup, or an ENUM answer that names the endpoint.
 func (k *Checker) checkDraining(at float64, gateway, to string, c *call) {
 	if entry := k.endpointLists[gateway][to]; entry != nil && entry.state != "ready" && at > entry.since+k.rules.GraceMs {
-		k.report(3, c, "set-up to %s %.0f ms after it was told %s", k.name(to), at-entry.since, entry.state)
+		k.report(3, c, "setup to %s %.0f ms after the gateway was told it is %s", k.name(to), at-entry.since, entry.state)
 	}
 }
 
+// name is the name of the node at an address, or the address.
 func (k *Checker) name(addr string) string {
 	if n := k.nodes[addr]; n != nil {
 		return n.Name
@@ -412,16 +421,16 @@
 	return addr
 }
 
-// Finish judges what can be judged only at the end, and sorts the findings by time.
+// Finish checks what can be checked only at the end of the capture, and sorts the findings by time.
 func (k *Checker) Finish() {
 	for _, c := range k.calls {
 		if kill, killed := k.killedAt[c.gateway]; killed && c.arrivedAt <= kill &&
 			(c.finalAnswer == "" || c.answeredAt > kill) {
-			continue // what a gateway held when it was killed is no longer its duty
+			continue // a killed gateway cannot answer the calls that it had
 		}
 		if due := math.Min(c.deadline, orInf(c.canceledAt)+1000); c.finalAnswer == "" && k.latestAt > due+k.rules.SlackMs &&
 			!k.stalledGateways[c.gateway] {
-			k.report(1, c, "never answered; due at %.0f ms", due)
+			k.report(1, c, "no final answer; due at %.0f ms", due)
 		}
 	}
 	for addr, starts := range k.startsByAddr {
@@ -438,7 +447,7 @@
 	})
 }
 
-// Verdicts are the numbers of findings by rule, from 1.
+// Verdicts returns the number of findings of each rule; index 0 is unused.
 func (k *Checker) Verdicts() [6]int {
 	var counts [6]int
 	for _, f := range k.Findings {
--- a/internal/conformance/checker_test.go
+++ b/internal/conformance/checker_test.go
@@ -8,7 +8,7 @@
 	"cobaltpier/api"
 )
 
-// captureBuilder makes a capture by hand.
+// captureBuilder builds a capture.
 type captureBuilder struct{ records []*api.Record }
 
 func (t *captureBuilder) add(at float64, what any) *captureBuilder {
@@ -33,6 +33,7 @@
 	gatewayAddr, callerAddr, firstAddr, secondAddr = "127.0.0.1:1", "127.0.0.2:1", "127.0.0.3:1", "127.0.0.4:1"
 )
 
+// newCapture starts a capture of a gateway with two switches that are ready.
 func newCapture() *captureBuilder {
 	t := &captureBuilder{}
 	t.add(0, &api.Rules{SlackMs: 20, GraceMs: 250, ClearMs: 500, TipMultiple: 2, TipMs: 1000})
@@ -49,7 +50,7 @@
 	return t.add(at, &api.Listing{Edge: "edge", Entries: []*api.Entry{{Id: addr, Addr: addr, State: state, Since: since}}})
 }
 
-// message is a request, or where code is set an answer, of call c on leg b (its branch and Call-ID).
+// message adds a request, or a response if code is set, of call c on leg b, which is the branch and the Call-ID.
 func (t *captureBuilder) message(at float64, from, to, method string, code int, c, b string) *captureBuilder {
 	start := method + " sip:1@x SIP/2.0"
 	tag := ""
@@ -76,6 +77,8 @@
 	return t.message(at, firstAddr, gatewayAddr, "INVITE", code, c, b)
 }
 
+// slowStartLoad starts the first switch and sends it 30 setups, the first one at a time from and each a gap after
+// the one before. The gateway is told of the start at informedAt.
 func (t *captureBuilder) slowStartLoad(informedAt float64, from, gap float64) *captureBuilder {
 	t.add(
 		1000,
@@ -94,55 +97,56 @@
 	return t
 }
 
-// TestHandMadeCaptures breaks each rule by hand, and keeps it narrowly.
+// TestHandMadeCaptures checks captures that break a rule, and captures that only just keep it.
 func TestHandMadeCaptures(t *testing.T) {
 	for _, x := range []struct {
 		name    string
 		capture *captureBuilder
-		rule    int // 0: kept
+		rule    int // 0: all rules are kept
 	}{
-		{"a call that stands", newCapture().call(1, "a").setup(2, firstAddr, "a", "r").reply(9, 200, "a", "r").
+		{"an established call", newCapture().call(1, "a").setup(2, firstAddr, "a", "r").reply(9, 200, "a", "r").
 			final(10, 200, "a").final(400, 200, "a"), 0},
 		{"two final answers", newCapture().call(1, "a").final(5, 503, "a").final(9, 500, "a"), 1},
 		{"no answer", newCapture().call(1, "a").add(9500, &api.Mark{What: "trouble"}), 1},
-		{"not due yet", newCapture().call(1, "a").add(9010, &api.Mark{What: "trouble"}), 0},
+		{"no answer, not due yet", newCapture().call(1, "a").add(9010, &api.Mark{What: "trouble"}), 0},
 		{"answered late", newCapture().call(1, "a").final(9030, 500, "a"), 1},
-		{"answered within the slack", newCapture().call(1, "a").final(9015, 500, "a"), 0},
-		{"called off and not answered", newCapture().call(1, "a").
+		{"answered late, within the tolerance", newCapture().call(1, "a").final(9015, 500, "a"), 0},
+		{"canceled and not answered", newCapture().call(1, "a").
 			message(100, callerAddr, gatewayAddr, "CANCEL", 0, "a", "ina").add(1200, &api.Mark{What: "trouble"}), 1},
-		{"a ring after the answer", newCapture().call(1, "a").final(5, 503, "a").setup(6, firstAddr, "a", "r"), 1},
-		{"a repeat after the answer", newCapture().call(1, "a").setup(2, firstAddr, "a", "r").final(5, 503, "a").
-			setup(402, firstAddr, "a", "r"), 1},
-		{"a ring of nobody", newCapture().setup(6, firstAddr, "a", "r"), 1},
-		{"held when killed", newCapture().call(1, "a").add(2, &api.Mark{What: "edge-kill", Who: "edge"}).
+		{"a setup after the answer", newCapture().call(1, "a").final(5, 503, "a").setup(6, firstAddr, "a", "r"), 1},
+		{"a retransmission after the answer", newCapture().call(1, "a").setup(2, firstAddr, "a", "r").
+			final(5, 503, "a").setup(402, firstAddr, "a", "r"), 1},
+		{"a setup of an unknown call", newCapture().setup(6, firstAddr, "a", "r"), 1},
+		{"a call of a killed gateway", newCapture().call(1, "a").add(2, &api.Mark{What: "edge-kill", Who: "edge"}).
 			add(9500, &api.Mark{What: "trouble"}), 0},
-		{"two rings out", newCapture().call(1, "a").setup(2, firstAddr, "a", "r").setup(3, secondAddr, "a", "s").
-			final(9, 503, "a"), 2},
-		{"a repeat is no second ring", newCapture().call(1, "a").setup(2, firstAddr, "a", "r").
+		{"two attempts in flight", newCapture().call(1, "a").setup(2, firstAddr, "a", "r").
+			setup(3, secondAddr, "a", "s").final(9, 503, "a"), 2},
+		{"a retransmission is no second attempt", newCapture().call(1, "a").setup(2, firstAddr, "a", "r").
 			setup(402, firstAddr, "a", "r").reply(500, 486, "a", "r").setup(501, secondAddr, "a", "s").
 			final(900, 503, "a"), 0},
-		{"CANCEL does not end a ring", newCapture().call(1, "a").setup(2, firstAddr, "a", "r").
+		{"CANCEL does not end an attempt", newCapture().call(1, "a").setup(2, firstAddr, "a", "r").
 			message(3, gatewayAddr, firstAddr, "CANCEL", 0, "a", "r").setup(800, secondAddr, "a", "s").
 			final(900, 503, "a"), 2},
-		{"to a drained pool", newCapture().call(1, "a").list(100, firstAddr, "draining", 0).
+		{"a setup to a draining endpoint", newCapture().call(1, "a").list(100, firstAddr, "draining", 0).
 			setup(351, firstAddr, "a", "r").final(900, 503, "a"), 3},
-		{"within the grace", newCapture().call(1, "a").list(100, firstAddr, "draining", 0).
+		{"within the grace period", newCapture().call(1, "a").list(100, firstAddr, "draining", 0).
 			setup(349, firstAddr, "a", "r").final(900, 503, "a"), 0},
-		{"gone after draining: told once", newCapture().call(1, "a").list(100, firstAddr, "draining", 0).
-			list(300, firstAddr, "gone", 0).setup(400, firstAddr, "a", "r").final(900, 503, "a"), 3},
-		{"a repeat to a drained pool", newCapture().call(1, "a").setup(2, firstAddr, "a", "r").
+		{"draining, then gone: the grace period starts once", newCapture().call(1, "a").
+			list(100, firstAddr, "draining", 0).list(300, firstAddr, "gone", 0).setup(400, firstAddr, "a", "r").
+			final(900, 503, "a"), 3},
+		{"a retransmission to a draining endpoint", newCapture().call(1, "a").setup(2, firstAddr, "a", "r").
 			list(100, firstAddr, "draining", 0).setup(402, firstAddr, "a", "r").final(900, 503, "a"), 3},
-		{"told while it stood still", newCapture().call(1, "a").add(50, &api.Mark{What: "edge-stop", Who: "edge"}).
-			list(100, firstAddr, "draining", 0).add(1000, &api.Mark{What: "edge-go", Who: "edge"}).
-			setup(1100, firstAddr, "a", "r").final(1200, 503, "a"), 0},
-		{"pushed over", newCapture().slowStartLoad(1100, 2000, 20), 4},
-		{"within the budget", newCapture().slowStartLoad(1100, 2000, 60), 0},
-		{"pushed by those who were not told", newCapture().slowStartLoad(9000, 2000, 20), 0},
-		{"sent before the release", newCapture().call(1, "a").setup(2, firstAddr, "a", "r").reply(100, 487, "a", "r").
-			setup(599, secondAddr, "a", "s").final(900, 503, "a"), 5},
-		{"the release awaited", newCapture().call(1, "a").setup(2, firstAddr, "a", "r").reply(100, 487, "a", "r").
-			setup(601, secondAddr, "a", "s").final(900, 503, "a"), 0},
-		{"a call that crossed its CANCEL", newCapture().call(1, "a").setup(2, firstAddr, "a", "r").
+		{"draining during a stall of the gateway", newCapture().call(1, "a").
+			add(50, &api.Mark{What: "edge-stop", Who: "edge"}).list(100, firstAddr, "draining", 0).
+			add(1000, &api.Mark{What: "edge-go", Who: "edge"}).setup(1100, firstAddr, "a", "r").final(1200, 503, "a"), 0},
+		{"a slow start overloaded", newCapture().slowStartLoad(1100, 2000, 20), 4},
+		{"a slow start within the budget", newCapture().slowStartLoad(1100, 2000, 60), 0},
+		{"a slow start overloaded by a gateway that was not told", newCapture().slowStartLoad(9000, 2000, 20), 0},
+		{"an attempt within the hold-off", newCapture().call(1, "a").setup(2, firstAddr, "a", "r").
+			reply(100, 487, "a", "r").setup(599, secondAddr, "a", "s").final(900, 503, "a"), 5},
+		{"an attempt after the hold-off", newCapture().call(1, "a").setup(2, firstAddr, "a", "r").
+			reply(100, 487, "a", "r").setup(601, secondAddr, "a", "s").final(900, 503, "a"), 0},
+		{"an answer that crossed the CANCEL", newCapture().call(1, "a").setup(2, firstAddr, "a", "r").
 			message(3, gatewayAddr, firstAddr, "CANCEL", 0, "a", "r").reply(4, 200, "a", "r").
 			message(5, gatewayAddr, firstAddr, "BYE", 0, "a", "r").setup(400, secondAddr, "a", "s").final(900, 503, "a"),
 			5},
@@ -156,7 +160,7 @@
 		case x.rule == 0 && len(k.Findings) > 0:
 			t.Errorf("%s: %v", x.name, k.Findings[0])
 		case x.rule > 0 && v[x.rule] == 0:
-			t.Errorf("%s: rule %d not found broken", x.name, x.rule)
+			t.Errorf("%s: no finding for rule %d", x.name, x.rule)
 		case x.rule > 0 && v[x.rule] != len(k.Findings):
 			t.Errorf("%s: %v", x.name, k.Findings)
 		}
--- a/internal/conformance/enum.go
+++ b/internal/conformance/enum.go
@@ -14,26 +14,26 @@
 	"cobaltpier/internal/protocol/siptransaction"
 )
 
-// enumQuery is one look-up of a kiosk: a client, an id, a name.
+// enumQuery is one look-up by a kiosk, identified by client, message ID and name.
 type enumQuery struct {
-	call       *call
-	askedAt    float64
-	deadline   float64
-	answeredAt float64 // first
-	queries    int
-	responses  int
-	answer     string // of the latest answer
-	endpoint   string // the endpoint that it names
+	call          *call
+	askedAt       float64
+	deadline      float64
+	answeredAt    float64 // time of the first response
+	queryCount    int
+	responseCount int
+	answer        string // response code and records of the latest response
+	endpoint      string // address that the latest response names
 }
 
 const (
-	lookupTimeout = 3000.0 // ms: an answer that comes later finds nobody
-	idReuseDelay  = 4900.0 // ms after its answer: nothing that comes with the same id is a repeat
-	maxNamingAge  = 200.0  // ms: a kiosk calls the endpoint that was named within this
+	lookupTimeout = 3000.0 // ms: the kiosk ignores a response that comes later
+	idReuseDelay  = 4900.0 // ms: after the response, a query with the same ID is a new one
+	maxNamingAge  = 200.0  // ms: a kiosk calls the endpoint within this time of its being named
 )
 
-// onLookup judges what passes between a kiosk and a gateway's front. An answer that names an endpoint is an attempt:
-// rules 1, 3 and 4 hold for it.
+// onLookup checks the messages between a kiosk and a gateway's ENUM server. A response that names an endpoint
+// counts as an attempt: rules 1, 3 and 4 apply to it.
 func (k *Checker) onLookup(at float64, d *api.Datagram, from, to *api.Node) {
 	m := new(dns.Msg)
 	if m.Unpack(d.Data) != nil || len(m.Question) != 1 {
@@ -47,40 +47,40 @@
 	query := k.queries[id]
 	if query != nil && !m.Response &&
 		(query.answeredAt > 0 && at-query.answeredAt > idReuseDelay || at-query.askedAt > 2*lookupTimeout) {
-		query = nil // the id is used again
+		query = nil // the ID is reused
 	}
 	if query == nil {
 		query = &enumQuery{call: &call{gateway: gateway, id: id, arrivedAt: at}, askedAt: at, deadline: at + lookupTimeout}
 		k.queries[id] = query
 		if m.Response {
-			k.report(1, query.call, "an answer to what was not asked")
+			k.report(1, query.call, "response to a query that was not asked")
 		}
 	}
 	if !m.Response {
-		if query.queries == 0 {
+		if query.queryCount == 0 {
 			k.Totals.Queries++
 		}
-		query.queries++
+		query.queryCount++
 		return
 	}
-	if query.responses++; query.responses > query.queries {
-		k.report(1, query.call, "%d answers to %d questions", query.responses, query.queries)
+	if query.responseCount++; query.responseCount > query.queryCount {
+		k.report(1, query.call, "%d responses to %d queries", query.responseCount, query.queryCount)
 	}
 	if m.Truncated {
-		query.queries++ // it is asked again over TCP, which is not seen here
+		query.queryCount++ // the kiosk asks again over TCP, and the capture does not have that query
 		return
 	}
 	first := query.answeredAt == 0
 	if first {
 		query.answeredAt = at
 	}
-	if first && at > query.deadline+k.rules.SlackMs { // a repeat gets it again
-		k.report(1, query.call, "answered %.0f ms after it was asked", at-query.askedAt)
+	if first && at > query.deadline+k.rules.SlackMs { // a response to a retransmission may come later
+		k.report(1, query.call, "response %.0f ms after the query", at-query.askedAt)
 	}
 	answer := fmt.Sprint(m.Rcode, m.Answer)
 	_, addr, ok := enumclient.Named(m)
 	if query.answer != "" && query.answer != answer && k.isReady(gateway, query.endpoint) {
-		k.report(1, query.call, "a second answer, %s after %s", answer, query.answer)
+		k.report(1, query.call, "different response: %s after %s", answer, query.answer)
 	}
 	query.answer, query.endpoint = answer, ""
 	if !ok {
@@ -92,27 +92,28 @@
 	k.namedEndpoints[client+" "+query.endpoint] = append(k.namedEndpoints[client+" "+query.endpoint], at)
 }
 
-// excuseQueries excuses look-ups by what was done to a gateway, as for calls: what a killed process held is lost, and
-// one that stood still could not answer.
+// excuseQueries treats look-ups as calls are treated when a gateway's process ended or stalled: a killed process
+// loses its look-ups, and a stalled one could not answer.
 func (k *Checker) excuseQueries(at float64, m *api.Mark) {
 	for id, query := range k.queries {
 		switch {
 		case query.call.gateway != m.Who:
-		case m.What != "edge-go": // killed, or started: what came between reached nobody
+		case m.What != "edge-go": // killed or started: queries sent in between reached no process
 			delete(k.queries, id)
-		case query.responses == 0:
+		case query.responseCount == 0:
 			query.deadline = math.Max(query.deadline, at+1000)
 		}
 	}
 }
 
-// isReady tells whether a gateway knows of no reason against an endpoint.
+// isReady tells whether a gateway's list has an endpoint as ready.
 func (k *Checker) isReady(gateway, addr string) bool {
 	entry := k.endpointLists[gateway][addr]
 	return entry != nil && entry.state == "ready"
 }
 
-// onKioskCall judges a kiosk's own call: it goes to an endpoint that was named just before, once for each naming.
+// onKioskCall checks a kiosk's own call: it goes to an endpoint that a response named just before, and each
+// response allows one call.
 func (k *Checker) onKioskCall(at float64, d *api.Datagram, from *api.Node) {
 	m, err := k.Parse(d.Data)
 	r, ok := m.(*sip.Request)
@@ -138,7 +139,7 @@
 	key := client + " " + d.To
 	namedAt := k.namedEndpoints[key]
 	latest := math.Inf(-1)
-	for len(namedAt) > 0 && at-latest > maxNamingAge { // those that are older were of answers that were lost
+	for len(namedAt) > 0 && at-latest > maxNamingAge { // older ones belong to responses that were lost
 		latest, namedAt = namedAt[0], namedAt[1:]
 	}
 	k.namedEndpoints[key] = namedAt
@@ -146,7 +147,7 @@
 		k.report(
 			3,
 			&call{gateway: gateway, id: siptransaction.SessionIDOf(r)},
-			"%v calls %s, %.0f ms after it was named",
+			"%v calls %s %.0f ms after it was named",
 			addr,
 			k.name(d.To),
 			at-latest,
--- a/internal/conformance/enum_test.go
+++ b/internal/conformance/enum_test.go
@@ -9,8 +9,8 @@
 	"cobaltpier/api"
 )
 
-// Each thing that a front must not do is found.
-func TestKiosks(t *testing.T) {
+// TestENUMRules checks that each way in which an ENUM server or a kiosk breaks a rule is found.
+func TestENUMRules(t *testing.T) {
 	node := func(addr, role, name string) *api.Record {
 		return &api.Record{What: &api.Record_Node{Node: &api.Node{Addr: addr, Role: role, Name: name}}}
 	}
@@ -67,29 +67,29 @@
 		records []*api.Record
 		want    string
 	}{
-		"all well": {[]*api.Record{ask(10, 1), answer(20, 1, a), call(30, "a"),
-			call(31, "a")}, ""},
-		"the same answer to a repeat": {[]*api.Record{ask(10, 1), ask(15, 1), answer(20, 1, a),
+		"a look-up and its call": {[]*api.Record{ask(10, 1), answer(20, 1, a), call(30, "a"), call(31, "a")}, ""},
+		"the same answer to a retransmission": {[]*api.Record{ask(10, 1), ask(15, 1), answer(20, 1, a),
 			answer(21, 1, a)}, ""},
-		"another once the first one drains": {[]*api.Record{ask(10, 1), ask(15, 1), answer(20, 1, a),
+		"another answer once the first endpoint drains": {[]*api.Record{ask(10, 1), ask(15, 1), answer(20, 1, a),
 			list(21, "draining"), answer(22, 1, b)}, ""},
 		"truncated, then over TCP": {[]*api.Record{ask(10, 1),
 			message(20, front, kiosk, 1, "", func(m *dns.Msg) { m.Truncated = true }), answer(30, 1, a)}, ""},
-		"truncated, repeats on their way": {[]*api.Record{ask(6000, 1), ask(6010, 1),
+		"truncated, retransmissions in transit": {[]*api.Record{ask(6000, 1), ask(6010, 1),
 			message(6020, front, kiosk, 1, "", func(m *dns.Msg) { m.Truncated = true }), ask(6030, 1),
 			answer(6040, 1, a), answer(6041, 1, a)}, ""},
-		"an answer to nothing": {[]*api.Record{answer(20, 1, a)}, "not asked"},
-		"two answers to one question": {[]*api.Record{ask(10, 1), answer(20, 1, a), answer(21, 1, a)},
-			"2 answers to 1 questions"},
-		"two different ones": {[]*api.Record{ask(10, 1), ask(15, 1), answer(20, 1, a), answer(21, 1, b)},
-			"a second answer"},
-		"too late": {[]*api.Record{ask(10, 1), answer(3200, 1, a)}, "ms after it was asked"},
-		"a pool that drains, past the grace": {[]*api.Record{list(5, "draining"), ask(10, 1), answer(400, 1, a)},
-			"drain"},
-		"a call that nobody named": {[]*api.Record{ask(10, 1), answer(20, 1, b), call(30, "a")}, "calls"},
-		"a call long after": {[]*api.Record{ask(10, 1), answer(20, 1, a), call(330, "a")},
+		"an answer without a query": {[]*api.Record{answer(20, 1, a)}, "not asked"},
+		"two answers to one query": {[]*api.Record{ask(10, 1), answer(20, 1, a), answer(21, 1, a)},
+			"2 responses to 1 queries"},
+		"two different answers": {[]*api.Record{ask(10, 1), ask(15, 1), answer(20, 1, a), answer(21, 1, b)},
+			"different response"},
+		"an answer too late": {[]*api.Record{ask(10, 1), answer(3200, 1, a)}, "ms after the query"},
+		"a draining endpoint after the grace period": {[]*api.Record{list(5, "draining"), ask(10, 1),
+			answer(400, 1, a)}, "drain"},
+		"a call to an endpoint that was not named": {[]*api.Record{ask(10, 1), answer(20, 1, b), call(30, "a")},
+			"calls"},
+		"a call too long after the answer": {[]*api.Record{ask(10, 1), answer(20, 1, a), call(330, "a")},
 			"310 ms after it was named"},
-		"two calls of one answer": {[]*api.Record{ask(10, 1), answer(20, 1, a), call(30, "a"), call(31, "b")},
+		"two calls after one answer": {[]*api.Record{ask(10, 1), answer(20, 1, a), call(30, "a"), call(31, "b")},
 			"calls"},
 	} {
 		k := New()
--- a/internal/conformance/slowstart.go
+++ b/internal/conformance/slowstart.go
@@ -6,27 +6,29 @@
 	"cobaltpier/api"
 )
 
-// Cold is how much of a cold switch's budget the work of the window that ended at a time used.
+// Cold is the part of a slow-starting switch's budget that was used in the window that ended at At.
 type Cold struct {
 	At     float64
 	Switch string
 	Used   float64 // 1: the limit
 }
 
+// endpointStart is one start of a switch and the work sent to it since.
 type endpointStart struct {
 	at       float64
-	endpoint string
+	endpoint string // name of the switch
 	model    *api.Start
 	sends    []send
-	end      float64
+	end      float64 // when it stopped or started again
 }
 
+// send is the work of a setup or a retransmission; gatewayKnew: its gateway had been told of the start.
 type send struct {
 	at, work    float64
 	gatewayKnew bool
 }
 
-// recordSlowStartWork notes work that goes to a switch that started lately.
+// recordSlowStartWork records the work of a setup, or of its retransmission, that is sent to a switch in slow start.
 func (k *Checker) recordSlowStartWork(at float64, gateway, to string, repeat bool) {
 	starts := k.startsByAddr[to]
 	if len(starts) == 0 {
@@ -44,6 +46,7 @@
 	s.sends = append(s.sends, send{at, work, entry != nil && entry.startedAt > 0 && entry.startedAt >= s.at-1000})
 }
 
+// orInf is a time, or infinity if the time is not set.
 func orInf(at float64) float64 {
 	if at == 0 {
 		return math.Inf(1)
@@ -51,9 +54,9 @@
 	return at
 }
 
-// checkSlowStart is rule 4: the work sent to a cold switch in any window, by all gateways together, stays under the
-// stated multiple of what it can do then, with some slack for chance; broken if two thirds of it came from gateways that had
-// been told of its start.
+// checkSlowStart checks rule 4 for one start of a switch: the work that all gateways together send it in any window
+// stays below the permitted multiple of what it can do at its age, with some slack for chance. The rule is broken
+// only if more than two thirds of that work came from gateways that had been told of the start.
 func (k *Checker) checkSlowStart(addr string, s *endpointStart) {
 	sum, informed, oldest := 0.0, 0.0, 0
 	for _, sent := range s.sends {
@@ -74,7 +77,7 @@
 		}
 		limit := k.rules.TipMultiple * capacity * k.rules.TipMs
 		use := sum / limit
-		if informed <= sum*2/3 { // mostly from gateways that could not know
+		if informed <= sum*2/3 { // mostly from gateways that had not been told
 			use = informed / limit
 		}
 		k.Totals.SlowStartUse = math.Max(k.Totals.SlowStartUse, use)
@@ -86,7 +89,7 @@
 			k.report(
 				4,
 				&call{gateway: "all", id: s.endpoint},
-				"%.0f ms of work in %.0f ms to %s, %.0f ms after its start: %.0f allowed",
+				"%.0f ms of work sent within %.0f ms to %s, %.0f ms after its start; %.0f allowed",
 				sum,
 				k.rules.TipMs,
 				k.name(addr),
--- a/internal/conformance/stored_test.go
+++ b/internal/conformance/stored_test.go
@@ -9,8 +9,8 @@
 	"cobaltpier/internal/conformance/capture"
 )
 
-// A capture written by an earlier release (9f5ba27: day plain in virtual time, seed 3, 2 s at 20 calls a second) is
-// still read and judged: these are the totals of that release.
+// TestStoredCapture checks that a capture written by an earlier release (9f5ba27: scenario plain in virtual time,
+// seed 3, 2 s at 20 calls a second) is still read, and gives the totals of that release.
 func TestStoredCapture(t *testing.T) {
 	file, err := os.Open("testdata/quiet.capture.gz")
 	if err != nil {
--- a/internal/conformance/tables.go
+++ b/internal/conformance/tables.go
@@ -12,16 +12,16 @@
 	"cobaltpier/internal/protocol/siptransaction"
 )
 
-// Tables judges from a capture whether each call was analysed wholly by one number table, and by one that was in force
-// when it came. The laboratory's tables put a mark of their own in front of every number, in a step of its own; marks
-// are four digits that Mark makes of a version.
+// Tables checks, using a capture, that each call was analysed by a single number table, and by one that was in
+// force when the call arrived. The emulator's tables have a step that puts a mark in front of every number: four
+// digits that Mark derives from the table's version.
 type Tables struct {
 	Mark          func(version uint64) string
-	Blur          float64 // ms
+	Blur          float64 // ms by which records may be out of order
 	Parse         func([]byte) (sip.Message, error)
-	Calls         int // that were set up with a mark
-	Versions      int // that were seen in use
-	Records       int // calls whose own record was held against the wire
+	Calls         int // set up at a switch
+	Versions      int // of tables that were used
+	Records       int // call records that were compared with the capture
 	Findings      []string
 	nodes         map[string]*api.Node
 	gateways      map[string]*gatewayTables
@@ -31,25 +31,28 @@
 	versionByMark map[string]uint64
 }
 
-// arrival is when a call came, and the latest at which its gateway looked at it first: one that stalled looks later.
+// arrival is when a call arrived and the latest time at which its gateway read it, which is later if the gateway
+// stalled.
 type arrival struct{ at, readBy float64 }
 
-// gatewayTables is what tables a gateway may use: those sent to it since the latest that it said is in, and that one.
+// gatewayTables holds the tables that a gateway may use: the latest one that it confirmed, and those sent to it
+// since.
 type gatewayTables struct {
-	current    uint64
-	knownSince map[uint64]float64 // when a table was sent to it first, or was there at its start
-	stalled    bool               // it stalls
-	unread     []string           // what came meanwhile
-	pending    []uint64
-	replaced   []replacedTable // tables that were in force
+	current    uint64             // the latest one that it confirmed
+	knownSince map[uint64]float64 // when a table was first sent to it, or was in force at its start
+	stalled    bool
+	unread     []string        // calls that arrived during the stall
+	pending    []uint64        // sent and not confirmed
+	replaced   []replacedTable // tables that were, or may have been, in force
 }
 
+// replacedTable is a table that was replaced at a time.
 type replacedTable struct {
 	version uint64
 	until   float64
 }
 
-// NewTables makes a checker.
+// NewTables returns a checker of number tables.
 func NewTables(mark func(uint64) string) *Tables {
 	return &Tables{
 		Mark:          mark,
@@ -63,7 +66,7 @@
 	}
 }
 
-// Add takes the next record.
+// Add handles the next record.
 func (k *Tables) Add(r *api.Record) {
 	switch v := r.What.(type) {
 	case *api.Record_Node:
@@ -91,7 +94,7 @@
 		f.knownSince[version] = at
 	}
 	switch {
-	case m.What == "edge-kill": // what it held is lost; a repeat that reaches the next process is new there
+	case m.What == "edge-kill": // its calls are lost; a retransmission is a new call to the next process
 		for id := range k.arrivals {
 			if strings.HasPrefix(id, m.Who+" ") {
 				delete(k.arrivals, id)
@@ -102,7 +105,7 @@
 		f.stalled = true
 	case m.What == "edge-go":
 		for _, id := range f.unread {
-			if a, known := k.arrivals[id]; known { // else the process was killed while it stalled
+			if a, known := k.arrivals[id]; known { // false if the process was killed while it stalled
 				a.readBy = at + readLag
 				k.arrivals[id] = a
 			}
@@ -117,7 +120,7 @@
 			f.replaced = append(f.replaced, replacedTable{f.current, at})
 		}
 		for len(f.pending) > 0 && f.pending[0] <= version {
-			if f.pending[0] != version { // it may have been in force between
+			if f.pending[0] != version { // it may have been in force in between
 				f.replaced = append(f.replaced, replacedTable{f.pending[0], at})
 			}
 			f.pending = f.pending[1:]
@@ -129,10 +132,10 @@
 	}
 }
 
-// readLag is how long after it goes on a gateway may still find what came while it stalled, ms.
+// readLag is the time, ms, that a gateway may need after a stall to read what arrived during it.
 const readLag = 250
 
-// mayBeInForce tells whether a table may have been in force at a gateway at a time.
+// mayBeInForce tells whether a table may have been in force at a gateway when a call arrived or was read.
 func (k *Tables) mayBeInForce(f *gatewayTables, version uint64, arrived arrival) bool {
 	if arrived.readBy+k.Blur < f.knownSince[version] {
 		return false
@@ -140,8 +143,8 @@
 	if version == f.current {
 		return true
 	}
-	for _, pending := range f.pending {
-		if pending == version {
+	for _, sent := range f.pending {
+		if sent == version {
 			return true
 		}
 	}
@@ -153,7 +156,7 @@
 	return false
 }
 
-// Record holds a call's own record against what it was set up with on the wire.
+// Record compares the table version in a gateway's record of a call with the mark of the call's setup.
 func (k *Tables) Record(gateway, session string, version uint64) {
 	mark, found := k.markByCall[gateway+" "+session]
 	if !found {
@@ -164,7 +167,7 @@
 		k.Findings = append(
 			k.Findings,
 			fmt.Sprintf(
-				"%s %s: its record says table %d, mark %s; it was set up with %s",
+				"%s %s: the call record names table %d with mark %s, but the setup has mark %s",
 				gateway,
 				session,
 				version,
@@ -205,7 +208,7 @@
 			if previous != mark {
 				k.Findings = append(
 					k.Findings,
-					fmt.Sprintf("%.1f ms, %s: set up with mark %s, before that with %s", at, id, mark, previous),
+					fmt.Sprintf("%.1f ms, %s: setup with mark %s after one with mark %s", at, id, mark, previous),
 				)
 			}
 			return
@@ -214,7 +217,7 @@
 		k.Calls++
 		version, known := k.versionByMark[mark]
 		if !known {
-			k.Findings = append(k.Findings, fmt.Sprintf("%.1f ms, %s: mark %q is of no table", at, id, mark))
+			k.Findings = append(k.Findings, fmt.Sprintf("%.1f ms, %s: no table has mark %q", at, id, mark))
 			return
 		}
 		k.usedVersions[version] = true
@@ -223,7 +226,7 @@
 			k.Findings = append(
 				k.Findings,
 				fmt.Sprintf(
-					"%.1f ms, %s: came at %.1f ms, and was analysed by table %d, which was not in force then",
+					"%.1f ms, %s: arrived at %.1f ms and was analysed by table %d, which was not in force then",
 					at,
 					id,
 					arrived.at,
@@ -234,7 +237,8 @@
 	}
 }
 
-// markOf is the mark of a number as it was sent: in the routing number where there is one, else in front.
+// markOf is the mark of a number in a request URI's user part: the first digits of the routing number if there is
+// one, else of the number.
 func markOf(user string) string {
 	number, params, _ := strings.Cut(user, ";")
 	if _, rn, ok := strings.Cut(";"+params, ";rn="); ok {
--- a/internal/conformance/tables_test.go
+++ b/internal/conformance/tables_test.go
@@ -8,7 +8,8 @@
 	"cobaltpier/api"
 )
 
-// Each thing that would show a call analysed by another table than its own is found.
+// TestTables checks that a call is reported if it was analysed by a table that was not in force, or by more than
+// one.
 func TestTables(t *testing.T) {
 	mark := func(v uint64) string { return fmt.Sprint(1000 + v) }
 	node := func(addr, role, name string) *api.Record {
@@ -35,25 +36,28 @@
 		records []*api.Record
 		want    string
 	}{
-		"the table in force": {[]*api.Record{event(0, "table-in", 1), caller(1, "a"), setup(2, "+10011418;npdi", "a")},
-			""},
-		"by its routing number": {[]*api.Record{event(0, "table-in", 1), caller(1, "a"),
+		"the table in force": {[]*api.Record{event(0, "table-in", 1), caller(1, "a"),
+			setup(2, "+10011418;npdi", "a")}, ""},
+		"the mark in the routing number": {[]*api.Record{event(0, "table-in", 1), caller(1, "a"),
 			setup(2, "+1418;npdi;rn=+10011999;tgrp=x", "a")}, ""},
-		"changed while it was analysed": {[]*api.Record{event(0, "table-in", 1), caller(1, "a"),
+		"a new table during the analysis": {[]*api.Record{event(0, "table-in", 1), caller(1, "a"),
 			event(2, "table-sent", 2), event(3, "table-in", 2), setup(4, "+10011418", "a")}, ""},
-		"sent and not yet in": {[]*api.Record{event(0, "table-in", 1), event(2, "table-sent", 2), caller(3, "a"),
+		"a table that is not confirmed yet": {[]*api.Record{event(0, "table-in", 1), event(2, "table-sent", 2),
+			caller(3, "a"), setup(4, "+10021418", "a")}, ""},
+		"a table sent after the call arrived": {[]*api.Record{event(0, "table-in", 1), caller(1, "a"),
+			event(2, "table-sent", 2), event(3, "table-in", 2), setup(4, "+10021418", "a")}, "not in force then"},
+		"a call read after a stall": {[]*api.Record{event(0, "table-in", 1), event(0, "edge-stop", 0),
+			caller(1, "a"), event(2, "table-sent", 2), event(3, "edge-go", 0), event(3, "table-in", 2),
 			setup(4, "+10021418", "a")}, ""},
-		"one that came later": {[]*api.Record{event(0, "table-in", 1), caller(1, "a"), event(2, "table-sent", 2),
-			event(3, "table-in", 2), setup(4, "+10021418", "a")}, "not in force then"},
-		"found after it stood still": {[]*api.Record{event(0, "table-in", 1), event(0, "edge-stop", 0), caller(1, "a"),
-			event(2, "table-sent", 2), event(3, "edge-go", 0), event(3, "table-in", 2), setup(4, "+10021418", "a")}, ""},
-		"an old one": {[]*api.Record{event(0, "table-in", 1), event(2, "table-sent", 2), event(3, "table-in", 2),
-			caller(30, "a"), setup(40, "+10011418", "a")}, "not in force then"},
-		"one that came after it": {[]*api.Record{event(0, "table-in", 1), caller(1, "a"), setup(2, "+10021418", "a")},
-			"of no table"},
-		"another one on the second ring": {[]*api.Record{event(0, "table-in", 1), event(0, "table-sent", 2),
-			caller(1, "a"), setup(2, "+10011418", "a"), setup(3, "+10021418", "a")}, "before that with 1001"},
-		"none": {[]*api.Record{event(0, "table-in", 1), caller(1, "a"), setup(2, "+1418", "a")}, "of no table"},
+		"a table replaced before the call arrived": {[]*api.Record{event(0, "table-in", 1),
+			event(2, "table-sent", 2), event(3, "table-in", 2), caller(30, "a"), setup(40, "+10011418", "a")},
+			"not in force then"},
+		"an unknown table": {[]*api.Record{event(0, "table-in", 1), caller(1, "a"), setup(2, "+10021418", "a")},
+			"no table has mark"},
+		"another table for the second attempt": {[]*api.Record{event(0, "table-in", 1), event(0, "table-sent", 2),
+			caller(1, "a"), setup(2, "+10011418", "a"), setup(3, "+10021418", "a")}, "after one with mark 1001"},
+		"no mark": {[]*api.Record{event(0, "table-in", 1), caller(1, "a"), setup(2, "+1418", "a")},
+			"no table has mark"},
 	} {
 		k := NewTables(mark)
 		for _, r := range append([]*api.Record{node("c:1", "caller", "c"), node("e:1", "edge", "e"), node("s:1", "switch",
@@ -71,11 +75,11 @@
 				t.Errorf("%s: %v, %d records", name, k.Findings, k.Records)
 			}
 			if k.Record("e", strings.Repeat("a", 32), 99); len(k.Findings) != 1 {
-				t.Errorf("%s: a record of another table is not found", name)
+				t.Errorf("%s: no finding for a call record that names another table", name)
 			}
 		}
 		if (got == "") != (c.want == "") || !strings.Contains(got, c.want) || k.Calls != 1 {
-			t.Errorf("%s: %q, want %q; %d contacts", name, got, c.want, k.Calls)
+			t.Errorf("%s: %q, want %q; %d calls", name, got, c.want, k.Calls)
 		}
 	}
 }
