--- a/internal/conformance/binaryconformance/checker.go
+++ b/internal/conformance/binaryconformance/checker.go
@@ -38,7 +38,7 @@
 type Checker struct {
 	Rules           Rules
 	Findings        []Finding
-	Totals          struct{ SetUps, Answers, Refusals, Rings, Stood int }
+	Totals          struct{ SetUps, Answers, Rejections, Attempts, Established int }
 	now             float64
 	calls           map[uint64]*call
 	drainingSince   map[string]float64 // switch: when the gateway was told that it drains or is gone
@@ -69,24 +69,24 @@
 	return &Checker{Rules: r, calls: map[uint64]*call{}, drainingSince: map[string]float64{}}
 }
 
-func (k *Checker) report(rule int, c uint64, what string, of ...any) {
-	k.Findings = append(k.Findings, Finding{rule, k.now, c, fmt.Sprintf(what, of...)})
+func (k *Checker) report(rule int, callID uint64, format string, args ...any) {
+	k.Findings = append(k.Findings, Finding{rule, k.now, callID, fmt.Sprintf(format, args...)})
 }
 
 // SetClientConnected says whether the callers have a connection to the gateway.
-func (k *Checker) SetClientConnected(at float64, yes bool) {
-	if k.now = at; yes && !k.clientConnected {
+func (k *Checker) SetClientConnected(at float64, connected bool) {
+	if k.now = at; connected && !k.clientConnected {
 		k.connectedSince = at
 	}
-	k.clientConnected = yes
+	k.clientConnected = connected
 }
 
 // OnEndpointState says that the gateway was told that a switch takes nothing more, or again.
-func (k *Checker) OnEndpointState(at float64, who string, ready bool) {
-	if _, known := k.drainingSince[who]; ready {
-		delete(k.drainingSince, who)
+func (k *Checker) OnEndpointState(at float64, endpoint string, ready bool) {
+	if _, known := k.drainingSince[endpoint]; ready {
+		delete(k.drainingSince, endpoint)
 	} else if !known {
-		k.drainingSince[who] = at
+		k.drainingSince[endpoint] = at
 	}
 }
 
@@ -99,9 +99,9 @@
 		if c != nil {
 			return
 		}
-		var wait float64
-		_, _ = fmt.Sscan(m.Text(binarymessage.Timeout), &wait)
-		k.calls[m.Call()] = &call{id: m.Call(), deadline: at + wait, endedAt: math.Inf(1)}
+		var timeout float64
+		_, _ = fmt.Sscan(m.Text(binarymessage.Timeout), &timeout)
+		k.calls[m.Call()] = &call{id: m.Call(), deadline: at + timeout, endedAt: math.Inf(1)}
 		k.Totals.SetUps++
 	case binarymessage.Release:
 		if c == nil {
@@ -157,7 +157,7 @@
 			k.report(1, c.id, "served with what no switch said")
 		}
 	} else {
-		k.Totals.Refusals++
+		k.Totals.Rejections++
 	}
 	if !c.callerGone && at > c.deadline+k.Rules.AnswerGrace {
 		k.report(1, c.id, "answered %.0f ms after its patience", at-c.deadline)
@@ -165,7 +165,7 @@
 }
 
 // OnMessageToEndpoint is a message that left for a switch on one of its lines.
-func (k *Checker) OnMessageToEndpoint(at float64, who string, line int, m binarymessage.Message) {
+func (k *Checker) OnMessageToEndpoint(at float64, endpoint string, conn int, m binarymessage.Message) {
 	k.now = at
 	c := k.calls[m.Call()]
 	switch m.Type() {
@@ -174,7 +174,7 @@
 			k.report(1, m.Call(), "a set-up that no caller sent")
 			return
 		}
-		k.Totals.Rings++
+		k.Totals.Attempts++
 		switch {
 		case c.finalAnswer != 0:
 			k.report(1, c.id, "set-up after the final answer")
@@ -182,26 +182,26 @@
 			k.report(1, c.id, "set-up after the patience")
 		}
 		if c.inFlight != nil {
-			k.report(2, c.id, "a ring to %s while one to %s is out", who, c.inFlight.endpoint)
+			k.report(2, c.id, "a ring to %s while one to %s is out", endpoint, c.inFlight.endpoint)
 		}
-		if told, ok := k.drainingSince[who]; ok && at > told+k.Rules.DrainGrace {
-			k.report(3, c.id, "set-up to %s %.0f ms after it was told off", who, at-told)
+		if since, draining := k.drainingSince[endpoint]; draining && at > since+k.Rules.DrainGrace {
+			k.report(3, c.id, "set-up to %s %.0f ms after it was told off", endpoint, at-since)
 		}
 		if at < c.holdOffUntil {
 			k.report(5, c.id, "set-up %.1f ms before the clear wait was over", c.holdOffUntil-at)
 		}
-		c.inFlight = &attempt{who, line}
+		c.inFlight = &attempt{endpoint, conn}
 		c.attempts = append(c.attempts, c.inFlight)
 	case binarymessage.Release:
 		if c == nil {
 			return
 		}
-		if c.inFlight != nil && c.inFlight.endpoint == who {
+		if c.inFlight != nil && c.inFlight.endpoint == endpoint {
 			c.inFlight = nil
 			c.holdOffUntil = at + k.Rules.HoldOff
 			return
 		}
-		if !c.established || c.attempts[len(c.attempts)-1].endpoint != who || c.endedAt <= at {
+		if !c.established || c.attempts[len(c.attempts)-1].endpoint != endpoint || c.endedAt <= at {
 			return
 		}
 		if c.finalAnswer == 0 { // the answer crossed the giving up
@@ -214,39 +214,39 @@
 }
 
 // OnEndpointMessage is a message of a switch that the gateway read.
-func (k *Checker) OnEndpointMessage(at float64, who string, line int, m binarymessage.Message) {
+func (k *Checker) OnEndpointMessage(at float64, endpoint string, conn int, m binarymessage.Message) {
 	k.now = at
 	c := k.calls[m.Call()]
 	if c == nil {
 		return
 	}
-	mine := c.inFlight != nil && c.inFlight.endpoint == who && c.inFlight.conn == line
+	current := c.inFlight != nil && c.inFlight.endpoint == endpoint && c.inFlight.conn == conn
 	switch m.Type() {
 	case binarymessage.Answer:
-		if _, whole := m.Get(binarymessage.Description); mine && whole {
+		if _, complete := m.Get(binarymessage.Description); current && complete {
 			c.inFlight, c.established = nil, true
-			k.Totals.Stood++
+			k.Totals.Established++
 		}
 	case binarymessage.Release:
 		switch {
-		case mine:
+		case current:
 			c.inFlight = nil
 			switch m.Cause() {
 			case binarymessage.NoCircuit, binarymessage.UserBusy, binarymessage.Fault, binarymessage.NeverSent:
 			default:
 				c.holdOffUntil = at + k.Rules.HoldOff
 			}
-		case c.established && c.attempts[len(c.attempts)-1].endpoint == who && c.endedAt > at:
+		case c.established && c.attempts[len(c.attempts)-1].endpoint == endpoint && c.endedAt > at:
 			c.endedAt = at
 		}
 	}
 }
 
 // OnConnClosed takes the end of a connection to an endpoint, from either side: its attempts have ended too.
-func (k *Checker) OnConnClosed(at float64, who string, line int) {
+func (k *Checker) OnConnClosed(at float64, endpoint string, conn int) {
 	k.now = at
 	for _, c := range k.calls {
-		if c.inFlight != nil && c.inFlight.endpoint == who && c.inFlight.conn == line {
+		if c.inFlight != nil && c.inFlight.endpoint == endpoint && c.inFlight.conn == conn {
 			c.inFlight = nil
 			c.holdOffUntil = at + k.Rules.HoldOff
 		}
@@ -254,9 +254,9 @@
 }
 
 // OnEndpointDied takes the end of an endpoint without any message: its calls have ended with it.
-func (k *Checker) OnEndpointDied(at float64, who string) {
+func (k *Checker) OnEndpointDied(at float64, endpoint string) {
 	for _, c := range k.calls {
-		if c.established && c.attempts[len(c.attempts)-1].endpoint == who && c.endedAt > at {
+		if c.established && c.attempts[len(c.attempts)-1].endpoint == endpoint && c.endedAt > at {
 			c.endedAt = at + k.Rules.ReleaseWithinSilent - k.Rules.ReleaseWithin
 		}
 	}
--- a/internal/conformance/binaryconformance/checker_test.go
+++ b/internal/conformance/binaryconformance/checker_test.go
@@ -6,62 +6,62 @@
 	"cobaltpier/internal/protocol/binarymessage"
 )
 
-// tape is traffic made by hand.
-type tape struct {
+// traffic is traffic made by hand.
+type traffic struct {
 	*Checker
 	at float64
 }
 
-func begin() *tape {
+func begin() *traffic {
 	k := New(Rules{AnswerGrace: 50, DrainGrace: 250, HoldOff: 500, ReleaseWithin: 1000, ReleaseWithinSilent: 8000})
 	k.SetClientConnected(0, true)
-	return &tape{k, 0}
+	return &traffic{k, 0}
 }
 
-func (t *tape) wait(ms float64) *tape { t.at += ms; return t }
-func (t *tape) setUp() *tape {
+func (t *traffic) wait(ms float64) *traffic { t.at += ms; return t }
+func (t *traffic) setup() *traffic {
 	t.OnClientMessage(
 		t.at,
 		binarymessage.Append(nil, binarymessage.Setup, 7, binarymessage.TextParam(binarymessage.Timeout, "2000")),
 	)
 	return t
 }
-func (t *tape) ring(who string, line int) *tape {
-	t.OnMessageToEndpoint(t.at, who, line, binarymessage.Append(nil, binarymessage.Setup, 7))
+func (t *traffic) attempt(endpoint string, conn int) *traffic {
+	t.OnMessageToEndpoint(t.at, endpoint, conn, binarymessage.Append(nil, binarymessage.Setup, 7))
 	return t
 }
-func (t *tape) off(who string, line int) *tape {
+func (t *traffic) cancel(endpoint string, conn int) *traffic {
 	t.OnMessageToEndpoint(
 		t.at,
-		who,
-		line,
+		endpoint,
+		conn,
 		binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal)),
 	)
 	return t
 }
-func (t *tape) stands(who string, line int) *tape {
+func (t *traffic) answered(endpoint string, conn int) *traffic {
 	t.OnEndpointMessage(
 		t.at,
-		who,
-		line,
+		endpoint,
+		conn,
 		binarymessage.Append(nil, binarymessage.Answer, 7, binarymessage.TextParam(binarymessage.Description, "x")),
 	)
 	return t
 }
-func (t *tape) ends(who string, line int, cause byte) *tape {
+func (t *traffic) released(endpoint string, conn int, cause byte) *traffic {
 	t.OnEndpointMessage(
 		t.at,
-		who,
-		line,
+		endpoint,
+		conn,
 		binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.CauseParam(cause)),
 	)
 	return t
 }
-func (t *tape) answer() *tape {
+func (t *traffic) answer() *traffic {
 	t.OnMessageToClient(t.at, binarymessage.Append(nil, binarymessage.Answer, 7))
 	return t
 }
-func (t *tape) release() *tape {
+func (t *traffic) release() *traffic {
 	t.OnMessageToClient(
 		t.at,
 		binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Congested)),
@@ -71,62 +71,64 @@
 
 // Traffic that keeps the rules is found good, and each way to break one is found.
 func TestJudge(t *testing.T) {
-	for what, c := range map[string]struct {
-		of   *tape
-		want int
+	for name, c := range map[string]struct {
+		traffic *traffic
+		want    int
 	}{
-		"a call": {begin().setUp().ring("a", 1).wait(50).stands("a", 1).answer().wait(500).ends("a", 1,
-			binarymessage.Normal).release(), 0},
-		"refused": {begin().setUp().release(), 0},
-		"tried twice": {begin().setUp().ring("a", 1).ends("a", 1, binarymessage.NoCircuit).ring("b", 2).
-			stands("b", 2).answer().ends("b", 2, binarymessage.Normal).release(), 0},
-		"the clear wait kept": {begin().setUp().ring("a", 1).off("a", 1).wait(500).ring("b", 2).ends("b", 2,
-			binarymessage.Fault).release(), 0},
-		"never answered":            {begin().setUp().wait(3000), 1},
-		"answered late":             {begin().setUp().wait(2051).release(), 1},
-		"answered twice":            {begin().setUp().release().release(), 1},
-		"served without a switch":   {begin().setUp().answer(), 1},
-		"a set-up after the answer": {begin().setUp().release().ring("a", 1), 1},
-		"released twice": {begin().setUp().ring("a", 1).stands("a", 1).answer().ends("a", 1,
-			binarymessage.Normal).release().release(), 1},
-		"a set-up nobody sent": {begin().ring("a", 1), 1},
-		"two rings":            {begin().setUp().ring("a", 1).ring("b", 2).off("a", 1).off("b", 2).release(), 2},
-		"the clear wait not kept": {begin().setUp().ring("a", 1).off("a", 1).wait(499).ring("b", 2).ends("b", 2,
-			binarymessage.Fault).release(), 5},
-		"the same after a reset": {begin().setUp().ring("a", 1).ends("a", 1, binarymessage.Failure).wait(499).ring("b", 2).
-			ends("b", 2, binarymessage.Fault).release(), 5},
-		"over, and nobody told": {begin().setUp().ring("a", 1).stands("a", 1).answer().ends("a", 1, binarymessage.Normal).
-			wait(2000), 6},
+		"a call": {begin().setup().attempt("a", 1).wait(50).answered("a", 1).answer().wait(500).
+			released("a", 1, binarymessage.Normal).release(), 0},
+		"refused": {begin().setup().release(), 0},
+		"tried twice": {begin().setup().attempt("a", 1).released("a", 1, binarymessage.NoCircuit).attempt("b", 2).
+			answered("b", 2).answer().released("b", 2, binarymessage.Normal).release(), 0},
+		"the clear wait kept": {begin().setup().attempt("a", 1).cancel("a", 1).wait(500).attempt("b", 2).
+			released("b", 2, binarymessage.Fault).release(), 0},
+		"never answered":            {begin().setup().wait(3000), 1},
+		"answered late":             {begin().setup().wait(2051).release(), 1},
+		"answered twice":            {begin().setup().release().release(), 1},
+		"served without a switch":   {begin().setup().answer(), 1},
+		"a set-up after the answer": {begin().setup().release().attempt("a", 1), 1},
+		"released twice": {begin().setup().attempt("a", 1).answered("a", 1).answer().
+			released("a", 1, binarymessage.Normal).release().release(), 1},
+		"a set-up nobody sent": {begin().attempt("a", 1), 1},
+		"two rings": {begin().setup().attempt("a", 1).attempt("b", 2).cancel("a", 1).cancel("b", 2).
+			release(), 2},
+		"the clear wait not kept": {begin().setup().attempt("a", 1).cancel("a", 1).wait(499).attempt("b", 2).
+			released("b", 2, binarymessage.Fault).release(), 5},
+		"the same after a reset": {begin().setup().attempt("a", 1).released("a", 1, binarymessage.Failure).
+			wait(499).attempt("b", 2).released("b", 2, binarymessage.Fault).release(), 5},
+		"over, and nobody told": {begin().setup().attempt("a", 1).answered("a", 1).answer().
+			released("a", 1, binarymessage.Normal).wait(2000), 6},
 	} {
-		c.of.Finish(c.of.at)
-		if got := c.of.Findings; (c.want == 0) != (len(got) == 0) || c.want > 0 && got[0].Rule != c.want {
-			t.Errorf("%s: found %v, want rule %d", what, got, c.want)
+		c.traffic.Finish(c.traffic.at)
+		if got := c.traffic.Findings; (c.want == 0) != (len(got) == 0) || c.want > 0 && got[0].Rule != c.want {
+			t.Errorf("%s: found %v, want rule %d", name, got, c.want)
 		}
 	}
 	// what lies between them: lines, drains, deaths
-	d := begin()
-	d.OnEndpointState(0, "a", false)
-	d.setUp().wait(251).ring("a", 1)
-	if len(d.Findings) != 1 || d.Findings[0].Rule != 3 {
-		t.Errorf("a drain: %v", d.Findings)
+	drain := begin()
+	drain.OnEndpointState(0, "a", false)
+	drain.setup().wait(251).attempt("a", 1)
+	if len(drain.Findings) != 1 || drain.Findings[0].Rule != 3 {
+		t.Errorf("a drain: %v", drain.Findings)
 	}
-	l := begin().setUp().ring("a", 1)
-	l.OnConnClosed(l.at, "a", 1)
-	l.wait(100).ring("b", 2)
-	if len(l.Findings) != 1 || l.Findings[0].Rule != 5 {
-		t.Errorf("a line that ended: %v", l.Findings)
+	lost := begin().setup().attempt("a", 1)
+	lost.OnConnClosed(lost.at, "a", 1)
+	lost.wait(100).attempt("b", 2)
+	if len(lost.Findings) != 1 || lost.Findings[0].Rule != 5 {
+		t.Errorf("a line that ended: %v", lost.Findings)
 	}
-	x := begin().setUp().ring("a", 1).stands("a", 1).answer()
-	x.OnEndpointDied(x.at, "a")
-	late := begin().setUp().ring("a", 1).stands("a", 1).answer().ends("a", 1, binarymessage.Normal).wait(1100).release()
+	died := begin().setup().attempt("a", 1).answered("a", 1).answer()
+	died.OnEndpointDied(died.at, "a")
+	late := begin().setup().attempt("a", 1).answered("a", 1).answer().released("a", 1, binarymessage.Normal).
+		wait(1100).release()
 	if len(late.Findings) != 1 || late.Findings[0].Rule != 6 {
 		t.Errorf("told late: %v", late.Findings)
 	}
-	x.wait(7900).Finish(x.at)
-	if len(x.Findings) > 0 {
-		t.Errorf("it is early: %v", x.Findings)
+	died.wait(7900).Finish(died.at)
+	if len(died.Findings) > 0 {
+		t.Errorf("it is early: %v", died.Findings)
 	}
-	if x.wait(200).Finish(x.at); len(x.Findings) != 1 || x.Findings[0].Rule != 6 {
-		t.Errorf("a switch that died: %v", x.Findings)
+	if died.wait(200).Finish(died.at); len(died.Findings) != 1 || died.Findings[0].Rule != 6 {
+		t.Errorf("a switch that died: %v", died.Findings)
 	}
 }
