--- a/internal/conformance/binaryconformance/checker.go
+++ b/internal/conformance/binaryconformance/checker.go
@@ -1,6 +1,8 @@
-// Package binaryconformance judges the rules of the platform from what crossed a gateway's sockets alone: messages as
-// they were written or read there, connections as they came and went, and the lists that were delivered. It knows
-// nothing of the gateway's state. Rule 4 needs all gateways together and is judged by package check and on the bench.
+// Package binaryconformance checks the rules for the binary gateway using only what is visible at one gateway's
+// sockets: the messages written and read, connections opened and closed, and the endpoint lists delivered. It sees
+// nothing of the gateway's internal state. Rule 4 concerns all gateways together and is checked by package
+// conformance and on the platform's simulator. Rule 6 is this package's own: a call that has ended is released
+// towards its caller in time.
 package binaryconformance
 
 //tally:standin
@@ -13,18 +15,18 @@
 	"cobaltpier/internal/protocol/binarymessage"
 )
 
-// Rules are the figures of the rules, ms.
+// Rules are the limits that the rules set, ms.
 type Rules struct {
-	AnswerGrace         float64 // after the timeout a final answer still counts
-	DrainGrace          float64 // after hearing that a switch drains or is gone
-	HoldOff             float64 // after a time-out, reset or cancel
-	ReleaseWithin       float64 // a call that is over is released towards its caller within this
-	ReleaseWithinSilent float64 // the same where nobody could say that it was over
+	AnswerGrace         float64 // a final answer may come this long after the timeout
+	DrainGrace          float64 // setups may be sent this long after the gateway is told that a switch drains or is gone
+	HoldOff             float64 // no attempt of the call for this long after a time-out, reset or cancel
+	ReleaseWithin       float64 // a call that has ended is released towards its caller within this
+	ReleaseWithinSilent float64 // the same if the switch ended without a message
 }
 
-// Finding is a broken rule.
+// Finding is one violation of a rule.
 type Finding struct {
-	Rule        int // 6: what stood and is over was not released in time
+	Rule        int // 6: an established call ended and was not released towards its caller in time
 	At          float64
 	Call        uint64
 	Description string
@@ -34,37 +36,37 @@
 	return fmt.Sprintf("rule %d at %.1f ms, call %016x: %s", f.Rule, f.At, f.Call, f.Description)
 }
 
-// Checker takes what happens at one gateway, in order of time.
+// Checker checks the events at one gateway. They are reported in order of time.
 type Checker struct {
 	Rules           Rules
 	Findings        []Finding
 	Totals          struct{ SetUps, Answers, Rejections, Attempts, Established int }
 	now             float64
 	calls           map[uint64]*call
-	drainingSince   map[string]float64 // switch: when the gateway was told that it drains or is gone
-	clientConnected bool               // the caller has a connection
-	connectedSince  float64            // and since when
+	drainingSince   map[string]float64 // by switch: when the gateway was told that it drains or is gone
+	clientConnected bool               // the callers have a connection
+	connectedSince  float64            // since when they have one
 }
 
 type call struct {
 	id           uint64
 	deadline     float64
-	finalAnswer  byte // type of its final answer, 0: none
-	callerGone   bool // its caller gave up, or its connection ended
+	finalAnswer  byte // message type, 0: none yet
+	callerGone   bool // the caller gave up, or its connection was closed
 	inFlight     *attempt
 	attempts     []*attempt
 	holdOffUntil float64
-	endedAt      float64 // when what stood was over, +Inf: it stands or never stood
-	released     bool    // released towards its caller, or by it
+	endedAt      float64 // when the established call ended, +Inf: it has not ended or was never established
+	released     bool    // released towards the caller, or by it
 	established  bool
 }
 
 type attempt struct {
-	endpoint string // the switch
+	endpoint string // ID of the switch
 	conn     int
 }
 
-// New makes a judge.
+// New returns a checker with the given limits.
 func New(r Rules) *Checker {
 	return &Checker{Rules: r, calls: map[uint64]*call{}, drainingSince: map[string]float64{}}
 }
@@ -73,7 +75,7 @@
 	k.Findings = append(k.Findings, Finding{rule, k.now, callID, fmt.Sprintf(format, args...)})
 }
 
-// SetClientConnected says whether the callers have a connection to the gateway.
+// SetClientConnected reports whether the callers have a connection to the gateway.
 func (k *Checker) SetClientConnected(at float64, connected bool) {
 	if k.now = at; connected && !k.clientConnected {
 		k.connectedSince = at
@@ -81,7 +83,7 @@
 	k.clientConnected = connected
 }
 
-// OnEndpointState says that the gateway was told that a switch takes nothing more, or again.
+// OnEndpointState reports that the gateway was told whether a switch is ready.
 func (k *Checker) OnEndpointState(at float64, endpoint string, ready bool) {
 	if _, known := k.drainingSince[endpoint]; ready {
 		delete(k.drainingSince, endpoint)
@@ -90,7 +92,8 @@
 	}
 }
 
-// OnClientMessage is a message that was written whole to a caller's connection. Only usual callers are judged by.
+// OnClientMessage reports a message that a caller wrote completely. The checker expects callers that keep to the
+// protocol.
 func (k *Checker) OnClientMessage(at float64, m binarymessage.Message) {
 	k.now = at
 	c := k.calls[m.Call()]
@@ -114,20 +117,20 @@
 	}
 }
 
-// OnClientGone takes the end of the connection of a call's setup, from the caller's side.
+// OnClientGone reports that the caller closed the connection on which it sent a call's setup.
 func (k *Checker) OnClientGone(id uint64) {
 	if c := k.calls[id]; c != nil && c.finalAnswer == 0 {
 		c.callerGone = true
 	}
 }
 
-// OnMessageToClient is a message that the gateway wrote to a caller's connection.
+// OnMessageToClient reports a message that the gateway wrote to a caller's connection.
 func (k *Checker) OnMessageToClient(at float64, m binarymessage.Message) {
 	k.now = at
 	c := k.calls[m.Call()]
 	if c == nil {
 		if m.Type() == binarymessage.Answer {
-			k.report(1, m.Call(), "answered, and nobody asked")
+			k.report(1, m.Call(), "answer to a call that no caller sent")
 		}
 		return
 	}
@@ -142,53 +145,53 @@
 		}
 		c.released = true
 		if due := math.Max(c.endedAt, k.connectedSince) + k.Rules.ReleaseWithin; at > due && !c.callerGone {
-			k.report(6, c.id, "was over at %.0f ms, and its caller was told %.0f ms late", c.endedAt, at-due)
+			k.report(6, c.id, "ended at %.0f ms, but the release to the caller was %.0f ms late", c.endedAt, at-due)
 		}
 		return
 	}
 	if c.finalAnswer != 0 {
-		k.report(1, c.id, "type %d after the final answer %d", m.Type(), c.finalAnswer)
+		k.report(1, c.id, "message type %d after the final answer, type %d", m.Type(), c.finalAnswer)
 		return
 	}
 	c.finalAnswer = m.Type()
 	if m.Type() == binarymessage.Answer {
 		k.Totals.Answers++
 		if !c.established {
-			k.report(1, c.id, "served with what no switch said")
+			k.report(1, c.id, "answered without an answer of a switch")
 		}
 	} else {
 		k.Totals.Rejections++
 	}
 	if !c.callerGone && at > c.deadline+k.Rules.AnswerGrace {
-		k.report(1, c.id, "answered %.0f ms after its patience", at-c.deadline)
+		k.report(1, c.id, "final answer %.0f ms after the deadline", at-c.deadline)
 	}
 }
 
-// OnMessageToEndpoint is a message that left for a switch on one of its lines.
+// OnMessageToEndpoint reports a message that the gateway wrote to one of its connections to a switch.
 func (k *Checker) OnMessageToEndpoint(at float64, endpoint string, conn int, m binarymessage.Message) {
 	k.now = at
 	c := k.calls[m.Call()]
 	switch m.Type() {
 	case binarymessage.Setup:
 		if c == nil {
-			k.report(1, m.Call(), "a set-up that no caller sent")
+			k.report(1, m.Call(), "setup of a call that no caller sent")
 			return
 		}
 		k.Totals.Attempts++
 		switch {
 		case c.finalAnswer != 0:
-			k.report(1, c.id, "set-up after the final answer")
+			k.report(1, c.id, "setup after the final answer")
 		case c.callerGone && at > c.deadline:
-			k.report(1, c.id, "set-up after the patience")
+			k.report(1, c.id, "setup after the deadline")
 		}
 		if c.inFlight != nil {
-			k.report(2, c.id, "a ring to %s while one to %s is out", endpoint, c.inFlight.endpoint)
+			k.report(2, c.id, "attempt at %s while one at %s is in flight", endpoint, c.inFlight.endpoint)
 		}
 		if since, draining := k.drainingSince[endpoint]; draining && at > since+k.Rules.DrainGrace {
-			k.report(3, c.id, "set-up to %s %.0f ms after it was told off", endpoint, at-since)
+			k.report(3, c.id, "setup to %s %.0f ms after the gateway was told that it drains or is gone", endpoint, at-since)
 		}
 		if at < c.holdOffUntil {
-			k.report(5, c.id, "set-up %.1f ms before the clear wait was over", c.holdOffUntil-at)
+			k.report(5, c.id, "setup %.1f ms before the hold-off was over", c.holdOffUntil-at)
 		}
 		c.inFlight = &attempt{endpoint, conn}
 		c.attempts = append(c.attempts, c.inFlight)
@@ -204,7 +207,7 @@
 		if !c.established || c.attempts[len(c.attempts)-1].endpoint != endpoint || c.endedAt <= at {
 			return
 		}
-		if c.finalAnswer == 0 { // the answer crossed the giving up
+		if c.finalAnswer == 0 { // the answer and this release crossed
 			c.established, c.holdOffUntil = false, at+k.Rules.HoldOff
 			return
 		}
@@ -213,7 +216,7 @@
 	}
 }
 
-// OnEndpointMessage is a message of a switch that the gateway read.
+// OnEndpointMessage reports a message of a switch that the gateway read.
 func (k *Checker) OnEndpointMessage(at float64, endpoint string, conn int, m binarymessage.Message) {
 	k.now = at
 	c := k.calls[m.Call()]
@@ -242,7 +245,7 @@
 	}
 }
 
-// OnConnClosed takes the end of a connection to an endpoint, from either side: its attempts have ended too.
+// OnConnClosed reports that either side closed a connection to a switch; its attempts have ended too.
 func (k *Checker) OnConnClosed(at float64, endpoint string, conn int) {
 	k.now = at
 	for _, c := range k.calls {
@@ -253,7 +256,7 @@
 	}
 }
 
-// OnEndpointDied takes the end of an endpoint without any message: its calls have ended with it.
+// OnEndpointDied reports that a switch ended without any message; its calls have ended too.
 func (k *Checker) OnEndpointDied(at float64, endpoint string) {
 	for _, c := range k.calls {
 		if c.established && c.attempts[len(c.attempts)-1].endpoint == endpoint && c.endedAt > at {
@@ -262,7 +265,7 @@
 	}
 }
 
-// Finish judges what can be judged only at the end.
+// Finish checks what can be checked only at the end.
 func (k *Checker) Finish(at float64) {
 	k.now = at
 	ids := make([]uint64, 0, len(k.calls))
@@ -273,11 +276,11 @@
 	for _, id := range ids {
 		c := k.calls[id]
 		if c.finalAnswer == 0 && !c.callerGone && at > c.deadline+k.Rules.AnswerGrace {
-			k.report(1, id, "never answered")
+			k.report(1, id, "no final answer")
 		}
 		if c.finalAnswer == binarymessage.Answer && !c.released && !c.callerGone && k.clientConnected &&
 			at > math.Max(c.endedAt, k.connectedSince)+k.Rules.ReleaseWithin {
-			k.report(6, id, "was over at %.0f ms, and its caller was not told", c.endedAt)
+			k.report(6, id, "ended at %.0f ms, but was not released towards its caller", c.endedAt)
 		}
 	}
 }
--- a/internal/conformance/binaryconformance/checker_test.go
+++ b/internal/conformance/binaryconformance/checker_test.go
@@ -6,7 +6,7 @@
 	"cobaltpier/internal/protocol/binarymessage"
 )
 
-// traffic is traffic made by hand.
+// traffic reports events of call 7 to a checker, at a time that wait advances.
 type traffic struct {
 	*Checker
 	at float64
@@ -69,34 +69,35 @@
 	return t
 }
 
-// Traffic that keeps the rules is found good, and each way to break one is found.
-func TestJudge(t *testing.T) {
+// TestFindings checks that traffic that keeps the rules has no findings, and that each way to break one is found.
+func TestFindings(t *testing.T) {
 	for name, c := range map[string]struct {
 		traffic *traffic
 		want    int
 	}{
-		"a call": {begin().setup().attempt("a", 1).wait(50).answered("a", 1).answer().wait(500).
+		"an established call": {begin().setup().attempt("a", 1).wait(50).answered("a", 1).answer().wait(500).
 			released("a", 1, binarymessage.Normal).release(), 0},
-		"refused": {begin().setup().release(), 0},
-		"tried twice": {begin().setup().attempt("a", 1).released("a", 1, binarymessage.NoCircuit).attempt("b", 2).
-			answered("b", 2).answer().released("b", 2, binarymessage.Normal).release(), 0},
-		"the clear wait kept": {begin().setup().attempt("a", 1).cancel("a", 1).wait(500).attempt("b", 2).
+		"rejected": {begin().setup().release(), 0},
+		"a second attempt": {begin().setup().attempt("a", 1).released("a", 1, binarymessage.NoCircuit).
+			attempt("b", 2).answered("b", 2).answer().released("b", 2, binarymessage.Normal).release(), 0},
+		"an attempt after the hold-off": {begin().setup().attempt("a", 1).cancel("a", 1).wait(500).attempt("b", 2).
 			released("b", 2, binarymessage.Fault).release(), 0},
 		"never answered":            {begin().setup().wait(3000), 1},
 		"answered late":             {begin().setup().wait(2051).release(), 1},
 		"answered twice":            {begin().setup().release().release(), 1},
-		"served without a switch":   {begin().setup().answer(), 1},
-		"a set-up after the answer": {begin().setup().release().attempt("a", 1), 1},
+		"answered without a switch": {begin().setup().answer(), 1},
+		"a setup after the answer":  {begin().setup().release().attempt("a", 1), 1},
 		"released twice": {begin().setup().attempt("a", 1).answered("a", 1).answer().
 			released("a", 1, binarymessage.Normal).release().release(), 1},
-		"a set-up nobody sent": {begin().attempt("a", 1), 1},
-		"two rings": {begin().setup().attempt("a", 1).attempt("b", 2).cancel("a", 1).cancel("b", 2).
+		"a setup of an unknown call": {begin().attempt("a", 1), 1},
+		"two attempts in flight": {begin().setup().attempt("a", 1).attempt("b", 2).cancel("a", 1).cancel("b", 2).
 			release(), 2},
-		"the clear wait not kept": {begin().setup().attempt("a", 1).cancel("a", 1).wait(499).attempt("b", 2).
+		"an attempt within the hold-off": {begin().setup().attempt("a", 1).cancel("a", 1).wait(499).attempt("b", 2).
 			released("b", 2, binarymessage.Fault).release(), 5},
-		"the same after a reset": {begin().setup().attempt("a", 1).released("a", 1, binarymessage.Failure).
-			wait(499).attempt("b", 2).released("b", 2, binarymessage.Fault).release(), 5},
-		"over, and nobody told": {begin().setup().attempt("a", 1).answered("a", 1).answer().
+		"an attempt within the hold-off after a reset": {begin().setup().attempt("a", 1).
+			released("a", 1, binarymessage.Failure).wait(499).attempt("b", 2).released("b", 2, binarymessage.Fault).
+			release(), 5},
+		"ended, and the caller not told": {begin().setup().attempt("a", 1).answered("a", 1).answer().
 			released("a", 1, binarymessage.Normal).wait(2000), 6},
 	} {
 		c.traffic.Finish(c.traffic.at)
@@ -104,31 +105,31 @@
 			t.Errorf("%s: found %v, want rule %d", name, got, c.want)
 		}
 	}
-	// what lies between them: lines, drains, deaths
+	// events other than messages: draining, closed connections, switches that end
 	drain := begin()
 	drain.OnEndpointState(0, "a", false)
 	drain.setup().wait(251).attempt("a", 1)
 	if len(drain.Findings) != 1 || drain.Findings[0].Rule != 3 {
-		t.Errorf("a drain: %v", drain.Findings)
+		t.Errorf("a draining switch: %v", drain.Findings)
 	}
 	lost := begin().setup().attempt("a", 1)
 	lost.OnConnClosed(lost.at, "a", 1)
 	lost.wait(100).attempt("b", 2)
 	if len(lost.Findings) != 1 || lost.Findings[0].Rule != 5 {
-		t.Errorf("a line that ended: %v", lost.Findings)
+		t.Errorf("a closed connection: %v", lost.Findings)
 	}
 	died := begin().setup().attempt("a", 1).answered("a", 1).answer()
 	died.OnEndpointDied(died.at, "a")
 	late := begin().setup().attempt("a", 1).answered("a", 1).answer().released("a", 1, binarymessage.Normal).
 		wait(1100).release()
 	if len(late.Findings) != 1 || late.Findings[0].Rule != 6 {
-		t.Errorf("told late: %v", late.Findings)
+		t.Errorf("a late release: %v", late.Findings)
 	}
 	died.wait(7900).Finish(died.at)
 	if len(died.Findings) > 0 {
-		t.Errorf("it is early: %v", died.Findings)
+		t.Errorf("a switch that died, before the limit: %v", died.Findings)
 	}
 	if died.wait(200).Finish(died.at); len(died.Findings) != 1 || died.Findings[0].Rule != 6 {
-		t.Errorf("a switch that died: %v", died.Findings)
+		t.Errorf("a switch that died, after the limit: %v", died.Findings)
 	}
 }
--- a/internal/conformance/capture/capture.go
+++ b/internal/conformance/capture/capture.go
@@ -1,5 +1,5 @@
-// Package capture writes and reads the record of a run: what crossed the gateways' sockets and what was done around
-// them, as api/capture.proto has it.
+// Package capture writes and reads the capture of a run: the datagrams at the gateways' sockets and what happened
+// around them, in the format of api/capture.proto.
 package capture
 
 //tally:standin
@@ -16,23 +16,23 @@
 	"cobaltpier/api"
 )
 
-// Writer appends records to a file.
+// Writer writes records to a file.
 type Writer struct {
 	w   *bufio.Writer
 	err error
 }
 
-// NewWriter writes to w; the caller closes what is behind it after Flush.
+// NewWriter returns a writer to w. The caller closes w after Flush.
 func NewWriter(w io.Writer) *Writer { return &Writer{w: bufio.NewWriterSize(w, 1<<18)} }
 
-// Add appends a record. The first fault sticks and comes back from Flush.
+// Add appends a record. Flush returns the first error.
 func (w *Writer) Add(r *api.Record) {
 	if w.err == nil {
 		_, w.err = protodelim.MarshalTo(w.w, r)
 	}
 }
 
-// Flush writes what waits.
+// Flush writes the buffered records.
 func (w *Writer) Flush() error {
 	if w.err == nil {
 		w.err = w.w.Flush()
@@ -43,7 +43,8 @@
 	return nil
 }
 
-// Read calls do with each record. A file that was cut short is read up to there; the error names the record.
+// Read calls do for each record. If the file is truncated, do gets the complete records before the error, which
+// names the incomplete one.
 func Read(r io.Reader, do func(*api.Record) error) error {
 	rd := bufio.NewReaderSize(r, 1<<18)
 	for n := 1; ; n++ {
@@ -61,7 +62,8 @@
 	}
 }
 
-// Text is a record as a person reads it: one line, or all of a SIP message where whole is set.
+// Text formats a record for people: one line, or the complete SIP message if whole is set. It adds the nodes it
+// sees to names, which maps addresses to names.
 func Text(r *api.Record, names map[string]string, whole bool) string {
 	name := func(a string) string {
 		if n := names[a]; n != "" {
