--- a/internal/gateway/simadapter/codec.go
+++ b/internal/gateway/simadapter/codec.go
@@ -15,23 +15,23 @@
 
 // inputLine is one line of the wire, read part by part. The first error is kept.
 type inputLine struct {
-	number   int
-	kind     string
-	parts    []string
-	position int
-	err      error
+	lineNumber int
+	kind       string
+	parts      []string
+	position   int
+	err        error
 }
 
-func (l *inputLine) fault(name, want, got string) {
+func (l *inputLine) fail(name, want, got string) {
 	if l.err == nil {
-		l.err = fmt.Errorf("line %d: %s: %s: want %s, got %q", l.number, l.kind, name, want, got)
+		l.err = fmt.Errorf("line %d: %s: %s: want %s, got %q", l.lineNumber, l.kind, name, want, got)
 	}
 }
 
 // text gives the next part; "-" is the absent one and comes back as "".
 func (l *inputLine) text(name string) string {
 	if l.position >= len(l.parts) {
-		l.fault(name, "a value", "end of line")
+		l.fail(name, "a value", "end of line")
 		return ""
 	}
 	s := l.parts[l.position]
@@ -43,14 +43,14 @@
 }
 
 // float gives a number, or absent where there is none.
-func (l *inputLine) float(name string, absent float64) float64 {
+func (l *inputLine) float(name string, absentValue float64) float64 {
 	s := l.text(name)
 	if s == "" {
-		return absent
+		return absentValue
 	}
 	f, err := strconv.ParseFloat(s, 64)
 	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) {
-		l.fault(name, "a number", s)
+		l.fail(name, "a number", s)
 	}
 	return f
 }
@@ -60,7 +60,7 @@
 	s := l.text(name)
 	v, err := strconv.ParseInt(s, 10, 64)
 	if err != nil || v < lo || v > hi {
-		l.fault(name, fmt.Sprintf("a whole number from %d to %d", lo, hi), s)
+		l.fail(name, fmt.Sprintf("a whole number from %d to %d", lo, hi), s)
 		return lo
 	}
 	return v
@@ -69,7 +69,7 @@
 func (l *inputLine) flag(name string) bool {
 	s := l.text(name)
 	if s != "" && s != "0" && s != "1" {
-		l.fault(name, "1 or 0", s)
+		l.fail(name, "1 or 0", s)
 	}
 	return s == "1"
 }
@@ -78,23 +78,23 @@
 	s := l.text(name)
 	b, err := hex.DecodeString(s)
 	if err != nil {
-		l.fault(name, "hex digits", s)
+		l.fail(name, "hex digits", s)
 	}
 	return b
 }
 
-func (l *inputLine) outcome(name string, of map[string]routing.Outcome) routing.Outcome {
+func (l *inputLine) outcome(name string, codes map[string]routing.Outcome) routing.Outcome {
 	s := l.text(name)
-	e, ok := of[s]
+	outcome, ok := codes[s]
 	if !ok {
-		l.fault(name, "an outcome code", s)
+		l.fail(name, "an outcome code", s)
 	}
-	return e
+	return outcome
 }
 
 func (l *inputLine) finish() error {
 	if l.err == nil && l.position < len(l.parts) {
-		l.fault("end of line", fmt.Sprintf("%d values", l.position), strings.Join(l.parts[l.position:], " "))
+		l.fail("end of line", fmt.Sprintf("%d values", l.position), strings.Join(l.parts[l.position:], " "))
 	}
 	return l.err
 }
@@ -107,29 +107,29 @@
 
 // loadReport reads a load report over an older one; it tells whether figures of the processor came. Values that are
 // absent or negative leave the older figure.
-func (l *inputLine) loadReport(fields []string, into *routing.LoadReport) bool {
+func (l *inputLine) loadReport(fields []string, report *routing.LoadReport) bool {
 	s := l.text("telemetry")
 	if s == "" {
 		return false
 	}
-	row := strings.Split(s, ",")
-	if len(row) < len(fields) {
-		l.fault("telemetry", fmt.Sprintf("%d values", len(fields)), s)
+	values := strings.Split(s, ",")
+	if len(values) < len(fields) {
+		l.fail("telemetry", fmt.Sprintf("%d values", len(fields)), s)
 		return false
 	}
-	full := false
+	complete := false
 	for i, f := range fields {
-		if row[i] == "" || row[i] == "-" {
+		if values[i] == "" || values[i] == "-" {
 			continue
 		}
-		v, err := strconv.ParseFloat(row[i], 64)
+		v, err := strconv.ParseFloat(values[i], 64)
 		if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-			l.fault("telemetry", "numbers", s)
+			l.fail("telemetry", "numbers", s)
 			return false
 		}
-		if deployment.SetLoadReportField(into, f, v) {
-			full = true
+		if deployment.SetLoadReportField(report, f, v) {
+			complete = true
 		}
 	}
-	return full
+	return complete
 }
--- a/internal/gateway/simadapter/events.go
+++ b/internal/gateway/simadapter/events.go
@@ -52,26 +52,26 @@
 	noteNumberBusy = 4
 )
 
-// event hands an event to its instance. A panic of the policy goes out as a crash of the instance.
-func (p *process) event(line *inputLine, text string) (err error) {
+// handleEvent hands an event to its instance. A panic of the policy goes out as a crash of the instance.
+func (p *process) handleEvent(line *inputLine, text string) (err error) {
 	name := line.text("gatewayId")
 	if !strings.HasPrefix(name, gatewayPrefix) && line.err == nil {
-		line.fault("gatewayId", "gateway- and a number", name)
+		line.fail("gatewayId", "gateway- and a number", name)
 	}
 	if line.err != nil {
 		return line.err
 	}
 	defer func() {
 		if cause := recover(); cause != nil {
-			p.crash(name, cause)
+			p.reportCrash(name, cause)
 		}
 	}()
 	if line.kind == eventCreate {
-		return p.create(line, name, text)
+		return p.onCreate(line, name, text)
 	}
 	handle, known := handlers[line.kind]
 	if !known {
-		return fmt.Errorf("line %d: want an event of the wire, got %q", line.number, line.kind)
+		return fmt.Errorf("line %d: want an event of the wire, got %q", line.lineNumber, line.kind)
 	}
 	in := p.instances[name]
 	if in == nil { // it has been halted: events on their way are allowed
@@ -84,27 +84,27 @@
 	return handle(p, in, line)
 }
 
-func (p *process) crash(name string, cause any) {
+func (p *process) reportCrash(name string, cause any) {
 	stack := strings.Join(strings.Fields(string(debug.Stack())), " ")
 	stack = stack[:min(len(stack), maxStackLength)]
 	(&instance{name: name, out: p.out}).send(actionCrash, fmt.Sprintf("%v at %s", cause, stack))
 	delete(p.instances, name)
 }
 
-func (p *process) create(line *inputLine, name, text string) error {
+func (p *process) onCreate(line *inputLine, name, text string) error {
 	seed, err := strconv.ParseUint(line.text("rngSeed"), 10, 64)
 	if err != nil {
-		line.fault("rngSeed", "a whole number", fmt.Sprint(err))
+		line.fail("rngSeed", "a whole number", fmt.Sprint(err))
 		return line.err
 	}
 	parts := strings.SplitN(text, separator, 4)
 	if len(parts) < 4 {
-		line.fault("params", "a JSON object", "end of line")
+		line.fail("params", "a JSON object", "end of line")
 		return line.err
 	}
 	settings, fields, err := deployment.Decode([]byte(parts[3]), seed)
 	if err != nil {
-		return fmt.Errorf("line %d: create: params: %w", line.number, err)
+		return fmt.Errorf("line %d: create: params: %w", line.lineNumber, err)
 	}
 	in := &instance{
 		name:      name,
@@ -141,11 +141,11 @@
 	}
 	roster, ok := p.rosters[int64(number)]
 	if !ok {
-		return fmt.Errorf("line %d: peers_known: want the number of a roster sent before, got %v", line.number, number)
+		return fmt.Errorf("line %d: peers_known: want the number of a roster sent before, got %v", line.lineNumber, number)
 	}
 	entries := make([]endpointset.Entry[int64], 0, len(roster))
 	for _, parts := range roster {
-		entry, err := parseEntry(&inputLine{number: line.number, kind: "entry", parts: parts})
+		entry, err := parseEntry(&inputLine{lineNumber: line.lineNumber, kind: "entry", parts: parts})
 		if err != nil {
 			return err
 		}
@@ -172,16 +172,16 @@
 	tracker := &attempts.Tracker{Call: call, ID: line.text("corr")}
 	call.HostData = tracker
 	line.float("cost", 0)
-	left := line.float("left", math.NaN())
+	remaining := line.float("left", math.NaN())
 	className := line.text("tierClass")
 	call.Class = in.classes[className]
 	if call.Class == nil {
-		line.fault("tierClass", "a class of the settings", className)
+		line.fail("tierClass", "a class of the settings", className)
 	}
-	if math.IsNaN(left) && call.Class != nil {
-		left = call.Class.Timeout
+	if math.IsNaN(remaining) && call.Class != nil {
+		remaining = call.Class.Timeout
 	}
-	call.Deadline = p.now + left
+	call.Deadline = p.now + remaining
 	call.CalledNumber = line.text("routeKey")
 	line.flag("mutates")
 	line.float("units", 1)
--- a/internal/gateway/simadapter/process.go
+++ b/internal/gateway/simadapter/process.go
@@ -52,29 +52,29 @@
 		rosters:   map[int64][][]string{},
 	}
 	reader := bufio.NewReaderSize(in, maxLineSize)
-	for number := 1; ; number++ {
+	for lineNumber := 1; ; lineNumber++ {
 		text, err := reader.ReadString('\n')
 		if errors.Is(err, io.EOF) {
 			if text != "" || p.inRound {
-				return fmt.Errorf("line %d: input ends inside a batch: want %q", number, roundEnd)
+				return fmt.Errorf("line %d: input ends inside a batch: want %q", lineNumber, roundEnd)
 			}
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("line %d: %w", number, err)
+			return fmt.Errorf("line %d: %w", lineNumber, err)
 		}
-		if err := p.handleLine(number, strings.TrimSuffix(strings.TrimSuffix(text, "\n"), "\r")); err != nil {
+		if err := p.handleLine(lineNumber, strings.TrimSuffix(strings.TrimSuffix(text, "\n"), "\r")); err != nil {
 			return err
 		}
 	}
 }
 
-func (p *process) handleLine(number int, text string) error {
+func (p *process) handleLine(lineNumber int, text string) error {
 	if text == "" && !p.inRound {
 		return nil // examples have empty lines between rounds
 	}
 	parts := strings.Split(text, separator)
-	line := &inputLine{number: number, kind: parts[0], parts: parts[1:]}
+	line := &inputLine{lineNumber: lineNumber, kind: parts[0], parts: parts[1:]}
 	switch {
 	case p.roster.missing > 0:
 		return p.addRosterEntry(line, text)
@@ -85,17 +85,17 @@
 	case line.kind == "roster":
 		return p.beginRoster(line)
 	}
-	return p.event(line, text)
+	return p.handleEvent(line, text)
 }
 
 func (p *process) beginRound(line *inputLine, text string) error {
 	if line.kind != "round" {
-		return fmt.Errorf("line %d: want \"round\", got %q", line.number, text)
+		return fmt.Errorf("line %d: want \"round\", got %q", line.lineNumber, text)
 	}
 	p.inRound = true
 	p.now = line.float("time", math.NaN())
 	if math.IsNaN(p.now) {
-		line.fault("time", "a number", "-")
+		line.fail("time", "a number", "-")
 	}
 	return line.finish()
 }
@@ -122,7 +122,7 @@
 
 func (p *process) addRosterEntry(line *inputLine, text string) error {
 	if line.kind != "entry" || len(line.parts) < rosterFields {
-		return fmt.Errorf("line %d: want an \"entry\" with %d values, got %q", line.number, rosterFields, text)
+		return fmt.Errorf("line %d: want an \"entry\" with %d values, got %q", line.lineNumber, rosterFields, text)
 	}
 	p.roster.entries = append(p.roster.entries, line.parts)
 	p.roster.missing--
