--- a/internal/gateway/simadapter/codec.go
+++ b/internal/gateway/simadapter/codec.go
@@ -1,5 +1,9 @@
-// Package simadapter hosts routing policies on the wire of the platform's simulator: text lines on standard input and
-// output. It decides nothing itself.
+// Package simadapter hosts routing policies behind the protocol of the platform's simulator: lines of text, with
+// tabs between the values, on standard input and output. It makes no routing decisions.
+//
+// Events arrive in rounds: a line "round" with the time, the events, and a line "eob". The adapter writes the
+// actions of the policies and, at the end of the round, a line "ready". A "roster" is a numbered endpoint list that
+// an event refers to.
 package simadapter
 
 import (
@@ -13,7 +17,7 @@
 	"cobaltpier/internal/routing"
 )
 
-// inputLine is one line of the wire, read part by part. The first error is kept.
+// inputLine is a line of input, read part by part. It keeps the first error.
 type inputLine struct {
 	lineNumber int
 	kind       string
@@ -22,13 +26,14 @@
 	err        error
 }
 
+// fail records that a part is not what was expected, unless there is an error already.
 func (l *inputLine) fail(name, want, got string) {
 	if l.err == nil {
 		l.err = fmt.Errorf("line %d: %s: %s: want %s, got %q", l.lineNumber, l.kind, name, want, got)
 	}
 }
 
-// text gives the next part; "-" is the absent one and comes back as "".
+// text returns the next part, or "" if it is "-", which stands for an absent value.
 func (l *inputLine) text(name string) string {
 	if l.position >= len(l.parts) {
 		l.fail(name, "a value", "end of line")
@@ -42,7 +47,7 @@
 	return s
 }
 
-// float gives a number, or absent where there is none.
+// float returns a number, or absentValue if the value is absent.
 func (l *inputLine) float(name string, absentValue float64) float64 {
 	s := l.text(name)
 	if s == "" {
@@ -55,7 +60,7 @@
 	return f
 }
 
-// integer gives a whole number from lo to hi.
+// integer returns a whole number from lo to hi.
 func (l *inputLine) integer(name string, lo, hi int64) int64 {
 	s := l.text(name)
 	v, err := strconv.ParseInt(s, 10, 64)
@@ -92,6 +97,7 @@
 	return outcome
 }
 
+// finish returns the first error of the line; parts that are left over are an error too.
 func (l *inputLine) finish() error {
 	if l.err == nil && l.position < len(l.parts) {
 		l.fail("end of line", fmt.Sprintf("%d values", l.position), strings.Join(l.parts[l.position:], " "))
@@ -105,8 +111,8 @@
 	"skipped": routing.NotSent,
 }
 
-// loadReport reads a load report over an older one; it tells whether figures of the processor came. Values that are
-// absent or negative leave the older figure.
+// loadReport updates a load report with the values of the next part, which are in the order of fields. It tells
+// whether a figure of the endpoint's processor was set. An absent or negative value leaves the older one.
 func (l *inputLine) loadReport(fields []string, report *routing.LoadReport) bool {
 	s := l.text("telemetry")
 	if s == "" {
--- a/internal/gateway/simadapter/events.go
+++ b/internal/gateway/simadapter/events.go
@@ -13,13 +13,13 @@
 	"cobaltpier/internal/routing"
 )
 
-// Events of the simulator's wire that are told apart before their instance is known.
+// Events that are handled before their instance is looked up.
 const (
 	eventCreate = "create"
 	eventHalt   = "halt"
 )
 
-// handlers are the handlers of all other events.
+// handlers are the handlers of events for an instance.
 var handlers = map[string]func(*process, *instance, *inputLine) error{
 	eventHalt:     (*process).onHalt,
 	"peers_known": (*process).onEndpoints,
@@ -32,7 +32,7 @@
 	"memo":        (*process).onGossip,
 }
 
-// Limits of numbers on the wire.
+// Limits of the numbers in events.
 const (
 	maxEndpointID   = 1<<32 - 1
 	maxAttemptIndex = 1 << 20
@@ -45,14 +45,15 @@
 	scopeNothing = 3
 )
 
-// Notes of an attempt's end: the reason, and above it the ms that the endpoint asks not to be tried.
+// The note of an attempt's end is the reason plus noteReasons times the ms for which the endpoint asks for no
+// attempts.
 const (
 	noteReasons    = 16
 	noteAtCapacity = 1
 	noteNumberBusy = 4
 )
 
-// handleEvent hands an event to its instance. A panic of the policy goes out as a crash of the instance.
+// handleEvent hands an event to its instance. If the policy panics, it reports a crash and removes the instance.
 func (p *process) handleEvent(line *inputLine, text string) (err error) {
 	name := line.text("gatewayId")
 	if !strings.HasPrefix(name, gatewayPrefix) && line.err == nil {
@@ -74,7 +75,7 @@
 		return fmt.Errorf("line %d: want an event of the wire, got %q", line.lineNumber, line.kind)
 	}
 	in := p.instances[name]
-	if in == nil { // it has been halted: events on their way are allowed
+	if in == nil { // it was halted or crashed: events still in transit are ignored
 		if line.kind == eventHalt {
 			return line.finish()
 		}
@@ -84,6 +85,7 @@
 	return handle(p, in, line)
 }
 
+// reportCrash sends the cause and the stack of a panic, and removes the instance.
 func (p *process) reportCrash(name string, cause any) {
 	stack := strings.Join(strings.Fields(string(debug.Stack())), " ")
 	stack = stack[:min(len(stack), maxStackLength)]
--- a/internal/gateway/simadapter/instance.go
+++ b/internal/gateway/simadapter/instance.go
@@ -11,7 +11,7 @@
 	"cobaltpier/internal/routing"
 )
 
-// Actions of a gateway on the simulator's wire.
+// Actions that a gateway sends to the simulator.
 const (
 	actionAttempt = "try"
 	actionReject  = "decline"
@@ -23,22 +23,22 @@
 	actionCrash   = "give_in"
 )
 
-// instance is one gateway: its policy and what the simulator knows it by.
+// instance is one gateway: its policy, and the objects that the simulator refers to by ID or name.
 type instance struct {
 	name      string
 	out       *bufio.Writer
 	now       float64
 	policy    routing.Policy
-	fields    []string // of load reports
+	fields    []string // names of the values of a load report
 	endpoints *endpointset.Set[int64]
 	calls     map[string]*attempts.Tracker
-	timers    map[int64]*routing.Call
+	timers    map[int64]*routing.Call // call of each wake-up
 	lastTimer int64
 	classes   map[string]*routing.Class
 	tenants   map[string]*routing.Tenant
 }
 
-// send writes an action. Errors are reported by the flush at the end of the round.
+// send writes an action. The flush at the end of the round returns errors.
 func (in *instance) send(action string, parts ...string) {
 	line := append([]string{action, in.name}, parts...)
 	_, _ = in.out.WriteString(strings.Join(line, separator) + "\n")
@@ -94,14 +94,14 @@
 	in.send(actionWakeup, formatMillis(at), formatInt(in.lastTimer))
 }
 
-// forget removes a call that has its answer and no attempt left.
+// forget removes a call that has its final answer and no attempt in flight.
 func (in *instance) forget(tracker *attempts.Tracker) {
 	if tracker.Done() {
 		delete(in.calls, tracker.ID)
 	}
 }
 
-// attempt finds the attempt that an event names by its call and its index; nil: it has ended.
+// attempt finds an attempt by its call and its index. The attempt is nil if it has ended or is unknown.
 func (in *instance) attempt(callID string, index int64) (*attempts.Tracker, *routing.Attempt) {
 	tracker := in.calls[callID]
 	if tracker == nil || index >= int64(len(tracker.Log)) {
--- a/internal/gateway/simadapter/process.go
+++ b/internal/gateway/simadapter/process.go
@@ -11,7 +11,7 @@
 	"cobaltpier/internal/routing"
 )
 
-// process is the adapter's process: its instances and the numbered endpoint lists that were sent.
+// process is the state of the adapter: its instances and the endpoint lists that it was sent, by number.
 type process struct {
 	out       *bufio.Writer
 	newPolicy routing.PolicyFactory
@@ -23,10 +23,10 @@
 	roster  rosterInput
 }
 
-// rosterInput is an endpoint list that is being read.
+// rosterInput is the endpoint list that is being read.
 type rosterInput struct {
 	number  int64
-	missing int64 // entries that are still to come
+	missing int64 // entries not yet read
 	entries [][]string
 }
 
@@ -43,7 +43,7 @@
 	maxStackLength = 2000
 )
 
-// Serve answers rounds until the input ends. Errors name the line and what was expected there.
+// Serve handles rounds until the input ends. Errors name the line and what was expected there.
 func Serve(in io.Reader, out io.Writer, newPolicy routing.PolicyFactory) error {
 	p := &process{
 		out:       bufio.NewWriterSize(out, bufferSize),
@@ -71,7 +71,7 @@
 
 func (p *process) handleLine(lineNumber int, text string) error {
 	if text == "" && !p.inRound {
-		return nil // examples have empty lines between rounds
+		return nil // examples of the protocol have empty lines between rounds
 	}
 	parts := strings.Split(text, separator)
 	line := &inputLine{lineNumber: lineNumber, kind: parts[0], parts: parts[1:]}
--- a/internal/gateway/simadapter/simadapter_test.go
+++ b/internal/gateway/simadapter/simadapter_test.go
@@ -9,7 +9,7 @@
 	"cobaltpier/internal/routing"
 )
 
-// recorder is a module that attempts every call at the first endpoint and writes down what it hears.
+// recorder is a policy that attempts every call at the first endpoint and records its events.
 type recorder struct {
 	host      routing.Host
 	settings  *routing.Settings
@@ -64,7 +64,8 @@
 	return r, out.String(), err
 }
 
-func TestGoodLines(t *testing.T) {
+// TestEventsAndActions checks the events that valid input causes at a policy, and the actions that are written.
+func TestEventsAndActions(t *testing.T) {
 	r, out, err := run(t, validStart+"eob\n\nround	20\n"+
 		"knock	gateway-3	00ff	-	240.0	a	num:x	0	1	0	0	-1	0	-	1\n"+
 		"ping_result	gateway-3	7	done	0	5,-1,3\neob\nround	31\ntimer	gateway-3	1\ntimer	gateway-3	99\n"+
@@ -79,7 +80,7 @@
 	want := "pool 0 1 since 0|pool 1 1 since 9.5|a num:x until 240 at true|report true false free 5 util NaN|woken|" +
 		"stood 9.25|told 1 hi|ended 2 false wait 250 util 0.62|left|pool 1 2 since 0|pool 1 2 since 0|pool 0 0 since 0"
 	if got := strings.Join(r.events, "|"); got != want {
-		t.Errorf("heard\n%s\nwant\n%s", got, want)
+		t.Errorf("events\n%s\nwant\n%s", got, want)
 	}
 	if want := "ready\ntry	gateway-3	00ff	7	80.000\nschedule	gateway-3	30.000	1\nready\n" +
 		"memo_to	gateway-3	1	6869\nready\n"; out != want {
@@ -90,7 +91,7 @@
 	}
 }
 
-// Malformed input ends the program with a message that names the line, and nothing stray is written.
+// TestMalformedLines checks that malformed input is an error that names the line, and that nothing is written.
 func TestMalformedLines(t *testing.T) {
 	for in, want := range map[string]string{
 		"rond	1\n":                                   `line 1: want "round"`,
@@ -114,8 +115,8 @@
 	}
 }
 
-// A panic in the policy goes out as a fault that names its cause, and ends that instance alone.
-func TestPanicIsTold(t *testing.T) {
+// TestPanicIsReported checks that a panic in the policy is reported with its cause, and that the process goes on.
+func TestPanicIsReported(t *testing.T) {
 	_, out, err := run(t, validStart+"knock	gateway-3	0	-	1	a	panic	0	1	0	0	-1	0	-	1\neob\n")
 	if err != nil || !strings.HasPrefix(out, "give_in	gateway-3	no such number at ") ||
 		!strings.HasSuffix(out, "\nready\n") {
