--- a/internal/gateway/gatewayconfig/settings.go
+++ b/internal/gateway/gatewayconfig/settings.go
@@ -42,14 +42,14 @@
 
 // Names are what number tables may name here.
 func (s *Config) Names() (n numberplan.Names) {
-	for _, k := range s.Settings.Classes {
-		n.Classes = append(n.Classes, k.Name)
+	for _, class := range s.Settings.Classes {
+		n.Classes = append(n.Classes, class.Name)
 	}
-	for _, c := range s.Settings.Tenants {
-		n.Tenants = append(n.Tenants, c.Name)
+	for _, tenant := range s.Settings.Tenants {
+		n.Tenants = append(n.Tenants, tenant.Name)
 	}
-	for _, g := range s.Groups {
-		n.Groups = append(n.Groups, g.Name)
+	for _, group := range s.Groups {
+		n.Groups = append(n.Groups, group.Name)
 	}
 	return n
 }
@@ -96,58 +96,58 @@
 	s.readRules(b)
 	s.readClasses(b, gateway)
 	s.readTrunkGroups(b)
-	s.numbers(b)
+	s.readNumbers(b)
 	return s, b.Err()
 }
 
-func (s *Config) readGateway(g *hclconfig.Block) {
+func (s *Config) readGateway(gateway *hclconfig.Block) {
 	set := s.Settings
-	s.Name = g.Must("name")
-	s.Address, s.PeerListen = g.Addr("sip"), g.Addr("peer")
-	s.TrunkContext = g.Must("trunk_context")
-	set.Gateways = g.Int("gateways", 1, 1, 100000)
-	set.GatewayIndex = g.Int("number", 0, 0, 99999)
-	set.Seed = uint64(g.Num("seed", 1, 0, 1<<53))
-	s.Tick = g.Ms("tick", 0, 0, 1000)
+	s.Name = gateway.Must("name")
+	s.Address, s.PeerListen = gateway.Addr("sip"), gateway.Addr("peer")
+	s.TrunkContext = gateway.Must("trunk_context")
+	set.Gateways = gateway.Int("gateways", 1, 1, 100000)
+	set.GatewayIndex = gateway.Int("number", 0, 0, 99999)
+	set.Seed = uint64(gateway.Num("seed", 1, 0, 1<<53))
+	s.Tick = gateway.Ms("tick", 0, 0, 1000)
 	set.TickInterval = s.Tick
-	s.AnswerMargin = g.Ms("margin", 30, 0, 60000)
+	s.AnswerMargin = gateway.Ms("margin", 30, 0, 60000)
 	s.LoadShedding = loadshed.Gate{
-		MaxPending:    g.Int("most_held", 20000, 1, 1<<24),
-		RatePerSecond: g.Num("most_rate", 0, 0, 1e6),
+		MaxPending:    gateway.Int("most_held", 20000, 1, 1<<24),
+		RatePerSecond: gateway.Num("most_rate", 0, 0, 1e6),
 	}
-	s.QueueSize = g.Int("queue", 8192, 16, 1<<20)
-	s.DrainTimeout = g.Ms("drain_within", 30000, 0, dayMillis)
-	s.DefaultClass = g.Text("default_skill", "")
+	s.QueueSize = gateway.Int("queue", 8192, 16, 1<<20)
+	s.DrainTimeout = gateway.Ms("drain_within", 30000, 0, dayMillis)
+	s.DefaultClass = gateway.Text("default_skill", "")
 	if set.GatewayIndex >= set.Gateways {
-		g.Fault("number", "number: want one below gateways = %d, got %d", set.Gateways, set.GatewayIndex)
+		gateway.Fault("number", "number: want one below gateways = %d, got %d", set.Gateways, set.GatewayIndex)
 	}
-	for _, p := range g.Texts("peers") {
-		a, err := netip.ParseAddrPort(p)
+	for _, p := range gateway.Texts("peers") {
+		addr, err := netip.ParseAddrPort(p)
 		if err != nil {
-			g.Fault("peers", "peers: want addresses such as \"127.0.0.1:5070\", got %q", p)
+			gateway.Fault("peers", "peers: want addresses such as \"127.0.0.1:5070\", got %q", p)
 		}
-		s.Peers = append(s.Peers, a)
+		s.Peers = append(s.Peers, addr)
 	}
 }
 
 func (s *Config) readEndpointListAndLog(b *hclconfig.Block) {
-	l := b.One("list")
-	s.EndpointList = l.Must("addr")
-	o := b.One("log")
-	s.LogLevel = o.Text("level", "info", "debug", "info", "warn", "error")
-	s.LogConsole = o.Text("form", "json", "json", "console") == "console"
+	list := b.One("list")
+	s.EndpointList = list.Must("addr")
+	log := b.One("log")
+	s.LogLevel = log.Text("level", "info", "debug", "info", "warn", "error")
+	s.LogConsole = log.Text("form", "json", "json", "console") == "console"
 }
 
-func (s *Config) readAllowed(b, g *hclconfig.Block) {
+func (s *Config) readAllowed(b, gateway *hclconfig.Block) {
 	set := s.Settings
-	m := b.One("allow")
-	set.MaxAttempts = m.Int("max_rings", 5, 1, 1000)
-	set.ProbeEnabled, set.GossipEnabled = m.Flag("probe", false), m.Flag("tell", len(s.Peers) > 0)
-	set.CancelEnabled, set.RetryAfterEnabled = m.Flag("cancel", true), m.Flag("name_wait", true)
-	set.MaxRetryAfter = m.Ms("max_wait", 2000, 0, dayMillis)
-	set.LoadReportsByProbe = m.Flag("reports_by_probe", false)
+	allow := b.One("allow")
+	set.MaxAttempts = allow.Int("max_rings", 5, 1, 1000)
+	set.ProbeEnabled, set.GossipEnabled = allow.Flag("probe", false), allow.Flag("tell", len(s.Peers) > 0)
+	set.CancelEnabled, set.RetryAfterEnabled = allow.Flag("cancel", true), allow.Flag("name_wait", true)
+	set.MaxRetryAfter = allow.Ms("max_wait", 2000, 0, dayMillis)
+	set.LoadReportsByProbe = allow.Flag("reports_by_probe", false)
 	if set.GossipEnabled && len(s.Peers) != set.Gateways {
-		g.Fault(
+		gateway.Fault(
 			"peers",
 			"peers: want the addresses of all %d gateways where allow.tell is set, got %d",
 			set.Gateways,
@@ -158,45 +158,45 @@
 
 func (s *Config) readTimers(b *hclconfig.Block) {
 	set := s.Settings
-	t := b.One("timers")
-	t1 := t.Ms("t1", 500, 10, 60000)
-	s.Times = siptransaction.Timers{T1: t1, T2: t.Ms("t2", 8*t1, 10, 600000), T4: t.Ms("t4", 5000, 10, 600000)}
+	timers := b.One("timers")
+	t1 := timers.Ms("t1", 500, 10, 60000)
+	s.Times = siptransaction.Timers{T1: t1, T2: timers.Ms("t2", 8*t1, 10, 600000), T4: timers.Ms("t4", 5000, 10, 600000)}
 	set.RetransmitInterval = t1
 }
 
 func (s *Config) readRules(b *hclconfig.Block) {
 	set := s.Settings
-	r := b.One("rules")
-	set.AnswerGrace = r.Ms("slack", 20, 0, 10000)
-	set.RetryHoldOff = r.Ms("clear_wait", hclconfig.Required, 0, 60000)
-	set.SlowStartFraction = r.Num("cold_share", hclconfig.Required, 0.001, 1)
-	set.SlowStartDuration = r.Ms("warm_within", hclconfig.Required, 0, dayMillis)
-	set.OverloadFactor = r.Num("tip_multiple", hclconfig.Required, 0, 1000)
-	set.OverloadWindow = r.Ms("tip_time", hclconfig.Required, 1, dayMillis)
+	rules := b.One("rules")
+	set.AnswerGrace = rules.Ms("slack", 20, 0, 10000)
+	set.RetryHoldOff = rules.Ms("clear_wait", hclconfig.Required, 0, 60000)
+	set.SlowStartFraction = rules.Num("cold_share", hclconfig.Required, 0.001, 1)
+	set.SlowStartDuration = rules.Ms("warm_within", hclconfig.Required, 0, dayMillis)
+	set.OverloadFactor = rules.Num("tip_multiple", hclconfig.Required, 0, 1000)
+	set.OverloadWindow = rules.Ms("tip_time", hclconfig.Required, 1, dayMillis)
 }
 
 // readClasses reads the classes and the tenants.
-func (s *Config) readClasses(b, g *hclconfig.Block) {
+func (s *Config) readClasses(b, gateway *hclconfig.Block) {
 	set := s.Settings
-	for _, k := range b.Blocks("skill", 1) {
-		x := &routing.Class{
-			Name:             k.Labels[0],
-			LatencyObjective: k.Ms("target", hclconfig.Required, 1, dayMillis),
-			Timeout:          k.Ms("patience", hclconfig.Required, 1, dayMillis),
-			Weight: k.Num(
+	for _, skill := range b.Blocks("skill", 1) {
+		class := &routing.Class{
+			Name:             skill.Labels[0],
+			LatencyObjective: skill.Ms("target", hclconfig.Required, 1, dayMillis),
+			Timeout:          skill.Ms("patience", hclconfig.Required, 1, dayMillis),
+			Weight: skill.Num(
 				"value",
 				1,
 				0,
 				1e9,
 			),
-			LateWeightFraction: k.Num("late_value", 0, 0, 1),
-			MeanHoldingTime:    k.Ms("hold", 0, 0, dayMillis),
-			Idempotent:         k.Flag("repeat", true),
+			LateWeightFraction: skill.Num("late_value", 0, 0, 1),
+			MeanHoldingTime:    skill.Ms("hold", 0, 0, dayMillis),
+			Idempotent:         skill.Flag("repeat", true),
 		}
-		if x.LatencyObjective > x.Timeout {
-			k.Fault("target", "target: want no more than patience")
+		if class.LatencyObjective > class.Timeout {
+			skill.Fault("target", "target: want no more than patience")
 		}
-		set.Classes = append(set.Classes, x)
+		set.Classes = append(set.Classes, class)
 	}
 	if len(set.Classes) == 0 {
 		b.Fault("", "want at least one skill \"NAME\" { ... }")
@@ -204,113 +204,125 @@
 		s.DefaultClass = set.Classes[0].Name
 	}
 	names := map[string]bool{}
-	for _, k := range set.Classes {
-		names[k.Name] = true
+	for _, class := range set.Classes {
+		names[class.Name] = true
 	}
 	if len(set.Classes) > 0 && !names[s.DefaultClass] {
-		g.Fault("default_skill", "default_skill: want one of the skills, got %q", s.DefaultClass)
+		gateway.Fault("default_skill", "default_skill: want one of the skills, got %q", s.DefaultClass)
 	}
-	for _, c := range b.Blocks("customer", 1) {
-		set.Tenants = append(set.Tenants, &routing.Tenant{Name: c.Labels[0]})
+	for _, customer := range b.Blocks("customer", 1) {
+		set.Tenants = append(set.Tenants, &routing.Tenant{Name: customer.Labels[0]})
 	}
 }
 
 func (s *Config) readTrunkGroups(b *hclconfig.Block) {
-	pools := map[int]string{}
-	for _, x := range b.Blocks("group", 1) {
-		n := b2bua.Group{Name: x.Labels[0], DestinationID: x.Int("pool", -1, 0, 1<<30), Circuits: x.Int("size", -1, 1, 1<<20)}
-		if !x.Has("pool") || !x.Has("size") {
-			x.Fault("", "group %q: want pool and size", n.Name)
+	nameByDestination := map[int]string{}
+	for _, block := range b.Blocks("group", 1) {
+		group := b2bua.Group{
+			Name:          block.Labels[0],
+			DestinationID: block.Int("pool", -1, 0, 1<<30),
+			Circuits:      block.Int("size", -1, 1, 1<<20),
 		}
-		if o := pools[n.DestinationID]; o != "" {
-			x.Fault("pool", "pool %d has a group already, %q", n.DestinationID, o)
+		if !block.Has("pool") || !block.Has("size") {
+			block.Fault("", "group %q: want pool and size", group.Name)
 		}
-		pools[n.DestinationID] = n.Name
-		s.Groups = append(s.Groups, n)
+		if other := nameByDestination[group.DestinationID]; other != "" {
+			block.Fault("pool", "pool %d has a group already, %q", group.DestinationID, other)
+		}
+		nameByDestination[group.DestinationID] = group.Name
+		s.Groups = append(s.Groups, group)
 	}
 	if len(s.Groups) == 0 {
 		b.Fault("", "want at least one group \"NAME\" { pool = ..., size = ... }")
 	}
 }
 
-// numbers reads what concerns numbers.
-func (s *Config) numbers(b *hclconfig.Block) {
-	n, e := b.One("numbers"), b.One("enum")
-	s.Numbers = Numbers{Table: n.Text("table", ""), Store: n.Text("store", ""), Admin: n.Text("admin", ""),
-		Apex: e.Text("apex", ""), Services: e.Texts("services")}
-	s.LookupShare = n.Num("lookup_share", 0.3, 0, 1)
+// readNumbers reads what concerns numbers.
+func (s *Config) readNumbers(b *hclconfig.Block) {
+	numbers, enum := b.One("numbers"), b.One("enum")
+	s.Numbers = Numbers{
+		Table:    numbers.Text("table", ""),
+		Store:    numbers.Text("store", ""),
+		Admin:    numbers.Text("admin", ""),
+		Apex:     enum.Text("apex", ""),
+		Services: enum.Texts("services"),
+	}
+	s.LookupShare = numbers.Num("lookup_share", 0.3, 0, 1)
 	if len(s.Numbers.Services) == 0 {
 		s.Numbers.Services = []string{"pstn:tel"}
 	}
-	r := dnsclient.Config{
-		Ports:      e.Int("ports", 8, 1, 64),
-		MaxLookups: e.Int("most", 1000, 1, 1<<20),
-		Tries:      e.Int("tries", 4, 1, 20),
-		StaleAfter: e.Ms("stale_after", 200, 0, dayMillis),
+	dns := dnsclient.Config{
+		Ports:      enum.Int("ports", 8, 1, 64),
+		MaxLookups: enum.Int("most", 1000, 1, 1<<20),
+		Tries:      enum.Int("tries", 4, 1, 20),
+		StaleAfter: enum.Ms("stale_after", 200, 0, dayMillis),
 	}
-	r.Cache = dnsclient.CacheTimes{
-		MaxEntries: e.Int("keep", 100000, 1, 1<<24),
-		MinTTL:     e.Ms("least", 1000, 0, dayMillis),
-		MaxTTL:     e.Ms("longest", dayMillis, 0, 7*dayMillis),
-		MaxNegativeTTL: e.Ms(
+	dns.Cache = dnsclient.CacheTimes{
+		MaxEntries: enum.Int("keep", 100000, 1, 1<<24),
+		MinTTL:     enum.Ms("least", 1000, 0, dayMillis),
+		MaxTTL:     enum.Ms("longest", dayMillis, 0, 7*dayMillis),
+		MaxNegativeTTL: enum.Ms(
 			"negative",
 			900e3,
 			0,
 			dayMillis,
 		),
-		StaleTime:  e.Ms("stale", 3600e3, 0, 7*dayMillis),
-		FailureTTL: e.Ms("fail", 1000, 0, 300e3),
+		StaleTime:  enum.Ms("stale", 3600e3, 0, 7*dayMillis),
+		FailureTTL: enum.Ms("fail", 1000, 0, 300e3),
 	}
-	for _, a := range e.Texts("servers") {
-		x, err := netip.ParseAddrPort(a)
+	for _, server := range enum.Texts("servers") {
+		addr, err := netip.ParseAddrPort(server)
 		if err != nil {
-			e.Fault("servers", "servers: want addresses such as \"127.0.0.1:5353\", got %q", a)
+			enum.Fault("servers", "servers: want addresses such as \"127.0.0.1:5353\", got %q", server)
 		}
-		r.Servers = append(r.Servers, x)
+		dns.Servers = append(dns.Servers, addr)
 	}
-	if (s.Numbers.Apex == "") != (len(r.Servers) == 0) {
-		e.Fault("servers", "enum: want apex and servers, or neither")
+	if (s.Numbers.Apex == "") != (len(dns.Servers) == 0) {
+		enum.Fault("servers", "enum: want apex and servers, or neither")
 	}
 	if s.Numbers.Apex != "" && !s.Numbers.Enabled() {
-		n.Fault("", "enum: want numbers { table = ... } that asks for something")
+		numbers.Fault("", "enum: want numbers { table = ... } that asks for something")
 	}
-	s.Numbers.DNS = r
-	for _, f := range b.Blocks("front", 0) {
-		s.enumServer(f)
+	s.Numbers.DNS = dns
+	for _, front := range b.Blocks("front", 0) {
+		s.readENUMServer(front)
 	}
 }
 
-// enumServer reads how look-ups are answered.
-func (s *Config) enumServer(f *hclconfig.Block) {
-	c := &s.ENUMServer
-	if c.Listen.IsValid() {
-		f.Fault("", "front: stands here twice")
+// readENUMServer reads how look-ups are answered.
+func (s *Config) readENUMServer(front *hclconfig.Block) {
+	server := &s.ENUMServer
+	if server.Listen.IsValid() {
+		front.Fault("", "front: stands here twice")
 	}
-	c.Listen, c.Apex, c.Context = f.Addr("listen"), f.Must("apex"), s.TrunkContext
-	c.Class = f.Text("skill", s.DefaultClass)
-	c.TTL, c.Negative = uint32(f.Int("ttl", 0, 0, 86400)), uint32(f.Int("negative", 30, 0, 86400))
-	c.Patience, c.Repeat = f.Ms("patience", 3000, 100, 60000), f.Ms("repeat", 5000, 0, 60000)
-	c.MaxConns, c.IdleTimeout = f.Int("streams", 256, 1, 1<<16), f.Ms("stream_idle", 10000, 100, 600000)
-	c.Gain = f.Num("gain", 6, 1, 1000)
-	c.MaxPending, c.Keep = f.Int("most", 2000, 1, 1<<20), f.Int("keep", 10000, 1, 1<<20)
-	c.Limits = enumserver.Limits{
-		Rate:    f.Num("rate", 50, 0, 1e6),
-		Burst:   f.Num("burst", 100, 1, 1e6),
-		Total:   f.Num("total_rate", 0, 0, 1e7),
-		Clients: f.Int("clients", 100000, 2, 1<<24),
+	server.Listen, server.Apex, server.Context = front.Addr("listen"), front.Must("apex"), s.TrunkContext
+	server.Class = front.Text("skill", s.DefaultClass)
+	server.TTL, server.Negative = uint32(front.Int("ttl", 0, 0, 86400)), uint32(front.Int("negative", 30, 0, 86400))
+	server.Patience, server.Repeat = front.Ms("patience", 3000, 100, 60000), front.Ms("repeat", 5000, 0, 60000)
+	server.MaxConns, server.IdleTimeout = front.Int("streams", 256, 1, 1<<16), front.Ms("stream_idle", 10000, 100, 600000)
+	server.Gain = front.Num("gain", 6, 1, 1000)
+	server.MaxPending, server.Keep = front.Int("most", 2000, 1, 1<<20), front.Int("keep", 10000, 1, 1<<20)
+	server.Limits = enumserver.Limits{
+		Rate:    front.Num("rate", 50, 0, 1e6),
+		Burst:   front.Num("burst", 100, 1, 1e6),
+		Total:   front.Num("total_rate", 0, 0, 1e7),
+		Clients: front.Int("clients", 100000, 2, 1<<24),
 	}
-	for _, n := range f.Blocks("client", 1) {
-		p, err := netip.ParsePrefix(n.Labels[0])
+	for _, client := range front.Blocks("client", 1) {
+		prefix, err := netip.ParsePrefix(client.Labels[0])
 		if err != nil {
-			n.Fault("", "client %q: want a network such as \"10.1.0.0/16\"", n.Labels[0])
+			client.Fault("", "client %q: want a network such as \"10.1.0.0/16\"", client.Labels[0])
 		}
-		c.Limits.Nets = append(c.Limits.Nets, enumserver.Net{Prefix: p, Rate: n.Num("rate", hclconfig.Required, 0, 1e6)})
+		server.Limits.Nets = append(
+			server.Limits.Nets,
+			enumserver.Net{Prefix: prefix, Rate: client.Num("rate", hclconfig.Required, 0, 1e6)},
+		)
 	}
 	known := false
-	for _, k := range s.Settings.Classes {
-		known = known || k.Name == c.Class
+	for _, class := range s.Settings.Classes {
+		known = known || class.Name == server.Class
 	}
 	if !known {
-		f.Fault("skill", "skill: want one of the skills, got %q", c.Class)
+		front.Fault("skill", "skill: want one of the skills, got %q", server.Class)
 	}
 }
--- a/internal/gateway/gatewayconfig/settings_test.go
+++ b/internal/gateway/gatewayconfig/settings_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-const good = `gateway {
+const validConfig = `gateway {
   name = "e"
   sip = "127.0.0.1:5060"
   peer = "127.0.0.1:5070"
@@ -35,7 +35,7 @@
 `
 
 func TestGoodSettings(t *testing.T) {
-	s, err := Parse("edge.hcl", []byte(good))
+	s, err := Parse("edge.hcl", []byte(validConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,7 +48,7 @@
 	}
 }
 
-const more = `numbers {
+const numbersConfig = `numbers {
   table = "t.hcl"
 }
 enum {
@@ -65,7 +65,7 @@
 `
 
 func TestNumbers(t *testing.T) {
-	s, err := Parse("edge.hcl", []byte(good+more))
+	s, err := Parse("edge.hcl", []byte(validConfig+numbersConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,8 +91,8 @@
 		{`numbers {`, `numbers {
   lookup_share = 2`, `edge.hcl:29: lookup_share: want a number from 0 to 1`},
 	} {
-		text := strings.Replace(good+more, x.from, x.to, 1)
-		if text == good+more {
+		text := strings.Replace(validConfig+numbersConfig, x.from, x.to, 1)
+		if text == validConfig+numbersConfig {
 			t.Fatalf("%q is not in the settings", x.from)
 		}
 		if _, err := Parse("edge.hcl", []byte(text)); err == nil || !strings.Contains(err.Error(), x.want) {
@@ -132,7 +132,7 @@
   size = 1
 }`, `edge.hcl:29: pool 0 has a group already, "TG-0"`},
 	} {
-		text := strings.Replace(good, x.from, x.to, 1)
+		text := strings.Replace(validConfig, x.from, x.to, 1)
 		if _, err := Parse("edge.hcl", []byte(text)); err == nil || !strings.Contains(err.Error(), x.want) {
 			t.Errorf("%q: error\n%v\nwant\n%s", x.to, err, x.want)
 		}
@@ -144,7 +144,7 @@
 
 // No text makes the reader fall.
 func FuzzParse(f *testing.F) {
-	f.Add(good)
+	f.Add(validConfig)
 	f.Add("gateway {")
 	f.Add("gateway {\n number = -1e999\n peers = [1, null]\n}\nskill \"a\" {\n target = null\n}")
 	f.Fuzz(func(t *testing.T, text string) { _, _ = Parse("f", []byte(text)) })
--- a/internal/gateway/grpcdiscovery/listing.go
+++ b/internal/gateway/grpcdiscovery/follow.go
@@ -40,31 +40,31 @@
 	}
 	defer conn.Close()
 	client := api.NewPoolListClient(conn)
-	var have uint64
-	wait := initialBackoff
+	var version uint64
+	backoff := initialBackoff
 	for ctx.Err() == nil {
-		stream, err := client.Follow(ctx, &api.FollowRequest{Gateway: gateway, Have: have}, grpc.WaitForReady(true))
+		stream, err := client.Follow(ctx, &api.FollowRequest{Gateway: gateway, Have: version}, grpc.WaitForReady(true))
 		for first := true; err == nil; first = false {
-			var u *api.Update
-			if u, err = stream.Recv(); err != nil {
+			var update *api.Update
+			if update, err = stream.Recv(); err != nil {
 				break
 			}
 			if first {
-				wait = initialBackoff
+				backoff = initialBackoff
 				if onState != nil {
 					onState(true, nil)
 				}
 			}
-			if !u.Whole && u.Version <= have {
+			if !update.Whole && update.Version <= version {
 				continue // had already
 			}
-			if !u.Whole && u.Version != have+1 { // one is missing: ask for the whole list
-				err = fmt.Errorf("update %d came after %d", u.Version, have)
-				have = 0
+			if !update.Whole && update.Version != version+1 { // one is missing: ask for the whole list
+				err = fmt.Errorf("update %d came after %d", update.Version, version)
+				version = 0
 				break
 			}
-			have = u.Version
-			onUpdate(u)
+			version = update.Version
+			onUpdate(update)
 		}
 		if ctx.Err() != nil {
 			break
@@ -74,29 +74,34 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(wait/2 + time.Duration(rand.Int64N(int64(wait/2)))):
+		case <-time.After(backoff/2 + time.Duration(rand.Int64N(int64(backoff/2)))):
 		}
-		wait = min(2*wait, maxBackoff)
+		backoff = min(2*backoff, maxBackoff)
 	}
 	return nil
 }
 
 // Entries turns a list from the wire into a gateway's; at is when it came, on the agent's clock. Lines without an id or
 // with an address that is none are passed over.
-func Entries(u *api.Update, at float64) []b2bua.ListEntry {
-	var of []b2bua.ListEntry
-	for _, m := range u.Members {
-		a, err := netip.ParseAddrPort(m.Addr)
-		if err != nil || m.Id == "" || m.State < api.State_GONE || m.State > api.State_DRAINING {
+func Entries(update *api.Update, receivedAt float64) []b2bua.ListEntry {
+	var entries []b2bua.ListEntry
+	for _, member := range update.Members {
+		addr, err := netip.ParseAddrPort(member.Addr)
+		if err != nil || member.Id == "" || member.State < api.State_GONE || member.State > api.State_DRAINING {
 			continue
 		}
-		e := b2bua.ListEntry{ID: m.Id, DestinationID: int(m.Number), State: statesByProto[m.State], Addr: a}
-		if m.AgeMs >= 0 && !math.IsInf(m.AgeMs, 1) {
-			e.StartedAt = math.Max(1e-3, at-m.AgeMs)
+		entry := b2bua.ListEntry{
+			ID:            member.Id,
+			DestinationID: int(member.Number),
+			State:         statesByProto[member.State],
+			Addr:          addr,
 		}
-		of = append(of, e)
+		if member.AgeMs >= 0 && !math.IsInf(member.AgeMs, 1) {
+			entry.StartedAt = math.Max(1e-3, receivedAt-member.AgeMs)
+		}
+		entries = append(entries, entry)
 	}
-	return of
+	return entries
 }
 
 var statesByProto = map[api.State]routing.State{
--- a/internal/hclconfig/conf.go
+++ b/internal/hclconfig/conf.go
@@ -16,19 +16,19 @@
 
 // File is one file of settings.
 type File struct {
-	diags hcl.Diagnostics
-	src   *hcl.File
-	all   []*Block
+	diags  hcl.Diagnostics
+	src    *hcl.File
+	blocks []*Block
 }
 
 // Block is a block, or a file's top.
 type Block struct {
-	file   *File
-	body   *hclsyntax.Body
-	name   string
-	Labels []string
-	at     hcl.Range
-	asked  map[string]bool
+	file      *File
+	body      *hclsyntax.Body
+	name      string
+	Labels    []string
+	location  hcl.Range
+	requested map[string]bool
 }
 
 // Required as a default says that a value must be there.
@@ -41,9 +41,9 @@
 	if diags.HasErrors() {
 		return nil, f.err()
 	}
-	b := &Block{file: f, body: file.Body.(*hclsyntax.Body), asked: map[string]bool{},
-		at: hcl.Range{Filename: name, Start: hcl.InitialPos, End: hcl.InitialPos}}
-	f.all = append(f.all, b)
+	b := &Block{file: f, body: file.Body.(*hclsyntax.Body), requested: map[string]bool{},
+		location: hcl.Range{Filename: name, Start: hcl.InitialPos, End: hcl.InitialPos}}
+	f.blocks = append(f.blocks, b)
 	return b, nil
 }
 
@@ -69,34 +69,34 @@
 // Err tells all faults, after everything was asked for: also what nobody asked for.
 func (b *Block) Err() error {
 	f := b.file
-	for _, b := range f.all {
+	for _, b := range f.blocks {
 		for name, a := range b.body.Attributes {
-			if !b.asked[name] {
-				b.fault(a.NameRange, "unknown key %q; known here: %s", name, b.known())
+			if !b.requested[name] {
+				b.addError(a.NameRange, "unknown key %q; known here: %s", name, b.requestedNames())
 			}
 		}
 		for _, c := range b.body.Blocks {
-			if !b.asked["{"+c.Type] {
-				b.fault(c.TypeRange, "unknown block %q; known here: %s", c.Type, b.known())
+			if !b.requested["{"+c.Type] {
+				b.addError(c.TypeRange, "unknown block %q; known here: %s", c.Type, b.requestedNames())
 			}
 		}
-		b.asked = map[string]bool{}
+		b.requested = map[string]bool{}
 		b.body = &hclsyntax.Body{}
 	}
 	sortDiags(f.diags)
 	return f.err()
 }
 
-func (b *Block) known() string {
+func (b *Block) requestedNames() string {
 	var names []string
-	for n := range b.asked {
+	for n := range b.requested {
 		names = append(names, strings.TrimPrefix(n, "{"))
 	}
 	sortStrings(names)
 	return strings.Join(names, ", ")
 }
 
-func (b *Block) fault(at hcl.Range, format string, args ...any) {
+func (b *Block) addError(at hcl.Range, format string, args ...any) {
 	b.file.diags = append(
 		b.file.diags,
 		&hcl.Diagnostic{Severity: hcl.DiagError, Summary: fmt.Sprintf(format, args...), Subject: &at},
@@ -105,21 +105,21 @@
 
 // Fault adds a fault of the value of a name, or of the block where that is not there.
 func (b *Block) Fault(name, format string, args ...any) {
-	at := b.at
+	at := b.location
 	if a := b.body.Attributes[name]; a != nil {
 		at = a.Expr.Range()
 	}
-	b.fault(at, format, args...)
+	b.addError(at, format, args...)
 }
 
 // Has tells whether a value is there.
 func (b *Block) Has(name string) bool {
-	b.asked[name] = true
+	b.requested[name] = true
 	return b.body.Attributes[name] != nil
 }
 
 func (b *Block) value(name string) (cty.Value, bool) {
-	b.asked[name] = true
+	b.requested[name] = true
 	a := b.body.Attributes[name]
 	if a == nil {
 		return cty.NilVal, false
@@ -135,9 +135,9 @@
 	return v, true
 }
 
-func (b *Block) missing(name, want string) {
+func (b *Block) addMissing(name, want string) {
 	if b.body.Attributes[name] == nil {
-		b.fault(b.at, "%s: want %s = %s", b.name, name, want)
+		b.addError(b.location, "%s: want %s = %s", b.name, name, want)
 	}
 }
 
@@ -146,7 +146,7 @@
 	v, ok := b.value(name)
 	if !ok {
 		if math.IsNaN(def) {
-			b.missing(name, fmt.Sprintf("a number from %g to %g", lo, hi))
+			b.addMissing(name, fmt.Sprintf("a number from %g to %g", lo, hi))
 		}
 		return def
 	}
@@ -175,10 +175,10 @@
 // Ms is a duration such as "250ms" or "2s", as milliseconds.
 func (b *Block) Ms(name string, def, lo, hi float64) float64 {
 	v, ok := b.value(name)
-	want := fmt.Sprintf("a duration from %q to %q", text(lo), text(hi))
+	want := fmt.Sprintf("a duration from %q to %q", formatMillis(lo), formatMillis(hi))
 	if !ok {
 		if math.IsNaN(def) {
-			b.missing(name, want)
+			b.addMissing(name, want)
 		}
 		return def
 	}
@@ -195,10 +195,10 @@
 	return ms
 }
 
-func text(ms float64) string { return time.Duration(ms * 1e6).String() }
+func formatMillis(ms float64) string { return time.Duration(ms * 1e6).String() }
 
 // Text is a string; of: the only ones that are allowed, if any are named.
-func (b *Block) Text(name, def string, of ...string) string {
+func (b *Block) Text(name, def string, allowed ...string) string {
 	v, ok := b.value(name)
 	if !ok {
 		return def
@@ -208,13 +208,13 @@
 		return def
 	}
 	s := v.AsString()
-	for _, o := range of {
-		if s == o {
+	for _, a := range allowed {
+		if s == a {
 			return s
 		}
 	}
-	if len(of) > 0 {
-		b.Fault(name, "%s: want one of %s, got %q", name, strings.Join(of, ", "), s)
+	if len(allowed) > 0 {
+		b.Fault(name, "%s: want one of %s, got %q", name, strings.Join(allowed, ", "), s)
 		return def
 	}
 	return s
@@ -227,7 +227,7 @@
 		if b.Has(name) {
 			b.Fault(name, "%s: want a string that is not empty", name)
 		} else {
-			b.missing(name, "a string")
+			b.addMissing(name, "a string")
 		}
 	}
 	return s
@@ -265,16 +265,16 @@
 	if !ok {
 		return nil
 	}
-	var of []string
+	var values []string
 	if v.Type().IsTupleType() || v.Type().IsListType() {
 		for _, e := range v.AsValueSlice() {
 			if e.Type() != cty.String {
 				b.Fault(name, "%s: want a list of strings", name)
 				return nil
 			}
-			of = append(of, e.AsString())
+			values = append(values, e.AsString())
 		}
-		return of
+		return values
 	}
 	b.Fault(name, "%s: want a list of strings", name)
 	return nil
@@ -304,33 +304,40 @@
 
 // Blocks are the blocks of a type, each with so many labels.
 func (b *Block) Blocks(kind string, labels int) []*Block {
-	b.asked["{"+kind] = true
-	var of []*Block
+	b.requested["{"+kind] = true
+	var found []*Block
 	for _, c := range b.body.Blocks {
 		if c.Type != kind {
 			continue
 		}
 		if len(c.Labels) != labels {
-			b.fault(c.TypeRange, "%s: want %d names behind it, got %d", kind, labels, len(c.Labels))
+			b.addError(c.TypeRange, "%s: want %d names behind it, got %d", kind, labels, len(c.Labels))
 			continue
 		}
-		n := &Block{file: b.file, body: c.Body, name: kind, Labels: c.Labels, at: c.TypeRange, asked: map[string]bool{}}
-		b.file.all = append(b.file.all, n)
-		of = append(of, n)
+		n := &Block{
+			file:      b.file,
+			body:      c.Body,
+			name:      kind,
+			Labels:    c.Labels,
+			location:  c.TypeRange,
+			requested: map[string]bool{},
+		}
+		b.file.blocks = append(b.file.blocks, n)
+		found = append(found, n)
 	}
-	return of
+	return found
 }
 
 // One is the one block of a type; an empty one where it is missing. Two are a fault.
 func (b *Block) One(kind string) *Block {
-	of := b.Blocks(kind, 0)
-	if len(of) > 1 {
-		b.fault(of[1].at, "%s: want one such block, this is another", kind)
+	blocks := b.Blocks(kind, 0)
+	if len(blocks) > 1 {
+		b.addError(blocks[1].location, "%s: want one such block, this is another", kind)
 	}
-	if len(of) == 0 {
-		return &Block{file: b.file, body: &hclsyntax.Body{}, name: kind, at: b.at, asked: map[string]bool{}}
+	if len(blocks) == 0 {
+		return &Block{file: b.file, body: &hclsyntax.Body{}, name: kind, location: b.location, requested: map[string]bool{}}
 	}
-	return of[0]
+	return blocks[0]
 }
 
 // Override puts another value in the place of one, or where there is none, before anything was read: path is the name,
@@ -343,17 +350,17 @@
 	}
 	body, names := b.body, strings.Split(path, ".")
 	for _, n := range names[:len(names)-1] {
-		var in *hclsyntax.Block
+		var child *hclsyntax.Block
 		for _, c := range body.Blocks {
 			if c.Type == n && len(c.Labels) == 0 || len(c.Labels) == 1 && c.Labels[0] == n {
-				in = c
+				child = c
 			}
 		}
-		if in == nil {
-			in = &hclsyntax.Block{Type: n, Body: &hclsyntax.Body{Attributes: hclsyntax.Attributes{}}, TypeRange: expr.Range()}
-			body.Blocks = append(body.Blocks, in)
+		if child == nil {
+			child = &hclsyntax.Block{Type: n, Body: &hclsyntax.Body{Attributes: hclsyntax.Attributes{}}, TypeRange: expr.Range()}
+			body.Blocks = append(body.Blocks, child)
 		}
-		body = in.Body
+		body = child.Body
 	}
 	last := names[len(names)-1]
 	body.Attributes[last] = &hclsyntax.Attribute{Name: last, Expr: expr, SrcRange: expr.Range(), NameRange: expr.Range()}
@@ -361,4 +368,6 @@
 }
 
 // Where is the block's file and line.
-func (b *Block) Where() string { return fmt.Sprintf("%s:%d", b.at.Filename, b.at.Start.Line) }
+func (b *Block) Where() string {
+	return fmt.Sprintf("%s:%d", b.location.Filename, b.location.Start.Line)
+}
