--- a/ci_test.go
+++ b/ci_test.go
@@ -8,7 +8,9 @@
 	"testing"
 )
 
-// The list of tests that are known to fail passes over just those, names them, and bears nothing that is not so.
+// TestKnownRed checks .ci/known-red, which prints the expression for go test's -skip from the list of tests that
+// are known to fail. It must skip exactly the listed tests and name them, and reject a list that is malformed or
+// out of date.
 func TestKnownRed(t *testing.T) {
 	script, err := filepath.Abs(".ci/known-red")
 	if err != nil {
@@ -30,17 +32,17 @@
 			t.Fatal(err)
 		}
 	}
-	const bad = "./a TestBad: the sky is low, issue 7"
-	for _, c := range []struct{ what, list, skip, says string }{
+	const badLine = "./a TestBad: wrong total, issue 7"
+	for _, c := range []struct{ name, list, skip, message string }{
 		{"no list", "", "", ""},
-		{"one", bad, "^(TestBad)$", bad},
-		{"two", bad + "\n./a TestWorse: so is this, issue 8\n", "^(TestBad|TestWorse)$", "TestWorse"},
+		{"one test", badLine, "^(TestBad)$", badLine},
+		{"two tests", badLine + "\n./a TestWorse: wrong order, issue 8\n", "^(TestBad|TestWorse)$", "TestWorse"},
 		{"no cause", "./a TestBad: , issue 7", "", "want 'package TestName: cause, issue N'"},
-		{"no issue", "./a TestBad: the sky is low", "", "want 'package TestName: cause, issue N'"},
-		{"not there", "./a TestNone: why, issue 7", "", "has no test TestNone"},
-		{"passes again", "./a TestGood: why, issue 7", "", "TestGood passes"},
-		{"another of its name", "./a TestBoth: why, issue 7", "", "more than one test"},
-		{"four", strings.Repeat(bad+"\n", 4), "", "three lines at most"},
+		{"no issue", "./a TestBad: wrong total", "", "want 'package TestName: cause, issue N'"},
+		{"unknown test", "./a TestNone: wrong total, issue 7", "", "has no test TestNone"},
+		{"a test that passes", "./a TestGood: wrong total, issue 7", "", "TestGood passes"},
+		{"two tests of one name", "./a TestBoth: wrong total, issue 7", "", "more than one test"},
+		{"four lines", strings.Repeat(badLine+"\n", 4), "", "three lines at most"},
 	} {
 		name := filepath.Join(dir, "KNOWN-RED.txt")
 		os.Remove(name)
@@ -51,12 +53,12 @@
 		}
 		cmd := exec.Command(script, "KNOWN-RED.txt")
 		cmd.Dir = dir
-		var out, says strings.Builder
-		cmd.Stdout, cmd.Stderr = &out, &says
+		var skipped, messages strings.Builder
+		cmd.Stdout, cmd.Stderr = &skipped, &messages
 		err := cmd.Run()
-		if failed := err != nil; failed != (c.skip == "" && c.list != "") || strings.TrimSpace(out.String()) != c.skip ||
-			!strings.Contains(says.String(), c.says) {
-			t.Errorf("%s: %v, passes over %q, says %q", c.what, err, out.String(), says.String())
+		if failed := err != nil; failed != (c.skip == "" && c.list != "") || strings.TrimSpace(skipped.String()) != c.skip ||
+			!strings.Contains(messages.String(), c.message) {
+			t.Errorf("%s: error %v, skips %q, messages %q", c.name, err, skipped.String(), messages.String())
 		}
 	}
 }
--- a/layout_test.go
+++ b/layout_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// TestPolicyIsWholeModule checks that every file of the decision module is listed under policy.
+// TestPolicyIsWholeModule checks that deploy/balancer.toml lists every file of internal/router under policy.
 func TestPolicyIsWholeModule(t *testing.T) {
 	files, err := filepath.Glob("internal/router/*.go")
 	if err != nil {
@@ -55,7 +55,7 @@
 	}
 }
 
-// deployList reads one list of strings of the deploy file; each list stands on one line.
+// deployList reads a list of strings from deploy/balancer.toml. Each list is on one line there.
 func deployList(t *testing.T, key string) []string {
 	t.Helper()
 	text, err := os.ReadFile("deploy/balancer.toml")
@@ -76,7 +76,7 @@
 	return values
 }
 
-// ringOf gives the ring of a package of this module, by its folder: 1 decisions, 2 protocol machines, 3 drivers and all
+// ringOf returns the ring of a package of this module by its folder: 1 decisions, 2 protocols, 3 I/O and everything
 // else.
 func ringOf(pkg string) int {
 	switch path := strings.TrimPrefix(pkg, "cobaltpier/internal/"); {
@@ -95,11 +95,12 @@
 	return 3
 }
 
-// forbiddenInside are packages of the standard library that need a clock, a socket or a file: rings 1 and 2 import
-// none.
+// forbiddenInside are packages of the standard library that need a clock, a socket or a file. Rings 1 and 2 must not
+// import them.
 var forbiddenInside = []string{"net", "os", "net/http", "os/exec", "os/signal", "syscall", "log"}
 
-// TestImportsPointInwards checks that decisions import no protocol machine or driver, and protocol machines no driver.
+// TestImportsPointInwards checks that no package imports one of an outer ring: decisions import neither protocols
+// nor I/O, and protocols import no I/O.
 func TestImportsPointInwards(t *testing.T) {
 	out, err := exec.Command("go", "list", "-f", `{{.ImportPath}} {{join .Imports " "}}`, "./...").Output()
 	if err != nil {
