--- a/internal/gateway/gatewayconfig/settings.go
+++ b/internal/gateway/gatewayconfig/settings.go
@@ -1,4 +1,5 @@
-// Package gatewayconfig reads a gateway's settings: one HCL file, checked as a whole, faults told with file and line.
+// Package gatewayconfig reads the settings of a gateway from one HCL file. The file is checked as a whole; errors
+// name the file and the line.
 package gatewayconfig
 
 import (
@@ -15,32 +16,32 @@
 	"cobaltpier/internal/routing"
 )
 
-// Config is all that cobalt-edge is told. Times are milliseconds.
+// Config is the settings of cobalt-edge. Times are in milliseconds.
 type Config struct {
 	b2bua.Config
-	PeerListen   netip.AddrPort   // where other gateways' messages come in
-	Peers        []netip.AddrPort // of all gateways, by number
-	EndpointList string           // the endpoint list's address
+	PeerListen   netip.AddrPort   // for gossip of other gateways
+	Peers        []netip.AddrPort // of all gateways, by index
+	EndpointList string           // address of the server of the endpoint list
 	Tick         float64
-	LogLevel     string // of the log
-	LogConsole   bool   // logs for a person, not JSON
+	LogLevel     string
+	LogConsole   bool // log in console format, not JSON
 	DrainTimeout float64
 	Numbers      Numbers
 	ENUMServer   ENUMServer
-	QueueSize    int // datagrams that may wait for the loop
+	QueueSize    int // datagrams that may wait for the event loop
 }
 
-// Numbers is what a gateway is told of its number tables and where it looks numbers up.
+// Numbers is the settings of the number tables and of ENUM look-ups.
 type Numbers struct {
-	Table    string // a file; runs where the store has none yet; "" and no store: callers name class and group themselves
-	Store    string // a file; "": what is put in service lives as long as the process
-	Admin    string // where gRPC puts tables in service; "": nowhere
+	Table    string // file of the table used while the store has none; without both, callers name class and group
+	Store    string // file that keeps the tables put in service; "": they are lost when the process ends
+	Admin    string // address of the gRPC service that puts tables in service; "": none
 	DNS      dnsclient.Config
-	Apex     string // "": nothing is looked up
+	Apex     string // domain of the look-ups; "": no look-ups
 	Services []string
 }
 
-// Names are what number tables may name here.
+// Names returns the classes, tenants and trunk groups that number tables may refer to.
 func (s *Config) Names() (n numberplan.Names) {
 	for _, class := range s.Settings.Classes {
 		n.Classes = append(n.Classes, class.Name)
@@ -54,20 +55,20 @@
 	return n
 }
 
-// ENUMServer is where the agent answers look-ups, and how.
+// ENUMServer is the settings of the gateway's ENUM server.
 type ENUMServer struct {
 	enumserver.Config
-	Listen      netip.AddrPort // UDP and TCP; not valid: nowhere
-	MaxConns    int            // streams open at once; what comes beyond is closed
-	IdleTimeout float64        // ms: a stream on which nothing is asked is closed (RFC 7766 6.2.3)
+	Listen      netip.AddrPort // UDP and TCP; not valid: no ENUM server
+	MaxConns    int            // open TCP connections; further ones are closed
+	IdleTimeout float64        // ms after which a connection without queries is closed (RFC 7766 6.2.3)
 }
 
-// Enabled tells whether the agent analyses numbers.
+// Enabled tells whether the gateway analyses numbers.
 func (n *Numbers) Enabled() bool { return n.Table != "" || n.Store != "" }
 
 const dayMillis = 24 * 3600 * 1000.0
 
-// Load reads a file.
+// Load reads the settings from a file.
 func Load(name string) (*Config, error) {
 	b, err := hclfile.Load(name)
 	if err != nil {
@@ -76,7 +77,7 @@
 	return read(b)
 }
 
-// Parse reads settings at hand; name stands in the errors.
+// Parse reads the settings from memory. Errors name the file as name.
 func Parse(name string, src []byte) (*Config, error) {
 	b, err := hclconfig.Parse(name, src)
 	if err != nil {
@@ -227,7 +228,7 @@
 			block.Fault("", "group %q: want pool and size", group.Name)
 		}
 		if other := nameByDestination[group.DestinationID]; other != "" {
-			block.Fault("pool", "pool %d has a group already, %q", group.DestinationID, other)
+			block.Fault("pool", "pool %d already belongs to group %q", group.DestinationID, other)
 		}
 		nameByDestination[group.DestinationID] = group.Name
 		s.Groups = append(s.Groups, group)
@@ -237,7 +238,7 @@
 	}
 }
 
-// readNumbers reads what concerns numbers.
+// readNumbers reads the blocks numbers, enum and front.
 func (s *Config) readNumbers(b *hclconfig.Block) {
 	numbers, enum := b.One("numbers"), b.One("enum")
 	s.Numbers = Numbers{
@@ -281,7 +282,7 @@
 		enum.Fault("servers", "enum: want apex and servers, or neither")
 	}
 	if s.Numbers.Apex != "" && !s.Numbers.Enabled() {
-		numbers.Fault("", "enum: want numbers { table = ... } that asks for something")
+		numbers.Fault("", "enum: want numbers { table = ... } or a store too: only number tables look numbers up")
 	}
 	s.Numbers.DNS = dns
 	for _, front := range b.Blocks("front", 0) {
@@ -289,11 +290,11 @@
 	}
 }
 
-// readENUMServer reads how look-ups are answered.
+// readENUMServer reads a front block, the settings of the ENUM server.
 func (s *Config) readENUMServer(front *hclconfig.Block) {
 	server := &s.ENUMServer
 	if server.Listen.IsValid() {
-		front.Fault("", "front: stands here twice")
+		front.Fault("", "front: want one such block, this is a second one")
 	}
 	server.Listen, server.Apex, server.Context = front.Addr("listen"), front.Must("apex"), s.TrunkContext
 	server.Class = front.Text("skill", s.DefaultClass)
--- a/internal/gateway/gatewayconfig/settings_test.go
+++ b/internal/gateway/gatewayconfig/settings_test.go
@@ -34,7 +34,7 @@
 }
 `
 
-func TestGoodSettings(t *testing.T) {
+func TestValidConfig(t *testing.T) {
 	s, err := Parse("edge.hcl", []byte(validConfig))
 	if err != nil {
 		t.Fatal(err)
@@ -93,7 +93,7 @@
 	} {
 		text := strings.Replace(validConfig+numbersConfig, x.from, x.to, 1)
 		if text == validConfig+numbersConfig {
-			t.Fatalf("%q is not in the settings", x.from)
+			t.Fatalf("the settings do not contain %q", x.from)
 		}
 		if _, err := Parse("edge.hcl", []byte(text)); err == nil || !strings.Contains(err.Error(), x.want) {
 			t.Errorf("%q: error\n%v\nwant\n%s", x.to, err, x.want)
@@ -101,8 +101,8 @@
 	}
 }
 
-// Each fault is told with file, line and what was expected; all of a file at once.
-func TestFaults(t *testing.T) {
+// TestErrors checks that each error names the file, the line and what was expected.
+func TestErrors(t *testing.T) {
 	for _, x := range []struct{ from, to, want string }{
 		{`clear_wait = "500ms"`, `clear_wait = 500`, `edge.hcl:14: clear_wait: want a duration from "0s" to "1m0s"`},
 		{`clear_wait = "500ms"`, `clear_wait = "soon"`,
@@ -119,7 +119,7 @@
 		{`, "127.0.0.2:5070"]`, `]`,
 			`edge.hcl:8: peers: want the addresses of all 2 gateways where allow.tell is set, got 1`},
 		{`target = "2s"`, `target = "20s"`, `edge.hcl:21: target: want no more than patience`},
-		{`skill "shift-lookup"`, `skill`, `edge.hcl:20: skill: want 1 names behind it, got 0`},
+		{`skill "shift-lookup"`, `skill`, `edge.hcl:20: skill: want 1 labels, got 0`},
 		{`name = "e"`, `name = ""`, `edge.hcl:2: name: want a string that is not empty`},
 		{`sip = "127.0.0.1:5060"`, `sip = "localhost"`,
 			`edge.hcl:3: sip: want an address such as "127.0.0.1:5060", got "localhost"`},
@@ -130,7 +130,7 @@
 group "TG-1" {
   pool = 0
   size = 1
-}`, `edge.hcl:29: pool 0 has a group already, "TG-0"`},
+}`, `edge.hcl:29: pool 0 already belongs to group "TG-0"`},
 	} {
 		text := strings.Replace(validConfig, x.from, x.to, 1)
 		if _, err := Parse("edge.hcl", []byte(text)); err == nil || !strings.Contains(err.Error(), x.want) {
@@ -138,11 +138,11 @@
 		}
 	}
 	if _, err := Load("/nonexistent/edge.hcl"); err == nil {
-		t.Error("a file that is not there: no error")
+		t.Error("a missing file: no error")
 	}
 }
 
-// No text makes the reader fall.
+// FuzzParse checks that no text makes Parse panic.
 func FuzzParse(f *testing.F) {
 	f.Add(validConfig)
 	f.Add("gateway {")
--- a/internal/gateway/grpcdiscovery/follow.go
+++ b/internal/gateway/grpcdiscovery/follow.go
@@ -1,5 +1,5 @@
-// Package grpcdiscovery follows the endpoint list over a gRPC stream (api/list.proto). A stream that breaks is opened
-// again with the version that was had; meanwhile whoever follows keeps the old list.
+// Package grpcdiscovery follows the endpoint list over a gRPC stream (api/list.proto). When a stream ends, it opens
+// another from the latest version that it received. Meanwhile the gateway uses the old list.
 package grpcdiscovery
 
 import (
@@ -19,14 +19,15 @@
 	"cobaltpier/internal/routing"
 )
 
-// Waits between two tries to connect, doubling, each shortened by chance by up to half: gateways that lost the same
-// list must not all come back at once.
+// The delay between streams doubles from initialBackoff up to maxBackoff. Each delay is shortened at random by up
+// to half, so that the gateways that lost the same server do not all return at once.
 const (
 	initialBackoff = 100 * time.Millisecond
 	maxBackoff     = 5 * time.Second
 )
 
-// Follow calls got with every update, in order, until ctx ends. state hears of connections and breaks; it may be nil.
+// Follow calls onUpdate for every update, in order, until ctx is done. It calls onState when a stream has delivered
+// its first update and when it ends; onState may be nil.
 func Follow(
 	ctx context.Context,
 	addr, gateway string,
@@ -36,7 +37,7 @@
 	conn, err := grpc.NewClient(addr, grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: 10 * time.Second, Timeout: 5 * time.Second}))
 	if err != nil {
-		return fmt.Errorf("pool list at %s: %w", addr, err)
+		return fmt.Errorf("endpoint list at %s: %w", addr, err)
 	}
 	defer conn.Close()
 	client := api.NewPoolListClient(conn)
@@ -56,9 +57,9 @@
 				}
 			}
 			if !update.Whole && update.Version <= version {
-				continue // had already
+				continue // received before
 			}
-			if !update.Whole && update.Version != version+1 { // one is missing: ask for the whole list
+			if !update.Whole && update.Version != version+1 { // an update is missing: request the whole list
 				err = fmt.Errorf("update %d came after %d", update.Version, version)
 				version = 0
 				break
@@ -81,8 +82,8 @@
 	return nil
 }
 
-// Entries turns a list from the wire into a gateway's; at is when it came, on the agent's clock. Lines without an id or
-// with an address that is none are passed over.
+// Entries converts an update to the entries of a gateway's endpoint list. receivedAt is when the update arrived, on
+// the gateway's clock. Members without an ID, with an invalid address or with an unknown state are skipped.
 func Entries(update *api.Update, receivedAt float64) []b2bua.ListEntry {
 	var entries []b2bua.ListEntry
 	for _, member := range update.Members {
--- a/internal/gateway/hclfile/hclfile.go
+++ b/internal/gateway/hclfile/hclfile.go
@@ -1,4 +1,4 @@
-// Package hclfile reads HCL configuration from files; package hclconfig decodes it.
+// Package hclfile reads HCL settings from files; package hclconfig decodes them.
 package hclfile
 
 import (
--- a/internal/hclconfig/conf.go
+++ b/internal/hclconfig/conf.go
@@ -1,5 +1,6 @@
-// Package hclconfig reads HCL settings so that every fault is told with its file, its line and what was expected there.
-// Whoever reads a file asks for the values by name; what nobody asked for is refused. The first pass finds all faults.
+// Package hclconfig reads HCL settings. Each error names the file, the line and what was expected there, and all
+// errors of a file are returned together. A program requests values and blocks by name; those that it does not
+// request are errors.
 package hclconfig
 
 import (
@@ -14,14 +15,14 @@
 	"github.com/zclconf/go-cty/cty"
 )
 
-// File is one file of settings.
+// File is a file of settings and the errors found in it.
 type File struct {
 	diags  hcl.Diagnostics
 	src    *hcl.File
 	blocks []*Block
 }
 
-// Block is a block, or a file's top.
+// Block is a block, or the top level of a file.
 type Block struct {
 	file      *File
 	body      *hclsyntax.Body
@@ -31,10 +32,10 @@
 	requested map[string]bool
 }
 
-// Required as a default says that a value must be there.
+// Required as a default means that the value must be given.
 var Required = math.NaN()
 
-// Parse reads settings that are at hand; name stands in the errors.
+// Parse parses settings from memory and returns their top level. Errors name the file as name.
 func Parse(name string, src []byte) (*Block, error) {
 	file, diags := hclsyntax.ParseConfig(src, name, hcl.InitialPos)
 	f := &File{diags: diags, src: file}
@@ -66,7 +67,8 @@
 	return fmt.Errorf("settings: %s", strings.Join(lines, "\n  "))
 }
 
-// Err tells all faults, after everything was asked for: also what nobody asked for.
+// Err returns all errors. It is called after all values were requested; those that were not requested are errors
+// too.
 func (b *Block) Err() error {
 	f := b.file
 	for _, b := range f.blocks {
@@ -87,6 +89,7 @@
 	return f.err()
 }
 
+// requestedNames lists the keys and blocks that were requested.
 func (b *Block) requestedNames() string {
 	var names []string
 	for n := range b.requested {
@@ -103,7 +106,7 @@
 	)
 }
 
-// Fault adds a fault of the value of a name, or of the block where that is not there.
+// Fault adds an error at the value of a key, or at the block if the key is absent.
 func (b *Block) Fault(name, format string, args ...any) {
 	at := b.location
 	if a := b.body.Attributes[name]; a != nil {
@@ -112,7 +115,7 @@
 	b.addError(at, format, args...)
 }
 
-// Has tells whether a value is there.
+// Has tells whether a key is present.
 func (b *Block) Has(name string) bool {
 	b.requested[name] = true
 	return b.body.Attributes[name] != nil
@@ -141,7 +144,7 @@
 	}
 }
 
-// Num is a number from lo to hi; def where it is missing, and Required as def makes that a fault.
+// Num returns a number from lo to hi, or def if the key is absent. If def is Required, an absent key is an error.
 func (b *Block) Num(name string, def, lo, hi float64) float64 {
 	v, ok := b.value(name)
 	if !ok {
@@ -162,7 +165,7 @@
 	return n
 }
 
-// Int is a whole number.
+// Int returns a whole number from lo to hi, or def if the key is absent.
 func (b *Block) Int(name string, def, lo, hi int) int {
 	d := float64(def)
 	n := b.Num(name, d, float64(lo), float64(hi))
@@ -172,7 +175,7 @@
 	return int(n)
 }
 
-// Ms is a duration such as "250ms" or "2s", as milliseconds.
+// Ms returns a duration, written as "250ms" or "2s", in milliseconds. lo, hi and def are as for Num.
 func (b *Block) Ms(name string, def, lo, hi float64) float64 {
 	v, ok := b.value(name)
 	want := fmt.Sprintf("a duration from %q to %q", formatMillis(lo), formatMillis(hi))
@@ -197,7 +200,7 @@
 
 func formatMillis(ms float64) string { return time.Duration(ms * 1e6).String() }
 
-// Text is a string; of: the only ones that are allowed, if any are named.
+// Text returns a string, or def if the key is absent. If allowed strings are given, any other is an error.
 func (b *Block) Text(name, def string, allowed ...string) string {
 	v, ok := b.value(name)
 	if !ok {
@@ -220,7 +223,7 @@
 	return s
 }
 
-// Must is a string that has to be there and not empty.
+// Must returns a string that must be present and not empty.
 func (b *Block) Must(name string) string {
 	s := b.Text(name, "")
 	if s == "" {
@@ -233,7 +236,7 @@
 	return s
 }
 
-// Flag is true or false.
+// Flag returns true or false, or def if the key is absent.
 func (b *Block) Flag(name string, def bool) bool {
 	v, ok := b.value(name)
 	if !ok {
@@ -246,7 +249,7 @@
 	return v.True()
 }
 
-// Addr is host:port with a numeric host.
+// Addr returns an address, which must be given as IP:port.
 func (b *Block) Addr(name string) netip.AddrPort {
 	s := b.Must(name)
 	if s == "" {
@@ -259,7 +262,7 @@
 	return a
 }
 
-// Texts is a list of strings.
+// Texts returns a list of strings, or nil if the key is absent.
 func (b *Block) Texts(name string) []string {
 	v, ok := b.value(name)
 	if !ok {
@@ -280,7 +283,7 @@
 	return nil
 }
 
-// Pair is a range [lo, hi] of numbers, or one number for both.
+// Pair returns a range, written as [min, max] or as one number for both. lo and hi are the default.
 func (b *Block) Pair(name string, lo, hi float64) (float64, float64) {
 	v, ok := b.value(name)
 	if !ok {
@@ -291,18 +294,18 @@
 		nums = v.AsValueSlice()
 	}
 	if len(nums) != 2 || nums[0].Type() != cty.Number || nums[1].Type() != cty.Number {
-		b.Fault(name, "%s: want a number or [least, most]", name)
+		b.Fault(name, "%s: want a number or [min, max]", name)
 		return lo, hi
 	}
 	x, _ := nums[0].AsBigFloat().Float64()
 	y, _ := nums[1].AsBigFloat().Float64()
 	if x > y {
-		b.Fault(name, "%s: want [least, most], got [%g, %g]", name, x, y)
+		b.Fault(name, "%s: want [min, max], got [%g, %g]", name, x, y)
 	}
 	return x, y
 }
 
-// Blocks are the blocks of a type, each with so many labels.
+// Blocks returns the blocks of a type. A block with another number of labels is an error.
 func (b *Block) Blocks(kind string, labels int) []*Block {
 	b.requested["{"+kind] = true
 	var found []*Block
@@ -311,7 +314,7 @@
 			continue
 		}
 		if len(c.Labels) != labels {
-			b.addError(c.TypeRange, "%s: want %d names behind it, got %d", kind, labels, len(c.Labels))
+			b.addError(c.TypeRange, "%s: want %d labels, got %d", kind, labels, len(c.Labels))
 			continue
 		}
 		n := &Block{
@@ -328,11 +331,11 @@
 	return found
 }
 
-// One is the one block of a type; an empty one where it is missing. Two are a fault.
+// One returns the block of a type that may occur once, or an empty block if there is none.
 func (b *Block) One(kind string) *Block {
 	blocks := b.Blocks(kind, 0)
 	if len(blocks) > 1 {
-		b.addError(blocks[1].location, "%s: want one such block, this is another", kind)
+		b.addError(blocks[1].location, "%s: want one such block, this is a second one", kind)
 	}
 	if len(blocks) == 0 {
 		return &Block{file: b.file, body: &hclsyntax.Body{}, name: kind, location: b.location, requested: map[string]bool{}}
@@ -340,9 +343,8 @@
 	return blocks[0]
 }
 
-// Override puts another value in the place of one, or where there is none, before anything was read: path is the name,
-// with the names of the blocks before it and dots between ("endpoints.count"); text is the value as a file would have
-// it.
+// Override sets a value, before any value is requested. path is the key with the names of the blocks around it,
+// separated by dots ("endpoints.count"); text is the value in HCL syntax.
 func (b *Block) Override(path, text string) error {
 	expr, diags := hclsyntax.ParseExpression([]byte(text), path, hcl.InitialPos)
 	if diags.HasErrors() {
@@ -367,7 +369,7 @@
 	return nil
 }
 
-// Where is the block's file and line.
+// Where returns the file and the line of the block.
 func (b *Block) Where() string {
 	return fmt.Sprintf("%s:%d", b.location.Filename, b.location.Start.Line)
 }
--- a/internal/hclconfig/sort.go
+++ b/internal/hclconfig/sort.go
@@ -8,7 +8,7 @@
 
 func sortStrings(s []string) { slices.Sort(s) }
 
-// sortDiags puts faults in the order of the file.
+// sortDiags sorts errors by their position in the file.
 func sortDiags(d hcl.Diagnostics) {
 	slices.SortStableFunc(d, func(a, b *hcl.Diagnostic) int {
 		if a.Subject == nil || b.Subject == nil {
