--- a/internal/hclconfig/conf.go
+++ b/internal/hclconfig/conf.go
@@ -74,12 +74,12 @@
 	for _, b := range f.blocks {
 		for name, a := range b.body.Attributes {
 			if !b.requested[name] {
-				b.addError(a.NameRange, "unknown key %q; known here: %s", name, b.requestedNames())
+				b.addErrorAt(a.NameRange, "unknown key %q; known here: %s", name, b.requestedNames())
 			}
 		}
 		for _, c := range b.body.Blocks {
 			if !b.requested["{"+c.Type] {
-				b.addError(c.TypeRange, "unknown block %q; known here: %s", c.Type, b.requestedNames())
+				b.addErrorAt(c.TypeRange, "unknown block %q; known here: %s", c.Type, b.requestedNames())
 			}
 		}
 		b.requested = map[string]bool{}
@@ -99,7 +99,7 @@
 	return strings.Join(names, ", ")
 }
 
-func (b *Block) addError(at hcl.Range, format string, args ...any) {
+func (b *Block) addErrorAt(at hcl.Range, format string, args ...any) {
 	b.file.diags = append(
 		b.file.diags,
 		&hcl.Diagnostic{Severity: hcl.DiagError, Summary: fmt.Sprintf(format, args...), Subject: &at},
@@ -112,7 +112,7 @@
 	if a := b.body.Attributes[name]; a != nil {
 		at = a.Expr.Range()
 	}
-	b.addError(at, format, args...)
+	b.addErrorAt(at, format, args...)
 }
 
 // Has tells whether a key is present.
@@ -140,7 +140,7 @@
 
 func (b *Block) addMissing(name, want string) {
 	if b.body.Attributes[name] == nil {
-		b.addError(b.location, "%s: want %s = %s", b.name, name, want)
+		b.addErrorAt(b.location, "%s: want %s = %s", b.name, name, want)
 	}
 }
 
@@ -314,7 +314,7 @@
 			continue
 		}
 		if len(c.Labels) != labels {
-			b.addError(c.TypeRange, "%s: want %d labels, got %d", kind, labels, len(c.Labels))
+			b.addErrorAt(c.TypeRange, "%s: want %d labels, got %d", kind, labels, len(c.Labels))
 			continue
 		}
 		n := &Block{
@@ -335,7 +335,7 @@
 func (b *Block) One(kind string) *Block {
 	blocks := b.Blocks(kind, 0)
 	if len(blocks) > 1 {
-		b.addError(blocks[1].location, "%s: want one such block, this is a second one", kind)
+		b.addErrorAt(blocks[1].location, "%s: want one such block, this is a second one", kind)
 	}
 	if len(blocks) == 0 {
 		return &Block{file: b.file, body: &hclsyntax.Body{}, name: kind, location: b.location, requested: map[string]bool{}}
