--- a/internal/conformance/checker.go
+++ b/internal/conformance/checker.go
@@ -52,8 +52,8 @@
 	Findings              []Finding
 	Totals                Totals
 	Parse                 func([]byte) (sip.Message, error) // siptransaction.Parse, or one that caches
-	Keep                  bool                              // record how slow-start budgets are used, in Cold
-	Cold                  []Cold                            // set by Finish if Keep is set
+	Keep                  bool                              // record how slow-start budgets are used
+	Cold                  []Cold                            // set by Finish, if that is recorded
 	rules                 *api.Rules
 	nodes                 map[string]*api.Node
 	calls                 map[string]*call                 // by gateway and session
@@ -63,7 +63,7 @@
 	endpointLists         map[string]map[string]*listEntry // by gateway and address
 	stalledGateways       map[string]bool
 	killedAt              map[string]float64
-	startsByAddr          map[string][]*endpointStart // by address
+	startsByAddr          map[string][]*endpointStart
 	queries               map[string]*enumQuery
 	namedEndpoints        map[string][]float64 // by kiosk and endpoint: when answers named it that have had no call yet
 	latestAt              float64
@@ -71,7 +71,7 @@
 
 // call is a call at one gateway.
 type call struct {
-	id, gateway  string
+	id, gateway  string // id: Session-ID, or client, message ID and name of a look-up
 	arrivedAt    float64
 	deadline     float64
 	finalAnswer  string  // status and To tag
@@ -140,6 +140,7 @@
 	}
 }
 
+// onListing handles the delivery of an endpoint list, complete or of changes, to a gateway.
 func (k *Checker) onListing(at float64, l *api.Listing) {
 	byAddr := k.endpointLists[l.Edge]
 	if byAddr == nil {
