--- a/internal/conformance/checker.go
+++ b/internal/conformance/checker.go
@@ -1,6 +1,14 @@
-// Package conformance judges the five rules from a capture alone: what crossed the gateways' sockets, the lists that
-// were delivered to them, and the starts of the switches. It knows nothing of any program's state. A call is followed
-// by its Session-ID (RFC 7989) through all its legs.
+// Package conformance checks the five rules using a capture alone: the datagrams at the gateways' sockets, the
+// endpoint lists that were delivered to them, and the starts of the switches. It sees no program's internal state.
+// A call is followed through all its legs by its Session-ID (RFC 7989).
+//
+// The rules:
+//
+//  1. A call has one final answer, before the client's deadline.
+//  2. A call never has two attempts in flight.
+//  3. Nothing is sent to an endpoint later than the grace period after it is known to drain or be gone.
+//  4. All gateways together never overload an endpoint in slow start.
+//  5. A call has no attempt until the hold-off after a time-out, reset or cancel is over.
 package conformance
 
 //tally:standin
@@ -17,7 +25,7 @@
 	"cobaltpier/internal/protocol/siptransaction"
 )
 
-// Finding is a broken rule.
+// Finding is one violation of a rule.
 type Finding struct {
 	Rule        int
 	At          float64 // ms
@@ -27,54 +35,54 @@
 }
 
 func (f Finding) String() string {
-	return fmt.Sprintf("rule %d at %.1f ms, %s, contact %.12s: %s", f.Rule, f.At, f.Gateway, f.SessionID, f.Description)
+	return fmt.Sprintf("rule %d at %.1f ms, %s, call %.12s: %s", f.Rule, f.At, f.Gateway, f.SessionID, f.Description)
 }
 
-// Totals are what the capture held.
+// Totals count what the capture contains.
 type Totals struct {
 	Calls, Answers, Attempts, Retransmissions, Datagrams int
-	// ENUM queries, those answered with an endpoint, and the calls that their askers made
+	// ENUM queries, the ones answered with an endpoint, and the calls that the kiosks made after them
 	Queries, Answered, KioskCalls int
-	// the largest part of a slow start budget that was used by gateways that had been told of the start
+	// the largest part of a slow-start budget that was used by gateways that had been told of the start
 	SlowStartUse float64
 }
 
-// Checker takes the records of a capture in their order.
+// Checker checks a capture. Its records are added in order.
 type Checker struct {
-	Findings        []Finding
-	Totals          Totals
-	Parse           func([]byte) (sip.Message, error) // siptransaction.Parse, or one that remembers
-	Keep            bool                              // keep how cold budgets were used
-	Cold            []Cold                            // with Keep: after Finish
-	rules           *api.Rules
-	nodes           map[string]*api.Node
-	calls           map[string]*call               // by edge and session
-	byTx            map[string]*attempt            // a setup's transaction, by edge and branch
-	byDialog        map[string]*attempt            // by edge and Call-ID
-	answers         map[string]*call               // the caller's INVITE transaction, by edge and branch
-	listings        map[string]map[string]*listing // by edge's name and address
-	stalledGateways map[string]bool
-	killedAt        map[string]float64
-	startsByAddr    map[string][]*start // by address
-	queries         map[string]*enumQuery
-	namedEndpoints  map[string][]float64 // by kiosk and endpoint: when it was named and not called yet
-	latestAt        float64
+	Findings              []Finding
+	Totals                Totals
+	Parse                 func([]byte) (sip.Message, error) // siptransaction.Parse, or one that caches
+	Keep                  bool                              // record how slow-start budgets are used
+	Cold                  []Cold                            // set by Finish, if that is recorded
+	rules                 *api.Rules
+	nodes                 map[string]*api.Node
+	calls                 map[string]*call                 // by gateway and session
+	attemptsByTransaction map[string]*attempt              // the INVITE transaction to a switch, by gateway and branch
+	attemptsByDialog      map[string]*attempt              // by gateway and Call-ID
+	callsByTransaction    map[string]*call                 // the caller's INVITE transaction, by gateway and branch
+	endpointLists         map[string]map[string]*listEntry // by gateway and address
+	stalledGateways       map[string]bool
+	killedAt              map[string]float64
+	startsByAddr          map[string][]*endpointStart
+	queries               map[string]*enumQuery
+	namedEndpoints        map[string][]float64 // by kiosk and endpoint: when answers named it that have had no call yet
+	latestAt              float64
 }
 
-// call is one call at one gateway.
+// call is a call at one gateway.
 type call struct {
-	id, edge     string
+	id, gateway  string // id: Session-ID, or client, message ID and name of a look-up
 	arrivedAt    float64
 	deadline     float64
-	final        string  // status and tag of its final answer
-	answeredAt   float64 // when it left
+	finalAnswer  string  // status and To tag
+	answeredAt   float64 // when the final answer was sent
 	attempts     []*attempt
-	holdOffUntil float64 // rule 5: no send before this
-	canceledAt   float64 // the caller canceled
+	holdOffUntil float64 // rule 5: no attempt before this
+	canceledAt   float64 // when the caller canceled
 	attemptCount int
 }
 
-// attempt is one setup on the wire.
+// attempt is a setup of a call at a switch.
 type attempt struct {
 	call        *call
 	endpoint    string
@@ -83,85 +91,86 @@
 	ended       bool
 }
 
-// listing is what a gateway was told of an address.
-type listing struct {
+// listEntry is what a gateway was told about an address.
+type listEntry struct {
 	state     string
-	since     float64 // delivered
+	since     float64 // when the gateway was told of the state
 	startedAt float64
 	id        string
 }
 
-// New makes a checker.
+// New returns a checker.
 func New() *Checker {
 	return &Checker{
-		Parse:           siptransaction.Parse,
-		rules:           &api.Rules{},
-		nodes:           map[string]*api.Node{},
-		calls:           map[string]*call{},
-		byTx:            map[string]*attempt{},
-		byDialog:        map[string]*attempt{},
-		answers:         map[string]*call{},
-		listings:        map[string]map[string]*listing{},
-		stalledGateways: map[string]bool{},
-		killedAt:        map[string]float64{},
-		startsByAddr:    map[string][]*start{},
-		queries:         map[string]*enumQuery{},
-		namedEndpoints:  map[string][]float64{},
+		Parse:                 siptransaction.Parse,
+		rules:                 &api.Rules{},
+		nodes:                 map[string]*api.Node{},
+		calls:                 map[string]*call{},
+		attemptsByTransaction: map[string]*attempt{},
+		attemptsByDialog:      map[string]*attempt{},
+		callsByTransaction:    map[string]*call{},
+		endpointLists:         map[string]map[string]*listEntry{},
+		stalledGateways:       map[string]bool{},
+		killedAt:              map[string]float64{},
+		startsByAddr:          map[string][]*endpointStart{},
+		queries:               map[string]*enumQuery{},
+		namedEndpoints:        map[string][]float64{},
 	}
 }
 
-func (k *Checker) report(rule int, c *call, what string, args ...any) {
-	k.Findings = append(k.Findings, Finding{rule, k.latestAt, c.edge, c.id, fmt.Sprintf(what, args...)})
+func (k *Checker) report(rule int, c *call, format string, args ...any) {
+	k.Findings = append(k.Findings, Finding{rule, k.latestAt, c.gateway, c.id, fmt.Sprintf(format, args...)})
 }
 
-// Add takes the next record.
+// Add handles the next record.
 func (k *Checker) Add(r *api.Record) {
 	k.latestAt = math.Max(k.latestAt, r.At)
-	switch v := r.What.(type) {
+	switch what := r.What.(type) {
 	case *api.Record_Rules:
-		k.rules = v.Rules
+		k.rules = what.Rules
 	case *api.Record_Node:
-		k.nodes[v.Node.Addr] = v.Node
+		k.nodes[what.Node.Addr] = what.Node
 	case *api.Record_Listing:
-		k.onListing(r.At, v.Listing)
+		k.onListing(r.At, what.Listing)
 	case *api.Record_Mark:
-		k.onMark(r.At, v.Mark)
+		k.onMark(r.At, what.Mark)
 	case *api.Record_Datagram:
 		k.Totals.Datagrams++
-		k.onDatagram(r.At, v.Datagram)
+		k.onDatagram(r.At, what.Datagram)
 	}
 }
 
+// onListing handles the delivery of an endpoint list, complete or of changes, to a gateway.
 func (k *Checker) onListing(at float64, l *api.Listing) {
-	m := k.listings[l.Edge]
-	if m == nil {
-		m = map[string]*listing{}
-		k.listings[l.Edge] = m
+	byAddr := k.endpointLists[l.Edge]
+	if byAddr == nil {
+		byAddr = map[string]*listEntry{}
+		k.endpointLists[l.Edge] = byAddr
 	}
 	named := map[string]bool{}
 	for _, e := range l.Entries {
 		named[e.Addr] = true
-		if p := m[e.Addr]; p == nil || p.state != e.State || p.id != e.Id || p.startedAt != e.Since {
-			if p != nil && p.id != e.Id && e.State == "gone" {
-				continue // the machine before the one that has the address now
+		if entry := byAddr[e.Addr]; entry == nil || entry.state != e.State || entry.id != e.Id || entry.startedAt != e.Since {
+			if entry != nil && entry.id != e.Id && e.State == "gone" {
+				continue // about the previous endpoint of an address that was reused
 			}
 			since := at
-			if p != nil && p.state != "ready" && e.State != "ready" {
-				since = p.since // told before
+			if entry != nil && entry.state != "ready" && e.State != "ready" {
+				since = entry.since // it was already told that the endpoint takes no calls
 			}
-			m[e.Addr] = &listing{state: e.State, since: since, startedAt: e.Since, id: e.Id}
+			byAddr[e.Addr] = &listEntry{state: e.State, since: since, startedAt: e.Since, id: e.Id}
 		}
 	}
 	if l.Whole {
-		for a, p := range m {
-			if !named[a] && p.state == "ready" {
-				p.state, p.since = "gone", at
+		for addr, entry := range byAddr {
+			if !named[addr] && entry.state == "ready" {
+				entry.state, entry.since = "gone", at
 			}
 		}
 	}
 }
 
-// onMark takes what was done to a process: an endpoint or, with the prefix "edge-", a gateway.
+// onMark handles what was done to a process: an endpoint or, with the prefix "edge-", a gateway.
 func (k *Checker) onMark(at float64, m *api.Mark) {
 	switch m.What {
 	case "start":
@@ -182,10 +191,10 @@
 		if node.Name != m.Who {
 			continue
 		}
-		if old := k.startsByAddr[address]; len(old) > 0 {
-			old[len(old)-1].end = at
+		if previous := k.startsByAddr[address]; len(previous) > 0 {
+			previous[len(previous)-1].end = at
 		}
-		started := &start{at: at, who: m.Who, model: m.Start, end: math.Inf(1)}
+		started := &endpointStart{at: at, endpoint: m.Who, model: m.Start, end: math.Inf(1)}
 		k.startsByAddr[address] = append(k.startsByAddr[address], started)
 	}
 }
@@ -201,16 +210,16 @@
 	}
 }
 
-// onGatewayResumed takes the end of a stall: what was delivered meanwhile the gateway could read from now on, and that
-// it could not answer counts as the machine's fault.
+// onGatewayResumed handles the end of a gateway's stall. The gateway could not read what was delivered meanwhile,
+// nor answer: lists count as delivered now, and calls that have no final answer yet get another second.
 func (k *Checker) onGatewayResumed(at float64, m *api.Mark) {
-	k.closeQueries(at, m)
+	k.excuseQueries(at, m)
 	k.stalledGateways[m.Who] = false
-	for _, p := range k.listings[m.Who] {
-		p.since = math.Max(p.since, at)
+	for _, entry := range k.endpointLists[m.Who] {
+		entry.since = math.Max(entry.since, at)
 	}
 	for _, c := range k.calls {
-		if c.edge != m.Who || c.final != "" {
+		if c.gateway != m.Who || c.finalAnswer != "" {
 			continue
 		}
 		c.deadline = math.Max(c.deadline, at+1000)
@@ -220,15 +229,15 @@
 	}
 }
 
-// onGatewayReplaced takes the end of a gateway's process: its calls are not the next one's, to which a retransmission
-// is new.
+// onGatewayReplaced handles the end of a gateway's process. The next process does not know its calls: to it, a
+// retransmission is a new call.
 func (k *Checker) onGatewayReplaced(at float64, m *api.Mark) {
-	k.closeQueries(at, m)
+	k.excuseQueries(at, m)
 	if m.What == "edge-kill" {
 		k.killedAt[m.Who] = at
 	}
 	for _, c := range k.calls {
-		if c.edge != m.Who {
+		if c.gateway != m.Who {
 			continue
 		}
 		for _, a := range c.attempts {
@@ -253,7 +262,7 @@
 	}
 	m, err := k.Parse(d.Data)
 	if err != nil {
-		return // not SIP: other gateways' messages, garbage
+		return // not SIP: gossip between gateways, or garbage
 	}
 	branch, _ := m.Via().Params.Get("branch")
 	id := string(*m.CallID())
@@ -275,136 +284,137 @@
 	}
 }
 
-func (k *Checker) onCallerRequest(at float64, edge string, r *sip.Request, branch string) {
+func (k *Checker) onCallerRequest(at float64, gateway string, r *sip.Request, branch string) {
 	switch r.Method {
 	case sip.INVITE:
 		if siptransaction.Tag(r.To().Params) != "" {
 			return
 		}
-		key := edge + siptransaction.SessionIDOf(r)
+		key := gateway + siptransaction.SessionIDOf(r)
 		if k.calls[key] != nil {
-			return // a repeat
+			return // a retransmission
 		}
 		patience := siptransaction.ParseRetryAfter(siptransaction.HeaderValue(r, "Expires"))
 		if patience == 0 {
 			patience = math.Inf(1)
 		}
-		c := &call{id: siptransaction.SessionIDOf(r), edge: edge, arrivedAt: at, deadline: at + patience}
-		k.calls[key], k.answers[edge+branch] = c, c
+		c := &call{id: siptransaction.SessionIDOf(r), gateway: gateway, arrivedAt: at, deadline: at + patience}
+		k.calls[key], k.callsByTransaction[gateway+branch] = c, c
 		k.Totals.Calls++
 	case sip.CANCEL:
-		if c := k.answers[edge+branch]; c != nil && c.final == "" && c.canceledAt == 0 {
+		if c := k.callsByTransaction[gateway+branch]; c != nil && c.finalAnswer == "" && c.canceledAt == 0 {
 			c.canceledAt = at
 		}
 	}
 }
 
-func (k *Checker) onResponseToCaller(at float64, edge string, r *sip.Response, branch string) {
-	c := k.answers[edge+branch]
+func (k *Checker) onResponseToCaller(at float64, gateway string, r *sip.Response, branch string) {
+	c := k.callsByTransaction[gateway+branch]
 	if c == nil || r.CSeq().MethodName != sip.INVITE || r.StatusCode < 200 {
 		return
 	}
 	final := fmt.Sprintf("%d %s", r.StatusCode, siptransaction.Tag(r.To().Params))
 	switch {
-	case c.final == "":
-		c.final, c.answeredAt = final, at
+	case c.finalAnswer == "":
+		c.finalAnswer, c.answeredAt = final, at
 		k.Totals.Answers++
-		// a call of a process that was killed since is no longer its duty: its caller's repeat is new to the next one
-		if kill, killed := k.killedAt[edge]; killed && c.arrivedAt <= kill {
+		// The process that had this call was killed: to the next process the caller's retransmission is a new call.
+		if kill, killed := k.killedAt[gateway]; killed && c.arrivedAt <= kill {
 			return
 		}
 		if at > c.deadline+k.rules.SlackMs {
-			k.report(1, c, "answered %s %.0f ms after its patience", final, at-c.deadline)
+			k.report(1, c, "final answer %s %.0f ms after the deadline", final, at-c.deadline)
 		}
 		if c.canceledAt > 0 && at > c.canceledAt+1000 {
-			k.report(1, c, "called off, and answered only %.0f ms later", at-c.canceledAt)
+			k.report(1, c, "canceled, but the final answer came only %.0f ms later", at-c.canceledAt)
 		}
-	case c.final != final:
-		k.report(1, c, "second final answer %s after %s", final, c.final)
+	case c.finalAnswer != final:
+		k.report(1, c, "second final answer %s after %s", final, c.finalAnswer)
 	}
 }
 
-func (k *Checker) onSetupRequest(at float64, edge, to string, r *sip.Request, branch, id string) {
+func (k *Checker) onSetupRequest(at float64, gateway, to string, r *sip.Request, branch, id string) {
 	switch r.Method {
 	case sip.INVITE:
 		if siptransaction.Tag(r.To().Params) != "" {
 			return
 		}
-		g := k.byTx[edge+branch]
-		c := k.calls[edge+siptransaction.SessionIDOf(r)]
+		a := k.attemptsByTransaction[gateway+branch]
+		c := k.calls[gateway+siptransaction.SessionIDOf(r)]
 		if c == nil {
-			k.report(1, &call{edge: edge, id: siptransaction.SessionIDOf(r)}, "a set-up of a contact that never came")
+			k.report(1, &call{gateway: gateway, id: siptransaction.SessionIDOf(r)}, "setup of a call that no caller sent")
 			return
 		}
-		repeat := g != nil
-		if c.final != "" && at-c.answeredAt >= k.rules.BlurMs {
-			k.report(1, c, "set-up sent %.0f ms after the final answer %s", at-c.answeredAt, c.final)
+		repeat := a != nil
+		if c.finalAnswer != "" && at-c.answeredAt >= k.rules.BlurMs {
+			k.report(1, c, "setup sent %.0f ms after the final answer %s", at-c.answeredAt, c.finalAnswer)
 		}
-		k.checkDraining(at, edge, to, c)
-		k.countSlowStart(at, edge, to, repeat)
+		k.checkDraining(at, gateway, to, c)
+		k.recordSlowStartWork(at, gateway, to, repeat)
 		if repeat {
 			k.Totals.Retransmissions++
 			return
 		}
 		k.Totals.Attempts++
-		for _, o := range c.attempts {
-			if !o.ended {
-				k.report(2, c, "second ring to %s while the one to %s is out", k.name(to), k.name(o.endpoint))
+		for _, other := range c.attempts {
+			if !other.ended {
+				k.report(2, c, "second attempt, at %s, while the one at %s is in flight", k.name(to), k.name(other.endpoint))
 			}
 		}
 		if at < c.holdOffUntil {
-			k.report(5, c, "sent %.0f ms before the clear wait was over", c.holdOffUntil-at)
+			k.report(5, c, "attempt sent %.0f ms before the hold-off was over", c.holdOffUntil-at)
 		}
-		g = &attempt{call: c, endpoint: to}
+		a = &attempt{call: c, endpoint: to}
 		c.attemptCount++
-		c.attempts = append(c.attempts, g)
-		k.byTx[edge+branch], k.byDialog[edge+id] = g, g
+		c.attempts = append(c.attempts, a)
+		k.attemptsByTransaction[gateway+branch], k.attemptsByDialog[gateway+id] = a, a
 	case sip.CANCEL:
-		if g := k.byTx[edge+branch]; g != nil {
-			g.canceled = true
+		if a := k.attemptsByTransaction[gateway+branch]; a != nil {
+			a.canceled = true
 		}
 	case sip.BYE:
-		if g := k.byDialog[edge+id]; g != nil && !g.ended {
-			g.ended = true
-			if g.canceled || !g.established { // a call that stood after it was given up: released now
-				g.call.holdOffUntil = math.Max(g.call.holdOffUntil, at+k.rules.ClearMs)
+		if a := k.attemptsByDialog[gateway+id]; a != nil && !a.ended {
+			a.ended = true
+			if a.canceled || !a.established { // established after the gateway gave it up: released only now
+				a.call.holdOffUntil = math.Max(a.call.holdOffUntil, at+k.rules.ClearMs)
 			}
 		}
 	}
 }
 
-func (k *Checker) onSwitchMessage(at float64, edge string, m sip.Message, branch, id string) {
+func (k *Checker) onSwitchMessage(at float64, gateway string, m sip.Message, branch, id string) {
 	switch m := m.(type) {
 	case *sip.Response:
-		g := k.byTx[edge+branch]
-		if g == nil || m.CSeq().MethodName != sip.INVITE || m.StatusCode < 200 || g.ended {
+		a := k.attemptsByTransaction[gateway+branch]
+		if a == nil || m.CSeq().MethodName != sip.INVITE || m.StatusCode < 200 || a.ended {
 			return
 		}
 		if m.StatusCode < 300 {
-			g.established = true
+			a.established = true
 			return
 		}
-		g.ended = true
+		a.ended = true
 		if m.StatusCode == 487 || m.StatusCode == 408 {
-			g.call.holdOffUntil = math.Max(g.call.holdOffUntil, at+k.rules.ClearMs)
+			a.call.holdOffUntil = math.Max(a.call.holdOffUntil, at+k.rules.ClearMs)
 		}
 	case *sip.Request:
-		if g := k.byDialog[edge+id]; g != nil && m.Method == sip.BYE && !g.ended {
-			g.ended = true
+		if a := k.attemptsByDialog[gateway+id]; a != nil && m.Method == sip.BYE && !a.ended {
+			a.ended = true
 			if !strings.Contains(siptransaction.HeaderValue(m, siptransaction.Reason), "cause=16") {
-				g.call.holdOffUntil = math.Max(g.call.holdOffUntil, at+k.rules.ClearMs)
+				a.call.holdOffUntil = math.Max(a.call.holdOffUntil, at+k.rules.ClearMs)
 			}
 		}
 	}
 }
 
-// checkDraining is rule 3.
-func (k *Checker) checkDraining(at float64, edge, to string, c *call) {
-	if p := k.listings[edge][to]; p != nil && p.state != "ready" && at > p.since+k.rules.GraceMs {
-		k.report(3, c, "set-up to %s %.0f ms after it was told %s", k.name(to), at-p.since, p.state)
+// checkDraining checks rule 3 for a setup, or an ENUM answer that names the endpoint.
+func (k *Checker) checkDraining(at float64, gateway, to string, c *call) {
+	if entry := k.endpointLists[gateway][to]; entry != nil && entry.state != "ready" && at > entry.since+k.rules.GraceMs {
+		k.report(3, c, "setup to %s %.0f ms after the gateway was told it is %s", k.name(to), at-entry.since, entry.state)
 	}
 }
 
+// name is the name of the node at an address, or the address.
 func (k *Checker) name(addr string) string {
 	if n := k.nodes[addr]; n != nil {
 		return n.Name
@@ -412,20 +422,21 @@
 	return addr
 }
 
-// Finish judges what can be judged only at the end, and sorts the findings by time.
+// Finish checks what can be checked only at the end of the capture, and sorts the findings by time.
 func (k *Checker) Finish() {
 	for _, c := range k.calls {
-		if kill, killed := k.killedAt[c.edge]; killed && c.arrivedAt <= kill && (c.final == "" || c.answeredAt > kill) {
-			continue // what a gateway held when it was killed is no longer its duty
+		if kill, killed := k.killedAt[c.gateway]; killed && c.arrivedAt <= kill &&
+			(c.finalAnswer == "" || c.answeredAt > kill) {
+			continue // a killed gateway cannot answer the calls that it had
 		}
-		if due := math.Min(c.deadline, whenSet(c.canceledAt)+1000); c.final == "" && k.latestAt > due+k.rules.SlackMs &&
-			!k.stalledGateways[c.edge] {
-			k.report(1, c, "never answered; due at %.0f ms", due)
+		if due := math.Min(c.deadline, orInf(c.canceledAt)+1000); c.finalAnswer == "" && k.latestAt > due+k.rules.SlackMs &&
+			!k.stalledGateways[c.gateway] {
+			k.report(1, c, "no final answer; due at %.0f ms", due)
 		}
 	}
-	for addr, of := range k.startsByAddr {
-		for _, s := range of {
-			k.window(addr, s)
+	for addr, starts := range k.startsByAddr {
+		for _, s := range starts {
+			k.checkSlowStart(addr, s)
 		}
 	}
 	sort.Slice(k.Findings, func(i, j int) bool {
@@ -437,11 +448,11 @@
 	})
 }
 
-// Verdicts are the numbers of findings by rule, from 1.
+// Verdicts returns the number of findings of each rule; index 0 is unused.
 func (k *Checker) Verdicts() [6]int {
-	var v [6]int
+	var counts [6]int
 	for _, f := range k.Findings {
-		v[f.Rule]++
+		counts[f.Rule]++
 	}
-	return v
+	return counts
 }
--- a/internal/conformance/enum.go
+++ b/internal/conformance/enum.go
@@ -14,139 +14,141 @@
 	"cobaltpier/internal/protocol/siptransaction"
 )
 
-// enumQuery is one look-up of a kiosk: a client, an id, a name.
+// enumQuery is one look-up by a kiosk, identified by client, message ID and name.
 type enumQuery struct {
-	c         *call
-	asked     float64
-	due       float64
-	answered  float64 // first
-	questions int
-	answers   int
-	text      string // of the latest answer
-	to        string // the endpoint that it names
+	call          *call
+	askedAt       float64
+	deadline      float64
+	answeredAt    float64 // time of the first response
+	queryCount    int
+	responseCount int
+	answer        string // response code and records of the latest response
+	endpoint      string // address that the latest response names
 }
 
 const (
-	lookPatience = 3000.0 // ms: an answer that comes later finds nobody
-	again        = 4900.0 // ms after its answer: nothing that comes with the same id is a repeat
-	fresh        = 200.0  // ms: a kiosk calls the endpoint that was named within this
+	lookupTimeout = 3000.0 // ms: the kiosk ignores a response that comes later
+	idReuseDelay  = 4900.0 // ms: after the response, a query with the same ID is a new one
+	maxNamingAge  = 200.0  // ms: a kiosk calls the endpoint within this time of its being named
 )
 
-// onLookup judges what passes between a kiosk and a gateway's front. An answer that names an endpoint is an attempt:
-// rules 1, 3 and 4 hold for it.
+// onLookup checks the messages between a kiosk and a gateway's ENUM server. A response that names an endpoint
+// counts as an attempt: rules 1, 3 and 4 apply to it.
 func (k *Checker) onLookup(at float64, d *api.Datagram, from, to *api.Node) {
 	m := new(dns.Msg)
 	if m.Unpack(d.Data) != nil || len(m.Question) != 1 {
 		return
 	}
-	client, edge := d.From, to.Name
+	client, gateway := d.From, to.Name
 	if m.Response {
-		client, edge = d.To, from.Name
+		client, gateway = d.To, from.Name
 	}
 	id := fmt.Sprintf("%s %d %s", client, m.Id, strings.ToLower(m.Question[0].Name))
-	x := k.queries[id]
-	if x != nil && !m.Response && (x.answered > 0 && at-x.answered > again || at-x.asked > 2*lookPatience) {
-		x = nil // the id is used again
-	}
-	if x == nil {
-		x = &enumQuery{c: &call{edge: edge, id: id, arrivedAt: at}, asked: at, due: at + lookPatience}
-		k.queries[id] = x
+	query := k.queries[id]
+	if query != nil && !m.Response &&
+		(query.answeredAt > 0 && at-query.answeredAt > idReuseDelay || at-query.askedAt > 2*lookupTimeout) {
+		query = nil // the ID is reused
+	}
+	if query == nil {
+		query = &enumQuery{call: &call{gateway: gateway, id: id, arrivedAt: at}, askedAt: at, deadline: at + lookupTimeout}
+		k.queries[id] = query
 		if m.Response {
-			k.report(1, x.c, "an answer to what was not asked")
+			k.report(1, query.call, "response to a query that was not asked")
 		}
 	}
 	if !m.Response {
-		if x.questions == 0 {
+		if query.queryCount == 0 {
 			k.Totals.Queries++
 		}
-		x.questions++
+		query.queryCount++
 		return
 	}
-	if x.answers++; x.answers > x.questions {
-		k.report(1, x.c, "%d answers to %d questions", x.answers, x.questions)
+	if query.responseCount++; query.responseCount > query.queryCount {
+		k.report(1, query.call, "%d responses to %d queries", query.responseCount, query.queryCount)
 	}
 	if m.Truncated {
-		x.questions++ // it is asked again over TCP, which is not seen here
+		query.queryCount++ // the kiosk asks again over TCP, and the capture does not have that query
 		return
 	}
-	first := x.answered == 0
+	first := query.answeredAt == 0
 	if first {
-		x.answered = at
+		query.answeredAt = at
 	}
-	if first && at > x.due+k.rules.SlackMs { // a repeat gets it again
-		k.report(1, x.c, "answered %.0f ms after it was asked", at-x.asked)
+	if first && at > query.deadline+k.rules.SlackMs { // a response to a retransmission may come later
+		k.report(1, query.call, "response %.0f ms after the query", at-query.askedAt)
 	}
-	text := fmt.Sprint(m.Rcode, m.Answer)
+	answer := fmt.Sprint(m.Rcode, m.Answer)
 	_, addr, ok := enumclient.Named(m)
-	if x.text != "" && x.text != text && k.ready(edge, x.to) {
-		k.report(1, x.c, "a second answer, %s after %s", text, x.text)
+	if query.answer != "" && query.answer != answer && k.isReady(gateway, query.endpoint) {
+		k.report(1, query.call, "different response: %s after %s", answer, query.answer)
 	}
-	x.text, x.to = text, ""
+	query.answer, query.endpoint = answer, ""
 	if !ok {
 		return
 	}
 	k.Totals.Answered++
-	x.to = addr.String()
-	k.checkDraining(at, edge, x.to, x.c)
-	k.namedEndpoints[client+" "+x.to] = append(k.namedEndpoints[client+" "+x.to], at)
+	query.endpoint = addr.String()
+	k.checkDraining(at, gateway, query.endpoint, query.call)
+	k.namedEndpoints[client+" "+query.endpoint] = append(k.namedEndpoints[client+" "+query.endpoint], at)
 }
 
-// closeQueries excuses look-ups by what was done to a gateway, as for calls: what a killed process held is lost, and
-// one that stood still could not answer.
-func (k *Checker) closeQueries(at float64, m *api.Mark) {
-	for id, x := range k.queries {
+// excuseQueries treats look-ups as calls are treated when a gateway's process ended or stalled: a killed process
+// loses its look-ups, and a stalled one could not answer.
+func (k *Checker) excuseQueries(at float64, m *api.Mark) {
+	for id, query := range k.queries {
 		switch {
-		case x.c.edge != m.Who:
-		case m.What != "edge-go": // killed, or started: what came between reached nobody
+		case query.call.gateway != m.Who:
+		case m.What != "edge-go": // killed or started: queries sent in between reached no process
 			delete(k.queries, id)
-		case x.answers == 0:
-			x.due = math.Max(x.due, at+1000)
+		case query.responseCount == 0:
+			query.deadline = math.Max(query.deadline, at+1000)
 		}
 	}
 }
 
-// ready tells whether an edge knows of no reason against an endpoint.
-func (k *Checker) ready(edge, addr string) bool {
-	p := k.listings[edge][addr]
-	return p != nil && p.state == "ready"
+// isReady tells whether a gateway's list has an endpoint as ready.
+func (k *Checker) isReady(gateway, addr string) bool {
+	entry := k.endpointLists[gateway][addr]
+	return entry != nil && entry.state == "ready"
 }
 
-// onKioskCall judges a kiosk's own call: it goes to an endpoint that was named just before, once for each naming.
+// onKioskCall checks a kiosk's own call: it goes to an endpoint that a response named just before, and each
+// response allows one call.
 func (k *Checker) onKioskCall(at float64, d *api.Datagram, from *api.Node) {
 	m, err := k.Parse(d.Data)
 	r, ok := m.(*sip.Request)
 	if err != nil || !ok || r.Method != sip.INVITE {
 		return
 	}
-	if _, repeat := k.byTx[d.From+siptransaction.SessionIDOf(r)]; repeat {
+	if _, repeat := k.attemptsByTransaction[d.From+siptransaction.SessionIDOf(r)]; repeat {
 		return
 	}
-	k.byTx[d.From+siptransaction.SessionIDOf(r)] = &attempt{}
+	k.attemptsByTransaction[d.From+siptransaction.SessionIDOf(r)] = &attempt{}
 	k.Totals.KioskCalls++
-	ap, err := netip.ParseAddrPort(d.From)
+	addr, err := netip.ParseAddrPort(d.From)
 	if err != nil {
 		return
 	}
-	edge, client := from.Name, ""
+	gateway, client := from.Name, ""
 	for a, n := range k.nodes {
 		if n.Role == "kiosk" && n.Name == from.Name {
 			client = a
 		}
 	}
-	k.countSlowStart(at, edge, d.To, false)
+	k.recordSlowStartWork(at, gateway, d.To, false)
 	key := client + " " + d.To
-	of := k.namedEndpoints[key]
+	namedAt := k.namedEndpoints[key]
 	latest := math.Inf(-1)
-	for len(of) > 0 && at-latest > fresh { // those that are older were of answers that were lost
-		latest, of = of[0], of[1:]
+	for len(namedAt) > 0 && at-latest > maxNamingAge { // older ones belong to responses that were lost
+		latest, namedAt = namedAt[0], namedAt[1:]
 	}
-	k.namedEndpoints[key] = of
-	if at-latest > fresh {
+	k.namedEndpoints[key] = namedAt
+	if at-latest > maxNamingAge {
 		k.report(
 			3,
-			&call{edge: edge, id: siptransaction.SessionIDOf(r)},
-			"%v calls %s, %.0f ms after it was named",
-			ap,
+			&call{gateway: gateway, id: siptransaction.SessionIDOf(r)},
+			"%v calls %s %.0f ms after it was named",
+			addr,
 			k.name(d.To),
 			at-latest,
 		)
--- a/internal/conformance/slowstart.go
+++ b/internal/conformance/slowstart.go
@@ -6,33 +6,35 @@
 	"cobaltpier/api"
 )
 
-// Cold is how much of a cold switch's budget the work of the window that ended at a time used.
+// Cold is the part of a slow-starting switch's budget that was used in the window that ended at At.
 type Cold struct {
 	At     float64
 	Switch string
 	Used   float64 // 1: the limit
 }
 
-type start struct {
-	at    float64
-	who   string
-	model *api.Start
-	sends []send
-	end   float64
+// endpointStart is one start of a switch and the work sent to it since.
+type endpointStart struct {
+	at       float64
+	endpoint string // name of the switch
+	model    *api.Start
+	sends    []send
+	end      float64 // when it stopped or started again
 }
 
+// send is the work of a setup or a retransmission; gatewayKnew: its gateway had been told of the start.
 type send struct {
 	at, work    float64
 	gatewayKnew bool
 }
 
-// countSlowStart notes work that goes to a switch that started lately.
-func (k *Checker) countSlowStart(at float64, edge, to string, repeat bool) {
-	of := k.startsByAddr[to]
-	if len(of) == 0 {
+// recordSlowStartWork records the work of a setup, or of its retransmission, that is sent to a switch in slow start.
+func (k *Checker) recordSlowStartWork(at float64, gateway, to string, repeat bool) {
+	starts := k.startsByAddr[to]
+	if len(starts) == 0 {
 		return
 	}
-	s := of[len(of)-1]
+	s := starts[len(starts)-1]
 	if at > s.end || at > s.at+s.model.WarmMs+k.rules.TipMs {
 		return
 	}
@@ -40,58 +42,59 @@
 	if repeat {
 		work = s.model.RepeatMs
 	}
-	p := k.listings[edge][to]
-	s.sends = append(s.sends, send{at, work, p != nil && p.startedAt > 0 && p.startedAt >= s.at-1000})
+	entry := k.endpointLists[gateway][to]
+	s.sends = append(s.sends, send{at, work, entry != nil && entry.startedAt > 0 && entry.startedAt >= s.at-1000})
 }
 
-func whenSet(at float64) float64 {
+// orInf is a time, or infinity if the time is not set.
+func orInf(at float64) float64 {
 	if at == 0 {
 		return math.Inf(1)
 	}
 	return at
 }
 
-// window is rule 4: the work sent to a cold switch in any window, by all gateways together, stays under the stated
-// multiple of what it can do then, with some slack for chance; broken if two thirds of it came from gateways that had
-// been told of its start.
-func (k *Checker) window(addr string, s *start) {
-	sum, told, from := 0.0, 0.0, 0
-	for _, x := range s.sends {
-		sum += x.work
-		if x.gatewayKnew {
-			told += x.work
+// checkSlowStart checks rule 4 for one start of a switch: the work that all gateways together send it in any window
+// stays below the permitted multiple of what it can do at its age, with some slack for chance. The rule is broken
+// only if more than two thirds of that work came from gateways that had been told of the start.
+func (k *Checker) checkSlowStart(addr string, s *endpointStart) {
+	sum, informed, oldest := 0.0, 0.0, 0
+	for _, sent := range s.sends {
+		sum += sent.work
+		if sent.gatewayKnew {
+			informed += sent.work
 		}
-		for s.sends[from].at <= x.at-k.rules.TipMs {
-			sum -= s.sends[from].work
-			if s.sends[from].gatewayKnew {
-				told -= s.sends[from].work
+		for s.sends[oldest].at <= sent.at-k.rules.TipMs {
+			sum -= s.sends[oldest].work
+			if s.sends[oldest].gatewayKnew {
+				informed -= s.sends[oldest].work
 			}
-			from++
+			oldest++
 		}
-		part := math.Min(1, s.model.ColdShare+(1-s.model.ColdShare)*math.Max(0, x.at-s.at)/s.model.WarmMs)
-		if part >= 1 {
+		capacity := math.Min(1, s.model.ColdShare+(1-s.model.ColdShare)*math.Max(0, sent.at-s.at)/s.model.WarmMs)
+		if capacity >= 1 {
 			continue
 		}
-		most := k.rules.TipMultiple * part * k.rules.TipMs
-		use := sum / most
-		if told <= sum*2/3 { // mostly from gateways that could not know
-			use = told / most
+		limit := k.rules.TipMultiple * capacity * k.rules.TipMs
+		use := sum / limit
+		if informed <= sum*2/3 { // mostly from gateways that had not been told
+			use = informed / limit
 		}
 		k.Totals.SlowStartUse = math.Max(k.Totals.SlowStartUse, use)
 		if k.Keep {
-			k.Cold = append(k.Cold, Cold{x.at, s.who, use})
+			k.Cold = append(k.Cold, Cold{sent.at, s.endpoint, use})
 		}
-		if sum > most+math.Sqrt(most*s.model.SetupMs)+s.model.SetupMs && told > sum*2/3 {
-			k.latestAt = x.at
+		if sum > limit+math.Sqrt(limit*s.model.SetupMs)+s.model.SetupMs && informed > sum*2/3 {
+			k.latestAt = sent.at
 			k.report(
 				4,
-				&call{edge: "all", id: s.who},
-				"%.0f ms of work in %.0f ms to %s, %.0f ms after its start: %.0f allowed",
+				&call{gateway: "all", id: s.endpoint},
+				"%.0f ms of work sent within %.0f ms to %s, %.0f ms after its start; %.0f allowed",
 				sum,
 				k.rules.TipMs,
 				k.name(addr),
-				x.at-s.at,
-				most,
+				sent.at-s.at,
+				limit,
 			)
 			return
 		}
--- a/internal/gateway/gatewayconfig/settings_test.go
+++ b/internal/gateway/gatewayconfig/settings_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-const good = `gateway {
+const validConfig = `gateway {
   name = "e"
   sip = "127.0.0.1:5060"
   peer = "127.0.0.1:5070"
@@ -34,8 +34,8 @@
 }
 `
 
-func TestGoodSettings(t *testing.T) {
-	s, err := Parse("edge.hcl", []byte(good))
+func TestValidConfig(t *testing.T) {
+	s, err := Parse("edge.hcl", []byte(validConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,7 +48,7 @@
 	}
 }
 
-const more = `numbers {
+const numbersConfig = `numbers {
   table = "t.hcl"
 }
 enum {
@@ -65,7 +65,7 @@
 `
 
 func TestNumbers(t *testing.T) {
-	s, err := Parse("edge.hcl", []byte(good+more))
+	s, err := Parse("edge.hcl", []byte(validConfig+numbersConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,9 +91,9 @@
 		{`numbers {`, `numbers {
   lookup_share = 2`, `edge.hcl:29: lookup_share: want a number from 0 to 1`},
 	} {
-		text := strings.Replace(good+more, x.from, x.to, 1)
-		if text == good+more {
-			t.Fatalf("%q is not in the settings", x.from)
+		text := strings.Replace(validConfig+numbersConfig, x.from, x.to, 1)
+		if text == validConfig+numbersConfig {
+			t.Fatalf("the settings do not contain %q", x.from)
 		}
 		if _, err := Parse("edge.hcl", []byte(text)); err == nil || !strings.Contains(err.Error(), x.want) {
 			t.Errorf("%q: error\n%v\nwant\n%s", x.to, err, x.want)
@@ -101,8 +101,8 @@
 	}
 }
 
-// Each fault is told with file, line and what was expected; all of a file at once.
-func TestFaults(t *testing.T) {
+// TestErrors checks that each error names the file, the line and what was expected.
+func TestErrors(t *testing.T) {
 	for _, x := range []struct{ from, to, want string }{
 		{`clear_wait = "500ms"`, `clear_wait = 500`, `edge.hcl:14: clear_wait: want a duration from "0s" to "1m0s"`},
 		{`clear_wait = "500ms"`, `clear_wait = "soon"`,
@@ -119,7 +119,7 @@
 		{`, "127.0.0.2:5070"]`, `]`,
 			`edge.hcl:8: peers: want the addresses of all 2 gateways where allow.tell is set, got 1`},
 		{`target = "2s"`, `target = "20s"`, `edge.hcl:21: target: want no more than patience`},
-		{`skill "shift-lookup"`, `skill`, `edge.hcl:20: skill: want 1 names behind it, got 0`},
+		{`skill "shift-lookup"`, `skill`, `edge.hcl:20: skill: want 1 labels, got 0`},
 		{`name = "e"`, `name = ""`, `edge.hcl:2: name: want a string that is not empty`},
 		{`sip = "127.0.0.1:5060"`, `sip = "localhost"`,
 			`edge.hcl:3: sip: want an address such as "127.0.0.1:5060", got "localhost"`},
@@ -130,21 +130,21 @@
 group "TG-1" {
   pool = 0
   size = 1
-}`, `edge.hcl:29: pool 0 has a group already, "TG-0"`},
+}`, `edge.hcl:29: pool 0 already belongs to group "TG-0"`},
 	} {
-		text := strings.Replace(good, x.from, x.to, 1)
+		text := strings.Replace(validConfig, x.from, x.to, 1)
 		if _, err := Parse("edge.hcl", []byte(text)); err == nil || !strings.Contains(err.Error(), x.want) {
 			t.Errorf("%q: error\n%v\nwant\n%s", x.to, err, x.want)
 		}
 	}
 	if _, err := Load("/nonexistent/edge.hcl"); err == nil {
-		t.Error("a file that is not there: no error")
+		t.Error("a missing file: no error")
 	}
 }
 
-// No text makes the reader fall.
+// FuzzParse checks that no text makes Parse panic.
 func FuzzParse(f *testing.F) {
-	f.Add(good)
+	f.Add(validConfig)
 	f.Add("gateway {")
 	f.Add("gateway {\n number = -1e999\n peers = [1, null]\n}\nskill \"a\" {\n target = null\n}")
 	f.Fuzz(func(t *testing.T, text string) { _, _ = Parse("f", []byte(text)) })
--- a/internal/gateway/simadapter/codec.go
+++ b/internal/gateway/simadapter/codec.go
@@ -1,5 +1,9 @@
-// Package simadapter hosts routing policies on the wire of the platform's simulator: text lines on standard input and
-// output. It decides nothing itself.
+// Package simadapter hosts routing policies behind the protocol of the platform's simulator: lines of text, with
+// tabs between the values, on standard input and output. It makes no routing decisions.
+//
+// Events arrive in rounds: a line "round" with the time, the events, and a line "eob". The adapter writes the
+// actions of the policies and, at the end of the round, a line "ready". A "roster" is a numbered endpoint list that
+// an event refers to.
 package simadapter
 
 import (
@@ -13,25 +17,26 @@
 	"cobaltpier/internal/routing"
 )
 
-// inputLine is one line of the wire, read part by part. The first error is kept.
+// inputLine is a line of input, read part by part. It keeps the first error.
 type inputLine struct {
-	number   int
-	kind     string
-	parts    []string
-	position int
-	err      error
+	lineNumber int
+	kind       string
+	parts      []string
+	position   int
+	err        error
 }
 
-func (l *inputLine) fault(name, want, got string) {
+// fail records that a part is not what was expected, unless there is an error already.
+func (l *inputLine) fail(name, want, got string) {
 	if l.err == nil {
-		l.err = fmt.Errorf("line %d: %s: %s: want %s, got %q", l.number, l.kind, name, want, got)
+		l.err = fmt.Errorf("line %d: %s: %s: want %s, got %q", l.lineNumber, l.kind, name, want, got)
 	}
 }
 
-// text gives the next part; "-" is the absent one and comes back as "".
+// text returns the next part, or "" if it is "-", which stands for an absent value.
 func (l *inputLine) text(name string) string {
 	if l.position >= len(l.parts) {
-		l.fault(name, "a value", "end of line")
+		l.fail(name, "a value", "end of line")
 		return ""
 	}
 	s := l.parts[l.position]
@@ -42,25 +47,25 @@
 	return s
 }
 
-// float gives a number, or absent where there is none.
-func (l *inputLine) float(name string, absent float64) float64 {
+// float returns a number, or absentValue if the value is absent.
+func (l *inputLine) float(name string, absentValue float64) float64 {
 	s := l.text(name)
 	if s == "" {
-		return absent
+		return absentValue
 	}
 	f, err := strconv.ParseFloat(s, 64)
 	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) {
-		l.fault(name, "a number", s)
+		l.fail(name, "a number", s)
 	}
 	return f
 }
 
-// integer gives a whole number from lo to hi.
+// integer returns a whole number from lo to hi.
 func (l *inputLine) integer(name string, lo, hi int64) int64 {
 	s := l.text(name)
 	v, err := strconv.ParseInt(s, 10, 64)
 	if err != nil || v < lo || v > hi {
-		l.fault(name, fmt.Sprintf("a whole number from %d to %d", lo, hi), s)
+		l.fail(name, fmt.Sprintf("a whole number from %d to %d", lo, hi), s)
 		return lo
 	}
 	return v
@@ -69,7 +74,7 @@
 func (l *inputLine) flag(name string) bool {
 	s := l.text(name)
 	if s != "" && s != "0" && s != "1" {
-		l.fault(name, "1 or 0", s)
+		l.fail(name, "1 or 0", s)
 	}
 	return s == "1"
 }
@@ -78,23 +83,24 @@
 	s := l.text(name)
 	b, err := hex.DecodeString(s)
 	if err != nil {
-		l.fault(name, "hex digits", s)
+		l.fail(name, "hex digits", s)
 	}
 	return b
 }
 
-func (l *inputLine) outcome(name string, of map[string]routing.Outcome) routing.Outcome {
+func (l *inputLine) outcome(name string, codes map[string]routing.Outcome) routing.Outcome {
 	s := l.text(name)
-	e, ok := of[s]
+	outcome, ok := codes[s]
 	if !ok {
-		l.fault(name, "an outcome code", s)
+		l.fail(name, "an outcome code", s)
 	}
-	return e
+	return outcome
 }
 
+// finish returns the first error of the line; parts that are left over are an error too.
 func (l *inputLine) finish() error {
 	if l.err == nil && l.position < len(l.parts) {
-		l.fault("end of line", fmt.Sprintf("%d values", l.position), strings.Join(l.parts[l.position:], " "))
+		l.fail("end of line", fmt.Sprintf("%d values", l.position), strings.Join(l.parts[l.position:], " "))
 	}
 	return l.err
 }
@@ -105,31 +111,31 @@
 	"skipped": routing.NotSent,
 }
 
-// loadReport reads a load report over an older one; it tells whether figures of the processor came. Values that are
-// absent or negative leave the older figure.
-func (l *inputLine) loadReport(fields []string, into *routing.LoadReport) bool {
+// loadReport updates a load report with the values of the next part, which are in the order of fields. It tells
+// whether a figure of the endpoint's processor was set. An absent or negative value leaves the older one.
+func (l *inputLine) loadReport(fields []string, report *routing.LoadReport) bool {
 	s := l.text("telemetry")
 	if s == "" {
 		return false
 	}
-	row := strings.Split(s, ",")
-	if len(row) < len(fields) {
-		l.fault("telemetry", fmt.Sprintf("%d values", len(fields)), s)
+	values := strings.Split(s, ",")
+	if len(values) < len(fields) {
+		l.fail("telemetry", fmt.Sprintf("%d values", len(fields)), s)
 		return false
 	}
-	full := false
+	complete := false
 	for i, f := range fields {
-		if row[i] == "" || row[i] == "-" {
+		if values[i] == "" || values[i] == "-" {
 			continue
 		}
-		v, err := strconv.ParseFloat(row[i], 64)
+		v, err := strconv.ParseFloat(values[i], 64)
 		if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-			l.fault("telemetry", "numbers", s)
+			l.fail("telemetry", "numbers", s)
 			return false
 		}
-		if deployment.SetLoadReportField(into, f, v) {
-			full = true
+		if deployment.SetLoadReportField(report, f, v) {
+			complete = true
 		}
 	}
-	return full
+	return complete
 }
--- a/internal/gateway/simadapter/events.go
+++ b/internal/gateway/simadapter/events.go
@@ -13,13 +13,13 @@
 	"cobaltpier/internal/routing"
 )
 
-// Events of the simulator's wire that are told apart before their instance is known.
+// Events that are handled before their instance is looked up.
 const (
 	eventCreate = "create"
 	eventHalt   = "halt"
 )
 
-// handlers are the handlers of all other events.
+// handlers are the handlers of events for an instance.
 var handlers = map[string]func(*process, *instance, *inputLine) error{
 	eventHalt:     (*process).onHalt,
 	"peers_known": (*process).onEndpoints,
@@ -32,7 +32,7 @@
 	"memo":        (*process).onGossip,
 }
 
-// Limits of numbers on the wire.
+// Limits of the numbers in events.
 const (
 	maxEndpointID   = 1<<32 - 1
 	maxAttemptIndex = 1 << 20
@@ -45,36 +45,37 @@
 	scopeNothing = 3
 )
 
-// Notes of an attempt's end: the reason, and above it the ms that the endpoint asks not to be tried.
+// The note of an attempt's end is the reason plus noteReasons times the ms for which the endpoint asks for no
+// attempts.
 const (
 	noteReasons    = 16
 	noteAtCapacity = 1
 	noteNumberBusy = 4
 )
 
-// event hands an event to its instance. A panic of the policy goes out as a crash of the instance.
-func (p *process) event(line *inputLine, text string) (err error) {
+// handleEvent hands an event to its instance. If the policy panics, it reports a crash and removes the instance.
+func (p *process) handleEvent(line *inputLine, text string) (err error) {
 	name := line.text("gatewayId")
 	if !strings.HasPrefix(name, gatewayPrefix) && line.err == nil {
-		line.fault("gatewayId", "gateway- and a number", name)
+		line.fail("gatewayId", "gateway- and a number", name)
 	}
 	if line.err != nil {
 		return line.err
 	}
 	defer func() {
 		if cause := recover(); cause != nil {
-			p.crash(name, cause)
+			p.reportCrash(name, cause)
 		}
 	}()
 	if line.kind == eventCreate {
-		return p.create(line, name, text)
+		return p.onCreate(line, name, text)
 	}
 	handle, known := handlers[line.kind]
 	if !known {
-		return fmt.Errorf("line %d: want an event of the wire, got %q", line.number, line.kind)
+		return fmt.Errorf("line %d: want an event of the wire, got %q", line.lineNumber, line.kind)
 	}
 	in := p.instances[name]
-	if in == nil { // it has been halted: events on their way are allowed
+	if in == nil { // it was halted or crashed: events still in transit are ignored
 		if line.kind == eventHalt {
 			return line.finish()
 		}
@@ -84,27 +85,28 @@
 	return handle(p, in, line)
 }
 
-func (p *process) crash(name string, cause any) {
+// reportCrash sends the cause and the stack of a panic, and removes the instance.
+func (p *process) reportCrash(name string, cause any) {
 	stack := strings.Join(strings.Fields(string(debug.Stack())), " ")
 	stack = stack[:min(len(stack), maxStackLength)]
 	(&instance{name: name, out: p.out}).send(actionCrash, fmt.Sprintf("%v at %s", cause, stack))
 	delete(p.instances, name)
 }
 
-func (p *process) create(line *inputLine, name, text string) error {
+func (p *process) onCreate(line *inputLine, name, text string) error {
 	seed, err := strconv.ParseUint(line.text("rngSeed"), 10, 64)
 	if err != nil {
-		line.fault("rngSeed", "a whole number", fmt.Sprint(err))
+		line.fail("rngSeed", "a whole number", fmt.Sprint(err))
 		return line.err
 	}
 	parts := strings.SplitN(text, separator, 4)
 	if len(parts) < 4 {
-		line.fault("params", "a JSON object", "end of line")
+		line.fail("params", "a JSON object", "end of line")
 		return line.err
 	}
 	settings, fields, err := deployment.Decode([]byte(parts[3]), seed)
 	if err != nil {
-		return fmt.Errorf("line %d: create: params: %w", line.number, err)
+		return fmt.Errorf("line %d: create: params: %w", line.lineNumber, err)
 	}
 	in := &instance{
 		name:      name,
@@ -141,11 +143,11 @@
 	}
 	roster, ok := p.rosters[int64(number)]
 	if !ok {
-		return fmt.Errorf("line %d: peers_known: want the number of a roster sent before, got %v", line.number, number)
+		return fmt.Errorf("line %d: peers_known: want the number of a roster sent before, got %v", line.lineNumber, number)
 	}
 	entries := make([]endpointset.Entry[int64], 0, len(roster))
 	for _, parts := range roster {
-		entry, err := parseEntry(&inputLine{number: line.number, kind: "entry", parts: parts})
+		entry, err := parseEntry(&inputLine{lineNumber: line.lineNumber, kind: "entry", parts: parts})
 		if err != nil {
 			return err
 		}
@@ -172,16 +174,16 @@
 	tracker := &attempts.Tracker{Call: call, ID: line.text("corr")}
 	call.HostData = tracker
 	line.float("cost", 0)
-	left := line.float("left", math.NaN())
+	remaining := line.float("left", math.NaN())
 	className := line.text("tierClass")
 	call.Class = in.classes[className]
 	if call.Class == nil {
-		line.fault("tierClass", "a class of the settings", className)
+		line.fail("tierClass", "a class of the settings", className)
 	}
-	if math.IsNaN(left) && call.Class != nil {
-		left = call.Class.Timeout
+	if math.IsNaN(remaining) && call.Class != nil {
+		remaining = call.Class.Timeout
 	}
-	call.Deadline = p.now + left
+	call.Deadline = p.now + remaining
 	call.CalledNumber = line.text("routeKey")
 	line.flag("mutates")
 	line.float("units", 1)
--- a/internal/gateway/simadapter/process.go
+++ b/internal/gateway/simadapter/process.go
@@ -11,7 +11,7 @@
 	"cobaltpier/internal/routing"
 )
 
-// process is the adapter's process: its instances and the numbered endpoint lists that were sent.
+// process is the state of the adapter: its instances and the endpoint lists that it was sent, by number.
 type process struct {
 	out       *bufio.Writer
 	newPolicy routing.PolicyFactory
@@ -23,10 +23,10 @@
 	roster  rosterInput
 }
 
-// rosterInput is an endpoint list that is being read.
+// rosterInput is the endpoint list that is being read.
 type rosterInput struct {
 	number  int64
-	missing int64 // entries that are still to come
+	missing int64 // entries not yet read
 	entries [][]string
 }
 
@@ -43,7 +43,7 @@
 	maxStackLength = 2000
 )
 
-// Serve answers rounds until the input ends. Errors name the line and what was expected there.
+// Serve handles rounds until the input ends. Errors name the line and what was expected there.
 func Serve(in io.Reader, out io.Writer, newPolicy routing.PolicyFactory) error {
 	p := &process{
 		out:       bufio.NewWriterSize(out, bufferSize),
@@ -52,29 +52,29 @@
 		rosters:   map[int64][][]string{},
 	}
 	reader := bufio.NewReaderSize(in, maxLineSize)
-	for number := 1; ; number++ {
+	for lineNumber := 1; ; lineNumber++ {
 		text, err := reader.ReadString('\n')
 		if errors.Is(err, io.EOF) {
 			if text != "" || p.inRound {
-				return fmt.Errorf("line %d: input ends inside a batch: want %q", number, roundEnd)
+				return fmt.Errorf("line %d: input ends inside a batch: want %q", lineNumber, roundEnd)
 			}
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("line %d: %w", number, err)
+			return fmt.Errorf("line %d: %w", lineNumber, err)
 		}
-		if err := p.handleLine(number, strings.TrimSuffix(strings.TrimSuffix(text, "\n"), "\r")); err != nil {
+		if err := p.handleLine(lineNumber, strings.TrimSuffix(strings.TrimSuffix(text, "\n"), "\r")); err != nil {
 			return err
 		}
 	}
 }
 
-func (p *process) handleLine(number int, text string) error {
+func (p *process) handleLine(lineNumber int, text string) error {
 	if text == "" && !p.inRound {
-		return nil // examples have empty lines between rounds
+		return nil // examples of the protocol have empty lines between rounds
 	}
 	parts := strings.Split(text, separator)
-	line := &inputLine{number: number, kind: parts[0], parts: parts[1:]}
+	line := &inputLine{lineNumber: lineNumber, kind: parts[0], parts: parts[1:]}
 	switch {
 	case p.roster.missing > 0:
 		return p.addRosterEntry(line, text)
@@ -85,17 +85,17 @@
 	case line.kind == "roster":
 		return p.beginRoster(line)
 	}
-	return p.event(line, text)
+	return p.handleEvent(line, text)
 }
 
 func (p *process) beginRound(line *inputLine, text string) error {
 	if line.kind != "round" {
-		return fmt.Errorf("line %d: want \"round\", got %q", line.number, text)
+		return fmt.Errorf("line %d: want \"round\", got %q", line.lineNumber, text)
 	}
 	p.inRound = true
 	p.now = line.float("time", math.NaN())
 	if math.IsNaN(p.now) {
-		line.fault("time", "a number", "-")
+		line.fail("time", "a number", "-")
 	}
 	return line.finish()
 }
@@ -122,7 +122,7 @@
 
 func (p *process) addRosterEntry(line *inputLine, text string) error {
 	if line.kind != "entry" || len(line.parts) < rosterFields {
-		return fmt.Errorf("line %d: want an \"entry\" with %d values, got %q", line.number, rosterFields, text)
+		return fmt.Errorf("line %d: want an \"entry\" with %d values, got %q", line.lineNumber, rosterFields, text)
 	}
 	p.roster.entries = append(p.roster.entries, line.parts)
 	p.roster.missing--
--- a/internal/hclconfig/conf.go
+++ b/internal/hclconfig/conf.go
@@ -1,5 +1,6 @@
-// Package hclconfig reads HCL settings so that every fault is told with its file, its line and what was expected there.
-// Whoever reads a file asks for the values by name; what nobody asked for is refused. The first pass finds all faults.
+// Package hclconfig reads HCL settings. Each error names the file, the line and what was expected there, and all
+// errors of a file are returned together. A program requests values and blocks by name; those that it does not
+// request are errors.
 package hclconfig
 
 import (
@@ -14,36 +15,36 @@
 	"github.com/zclconf/go-cty/cty"
 )
 
-// File is one file of settings.
+// File is a file of settings and the errors found in it.
 type File struct {
-	diags hcl.Diagnostics
-	src   *hcl.File
-	all   []*Block
+	diags  hcl.Diagnostics
+	src    *hcl.File
+	blocks []*Block
 }
 
-// Block is a block, or a file's top.
+// Block is a block, or the top level of a file.
 type Block struct {
-	file   *File
-	body   *hclsyntax.Body
-	name   string
-	Labels []string
-	at     hcl.Range
-	asked  map[string]bool
+	file      *File
+	body      *hclsyntax.Body
+	name      string
+	Labels    []string
+	location  hcl.Range
+	requested map[string]bool
 }
 
-// Required as a default says that a value must be there.
+// Required as a default means that the value must be given.
 var Required = math.NaN()
 
-// Parse reads settings that are at hand; name stands in the errors.
+// Parse parses settings from memory and returns their top level. Errors name the file as name.
 func Parse(name string, src []byte) (*Block, error) {
 	file, diags := hclsyntax.ParseConfig(src, name, hcl.InitialPos)
 	f := &File{diags: diags, src: file}
 	if diags.HasErrors() {
 		return nil, f.err()
 	}
-	b := &Block{file: f, body: file.Body.(*hclsyntax.Body), asked: map[string]bool{},
-		at: hcl.Range{Filename: name, Start: hcl.InitialPos, End: hcl.InitialPos}}
-	f.all = append(f.all, b)
+	b := &Block{file: f, body: file.Body.(*hclsyntax.Body), requested: map[string]bool{},
+		location: hcl.Range{Filename: name, Start: hcl.InitialPos, End: hcl.InitialPos}}
+	f.blocks = append(f.blocks, b)
 	return b, nil
 }
 
@@ -66,60 +67,62 @@
 	return fmt.Errorf("settings: %s", strings.Join(lines, "\n  "))
 }
 
-// Err tells all faults, after everything was asked for: also what nobody asked for.
+// Err returns all errors. It is called after all values were requested; those that were not requested are errors
+// too.
 func (b *Block) Err() error {
 	f := b.file
-	for _, b := range f.all {
+	for _, b := range f.blocks {
 		for name, a := range b.body.Attributes {
-			if !b.asked[name] {
-				b.fault(a.NameRange, "unknown key %q; known here: %s", name, b.known())
+			if !b.requested[name] {
+				b.addErrorAt(a.NameRange, "unknown key %q; known here: %s", name, b.requestedNames())
 			}
 		}
 		for _, c := range b.body.Blocks {
-			if !b.asked["{"+c.Type] {
-				b.fault(c.TypeRange, "unknown block %q; known here: %s", c.Type, b.known())
+			if !b.requested["{"+c.Type] {
+				b.addErrorAt(c.TypeRange, "unknown block %q; known here: %s", c.Type, b.requestedNames())
 			}
 		}
-		b.asked = map[string]bool{}
+		b.requested = map[string]bool{}
 		b.body = &hclsyntax.Body{}
 	}
 	sortDiags(f.diags)
 	return f.err()
 }
 
-func (b *Block) known() string {
+// requestedNames lists the keys and blocks that were requested.
+func (b *Block) requestedNames() string {
 	var names []string
-	for n := range b.asked {
+	for n := range b.requested {
 		names = append(names, strings.TrimPrefix(n, "{"))
 	}
 	sortStrings(names)
 	return strings.Join(names, ", ")
 }
 
-func (b *Block) fault(at hcl.Range, format string, args ...any) {
+func (b *Block) addErrorAt(at hcl.Range, format string, args ...any) {
 	b.file.diags = append(
 		b.file.diags,
 		&hcl.Diagnostic{Severity: hcl.DiagError, Summary: fmt.Sprintf(format, args...), Subject: &at},
 	)
 }
 
-// Fault adds a fault of the value of a name, or of the block where that is not there.
+// Fault adds an error at the value of a key, or at the block if the key is absent.
 func (b *Block) Fault(name, format string, args ...any) {
-	at := b.at
+	at := b.location
 	if a := b.body.Attributes[name]; a != nil {
 		at = a.Expr.Range()
 	}
-	b.fault(at, format, args...)
+	b.addErrorAt(at, format, args...)
 }
 
-// Has tells whether a value is there.
+// Has tells whether a key is present.
 func (b *Block) Has(name string) bool {
-	b.asked[name] = true
+	b.requested[name] = true
 	return b.body.Attributes[name] != nil
 }
 
 func (b *Block) value(name string) (cty.Value, bool) {
-	b.asked[name] = true
+	b.requested[name] = true
 	a := b.body.Attributes[name]
 	if a == nil {
 		return cty.NilVal, false
@@ -135,18 +138,18 @@
 	return v, true
 }
 
-func (b *Block) missing(name, want string) {
+func (b *Block) addMissing(name, want string) {
 	if b.body.Attributes[name] == nil {
-		b.fault(b.at, "%s: want %s = %s", b.name, name, want)
+		b.addErrorAt(b.location, "%s: want %s = %s", b.name, name, want)
 	}
 }
 
-// Num is a number from lo to hi; def where it is missing, and Required as def makes that a fault.
+// Num returns a number from lo to hi, or def if the key is absent. If def is Required, an absent key is an error.
 func (b *Block) Num(name string, def, lo, hi float64) float64 {
 	v, ok := b.value(name)
 	if !ok {
 		if math.IsNaN(def) {
-			b.missing(name, fmt.Sprintf("a number from %g to %g", lo, hi))
+			b.addMissing(name, fmt.Sprintf("a number from %g to %g", lo, hi))
 		}
 		return def
 	}
@@ -162,7 +165,7 @@
 	return n
 }
 
-// Int is a whole number.
+// Int returns a whole number from lo to hi, or def if the key is absent.
 func (b *Block) Int(name string, def, lo, hi int) int {
 	d := float64(def)
 	n := b.Num(name, d, float64(lo), float64(hi))
@@ -172,13 +175,13 @@
 	return int(n)
 }
 
-// Ms is a duration such as "250ms" or "2s", as milliseconds.
+// Ms returns a duration, written as "250ms" or "2s", in milliseconds. lo, hi and def are as for Num.
 func (b *Block) Ms(name string, def, lo, hi float64) float64 {
 	v, ok := b.value(name)
-	want := fmt.Sprintf("a duration from %q to %q", text(lo), text(hi))
+	want := fmt.Sprintf("a duration from %q to %q", formatMillis(lo), formatMillis(hi))
 	if !ok {
 		if math.IsNaN(def) {
-			b.missing(name, want)
+			b.addMissing(name, want)
 		}
 		return def
 	}
@@ -195,10 +198,10 @@
 	return ms
 }
 
-func text(ms float64) string { return time.Duration(ms * 1e6).String() }
+func formatMillis(ms float64) string { return time.Duration(ms * 1e6).String() }
 
-// Text is a string; of: the only ones that are allowed, if any are named.
-func (b *Block) Text(name, def string, of ...string) string {
+// Text returns a string, or def if the key is absent. If allowed strings are given, any other is an error.
+func (b *Block) Text(name, def string, allowed ...string) string {
 	v, ok := b.value(name)
 	if !ok {
 		return def
@@ -208,32 +211,32 @@
 		return def
 	}
 	s := v.AsString()
-	for _, o := range of {
-		if s == o {
+	for _, a := range allowed {
+		if s == a {
 			return s
 		}
 	}
-	if len(of) > 0 {
-		b.Fault(name, "%s: want one of %s, got %q", name, strings.Join(of, ", "), s)
+	if len(allowed) > 0 {
+		b.Fault(name, "%s: want one of %s, got %q", name, strings.Join(allowed, ", "), s)
 		return def
 	}
 	return s
 }
 
-// Must is a string that has to be there and not empty.
+// Must returns a string that must be present and not empty.
 func (b *Block) Must(name string) string {
 	s := b.Text(name, "")
 	if s == "" {
 		if b.Has(name) {
 			b.Fault(name, "%s: want a string that is not empty", name)
 		} else {
-			b.missing(name, "a string")
+			b.addMissing(name, "a string")
 		}
 	}
 	return s
 }
 
-// Flag is true or false.
+// Flag returns true or false, or def if the key is absent.
 func (b *Block) Flag(name string, def bool) bool {
 	v, ok := b.value(name)
 	if !ok {
@@ -246,7 +249,7 @@
 	return v.True()
 }
 
-// Addr is host:port with a numeric host.
+// Addr returns an address, which must be given as IP:port.
 func (b *Block) Addr(name string) netip.AddrPort {
 	s := b.Must(name)
 	if s == "" {
@@ -259,28 +262,28 @@
 	return a
 }
 
-// Texts is a list of strings.
+// Texts returns a list of strings, or nil if the key is absent.
 func (b *Block) Texts(name string) []string {
 	v, ok := b.value(name)
 	if !ok {
 		return nil
 	}
-	var of []string
+	var values []string
 	if v.Type().IsTupleType() || v.Type().IsListType() {
 		for _, e := range v.AsValueSlice() {
 			if e.Type() != cty.String {
 				b.Fault(name, "%s: want a list of strings", name)
 				return nil
 			}
-			of = append(of, e.AsString())
+			values = append(values, e.AsString())
 		}
-		return of
+		return values
 	}
 	b.Fault(name, "%s: want a list of strings", name)
 	return nil
 }
 
-// Pair is a range [lo, hi] of numbers, or one number for both.
+// Pair returns a range, written as [min, max] or as one number for both. lo and hi are the default.
 func (b *Block) Pair(name string, lo, hi float64) (float64, float64) {
 	v, ok := b.value(name)
 	if !ok {
@@ -291,51 +294,57 @@
 		nums = v.AsValueSlice()
 	}
 	if len(nums) != 2 || nums[0].Type() != cty.Number || nums[1].Type() != cty.Number {
-		b.Fault(name, "%s: want a number or [least, most]", name)
+		b.Fault(name, "%s: want a number or [min, max]", name)
 		return lo, hi
 	}
 	x, _ := nums[0].AsBigFloat().Float64()
 	y, _ := nums[1].AsBigFloat().Float64()
 	if x > y {
-		b.Fault(name, "%s: want [least, most], got [%g, %g]", name, x, y)
+		b.Fault(name, "%s: want [min, max], got [%g, %g]", name, x, y)
 	}
 	return x, y
 }
 
-// Blocks are the blocks of a type, each with so many labels.
+// Blocks returns the blocks of a type. A block with another number of labels is an error.
 func (b *Block) Blocks(kind string, labels int) []*Block {
-	b.asked["{"+kind] = true
-	var of []*Block
+	b.requested["{"+kind] = true
+	var found []*Block
 	for _, c := range b.body.Blocks {
 		if c.Type != kind {
 			continue
 		}
 		if len(c.Labels) != labels {
-			b.fault(c.TypeRange, "%s: want %d names behind it, got %d", kind, labels, len(c.Labels))
+			b.addErrorAt(c.TypeRange, "%s: want %d labels, got %d", kind, labels, len(c.Labels))
 			continue
 		}
-		n := &Block{file: b.file, body: c.Body, name: kind, Labels: c.Labels, at: c.TypeRange, asked: map[string]bool{}}
-		b.file.all = append(b.file.all, n)
-		of = append(of, n)
+		n := &Block{
+			file:      b.file,
+			body:      c.Body,
+			name:      kind,
+			Labels:    c.Labels,
+			location:  c.TypeRange,
+			requested: map[string]bool{},
+		}
+		b.file.blocks = append(b.file.blocks, n)
+		found = append(found, n)
 	}
-	return of
+	return found
 }
 
-// One is the one block of a type; an empty one where it is missing. Two are a fault.
+// One returns the block of a type that may occur once, or an empty block if there is none.
 func (b *Block) One(kind string) *Block {
-	of := b.Blocks(kind, 0)
-	if len(of) > 1 {
-		b.fault(of[1].at, "%s: want one such block, this is another", kind)
+	blocks := b.Blocks(kind, 0)
+	if len(blocks) > 1 {
+		b.addErrorAt(blocks[1].location, "%s: want one such block, this is a second one", kind)
 	}
-	if len(of) == 0 {
-		return &Block{file: b.file, body: &hclsyntax.Body{}, name: kind, at: b.at, asked: map[string]bool{}}
+	if len(blocks) == 0 {
+		return &Block{file: b.file, body: &hclsyntax.Body{}, name: kind, location: b.location, requested: map[string]bool{}}
 	}
-	return of[0]
+	return blocks[0]
 }
 
-// Override puts another value in the place of one, or where there is none, before anything was read: path is the name,
-// with the names of the blocks before it and dots between ("endpoints.count"); text is the value as a file would have
-// it.
+// Override sets a value, before any value is requested. path is the key with the names of the blocks around it,
+// separated by dots ("endpoints.count"); text is the value in HCL syntax.
 func (b *Block) Override(path, text string) error {
 	expr, diags := hclsyntax.ParseExpression([]byte(text), path, hcl.InitialPos)
 	if diags.HasErrors() {
@@ -343,22 +352,24 @@
 	}
 	body, names := b.body, strings.Split(path, ".")
 	for _, n := range names[:len(names)-1] {
-		var in *hclsyntax.Block
+		var child *hclsyntax.Block
 		for _, c := range body.Blocks {
 			if c.Type == n && len(c.Labels) == 0 || len(c.Labels) == 1 && c.Labels[0] == n {
-				in = c
+				child = c
 			}
 		}
-		if in == nil {
-			in = &hclsyntax.Block{Type: n, Body: &hclsyntax.Body{Attributes: hclsyntax.Attributes{}}, TypeRange: expr.Range()}
-			body.Blocks = append(body.Blocks, in)
+		if child == nil {
+			child = &hclsyntax.Block{Type: n, Body: &hclsyntax.Body{Attributes: hclsyntax.Attributes{}}, TypeRange: expr.Range()}
+			body.Blocks = append(body.Blocks, child)
 		}
-		body = in.Body
+		body = child.Body
 	}
 	last := names[len(names)-1]
 	body.Attributes[last] = &hclsyntax.Attribute{Name: last, Expr: expr, SrcRange: expr.Range(), NameRange: expr.Range()}
 	return nil
 }
 
-// Where is the block's file and line.
-func (b *Block) Where() string { return fmt.Sprintf("%s:%d", b.at.Filename, b.at.Start.Line) }
+// Where returns the file and the line of the block.
+func (b *Block) Where() string {
+	return fmt.Sprintf("%s:%d", b.location.Filename, b.location.Start.Line)
+}
