--- a/internal/decision/numberplan/compile.go
+++ b/internal/decision/numberplan/compile.go
@@ -21,36 +21,36 @@
 // Compile makes a table of its compact form and tells all that is wrong with it.
 func Compile(form *api.NumberTable) (*Table, error) {
 	var faults []string
-	n := 0
-	t := compile(form, func(of proto.Message, key, format string, args ...any) {
-		if n++; n <= maxFaults {
-			faults = append(faults, positionOf(form, of)+fmt.Sprintf(format, args...))
+	count := 0
+	t := compile(form, func(part proto.Message, key, format string, args ...any) {
+		if count++; count <= maxFaults {
+			faults = append(faults, positionOf(form, part)+fmt.Sprintf(format, args...))
 		}
 	})
-	if n > maxFaults {
-		faults = append(faults, fmt.Sprintf("and %d more", n-maxFaults))
+	if count > maxFaults {
+		faults = append(faults, fmt.Sprintf("and %d more", count-maxFaults))
 	}
-	if n > 0 {
+	if count > 0 {
 		return nil, fmt.Errorf("number table: %s", strings.Join(faults, "\n  "))
 	}
 	return t, nil
 }
 
 // positionOf says where in a table a part of it stands.
-func positionOf(form *api.NumberTable, of proto.Message) string {
-	switch of := of.(type) {
+func positionOf(form *api.NumberTable, part proto.Message) string {
+	switch part := part.(type) {
 	case *api.NumberDays:
-		return fmt.Sprintf("days %q: ", of.Name)
+		return fmt.Sprintf("days %q: ", part.Name)
 	case *api.NumberPeriod:
-		return fmt.Sprintf("period %q: ", of.Name)
+		return fmt.Sprintf("period %q: ", part.Name)
 	case *api.NumberRoute:
-		return fmt.Sprintf("route %q: ", of.Name)
+		return fmt.Sprintf("route %q: ", part.Name)
 	case *api.NumberPlan:
-		return fmt.Sprintf("plan %q: ", of.Name)
+		return fmt.Sprintf("plan %q: ", part.Name)
 	}
 	for _, p := range form.Plans {
 		for i, r := range p.Rules {
-			if proto.Message(r) == of || r.Then != nil && within(r.Then, of) {
+			if proto.Message(r) == part || r.Then != nil && containsPart(r.Then, part) {
 				if r.Where != "" {
 					return r.Where + ": "
 				}
@@ -61,34 +61,34 @@
 	return ""
 }
 
-func within(a *api.NumberAction, of proto.Message) bool {
+func containsPart(a *api.NumberAction, part proto.Message) bool {
 	if q := a.GetAsk(); q != nil {
 		for _, e := range []*api.NumberAction{q.Ported, q.Same, q.Silent} {
-			if e != nil && within(e, of) {
+			if e != nil && containsPart(e, part) {
 				return true
 			}
 		}
 	}
-	return proto.Message(a) == of
+	return proto.Message(a) == part
 }
 
 // compiler makes a table and tells faults.
 type compiler struct {
-	t       *Table
-	fault   func(of proto.Message, key, format string, args ...any)
-	periods map[string]*Period
-	days    map[string]map[string]bool
-	zones   map[string]*time.Location
-	leads   map[string][]reference // from plan to plan, for loops
-	used    map[string]bool
+	t              *Table
+	fault          func(part proto.Message, key, format string, args ...any)
+	periods        map[string]*Period
+	days           map[string]map[string]bool
+	zones          map[string]*time.Location
+	planReferences map[string][]reference // from plan to plan, for loops
+	used           map[string]bool
 }
 
 type reference struct {
-	to string
-	at proto.Message
+	to     string
+	action proto.Message
 }
 
-func compile(form *api.NumberTable, fault func(of proto.Message, key, format string, args ...any)) *Table {
+func compile(form *api.NumberTable, fault func(part proto.Message, key, format string, args ...any)) *Table {
 	t := &Table{
 		Name:    form.Name,
 		Version: form.Version,
@@ -97,13 +97,13 @@
 		routes:  map[string]*route{},
 	}
 	c := &compiler{
-		t:       t,
-		fault:   fault,
-		periods: map[string]*Period{},
-		days:    map[string]map[string]bool{},
-		zones:   map[string]*time.Location{"": time.UTC},
-		leads:   map[string][]reference{},
-		used:    map[string]bool{},
+		t:              t,
+		fault:          fault,
+		periods:        map[string]*Period{},
+		days:           map[string]map[string]bool{},
+		zones:          map[string]*time.Location{"": time.UTC},
+		planReferences: map[string][]reference{},
+		used:           map[string]bool{},
 	}
 	var err error
 	if t.Sum, err = Sum(form); err != nil { // text that is no UTF-8
@@ -133,7 +133,7 @@
 	if t.entry = t.plans[form.Entry]; t.entry == nil {
 		fault(form, "entry", "entry: no plan %q", form.Entry)
 	} else {
-		c.reach(form.Plans, form.Entry)
+		c.checkReachable(form.Plans, form.Entry)
 	}
 	for _, r := range form.Routes {
 		if !c.used["route "+r.Name] {
@@ -152,14 +152,14 @@
 	if c.days[d.Name] != nil {
 		c.fault(d, "", "days %q stand here twice", d.Name)
 	}
-	of := map[string]bool{}
-	for _, x := range d.Dates {
-		if _, err := time.Parse(time.DateOnly, x); err != nil {
-			c.fault(d, "dates", "dates: want days such as \"2026-12-25\", got %q", x)
+	set := map[string]bool{}
+	for _, date := range d.Dates {
+		if _, err := time.Parse(time.DateOnly, date); err != nil {
+			c.fault(d, "dates", "dates: want days such as \"2026-12-25\", got %q", date)
 		}
-		of[x] = true
+		set[date] = true
 	}
-	c.days[d.Name] = of
+	c.days[d.Name] = set
 }
 
 func (c *compiler) period(x *api.NumberPeriod) {
@@ -189,17 +189,17 @@
 	if min(x.From, x.To) < 0 || max(x.From, x.To) >= 24*60 {
 		c.fault(x, "from", "from, to: want minutes of a day, got %d, %d", x.From, x.To)
 	}
-	for _, k := range []struct {
-		key  string
-		of   []string
-		into map[string]bool
+	for _, list := range []struct {
+		key   string
+		names []string
+		dates map[string]bool
 	}{{"except", x.Except, p.Except}, {"only", x.Only, p.Only}} {
-		for _, n := range k.of {
-			if c.days[n] == nil {
-				c.fault(x, k.key, "%s: no days %q", k.key, n)
+		for _, name := range list.names {
+			if c.days[name] == nil {
+				c.fault(x, list.key, "%s: no days %q", list.key, name)
 			}
-			for d := range c.days[n] {
-				k.into[d] = true
+			for d := range c.days[name] {
+				list.dates[d] = true
 			}
 		}
 	}
@@ -228,39 +228,39 @@
 	c.t.routes[x.Name] = r
 }
 
-// line is a rule as it is written and as it is compiled.
-type line struct {
-	of       *api.NumberRule
+// compiledRule is a rule as it is written and as it is compiled.
+type compiledRule struct {
+	source   *api.NumberRule
 	rule     *rule
 	prefixes []string
 }
 
-// entry is a prefix with the number of one of its rules; a large table has many.
-type entry struct {
-	prefix string
-	line   int
+// prefixEntry is a prefix with the number of one of its rules; a large table has many.
+type prefixEntry struct {
+	prefix    string
+	ruleIndex int
 }
 
 func (c *compiler) plan(x *api.NumberPlan) {
 	p := c.t.plans[x.Name]
-	var lines []line
-	var spans []span
+	var compiled []compiledRule
+	var ranges []numberRange
 	total := 0
-	for _, k := range x.Rules {
-		l, sp, ok := c.rule(x.Name, k)
+	for _, source := range x.Rules {
+		r, span, ok := c.rule(x.Name, source)
 		if !ok {
 			continue
 		}
-		if sp.from != "" {
-			sp.at = k
-			spans = append(spans, sp)
+		if span.from != "" {
+			span.rule = source
+			ranges = append(ranges, span)
 		}
-		lines = append(lines, l)
-		total += len(l.prefixes)
+		compiled = append(compiled, r)
+		total += len(r.prefixes)
 	}
-	c.spans(spans)
+	c.checkOverlaps(ranges)
 	c.t.size += total
-	trie, err := prefixtrie.New(c.shareRules(p, lines, sortedEntries(lines, total)))
+	trie, err := prefixtrie.New(c.assignRuleSets(p, compiled, sortedEntries(compiled, total)))
 	if err != nil {
 		c.fault(x, "", "plan %q: %v", p.name, err)
 		return
@@ -269,76 +269,76 @@
 }
 
 // rule compiles one rule of a plan; false: it can't be used.
-func (c *compiler) rule(plan string, k *api.NumberRule) (line, span, bool) {
-	if k.Then == nil {
-		c.fault(k, "", "a rule without an action")
-		return line{}, span{}, false
+func (c *compiler) rule(plan string, source *api.NumberRule) (compiledRule, numberRange, bool) {
+	if source.Then == nil {
+		c.fault(source, "", "a rule without an action")
+		return compiledRule{}, numberRange{}, false
 	}
-	r := &rule{strip: int(k.Strip), add: k.Add, line: k.Where}
-	if strings.Trim(k.Add, "0123456789") != "" || len(k.Add) > mostDigits {
-		c.fault(k, "add", "add: want %d digits at most, got %q", mostDigits, k.Add)
+	r := &rule{strip: int(source.Strip), add: source.Add, position: source.Where}
+	if strings.Trim(source.Add, "0123456789") != "" || len(source.Add) > maxDigits {
+		c.fault(source, "add", "add: want %d digits at most, got %q", maxDigits, source.Add)
 	}
-	if k.Strip < 0 || k.Strip > mostDigits {
-		c.fault(k, "strip", "strip: want 0 to %d, got %d", mostDigits, k.Strip)
+	if source.Strip < 0 || source.Strip > maxDigits {
+		c.fault(source, "strip", "strip: want 0 to %d, got %d", maxDigits, source.Strip)
 		r.strip = 0
 	}
-	if k.When != "" {
-		c.used["period "+k.When] = true
-		if r.when = c.periods[k.When]; r.when == nil {
-			c.fault(k, "when", "when: no period %q", k.When)
+	if source.When != "" {
+		c.used["period "+source.When] = true
+		if r.when = c.periods[source.When]; r.when == nil {
+			c.fault(source, "when", "when: no period %q", source.When)
 		}
 	}
-	r.then = c.action(plan, k.Then, 0)
-	prefixes, sp, err := prefixesOf(k)
+	r.then = c.action(plan, source.Then, 0)
+	prefixes, span, err := expandPrefixes(source)
 	if err != nil {
-		c.fault(k, "", "%v", err)
-		return line{}, span{}, false
+		c.fault(source, "", "%v", err)
+		return compiledRule{}, numberRange{}, false
 	}
-	if d := prefixes[0]; r.strip > len(d) && len(prefixes) == 1 && d != "" {
-		c.fault(k, "strip", "strip: %d digits are more than the prefix %q has", r.strip, d)
+	if prefix := prefixes[0]; r.strip > len(prefix) && len(prefixes) == 1 && prefix != "" {
+		c.fault(source, "strip", "strip: %d digits are more than the prefix %q has", r.strip, prefix)
 	}
-	return line{k, r, prefixes}, sp, true
+	return compiledRule{source, r, prefixes}, span, true
 }
 
 // sortedEntries is the prefixes of all rules, those of one prefix in the order of the rules.
-func sortedEntries(lines []line, total int) []entry {
-	entries := make([]entry, 0, total)
-	for i, l := range lines {
-		for _, prefix := range l.prefixes {
-			entries = append(entries, entry{prefix, i})
+func sortedEntries(compiled []compiledRule, total int) []prefixEntry {
+	entries := make([]prefixEntry, 0, total)
+	for i, r := range compiled {
+		for _, prefix := range r.prefixes {
+			entries = append(entries, prefixEntry{prefix, i})
 		}
 	}
-	slices.SortFunc(entries, func(a, b entry) int {
-		return cmp.Or(strings.Compare(a.prefix, b.prefix), cmp.Compare(a.line, b.line))
+	slices.SortFunc(entries, func(a, b prefixEntry) int {
+		return cmp.Or(strings.Compare(a.prefix, b.prefix), cmp.Compare(a.ruleIndex, b.ruleIndex))
 	})
 	return entries
 }
 
-// shareRules gives each prefix the number of its set of rules in the plan. Prefixes with the same single rule share
+// assignRuleSets gives each prefix the number of its set of rules in the plan. Prefixes with the same single rule share
 // one.
-func (c *compiler) shareRules(p *plan, lines []line, entries []entry) []prefixtrie.Prefix {
+func (c *compiler) assignRuleSets(p *plan, compiled []compiledRule, entries []prefixEntry) []prefixtrie.Prefix {
 	prefixes := make([]prefixtrie.Prefix, 0, len(entries))
 	single := map[int]uint32{} // set of a single rule, by its line
 	for i := 0; i < len(entries); {
 		j := i + 1
 		for j < len(entries) && entries[j].prefix == entries[i].prefix {
-			before, k := lines[entries[j-1].line], lines[entries[j].line].of
+			before, unreachable := compiled[entries[j-1].ruleIndex], compiled[entries[j].ruleIndex].source
 			if before.rule.when == nil {
-				c.fault(k, "", "rule %q is never reached:%s of the same prefix %s always holds",
-					k.Prefix, at(before.of), entries[j].prefix)
+				c.fault(unreachable, "", "rule %q is never reached:%s of the same prefix %s always holds",
+					unreachable.Prefix, positionSuffix(before.source), entries[j].prefix)
 			}
 			j++
 		}
-		set, known := single[entries[i].line]
+		set, known := single[entries[i].ruleIndex]
 		if !known || j-i > 1 {
-			set = uint32(len(p.sets))
+			set = uint32(len(p.ruleSets))
 			rules := make([]*rule, 0, j-i)
 			for _, e := range entries[i:j] {
-				rules = append(rules, lines[e.line].rule)
+				rules = append(rules, compiled[e.ruleIndex].rule)
 			}
-			p.sets = append(p.sets, rules)
+			p.ruleSets = append(p.ruleSets, rules)
 			if j-i == 1 {
-				single[entries[i].line] = set
+				single[entries[i].ruleIndex] = set
 			}
 		}
 		prefixes = append(prefixes, prefixtrie.Prefix{Digits: entries[i].prefix, Value: set})
@@ -347,65 +347,65 @@
 	return prefixes
 }
 
-func at(k *api.NumberRule) string {
-	if k.Where == "" {
+func positionSuffix(r *api.NumberRule) string {
+	if r.Where == "" {
 		return ""
 	}
-	return " " + k.Where
+	return " " + r.Where
 }
 
-// span is a range of numbers of one length.
-type span struct {
+// numberRange is a range of numbers of one length.
+type numberRange struct {
 	from, to string
-	at       *api.NumberRule
+	rule     *api.NumberRule
 }
 
-// spans refuses ranges that share a part where neither holds the other: it would be chance which rule stands for it.
-func (c *compiler) spans(of []span) {
-	slices.SortStableFunc(of, func(a, b span) int {
+// checkOverlaps refuses ranges that share a part where neither holds the other: it would be chance which rule stands for it.
+func (c *compiler) checkOverlaps(ranges []numberRange) {
+	slices.SortStableFunc(ranges, func(a, b numberRange) int {
 		return cmp.Or(cmp.Compare(len(a.from), len(b.from)), strings.Compare(a.from, b.from), strings.Compare(b.to, a.to))
 	})
-	var around []span // those that hold the present one, the widest first
-	for _, b := range of {
-		for len(around) > 0 && (len(around[0].from) != len(b.from) || around[len(around)-1].to < b.from) {
-			around = around[:len(around)-1]
+	var enclosing []numberRange // those that hold the present one, the widest first
+	for _, b := range ranges {
+		for len(enclosing) > 0 && (len(enclosing[0].from) != len(b.from) || enclosing[len(enclosing)-1].to < b.from) {
+			enclosing = enclosing[:len(enclosing)-1]
 		}
-		if n := len(around); n > 0 && around[n-1].to < b.to {
-			a := around[n-1]
-			c.fault(b.at, "", "range %s-%s overlaps %s-%s%s in part", b.from, b.to, a.from, a.to, at(a.at))
+		if n := len(enclosing); n > 0 && enclosing[n-1].to < b.to {
+			a := enclosing[n-1]
+			c.fault(b.rule, "", "range %s-%s overlaps %s-%s%s in part", b.from, b.to, a.from, a.to, positionSuffix(a.rule))
 		}
-		around = append(around, b)
+		enclosing = append(enclosing, b)
 	}
 }
 
-// prefixesOf are the prefixes that a rule stands for.
-func prefixesOf(k *api.NumberRule) ([]string, span, error) {
-	switch m := rangeForm.FindStringSubmatch(k.Prefix); {
-	case len(k.Packed) > 0:
-		of, err := unpackPrefixes(k.Packed)
-		return of, span{}, err
+// expandPrefixes are the prefixes that a rule stands for.
+func expandPrefixes(r *api.NumberRule) ([]string, numberRange, error) {
+	switch m := rangePattern.FindStringSubmatch(r.Prefix); {
+	case len(r.Packed) > 0:
+		prefixes, err := unpackPrefixes(r.Packed)
+		return prefixes, numberRange{}, err
 	case m != nil:
-		of, err := prefixtrie.Cover(m[1], m[2])
+		prefixes, err := prefixtrie.Cover(m[1], m[2])
 		if err != nil {
-			return nil, span{}, fmt.Errorf("rule %q: %w", k.Prefix, err)
+			return nil, numberRange{}, fmt.Errorf("rule %q: %w", r.Prefix, err)
 		}
-		return of, span{from: m[1], to: m[2]}, nil
-	case strings.Trim(k.Prefix, "0123456789") != "" || len(k.Prefix) > mostDigits:
-		return nil, span{}, fmt.Errorf("rule %q: want a prefix of digits, or a range such as \"5145550000-5145559999\"",
-			k.Prefix)
+		return prefixes, numberRange{from: m[1], to: m[2]}, nil
+	case strings.Trim(r.Prefix, "0123456789") != "" || len(r.Prefix) > maxDigits:
+		return nil, numberRange{}, fmt.Errorf("rule %q: want a prefix of digits, or a range such as \"5145550000-5145559999\"",
+			r.Prefix)
 	}
-	return []string{k.Prefix}, span{}, nil
+	return []string{r.Prefix}, numberRange{}, nil
 }
 
 // action compiles what a rule does; depth bounds questions in questions.
-func (c *compiler) action(from string, x *api.NumberAction, depth int) action {
+func (c *compiler) action(planName string, x *api.NumberAction, depth int) action {
 	var a action
 	switch do := x.Do.(type) {
 	case *api.NumberAction_Plan:
 		if a.plan = c.t.plans[do.Plan]; a.plan == nil {
 			c.fault(x, "plan", "plan: no plan %q", do.Plan)
 		}
-		c.leads[from] = append(c.leads[from], reference{do.Plan, x})
+		c.planReferences[planName] = append(c.planReferences[planName], reference{do.Plan, x})
 	case *api.NumberAction_Route:
 		c.used["route "+do.Route] = true
 		if a.route = c.t.routes[do.Route]; a.route == nil {
@@ -426,11 +426,11 @@
 		case q.Ported == nil || q.Same == nil || q.Silent == nil:
 			c.fault(x, "", "portability: want ported, same and silent")
 		default:
-			a.ask = &question{
-				silence: time.Duration(math.Round(q.WithinMs * 1e6)),
-				ported:  c.action(from, q.Ported, 1),
-				same:    c.action(from, q.Same, 1),
-				silent:  c.action(from, q.Silent, 1),
+			a.lookup = &lookup{
+				timeout:   time.Duration(math.Round(q.WithinMs * 1e6)),
+				ported:    c.action(planName, q.Ported, 1),
+				notPorted: c.action(planName, q.Same, 1),
+				noAnswer:  c.action(planName, q.Silent, 1),
 			}
 		}
 	default:
@@ -439,31 +439,31 @@
 	return a
 }
 
-// reach refuses loops, which no number could end, and plans that nothing leads to.
-func (c *compiler) reach(plans []*api.NumberPlan, entry string) {
+// checkReachable refuses loops, which no number could end, and plans that nothing leads to.
+func (c *compiler) checkReachable(plans []*api.NumberPlan, entry string) {
 	const (
 		open = 1 + iota
 		done
 	)
 	state := map[string]int{}
-	var walk func(name string, way []string)
-	walk = func(name string, way []string) {
+	var visit func(name string, path []string)
+	visit = func(name string, path []string) {
 		state[name] = open
-		if len(way) == mostSteps/2 {
-			c.fault(c.leads[way[len(way)-1]][0].at, "plan", "plan: %d plans in a row are too many", len(way)+1)
+		if len(path) == maxSteps/2 {
+			c.fault(c.planReferences[path[len(path)-1]][0].action, "plan", "plan: %d plans in a row are too many", len(path)+1)
 			return
 		}
-		for _, l := range c.leads[name] {
+		for _, ref := range c.planReferences[name] {
 			switch {
-			case state[l.to] == open:
-				c.fault(l.at, "plan", "loop: %s leads back to %s", strings.Join(append(way, name), " to "), l.to)
-			case state[l.to] == 0 && c.t.plans[l.to] != nil:
-				walk(l.to, append(way, name))
+			case state[ref.to] == open:
+				c.fault(ref.action, "plan", "loop: %s leads back to %s", strings.Join(append(path, name), " to "), ref.to)
+			case state[ref.to] == 0 && c.t.plans[ref.to] != nil:
+				visit(ref.to, append(path, name))
 			}
 		}
 		state[name] = done
 	}
-	walk(entry, nil)
+	visit(entry, nil)
 	for _, p := range plans {
 		if state[p.Name] == 0 {
 			c.fault(p, "", "plan %q is never reached from %q", p.Name, entry)
--- a/internal/decision/numberplan/diff.go
+++ b/internal/decision/numberplan/diff.go
@@ -11,32 +11,32 @@
 
 // Change is one difference between two tables.
 type Change struct {
-	What string // "+": new, "-": gone, "~": it does something else
-	Of   string // what: rule, route, period, days, plan, table
+	Op   string // "+": new, "-": gone, "~": it does something else
+	Kind string // what: rule, route, period, days, plan, table
 	Name string
-	From string // what it did, "" if it is new
-	To   string
+	Old  string // what it did, "" if it is new
+	New  string
 }
 
 // String is a change on a line.
 func (c Change) String() string {
-	switch c.What {
+	switch c.Op {
 	case "+":
-		return fmt.Sprintf("+ %s %s: %s", c.Of, c.Name, c.To)
+		return fmt.Sprintf("+ %s %s: %s", c.Kind, c.Name, c.New)
 	case "-":
-		return fmt.Sprintf("- %s %s: %s", c.Of, c.Name, c.From)
+		return fmt.Sprintf("- %s %s: %s", c.Kind, c.Name, c.Old)
 	}
-	return fmt.Sprintf("~ %s %s: %s, was %s", c.Of, c.Name, c.To, c.From)
+	return fmt.Sprintf("~ %s %s: %s, was %s", c.Kind, c.Name, c.New, c.Old)
 }
 
 // Diff tells what changes between two tables, by what they do and not by how they are written: a range is the prefixes
 // that it stands for, and where a rule was written does not matter.
 func Diff(a, b *api.NumberTable) []Change {
-	changes := pairs("table", describeTable(a), describeTable(b))
-	changes = append(changes, pairs("days", describeDays(a), describeDays(b))...)
-	changes = append(changes, pairs("period", describePeriods(a), describePeriods(b))...)
-	changes = append(changes, pairs("route", describeRoutes(a), describeRoutes(b))...)
-	return append(changes, pairs("rule", describeRules(a), describeRules(b))...)
+	changes := compareByName("table", describeTable(a), describeTable(b))
+	changes = append(changes, compareByName("days", describeDays(a), describeDays(b))...)
+	changes = append(changes, compareByName("period", describePeriods(a), describePeriods(b))...)
+	changes = append(changes, compareByName("route", describeRoutes(a), describeRoutes(b))...)
+	return append(changes, compareByName("rule", describeRules(a), describeRules(b))...)
 }
 
 func describeTable(t *api.NumberTable) []description {
@@ -77,7 +77,7 @@
 
 func describeRules(t *api.NumberTable) (out []description) {
 	for _, p := range t.Plans {
-		out = append(out, rulesOf(p)...)
+		out = append(out, describePlanRules(p)...)
 	}
 	return out
 }
@@ -85,48 +85,48 @@
 // description is a thing of a table with everything that it does.
 type description struct{ name, text string }
 
-// rulesOf are a plan's prefixes, each with all that its rules do.
-func rulesOf(p *api.NumberPlan) []description {
+// describePlanRules are a plan's prefixes, each with all that its rules do.
+func describePlanRules(p *api.NumberPlan) []description {
 	type part struct {
 		prefix, text string
 		order        int
 	}
 	var all []part
-	for i, k := range p.Rules {
-		prefixes, _, err := prefixesOf(k)
+	for i, r := range p.Rules {
+		prefixes, _, err := expandPrefixes(r)
 		if err != nil { // told when it is compiled
-			prefixes = []string{k.Prefix}
+			prefixes = []string{r.Prefix}
 		}
 		text := ""
-		if k.When != "" {
-			text = "when " + k.When + " "
+		if r.When != "" {
+			text = "when " + r.When + " "
 		}
-		if k.Strip > 0 || k.Add != "" {
-			text += fmt.Sprintf("strip %d add %q ", k.Strip, k.Add)
+		if r.Strip > 0 || r.Add != "" {
+			text += fmt.Sprintf("strip %d add %q ", r.Strip, r.Add)
 		}
-		text += does(k.Then)
-		for _, d := range prefixes {
-			all = append(all, part{d, text, i})
+		text += describeAction(r.Then)
+		for _, prefix := range prefixes {
+			all = append(all, part{prefix, text, i})
 		}
 	}
 	slices.SortFunc(
 		all,
 		func(a, b part) int { return cmp.Or(strings.Compare(a.prefix, b.prefix), cmp.Compare(a.order, b.order)) },
 	)
-	var of []description
+	var descriptions []description
 	for i := 0; i < len(all); {
 		j := i + 1
 		text := all[i].text
 		for ; j < len(all) && all[j].prefix == all[i].prefix; j++ {
 			text += "; " + all[j].text
 		}
-		of = append(of, description{p.Name + "/" + all[i].prefix, text})
+		descriptions = append(descriptions, description{p.Name + "/" + all[i].prefix, text})
 		i = j
 	}
-	return of
+	return descriptions
 }
 
-func does(a *api.NumberAction) string {
+func describeAction(a *api.NumberAction) string {
 	switch do := a.GetDo().(type) {
 	case *api.NumberAction_Plan:
 		return "plan " + do.Plan
@@ -139,16 +139,16 @@
 		return fmt.Sprintf(
 			"portability within %v ms: ported %s, same %s, silent %s",
 			q.GetWithinMs(),
-			does(q.GetPorted()),
-			does(q.GetSame()),
-			does(q.GetSilent()),
+			describeAction(q.GetPorted()),
+			describeAction(q.GetSame()),
+			describeAction(q.GetSilent()),
 		)
 	}
 	return "nothing"
 }
 
-// pairs compares things by their names.
-func pairs(of string, a, b []description) []Change {
+// compareByName compares things by their names.
+func compareByName(kind string, a, b []description) []Change {
 	byName := func(x, y description) int { return strings.Compare(x.name, y.name) }
 	slices.SortStableFunc(a, byName)
 	slices.SortStableFunc(b, byName)
@@ -156,14 +156,14 @@
 	for len(a) > 0 || len(b) > 0 {
 		switch {
 		case len(b) == 0 || len(a) > 0 && a[0].name < b[0].name:
-			out = append(out, Change{"-", of, a[0].name, a[0].text, ""})
+			out = append(out, Change{"-", kind, a[0].name, a[0].text, ""})
 			a = a[1:]
 		case len(a) == 0 || b[0].name < a[0].name:
-			out = append(out, Change{"+", of, b[0].name, "", b[0].text})
+			out = append(out, Change{"+", kind, b[0].name, "", b[0].text})
 			b = b[1:]
 		default:
 			if a[0].text != b[0].text {
-				out = append(out, Change{"~", of, a[0].name, a[0].text, b[0].text})
+				out = append(out, Change{"~", kind, a[0].name, a[0].text, b[0].text})
 			}
 			a, b = a[1:], b[1:]
 		}
--- a/internal/decision/numberplan/form_test.go
+++ b/internal/decision/numberplan/form_test.go
@@ -140,14 +140,14 @@
 // finds.
 func TestPacked(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		of := rapid.SliceOfDistinct(rapid.StringMatching(`[0-4]{1,6}|[0-9]{1,40}`), rapid.ID[string]).Draw(t, "prefixes")
-		b, err := PackPrefixes(of)
+		prefixes := rapid.SliceOfDistinct(rapid.StringMatching(`[0-4]{1,6}|[0-9]{1,40}`), rapid.ID[string]).Draw(t, "prefixes")
+		b, err := PackPrefixes(prefixes)
 		if err != nil {
 			t.Fatal(err)
 		}
 		got, err := unpackPrefixes(b)
-		slices.Sort(of)
-		if err != nil || !slices.Equal(got, of) {
+		slices.Sort(prefixes)
+		if err != nil || !slices.Equal(got, prefixes) {
 			t.Fatalf("%v: %v", err, got)
 		}
 	})
@@ -230,17 +230,17 @@
 		if strings.Trim(country, "0123456789") != "" || len(country) > 4 {
 			return // a table with such a country is refused
 		}
-		n, err := Normal(dialled, country)
+		n, err := Normalize(dialled, country)
 		if err != nil {
 			return
 		}
-		if strings.Trim(n, "0123456789") != "" || n == "" || len(n) > mostDigits+len(country) {
+		if strings.Trim(n, "0123456789") != "" || n == "" || len(n) > maxDigits+len(country) {
 			t.Errorf("%q: %q", dialled, n)
 		}
-		if again, err := Normal("+"+n, country); len(n) <= mostDigits && (err != nil || again != n) {
+		if again, err := Normalize("+"+n, country); len(n) <= maxDigits && (err != nil || again != n) {
 			t.Errorf("%q: %q, then %q, %v", dialled, n, again, err)
 		}
-		if len(n) <= mostDigits {
+		if len(n) <= maxDigits {
 			d, err := enum.Domain(n, "e164.test")
 			if back, err2 := enum.Number(d, "e164.test"); err != nil || err2 != nil || back != n {
 				t.Errorf("%q: %q, %v, %v", n, d, err, err2)
@@ -255,33 +255,33 @@
 }
 
 // Ranges are refused just when two of them share a part and neither holds the other.
-func TestRangesCross(t *testing.T) {
+func TestPartialRangeOverlap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		form := &api.NumberTable{Name: "t", Entry: "start", Plans: []*api.NumberPlan{{Name: "start"}},
 			Routes: []*api.NumberRoute{{Name: "r", Choices: []*api.NumberChoice{{Group: "g", Weight: 1}}}}}
 		type span struct{ lo, hi int }
-		var of []span
-		crosses := false
+		var ranges []span
+		overlapping := false
 		for range rapid.IntRange(1, 8).Draw(t, "ranges") {
 			length := rapid.SampledFrom([]int{1000, 10900}).Draw(t, "length") // 1000 to 1099 or 10900 to 10999
 			a, b := rapid.IntRange(0, 99).Draw(t, "from")+length, rapid.IntRange(0, 99).Draw(t, "to")+length
 			x := span{min(a, b), max(a, b)}
 			same := false
-			for _, o := range of {
+			for _, other := range ranges {
 				in := func(a, b span) bool { return a.lo >= b.lo && a.hi <= b.hi }
-				crosses = crosses || x.lo <= o.hi && o.lo <= x.hi && !in(x, o) && !in(o, x)
-				same = same || x == o
+				overlapping = overlapping || x.lo <= other.hi && other.lo <= x.hi && !in(x, other) && !in(other, x)
+				same = same || x == other
 			}
 			if same {
 				continue // refused as never reached
 			}
-			of = append(of, x)
+			ranges = append(ranges, x)
 			form.Plans[0].Rules = append(form.Plans[0].Rules, &api.NumberRule{Prefix: fmt.Sprintf("%d-%d", x.lo, x.hi),
 				Then: &api.NumberAction{Do: &api.NumberAction_Route{Route: "r"}}})
 		}
 		_, err := Compile(form)
-		if got := err != nil && strings.Contains(err.Error(), "in part"); got != crosses {
-			t.Fatalf("%v: %v", of, err)
+		if got := err != nil && strings.Contains(err.Error(), "in part"); got != overlapping {
+			t.Fatalf("%v: %v", ranges, err)
 		}
 	})
 }
--- a/internal/decision/numberplan/names.go
+++ b/internal/decision/numberplan/names.go
@@ -26,25 +26,25 @@
 			n.Groups = append(n.Groups, c.group)
 		}
 	}
-	for _, of := range []*[]string{&n.Classes, &n.Tenants, &n.Groups} {
-		slices.Sort(*of)
-		*of = slices.Compact(*of)
+	for _, list := range []*[]string{&n.Classes, &n.Tenants, &n.Groups} {
+		slices.Sort(*list)
+		*list = slices.Compact(*list)
 	}
 	return n
 }
 
 // Fits says what a table names that its gateway does not have; nil: nothing.
-func (t *Table) Fits(has Names) error {
+func (t *Table) Fits(available Names) error {
 	var missing []string
 	want := t.Names()
 	for _, k := range []struct {
-		what      string
+		kind      string
 		want, has []string
-	}{{"skill", want.Classes, has.Classes}, {"customer", want.Tenants, has.Tenants}, {"trunk group", want.Groups,
-		has.Groups}} {
+	}{{"skill", want.Classes, available.Classes}, {"customer", want.Tenants, available.Tenants}, {"trunk group", want.Groups,
+		available.Groups}} {
 		for _, n := range k.want {
 			if !slices.Contains(k.has, n) {
-				missing = append(missing, fmt.Sprintf("%s %q", k.what, n))
+				missing = append(missing, fmt.Sprintf("%s %q", k.kind, n))
 			}
 		}
 	}
--- a/internal/decision/numberplan/number.go
+++ b/internal/decision/numberplan/number.go
@@ -15,11 +15,11 @@
 
 //tally:decisions
 
-// mostSteps bounds an analysis whatever its table: one that is compiled has no loop, so this is never met.
-const mostSteps = 64
+// maxSteps bounds an analysis whatever its table: one that is compiled has no loop, so this is never met.
+const maxSteps = 64
 
-// mostDigits is the longest number that is looked at: E.164 has 15, prefixes dialled and routing numbers come on top.
-const mostDigits = 40
+// maxDigits is the longest number that is looked at: E.164 has 15, prefixes dialled and routing numbers come on top.
+const maxDigits = 40
 
 // Table is a compiled table. It is only read.
 type Table struct {
@@ -39,17 +39,17 @@
 func (t *Table) Size() int { return t.size }
 
 type plan struct {
-	name string
-	trie *prefixtrie.Trie
-	sets [][]*rule // by the trie's value: the rules of one prefix, in their order
+	name     string
+	trie     *prefixtrie.Trie
+	ruleSets [][]*rule // by the trie's value: the rules of one prefix, in their order
 }
 
 type rule struct {
-	when  *Period // nil: always
-	strip int
-	add   string
-	then  action
-	line  string // where it stands, for explanations
+	when     *Period // nil: always
+	strip    int
+	add      string
+	then     action
+	position string // where it stands, for explanations
 }
 
 // action is what a rule does; one of them is set.
@@ -57,15 +57,15 @@
 	plan   *plan
 	route  *route
 	refuse *Refusal
-	ask    *question
+	lookup *lookup
 }
 
-// question is a portability look-up and where each end of it leads.
-type question struct {
-	ported  action // with the routing number in place of the number
-	same    action // not ported
-	silent  action // no answer in time
-	silence time.Duration
+// lookup is a portability look-up and where each end of it leads.
+type lookup struct {
+	ported    action // with the routing number in place of the number
+	notPorted action // not ported
+	noAnswer  action // no answer in time
+	timeout   time.Duration
 }
 
 type route struct {
@@ -126,25 +126,25 @@
 
 // Analysis is one call's way through a table.
 type Analysis struct {
-	Table   *Table
-	Steps   []string // what was done and why, where Explain is set
-	number  string   // what rules look at: the number called, or the routing number that stands for it
-	called  string   // set once a routing number stands for it
-	at      time.Time
-	draw    float64
-	now     action
-	asked   *question
-	carrier string
-	silent  bool // it had no answer
-	looked  bool // portability is looked up once only (RFC 4694 npdi)
-	steps   int
-	text    bool
+	Table    *Table
+	Steps    []string // what was done and why, where Explain is set
+	number   string   // what rules look at: the number called, or the routing number that stands for it
+	called   string   // set once a routing number stands for it
+	at       time.Time
+	draw     float64
+	next     action
+	pending  *lookup
+	carrier  string
+	noAnswer bool // it had no answer
+	lookedUp bool // portability is looked up once only (RFC 4694 npdi)
+	steps    int
+	explain  bool
 }
 
-// Normal makes digits of what was dialled: "+" and "00" are international, a leading 0 is dropped from a national
+// Normalize makes digits of what was dialled: "+" and "00" are international, a leading 0 is dropped from a national
 // number, which gets the country's digits; spaces, dashes, dots and brackets are passed over. Anything else is an
 // error.
-func Normal(dialled, country string) (string, error) {
+func Normalize(dialled, country string) (string, error) {
 	var b strings.Builder
 	plus := false
 	for i, c := range strings.TrimSpace(dialled) {
@@ -162,7 +162,7 @@
 	switch {
 	case n == "":
 		return "", fmt.Errorf("number %q: no digits", dialled)
-	case len(n) > mostDigits:
+	case len(n) > maxDigits:
 		return "", fmt.Errorf("number: %d digits are too many", len(n))
 	case plus:
 		return n, nil
@@ -190,95 +190,95 @@
 // Begin starts the analysis of a number. The first outcome comes with it.
 func (t *Table) Begin(c Call) (*Analysis, Outcome) {
 	a := &Analysis{
-		Table:   t,
-		at:      c.At,
-		draw:    c.Draw,
-		looked:  c.LookedUp,
-		carrier: c.Carrier,
-		text:    c.Explain,
-		now:     action{plan: t.entry},
+		Table:    t,
+		at:       c.At,
+		draw:     c.Draw,
+		lookedUp: c.LookedUp,
+		carrier:  c.Carrier,
+		explain:  c.Explain,
+		next:     action{plan: t.entry},
 	}
-	n, err := Normal(c.Dialled, t.Country)
+	n, err := Normalize(c.Dialled, t.Country)
 	if err != nil {
-		a.say("%v", err)
+		a.addStep("%v", err)
 		return a, Outcome{Refusal: &Refusal{484, err.Error()}}
 	}
 	a.number = n
-	a.say("%q is %s", c.Dialled, n)
+	a.addStep("%q is %s", c.Dialled, n)
 	if c.LookedUp && c.Routing != "" {
-		rn, err := Normal(c.Routing, t.Country)
+		rn, err := Normalize(c.Routing, t.Country)
 		if err != nil {
-			a.say("routing number: %v", err)
+			a.addStep("routing number: %v", err)
 			return a, Outcome{Refusal: &Refusal{484, "routing " + err.Error()}}
 		}
 		a.called, a.number = n, rn
-		a.say("its routing number is %s", rn)
+		a.addStep("its routing number is %s", rn)
 	}
 	return a, a.run()
 }
 
 // Answered goes on after a question. A routing number that makes no sense counts as silence.
 func (a *Analysis) Answered(found Found) Outcome {
-	what, routing := found.Answer, found.Routing
-	q := a.asked
-	if q == nil {
+	answer, routing := found.Answer, found.Routing
+	pending := a.pending
+	if pending == nil {
 		return Outcome{Refusal: &Refusal{500, "nothing was asked"}}
 	}
-	a.asked = nil
-	if what == Ported {
-		n, err := Normal(routing, a.Table.Country)
+	a.pending = nil
+	if answer == Ported {
+		n, err := Normalize(routing, a.Table.Country)
 		if err != nil {
-			what = Silent
-			a.say("routing number: %v", err)
+			answer = Silent
+			a.addStep("routing number: %v", err)
 		} else {
 			a.called, a.number = a.number, n
 		}
 	}
-	if what != Silent {
+	if answer != Silent {
 		a.carrier = found.Carrier
 	}
-	switch what {
+	switch answer {
 	case Ported:
-		a.say("ported: %s", a.number)
-		a.now = q.ported
+		a.addStep("ported: %s", a.number)
+		a.next = pending.ported
 	case NotPorted:
-		a.say("not ported")
-		a.now = q.same
+		a.addStep("not ported")
+		a.next = pending.notPorted
 	default:
-		a.say("no answer")
-		a.silent = true
-		a.now = q.silent
+		a.addStep("no answer")
+		a.noAnswer = true
+		a.next = pending.noAnswer
 	}
 	return a.run()
 }
 
-func (a *Analysis) say(format string, args ...any) {
-	if a.text {
+func (a *Analysis) addStep(format string, args ...any) {
+	if a.explain {
 		a.Steps = append(a.Steps, fmt.Sprintf(format, args...))
 	}
 }
 
 // run follows actions until one ends the analysis or asks.
 func (a *Analysis) run() Outcome {
-	for ; a.steps < mostSteps; a.steps++ {
-		switch do := a.now; {
-		case do.refuse != nil:
-			a.say("refused: %d %s", do.refuse.Code, do.refuse.Why)
-			return Outcome{Refusal: do.refuse}
-		case do.route != nil:
-			return Outcome{Route: a.take(do.route)}
-		case do.ask != nil:
-			if a.looked {
-				a.say("portability was looked up before")
-				a.now = do.ask.same
+	for ; a.steps < maxSteps; a.steps++ {
+		switch current := a.next; {
+		case current.refuse != nil:
+			a.addStep("refused: %d %s", current.refuse.Code, current.refuse.Why)
+			return Outcome{Refusal: current.refuse}
+		case current.route != nil:
+			return Outcome{Route: a.buildRoute(current.route)}
+		case current.lookup != nil:
+			if a.lookedUp {
+				a.addStep("portability was looked up before")
+				a.next = current.lookup.notPorted
 				continue
 			}
-			a.looked, a.asked = true, do.ask
-			a.say("asks for the portability of %s", a.number)
-			return Outcome{LookupNumber: a.number, LookupTimeout: do.ask.silence}
-		case do.plan != nil:
-			if !a.match(do.plan) {
-				a.say("plan %s: nothing fits %s", do.plan.name, a.number)
+			a.lookedUp, a.pending = true, current.lookup
+			a.addStep("asks for the portability of %s", a.number)
+			return Outcome{LookupNumber: a.number, LookupTimeout: current.lookup.timeout}
+		case current.plan != nil:
+			if !a.match(current.plan) {
+				a.addStep("plan %s: nothing fits %s", current.plan.name, a.number)
 				return Outcome{Refusal: &Refusal{404, "no rule for this number"}}
 			}
 		default:
@@ -291,47 +291,47 @@
 // match takes the first rule that holds now of the longest prefix that has one.
 func (a *Analysis) match(p *plan) bool {
 	for n := len(a.number); n >= 0; {
-		v, length, ok := p.trie.Find(a.number[:n])
+		set, length, ok := p.trie.Find(a.number[:n])
 		if !ok {
 			return false
 		}
-		for _, r := range p.sets[v] {
+		for _, candidate := range p.ruleSets[set] {
 			prefix := a.number[:length]
-			if r.when != nil && !r.when.Holds(a.at) {
-				a.say("plan %s, prefix %s (%s): not now, %s", p.name, prefix, r.line, r.when.Name)
+			if candidate.when != nil && !candidate.when.Holds(a.at) {
+				a.addStep("plan %s, prefix %s (%s): not now, %s", p.name, prefix, candidate.position, candidate.when.Name)
 				continue
 			}
-			a.number = r.add + a.number[min(r.strip, len(a.number)):]
-			a.say("plan %s, prefix %s (%s): %s", p.name, prefix, r.line, a.number)
-			a.now = r.then
-			return len(a.number) <= mostDigits
+			a.number = candidate.add + a.number[min(candidate.strip, len(a.number)):]
+			a.addStep("plan %s, prefix %s (%s): %s", p.name, prefix, candidate.position, a.number)
+			a.next = candidate.then
+			return len(a.number) <= maxDigits
 		}
 		n = length - 1
 	}
 	return false
 }
 
-// take chooses among a route's trunk groups by their weights.
-func (a *Analysis) take(r *route) *Route {
+// buildRoute chooses among a route's trunk groups by their weights.
+func (a *Analysis) buildRoute(r *route) *Route {
 	out := &Route{
 		Name:     r.name,
 		Class:    r.skill,
 		Tenant:   r.customer,
 		Number:   "+" + a.number,
-		LookedUp: a.looked && !a.silent,
+		LookedUp: a.lookedUp && !a.noAnswer,
 		Carrier:  a.carrier,
 	}
 	if a.called != "" {
 		out.Number, out.Routing = "+"+a.called, "+"+a.number
 	}
-	u := a.draw * r.total
+	remaining := a.draw * r.total
 	for _, c := range r.choices {
 		out.Group = c.group
-		if u -= c.weight; u < 0 {
+		if remaining -= c.weight; remaining < 0 {
 			break
 		}
 	}
-	a.say("route %s: %s, skill %q, customer %q", r.name, out.Group, r.skill, r.customer)
+	a.addStep("route %s: %s, skill %q, customer %q", r.name, out.Group, r.skill, r.customer)
 	return out
 }
 
--- a/internal/decision/numberplan/number_test.go
+++ b/internal/decision/numberplan/number_test.go
@@ -105,7 +105,7 @@
 	return x
 }
 
-func when(s string) time.Time {
+func parseTime(s string) time.Time {
 	v, err := time.Parse(time.RFC3339, s)
 	if err != nil {
 		panic(err)
@@ -130,8 +130,8 @@
 
 func TestAnalysis(t *testing.T) {
 	x := parse(t)
-	thursday, sunday, holiday := when("2026-12-03T14:00:00-05:00"), when("2026-12-06T23:30:00-05:00"),
-		when("2026-12-25T14:00:00-05:00")
+	thursday, sunday, holiday := parseTime("2026-12-03T14:00:00-05:00"), parseTime("2026-12-06T23:30:00-05:00"),
+		parseTime("2026-12-25T14:00:00-05:00")
 	for _, c := range []struct {
 		number string
 		at     time.Time
@@ -184,7 +184,7 @@
 
 // On the night on which clocks go back 01:30 to 02:00 comes twice, and belongs twice; on the one on which they go
 // forward 02:00 to 02:30 never comes.
-func TestClocksChange(t *testing.T) {
+func TestDaylightSavingChange(t *testing.T) {
 	x := parse(t)
 	for at, want := range map[string]string{
 		// 01:29, 01:31, again 01:05
@@ -192,7 +192,7 @@
 		"2026-11-01T06:31:00Z": "TG-0", "2026-11-01T07:29:00Z": "TG-0", "2026-11-01T07:30:00Z": "TG-2",
 		"2026-03-08T06:31:00Z": "TG-0", "2026-03-08T06:59:00Z": "TG-0", "2026-03-08T07:00:00Z": "TG-2", // 01:59, then 03:00
 	} {
-		if _, o := x.Begin(Call{Dialled: "+15145551234", At: when(at)}); o.Route == nil || o.Route.Group != want {
+		if _, o := x.Begin(Call{Dialled: "+15145551234", At: parseTime(at)}); o.Route == nil || o.Route.Group != want {
 			t.Errorf("%s: %s, want %s", at, result(o), want)
 		}
 	}
--- a/internal/decision/numberplan/read.go
+++ b/internal/decision/numberplan/read.go
@@ -14,7 +14,7 @@
 
 // reader makes the compact form of HCL.
 type reader struct {
-	at map[proto.Message]*hclconfig.Block // where each part of it was written
+	blocks map[proto.Message]*hclconfig.Block // where each part of it was written
 }
 
 // Parse reads and compiles a table of HCL; name stands in the errors.
@@ -23,18 +23,18 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	r := &reader{at: map[proto.Message]*hclconfig.Block{}}
+	r := &reader{blocks: map[proto.Message]*hclconfig.Block{}}
 	form := &api.NumberTable{
 		Name:    b.Text("name", name),
 		Version: uint64(b.Int("version", 0, 0, 1<<40)),
 		Country: b.Text("country", ""),
 		Entry:   b.Text("entry", "start"),
 	}
-	r.at[form] = b
+	r.blocks[form] = b
 	zone := b.Text("zone", "")
 	for _, block := range b.Blocks("days", 1) {
 		days := &api.NumberDays{Name: block.Labels[0], Dates: block.Texts("dates")}
-		r.at[days] = block
+		r.blocks[days] = block
 		form.Days = append(form.Days, days)
 	}
 	for _, block := range b.Blocks("period", 1) {
@@ -49,7 +49,7 @@
 	for _, block := range b.Blocks("plan", 1) {
 		form.Plans = append(form.Plans, r.plan(block))
 	}
-	t := compile(form, func(of proto.Message, key, format string, args ...any) { r.at[of].Fault(key, format, args...) })
+	t := compile(form, func(part proto.Message, key, format string, args ...any) { r.blocks[part].Fault(key, format, args...) })
 	if err := b.Err(); err != nil {
 		return nil, nil, err
 	}
@@ -73,7 +73,7 @@
 		}
 		period.Weekdays = append(period.Weekdays, int32(i))
 	}
-	r.at[period] = block
+	r.blocks[period] = block
 	return period
 }
 
@@ -87,23 +87,23 @@
 		choice := &api.NumberChoice{Group: group.Labels[0], Weight: group.Num("weight", 1, 0, 1e9)}
 		route.Choices = append(route.Choices, choice)
 	}
-	r.at[route] = block
+	r.blocks[route] = block
 	return route
 }
 
 func (r *reader) plan(block *hclconfig.Block) *api.NumberPlan {
 	plan := &api.NumberPlan{Name: block.Labels[0]}
-	r.at[plan] = block
-	for _, k := range block.Blocks("rule", 1) {
+	r.blocks[plan] = block
+	for _, ruleBlock := range block.Blocks("rule", 1) {
 		rule := &api.NumberRule{
-			Prefix: strings.TrimPrefix(k.Labels[0], "+"),
-			When:   k.Text("when", ""),
-			Strip:  int32(k.Int("strip", 0, 0, mostDigits)),
-			Add:    k.Text("add", ""),
-			Where:  k.Where(),
+			Prefix: strings.TrimPrefix(ruleBlock.Labels[0], "+"),
+			When:   ruleBlock.Text("when", ""),
+			Strip:  int32(ruleBlock.Int("strip", 0, 0, maxDigits)),
+			Add:    ruleBlock.Text("add", ""),
+			Where:  ruleBlock.Where(),
 		}
-		rule.Then = r.action(k, true)
-		r.at[rule] = k
+		rule.Then = r.action(ruleBlock, true)
+		r.blocks[rule] = ruleBlock
 		plan.Rules = append(plan.Rules, rule)
 	}
 	return plan
@@ -111,63 +111,63 @@
 
 var weekdays = []string{"sun", "mon", "tue", "wed", "thu", "fri", "sat"}
 
-func minute(c *hclconfig.Block, key string) int32 {
-	s := c.Text(key, "00:00")
-	if s == "24:00" {
+func minute(block *hclconfig.Block, key string) int32 {
+	text := block.Text(key, "00:00")
+	if text == "24:00" {
 		return 0
 	}
-	t, err := time.Parse("15:04", s)
+	t, err := time.Parse("15:04", text)
 	if err != nil {
-		c.Fault(key, "%s: want a time such as \"13:30\", got %q", key, s)
+		block.Fault(key, "%s: want a time such as \"13:30\", got %q", key, text)
 	}
 	return int32(t.Hour()*60 + t.Minute())
 }
 
 // action reads what a rule does, or what an end of a question leads to.
-func (r *reader) action(b *hclconfig.Block, mayAsk bool) *api.NumberAction {
+func (r *reader) action(b *hclconfig.Block, allowLookup bool) *api.NumberAction {
 	a := &api.NumberAction{}
-	r.at[a] = b
-	n := 0
+	r.blocks[a] = b
+	actions := 0
 	if name := b.Text("plan", ""); name != "" {
-		n++
+		actions++
 		a.Do = &api.NumberAction_Plan{Plan: name}
 	}
 	if name := b.Text("route", ""); name != "" {
-		n++
+		actions++
 		a.Do = &api.NumberAction_Route{Route: name}
 	}
 	if why := b.Text("refuse", ""); why != "" {
-		n++
+		actions++
 		a.Do = &api.NumberAction_Refuse{Refuse: &api.NumberRefusal{Code: int32(b.Int("code", 404, 400, 699)), Why: why}}
 	} else if b.Has("code") {
 		b.Fault("code", "code: goes with refuse only")
 	}
-	if mayAsk {
-		for _, q := range b.Blocks("portability", 0) {
-			n++
-			x := &api.NumberQuestion{WithinMs: q.Ms("within", 500, 1, 60000)}
+	if allowLookup {
+		for _, lookupBlock := range b.Blocks("portability", 0) {
+			actions++
+			question := &api.NumberQuestion{WithinMs: lookupBlock.Ms("within", 500, 1, 60000)}
 			for _, e := range []struct {
 				kind string
 				to   **api.NumberAction
-			}{{"ported", &x.Ported}, {"same", &x.Same}, {"silent", &x.Silent}} {
-				if ends := q.Blocks(e.kind, 0); len(ends) == 1 {
+			}{{"ported", &question.Ported}, {"same", &question.Same}, {"silent", &question.Silent}} {
+				if ends := lookupBlock.Blocks(e.kind, 0); len(ends) == 1 {
 					*e.to = r.action(ends[0], false)
 				} else {
-					q.Fault("", "portability: want one %s { ... }: what is done then", e.kind)
+					lookupBlock.Fault("", "portability: want one %s { ... }: what is done then", e.kind)
 				}
 			}
-			a.Do = &api.NumberAction_Ask{Ask: x}
+			a.Do = &api.NumberAction_Ask{Ask: question}
 		}
 	}
-	if n != 1 {
+	if actions != 1 {
 		b.Fault(
 			"",
 			"want one of plan, route, refuse%s, got %d",
-			map[bool]string{true: ", portability { ... }", false: ""}[mayAsk],
-			n,
+			map[bool]string{true: ", portability { ... }", false: ""}[allowLookup],
+			actions,
 		)
 	}
 	return a
 }
 
-var rangeForm = regexp.MustCompile(`^([0-9]+)-([0-9]+)$`)
+var rangePattern = regexp.MustCompile(`^([0-9]+)-([0-9]+)$`)
