--- a/internal/cli/numbercli/numbercmd_test.go
+++ b/internal/cli/numbercli/numbercmd_test.go
@@ -70,7 +70,7 @@
 		t.Errorf("%s, %v", s, err)
 	}
 	for text, want := range map[string]string{"1418,b\n15x4,b\n": "bad.csv:2: want", "1418\n": "bad.csv:1: want",
-		"1418,b\n1418,b\n": "stands here twice", "1418,c\n": `no route "c"`,
+		"1418,b\n1418,b\n": "duplicate prefix", "1418,c\n": `no route "c"`,
 		",b\n": "bad.csv:1: want"} {
 		bad, none := file("bad.csv", text), filepath.Join(dir, "none")
 		if _, err := run("import", hcl, bad, "--out", none); err == nil || !strings.Contains(err.Error(), want) {
--- a/internal/decision/numberplan/compact.go
+++ b/internal/decision/numberplan/compact.go
@@ -6,14 +6,14 @@
 	"errors"
 	"fmt"
 	"strings"
-	_ "time/tzdata" // zones also where the machine has none
+	_ "time/tzdata" // for machines without a time zone database
 
 	"google.golang.org/protobuf/proto"
 
 	"cobaltpier/api"
 )
 
-// Pack is the compact form as it is kept and sent; the same table gives the same octets.
+// Pack encodes a table in its compact form, in which it is stored and sent. Equal tables give equal octets.
 func Pack(form *api.NumberTable) ([]byte, error) {
 	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(form)
 	if err != nil {
@@ -22,18 +22,18 @@
 	return append([]byte(magicHeader), b...), nil
 }
 
-// MaxBytes is the largest compact form that is taken over the wire.
+// MaxBytes is the largest compact form that is accepted over the wire.
 const MaxBytes = 256 << 20
 
-// magicHeader begins a table's compact form: what is none is refused before it is read.
+// magicHeader begins every compact form, so that other input is rejected before it is decoded.
 const magicHeader = "cobalt-numbers 1\n"
 
-// Unpack reads the compact form. Damage is an error.
+// Unpack decodes the compact form. Damaged input is an error.
 func Unpack(b []byte) (*api.NumberTable, error) {
 	rest, ok := strings.CutPrefix(string(b), magicHeader)
 	if !ok {
 		return nil, errors.New(
-			"number table: neither HCL nor the compact form: want a file that ends in .hcl, or one that number compile made",
+			"number table: neither HCL nor the compact form: want a file that ends in .hcl, or output of number compile",
 		)
 	}
 	form := &api.NumberTable{}
@@ -43,7 +43,7 @@
 	return form, nil
 }
 
-// Sum is the checksum of a table's compact form.
+// Sum returns the checksum of a table's compact form, SHA-256 in hex.
 func Sum(form *api.NumberTable) (string, error) {
 	b, err := Pack(form)
 	if err != nil {
--- a/internal/decision/numberplan/compile.go
+++ b/internal/decision/numberplan/compile.go
@@ -7,7 +7,7 @@
 	"slices"
 	"strings"
 	"time"
-	_ "time/tzdata" // zones also where the machine has none
+	_ "time/tzdata" // for machines without a time zone database
 
 	"google.golang.org/protobuf/proto"
 
@@ -15,10 +15,10 @@
 	"cobaltpier/internal/decision/prefixtrie"
 )
 
-// maxFaults are told of a table; the rest is counted.
+// maxFaults is how many faults of a table are reported; any more are only counted.
 const maxFaults = 50
 
-// Compile makes a table of its compact form and tells all that is wrong with it.
+// Compile compiles a table from its compact form. The error lists all faults of the table.
 func Compile(form *api.NumberTable) (*Table, error) {
 	var faults []string
 	count := 0
@@ -36,7 +36,7 @@
 	return t, nil
 }
 
-// positionOf says where in a table a part of it stands.
+// positionOf returns the position of a part in its table, as a prefix for messages.
 func positionOf(form *api.NumberTable, part proto.Message) string {
 	switch part := part.(type) {
 	case *api.NumberDays:
@@ -72,14 +72,14 @@
 	return proto.Message(a) == part
 }
 
-// compiler makes a table and tells faults.
+// compiler builds a table and reports faults.
 type compiler struct {
 	t              *Table
 	fault          func(part proto.Message, key, format string, args ...any)
 	periods        map[string]*Period
 	days           map[string]map[string]bool
 	zones          map[string]*time.Location
-	planReferences map[string][]reference // from plan to plan, for loops
+	planReferences map[string][]reference // the plans that each plan refers to, for loop detection
 	used           map[string]bool
 }
 
@@ -106,7 +106,7 @@
 		used:           map[string]bool{},
 	}
 	var err error
-	if t.Sum, err = Sum(form); err != nil { // text that is no UTF-8
+	if t.Sum, err = Sum(form); err != nil { // text that is not valid UTF-8
 		fault(form, "", "%v", err)
 	}
 	if strings.Trim(t.Country, "0123456789") != "" {
@@ -123,7 +123,7 @@
 	}
 	for _, p := range form.Plans {
 		if t.plans[p.Name] != nil {
-			fault(p, "", "plan %q stands here twice", p.Name)
+			fault(p, "", "duplicate plan %q", p.Name)
 		}
 		t.plans[p.Name] = &plan{name: p.Name}
 	}
@@ -150,12 +150,12 @@
 
 func (c *compiler) dates(d *api.NumberDays) {
 	if c.days[d.Name] != nil {
-		c.fault(d, "", "days %q stand here twice", d.Name)
+		c.fault(d, "", "duplicate days %q", d.Name)
 	}
 	set := map[string]bool{}
 	for _, date := range d.Dates {
 		if _, err := time.Parse(time.DateOnly, date); err != nil {
-			c.fault(d, "dates", "dates: want days such as \"2026-12-25\", got %q", date)
+			c.fault(d, "dates", "dates: want dates such as \"2026-12-25\", got %q", date)
 		}
 		set[date] = true
 	}
@@ -204,7 +204,7 @@
 		}
 	}
 	if c.periods[p.Name] != nil {
-		c.fault(x, "", "period %q stands here twice", p.Name)
+		c.fault(x, "", "duplicate period %q", p.Name)
 	}
 	c.periods[p.Name] = p
 }
@@ -223,19 +223,19 @@
 		c.fault(x, "", "route %q: want at least one group \"NAME\" { weight = ... } with a weight above 0", x.Name)
 	}
 	if c.t.routes[x.Name] != nil {
-		c.fault(x, "", "route %q stands here twice", x.Name)
+		c.fault(x, "", "duplicate route %q", x.Name)
 	}
 	c.t.routes[x.Name] = r
 }
 
-// compiledRule is a rule as it is written and as it is compiled.
+// compiledRule is a rule as it is written and as it is compiled, with the prefixes that it covers.
 type compiledRule struct {
 	source   *api.NumberRule
 	rule     *rule
 	prefixes []string
 }
 
-// prefixEntry is a prefix with the number of one of its rules; a large table has many.
+// prefixEntry is a prefix with the index of one of its rules. It is small because a large table has many.
 type prefixEntry struct {
 	prefix    string
 	ruleIndex int
@@ -268,7 +268,7 @@
 	p.trie = trie
 }
 
-// rule compiles one rule of a plan; false: it can't be used.
+// rule compiles one rule of a plan. It returns false if the rule can't be used.
 func (c *compiler) rule(plan string, source *api.NumberRule) (compiledRule, numberRange, bool) {
 	if source.Then == nil {
 		c.fault(source, "", "a rule without an action")
@@ -300,7 +300,7 @@
 	return compiledRule{source, r, prefixes}, span, true
 }
 
-// sortedEntries is the prefixes of all rules, those of one prefix in the order of the rules.
+// sortedEntries returns the prefixes of all rules, sorted; equal prefixes keep the order of their rules.
 func sortedEntries(compiled []compiledRule, total int) []prefixEntry {
 	entries := make([]prefixEntry, 0, total)
 	for i, r := range compiled {
@@ -314,17 +314,17 @@
 	return entries
 }
 
-// assignRuleSets gives each prefix the number of its set of rules in the plan. Prefixes with the same single rule share
-// one.
+// assignRuleSets assigns each prefix the index of its rule set in the plan. Prefixes with the same single rule share a
+// set.
 func (c *compiler) assignRuleSets(p *plan, compiled []compiledRule, entries []prefixEntry) []prefixtrie.Prefix {
 	prefixes := make([]prefixtrie.Prefix, 0, len(entries))
-	single := map[int]uint32{} // set of a single rule, by its line
+	single := map[int]uint32{} // index of the set with only this rule, by rule index
 	for i := 0; i < len(entries); {
 		j := i + 1
 		for j < len(entries) && entries[j].prefix == entries[i].prefix {
 			before, unreachable := compiled[entries[j-1].ruleIndex], compiled[entries[j].ruleIndex].source
 			if before.rule.when == nil {
-				c.fault(unreachable, "", "rule %q is never reached:%s of the same prefix %s always holds",
+				c.fault(unreachable, "", "rule %q is never reached: the rule%s of the same prefix %s always holds",
 					unreachable.Prefix, positionSuffix(before.source), entries[j].prefix)
 			}
 			j++
@@ -354,18 +354,19 @@
 	return " " + r.Where
 }
 
-// numberRange is a range of numbers of one length.
+// numberRange is a range of numbers of the same length.
 type numberRange struct {
 	from, to string
 	rule     *api.NumberRule
 }
 
-// checkOverlaps refuses ranges that share a part where neither holds the other: it would be chance which rule stands for it.
+// checkOverlaps rejects ranges that overlap without one containing the other: it would be arbitrary which rule applies
+// to the shared part.
 func (c *compiler) checkOverlaps(ranges []numberRange) {
 	slices.SortStableFunc(ranges, func(a, b numberRange) int {
 		return cmp.Or(cmp.Compare(len(a.from), len(b.from)), strings.Compare(a.from, b.from), strings.Compare(b.to, a.to))
 	})
-	var enclosing []numberRange // those that hold the present one, the widest first
+	var enclosing []numberRange // the ranges that contain the current one, the widest first
 	for _, b := range ranges {
 		for len(enclosing) > 0 && (len(enclosing[0].from) != len(b.from) || enclosing[len(enclosing)-1].to < b.from) {
 			enclosing = enclosing[:len(enclosing)-1]
@@ -378,7 +379,7 @@
 	}
 }
 
-// expandPrefixes are the prefixes that a rule stands for.
+// expandPrefixes returns the prefixes that a rule covers, and its range if it has one.
 func expandPrefixes(r *api.NumberRule) ([]string, numberRange, error) {
 	switch m := rangePattern.FindStringSubmatch(r.Prefix); {
 	case len(r.Packed) > 0:
@@ -391,13 +392,15 @@
 		}
 		return prefixes, numberRange{from: m[1], to: m[2]}, nil
 	case strings.Trim(r.Prefix, "0123456789") != "" || len(r.Prefix) > maxDigits:
-		return nil, numberRange{}, fmt.Errorf("rule %q: want a prefix of digits, or a range such as \"5145550000-5145559999\"",
-			r.Prefix)
+		return nil, numberRange{}, fmt.Errorf(
+			"rule %q: want a prefix of digits, or a range such as \"5145550000-5145559999\"",
+			r.Prefix,
+		)
 	}
 	return []string{r.Prefix}, numberRange{}, nil
 }
 
-// action compiles what a rule does; depth bounds questions in questions.
+// action compiles the action of a rule. depth is above 0 in the results of a look-up, where another is rejected.
 func (c *compiler) action(planName string, x *api.NumberAction, depth int) action {
 	var a action
 	switch do := x.Do.(type) {
@@ -420,7 +423,7 @@
 		q := do.Ask
 		switch {
 		case depth > 0:
-			c.fault(x, "", "portability: asked for in what follows on portability")
+			c.fault(x, "", "portability: not allowed in the result of another portability look-up")
 		case !(q.GetWithinMs() >= 1 && q.GetWithinMs() <= 60000):
 			c.fault(x, "", "portability: within: want 1 to 60000 ms, got %v", q.GetWithinMs())
 		case q.Ported == nil || q.Same == nil || q.Silent == nil:
@@ -439,7 +442,7 @@
 	return a
 }
 
-// checkReachable refuses loops, which no number could end, and plans that nothing leads to.
+// checkReachable rejects loops, in which an analysis would never end, and plans that the entry does not lead to.
 func (c *compiler) checkReachable(plans []*api.NumberPlan, entry string) {
 	const (
 		open = 1 + iota
@@ -450,7 +453,7 @@
 	visit = func(name string, path []string) {
 		state[name] = open
 		if len(path) == maxSteps/2 {
-			c.fault(c.planReferences[path[len(path)-1]][0].action, "plan", "plan: %d plans in a row are too many", len(path)+1)
+			c.fault(c.planReferences[path[len(path)-1]][0].action, "plan", "plan: a chain of %d plans is too long", len(path)+1)
 			return
 		}
 		for _, ref := range c.planReferences[name] {
--- a/internal/decision/numberplan/diff.go
+++ b/internal/decision/numberplan/diff.go
@@ -11,14 +11,14 @@
 
 // Change is one difference between two tables.
 type Change struct {
-	Op   string // "+": new, "-": gone, "~": it does something else
-	Kind string // what: rule, route, period, days, plan, table
+	Op   string // "+": added, "-": removed, "~": changed
+	Kind string // table, days, period, route or rule
 	Name string
-	Old  string // what it did, "" if it is new
-	New  string
+	Old  string // what it did; "" if it was added
+	New  string // what it does; "" if it was removed
 }
 
-// String is a change on a line.
+// String formats the change as one line.
 func (c Change) String() string {
 	switch c.Op {
 	case "+":
@@ -29,8 +29,8 @@
 	return fmt.Sprintf("~ %s %s: %s, was %s", c.Kind, c.Name, c.New, c.Old)
 }
 
-// Diff tells what changes between two tables, by what they do and not by how they are written: a range is the prefixes
-// that it stands for, and where a rule was written does not matter.
+// Diff returns the changes from table a to table b, by what they do and not by how they are written: a range counts as
+// the prefixes that it covers, and the place where a rule is written does not matter.
 func Diff(a, b *api.NumberTable) []Change {
 	changes := compareByName("table", describeTable(a), describeTable(b))
 	changes = append(changes, compareByName("days", describeDays(a), describeDays(b))...)
@@ -82,10 +82,10 @@
 	return out
 }
 
-// description is a thing of a table with everything that it does.
+// description is a named part of a table with everything that it does.
 type description struct{ name, text string }
 
-// describePlanRules are a plan's prefixes, each with all that its rules do.
+// describePlanRules returns a plan's prefixes, each with everything that its rules do.
 func describePlanRules(p *api.NumberPlan) []description {
 	type part struct {
 		prefix, text string
@@ -94,7 +94,7 @@
 	var all []part
 	for i, r := range p.Rules {
 		prefixes, _, err := expandPrefixes(r)
-		if err != nil { // told when it is compiled
+		if err != nil { // reported when the table is compiled
 			prefixes = []string{r.Prefix}
 		}
 		text := ""
@@ -147,7 +147,7 @@
 	return "nothing"
 }
 
-// compareByName compares things by their names.
+// compareByName returns the differences between two lists of descriptions, matched by name.
 func compareByName(kind string, a, b []description) []Change {
 	byName := func(x, y description) int { return strings.Compare(x.name, y.name) }
 	slices.SortStableFunc(a, byName)
--- a/internal/decision/numberplan/form_test.go
+++ b/internal/decision/numberplan/form_test.go
@@ -23,7 +23,7 @@
 	return f
 }
 
-// A table that went through its compact form decides as before, and has the same checksum.
+// A table decoded from its compact form decides as before and has the same checksum.
 func TestCompactForm(t *testing.T) {
 	x, f, err := Parse("t.hcl", []byte(table))
 	if err != nil {
@@ -58,7 +58,7 @@
 	})
 }
 
-// Faults of the compact form are told with their place, and damage is an error.
+// Faults in the compact form are reported with their position, and damaged input is an error.
 func TestCompactFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*api.NumberTable)
@@ -69,16 +69,16 @@
 		"no action": {func(f *api.NumberTable) { f.Plans[0].Rules[4].Then = nil }, "a rule without an action"},
 		"empty action": {func(f *api.NumberTable) { f.Plans[0].Rules[4].Then = &api.NumberAction{} },
 			"a rule without an action"},
-		"question": {func(f *api.NumberTable) { f.Plans[1].Rules[0].Then.GetAsk().Silent = nil },
+		"look-up without silent": {func(f *api.NumberTable) { f.Plans[1].Rules[0].Then.GetAsk().Silent = nil },
 			"want ported, same and silent"},
-		"question twice": {func(f *api.NumberTable) {
+		"nested look-up": {func(f *api.NumberTable) {
 			q := f.Plans[1].Rules[0].Then
 			q.GetAsk().Same = proto.Clone(q).(*api.NumberAction)
-		}, "asked for in what follows"},
-		"no time": {func(f *api.NumberTable) { f.Plans[1].Rules[0].Then.GetAsk().WithinMs = 0 },
+		}, "not allowed in the result of another"},
+		"no time limit": {func(f *api.NumberTable) { f.Plans[1].Rules[0].Then.GetAsk().WithinMs = 0 },
 			"within: want 1 to 60000"},
 		"bad day": {func(f *api.NumberTable) { f.Days[0].Dates[0] = "Christmas" },
-			`days "holidays": dates: want days`},
+			`days "holidays": dates: want dates`},
 		"bad weekday": {func(f *api.NumberTable) { f.Periods[0].Weekdays[0] = 7 },
 			`period "thursday": days: want 0 to 6`},
 		"bad minute": {func(f *api.NumberTable) { f.Periods[0].To = 1440 }, "want minutes of a day"},
@@ -96,15 +96,15 @@
 			"packed prefixes: damaged after 0"},
 		"out of order": {func(f *api.NumberTable) { f.Plans[0].Rules[0].Packed = []byte{0, 1, 0x20, 0, 1, 0x10} },
 			"out of order after 1"},
-		"twice": {func(f *api.NumberTable) { f.Routes = append(f.Routes, f.Routes[0]) },
-			`route "rosters" stands here twice`},
-		"no UTF-8": {func(f *api.NumberTable) { f.Name = "\xff" }, "UTF-8"},
+		"duplicate route": {func(f *api.NumberTable) { f.Routes = append(f.Routes, f.Routes[0]) },
+			`duplicate route "rosters"`},
+		"invalid UTF-8": {func(f *api.NumberTable) { f.Name = "\xff" }, "UTF-8"},
 		"overlap": {func(f *api.NumberTable) {
 			r := proto.Clone(f.Plans[0].Rules[2]).(*api.NumberRule)
 			r.Prefix = "14185550100-14185550299"
 			f.Plans[0].Rules = append(f.Plans[0].Rules, r)
 		}, "range 14185550100-14185550299 overlaps 14185550000-14185550199 t.hcl:49 in part"},
-		"long way": {func(f *api.NumberTable) {
+		"long chain of plans": {func(f *api.NumberTable) {
 			for i := range 40 {
 				f.Plans = append(f.Plans, &api.NumberPlan{Name: fmt.Sprint("p", i),
 					Rules: []*api.NumberRule{{Then: &api.NumberAction{Do: &api.NumberAction_Plan{Plan: fmt.Sprint("p", i+1)}}}}})
@@ -112,7 +112,7 @@
 			f.Plans = append(f.Plans, &api.NumberPlan{Name: "p40",
 				Rules: []*api.NumberRule{{Then: &api.NumberAction{Do: &api.NumberAction_Route{Route: "night"}}}}})
 			f.Plans[0].Rules[4].Then.Do = &api.NumberAction_Plan{Plan: "p0"}
-		}, "plans in a row are too many"},
+		}, "plans is too long"},
 	} {
 		f := form(t)
 		c.change(f)
@@ -123,12 +123,12 @@
 	b, _ := Pack(form(t))
 	for _, bad := range [][]byte{nil, []byte("plan {}"), b[:len(b)-3], append([]byte(magicHeader), 0xff, 0xff)} {
 		if _, err := Unpack(bad); err == nil {
-			t.Errorf("%.20q was read", bad)
+			t.Errorf("%.20q was accepted", bad)
 		}
 	}
 	x, err := Compile(form(t))
 	if err != nil || x.Fits(Names{Groups: []string{"TG-0", "TG-1", "TG-2"}, Classes: []string{"shift-lookup"}}).Error() !=
-		`number table staff: names what this gateway does not have: trunk group "TG-3"` {
+		`number table staff: not configured on this gateway: trunk group "TG-3"` {
 		t.Errorf("%v, %v", err, x.Fits(Names{}))
 	}
 	if err := x.Fits(x.Names()); err != nil {
@@ -136,11 +136,11 @@
 	}
 }
 
-// Any set of prefixes comes out of its packing as it went in, sorted; and a trie of them finds what a walk over all
-// finds.
+// Any set of prefixes is the same after packing and unpacking, but sorted.
 func TestPacked(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		prefixes := rapid.SliceOfDistinct(rapid.StringMatching(`[0-4]{1,6}|[0-9]{1,40}`), rapid.ID[string]).Draw(t, "prefixes")
+		prefixes := rapid.SliceOfDistinct(rapid.StringMatching(`[0-4]{1,6}|[0-9]{1,40}`), rapid.ID[string]).
+			Draw(t, "prefixes")
 		b, err := PackPrefixes(prefixes)
 		if err != nil {
 			t.Fatal(err)
@@ -153,7 +153,7 @@
 	})
 	for _, bad := range [][]string{{"1", "1"}, {""}, {"a"}, {strings.Repeat("1", 41)}} {
 		if _, err := PackPrefixes(bad); err == nil {
-			t.Errorf("%q were packed", bad)
+			t.Errorf("%q: no error", bad)
 		}
 	}
 }
@@ -161,10 +161,10 @@
 func TestDiff(t *testing.T) {
 	a, b := form(t), form(t)
 	if d := Diff(a, b); len(d) != 0 {
-		t.Fatalf("the same: %v", d)
+		t.Fatalf("changes between equal tables: %v", d)
 	}
 	b.Version, b.Plans[0].Rules[0].Where = 9, "elsewhere"
-	b.Plans[0].Rules[2].Prefix = "14185550000-14185550099" // the second hundred of a range of two
+	b.Plans[0].Rules[2].Prefix = "14185550000-14185550099" // the range loses its second hundred
 	b.Plans[0].Rules[4].Then.Do = &api.NumberAction_Route{Route: "ported"}
 	b.Routes[1].Choices[0].Weight = 2
 	b.Periods = b.Periods[:2]
@@ -189,7 +189,7 @@
 	}
 }
 
-// Damage of a compact form is found, or does no harm.
+// Damage to a compact form is detected, or the table still leads any number to a route or a refusal.
 func FuzzUnpack(f *testing.F) {
 	_, x, err := Parse("t.hcl", []byte(table))
 	if err != nil {
@@ -220,7 +220,8 @@
 	})
 }
 
-// Whatever is dialled is digits that a look-up can be made of, or an error; and what it was made of again gives itself.
+// Normalize returns an error, or digits that make an ENUM domain; normalizing these digits again, or decoding the
+// domain, gives the same digits.
 func FuzzNumber(f *testing.F) {
 	f.Add("+1 (418) 555-1234", "1", "npdi;rn=+1514")
 	f.Add("0041", "41", "rn=5;rn-context=+1")
@@ -228,7 +229,7 @@
 	f.Add("0", "", "rn=5;rn-context=+_\x11\xefD@\xaf/wJ")
 	f.Fuzz(func(t *testing.T, dialled, country, params string) {
 		if strings.Trim(country, "0123456789") != "" || len(country) > 4 {
-			return // a table with such a country is refused
+			return // the compiler rejects a table with such a country code
 		}
 		n, err := Normalize(dialled, country)
 		if err != nil {
@@ -254,7 +255,7 @@
 	})
 }
 
-// Ranges are refused just when two of them share a part and neither holds the other.
+// Ranges are rejected exactly if two of them overlap and neither contains the other.
 func TestPartialRangeOverlap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		form := &api.NumberTable{Name: "t", Entry: "start", Plans: []*api.NumberPlan{{Name: "start"}},
@@ -273,7 +274,7 @@
 				same = same || x == other
 			}
 			if same {
-				continue // refused as never reached
+				continue // rejected as never reached
 			}
 			ranges = append(ranges, x)
 			form.Plans[0].Rules = append(form.Plans[0].Rules, &api.NumberRule{Prefix: fmt.Sprintf("%d-%d", x.lo, x.hi),
--- a/internal/decision/numberplan/names.go
+++ b/internal/decision/numberplan/names.go
@@ -4,15 +4,15 @@
 	"fmt"
 	"slices"
 	"strings"
-	_ "time/tzdata" // zones also where the machine has none
+	_ "time/tzdata" // for machines without a time zone database
 )
 
-// Names are what a table asks of the gateway that uses it.
+// Names are the classes, tenants and trunk groups that a table refers to or that a gateway has.
 type Names struct {
 	Classes, Tenants, Groups []string
 }
 
-// Names lists the classes, tenants and trunk groups that a table's routes name, in order.
+// Names returns the classes, tenants and trunk groups that a table's routes refer to, sorted.
 func (t *Table) Names() Names {
 	var n Names
 	for _, r := range t.routes {
@@ -33,15 +33,18 @@
 	return n
 }
 
-// Fits says what a table names that its gateway does not have; nil: nothing.
+// Fits returns an error that lists all names that the table refers to and the gateway does not have.
 func (t *Table) Fits(available Names) error {
 	var missing []string
 	want := t.Names()
 	for _, k := range []struct {
 		kind      string
 		want, has []string
-	}{{"skill", want.Classes, available.Classes}, {"customer", want.Tenants, available.Tenants}, {"trunk group", want.Groups,
-		available.Groups}} {
+	}{
+		{"skill", want.Classes, available.Classes},
+		{"customer", want.Tenants, available.Tenants},
+		{"trunk group", want.Groups, available.Groups},
+	} {
 		for _, n := range k.want {
 			if !slices.Contains(k.has, n) {
 				missing = append(missing, fmt.Sprintf("%s %q", k.kind, n))
@@ -49,7 +52,7 @@
 		}
 	}
 	if len(missing) > 0 {
-		return fmt.Errorf("number table %s: names what this gateway does not have: %s", t.Name, strings.Join(missing, ", "))
+		return fmt.Errorf("number table %s: not configured on this gateway: %s", t.Name, strings.Join(missing, ", "))
 	}
 	return nil
 }
--- a/internal/decision/numberplan/number.go
+++ b/internal/decision/numberplan/number.go
@@ -1,8 +1,7 @@
-// Package numberplan decides what becomes of a number that was dialled: by the longest prefix, the time of day,
-// portability and weights, through plans that lead on to each other, to a route. A call carries one table from its
-// first digit to its end, however often the tables change meanwhile. Package number knows no wire, no clock and no
-// look-up: a step that needs one returns a question, and the analysis goes on with the answer, its absence or its
-// time-out.
+// Package numberplan analyzes dialled numbers. Plans that refer to each other lead a number to a route or a refusal, by
+// longest prefix, time of day, portability and weights. A call uses one table from its first digit to its end, however
+// often the gateway's table is replaced meanwhile. The package does no I/O and reads no clock: a step that needs a
+// portability look-up returns the number to look up, and the analysis resumes with the answer or the lack of one.
 package numberplan
 
 import (
@@ -15,19 +14,19 @@
 
 //tally:decisions
 
-// maxSteps bounds an analysis whatever its table: one that is compiled has no loop, so this is never met.
+// maxSteps bounds every analysis. A compiled table has no loops, so the limit is never reached.
 const maxSteps = 64
 
-// maxDigits is the longest number that is looked at: E.164 has 15, prefixes dialled and routing numbers come on top.
+// maxDigits is the longest number accepted: E.164 allows 15 digits; dialled prefixes and routing numbers add to them.
 const maxDigits = 40
 
-// Table is a compiled table. It is only read.
+// Table is a compiled number table. It is never modified.
 type Table struct {
 	Name    string
 	Version uint64
-	Sum     string // of its compact form, SHA-256 in hex
-	Country string // digits that a national number gets in front
-	// Warnings are of what does no harm but was hardly meant.
+	Sum     string // SHA-256 of its compact form, in hex
+	Country string // country code, put in front of national numbers
+	// Warnings name parts that do no harm but are probably unintended.
 	Warnings []string
 	entry    *plan
 	plans    map[string]*plan
@@ -35,13 +34,13 @@
 	size     int
 }
 
-// Size is the number of its rules.
+// Size returns the number of rules; a range or packed rule counts once for each of its prefixes.
 func (t *Table) Size() int { return t.size }
 
 type plan struct {
 	name     string
 	trie     *prefixtrie.Trie
-	ruleSets [][]*rule // by the trie's value: the rules of one prefix, in their order
+	ruleSets [][]*rule // indexed by the trie's values: the rules of one prefix, in order
 }
 
 type rule struct {
@@ -49,10 +48,10 @@
 	strip    int
 	add      string
 	then     action
-	position string // where it stands, for explanations
+	position string // where the rule is written, for explanations
 }
 
-// action is what a rule does; one of them is set.
+// action is what a rule does; exactly one field is set.
 type action struct {
 	plan   *plan
 	route  *route
@@ -60,10 +59,10 @@
 	lookup *lookup
 }
 
-// lookup is a portability look-up and where each end of it leads.
+// lookup is a portability look-up and the action for each of its results.
 type lookup struct {
-	ported    action // with the routing number in place of the number
-	notPorted action // not ported
+	ported    action // continues with the routing number in place of the number
+	notPorted action
 	noAnswer  action // no answer in time
 	timeout   time.Duration
 }
@@ -81,25 +80,25 @@
 	weight float64
 }
 
-// Refusal is an end without a route.
+// Refusal ends an analysis without a route.
 type Refusal struct {
-	Code int // of SIP
+	Code int // SIP status code
 	Why  string
 }
 
-// Route is where a call goes.
+// Route is where a call is sent.
 type Route struct {
 	Name     string
-	Class    string // "": what the caller asked for
-	Tenant   string // "": the caller's
+	Class    string // "": the one that the caller asked for
+	Tenant   string // "": that of the caller
 	Group    string // trunk group of the destination (RFC 4904)
-	Number   string // the number called, as it is sent on
-	Routing  string // the routing number that stands for it, "": portability was not looked up or it is not ported
+	Number   string // the called number, as it is sent on
+	Routing  string // the routing number; "": portability was not looked up, or the number is not ported
 	LookedUp bool   // portability was looked up (RFC 4694 npdi)
-	Carrier  string // the carrier that serves it (RFC 4694 cic), "": none is named
+	Carrier  string // the carrier that serves the number (RFC 4694 cic); "": unknown
 }
 
-// Outcome is what an analysis came to, or waits for; one of them is set.
+// Outcome is the result of an analysis, or the look-up that it waits for. Route, Refusal or LookupNumber is set.
 type Outcome struct {
 	Route         *Route
 	Refusal       *Refusal
@@ -107,43 +106,43 @@
 	LookupTimeout time.Duration
 }
 
-// Answer is what a look-up brought.
+// Answer is the kind of result of a portability look-up.
 type Answer int
 
-// The answers.
+// The results of a portability look-up.
 const (
-	NotPorted Answer = iota // also: it does not exist
+	NotPorted Answer = iota // also: the number does not exist
 	Ported                  // with a routing number (RFC 4694 rn)
-	Silent                  // none in time, or a fault
+	Silent                  // no answer in time, or an error
 )
 
-// Found is what a look-up brought.
+// Found is the result of a portability look-up.
 type Found struct {
 	Answer  Answer
-	Routing string // Ported: the routing number (RFC 4694 rn)
-	Carrier string // the carrier (RFC 4694 cic), "": none is named
+	Routing string // if Ported: the routing number (RFC 4694 rn)
+	Carrier string // the carrier (RFC 4694 cic); "": unknown
 }
 
-// Analysis is one call's way through a table.
+// Analysis is the state of one call's number analysis.
 type Analysis struct {
 	Table    *Table
-	Steps    []string // what was done and why, where Explain is set
-	number   string   // what rules look at: the number called, or the routing number that stands for it
-	called   string   // set once a routing number stands for it
+	Steps    []string // each step with its reason, if Call.Explain is set
+	number   string   // what rules match: the called number, or its routing number once that is known
+	called   string   // the called number, set once number holds its routing number
 	at       time.Time
 	draw     float64
 	next     action
 	pending  *lookup
 	carrier  string
-	noAnswer bool // it had no answer
-	lookedUp bool // portability is looked up once only (RFC 4694 npdi)
+	noAnswer bool // the look-up had no answer
+	lookedUp bool // portability is looked up only once (RFC 4694 npdi)
 	steps    int
 	explain  bool
 }
 
-// Normalize makes digits of what was dialled: "+" and "00" are international, a leading 0 is dropped from a national
-// number, which gets the country's digits; spaces, dashes, dots and brackets are passed over. Anything else is an
-// error.
+// Normalize reduces a dialled number to digits. "+" and "00" begin an international number. Any other number loses a
+// leading 0 and gets the country code in front unless it begins with that. Spaces, dashes, dots and parentheses are
+// skipped; any other character is an error.
 func Normalize(dialled, country string) (string, error) {
 	var b strings.Builder
 	plus := false
@@ -176,18 +175,18 @@
 	return n, nil
 }
 
-// Call is what is known of a number when its analysis begins.
+// Call is what is known of a call when the analysis of its number begins.
 type Call struct {
 	Dialled  string
-	LookedUp bool   // portability was looked up by somebody before us (RFC 4694 npdi)
-	Routing  string // the routing number that was found then, "": none
-	Carrier  string // the carrier that was named with it
+	LookedUp bool   // an earlier hop looked up portability (RFC 4694 npdi)
+	Routing  string // the routing number that this look-up found; "": none
+	Carrier  string // the carrier that came with it
 	At       time.Time
-	Draw     float64 // 0 to 1, drawn for weights
-	Explain  bool    // keep the steps
+	Draw     float64 // random, from 0 to 1, for the choice by weight
+	Explain  bool    // record the steps
 }
 
-// Begin starts the analysis of a number. The first outcome comes with it.
+// Begin starts the analysis of a call's number and returns it with its first outcome.
 func (t *Table) Begin(c Call) (*Analysis, Outcome) {
 	a := &Analysis{
 		Table:    t,
@@ -217,7 +216,7 @@
 	return a, a.run()
 }
 
-// Answered goes on after a question. A routing number that makes no sense counts as silence.
+// Answered resumes the analysis with the result of its look-up. An invalid routing number counts as no answer.
 func (a *Analysis) Answered(found Found) Outcome {
 	answer, routing := found.Answer, found.Routing
 	pending := a.pending
@@ -258,7 +257,7 @@
 	}
 }
 
-// run follows actions until one ends the analysis or asks.
+// run applies actions until one ends the analysis or needs a look-up.
 func (a *Analysis) run() Outcome {
 	for ; a.steps < maxSteps; a.steps++ {
 		switch current := a.next; {
@@ -288,7 +287,8 @@
 	return Outcome{Refusal: &Refusal{500, "too many steps"}}
 }
 
-// match takes the first rule that holds now of the longest prefix that has one.
+// match applies the first rule that is in force at the time of the call, of the longest prefix that has one. It returns
+// false if there is none, or if the rule makes the number too long.
 func (a *Analysis) match(p *plan) bool {
 	for n := len(a.number); n >= 0; {
 		set, length, ok := p.trie.Find(a.number[:n])
@@ -311,7 +311,7 @@
 	return false
 }
 
-// buildRoute chooses among a route's trunk groups by their weights.
+// buildRoute returns the route of the call, with one of its trunk groups chosen by weight.
 func (a *Analysis) buildRoute(r *route) *Route {
 	out := &Route{
 		Name:     r.name,
@@ -335,20 +335,20 @@
 	return out
 }
 
-// Period is a time of the week in a zone.
+// Period is a recurring time of the week in a time zone.
 type Period struct {
 	Name    string
 	Zone    *time.Location
-	Days    [7]bool         // by time.Weekday; none set: all
-	From    int             // minutes of the day on the wall clock there
-	To      int             // the first that does not belong; From = To: the whole day; To < From: past midnight
-	Except  map[string]bool // days like "2026-12-25" on which it does not begin
-	Only    map[string]bool // if set, days on which alone it begins
+	Days    [7]bool         // by time.Weekday; none set: every day
+	From    int             // minutes since midnight, local wall-clock time
+	To      int             // first minute after the period; From = To: the whole day; To < From: ends the next day
+	Except  map[string]bool // dates such as "2026-12-25" on which it does not begin
+	Only    map[string]bool // if not empty, the only dates on which it begins
 	anyDays bool
 }
 
-// Holds tells whether a time lies in the period. It goes by the wall clock there: an hour that occurs twice belongs
-// twice, one that never occurs does not. A part past midnight belongs to the day on which it began.
+// Holds reports whether a time is in the period, by the wall clock of its zone: an hour that occurs twice is in it both
+// times, and an hour that is skipped never is. The part after midnight belongs to the day on which the period began.
 func (p *Period) Holds(at time.Time) bool {
 	t := at.In(p.Zone)
 	minute := t.Hour()*60 + t.Minute()
@@ -371,8 +371,8 @@
 	return p.anyDays || p.Days[t.Weekday()]
 }
 
-// Explain tells each step of a number's analysis and why; portability's answer is the routing number given, silence, or
-// that it is not ported.
+// Explain returns each step of a number's analysis with its reason. A portability look-up returns the given routing
+// number; without one, it gets no answer if silent is set and finds the number not ported otherwise.
 func (t *Table) Explain(c Call, routing string, silent bool) []string {
 	c.Explain = true
 	a, o := t.Begin(c)
--- a/internal/decision/numberplan/number_test.go
+++ b/internal/decision/numberplan/number_test.go
@@ -113,7 +113,7 @@
 	return v
 }
 
-// result is an outcome in a word.
+// result formats an outcome as one line.
 func result(o Outcome) string {
 	switch {
 	case o.Route != nil:
@@ -154,7 +154,7 @@
 		{"+1", thursday, 0, 0, "", "TG-2 +1"},
 		{"", thursday, 0, 0, "", `number "": no digits`},
 		{"+1-CALL-ME", thursday, 0, 0, "", `number "+1-CALL-ME": 'C' is no digit`},
-		{"+1418" + strings.Repeat("5", 36), sunday, 0, NotPorted, "", "no rule for this number"}, // 41 digits on its way
+		{"+1418" + strings.Repeat("5", 36), sunday, 0, NotPorted, "", "no rule for this number"}, // 41 digits with 99
 		{"+1418" + strings.Repeat("5", 35), sunday, 0, NotPorted, "", "TG-2 +99418" + strings.Repeat("5", 35)},
 		{strings.Repeat("1", 41), thursday, 0, 0, "", "number: 41 digits are too many"},
 		{strings.Repeat("1", 40), thursday, 0, 0, "", "TG-2 +" + strings.Repeat("1", 40)},
@@ -167,23 +167,23 @@
 			t.Errorf("%q at %v: %s, want %s\n  %s", c.number, c.at, got, c.want, strings.Join(a.Steps, "\n  "))
 		}
 		if again := a.Answered(Found{Answer: Silent}); again.Refusal == nil {
-			t.Errorf("%q: answered with nothing asked: %v", c.number, result(again))
+			t.Errorf("%q: an answer without a look-up led to %v", c.number, result(again))
 		}
 	}
 	if _, o := x.Begin(Call{Dialled: "+15145551234", LookedUp: true, Routing: "+1 613 555 0000",
 		At: sunday}); result(o) != "TG-2 +15145551234;rn=+16135550000" {
-		t.Errorf("a routing number found before: %s", result(o))
+		t.Errorf("routing number of an earlier look-up: %s", result(o))
 	}
 	if _, o := x.Begin(Call{Dialled: "+15145551234", LookedUp: true, Routing: "x", At: sunday}); o.Refusal == nil {
-		t.Errorf("a routing number that is none: %s", result(o))
+		t.Errorf("invalid routing number was accepted: %s", result(o))
 	}
 	if a, o := x.Begin(Call{Dialled: "+14185551234", At: sunday, LookedUp: true}); o.Route == nil || a.Steps != nil {
-		t.Errorf("looked up before: %s", result(o))
+		t.Errorf("portability was looked up before: %s", result(o))
 	}
 }
 
-// On the night on which clocks go back 01:30 to 02:00 comes twice, and belongs twice; on the one on which they go
-// forward 02:00 to 02:30 never comes.
+// The period is 01:30 to 02:30. When clocks go back, 01:30 to 02:00 occurs twice and is in the period both times; when
+// they go forward, 02:00 to 02:30 does not occur.
 func TestDaylightSavingChange(t *testing.T) {
 	x := parse(t)
 	for at, want := range map[string]string{
@@ -203,7 +203,7 @@
 		{`plan = "local"`, `plan = "start"`, `t.hcl:69: loop: start to quebec leads back to start`},
 		{`plan = "local"`, `plan = "nowhere"`, `plan: no plan "nowhere"`},
 		{`route = "rosters"`, `route = "rooster"`, `t.hcl:44: route: no route "rooster"`},
-		{`when  = "thursday"`, ``, `is never reached: t.hcl:42 of the same prefix 1418 always holds`},
+		{`when  = "thursday"`, ``, `is never reached: the rule t.hcl:42 of the same prefix 1418 always holds`},
 		{`"14185550000-14185550199"`, `"14185550200-14185550199"`, `want two numbers of one length, the lower first`},
 		{`"1514"`, `"15l4"`, `want a prefix of digits`},
 		{`days   = ["thu"]`, `days   = ["thursday"]`, `t.hcl:11: days: want some of sun, mon`},
@@ -243,7 +243,7 @@
 	}
 }
 
-// No text and no number makes table or analysis fall or go on for ever.
+// No table text and no number makes compiling or analyzing panic or run forever.
 func FuzzTable(f *testing.F) {
 	f.Add(table, "+14185551234")
 	f.Add("plan \"start\" {\n rule \"\" {\n add = \"1\"\n plan = \"start\"\n }\n}", "1")
--- a/internal/decision/numberplan/packed.go
+++ b/internal/decision/numberplan/packed.go
@@ -6,8 +6,9 @@
 	"strings"
 )
 
-// PackPrefixes puts many prefixes, in any order, into few octets: in order, each as the digits that it shares with the
-// one before, the digits that follow, and those two to an octet. Anything but digits is an error.
+// PackPrefixes encodes prefixes, given in any order, compactly: sorted, each as the number of digits shared with the
+// one before, the number of digits that follow, and these digits, two to an octet. An empty, duplicate or too long
+// prefix, or one with anything but digits, is an error.
 func PackPrefixes(prefixes []string) ([]byte, error) {
 	prefixes = slices.Clone(prefixes)
 	slices.Sort(prefixes)
@@ -18,7 +19,7 @@
 			return nil, fmt.Errorf("prefix %q: want 1 to %d digits", p, maxDigits)
 		}
 		if i > 0 && p == previous {
-			return nil, fmt.Errorf("prefix %q stands here twice", p)
+			return nil, fmt.Errorf("duplicate prefix %q", p)
 		}
 		shared := 0
 		for shared < len(p) && shared < len(previous) && p[shared] == previous[shared] {
@@ -37,18 +38,18 @@
 	return b, nil
 }
 
-// unpackPrefixes undoes it, and refuses what it could not have made.
+// unpackPrefixes reverses PackPrefixes and rejects input that PackPrefixes can not produce.
 func unpackPrefixes(b []byte) ([]string, error) {
 	var prefixes []string
 	var current, digits []byte
 	ends := []int{}
 	for len(b) > 0 {
 		if len(b) < 2 {
-			return nil, fmt.Errorf("packed prefixes: cut off after %d", len(ends))
+			return nil, fmt.Errorf("packed prefixes: truncated after %d prefixes", len(ends))
 		}
 		shared, added := int(b[0]), int(b[1])
 		if shared > len(current) || shared+added > maxDigits || added == 0 || len(b) < 2+(added+1)/2 {
-			return nil, fmt.Errorf("packed prefixes: damaged after %d", len(ends))
+			return nil, fmt.Errorf("packed prefixes: damaged after %d prefixes", len(ends))
 		}
 		previous := string(current)
 		current = current[:shared]
@@ -58,18 +59,18 @@
 				digit >>= 4
 			}
 			if digit &= 15; digit > 9 {
-				return nil, fmt.Errorf("packed prefixes: damaged after %d", len(ends))
+				return nil, fmt.Errorf("packed prefixes: damaged after %d prefixes", len(ends))
 			}
 			current = append(current, '0'+digit)
 		}
 		if len(ends) > 0 && previous >= string(current) {
-			return nil, fmt.Errorf("packed prefixes: out of order after %d", len(ends))
+			return nil, fmt.Errorf("packed prefixes: out of order after %d prefixes", len(ends))
 		}
 		b = b[2+(added+1)/2:]
 		digits = append(digits, current...)
 		ends = append(ends, len(digits))
 	}
-	joined, start := string(digits), 0 // one text for all
+	joined, start := string(digits), 0 // one string backs all prefixes
 	prefixes = make([]string, len(ends))
 	for i, end := range ends {
 		prefixes[i] = joined[start:end]
--- a/internal/decision/numberplan/read.go
+++ b/internal/decision/numberplan/read.go
@@ -12,12 +12,12 @@
 	"cobaltpier/internal/hclconfig"
 )
 
-// reader makes the compact form of HCL.
+// reader converts HCL to the compact form.
 type reader struct {
-	blocks map[proto.Message]*hclconfig.Block // where each part of it was written
+	blocks map[proto.Message]*hclconfig.Block // the HCL block of each part, for error positions
 }
 
-// Parse reads and compiles a table of HCL; name stands in the errors.
+// Parse reads and compiles a table in HCL. name is the file name in errors, and the name of a table without one.
 func Parse(name string, src []byte) (*Table, *api.NumberTable, error) {
 	b, err := hclconfig.Parse(name, src)
 	if err != nil {
@@ -49,7 +49,9 @@
 	for _, block := range b.Blocks("plan", 1) {
 		form.Plans = append(form.Plans, r.plan(block))
 	}
-	t := compile(form, func(part proto.Message, key, format string, args ...any) { r.blocks[part].Fault(key, format, args...) })
+	t := compile(form, func(part proto.Message, key, format string, args ...any) {
+		r.blocks[part].Fault(key, format, args...)
+	})
 	if err := b.Err(); err != nil {
 		return nil, nil, err
 	}
@@ -123,7 +125,7 @@
 	return int32(t.Hour()*60 + t.Minute())
 }
 
-// action reads what a rule does, or what an end of a question leads to.
+// action reads the action of a rule, or of one result of a portability look-up.
 func (r *reader) action(b *hclconfig.Block, allowLookup bool) *api.NumberAction {
 	a := &api.NumberAction{}
 	r.blocks[a] = b
@@ -140,7 +142,7 @@
 		actions++
 		a.Do = &api.NumberAction_Refuse{Refuse: &api.NumberRefusal{Code: int32(b.Int("code", 404, 400, 699)), Why: why}}
 	} else if b.Has("code") {
-		b.Fault("code", "code: goes with refuse only")
+		b.Fault("code", "code: allowed only with refuse")
 	}
 	if allowLookup {
 		for _, lookupBlock := range b.Blocks("portability", 0) {
@@ -153,7 +155,7 @@
 				if ends := lookupBlock.Blocks(e.kind, 0); len(ends) == 1 {
 					*e.to = r.action(ends[0], false)
 				} else {
-					lookupBlock.Fault("", "portability: want one %s { ... }: what is done then", e.kind)
+					lookupBlock.Fault("", "portability: want one %s { ... } with the action for this result", e.kind)
 				}
 			}
 			a.Do = &api.NumberAction_Ask{Ask: question}
