--- a/internal/cli/numbercli/numbercmd.go
+++ b/internal/cli/numbercli/numbercmd.go
@@ -108,7 +108,7 @@
 			var steps []string
 			switch {
 			case to != "" && len(args) == 1:
-				err = dial(cmd.Context(), to, func(ctx context.Context, c api.NumbersClient) error {
+				err = callGateway(cmd.Context(), to, func(ctx context.Context, c api.NumbersClient) error {
 					e, err := c.Explain(ctx, &api.ExplainRequest{Number: args[0], AtUnix: now.Unix(), Ported: ported, Silent: silent})
 					steps = e.GetSteps()
 					return err
@@ -146,7 +146,7 @@
 			if err != nil {
 				return err
 			}
-			return write(cmd.OutOrStdout(), out, form)
+			return writeCompact(cmd.OutOrStdout(), out, form)
 		},
 	}
 	c.Flags().StringVarP(&out, "out", "o", "", "the compact form's file")
@@ -154,7 +154,7 @@
 	return c
 }
 
-func write(w io.Writer, file string, form *api.NumberTable) error {
+func writeCompact(w io.Writer, file string, form *api.NumberTable) error {
 	b, err := numberplan.Pack(form)
 	if err != nil {
 		return err
@@ -174,7 +174,7 @@
 }
 
 func diff() *cobra.Command {
-	var most int
+	var maxChanges int
 	c := &cobra.Command{
 		Use:   "diff OLD NEW",
 		Short: "Say what changes between two tables, by what they do",
@@ -182,18 +182,18 @@
 		Long: "Says what changes between two tables, by what they do and not by how they are written. Status 0: " +
 			"nothing; 1: something.",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			var of [2]*api.NumberTable
+			var forms [2]*api.NumberTable
 			for i, a := range args {
 				_, form, err := tablestore.Load(a)
 				if err != nil {
 					return err
 				}
-				of[i] = form
+				forms[i] = form
 			}
-			changes := numberplan.Diff(of[0], of[1])
+			changes := numberplan.Diff(forms[0], forms[1])
 			for i, x := range changes {
-				if i == most {
-					fmt.Fprintf(cmd.OutOrStdout(), "and %d more\n", len(changes)-most)
+				if i == maxChanges {
+					fmt.Fprintf(cmd.OutOrStdout(), "and %d more\n", len(changes)-maxChanges)
 					break
 				}
 				fmt.Fprintln(cmd.OutOrStdout(), x)
@@ -204,7 +204,7 @@
 			return nil
 		},
 	}
-	c.Flags().IntVar(&most, "most", 200, "print no more than so many")
+	c.Flags().IntVar(&maxChanges, "most", 200, "print no more than so many")
 	return c
 }
 
@@ -240,7 +240,7 @@
 			if _, err := numberplan.Compile(form); err != nil {
 				return err
 			}
-			return write(cmd.OutOrStdout(), out, form)
+			return writeCompact(cmd.OutOrStdout(), out, form)
 		},
 	}
 	c.Flags().StringVar(&plan, "plan", "start", "the plan that they are added to")
@@ -251,19 +251,19 @@
 
 // addPrefixes reads "prefix,route" lines and adds one packed rule for each route, in the order of their coming.
 func addPrefixes(form *api.NumberTable, plan, name string, r io.Reader) error {
-	var into *api.NumberPlan
+	var target *api.NumberPlan
 	for _, p := range form.Plans {
 		if p.Name == plan {
-			into = p
+			target = p
 		}
 	}
-	if into == nil {
+	if target == nil {
 		return fmt.Errorf("%s: no plan %q in the table", name, plan)
 	}
-	of, order := map[string][]string{}, []string{}
-	s := bufio.NewScanner(r)
-	for line := 1; s.Scan(); line++ {
-		text := strings.TrimSpace(s.Text())
+	prefixesByRoute, routes := map[string][]string{}, []string{}
+	scanner := bufio.NewScanner(r)
+	for line := 1; scanner.Scan(); line++ {
+		text := strings.TrimSpace(scanner.Text())
 		if text == "" || strings.HasPrefix(text, "#") {
 			continue
 		}
@@ -272,44 +272,44 @@
 		if !ok || route == "" || prefix == "" || strings.Trim(prefix, "0123456789") != "" {
 			return fmt.Errorf("%s:%d: want \"prefix,route\", got %q", name, line, text)
 		}
-		if of[route] == nil {
-			order = append(order, route)
+		if prefixesByRoute[route] == nil {
+			routes = append(routes, route)
 		}
-		of[route] = append(of[route], prefix)
+		prefixesByRoute[route] = append(prefixesByRoute[route], prefix)
 	}
-	if err := s.Err(); err != nil {
+	if err := scanner.Err(); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
-	for _, route := range order {
-		packed, err := numberplan.PackPrefixes(of[route])
+	for _, route := range routes {
+		packed, err := numberplan.PackPrefixes(prefixesByRoute[route])
 		if err != nil {
 			return fmt.Errorf("%s: route %s: %w", name, route, err)
 		}
-		into.Rules = append(into.Rules, &api.NumberRule{Packed: packed, Where: name,
+		target.Rules = append(target.Rules, &api.NumberRule{Packed: packed, Where: name,
 			Then: &api.NumberAction{Do: &api.NumberAction_Route{Route: route}}})
 	}
 	return nil
 }
 
-func dial(ctx context.Context, to string, do func(context.Context, api.NumbersClient) error) error {
+func callGateway(ctx context.Context, address string, call func(context.Context, api.NumbersClient) error) error {
 	conn, err := grpc.NewClient(
-		to,
+		address,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithDefaultCallOptions(grpc.MaxCallSendMsgSize(numberplan.MaxBytes)),
 	)
 	if err != nil {
-		return fmt.Errorf("gateway at %s: %w", to, err)
+		return fmt.Errorf("gateway at %s: %w", address, err)
 	}
 	defer conn.Close()
 	ctx, cancel := context.WithTimeout(ctx, time.Minute)
 	defer cancel()
-	if err := do(ctx, api.NewNumbersClient(conn)); err != nil {
-		return fmt.Errorf("gateway at %s: %s", to, status.Convert(err).Message())
+	if err := call(ctx, api.NewNumbersClient(conn)); err != nil {
+		return fmt.Errorf("gateway at %s: %s", address, status.Convert(err).Message())
 	}
 	return nil
 }
 
-func told(cmd *cobra.Command, s *api.TableState) {
+func printState(cmd *cobra.Command, s *api.TableState) {
 	r := s.GetRunning()
 	fmt.Fprintf(
 		cmd.OutOrStdout(),
@@ -342,10 +342,10 @@
 			if err != nil {
 				return err
 			}
-			return dial(cmd.Context(), to, func(ctx context.Context, c api.NumbersClient) error {
+			return callGateway(cmd.Context(), to, func(ctx context.Context, c api.NumbersClient) error {
 				s, err := c.Put(ctx, &api.PutTable{Table: b, Note: note})
 				if err == nil {
-					told(cmd, s)
+					printState(cmd, s)
 				}
 				return err
 			})
@@ -364,10 +364,10 @@
 		Short: "Return to the table that ran before the present one",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return dial(cmd.Context(), to, func(ctx context.Context, c api.NumbersClient) error {
+			return callGateway(cmd.Context(), to, func(ctx context.Context, c api.NumbersClient) error {
 				s, err := c.Back(ctx, &api.BackRequest{})
 				if err == nil {
-					told(cmd, s)
+					printState(cmd, s)
 				}
 				return err
 			})
@@ -382,12 +382,12 @@
 	var to string
 	c := &cobra.Command{Use: "show --to ADDR", Short: "Show the running table and those that are kept", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return dial(cmd.Context(), to, func(ctx context.Context, c api.NumbersClient) error {
+			return callGateway(cmd.Context(), to, func(ctx context.Context, c api.NumbersClient) error {
 				s, err := c.Show(ctx, &api.ShowRequest{})
 				if err != nil {
 					return err
 				}
-				told(cmd, s)
+				printState(cmd, s)
 				for _, k := range s.Kept {
 					fmt.Fprintf(
 						cmd.OutOrStdout(),
--- a/internal/decision/prefixtrie/digits.go
+++ b/internal/decision/prefixtrie/digits.go
@@ -21,142 +21,152 @@
 // node is a place in the trie. A way with more than one prefix behind it is a node; a prefix that ends on a way is a
 // value. Both may be so for one digit.
 type node struct {
-	kids   uint16 // by digit; chain: a run of digits without a choice; leaf: a run that ends a prefix, alone on its way
-	ends   uint16 // by digit; in a chain or leaf how many digits it has
-	first  uint32 // the first kid; in a chain the one after it; in a leaf its value
-	values uint32 // the first value; in a chain or leaf its digits, four bits each
+	children uint16 // by digit; chain: a run of digits without a choice; leaf: a run that ends a prefix, alone on its way
+	ends     uint16 // by digit; in a chain or leaf how many digits it has
+	first    uint32 // the first kid; in a chain the one after it; in a leaf its value
+	values   uint32 // the first value; in a chain or leaf its digits, four bits each
 }
 
 const (
-	chain    = 0xffff
-	leaf     = 0xfffe
-	mostRun  = 8       // digits that fit into a chain
-	mostSize = 1 << 31 // prefixes and nodes at most
+	chain       = 0xffff
+	leaf        = 0xfffe
+	maxRun      = 8       // digits that fit into a chain
+	maxPrefixes = 1 << 31 // prefixes and nodes at most
 )
 
 // Trie is a set of prefixes.
 type Trie struct {
-	nodes  []node
-	values []uint32
-	any    uint32 // of the empty prefix
-	hasAny bool
-	size   int
+	nodes      []node
+	values     []uint32
+	emptyValue uint32 // of the empty prefix
+	hasEmpty   bool
+	size       int
 }
 
 // New builds a trie. Anything but digits, and one prefix twice with different values, is an error that names it; the
 // given slice is put in order.
-func New(of []Prefix) (*Trie, error) {
-	if len(of) >= mostSize {
-		return nil, fmt.Errorf("digits: %d prefixes are too many", len(of))
+func New(prefixes []Prefix) (*Trie, error) {
+	if len(prefixes) >= maxPrefixes {
+		return nil, fmt.Errorf("digits: %d prefixes are too many", len(prefixes))
 	}
-	for _, p := range of {
+	for _, p := range prefixes {
 		for i := range len(p.Digits) {
 			if p.Digits[i] < '0' || p.Digits[i] > '9' {
 				return nil, fmt.Errorf("digits: prefix %q: want digits only", p.Digits)
 			}
 		}
 	}
-	inOrder := func(a, b Prefix) int { return strings.Compare(a.Digits, b.Digits) }
-	if !slices.IsSortedFunc(of, inOrder) {
-		slices.SortFunc(of, inOrder)
+	byDigits := func(a, b Prefix) int { return strings.Compare(a.Digits, b.Digits) }
+	if !slices.IsSortedFunc(prefixes, byDigits) {
+		slices.SortFunc(prefixes, byDigits)
 	}
 	t := &Trie{}
-	for i := 1; i < len(of); i++ {
-		if of[i].Digits == of[i-1].Digits && of[i].Value != of[i-1].Value {
-			return nil, fmt.Errorf("digits: prefix %q stands for %d and %d", of[i].Digits, of[i-1].Value, of[i].Value)
+	for i := 1; i < len(prefixes); i++ {
+		if prefixes[i].Digits == prefixes[i-1].Digits && prefixes[i].Value != prefixes[i-1].Value {
+			return nil, fmt.Errorf(
+				"digits: prefix %q stands for %d and %d",
+				prefixes[i].Digits,
+				prefixes[i-1].Value,
+				prefixes[i].Value,
+			)
 		}
 	}
-	of = slices.CompactFunc(of, func(a, b Prefix) bool { return a.Digits == b.Digits })
-	t.size = len(of)
-	if len(of) > 0 && of[0].Digits == "" {
-		t.any, t.hasAny = of[0].Value, true
-		of = of[1:]
+	prefixes = slices.CompactFunc(prefixes, func(a, b Prefix) bool { return a.Digits == b.Digits })
+	t.size = len(prefixes)
+	if len(prefixes) > 0 && prefixes[0].Digits == "" {
+		t.emptyValue, t.hasEmpty = prefixes[0].Value, true
+		prefixes = prefixes[1:]
 	}
-	if len(of) == 0 {
+	if len(prefixes) == 0 {
 		return t, nil
 	}
 	t.nodes = append(t.nodes, node{})
-	t.grow(part{of, 0, 0})
+	t.build(subtree{prefixes, 0, 0})
 	t.nodes, t.values = slices.Clip(t.nodes), slices.Clip(t.values)
 	return t, nil
 }
 
-// part is a node to be made: the prefixes behind it, the digits before it, its place.
-type part struct {
-	of    []Prefix
-	depth int
-	at    uint32
+// subtree is a node to be made: the prefixes behind it, the digits before it, its place.
+type subtree struct {
+	prefixes []Prefix
+	depth    int
+	index    uint32
 }
 
-// near is the most prefixes of a part that is made as a whole, so that it lies together in memory.
-const near = 64
+// clusterSize is the most prefixes of a part that is made as a whole, so that it lies together in memory.
+const clusterSize = 64
 
-// grow makes a part breadth first, so that a node's kids lie together, and of a large one each part that is small as a
+// build makes a part breadth first, so that a node's kids lie together, and of a large one each part that is small as a
 // whole.
-func (t *Trie) grow(p part) {
-	queue := []part{p}
+func (t *Trie) build(p subtree) {
+	queue := []subtree{p}
 	for head := 0; head < len(queue); head++ {
-		q := queue[head]
-		queue[head] = part{} // let go of
-		if len(q.of) <= near && len(p.of) > near {
-			t.grow(q)
+		next := queue[head]
+		queue[head] = subtree{} // let go of
+		if len(next.prefixes) <= clusterSize && len(p.prefixes) > clusterSize {
+			t.build(next)
 			continue
 		}
-		queue = t.node(q, queue)
+		queue = t.buildNode(next, queue)
 	}
 }
 
-// node makes a node and adds what is behind it to the parts to be made.
-func (t *Trie) node(p part, queue []part) []part {
+// buildNode makes a buildNode and adds what is behind it to the parts to be made.
+func (t *Trie) buildNode(p subtree, queue []subtree) []subtree {
 	n := node{}
-	if run := len(p.of[0].Digits) - p.depth; len(p.of) == 1 && run <= mostRun {
-		t.nodes[p.at] = node{leaf, uint16(run), p.of[0].Value, packed(p.of[0].Digits[p.depth:])}
+	if run := len(p.prefixes[0].Digits) - p.depth; len(p.prefixes) == 1 && run <= maxRun {
+		t.nodes[p.index] = node{leaf, uint16(run), p.prefixes[0].Value, packDigits(p.prefixes[0].Digits[p.depth:])}
 		return queue
 	}
-	if run := shared(p.of, p.depth); run > 0 {
-		t.nodes[p.at] = node{chain, uint16(run), uint32(len(t.nodes)), packed(p.of[0].Digits[p.depth : p.depth+run])}
-		queue = append(queue, part{p.of, p.depth + run, uint32(len(t.nodes))})
+	if run := sharedRun(p.prefixes, p.depth); run > 0 {
+		t.nodes[p.index] = node{
+			chain,
+			uint16(run),
+			uint32(len(t.nodes)),
+			packDigits(p.prefixes[0].Digits[p.depth : p.depth+run]),
+		}
+		queue = append(queue, subtree{p.prefixes, p.depth + run, uint32(len(t.nodes))})
 		t.nodes = append(t.nodes, node{})
 		return queue
 	}
 	n.first, n.values = uint32(len(t.nodes)), uint32(len(t.values))
-	for i := 0; i < len(p.of); {
-		d := p.of[i].Digits[p.depth]
+	for i := 0; i < len(p.prefixes); {
+		d := p.prefixes[i].Digits[p.depth]
 		j := i + 1
-		for j < len(p.of) && p.of[j].Digits[p.depth] == d {
+		for j < len(p.prefixes) && p.prefixes[j].Digits[p.depth] == d {
 			j++
 		}
-		group := p.of[i:j]
+		group := p.prefixes[i:j]
 		if len(group[0].Digits) == p.depth+1 {
 			n.ends |= 1 << (d - '0')
 			t.values = append(t.values, group[0].Value)
 			group = group[1:]
 		}
 		if len(group) > 0 {
-			n.kids |= 1 << (d - '0')
-			queue = append(queue, part{group, p.depth + 1, uint32(len(t.nodes))})
+			n.children |= 1 << (d - '0')
+			queue = append(queue, subtree{group, p.depth + 1, uint32(len(t.nodes))})
 			t.nodes = append(t.nodes, node{})
 		}
 		i = j
 	}
-	t.nodes[p.at] = n
+	t.nodes[p.index] = n
 	return queue
 }
 
-// packed is up to eight digits, four bits each.
-func packed(digits string) (p uint32) {
+// packDigits is up to eight digits, four bits each.
+func packDigits(digits string) (p uint32) {
 	for i := range len(digits) {
 		p |= uint32(digits[i]-'0') << (4 * i)
 	}
 	return
 }
 
-// shared is how many digits from a depth on all of some prefixes share before any of them ends, as far as worth a
+// sharedRun is how many digits from a depth on all of some prefixes share before any of them ends, as far as worth a
 // chain: one digit less than they share, for the last one may be where a prefix ends.
-func shared(of []Prefix, depth int) int {
-	a, b := of[0].Digits, of[len(of)-1].Digits // sorted: what these share all share
+func sharedRun(prefixes []Prefix, depth int) int {
+	a, b := prefixes[0].Digits, prefixes[len(prefixes)-1].Digits // sorted: what these share all share
 	n := 0
-	for n < mostRun && depth+n+1 < len(a) && depth+n+1 < len(b) && a[depth+n] == b[depth+n] {
+	for n < maxRun && depth+n+1 < len(a) && depth+n+1 < len(b) && a[depth+n] == b[depth+n] {
 		n++
 	}
 	if n < 2 {
@@ -168,14 +178,14 @@
 // Find is the value of the longest prefix that a number begins with, and how many digits it has; false without one.
 // What is no digit ends the number.
 func (t *Trie) Find(number string) (value uint32, length int, ok bool) {
-	value, ok = t.any, t.hasAny
+	value, ok = t.emptyValue, t.hasEmpty
 	if len(t.nodes) == 0 {
 		return
 	}
 	at := uint32(0)
 	for i := 0; i < len(number); {
 		n := &t.nodes[at]
-		if n.kids >= leaf {
+		if n.children >= leaf {
 			run := int(n.ends)
 			if len(number)-i < run {
 				return
@@ -186,7 +196,7 @@
 				}
 			}
 			i += run
-			if n.kids == leaf {
+			if n.children == leaf {
 				return n.first, i, true
 			}
 			at = n.first
@@ -200,10 +210,10 @@
 		if n.ends&bit != 0 {
 			value, length, ok = t.values[n.values+uint32(bits.OnesCount16(n.ends&(bit-1)))], i+1, true
 		}
-		if n.kids&bit == 0 {
+		if n.children&bit == 0 {
 			return
 		}
-		at = n.first + uint32(bits.OnesCount16(n.kids&(bit-1)))
+		at = n.first + uint32(bits.OnesCount16(n.children&(bit-1)))
 		i++
 	}
 	return
@@ -225,11 +235,11 @@
 			return nil, fmt.Errorf("digits: range %q to %q: want digits only", from, to)
 		}
 	}
-	var of []string
+	var prefixes []string
 	var cover func(prefix, lo, hi string)
 	cover = func(prefix, lo, hi string) {
 		if strings.Trim(lo, "0") == "" && strings.Trim(hi, "9") == "" {
-			of = append(of, prefix)
+			prefixes = append(prefixes, prefix)
 			return
 		}
 		for d := lo[0]; d <= hi[0]; d++ {
@@ -244,5 +254,5 @@
 		}
 	}
 	cover("", from, to)
-	return of, nil
+	return prefixes, nil
 }
--- a/internal/decision/prefixtrie/digits_test.go
+++ b/internal/decision/prefixtrie/digits_test.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// plain tries each length in a map, the longest first.
-type plain map[string]uint32
+// mapModel tries each length in a map, the longest first.
+type mapModel map[string]uint32
 
-func (m plain) Find(number string) (uint32, int, bool) {
+func (m mapModel) Find(number string) (uint32, int, bool) {
 	end := 0
 	for end < len(number) && number[end] >= '0' && number[end] <= '9' {
 		end++
@@ -24,45 +24,45 @@
 	return 0, 0, false
 }
 
-// TestBesidePlain holds the trie to a map on generated prefixes: few digits, so that they begin with
+// TestTrieAgainstMap holds the trie to a map on generated prefixes: few digits, so that they begin with
 // one another, and long ones with runs.
-func TestBesidePlain(t *testing.T) {
+func TestTrieAgainstMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		word := rapid.OneOf(
+		digits := rapid.OneOf(
 			rapid.StringMatching(`[0-3]{0,6}`),
 			rapid.StringMatching(`1418555[0-9]{0,9}`),
 			rapid.StringMatching(`[0-9]{12,15}`),
 		)
-		m := plain{}
-		for _, d := range rapid.SliceOfN(word, 0, 60).Draw(t, "prefixes") {
+		m := mapModel{}
+		for _, d := range rapid.SliceOfN(digits, 0, 60).Draw(t, "prefixes") {
 			m[d] = uint32(len(m) + 1)
 		}
-		var of []Prefix
+		var prefixes []Prefix
 		for d, v := range m {
-			of = append(of, Prefix{d, v})
+			prefixes = append(prefixes, Prefix{d, v})
 		}
-		trie, err := New(of)
+		trie, err := New(prefixes)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if trie.Len() != len(m) {
 			t.Fatalf("%d of %d prefixes", trie.Len(), len(m))
 		}
-		for _, n := range rapid.SliceOfN(rapid.OneOf(word, rapid.StringMatching(`[0-3]{0,8}[+x]?[0-9]{0,3}`)), 1, 40).
+		for _, n := range rapid.SliceOfN(rapid.OneOf(digits, rapid.StringMatching(`[0-3]{0,8}[+x]?[0-9]{0,3}`)), 1, 40).
 			Draw(t, "numbers") {
 			v, l, ok := trie.Find(n)
-			pv, pl, pok := m.Find(n)
-			if v != pv && ok || l != pl || ok != pok {
-				t.Fatalf("%q: %d after %d digits, %v; want %d after %d, %v", n, v, l, ok, pv, pl, pok)
+			wantValue, wantLength, wantOK := m.Find(n)
+			if v != wantValue && ok || l != wantLength || ok != wantOK {
+				t.Fatalf("%q: %d after %d digits, %v; want %d after %d, %v", n, v, l, ok, wantValue, wantLength, wantOK)
 			}
 		}
 	})
 }
 
 func TestFaults(t *testing.T) {
-	for _, of := range [][]Prefix{{{"12a", 1}}, {{"+1", 1}}, {{"12", 1}, {"12", 2}}} {
-		if _, err := New(of); err == nil {
-			t.Errorf("%v: no error", of)
+	for _, prefixes := range [][]Prefix{{{"12a", 1}}, {{"+1", 1}}, {{"12", 1}, {"12", 2}}} {
+		if _, err := New(prefixes); err == nil {
+			t.Errorf("%v: no error", prefixes)
 		}
 	}
 	if trie, err := New([]Prefix{{"12", 1}, {"12", 1}, {"", 9}}); err != nil || trie.Len() != 2 {
@@ -83,19 +83,19 @@
 		n := rapid.IntRange(1, 4).Draw(t, "length")
 		lo := rapid.IntRange(0, 9999).Draw(t, "from") % pow(n)
 		hi := lo + rapid.IntRange(0, 9999).Draw(t, "more")%(pow(n)-lo)
-		of, err := Cover(fmt.Sprintf("%0*d", n, lo), fmt.Sprintf("%0*d", n, hi))
+		cover, err := Cover(fmt.Sprintf("%0*d", n, lo), fmt.Sprintf("%0*d", n, hi))
 		if err != nil {
 			t.Fatal(err)
 		}
 		for i := range pow(n) {
 			hits := 0
-			for _, p := range of {
+			for _, p := range cover {
 				if strings.HasPrefix(fmt.Sprintf("%0*d", n, i), p) {
 					hits++
 				}
 			}
 			if in := i >= lo && i <= hi; hits > 1 || (hits == 1) != in {
-				t.Fatalf("%d to %d: %d is in %d of %v", lo, hi, i, hits, of)
+				t.Fatalf("%d to %d: %d is in %d of %v", lo, hi, i, hits, cover)
 			}
 		}
 	})
--- a/internal/decision/tableversions/tables.go
+++ b/internal/decision/tableversions/tables.go
@@ -15,10 +15,10 @@
 
 // Errors of changes.
 var (
-	ErrOvertaken = errors.New("tables: a later change came before this one was checked")
-	ErrNoBefore  = errors.New("tables: there is no table before the present one")
-	ErrSame      = errors.New("tables: this table runs already")
-	ErrOlder     = errors.New("tables: an older version than the running one; to go back say so")
+	ErrSuperseded = errors.New("tables: a later change came before this one was checked")
+	ErrNoPrevious = errors.New("tables: there is no table before the present one")
+	ErrSame       = errors.New("tables: this table runs already")
+	ErrOlder      = errors.New("tables: an older version than the running one; to go back say so")
 )
 
 // Source is where a change comes from: a table's compact form, or a serial number of the store.
@@ -35,13 +35,13 @@
 	Err   error
 }
 
-// Work is what the keeper asks of its driver; each is answered once.
-type Work interface {
+// Driver is what the keeper asks of its driver; each is answered once.
+type Driver interface {
 	// Check reads, compiles and checks a source beside the running table: answered by Checked.
 	Check(Source)
 	// Keep writes a table into the store as the one that runs from now on, on a shelf as it is before: answered by Kept.
 	// Serial is 0 for a new one.
-	Keep(c Checked, note string, serial uint64, shelf Shelf)
+	Keep(c Checked, note string, serial uint64, history Shelf)
 	// Swap gives new calls a table, at once.
 	Swap(*numberplan.Table)
 }
@@ -50,9 +50,9 @@
 type Keeper struct {
 	Running *numberplan.Table // nil: none yet
 	Shelf   Shelf
-	work    Work
-	now     *change // checked or kept at present
-	next    *change // the one that waits: the latest wins
+	driver  Driver
+	current *change // checked or kept at present
+	waiting *change // the one that waits: the latest wins
 }
 
 // Shelf is what the store says to run, by serials.
@@ -82,18 +82,20 @@
 
 // Recover finds what runs after a start: what the shelf says, or, where that can't be read or does not fit the gateway
 // any more, the latest before it that can. problems say what was passed over; nil and no problems: nothing is kept.
-func (s Shelf) Recover(form func(serial uint64) ([]byte, error), has numberplan.Names) (run *numberplan.Table,
-	then Shelf, problems []error) {
+func (s Shelf) Recover(
+	loadForm func(serial uint64) ([]byte, error),
+	available numberplan.Names,
+) (running *numberplan.Table, recovered Shelf, problems []error) {
 	if s.Running == 0 {
 		return nil, Shelf{}, nil
 	}
-	for of := append(slices.Clone(s.Before), s.Running); len(of) > 0; of = of[:len(of)-1] {
-		n := of[len(of)-1]
-		b, err := form(n)
+	for serials := append(slices.Clone(s.Before), s.Running); len(serials) > 0; serials = serials[:len(serials)-1] {
+		serial := serials[len(serials)-1]
+		form, err := loadForm(serial)
 		if err == nil {
-			c := Check(b, has)
+			c := Check(form, available)
 			if err = c.Err; err == nil {
-				return c.Table, Shelf{n, of[:len(of)-1]}, problems
+				return c.Table, Shelf{serial, serials[:len(serials)-1]}, problems
 			}
 		}
 		problems = append(problems, err)
@@ -109,109 +111,109 @@
 }
 
 // New makes a keeper for a gateway that runs a table, maybe none, as the shelf says.
-func New(work Work, running *numberplan.Table, shelf Shelf) *Keeper {
-	return &Keeper{work: work, Running: running, Shelf: shelf}
+func New(driver Driver, running *numberplan.Table, history Shelf) *Keeper {
+	return &Keeper{driver: driver, Running: running, Shelf: history}
 }
 
 // Put asks for a change to a new table. done hears how it went, once. While another change is on its way this one
 // waits; one that waited already is overtaken.
 func (k *Keeper) Put(form []byte, note string, done func(error)) {
-	k.ask(&change{Source: Source{Form: form, Comment: note}, done: done})
+	k.submit(&change{Source: Source{Form: form, Comment: note}, done: done})
 }
 
 // Back asks to go back to the table that ran before the present one.
 func (k *Keeper) Back(done func(error)) {
-	k.ask(&change{done: done})
+	k.submit(&change{done: done})
 }
 
-func (k *Keeper) ask(c *change) {
-	if k.now != nil {
-		if k.next != nil {
-			k.next.done(ErrOvertaken)
+func (k *Keeper) submit(c *change) {
+	if k.current != nil {
+		if k.waiting != nil {
+			k.waiting.done(ErrSuperseded)
 		}
-		k.next = c
+		k.waiting = c
 		return
 	}
-	k.begin(c)
+	k.start(c)
 }
 
-func (k *Keeper) begin(c *change) {
+func (k *Keeper) start(c *change) {
 	if c.Form == nil { // back: which one that is is known only now
 		if len(k.Shelf.Before) == 0 {
-			c.done(ErrNoBefore)
-			k.end()
+			c.done(ErrNoPrevious)
+			k.finish()
 			return
 		}
 		c.Serial = k.Shelf.Before[len(k.Shelf.Before)-1]
 	}
-	k.now = c
-	k.work.Check(c.Source)
+	k.current = c
+	k.driver.Check(c.Source)
 }
 
-func (k *Keeper) end() {
-	k.now = nil
-	if c := k.next; c != nil {
-		k.next = nil
-		k.begin(c)
+func (k *Keeper) finish() {
+	k.current = nil
+	if c := k.waiting; c != nil {
+		k.waiting = nil
+		k.start(c)
 	}
 }
 
-func (k *Keeper) refuse(err error) {
-	k.now.done(err)
-	k.end()
+func (k *Keeper) reject(err error) {
+	k.current.done(err)
+	k.finish()
 }
 
 // Checked hears how the check went.
-func (k *Keeper) Checked(x Checked) {
-	c := k.now
+func (k *Keeper) Checked(result Checked) {
+	c := k.current
 	if c == nil || c.keeping {
 		return
 	}
 	switch {
-	case x.Err != nil:
-		k.refuse(x.Err)
-	case k.Running != nil && x.Table.Sum == k.Running.Sum:
-		k.refuse(ErrSame)
-	case k.Running != nil && c.Serial == 0 && x.Table.Version < k.Running.Version:
-		k.refuse(fmt.Errorf("%w: %d, %d runs", ErrOlder, x.Table.Version, k.Running.Version))
+	case result.Err != nil:
+		k.reject(result.Err)
+	case k.Running != nil && result.Table.Sum == k.Running.Sum:
+		k.reject(ErrSame)
+	case k.Running != nil && c.Serial == 0 && result.Table.Version < k.Running.Version:
+		k.reject(fmt.Errorf("%w: %d, %d runs", ErrOlder, result.Table.Version, k.Running.Version))
 	default:
-		c.checked, c.keeping = x, true
-		k.work.Keep(x, c.Comment, c.Serial, k.Shelf)
+		c.checked, c.keeping = result, true
+		k.driver.Keep(result, c.Comment, c.Serial, k.Shelf)
 	}
 }
 
 // Kept hears how the store took it, and under which serial. What is not kept does not run: after a restart another
 // table would.
 func (k *Keeper) Kept(serial uint64, err error) {
-	c := k.now
+	c := k.current
 	if c == nil || !c.keeping {
 		return
 	}
 	if err != nil {
-		k.refuse(fmt.Errorf("tables: not kept, so not used: %w", err))
+		k.reject(fmt.Errorf("tables: not kept, so not used: %w", err))
 		return
 	}
 	k.Running, k.Shelf = c.checked.Table, k.Shelf.Take(serial)
-	k.work.Swap(k.Running)
+	k.driver.Swap(k.Running)
 	c.done(nil)
-	k.end()
+	k.finish()
 }
 
 // Busy tells whether a change is on its way.
-func (k *Keeper) Busy() bool { return k.now != nil }
+func (k *Keeper) Busy() bool { return k.current != nil }
 
 // MaxKept is how many tables before the running one are kept.
 const MaxKept = 16
 
 // Check reads, compiles and checks a form for a gateway that has some names.
-func Check(form []byte, has numberplan.Names) Checked {
-	x, err := numberplan.Unpack(form)
+func Check(form []byte, available numberplan.Names) Checked {
+	unpacked, err := numberplan.Unpack(form)
 	if err != nil {
 		return Checked{Err: err}
 	}
-	t, err := numberplan.Compile(x)
+	t, err := numberplan.Compile(unpacked)
 	if err == nil {
-		err = t.Fits(has)
+		err = t.Fits(available)
 	}
 	if err != nil {
 		return Checked{Err: err}
--- a/internal/decision/tableversions/tables_test.go
+++ b/internal/decision/tableversions/tables_test.go
@@ -12,27 +12,27 @@
 
 // A shelf beside a plain list of what ran: new ones go on, going back takes off, no more is kept than may be, and what
 // it has always stays in the store. The keeper's changes, with files, are tested in package tablefile.
-func TestShelf(t *testing.T) {
+func TestHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var s Shelf
+		var history Shelf
 		var model []uint64
 		latest := uint64(0)
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
 			if len(model) > 1 && rapid.IntRange(0, 3).Draw(t, "back") == 0 {
 				model = model[:len(model)-1]
-				s = s.Take(s.Before[len(s.Before)-1])
+				history = history.Take(history.Before[len(history.Before)-1])
 			} else {
 				latest++
 				model = append(model, latest)
 				model = model[max(0, len(model)-MaxKept-1):]
-				s = s.Take(latest)
+				history = history.Take(latest)
 			}
-			if got := append(slices.Clone(s.Before), s.Running); !slices.Equal(got, model) {
+			if got := append(slices.Clone(history.Before), history.Running); !slices.Equal(got, model) {
 				t.Fatalf("%v, want %v", got, model)
 			}
 			kept := 0
 			for n := uint64(1); n <= latest; n++ {
-				if s.Keeps(n, latest) {
+				if history.Keeps(n, latest) {
 					kept++
 				} else if slices.Contains(model, n) {
 					t.Fatalf("%d of %v is not kept", n, model)
@@ -43,12 +43,12 @@
 			}
 		}
 	})
-	if run, then, problems := (Shelf{3, []uint64{1, 2}}).Recover(
+	if running, recovered, problems := (Shelf{3, []uint64{1, 2}}).Recover(
 		func(uint64) ([]byte, error) { return nil, errors.New("gone") },
 		numberplan.Names{},
-	); run != nil ||
-		then.Running != 0 ||
+	); running != nil ||
+		recovered.Running != 0 ||
 		len(problems) != 3 {
-		t.Errorf("nothing can be read: %v, %v, %v", run, then, problems)
+		t.Errorf("nothing can be read: %v, %v, %v", running, recovered, problems)
 	}
 }
--- a/internal/gateway/tablestore/store.go
+++ b/internal/gateway/tablestore/store.go
@@ -27,11 +27,11 @@
 }
 
 var (
-	forms   = []byte("forms")   // serial: compact form
-	notes   = []byte("notes")   // serial: api.KeptTable
-	state   = []byte("state")   // running, history
-	running = []byte("running") // serial
-	history = []byte("history") // serials, the latest last
+	formsBucket = []byte("forms")   // serial: compact form
+	notesBucket = []byte("notes")   // serial: api.KeptTable
+	stateBucket = []byte("state")   // running, history
+	runningKey  = []byte("running") // serial
+	historyKey  = []byte("history") // serials, the latest last
 )
 
 // ErrDamaged says that a kept table is not what was kept.
@@ -47,7 +47,7 @@
 		return nil, fmt.Errorf("tables: store %s: %w", file, err)
 	}
 	err = db.Update(func(tx *bbolt.Tx) error {
-		for _, b := range [][]byte{forms, notes, state} {
+		for _, b := range [][]byte{formsBucket, notesBucket, stateBucket} {
 			if _, err := tx.CreateBucketIfNotExists(b); err != nil {
 				return err
 			}
@@ -64,14 +64,14 @@
 // Close closes the file.
 func (s *Store) Close() error { return s.db.Close() }
 
-func key(serial uint64) []byte { return binary.BigEndian.AppendUint64(nil, serial) }
+func encodeSerial(serial uint64) []byte { return binary.BigEndian.AppendUint64(nil, serial) }
 
-func serials(b []byte) []uint64 {
-	var of []uint64
+func decodeSerials(b []byte) []uint64 {
+	var out []uint64
 	for ; len(b) >= 8; b = b[8:] {
-		of = append(of, binary.BigEndian.Uint64(b))
+		out = append(out, binary.BigEndian.Uint64(b))
 	}
-	return of
+	return out
 }
 
 // Keep writes a table as the running one. Serial 0: a new one, which gets the next number; another: one that is kept
@@ -80,12 +80,12 @@
 	c tableversions.Checked,
 	note string,
 	serial uint64,
-	shelf tableversions.Shelf,
+	history tableversions.Shelf,
 	at time.Time,
 ) (uint64, error) {
 	err := s.db.Update(func(tx *bbolt.Tx) error {
 		if serial == 0 {
-			n, err := tx.Bucket(forms).NextSequence()
+			n, err := tx.Bucket(formsBucket).NextSequence()
 			if err != nil {
 				return err
 			}
@@ -98,24 +98,30 @@
 			if err != nil {
 				return err
 			}
-			if err := errors.Join(tx.Bucket(forms).Put(key(n), c.Form), tx.Bucket(notes).Put(key(n), kept)); err != nil {
+			if err := errors.Join(
+				tx.Bucket(formsBucket).Put(encodeSerial(n), c.Form),
+				tx.Bucket(notesBucket).Put(encodeSerial(n), kept),
+			); err != nil {
 				return err
 			}
 		}
-		shelf = shelf.Take(serial)
+		history = history.Take(serial)
 		var before []byte
-		for _, p := range shelf.Before {
-			before = append(before, key(p)...)
+		for _, p := range history.Before {
+			before = append(before, encodeSerial(p)...)
 		}
-		c := tx.Bucket(forms).Cursor()
+		c := tx.Bucket(formsBucket).Cursor()
 		for k, _ := c.First(); k != nil; k, _ = c.Next() {
-			if !shelf.Keeps(binary.BigEndian.Uint64(k), tx.Bucket(forms).Sequence()) {
-				if err := errors.Join(tx.Bucket(notes).Delete(k), c.Delete()); err != nil {
+			if !history.Keeps(binary.BigEndian.Uint64(k), tx.Bucket(formsBucket).Sequence()) {
+				if err := errors.Join(tx.Bucket(notesBucket).Delete(k), c.Delete()); err != nil {
 					return err
 				}
 			}
 		}
-		return errors.Join(tx.Bucket(state).Put(history, before), tx.Bucket(state).Put(running, key(shelf.Running)))
+		return errors.Join(
+			tx.Bucket(stateBucket).Put(historyKey, before),
+			tx.Bucket(stateBucket).Put(runningKey, encodeSerial(history.Running)),
+		)
 	})
 	if err != nil {
 		return 0, fmt.Errorf("tables: store: %w", err)
@@ -123,24 +129,24 @@
 	return serial, nil
 }
 
-func shelfOf(tx *bbolt.Tx) tableversions.Shelf {
-	shelf := tableversions.Shelf{Before: serials(tx.Bucket(state).Get(history))}
-	if r := serials(tx.Bucket(state).Get(running)); len(r) == 1 {
-		shelf.Running = r[0]
+func readHistory(tx *bbolt.Tx) tableversions.Shelf {
+	history := tableversions.Shelf{Before: decodeSerials(tx.Bucket(stateBucket).Get(historyKey))}
+	if r := decodeSerials(tx.Bucket(stateBucket).Get(runningKey)); len(r) == 1 {
+		history.Running = r[0]
 	}
-	return shelf
+	return history
 }
 
 // Form is a kept table's compact form; its checksum is looked at.
 func (s *Store) Form(serial uint64) ([]byte, error) {
 	var form []byte
 	err := s.db.View(func(tx *bbolt.Tx) error {
-		b, n := tx.Bucket(forms).Get(key(serial)), tx.Bucket(notes).Get(key(serial))
+		b, note := tx.Bucket(formsBucket).Get(encodeSerial(serial)), tx.Bucket(notesBucket).Get(encodeSerial(serial))
 		kept := &api.KeptTable{}
-		if b == nil || n == nil {
+		if b == nil || note == nil {
 			return fmt.Errorf("tables: nothing is kept under %d", serial)
 		}
-		if err := proto.Unmarshal(n, kept); err != nil {
+		if err := proto.Unmarshal(note, kept); err != nil {
 			return fmt.Errorf("%w: number %d: %w", ErrDamaged, serial, err)
 		}
 		if sum := sha256.Sum256(b); hex.EncodeToString(sum[:]) != kept.Sum {
@@ -159,9 +165,9 @@
 }
 
 // Shelf is what the store says to run, and what ran before it.
-func (s *Store) Shelf() (shelf tableversions.Shelf, err error) {
+func (s *Store) Shelf() (history tableversions.Shelf, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
-		shelf = shelfOf(tx)
+		history = readHistory(tx)
 		return nil
 	})
 	return
@@ -169,27 +175,27 @@
 
 // List is all that is kept, the latest first; what can't be read any more is said with it.
 func (s *Store) List() ([]*api.KeptTable, error) {
-	var of []*api.KeptTable
+	var list []*api.KeptTable
 	err := s.db.View(func(tx *bbolt.Tx) error {
-		c := tx.Bucket(notes).Cursor()
+		c := tx.Bucket(notesBucket).Cursor()
 		for k, v := c.Last(); k != nil; k, v = c.Prev() {
 			kept := &api.KeptTable{}
 			if err := proto.Unmarshal(v, kept); err != nil {
 				kept = &api.KeptTable{Serial: binary.BigEndian.Uint64(k), Fault: err.Error()}
 			}
-			of = append(of, kept)
+			list = append(list, kept)
 		}
 		return nil
 	})
 	if err != nil {
 		return nil, fmt.Errorf("tables: store: %w", err)
 	}
-	for _, k := range of {
+	for _, k := range list {
 		if _, err := s.Form(k.Serial); err != nil && k.Fault == "" {
 			k.Fault = err.Error()
 		}
 	}
-	return of, nil
+	return list, nil
 }
 
 // Load reads and compiles a table of a file, of HCL or of the compact form; every fault is told, with file and line
--- a/internal/gateway/tablestore/store_test.go
+++ b/internal/gateway/tablestore/store_test.go
@@ -40,89 +40,89 @@
 	return b
 }
 
-var has = numberplan.Names{Groups: []string{"TG-0", "TG-1"}}
+var gatewayNames = numberplan.Names{Groups: []string{"TG-0", "TG-1"}}
 
-// bench does a keeper's work by hand, on a real store.
-type bench struct {
-	t       testing.TB
-	k       *tableversions.Keeper
-	s       *Store
-	check   []tableversions.Source
-	keep    []func()
-	swapped []*numberplan.Table
-	full    error // of the store
+// testDriver does a keeper's work by hand, on a real store.
+type testDriver struct {
+	t             testing.TB
+	keeper        *tableversions.Keeper
+	store         *Store
+	pendingChecks []tableversions.Source
+	pendingWrites []func()
+	swapped       []*numberplan.Table
+	writeError    error // of the store
 }
 
-func (b *bench) Check(s tableversions.Source) { b.check = append(b.check, s) }
-func (b *bench) Keep(c tableversions.Checked, note string, serial uint64, shelf tableversions.Shelf) {
-	b.keep = append(b.keep, func() {
-		if b.full != nil {
-			b.k.Kept(0, b.full)
+func (d *testDriver) Check(s tableversions.Source) { d.pendingChecks = append(d.pendingChecks, s) }
+func (d *testDriver) Keep(c tableversions.Checked, note string, serial uint64, history tableversions.Shelf) {
+	d.pendingWrites = append(d.pendingWrites, func() {
+		if d.writeError != nil {
+			d.keeper.Kept(0, d.writeError)
 			return
 		}
-		b.k.Kept(b.s.Keep(c, note, serial, shelf, time.Unix(1.8e9, 0)))
+		d.keeper.Kept(d.store.Keep(c, note, serial, history, time.Unix(1.8e9, 0)))
 	})
 }
-func (b *bench) Swap(t *numberplan.Table) { b.swapped = append(b.swapped, t) }
+func (d *testDriver) Swap(t *numberplan.Table) { d.swapped = append(d.swapped, t) }
 
-func newBench(t testing.TB) *bench {
+func newTestDriver(t testing.TB) *testDriver {
 	s, err := Open(filepath.Join(t.TempDir(), "tables"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { s.Close() })
-	b := &bench{t: t, s: s}
-	b.k = tableversions.New(b, nil, tableversions.Shelf{})
-	return b
+	d := &testDriver{t: t, store: s}
+	d.keeper = tableversions.New(d, nil, tableversions.Shelf{})
+	return d
 }
 
 // step does one piece of the work that waits; false: there is none.
-func (b *bench) step() bool {
+func (d *testDriver) step() bool {
 	switch {
-	case len(b.keep) > 0:
-		do := b.keep[0]
-		b.keep = b.keep[1:]
+	case len(d.pendingWrites) > 0:
+		do := d.pendingWrites[0]
+		d.pendingWrites = d.pendingWrites[1:]
 		do()
-	case len(b.check) > 0:
-		s := b.check[0]
-		b.check = b.check[1:]
+	case len(d.pendingChecks) > 0:
+		s := d.pendingChecks[0]
+		d.pendingChecks = d.pendingChecks[1:]
 		if s.Form == nil {
 			var err error
-			if s.Form, err = b.s.Form(s.Serial); err != nil {
-				b.k.Checked(tableversions.Checked{Err: err})
+			if s.Form, err = d.store.Form(s.Serial); err != nil {
+				d.keeper.Checked(tableversions.Checked{Err: err})
 				return true
 			}
 		}
-		b.k.Checked(tableversions.Check(s.Form, has))
+		d.keeper.Checked(tableversions.Check(s.Form, gatewayNames))
 	default:
 		return false
 	}
 	return true
 }
 
-func (b *bench) put(form []byte) error {
+func (d *testDriver) put(form []byte) error {
 	err := errors.New("not heard")
-	b.k.Put(form, "", func(e error) { err = e })
-	for b.step() {
+	d.keeper.Put(form, "", func(e error) { err = e })
+	for d.step() {
 	}
 	return err
 }
 
-func (b *bench) back() error {
+func (d *testDriver) back() error {
 	err := errors.New("not heard")
-	b.k.Back(func(e error) { err = e })
-	for b.step() {
+	d.keeper.Back(func(e error) { err = e })
+	for d.step() {
 	}
 	return err
 }
 
 // A bad change says why and changes nothing, neither what runs nor what the store says to run.
 func TestBadChanges(t *testing.T) {
-	b := newBench(t)
-	if err := b.put(formOf(t, 1, "TG-0")); err != nil {
+	d := newTestDriver(t)
+	if err := d.put(formOf(t, 1, "TG-0")); err != nil {
 		t.Fatal(err)
 	}
-	first := b.k.Running
+	first := d.keeper.Running
 	for name, c := range map[string]struct {
 		form []byte
 		full error
@@ -135,142 +135,142 @@
 		"an older one":      {formOf(t, 0, "TG-1"), nil, "older version"},
 		"the store is full": {formOf(t, 2, "TG-1"), errors.New("no space"), "not kept, so not used: no space"},
 	} {
-		b.full = c.full
-		if err := b.put(c.form); err == nil || !strings.Contains(err.Error(), c.want) {
+		d.writeError = c.full
+		if err := d.put(c.form); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %s", name, err, c.want)
 		}
-		shelf, _ := b.s.Shelf()
-		now, before := shelf.Running, shelf.Before
-		if b.k.Running != first || len(b.swapped) != 1 || now != 1 || len(before) != 0 || b.k.Busy() {
-			t.Errorf("%s: changed: %v, store %d %v", name, b.k.Running, now, before)
+		history, _ := d.store.Shelf()
+		running, before := history.Running, history.Before
+		if d.keeper.Running != first || len(d.swapped) != 1 || running != 1 || len(before) != 0 || d.keeper.Busy() {
+			t.Errorf("%s: changed: %v, store %d %v", name, d.keeper.Running, running, before)
 		}
 	}
 }
 
 // A change that comes while the one before is checked waits; of several that wait the latest goes on, and the others
 // hear that they were overtaken.
-func TestWhileCompiling(t *testing.T) {
-	b := newBench(t)
-	said := map[int]error{}
+func TestChangeDuringCheck(t *testing.T) {
+	d := newTestDriver(t)
+	results := map[int]error{}
 	for v := 1; v <= 4; v++ {
-		b.k.Put(formOf(t, v, "TG-0"), "", func(err error) { said[v] = err })
+		d.keeper.Put(formOf(t, v, "TG-0"), "", func(err error) { results[v] = err })
 	}
-	if len(b.check) != 1 {
-		t.Fatalf("%d checks at once", len(b.check))
+	if len(d.pendingChecks) != 1 {
+		t.Fatalf("%d checks at once", len(d.pendingChecks))
 	}
-	for b.step() {
+	for d.step() {
 	}
-	if said[1] != nil || !errors.Is(said[2], tableversions.ErrOvertaken) ||
-		!errors.Is(said[3], tableversions.ErrOvertaken) ||
-		said[4] != nil ||
-		len(said) != 4 ||
-		b.k.Running.Version != 4 ||
-		len(b.swapped) != 2 {
-		t.Errorf("%v, runs %d", said, b.k.Running.Version)
+	if results[1] != nil || !errors.Is(results[2], tableversions.ErrSuperseded) ||
+		!errors.Is(results[3], tableversions.ErrSuperseded) ||
+		results[4] != nil ||
+		len(results) != 4 ||
+		d.keeper.Running.Version != 4 ||
+		len(d.swapped) != 2 {
+		t.Errorf("%v, runs %d", results, d.keeper.Running.Version)
 	}
 }
 
 // Going back goes one further each time, and a new table after it goes on from there.
 func TestBack(t *testing.T) {
-	b := newBench(t)
-	if err := b.back(); !errors.Is(err, tableversions.ErrNoBefore) {
+	d := newTestDriver(t)
+	if err := d.back(); !errors.Is(err, tableversions.ErrNoPrevious) {
 		t.Errorf("from nothing: %v", err)
 	}
 	for v := 1; v <= 3; v++ {
-		if err := b.put(formOf(t, v, "TG-0")); err != nil {
+		if err := d.put(formOf(t, v, "TG-0")); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := b.back(); err != nil || b.k.Running.Version != 2 {
-		t.Fatalf("%v, runs %d", err, b.k.Running.Version)
+	if err := d.back(); err != nil || d.keeper.Running.Version != 2 {
+		t.Fatalf("%v, runs %d", err, d.keeper.Running.Version)
 	}
-	if err := b.back(); err != nil || b.k.Running.Version != 1 {
-		t.Fatalf("%v, runs %d", err, b.k.Running.Version)
+	if err := d.back(); err != nil || d.keeper.Running.Version != 1 {
+		t.Fatalf("%v, runs %d", err, d.keeper.Running.Version)
 	}
-	if err := b.back(); !errors.Is(err, tableversions.ErrNoBefore) {
+	if err := d.back(); !errors.Is(err, tableversions.ErrNoPrevious) {
 		t.Fatalf("%v", err)
 	}
-	if err := b.put(formOf(t, 5, "TG-1")); err != nil {
+	if err := d.put(formOf(t, 5, "TG-1")); err != nil {
 		t.Fatal(err)
 	}
-	if err := b.back(); err != nil || b.k.Running.Version != 1 {
-		t.Fatalf("%v, runs %d", err, b.k.Running.Version)
+	if err := d.back(); err != nil || d.keeper.Running.Version != 1 {
+		t.Fatalf("%v, runs %d", err, d.keeper.Running.Version)
 	}
 }
 
 // A table that was damaged in the store is not gone back to, and is listed with its fault.
 func TestDamagedStore(t *testing.T) {
-	b := newBench(t)
+	d := newTestDriver(t)
 	for v := 1; v <= 2; v++ {
-		if err := b.put(formOf(t, v, "TG-0")); err != nil {
+		if err := d.put(formOf(t, v, "TG-0")); err != nil {
 			t.Fatal(err)
 		}
 	}
-	err := b.s.db.Update(func(tx *bbolt.Tx) error {
-		f := append([]byte(nil), tx.Bucket(forms).Get(key(1))...)
+	err := d.store.db.Update(func(tx *bbolt.Tx) error {
+		f := append([]byte(nil), tx.Bucket(formsBucket).Get(encodeSerial(1))...)
 		f[len(f)-2] ^= 1
-		return tx.Bucket(forms).Put(key(1), f)
+		return tx.Bucket(formsBucket).Put(encodeSerial(1), f)
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := b.back(); !errors.Is(err, ErrDamaged) || b.k.Running.Version != 2 {
-		t.Errorf("%v, runs %d", err, b.k.Running.Version)
+	if err := d.back(); !errors.Is(err, ErrDamaged) || d.keeper.Running.Version != 2 {
+		t.Errorf("%v, runs %d", err, d.keeper.Running.Version)
 	}
-	list, err := b.s.List()
+	list, err := d.store.List()
 	if err != nil || len(list) != 2 || list[0].Fault != "" || list[1].Fault == "" || list[0].Serial != 2 {
 		t.Errorf("%v: %v", err, list)
 	}
-	recovered := func(has numberplan.Names) (*numberplan.Table, tableversions.Shelf, []error) {
-		shelf, err := b.s.Shelf()
+	recovered := func(available numberplan.Names) (*numberplan.Table, tableversions.Shelf, []error) {
+		stored, err := d.store.Shelf()
 		if err != nil {
 			t.Fatal(err)
 		}
-		return shelf.Recover(b.s.Form, has)
+		return stored.Recover(d.store.Form, available)
 	}
 	// after a start the latest that can be read runs; here that is the third, then the second
-	if err := b.put(formOf(t, 3, "TG-1")); err != nil {
+	if err := d.put(formOf(t, 3, "TG-1")); err != nil {
 		t.Fatal(err)
 	}
-	if run, then, problems := recovered(has); run.Version != 3 || then.Running != 3 || !slices.Equal(then.Before,
-		[]uint64{1, 2}) ||
+	if running, history, problems := recovered(gatewayNames); running.Version != 3 || history.Running != 3 ||
+		!slices.Equal(history.Before, []uint64{1, 2}) ||
 		problems != nil {
-		t.Errorf("%v, %v, %v", run, then, problems)
+		t.Errorf("%v, %v, %v", running, history, problems)
 	}
-	if run, then, problems := recovered(numberplan.Names{Groups: []string{"TG-0"}}); run.Version != 2 ||
-		then.Running != 2 || !slices.Equal(then.Before, []uint64{1}) ||
+	if running, history, problems := recovered(numberplan.Names{Groups: []string{"TG-0"}}); running.Version != 2 ||
+		history.Running != 2 || !slices.Equal(history.Before, []uint64{1}) ||
 		len(problems) != 1 {
-		t.Errorf("%v, %v, %v", run, then, problems)
+		t.Errorf("%v, %v, %v", running, history, problems)
 	}
 	// going on after a start that passed one over goes on from what was found, also after the next start
-	run, then, _ := recovered(numberplan.Names{Groups: []string{"TG-0"}})
-	b.k = tableversions.New(b, run, then)
-	if err := b.put(formOf(t, 4, "TG-0")); err != nil {
+	running, history, _ := recovered(numberplan.Names{Groups: []string{"TG-0"}})
+	d.keeper = tableversions.New(d, running, history)
+	if err := d.put(formOf(t, 4, "TG-0")); err != nil {
 		t.Fatal(err)
 	}
-	if shelf, _ := b.s.Shelf(); shelf.Running != 4 || !slices.Equal(shelf.Before, []uint64{1, 2}) {
-		t.Errorf("the store says %v", shelf)
+	if stored, _ := d.store.Shelf(); stored.Running != 4 || !slices.Equal(stored.Before, []uint64{1, 2}) {
+		t.Errorf("the store says %v", stored)
 	}
-	if run, _, problems := recovered(numberplan.Names{}); run != nil || len(problems) != 3 {
-		t.Errorf("%v, %v", run, problems)
+	if running, _, problems := recovered(numberplan.Names{}); running != nil || len(problems) != 3 {
+		t.Errorf("%v, %v", running, problems)
 	}
 }
 
 // Tables that were gone back from don't fill the store.
-func TestBounded(t *testing.T) {
-	b := newBench(t)
-	b.s.db.NoSync = true
+func TestStoreSizeBounded(t *testing.T) {
+	d := newTestDriver(t)
+	d.store.db.NoSync = true
 	for v := 1; v <= 100; v++ {
-		if err := b.put(formOf(t, v, "TG-0")); err != nil {
+		if err := d.put(formOf(t, v, "TG-0")); err != nil {
 			t.Fatal(err)
 		}
 		if v%3 == 0 {
-			if err := b.back(); err != nil {
+			if err := d.back(); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	if list, err := b.s.List(); err != nil || len(list) > 2*tableversions.MaxKept+1 ||
+	if list, err := d.store.List(); err != nil || len(list) > 2*tableversions.MaxKept+1 ||
 		len(list) < tableversions.MaxKept {
 		t.Errorf("%d are kept, %v", len(list), err)
 	}
@@ -284,51 +284,51 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		runs++
 		file := filepath.Join(dir, fmt.Sprint(runs))
-		open := func(b *bench) {
+		open := func(d *testDriver) {
 			s, err := Open(file)
 			if err != nil {
 				rt.Fatal(err)
 			}
 			s.db.NoSync = true // the test's time; nothing is cut off here
-			b.s = s
-			shelf, err := s.Shelf()
+			d.store = s
+			history, err := s.Shelf()
 			if err != nil {
 				rt.Fatal(err)
 			}
 			var table *numberplan.Table
-			if shelf.Running != 0 {
-				f, err := s.Form(shelf.Running)
+			if history.Running != 0 {
+				f, err := s.Form(history.Running)
 				if err != nil {
 					rt.Fatal(err)
 				}
-				table = tableversions.Check(f, has).Table
+				table = tableversions.Check(f, gatewayNames).Table
 			}
-			b.k = tableversions.New(b, table, shelf)
+			d.keeper = tableversions.New(d, table, history)
 		}
-		b := &bench{t: t}
-		open(b)
-		defer func() { b.s.Close() }()
+		d := &testDriver{t: t}
+		open(d)
+		defer func() { d.store.Close() }()
 		var model []uint64 // versions, the running one last
 		next := uint64(1)
 		for range rapid.IntRange(1, 40).Draw(rt, "steps") {
 			switch rapid.IntRange(0, 3).Draw(rt, "step") {
 			case 0:
-				if err := b.s.Close(); err != nil {
+				if err := d.store.Close(); err != nil {
 					rt.Fatal(err)
 				}
-				open(b)
+				open(d)
 			case 1:
-				err := b.back()
+				err := d.back()
 				if len(model) > 1 {
 					model = model[:len(model)-1]
 					if err != nil {
 						rt.Fatal(err)
 					}
-				} else if !errors.Is(err, tableversions.ErrNoBefore) {
+				} else if !errors.Is(err, tableversions.ErrNoPrevious) {
 					rt.Fatal(err)
 				}
 			default:
-				if err := b.put(formOf(rt, int(next), "TG-0")); err != nil {
+				if err := d.put(formOf(rt, int(next), "TG-0")); err != nil {
 					rt.Fatal(err)
 				}
 				model = append(model, next)
@@ -338,16 +338,16 @@
 				}
 			}
 			var got []uint64
-			shelf, _ := b.s.Shelf()
-			for _, n := range shelf.Before {
-				f, err := b.s.Form(n)
+			history, _ := d.store.Shelf()
+			for _, n := range history.Before {
+				f, err := d.store.Form(n)
 				if err != nil {
 					rt.Fatal(err)
 				}
-				got = append(got, tableversions.Check(f, has).Table.Version)
+				got = append(got, tableversions.Check(f, gatewayNames).Table.Version)
 			}
-			if b.k.Running != nil {
-				got = append(got, b.k.Running.Version)
+			if d.keeper.Running != nil {
+				got = append(got, d.keeper.Running.Version)
 			}
 			if !slices.Equal(got, model) {
 				rt.Fatalf("runs and ran %v, want %v", got, model)
@@ -357,7 +357,7 @@
 }
 
 // A store that another process has is an error that says so, after a second.
-func TestTaken(t *testing.T) {
+func TestOpenLockedStore(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "tables")
 	s, err := Open(file)
 	if err != nil {
