--- a/internal/cli/numbercli/numbercmd.go
+++ b/internal/cli/numbercli/numbercmd.go
@@ -1,4 +1,4 @@
-// Package numbercli is the command line of number tables, which both programs have.
+// Package numbercli implements the number command for number tables, which both programs have.
 package numbercli
 
 import (
@@ -22,18 +22,17 @@
 	"cobaltpier/internal/gateway/tablestore"
 )
 
-// ErrDiffer says that two tables do different things.
+// ErrDiffer is returned by the diff command if the tables differ in what they do.
 var ErrDiffer = errors.New("the tables differ")
 
-// New is the command.
+// New returns the number command.
 func New() *cobra.Command {
 	c := &cobra.Command{Use: "number", Short: "Number tables: check, explain, compare, and change them in service",
-		Long: `A number table says what becomes of a number that was dialled: see docs/numbers.md for its form.
+		Long: `A number table decides how a dialled number is routed. docs/numbers.md describes its form.
 
 Tables are written in HCL. Large ones are kept in a compact form, which every command here reads as
-well: "import" adds prefixes of a CSV file to a table, "compile" makes the compact form. "put",
-"back" and "show" talk to a gateway that runs, at the address that its settings have as
-numbers.admin.`}
+well: "import" adds the prefixes of a CSV file to a table, "compile" writes the compact form. "put",
+"back" and "show" talk to a running gateway, at the address of its setting numbers.admin.`}
 	c.AddCommand(check(), explain(), compile(), diff(), importCSV(), put(), back(), show())
 	return c
 }
@@ -42,7 +41,7 @@
 	var config string
 	c := &cobra.Command{
 		Use:     "check TABLE",
-		Short:   "Compile a table and say what is wrong with it, with file and line",
+		Short:   "Compile a table and report its faults, with file and line",
 		Args:    cobra.ExactArgs(1),
 		Example: "  cobalt-edge number check staff.hcl --config edge.hcl",
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -82,7 +81,7 @@
 		&config,
 		"config",
 		"",
-		"also check that a gateway with these settings has all that the table names",
+		"also check that a gateway with this configuration has everything that the table refers to",
 	)
 	return c
 }
@@ -93,7 +92,7 @@
 	var silent bool
 	x := &cobra.Command{
 		Use:   "explain [TABLE] NUMBER",
-		Short: "Print each step of a number's analysis and why",
+		Short: "Print each step of a number's analysis with its reason",
 		Args:  cobra.RangeArgs(1, 2),
 		Example: `  cobalt-lab number explain staff.hcl +14185551234 --at 2026-12-03T14:00:00-05:00 --ported +15145559999
   cobalt-edge number explain +14185551234 --to 127.0.0.1:5090`,
@@ -127,11 +126,11 @@
 			return err
 		},
 	}
-	x.Flags().StringVar(&at, "at", "", "time, such as 2026-12-03T14:00:00-05:00; empty: now")
-	x.Flags().Float64Var(&draw, "draw", 0, "0 to 1, for weights")
-	x.Flags().StringVar(&ported, "ported", "", "portability's answer: this routing number; empty: not ported")
-	x.Flags().BoolVar(&silent, "silent", false, "portability does not answer")
-	x.Flags().StringVar(&to, "to", "", "ask a gateway that runs, at this address")
+	x.Flags().StringVar(&at, "at", "", "time of the call, such as 2026-12-03T14:00:00-05:00; empty: now")
+	x.Flags().Float64Var(&draw, "draw", 0, "random draw for the choice by weight, from 0 to 1")
+	x.Flags().StringVar(&ported, "ported", "", "routing number that the portability look-up returns; empty: not ported")
+	x.Flags().BoolVar(&silent, "silent", false, "the portability look-up gets no answer")
+	x.Flags().StringVar(&to, "to", "", "ask the running gateway at this address")
 	return x
 }
 
@@ -149,7 +148,7 @@
 			return writeCompact(cmd.OutOrStdout(), out, form)
 		},
 	}
-	c.Flags().StringVarP(&out, "out", "o", "", "the compact form's file")
+	c.Flags().StringVarP(&out, "out", "o", "", "file for the compact form")
 	_ = c.MarkFlagRequired("out")
 	return c
 }
@@ -160,13 +159,13 @@
 		return err
 	}
 	if strings.HasSuffix(file, ".hcl") {
-		return fmt.Errorf("%s: the compact form must not end in .hcl", file)
+		return fmt.Errorf("%s: the file name of the compact form must not end in .hcl", file)
 	}
 	tmp := file + ".new"
 	if err := os.WriteFile(tmp, b, 0o644); err != nil {
 		return fmt.Errorf("number table: %w", err)
 	}
-	if err := os.Rename(tmp, file); err != nil { // no half file is left under the name
+	if err := os.Rename(tmp, file); err != nil { // so that the file is never partly written
 		return fmt.Errorf("number table: %w", err)
 	}
 	fmt.Fprintf(w, "%s: %d octets\n", file, len(b))
@@ -177,10 +176,10 @@
 	var maxChanges int
 	c := &cobra.Command{
 		Use:   "diff OLD NEW",
-		Short: "Say what changes between two tables, by what they do",
+		Short: "List the changes between two tables, by what they do",
 		Args:  cobra.ExactArgs(2),
-		Long: "Says what changes between two tables, by what they do and not by how they are written. Status 0: " +
-			"nothing; 1: something.",
+		Long: "Lists the changes between two tables, by what they do and not by how they are written. Exit status 0: " +
+			"no changes; 1: changes.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var forms [2]*api.NumberTable
 			for i, a := range args {
@@ -204,7 +203,7 @@
 			return nil
 		},
 	}
-	c.Flags().IntVar(&maxChanges, "most", 200, "print no more than so many")
+	c.Flags().IntVar(&maxChanges, "most", 200, "print at most this many changes")
 	return c
 }
 
@@ -212,7 +211,7 @@
 	var out, plan string
 	c := &cobra.Command{
 		Use:     "import TABLE PREFIXES.csv --plan PLAN --out FILE",
-		Short:   "Add prefixes of a CSV file, one \"prefix,route\" a line, to a plan",
+		Short:   "Add the prefixes of a CSV file, one \"prefix,route\" a line, to a plan",
 		Args:    cobra.ExactArgs(2),
 		Example: "  cobalt-lab number import staff.hcl ranges.csv --plan exchanges --out staff.table",
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -243,13 +242,13 @@
 			return writeCompact(cmd.OutOrStdout(), out, form)
 		},
 	}
-	c.Flags().StringVar(&plan, "plan", "start", "the plan that they are added to")
-	c.Flags().StringVarP(&out, "out", "o", "", "the compact form's file")
+	c.Flags().StringVar(&plan, "plan", "start", "plan that the prefixes are added to")
+	c.Flags().StringVarP(&out, "out", "o", "", "file for the compact form")
 	_ = c.MarkFlagRequired("out")
 	return c
 }
 
-// addPrefixes reads "prefix,route" lines and adds one packed rule for each route, in the order of their coming.
+// addPrefixes reads "prefix,route" lines and adds one packed rule for each route, in order of first appearance.
 func addPrefixes(form *api.NumberTable, plan, name string, r io.Reader) error {
 	var target *api.NumberPlan
 	for _, p := range form.Plans {
@@ -328,11 +327,11 @@
 	var to, note string
 	c := &cobra.Command{
 		Use:   "put TABLE --to ADDR",
-		Short: "Put a table in service at a gateway that runs",
+		Short: "Put a table in service on a running gateway",
 		Args:  cobra.ExactArgs(1),
-		Long: `Sends a table to a gateway that runs. The gateway compiles and checks it beside the running one,
-keeps it in its store and swaps: new contacts get it, those held keep theirs to their end. A bad
-table changes nothing, and the answer says why.`,
+		Long: `Sends a table to a running gateway. The gateway compiles and checks it while the current table stays
+in use, stores it and swaps: new calls use it, calls in progress keep theirs to their end. A bad
+table has no effect, and the error says why.`,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			_, form, err := tablestore.Load(args[0])
 			if err != nil {
@@ -352,7 +351,7 @@
 		},
 	}
 	c.Flags().StringVar(&to, "to", "", "the gateway's numbers.admin address")
-	c.Flags().StringVar(&note, "note", "", "kept with the table")
+	c.Flags().StringVar(&note, "note", "", "note that is stored with the table")
 	_ = c.MarkFlagRequired("to")
 	return c
 }
@@ -361,7 +360,7 @@
 	var to string
 	c := &cobra.Command{
 		Use:   "back --to ADDR",
-		Short: "Return to the table that ran before the present one",
+		Short: "Return to the table that ran before the current one",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return callGateway(cmd.Context(), to, func(ctx context.Context, c api.NumbersClient) error {
@@ -380,7 +379,7 @@
 
 func show() *cobra.Command {
 	var to string
-	c := &cobra.Command{Use: "show --to ADDR", Short: "Show the running table and those that are kept", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "show --to ADDR", Short: "Show the running table and those in the store", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return callGateway(cmd.Context(), to, func(ctx context.Context, c api.NumbersClient) error {
 				s, err := c.Show(ctx, &api.ShowRequest{})
--- a/internal/cli/numbercli/numbercmd_test.go
+++ b/internal/cli/numbercli/numbercmd_test.go
@@ -36,8 +36,8 @@
 	return out.String(), err
 }
 
-// A table goes from HCL and CSV to its compact form and is checked, explained and compared there; bad input says file
-// and line and leaves no file.
+// The compact form made from HCL and CSV can be checked, explained and compared; bad input is reported with file and
+// line and writes no file.
 func TestFiles(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name, text string) string {
--- a/internal/decision/numberplan/compile.go
+++ b/internal/decision/numberplan/compile.go
@@ -314,8 +314,8 @@
 	return entries
 }
 
-// assignRuleSets assigns each prefix the index of its rule set in the plan. Prefixes with the same single rule share a
-// set.
+// assignRuleSets assigns each prefix the index of its rule set in the plan. Prefixes with the same single rule share
+// a set.
 func (c *compiler) assignRuleSets(p *plan, compiled []compiledRule, entries []prefixEntry) []prefixtrie.Prefix {
 	prefixes := make([]prefixtrie.Prefix, 0, len(entries))
 	single := map[int]uint32{} // index of the set with only this rule, by rule index
@@ -360,8 +360,8 @@
 	rule     *api.NumberRule
 }
 
-// checkOverlaps rejects ranges that overlap without one containing the other: it would be arbitrary which rule applies
-// to the shared part.
+// checkOverlaps rejects ranges that overlap without one containing the other: it would be arbitrary which rule
+// applies to the shared part.
 func (c *compiler) checkOverlaps(ranges []numberRange) {
 	slices.SortStableFunc(ranges, func(a, b numberRange) int {
 		return cmp.Or(cmp.Compare(len(a.from), len(b.from)), strings.Compare(a.from, b.from), strings.Compare(b.to, a.to))
--- a/internal/decision/numberplan/diff.go
+++ b/internal/decision/numberplan/diff.go
@@ -29,8 +29,8 @@
 	return fmt.Sprintf("~ %s %s: %s, was %s", c.Kind, c.Name, c.New, c.Old)
 }
 
-// Diff returns the changes from table a to table b, by what they do and not by how they are written: a range counts as
-// the prefixes that it covers, and the place where a rule is written does not matter.
+// Diff returns the changes from table a to table b, by what they do and not by how they are written: a range counts
+// as the prefixes that it covers, and the place where a rule is written does not matter.
 func Diff(a, b *api.NumberTable) []Change {
 	changes := compareByName("table", describeTable(a), describeTable(b))
 	changes = append(changes, compareByName("days", describeDays(a), describeDays(b))...)
--- a/internal/decision/numberplan/number.go
+++ b/internal/decision/numberplan/number.go
@@ -1,7 +1,8 @@
-// Package numberplan analyzes dialled numbers. Plans that refer to each other lead a number to a route or a refusal, by
-// longest prefix, time of day, portability and weights. A call uses one table from its first digit to its end, however
-// often the gateway's table is replaced meanwhile. The package does no I/O and reads no clock: a step that needs a
-// portability look-up returns the number to look up, and the analysis resumes with the answer or the lack of one.
+// Package numberplan analyzes dialled numbers. Plans that refer to each other lead a number to a route or a refusal,
+// by longest prefix, time of day, portability and weights. A call uses one table from its first digit to its end,
+// however often the gateway's table is replaced meanwhile. The package does no I/O and reads no clock: a step that
+// needs a portability look-up returns the number to look up, and the analysis resumes with the answer or the lack of
+// one.
 package numberplan
 
 import (
@@ -98,7 +99,8 @@
 	Carrier  string // the carrier that serves the number (RFC 4694 cic); "": unknown
 }
 
-// Outcome is the result of an analysis, or the look-up that it waits for. Route, Refusal or LookupNumber is set.
+// Outcome is the result of an analysis, or the look-up that it waits for. One of Route, Refusal and
+// LookupNumber is set.
 type Outcome struct {
 	Route         *Route
 	Refusal       *Refusal
@@ -287,8 +289,8 @@
 	return Outcome{Refusal: &Refusal{500, "too many steps"}}
 }
 
-// match applies the first rule that is in force at the time of the call, of the longest prefix that has one. It returns
-// false if there is none, or if the rule makes the number too long.
+// match applies the first rule that is in force at the time of the call, of the longest prefix that has one. It
+// returns false if there is none, or if the rule makes the number too long.
 func (a *Analysis) match(p *plan) bool {
 	for n := len(a.number); n >= 0; {
 		set, length, ok := p.trie.Find(a.number[:n])
@@ -347,8 +349,9 @@
 	anyDays bool
 }
 
-// Holds reports whether a time is in the period, by the wall clock of its zone: an hour that occurs twice is in it both
-// times, and an hour that is skipped never is. The part after midnight belongs to the day on which the period began.
+// Holds reports whether a time is in the period, by the wall clock of its zone: an hour that occurs twice is in it
+// both times, and an hour that is skipped never is. The part after midnight belongs to the day on which the period
+// began.
 func (p *Period) Holds(at time.Time) bool {
 	t := at.In(p.Zone)
 	minute := t.Hour()*60 + t.Minute()
@@ -372,7 +375,7 @@
 }
 
 // Explain returns each step of a number's analysis with its reason. A portability look-up returns the given routing
-// number; without one, it gets no answer if silent is set and finds the number not ported otherwise.
+// number; without one, it gets no answer if silent is set, and else finds the number not ported.
 func (t *Table) Explain(c Call, routing string, silent bool) []string {
 	c.Explain = true
 	a, o := t.Begin(c)
--- a/internal/decision/numberplan/number_test.go
+++ b/internal/decision/numberplan/number_test.go
@@ -182,8 +182,8 @@
 	}
 }
 
-// The period is 01:30 to 02:30. When clocks go back, 01:30 to 02:00 occurs twice and is in the period both times; when
-// they go forward, 02:00 to 02:30 does not occur.
+// The period is 01:30 to 02:30. When clocks go back, 01:30 to 02:00 occurs twice and is in the period both times;
+// when they go forward, 02:00 to 02:30 does not occur.
 func TestDaylightSavingChange(t *testing.T) {
 	x := parse(t)
 	for at, want := range map[string]string{
--- a/internal/decision/prefixtrie/digits.go
+++ b/internal/decision/prefixtrie/digits.go
@@ -1,6 +1,7 @@
-// Package prefixtrie finds the longest of many prefixes that a telephone number begins with. The trie is made for that:
-// ten ways a node, children counted by bits, prefixes that nothing follows kept as bare values, single ways run
-// together, and what is left of a prefix that is alone on its way in one node. It is built once and only read after.
+// Package prefixtrie finds the longest of many prefixes that a telephone number begins with. The trie is compact: a
+// node has up to ten children, which are located by counting bits; a prefix that no other continues is a bare value
+// in its parent; a run of digits without a branch is one chain node; and the rest of a prefix that is alone in its
+// subtree is one leaf node. It is built once and then only read.
 package prefixtrie
 
 import (
@@ -12,47 +13,47 @@
 
 //tally:decisions
 
-// Prefix is a beginning of numbers, in digits, and what it stands for.
+// Prefix is the leading digits of numbers, with a value.
 type Prefix struct {
 	Digits string
 	Value  uint32
 }
 
-// node is a place in the trie. A way with more than one prefix behind it is a node; a prefix that ends on a way is a
-// value. Both may be so for one digit.
+// node is a node of the trie. A digit has a child if longer prefixes continue with it, and a value if a prefix ends
+// with it. A digit may have both.
 type node struct {
-	children uint16 // by digit; chain: a run of digits without a choice; leaf: a run that ends a prefix, alone on its way
-	ends     uint16 // by digit; in a chain or leaf how many digits it has
-	first    uint32 // the first kid; in a chain the one after it; in a leaf its value
-	values   uint32 // the first value; in a chain or leaf its digits, four bits each
+	children uint16 // one bit per digit; or chain: a run of digits without a branch; or leaf: the end of a lone prefix
+	ends     uint16 // one bit per digit; in a chain or leaf, its number of digits
+	first    uint32 // index of the first child; in a chain, of its only child; in a leaf, its value
+	values   uint32 // index of the first value; in a chain or leaf, its digits, four bits each
 }
 
 const (
 	chain       = 0xffff
 	leaf        = 0xfffe
-	maxRun      = 8       // digits that fit into a chain
-	maxPrefixes = 1 << 31 // prefixes and nodes at most
+	maxRun      = 8       // digits that fit into a chain or leaf
+	maxPrefixes = 1 << 31 // limit of prefixes and nodes
 )
 
-// Trie is a set of prefixes.
+// Trie is a set of prefixes with their values.
 type Trie struct {
 	nodes      []node
 	values     []uint32
-	emptyValue uint32 // of the empty prefix
+	emptyValue uint32 // the value of the empty prefix
 	hasEmpty   bool
 	size       int
 }
 
-// New builds a trie. Anything but digits, and one prefix twice with different values, is an error that names it; the
-// given slice is put in order.
+// New builds a trie. A prefix with anything but digits, or one with two different values, is an error that names it.
+// The given slice gets sorted.
 func New(prefixes []Prefix) (*Trie, error) {
 	if len(prefixes) >= maxPrefixes {
-		return nil, fmt.Errorf("digits: %d prefixes are too many", len(prefixes))
+		return nil, fmt.Errorf("prefix trie: %d prefixes are too many", len(prefixes))
 	}
 	for _, p := range prefixes {
 		for i := range len(p.Digits) {
 			if p.Digits[i] < '0' || p.Digits[i] > '9' {
-				return nil, fmt.Errorf("digits: prefix %q: want digits only", p.Digits)
+				return nil, fmt.Errorf("prefix trie: prefix %q: want digits only", p.Digits)
 			}
 		}
 	}
@@ -64,7 +65,7 @@
 	for i := 1; i < len(prefixes); i++ {
 		if prefixes[i].Digits == prefixes[i-1].Digits && prefixes[i].Value != prefixes[i-1].Value {
 			return nil, fmt.Errorf(
-				"digits: prefix %q stands for %d and %d",
+				"prefix trie: prefix %q has two values, %d and %d",
 				prefixes[i].Digits,
 				prefixes[i-1].Value,
 				prefixes[i].Value,
@@ -86,23 +87,23 @@
 	return t, nil
 }
 
-// subtree is a node to be made: the prefixes behind it, the digits before it, its place.
+// subtree is a node to be built: the prefixes below it, the number of digits above it, its index.
 type subtree struct {
 	prefixes []Prefix
 	depth    int
 	index    uint32
 }
 
-// clusterSize is the most prefixes of a part that is made as a whole, so that it lies together in memory.
+// clusterSize is the largest number of prefixes of a subtree whose nodes are placed next to each other in memory.
 const clusterSize = 64
 
-// build makes a part breadth first, so that a node's kids lie together, and of a large one each part that is small as a
-// whole.
+// build builds a subtree breadth first, so that the children of a node are adjacent in memory. Within a large subtree
+// it builds each small one completely before the next.
 func (t *Trie) build(p subtree) {
 	queue := []subtree{p}
 	for head := 0; head < len(queue); head++ {
 		next := queue[head]
-		queue[head] = subtree{} // let go of
+		queue[head] = subtree{} // drop the reference to its prefixes
 		if len(next.prefixes) <= clusterSize && len(p.prefixes) > clusterSize {
 			t.build(next)
 			continue
@@ -111,7 +112,7 @@
 	}
 }
 
-// buildNode makes a buildNode and adds what is behind it to the parts to be made.
+// buildNode builds a node and appends its children to the queue.
 func (t *Trie) buildNode(p subtree, queue []subtree) []subtree {
 	n := node{}
 	if run := len(p.prefixes[0].Digits) - p.depth; len(p.prefixes) == 1 && run <= maxRun {
@@ -153,7 +154,7 @@
 	return queue
 }
 
-// packDigits is up to eight digits, four bits each.
+// packDigits packs up to eight digits, four bits each.
 func packDigits(digits string) (p uint32) {
 	for i := range len(digits) {
 		p |= uint32(digits[i]-'0') << (4 * i)
@@ -161,10 +162,10 @@
 	return
 }
 
-// sharedRun is how many digits from a depth on all of some prefixes share before any of them ends, as far as worth a
-// chain: one digit less than they share, for the last one may be where a prefix ends.
+// sharedRun returns how many digits, from a depth on, make a chain of all the prefixes; 0 if a chain is not worth it.
+// A chain is one digit shorter than the digits they share, because a prefix may end at the last of these.
 func sharedRun(prefixes []Prefix, depth int) int {
-	a, b := prefixes[0].Digits, prefixes[len(prefixes)-1].Digits // sorted: what these share all share
+	a, b := prefixes[0].Digits, prefixes[len(prefixes)-1].Digits // sorted: digits that these two share are shared by all
 	n := 0
 	for n < maxRun && depth+n+1 < len(a) && depth+n+1 < len(b) && a[depth+n] == b[depth+n] {
 		n++
@@ -175,8 +176,8 @@
 	return n
 }
 
-// Find is the value of the longest prefix that a number begins with, and how many digits it has; false without one.
-// What is no digit ends the number.
+// Find returns the value and the length of the longest prefix that a number begins with, and whether there is one.
+// The number ends at the first character that is not a digit.
 func (t *Trie) Find(number string) (value uint32, length int, ok bool) {
 	value, ok = t.emptyValue, t.hasEmpty
 	if len(t.nodes) == 0 {
@@ -219,20 +220,20 @@
 	return
 }
 
-// Len is the number of prefixes.
+// Len returns the number of prefixes.
 func (t *Trie) Len() int { return t.size }
 
-// Bytes is what the trie takes.
+// Bytes returns the memory size of the trie.
 func (t *Trie) Bytes() int { return 12*cap(t.nodes) + 4*cap(t.values) }
 
-// Cover is the fewest prefixes that stand for all numbers from one to another of the same length, both included.
+// Cover returns the smallest set of prefixes for all numbers from one to another of the same length, both included.
 func Cover(from, to string) ([]string, error) {
 	if len(from) != len(to) || from > to || from == "" {
-		return nil, fmt.Errorf("digits: range %q to %q: want two numbers of one length, the lower first", from, to)
+		return nil, fmt.Errorf("range %q to %q: want two numbers of one length, the lower first", from, to)
 	}
 	for _, s := range []string{from, to} {
 		if strings.Trim(s, "0123456789") != "" {
-			return nil, fmt.Errorf("digits: range %q to %q: want digits only", from, to)
+			return nil, fmt.Errorf("range %q to %q: want digits only", from, to)
 		}
 	}
 	var prefixes []string
--- a/internal/decision/prefixtrie/digits_test.go
+++ b/internal/decision/prefixtrie/digits_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// mapModel tries each length in a map, the longest first.
+// mapModel looks up each leading part of a number in a map, the longest first.
 type mapModel map[string]uint32
 
 func (m mapModel) Find(number string) (uint32, int, bool) {
@@ -24,8 +24,8 @@
 	return 0, 0, false
 }
 
-// TestTrieAgainstMap holds the trie to a map on generated prefixes: few digits, so that they begin with
-// one another, and long ones with runs.
+// TestTrieAgainstMap compares the trie with a map on generated prefixes: some of few different digits, so that one
+// often begins with another, and long ones with runs.
 func TestTrieAgainstMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		digits := rapid.OneOf(
@@ -66,18 +66,18 @@
 		}
 	}
 	if trie, err := New([]Prefix{{"12", 1}, {"12", 1}, {"", 9}}); err != nil || trie.Len() != 2 {
-		t.Errorf("one prefix twice: %v", err)
+		t.Errorf("same prefix and value twice: %v", err)
 	} else if v, n, ok := trie.Find("+1"); v != 9 || n != 0 || !ok {
-		t.Errorf("no digit: %d, %d, %v", v, n, ok)
+		t.Errorf("number without digits: %d, %d, %v", v, n, ok)
 	}
 	if trie, _ := New(nil); trie.Len() != 0 {
-		t.Error("nothing")
+		t.Error("empty trie has prefixes")
 	} else if _, _, ok := trie.Find("123"); ok {
-		t.Error("found in nothing")
+		t.Error("found a prefix in an empty trie")
 	}
 }
 
-// A range's cover stands for each of its numbers once and for no other.
+// The cover of a range has exactly one prefix for each number in it and none for any other.
 func TestCover(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 4).Draw(t, "length")
--- a/internal/decision/tableversions/tables.go
+++ b/internal/decision/tableversions/tables.go
@@ -1,6 +1,7 @@
-// Package tableversions decides how the number table of a running gateway changes: one change at a time, checked and
-// kept before it counts, a bad one changing nothing. It does no work itself: it asks for work, and is told how that
-// went; so it knows no file, no clock and no goroutine. Package tablefile has the files.
+// Package tableversions decides how the number table of a running gateway changes: one change at a time, each checked
+// and stored before it takes effect; a change that fails has no effect. The package does no I/O: it requests work
+// from a Driver, which reports the results, so it needs no file, clock or goroutine. Package tablestore has the
+// files.
 package tableversions
 
 import (
@@ -13,55 +14,56 @@
 
 //tally:decisions
 
-// Errors of changes.
+// Errors that reject a change.
 var (
-	ErrSuperseded = errors.New("tables: a later change came before this one was checked")
-	ErrNoPrevious = errors.New("tables: there is no table before the present one")
-	ErrSame       = errors.New("tables: this table runs already")
-	ErrOlder      = errors.New("tables: an older version than the running one; to go back say so")
+	ErrSuperseded = errors.New("number table: replaced by a later change before this one was checked")
+	ErrNoPrevious = errors.New("number table: there is no table before the current one")
+	ErrSame       = errors.New("number table: this table is already running")
+	ErrOlder      = errors.New("number table: older version than the running one; to go back, use number back")
 )
 
-// Source is where a change comes from: a table's compact form, or a serial number of the store.
+// Source is the table that a change leads to: a compact form, or the serial number of a stored table.
 type Source struct {
 	Form    []byte
 	Comment string
-	Serial  uint64 // going back: of the store
+	Serial  uint64 // to go back: the serial number of the stored table
 }
 
-// Checked is what the check of a source made.
+// Checked is the result of checking a source.
 type Checked struct {
 	Table *numberplan.Table
 	Form  []byte
 	Err   error
 }
 
-// Driver is what the keeper asks of its driver; each is answered once.
+// Driver does the work of a keeper. Each Check and Keep is answered once.
 type Driver interface {
-	// Check reads, compiles and checks a source beside the running table: answered by Checked.
+	// Check reads, compiles and checks a source while the running table stays in use. The answer is Keeper.Checked.
 	Check(Source)
-	// Keep writes a table into the store as the one that runs from now on, on a shelf as it is before: answered by Kept.
-	// Serial is 0 for a new one.
+	// Keep stores a table as the running one; history is the state before the change. The answer is Keeper.Kept.
+	// Serial is 0 for a new table.
 	Keep(c Checked, note string, serial uint64, history Shelf)
-	// Swap gives new calls a table, at once.
+	// Swap makes new calls use a table, at once.
 	Swap(*numberplan.Table)
 }
 
-// Keeper holds what runs and what is on its way.
+// Keeper tracks the running table and the changes in progress.
 type Keeper struct {
 	Running *numberplan.Table // nil: none yet
 	Shelf   Shelf
 	driver  Driver
-	current *change // checked or kept at present
-	waiting *change // the one that waits: the latest wins
+	current *change // the change that is being checked or stored
+	waiting *change // the change that starts next; a later one replaces it
 }
 
-// Shelf is what the store says to run, by serials.
+// Shelf is the history of a gateway's tables in its store, by serial numbers.
 type Shelf struct {
 	Running uint64   // 0: none
-	Before  []uint64 // those that ran before, the latest last
+	Before  []uint64 // those that ran before, oldest first
 }
 
-// Take is the shelf once a serial runs: back, where it is the one before.
+// Take returns the history once a serial runs. If that is the latest in Before, this is a step back, and it is
+// removed from there.
 func (s Shelf) Take(serial uint64) Shelf {
 	n := len(s.Before)
 	if n > 0 && s.Before[n-1] == serial {
@@ -74,14 +76,15 @@
 	return Shelf{serial, before[max(0, len(before)-MaxKept):]}
 }
 
-// Keeps tells whether a serial stays in the store: what the shelf has, and of those that were gone back from the
-// latest.
+// Keeps reports whether a serial stays in the store: the running one, those before it and the last MaxKept serials,
+// which include tables that were rolled back.
 func (s Shelf) Keeps(serial, latest uint64) bool {
 	return serial == s.Running || slices.Contains(s.Before, serial) || serial+MaxKept > latest
 }
 
-// Recover finds what runs after a start: what the shelf says, or, where that can't be read or does not fit the gateway
-// any more, the latest before it that can. problems say what was passed over; nil and no problems: nothing is kept.
+// Recover finds the table to run after a start: the running one of the history or, if that can't be read or does not
+// fit the gateway any more, the latest before it that does. problems tells why tables were skipped. No table and no
+// problems mean that nothing is stored.
 func (s Shelf) Recover(
 	loadForm func(serial uint64) ([]byte, error),
 	available numberplan.Names,
@@ -110,18 +113,18 @@
 	done    func(error)
 }
 
-// New makes a keeper for a gateway that runs a table, maybe none, as the shelf says.
+// New returns a keeper for a gateway that runs a table, nil for none, with the history of its store.
 func New(driver Driver, running *numberplan.Table, history Shelf) *Keeper {
 	return &Keeper{driver: driver, Running: running, Shelf: history}
 }
 
-// Put asks for a change to a new table. done hears how it went, once. While another change is on its way this one
-// waits; one that waited already is overtaken.
+// Put requests a change to a new table. done is called once, with the result. While another change is in progress
+// this one waits; a change that was waiting already fails with ErrSuperseded.
 func (k *Keeper) Put(form []byte, note string, done func(error)) {
 	k.submit(&change{Source: Source{Form: form, Comment: note}, done: done})
 }
 
-// Back asks to go back to the table that ran before the present one.
+// Back requests a return to the table that ran before the current one.
 func (k *Keeper) Back(done func(error)) {
 	k.submit(&change{done: done})
 }
@@ -138,7 +141,7 @@
 }
 
 func (k *Keeper) start(c *change) {
-	if c.Form == nil { // back: which one that is is known only now
+	if c.Form == nil { // Back: the table to return to is known only now
 		if len(k.Shelf.Before) == 0 {
 			c.done(ErrNoPrevious)
 			k.finish()
@@ -163,7 +166,7 @@
 	k.finish()
 }
 
-// Checked hears how the check went.
+// Checked takes the result of Driver.Check.
 func (k *Keeper) Checked(result Checked) {
 	c := k.current
 	if c == nil || c.keeping {
@@ -175,22 +178,22 @@
 	case k.Running != nil && result.Table.Sum == k.Running.Sum:
 		k.reject(ErrSame)
 	case k.Running != nil && c.Serial == 0 && result.Table.Version < k.Running.Version:
-		k.reject(fmt.Errorf("%w: %d, %d runs", ErrOlder, result.Table.Version, k.Running.Version))
+		k.reject(fmt.Errorf("%w: version %d, running version %d", ErrOlder, result.Table.Version, k.Running.Version))
 	default:
 		c.checked, c.keeping = result, true
 		k.driver.Keep(result, c.Comment, c.Serial, k.Shelf)
 	}
 }
 
-// Kept hears how the store took it, and under which serial. What is not kept does not run: after a restart another
-// table would.
+// Kept takes the result of Driver.Keep, with the serial of the stored table. A table that could not be stored is not
+// used, because after a restart another one would run.
 func (k *Keeper) Kept(serial uint64, err error) {
 	c := k.current
 	if c == nil || !c.keeping {
 		return
 	}
 	if err != nil {
-		k.reject(fmt.Errorf("tables: not kept, so not used: %w", err))
+		k.reject(fmt.Errorf("number table: not stored, so not used: %w", err))
 		return
 	}
 	k.Running, k.Shelf = c.checked.Table, k.Shelf.Take(serial)
@@ -199,13 +202,13 @@
 	k.finish()
 }
 
-// Busy tells whether a change is on its way.
+// Busy reports whether a change is in progress.
 func (k *Keeper) Busy() bool { return k.current != nil }
 
-// MaxKept is how many tables before the running one are kept.
+// MaxKept is how many tables before the running one are kept in the store.
 const MaxKept = 16
 
-// Check reads, compiles and checks a form for a gateway that has some names.
+// Check decodes and compiles a compact form and checks it against the names that a gateway has.
 func Check(form []byte, available numberplan.Names) Checked {
 	unpacked, err := numberplan.Unpack(form)
 	if err != nil {
--- a/internal/decision/tableversions/tables_test.go
+++ b/internal/decision/tableversions/tables_test.go
@@ -10,8 +10,9 @@
 	"cobaltpier/internal/decision/numberplan"
 )
 
-// A shelf beside a plain list of what ran: new ones go on, going back takes off, no more is kept than may be, and what
-// it has always stays in the store. The keeper's changes, with files, are tested in package tablefile.
+// Compares the history with a plain list of the tables that ran: a new table is appended, going back removes the
+// last, the number of stored tables is bounded, and the tables of the history always stay in the store. The tests of
+// package tablestore cover the keeper's changes, with files.
 func TestHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var history Shelf
@@ -39,7 +40,7 @@
 				}
 			}
 			if kept > 2*MaxKept+1 {
-				t.Fatalf("%d are kept", kept)
+				t.Fatalf("%d tables are kept", kept)
 			}
 		}
 	})
@@ -49,6 +50,6 @@
 	); running != nil ||
 		recovered.Running != 0 ||
 		len(problems) != 3 {
-		t.Errorf("nothing can be read: %v, %v, %v", running, recovered, problems)
+		t.Errorf("no table can be read: %v, %v, %v", running, recovered, problems)
 	}
 }
--- a/internal/gateway/tablestore/store.go
+++ b/internal/gateway/tablestore/store.go
@@ -1,4 +1,4 @@
-// Package tablestore has number tables in files: as people write them, and in the store of a gateway.
+// Package tablestore reads number tables from files and keeps the tables of a gateway in a store.
 package tablestore
 
 import (
@@ -20,8 +20,8 @@
 	"cobaltpier/internal/decision/tableversions"
 )
 
-// Store keeps the tables that a gateway ran, in one file. A table is in it with its checksum before it runs, and what
-// the file says to run is changed with it in one transaction.
+// Store keeps the tables that a gateway ran, in one file. Before a table runs, one transaction stores it with its
+// checksum and marks it as the running one.
 type Store struct {
 	db *bbolt.DB
 }
@@ -31,20 +31,20 @@
 	notesBucket = []byte("notes")   // serial: api.KeptTable
 	stateBucket = []byte("state")   // running, history
 	runningKey  = []byte("running") // serial
-	historyKey  = []byte("history") // serials, the latest last
+	historyKey  = []byte("history") // serials, oldest first
 )
 
-// ErrDamaged says that a kept table is not what was kept.
-var ErrDamaged = errors.New("tables: kept table is damaged")
+// ErrDamaged means that the contents of a stored table have changed.
+var ErrDamaged = errors.New("number tables: stored table is damaged")
 
-// Open opens a store, and makes it where there is none. Another process that has it is an error after a second.
+// Open opens a store and creates it if there is none. It fails after a second if another process has the store open.
 func Open(file string) (*Store, error) {
 	db, err := bbolt.Open(file, 0o600, &bbolt.Options{Timeout: time.Second})
 	if errors.Is(err, berrors.ErrTimeout) {
-		return nil, fmt.Errorf("tables: store %s: another process has it: %w", file, err)
+		return nil, fmt.Errorf("number table store %s: in use by another process: %w", file, err)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("tables: store %s: %w", file, err)
+		return nil, fmt.Errorf("number table store %s: %w", file, err)
 	}
 	err = db.Update(func(tx *bbolt.Tx) error {
 		for _, b := range [][]byte{formsBucket, notesBucket, stateBucket} {
@@ -56,7 +56,7 @@
 	})
 	if err != nil {
 		db.Close()
-		return nil, fmt.Errorf("tables: store %s: %w", file, err)
+		return nil, fmt.Errorf("number table store %s: %w", file, err)
 	}
 	return &Store{db}, nil
 }
@@ -74,8 +74,9 @@
 	return out
 }
 
-// Keep writes a table as the running one. Serial 0: a new one, which gets the next number; another: one that is kept
-// already and runs again. shelf is what was on it before, which a start may have found less of than the file says.
+// Keep stores a table as the running one and returns its serial. Serial 0 means a new table, which gets the next
+// serial; any other means a stored table that runs again. history is the state before, which has fewer tables than
+// the file if some were skipped at the start.
 func (s *Store) Keep(
 	c tableversions.Checked,
 	note string,
@@ -124,7 +125,7 @@
 		)
 	})
 	if err != nil {
-		return 0, fmt.Errorf("tables: store: %w", err)
+		return 0, fmt.Errorf("number table store: %w", err)
 	}
 	return serial, nil
 }
@@ -137,21 +138,21 @@
 	return history
 }
 
-// Form is a kept table's compact form; its checksum is looked at.
+// Form returns the compact form of a stored table, after a check of its checksum.
 func (s *Store) Form(serial uint64) ([]byte, error) {
 	var form []byte
 	err := s.db.View(func(tx *bbolt.Tx) error {
 		b, note := tx.Bucket(formsBucket).Get(encodeSerial(serial)), tx.Bucket(notesBucket).Get(encodeSerial(serial))
 		kept := &api.KeptTable{}
 		if b == nil || note == nil {
-			return fmt.Errorf("tables: nothing is kept under %d", serial)
+			return fmt.Errorf("number table store: no table %d", serial)
 		}
 		if err := proto.Unmarshal(note, kept); err != nil {
-			return fmt.Errorf("%w: number %d: %w", ErrDamaged, serial, err)
+			return fmt.Errorf("%w: table %d: %w", ErrDamaged, serial, err)
 		}
 		if sum := sha256.Sum256(b); hex.EncodeToString(sum[:]) != kept.Sum {
 			return fmt.Errorf(
-				"%w: number %d, %s version %d: its checksum is not what was kept",
+				"%w: table %d, %s version %d: checksum does not match",
 				ErrDamaged,
 				serial,
 				kept.Name,
@@ -164,7 +165,7 @@
 	return form, err
 }
 
-// Shelf is what the store says to run, and what ran before it.
+// Shelf returns which table runs according to the store, and which ran before it.
 func (s *Store) Shelf() (history tableversions.Shelf, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		history = readHistory(tx)
@@ -173,7 +174,7 @@
 	return
 }
 
-// List is all that is kept, the latest first; what can't be read any more is said with it.
+// List returns all stored tables, the latest first. A table that can't be read any more has its Fault set.
 func (s *Store) List() ([]*api.KeptTable, error) {
 	var list []*api.KeptTable
 	err := s.db.View(func(tx *bbolt.Tx) error {
@@ -188,7 +189,7 @@
 		return nil
 	})
 	if err != nil {
-		return nil, fmt.Errorf("tables: store: %w", err)
+		return nil, fmt.Errorf("number table store: %w", err)
 	}
 	for _, k := range list {
 		if _, err := s.Form(k.Serial); err != nil && k.Fault == "" {
@@ -198,8 +199,8 @@
 	return list, nil
 }
 
-// Load reads and compiles a table of a file, of HCL or of the compact form; every fault is told, with file and line
-// where there are lines.
+// Load reads and compiles a table file, in HCL or the compact form. The error lists all faults, with file and line
+// for HCL.
 func Load(file string) (*numberplan.Table, *api.NumberTable, error) {
 	src, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/gateway/tablestore/store_test.go
+++ b/internal/gateway/tablestore/store_test.go
@@ -42,7 +42,7 @@
 
 var gatewayNames = numberplan.Names{Groups: []string{"TG-0", "TG-1"}}
 
-// testDriver does a keeper's work by hand, on a real store.
+// testDriver does a keeper's work step by step, on a real store.
 type testDriver struct {
 	t             testing.TB
 	keeper        *tableversions.Keeper
@@ -50,7 +50,7 @@
 	pendingChecks []tableversions.Source
 	pendingWrites []func()
 	swapped       []*numberplan.Table
-	writeError    error // of the store
+	writeError    error // if set, the result of every write to the store
 }
 
 func (d *testDriver) Check(s tableversions.Source) { d.pendingChecks = append(d.pendingChecks, s) }
@@ -76,7 +76,7 @@
 	return d
 }
 
-// step does one piece of the work that waits; false: there is none.
+// step does one piece of pending work; false: there is none.
 func (d *testDriver) step() bool {
 	switch {
 	case len(d.pendingWrites) > 0:
@@ -101,7 +101,7 @@
 }
 
 func (d *testDriver) put(form []byte) error {
-	err := errors.New("not heard")
+	err := errors.New("done was not called")
 	d.keeper.Put(form, "", func(e error) { err = e })
 	for d.step() {
 	}
@@ -109,14 +109,14 @@
 }
 
 func (d *testDriver) back() error {
-	err := errors.New("not heard")
+	err := errors.New("done was not called")
 	d.keeper.Back(func(e error) { err = e })
 	for d.step() {
 	}
 	return err
 }
 
-// A bad change says why and changes nothing, neither what runs nor what the store says to run.
+// A rejected change reports why and leaves the running table and the store unchanged.
 func TestBadChanges(t *testing.T) {
 	d := newTestDriver(t)
 	if err := d.put(formOf(t, 1, "TG-0")); err != nil {
@@ -131,9 +131,9 @@
 		"damaged":           {formOf(t, 2, "TG-1")[:30], nil, "damaged"},
 		"not a table":       {[]byte("x"), nil, "neither HCL nor the compact form"},
 		"an unknown group":  {formOf(t, 2, "TG-9"), nil, `trunk group "TG-9"`},
-		"the same":          {formOf(t, 1, "TG-0"), nil, "runs already"},
+		"the same":          {formOf(t, 1, "TG-0"), nil, "already running"},
 		"an older one":      {formOf(t, 0, "TG-1"), nil, "older version"},
-		"the store is full": {formOf(t, 2, "TG-1"), errors.New("no space"), "not kept, so not used: no space"},
+		"the store is full": {formOf(t, 2, "TG-1"), errors.New("no space"), "not stored, so not used: no space"},
 	} {
 		d.writeError = c.full
 		if err := d.put(c.form); err == nil || !strings.Contains(err.Error(), c.want) {
@@ -147,8 +147,8 @@
 	}
 }
 
-// A change that comes while the one before is checked waits; of several that wait the latest goes on, and the others
-// hear that they were overtaken.
+// A change that is requested during the check of another waits. Of several waiting changes only the latest is carried
+// out; the others fail with ErrSuperseded.
 func TestChangeDuringCheck(t *testing.T) {
 	d := newTestDriver(t)
 	results := map[int]error{}
@@ -170,11 +170,11 @@
 	}
 }
 
-// Going back goes one further each time, and a new table after it goes on from there.
+// Each return goes back one more table, and a new table is added to those that are left.
 func TestBack(t *testing.T) {
 	d := newTestDriver(t)
 	if err := d.back(); !errors.Is(err, tableversions.ErrNoPrevious) {
-		t.Errorf("from nothing: %v", err)
+		t.Errorf("return without a table: %v", err)
 	}
 	for v := 1; v <= 3; v++ {
 		if err := d.put(formOf(t, v, "TG-0")); err != nil {
@@ -198,7 +198,7 @@
 	}
 }
 
-// A table that was damaged in the store is not gone back to, and is listed with its fault.
+// A return to a table that is damaged in the store fails, and the table is listed with its fault.
 func TestDamagedStore(t *testing.T) {
 	d := newTestDriver(t)
 	for v := 1; v <= 2; v++ {
@@ -228,7 +228,7 @@
 		}
 		return stored.Recover(d.store.Form, available)
 	}
-	// after a start the latest that can be read runs; here that is the third, then the second
+	// a start runs the latest table that can be used: here the third, then the second
 	if err := d.put(formOf(t, 3, "TG-1")); err != nil {
 		t.Fatal(err)
 	}
@@ -242,21 +242,21 @@
 		len(problems) != 1 {
 		t.Errorf("%v, %v, %v", running, history, problems)
 	}
-	// going on after a start that passed one over goes on from what was found, also after the next start
+	// a change after a start that skipped a table builds on the recovered one, also after the next start
 	running, history, _ := recovered(numberplan.Names{Groups: []string{"TG-0"}})
 	d.keeper = tableversions.New(d, running, history)
 	if err := d.put(formOf(t, 4, "TG-0")); err != nil {
 		t.Fatal(err)
 	}
 	if stored, _ := d.store.Shelf(); stored.Running != 4 || !slices.Equal(stored.Before, []uint64{1, 2}) {
-		t.Errorf("the store says %v", stored)
+		t.Errorf("history in the store: %v", stored)
 	}
 	if running, _, problems := recovered(numberplan.Names{}); running != nil || len(problems) != 3 {
 		t.Errorf("%v, %v", running, problems)
 	}
 }
 
-// Tables that were gone back from don't fill the store.
+// Tables that were rolled back don't fill the store.
 func TestStoreSizeBounded(t *testing.T) {
 	d := newTestDriver(t)
 	d.store.db.NoSync = true
@@ -276,8 +276,8 @@
 	}
 }
 
-// The store beside a plain model: what it says to run, what ran before, and that no more is kept than may be; opened
-// anew between any two changes.
+// Compares the store with a plain list of the running table and those before it, which is bounded; the store is
+// reopened between changes at random.
 func TestStoreModel(t *testing.T) {
 	dir := t.TempDir()
 	runs := 0
@@ -289,7 +289,7 @@
 			if err != nil {
 				rt.Fatal(err)
 			}
-			s.db.NoSync = true // the test's time; nothing is cut off here
+			s.db.NoSync = true // faster; the test interrupts no write
 			d.store = s
 			history, err := s.Shelf()
 			if err != nil {
@@ -356,7 +356,7 @@
 	})
 }
 
-// A store that another process has is an error that says so, after a second.
+// Opening a store that another process has open fails after a second with an error that says so.
 func TestOpenLockedStore(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "tables")
 	s, err := Open(file)
@@ -364,7 +364,7 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if _, err := Open(file); err == nil || !strings.Contains(err.Error(), "another process has it") {
+	if _, err := Open(file); err == nil || !strings.Contains(err.Error(), "in use by another process") {
 		t.Error(err)
 	}
 }
--- a/internal/gateway/tablestore/stored_test.go
+++ b/internal/gateway/tablestore/stored_test.go
@@ -10,8 +10,8 @@
 	"cobaltpier/internal/decision/numberplan"
 )
 
-// A store written by an earlier release (9f5ba27: a gateway of day kiosks, seed 3) is still opened, and the table that
-// it says to run is still compiled.
+// A store written by an earlier release (9f5ba27: a gateway of day kiosks, seed 3) can still be opened, and its
+// running table still compiles.
 func TestStoredStore(t *testing.T) {
 	packed, err := os.Open("testdata/store.gz")
 	if err != nil {
