--- a/internal/cli/numbercli/numbercmd.go
+++ b/internal/cli/numbercli/numbercmd.go
@@ -90,7 +90,7 @@
 	var at, ported, to string
 	var draw float64
 	var silent bool
-	x := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "explain [TABLE] NUMBER",
 		Short: "Print each step of a number's analysis with its reason",
 		Args:  cobra.RangeArgs(1, 2),
@@ -126,12 +126,12 @@
 			return err
 		},
 	}
-	x.Flags().StringVar(&at, "at", "", "time of the call, such as 2026-12-03T14:00:00-05:00; empty: now")
-	x.Flags().Float64Var(&draw, "draw", 0, "random draw for the choice by weight, from 0 to 1")
-	x.Flags().StringVar(&ported, "ported", "", "routing number that the portability look-up returns; empty: not ported")
-	x.Flags().BoolVar(&silent, "silent", false, "the portability look-up gets no answer")
-	x.Flags().StringVar(&to, "to", "", "ask the running gateway at this address")
-	return x
+	command.Flags().StringVar(&at, "at", "", "time of the call, such as 2026-12-03T14:00:00-05:00; empty: now")
+	command.Flags().Float64Var(&draw, "draw", 0, "random draw for the choice by weight, from 0 to 1")
+	command.Flags().StringVar(&ported, "ported", "", "routing number from the portability look-up; empty: not ported")
+	command.Flags().BoolVar(&silent, "silent", false, "the portability look-up gets no answer")
+	command.Flags().StringVar(&to, "to", "", "ask the running gateway at this address")
+	return command
 }
 
 func compile() *cobra.Command {
--- a/internal/decision/numberplan/compile.go
+++ b/internal/decision/numberplan/compile.go
@@ -74,7 +74,7 @@
 
 // compiler builds a table and reports faults.
 type compiler struct {
-	t              *Table
+	table          *Table
 	fault          func(part proto.Message, key, format string, args ...any)
 	periods        map[string]*Period
 	days           map[string]map[string]bool
@@ -97,7 +97,7 @@
 		routes:  map[string]*route{},
 	}
 	c := &compiler{
-		t:              t,
+		table:          t,
 		fault:          fault,
 		periods:        map[string]*Period{},
 		days:           map[string]map[string]bool{},
@@ -162,41 +162,41 @@
 	c.days[d.Name] = set
 }
 
-func (c *compiler) period(x *api.NumberPeriod) {
+func (c *compiler) period(source *api.NumberPeriod) {
 	p := &Period{
-		Name:    x.Name,
+		Name:    source.Name,
 		Except:  map[string]bool{},
 		Only:    map[string]bool{},
-		anyDays: len(x.Weekdays) == 0,
-		From:    int(x.From),
-		To:      int(x.To),
+		anyDays: len(source.Weekdays) == 0,
+		From:    int(source.From),
+		To:      int(source.To),
 	}
-	if p.Zone = c.zones[x.Zone]; p.Zone == nil {
-		z, err := time.LoadLocation(x.Zone)
+	if p.Zone = c.zones[source.Zone]; p.Zone == nil {
+		z, err := time.LoadLocation(source.Zone)
 		if err != nil {
-			c.fault(x, "zone", "zone: no time zone %q", x.Zone)
+			c.fault(source, "zone", "zone: no time zone %q", source.Zone)
 			z = time.UTC
 		}
-		p.Zone, c.zones[x.Zone] = z, z
+		p.Zone, c.zones[source.Zone] = z, z
 	}
-	for _, d := range x.Weekdays {
+	for _, d := range source.Weekdays {
 		if d < 0 || d > 6 {
-			c.fault(x, "days", "days: want 0 to 6, got %d", d)
+			c.fault(source, "days", "days: want 0 to 6, got %d", d)
 			continue
 		}
 		p.Days[d] = true
 	}
-	if min(x.From, x.To) < 0 || max(x.From, x.To) >= 24*60 {
-		c.fault(x, "from", "from, to: want minutes of a day, got %d, %d", x.From, x.To)
+	if min(source.From, source.To) < 0 || max(source.From, source.To) >= 24*60 {
+		c.fault(source, "from", "from, to: want minutes of a day, got %d, %d", source.From, source.To)
 	}
 	for _, list := range []struct {
 		key   string
 		names []string
 		dates map[string]bool
-	}{{"except", x.Except, p.Except}, {"only", x.Only, p.Only}} {
+	}{{"except", source.Except, p.Except}, {"only", source.Only, p.Only}} {
 		for _, name := range list.names {
 			if c.days[name] == nil {
-				c.fault(x, list.key, "%s: no days %q", list.key, name)
+				c.fault(source, list.key, "%s: no days %q", list.key, name)
 			}
 			for d := range c.days[name] {
 				list.dates[d] = true
@@ -204,28 +204,28 @@
 		}
 	}
 	if c.periods[p.Name] != nil {
-		c.fault(x, "", "duplicate period %q", p.Name)
+		c.fault(source, "", "duplicate period %q", p.Name)
 	}
 	c.periods[p.Name] = p
 }
 
-func (c *compiler) route(x *api.NumberRoute) {
-	r := &route{name: x.Name, skill: x.Skill, customer: x.Customer}
-	for _, g := range x.Choices {
+func (c *compiler) route(source *api.NumberRoute) {
+	r := &route{name: source.Name, skill: source.Skill, customer: source.Customer}
+	for _, g := range source.Choices {
 		if !(g.Weight >= 0 && g.Weight <= 1e9) {
-			c.fault(x, "", "group %q: want a weight from 0 to 1e9, got %v", g.Group, g.Weight)
+			c.fault(source, "", "group %q: want a weight from 0 to 1e9, got %v", g.Group, g.Weight)
 			continue
 		}
 		r.choices = append(r.choices, choice{g.Group, g.Weight})
 		r.total += g.Weight
 	}
 	if len(r.choices) == 0 || r.total <= 0 {
-		c.fault(x, "", "route %q: want at least one group \"NAME\" { weight = ... } with a weight above 0", x.Name)
+		c.fault(source, "", "route %q: want at least one group \"NAME\" { weight = ... } with a weight above 0", source.Name)
 	}
-	if c.t.routes[x.Name] != nil {
-		c.fault(x, "", "duplicate route %q", x.Name)
+	if c.table.routes[source.Name] != nil {
+		c.fault(source, "", "duplicate route %q", source.Name)
 	}
-	c.t.routes[x.Name] = r
+	c.table.routes[source.Name] = r
 }
 
 // compiledRule is a rule as it is written and as it is compiled, with the prefixes that it covers.
@@ -241,28 +241,28 @@
 	ruleIndex int
 }
 
-func (c *compiler) plan(x *api.NumberPlan) {
-	p := c.t.plans[x.Name]
+func (c *compiler) plan(source *api.NumberPlan) {
+	p := c.table.plans[source.Name]
 	var compiled []compiledRule
 	var ranges []numberRange
 	total := 0
-	for _, source := range x.Rules {
-		r, span, ok := c.rule(x.Name, source)
+	for _, ruleSource := range source.Rules {
+		r, span, ok := c.rule(source.Name, ruleSource)
 		if !ok {
 			continue
 		}
 		if span.from != "" {
-			span.rule = source
+			span.rule = ruleSource
 			ranges = append(ranges, span)
 		}
 		compiled = append(compiled, r)
 		total += len(r.prefixes)
 	}
 	c.checkOverlaps(ranges)
-	c.t.size += total
+	c.table.size += total
 	trie, err := prefixtrie.New(c.assignRuleSets(p, compiled, sortedEntries(compiled, total)))
 	if err != nil {
-		c.fault(x, "", "plan %q: %v", p.name, err)
+		c.fault(source, "", "plan %q: %v", p.name, err)
 		return
 	}
 	p.trie = trie
@@ -401,33 +401,33 @@
 }
 
 // action compiles the action of a rule. depth is above 0 in the results of a look-up, where another is rejected.
-func (c *compiler) action(planName string, x *api.NumberAction, depth int) action {
+func (c *compiler) action(planName string, source *api.NumberAction, depth int) action {
 	var a action
-	switch do := x.Do.(type) {
+	switch do := source.Do.(type) {
 	case *api.NumberAction_Plan:
-		if a.plan = c.t.plans[do.Plan]; a.plan == nil {
-			c.fault(x, "plan", "plan: no plan %q", do.Plan)
+		if a.plan = c.table.plans[do.Plan]; a.plan == nil {
+			c.fault(source, "plan", "plan: no plan %q", do.Plan)
 		}
-		c.planReferences[planName] = append(c.planReferences[planName], reference{do.Plan, x})
+		c.planReferences[planName] = append(c.planReferences[planName], reference{do.Plan, source})
 	case *api.NumberAction_Route:
 		c.used["route "+do.Route] = true
-		if a.route = c.t.routes[do.Route]; a.route == nil {
-			c.fault(x, "route", "route: no route %q", do.Route)
+		if a.route = c.table.routes[do.Route]; a.route == nil {
+			c.fault(source, "route", "route: no route %q", do.Route)
 		}
 	case *api.NumberAction_Refuse:
 		a.refuse = &Refusal{int(do.Refuse.GetCode()), do.Refuse.GetWhy()}
 		if a.refuse.Code < 400 || a.refuse.Code > 699 {
-			c.fault(x, "code", "code: want 400 to 699, got %d", a.refuse.Code)
+			c.fault(source, "code", "code: want 400 to 699, got %d", a.refuse.Code)
 		}
 	case *api.NumberAction_Ask:
 		q := do.Ask
 		switch {
 		case depth > 0:
-			c.fault(x, "", "portability: not allowed in the result of another portability look-up")
+			c.fault(source, "", "portability: not allowed in the result of another portability look-up")
 		case !(q.GetWithinMs() >= 1 && q.GetWithinMs() <= 60000):
-			c.fault(x, "", "portability: within: want 1 to 60000 ms, got %v", q.GetWithinMs())
+			c.fault(source, "", "portability: within: want 1 to 60000 ms, got %v", q.GetWithinMs())
 		case q.Ported == nil || q.Same == nil || q.Silent == nil:
-			c.fault(x, "", "portability: want ported, same and silent")
+			c.fault(source, "", "portability: want ported, same and silent")
 		default:
 			a.lookup = &lookup{
 				timeout:   time.Duration(math.Round(q.WithinMs * 1e6)),
@@ -437,7 +437,7 @@
 			}
 		}
 	default:
-		c.fault(x, "", "a rule without an action")
+		c.fault(source, "", "a rule without an action")
 	}
 	return a
 }
@@ -460,7 +460,7 @@
 			switch {
 			case state[ref.to] == open:
 				c.fault(ref.action, "plan", "loop: %s leads back to %s", strings.Join(append(path, name), " to "), ref.to)
-			case state[ref.to] == 0 && c.t.plans[ref.to] != nil:
+			case state[ref.to] == 0 && c.table.plans[ref.to] != nil:
 				visit(ref.to, append(path, name))
 			}
 		}
--- a/internal/decision/numberplan/names.go
+++ b/internal/decision/numberplan/names.go
@@ -37,7 +37,7 @@
 func (t *Table) Fits(available Names) error {
 	var missing []string
 	want := t.Names()
-	for _, k := range []struct {
+	for _, list := range []struct {
 		kind      string
 		want, has []string
 	}{
@@ -45,9 +45,9 @@
 		{"customer", want.Tenants, available.Tenants},
 		{"trunk group", want.Groups, available.Groups},
 	} {
-		for _, n := range k.want {
-			if !slices.Contains(k.has, n) {
-				missing = append(missing, fmt.Sprintf("%s %q", k.kind, n))
+		for _, name := range list.want {
+			if !slices.Contains(list.has, name) {
+				missing = append(missing, fmt.Sprintf("%s %q", list.kind, name))
 			}
 		}
 	}
--- a/internal/decision/numberplan/number_test.go
+++ b/internal/decision/numberplan/number_test.go
@@ -136,7 +136,7 @@
 		number string
 		at     time.Time
 		draw   float64
-		what   Answer
+		answer Answer
 		rn     string
 		want   string
 	}{
@@ -161,7 +161,7 @@
 	} {
 		a, o := x.Begin(Call{Dialled: c.number, At: c.at, Draw: c.draw, Explain: true})
 		if o.LookupNumber != "" {
-			o = a.Answered(Found{Answer: c.what, Routing: c.rn})
+			o = a.Answered(Found{Answer: c.answer, Routing: c.rn})
 		}
 		if got := result(o); got != c.want {
 			t.Errorf("%q at %v: %s, want %s\n  %s", c.number, c.at, got, c.want, strings.Join(a.Steps, "\n  "))
--- a/internal/decision/prefixtrie/digits.go
+++ b/internal/decision/prefixtrie/digits.go
@@ -99,58 +99,63 @@
 
 // build builds a subtree breadth first, so that the children of a node are adjacent in memory. Within a large subtree
 // it builds each small one completely before the next.
-func (t *Trie) build(p subtree) {
-	queue := []subtree{p}
+func (t *Trie) build(root subtree) {
+	queue := []subtree{root}
 	for head := 0; head < len(queue); head++ {
-		next := queue[head]
+		current := queue[head]
 		queue[head] = subtree{} // drop the reference to its prefixes
-		if len(next.prefixes) <= clusterSize && len(p.prefixes) > clusterSize {
-			t.build(next)
+		if len(current.prefixes) <= clusterSize && len(root.prefixes) > clusterSize {
+			t.build(current)
 			continue
 		}
-		queue = t.buildNode(next, queue)
+		queue = t.buildNode(current, queue)
 	}
 }
 
 // buildNode builds a node and appends its children to the queue.
-func (t *Trie) buildNode(p subtree, queue []subtree) []subtree {
+func (t *Trie) buildNode(part subtree, queue []subtree) []subtree {
 	n := node{}
-	if run := len(p.prefixes[0].Digits) - p.depth; len(p.prefixes) == 1 && run <= maxRun {
-		t.nodes[p.index] = node{leaf, uint16(run), p.prefixes[0].Value, packDigits(p.prefixes[0].Digits[p.depth:])}
+	if run := len(part.prefixes[0].Digits) - part.depth; len(part.prefixes) == 1 && run <= maxRun {
+		t.nodes[part.index] = node{
+			leaf,
+			uint16(run),
+			part.prefixes[0].Value,
+			packDigits(part.prefixes[0].Digits[part.depth:]),
+		}
 		return queue
 	}
-	if run := sharedRun(p.prefixes, p.depth); run > 0 {
-		t.nodes[p.index] = node{
+	if run := sharedRun(part.prefixes, part.depth); run > 0 {
+		t.nodes[part.index] = node{
 			chain,
 			uint16(run),
 			uint32(len(t.nodes)),
-			packDigits(p.prefixes[0].Digits[p.depth : p.depth+run]),
+			packDigits(part.prefixes[0].Digits[part.depth : part.depth+run]),
 		}
-		queue = append(queue, subtree{p.prefixes, p.depth + run, uint32(len(t.nodes))})
+		queue = append(queue, subtree{part.prefixes, part.depth + run, uint32(len(t.nodes))})
 		t.nodes = append(t.nodes, node{})
 		return queue
 	}
 	n.first, n.values = uint32(len(t.nodes)), uint32(len(t.values))
-	for i := 0; i < len(p.prefixes); {
-		d := p.prefixes[i].Digits[p.depth]
+	for i := 0; i < len(part.prefixes); {
+		d := part.prefixes[i].Digits[part.depth]
 		j := i + 1
-		for j < len(p.prefixes) && p.prefixes[j].Digits[p.depth] == d {
+		for j < len(part.prefixes) && part.prefixes[j].Digits[part.depth] == d {
 			j++
 		}
-		group := p.prefixes[i:j]
-		if len(group[0].Digits) == p.depth+1 {
+		group := part.prefixes[i:j]
+		if len(group[0].Digits) == part.depth+1 {
 			n.ends |= 1 << (d - '0')
 			t.values = append(t.values, group[0].Value)
 			group = group[1:]
 		}
 		if len(group) > 0 {
 			n.children |= 1 << (d - '0')
-			queue = append(queue, subtree{group, p.depth + 1, uint32(len(t.nodes))})
+			queue = append(queue, subtree{group, part.depth + 1, uint32(len(t.nodes))})
 			t.nodes = append(t.nodes, node{})
 		}
 		i = j
 	}
-	t.nodes[p.index] = n
+	t.nodes[part.index] = n
 	return queue
 }
 
--- a/internal/decision/tableversions/tables.go
+++ b/internal/decision/tableversions/tables.go
@@ -62,12 +62,12 @@
 	Before  []uint64 // those that ran before, oldest first
 }
 
-// Take returns the history once a serial runs. If that is the latest in Before, this is a step back, and it is
-// removed from there.
+// Take returns the history once a serial runs. If it is the one that ran just before, this is a step back, and it is
+// removed from those before.
 func (s Shelf) Take(serial uint64) Shelf {
-	n := len(s.Before)
-	if n > 0 && s.Before[n-1] == serial {
-		return Shelf{serial, slices.Clone(s.Before[:n-1])}
+	count := len(s.Before)
+	if count > 0 && s.Before[count-1] == serial {
+		return Shelf{serial, slices.Clone(s.Before[:count-1])}
 	}
 	before := slices.Clone(s.Before)
 	if s.Running != 0 {
@@ -109,7 +109,7 @@
 type change struct {
 	Source
 	checked Checked
-	keeping bool
+	storing bool
 	done    func(error)
 }
 
@@ -169,7 +169,7 @@
 // Checked takes the result of Driver.Check.
 func (k *Keeper) Checked(result Checked) {
 	c := k.current
-	if c == nil || c.keeping {
+	if c == nil || c.storing {
 		return
 	}
 	switch {
@@ -180,7 +180,7 @@
 	case k.Running != nil && c.Serial == 0 && result.Table.Version < k.Running.Version:
 		k.reject(fmt.Errorf("%w: version %d, running version %d", ErrOlder, result.Table.Version, k.Running.Version))
 	default:
-		c.checked, c.keeping = result, true
+		c.checked, c.storing = result, true
 		k.driver.Keep(result, c.Comment, c.Serial, k.Shelf)
 	}
 }
@@ -189,7 +189,7 @@
 // used, because after a restart another one would run.
 func (k *Keeper) Kept(serial uint64, err error) {
 	c := k.current
-	if c == nil || !c.keeping {
+	if c == nil || !c.storing {
 		return
 	}
 	if err != nil {
--- a/internal/gateway/tablestore/store_test.go
+++ b/internal/gateway/tablestore/store_test.go
@@ -124,9 +124,9 @@
 	}
 	first := d.keeper.Running
 	for name, c := range map[string]struct {
-		form []byte
-		full error
-		want string
+		form       []byte
+		writeError error
+		want       string
 	}{
 		"damaged":           {formOf(t, 2, "TG-1")[:30], nil, "damaged"},
 		"not a table":       {[]byte("x"), nil, "neither HCL nor the compact form"},
@@ -135,7 +135,7 @@
 		"an older one":      {formOf(t, 0, "TG-1"), nil, "older version"},
 		"the store is full": {formOf(t, 2, "TG-1"), errors.New("no space"), "not stored, so not used: no space"},
 	} {
-		d.writeError = c.full
+		d.writeError = c.writeError
 		if err := d.put(c.form); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %s", name, err, c.want)
 		}
