--- a/internal/decision/tableversions/tables.go
+++ b/internal/decision/tableversions/tables.go
@@ -56,7 +56,7 @@
 	waiting *change // the change that starts next; a later one replaces it
 }
 
-// Shelf is the history of a gateway's tables in its store, by serial numbers.
+// Shelf lists the tables that a gateway runs and ran, by their serial numbers in the store.
 type Shelf struct {
 	Running uint64   // 0: none
 	Before  []uint64 // those that ran before, oldest first
