--- a/internal/cli/numbercli/numbercmd_test.go
+++ b/internal/cli/numbercli/numbercmd_test.go
@@ -36,8 +36,8 @@
 	return out.String(), err
 }
 
-// A table goes from HCL and CSV to its compact form and is checked, explained and compared there; bad input says file
-// and line and leaves no file.
+// The compact form made from HCL and CSV can be checked, explained and compared; bad input is reported with file and
+// line and writes no file.
 func TestFiles(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name, text string) string {
@@ -70,7 +70,7 @@
 		t.Errorf("%s, %v", s, err)
 	}
 	for text, want := range map[string]string{"1418,b\n15x4,b\n": "bad.csv:2: want", "1418\n": "bad.csv:1: want",
-		"1418,b\n1418,b\n": "stands here twice", "1418,c\n": `no route "c"`,
+		"1418,b\n1418,b\n": "duplicate prefix", "1418,c\n": `no route "c"`,
 		",b\n": "bad.csv:1: want"} {
 		bad, none := file("bad.csv", text), filepath.Join(dir, "none")
 		if _, err := run("import", hcl, bad, "--out", none); err == nil || !strings.Contains(err.Error(), want) {
--- a/internal/decision/numberplan/compile.go
+++ b/internal/decision/numberplan/compile.go
@@ -7,7 +7,7 @@
 	"slices"
 	"strings"
 	"time"
-	_ "time/tzdata" // zones also where the machine has none
+	_ "time/tzdata" // for machines without a time zone database
 
 	"google.golang.org/protobuf/proto"
 
@@ -15,42 +15,42 @@
 	"cobaltpier/internal/decision/prefixtrie"
 )
 
-// maxFaults are told of a table; the rest is counted.
+// maxFaults is how many faults of a table are reported; any more are only counted.
 const maxFaults = 50
 
-// Compile makes a table of its compact form and tells all that is wrong with it.
+// Compile compiles a table from its compact form. The error lists all faults of the table.
 func Compile(form *api.NumberTable) (*Table, error) {
 	var faults []string
-	n := 0
-	t := compile(form, func(of proto.Message, key, format string, args ...any) {
-		if n++; n <= maxFaults {
-			faults = append(faults, positionOf(form, of)+fmt.Sprintf(format, args...))
+	count := 0
+	t := compile(form, func(part proto.Message, key, format string, args ...any) {
+		if count++; count <= maxFaults {
+			faults = append(faults, positionOf(form, part)+fmt.Sprintf(format, args...))
 		}
 	})
-	if n > maxFaults {
-		faults = append(faults, fmt.Sprintf("and %d more", n-maxFaults))
+	if count > maxFaults {
+		faults = append(faults, fmt.Sprintf("and %d more", count-maxFaults))
 	}
-	if n > 0 {
+	if count > 0 {
 		return nil, fmt.Errorf("number table: %s", strings.Join(faults, "\n  "))
 	}
 	return t, nil
 }
 
-// positionOf says where in a table a part of it stands.
-func positionOf(form *api.NumberTable, of proto.Message) string {
-	switch of := of.(type) {
+// positionOf returns the position of a part in its table, as a prefix for messages.
+func positionOf(form *api.NumberTable, part proto.Message) string {
+	switch part := part.(type) {
 	case *api.NumberDays:
-		return fmt.Sprintf("days %q: ", of.Name)
+		return fmt.Sprintf("days %q: ", part.Name)
 	case *api.NumberPeriod:
-		return fmt.Sprintf("period %q: ", of.Name)
+		return fmt.Sprintf("period %q: ", part.Name)
 	case *api.NumberRoute:
-		return fmt.Sprintf("route %q: ", of.Name)
+		return fmt.Sprintf("route %q: ", part.Name)
 	case *api.NumberPlan:
-		return fmt.Sprintf("plan %q: ", of.Name)
+		return fmt.Sprintf("plan %q: ", part.Name)
 	}
 	for _, p := range form.Plans {
 		for i, r := range p.Rules {
-			if proto.Message(r) == of || r.Then != nil && within(r.Then, of) {
+			if proto.Message(r) == part || r.Then != nil && containsPart(r.Then, part) {
 				if r.Where != "" {
 					return r.Where + ": "
 				}
@@ -61,34 +61,34 @@
 	return ""
 }
 
-func within(a *api.NumberAction, of proto.Message) bool {
+func containsPart(a *api.NumberAction, part proto.Message) bool {
 	if q := a.GetAsk(); q != nil {
 		for _, e := range []*api.NumberAction{q.Ported, q.Same, q.Silent} {
-			if e != nil && within(e, of) {
+			if e != nil && containsPart(e, part) {
 				return true
 			}
 		}
 	}
-	return proto.Message(a) == of
+	return proto.Message(a) == part
 }
 
-// compiler makes a table and tells faults.
+// compiler builds a table and reports faults.
 type compiler struct {
-	t       *Table
-	fault   func(of proto.Message, key, format string, args ...any)
-	periods map[string]*Period
-	days    map[string]map[string]bool
-	zones   map[string]*time.Location
-	leads   map[string][]reference // from plan to plan, for loops
-	used    map[string]bool
+	table          *Table
+	fault          func(part proto.Message, key, format string, args ...any)
+	periods        map[string]*Period
+	days           map[string]map[string]bool
+	zones          map[string]*time.Location
+	planReferences map[string][]reference // the plans that each plan refers to, for loop detection
+	used           map[string]bool
 }
 
 type reference struct {
-	to string
-	at proto.Message
+	to     string
+	action proto.Message
 }
 
-func compile(form *api.NumberTable, fault func(of proto.Message, key, format string, args ...any)) *Table {
+func compile(form *api.NumberTable, fault func(part proto.Message, key, format string, args ...any)) *Table {
 	t := &Table{
 		Name:    form.Name,
 		Version: form.Version,
@@ -97,16 +97,16 @@
 		routes:  map[string]*route{},
 	}
 	c := &compiler{
-		t:       t,
-		fault:   fault,
-		periods: map[string]*Period{},
-		days:    map[string]map[string]bool{},
-		zones:   map[string]*time.Location{"": time.UTC},
-		leads:   map[string][]reference{},
-		used:    map[string]bool{},
+		table:          t,
+		fault:          fault,
+		periods:        map[string]*Period{},
+		days:           map[string]map[string]bool{},
+		zones:          map[string]*time.Location{"": time.UTC},
+		planReferences: map[string][]reference{},
+		used:           map[string]bool{},
 	}
 	var err error
-	if t.Sum, err = Sum(form); err != nil { // text that is no UTF-8
+	if t.Sum, err = Sum(form); err != nil { // text that is not valid UTF-8
 		fault(form, "", "%v", err)
 	}
 	if strings.Trim(t.Country, "0123456789") != "" {
@@ -123,7 +123,7 @@
 	}
 	for _, p := range form.Plans {
 		if t.plans[p.Name] != nil {
-			fault(p, "", "plan %q stands here twice", p.Name)
+			fault(p, "", "duplicate plan %q", p.Name)
 		}
 		t.plans[p.Name] = &plan{name: p.Name}
 	}
@@ -133,7 +133,7 @@
 	if t.entry = t.plans[form.Entry]; t.entry == nil {
 		fault(form, "entry", "entry: no plan %q", form.Entry)
 	} else {
-		c.reach(form.Plans, form.Entry)
+		c.checkReachable(form.Plans, form.Entry)
 	}
 	for _, r := range form.Routes {
 		if !c.used["route "+r.Name] {
@@ -150,195 +150,195 @@
 
 func (c *compiler) dates(d *api.NumberDays) {
 	if c.days[d.Name] != nil {
-		c.fault(d, "", "days %q stand here twice", d.Name)
+		c.fault(d, "", "duplicate days %q", d.Name)
 	}
-	of := map[string]bool{}
-	for _, x := range d.Dates {
-		if _, err := time.Parse(time.DateOnly, x); err != nil {
-			c.fault(d, "dates", "dates: want days such as \"2026-12-25\", got %q", x)
+	set := map[string]bool{}
+	for _, date := range d.Dates {
+		if _, err := time.Parse(time.DateOnly, date); err != nil {
+			c.fault(d, "dates", "dates: want dates such as \"2026-12-25\", got %q", date)
 		}
-		of[x] = true
+		set[date] = true
 	}
-	c.days[d.Name] = of
+	c.days[d.Name] = set
 }
 
-func (c *compiler) period(x *api.NumberPeriod) {
+func (c *compiler) period(source *api.NumberPeriod) {
 	p := &Period{
-		Name:    x.Name,
+		Name:    source.Name,
 		Except:  map[string]bool{},
 		Only:    map[string]bool{},
-		anyDays: len(x.Weekdays) == 0,
-		From:    int(x.From),
-		To:      int(x.To),
+		anyDays: len(source.Weekdays) == 0,
+		From:    int(source.From),
+		To:      int(source.To),
 	}
-	if p.Zone = c.zones[x.Zone]; p.Zone == nil {
-		z, err := time.LoadLocation(x.Zone)
+	if p.Zone = c.zones[source.Zone]; p.Zone == nil {
+		z, err := time.LoadLocation(source.Zone)
 		if err != nil {
-			c.fault(x, "zone", "zone: no time zone %q", x.Zone)
+			c.fault(source, "zone", "zone: no time zone %q", source.Zone)
 			z = time.UTC
 		}
-		p.Zone, c.zones[x.Zone] = z, z
+		p.Zone, c.zones[source.Zone] = z, z
 	}
-	for _, d := range x.Weekdays {
+	for _, d := range source.Weekdays {
 		if d < 0 || d > 6 {
-			c.fault(x, "days", "days: want 0 to 6, got %d", d)
+			c.fault(source, "days", "days: want 0 to 6, got %d", d)
 			continue
 		}
 		p.Days[d] = true
 	}
-	if min(x.From, x.To) < 0 || max(x.From, x.To) >= 24*60 {
-		c.fault(x, "from", "from, to: want minutes of a day, got %d, %d", x.From, x.To)
-	}
-	for _, k := range []struct {
-		key  string
-		of   []string
-		into map[string]bool
-	}{{"except", x.Except, p.Except}, {"only", x.Only, p.Only}} {
-		for _, n := range k.of {
-			if c.days[n] == nil {
-				c.fault(x, k.key, "%s: no days %q", k.key, n)
+	if min(source.From, source.To) < 0 || max(source.From, source.To) >= 24*60 {
+		c.fault(source, "from", "from, to: want minutes of a day, got %d, %d", source.From, source.To)
+	}
+	for _, list := range []struct {
+		key   string
+		names []string
+		dates map[string]bool
+	}{{"except", source.Except, p.Except}, {"only", source.Only, p.Only}} {
+		for _, name := range list.names {
+			if c.days[name] == nil {
+				c.fault(source, list.key, "%s: no days %q", list.key, name)
 			}
-			for d := range c.days[n] {
-				k.into[d] = true
+			for d := range c.days[name] {
+				list.dates[d] = true
 			}
 		}
 	}
 	if c.periods[p.Name] != nil {
-		c.fault(x, "", "period %q stands here twice", p.Name)
+		c.fault(source, "", "duplicate period %q", p.Name)
 	}
 	c.periods[p.Name] = p
 }
 
-func (c *compiler) route(x *api.NumberRoute) {
-	r := &route{name: x.Name, skill: x.Skill, customer: x.Customer}
-	for _, g := range x.Choices {
+func (c *compiler) route(source *api.NumberRoute) {
+	r := &route{name: source.Name, skill: source.Skill, customer: source.Customer}
+	for _, g := range source.Choices {
 		if !(g.Weight >= 0 && g.Weight <= 1e9) {
-			c.fault(x, "", "group %q: want a weight from 0 to 1e9, got %v", g.Group, g.Weight)
+			c.fault(source, "", "group %q: want a weight from 0 to 1e9, got %v", g.Group, g.Weight)
 			continue
 		}
 		r.choices = append(r.choices, choice{g.Group, g.Weight})
 		r.total += g.Weight
 	}
 	if len(r.choices) == 0 || r.total <= 0 {
-		c.fault(x, "", "route %q: want at least one group \"NAME\" { weight = ... } with a weight above 0", x.Name)
+		c.fault(source, "", "route %q: want at least one group \"NAME\" { weight = ... } with a weight above 0", source.Name)
 	}
-	if c.t.routes[x.Name] != nil {
-		c.fault(x, "", "route %q stands here twice", x.Name)
+	if c.table.routes[source.Name] != nil {
+		c.fault(source, "", "duplicate route %q", source.Name)
 	}
-	c.t.routes[x.Name] = r
+	c.table.routes[source.Name] = r
 }
 
-// line is a rule as it is written and as it is compiled.
-type line struct {
-	of       *api.NumberRule
+// compiledRule is a rule as it is written and as it is compiled, with the prefixes that it covers.
+type compiledRule struct {
+	source   *api.NumberRule
 	rule     *rule
 	prefixes []string
 }
 
-// entry is a prefix with the number of one of its rules; a large table has many.
-type entry struct {
-	prefix string
-	line   int
+// prefixEntry is a prefix with the index of one of its rules. It is small because a large table has many.
+type prefixEntry struct {
+	prefix    string
+	ruleIndex int
 }
 
-func (c *compiler) plan(x *api.NumberPlan) {
-	p := c.t.plans[x.Name]
-	var lines []line
-	var spans []span
+func (c *compiler) plan(source *api.NumberPlan) {
+	p := c.table.plans[source.Name]
+	var compiled []compiledRule
+	var ranges []numberRange
 	total := 0
-	for _, k := range x.Rules {
-		l, sp, ok := c.rule(x.Name, k)
+	for _, ruleSource := range source.Rules {
+		r, span, ok := c.rule(source.Name, ruleSource)
 		if !ok {
 			continue
 		}
-		if sp.from != "" {
-			sp.at = k
-			spans = append(spans, sp)
+		if span.from != "" {
+			span.rule = ruleSource
+			ranges = append(ranges, span)
 		}
-		lines = append(lines, l)
-		total += len(l.prefixes)
+		compiled = append(compiled, r)
+		total += len(r.prefixes)
 	}
-	c.spans(spans)
-	c.t.size += total
-	trie, err := prefixtrie.New(c.shareRules(p, lines, sortedEntries(lines, total)))
+	c.checkOverlaps(ranges)
+	c.table.size += total
+	trie, err := prefixtrie.New(c.assignRuleSets(p, compiled, sortedEntries(compiled, total)))
 	if err != nil {
-		c.fault(x, "", "plan %q: %v", p.name, err)
+		c.fault(source, "", "plan %q: %v", p.name, err)
 		return
 	}
 	p.trie = trie
 }
 
-// rule compiles one rule of a plan; false: it can't be used.
-func (c *compiler) rule(plan string, k *api.NumberRule) (line, span, bool) {
-	if k.Then == nil {
-		c.fault(k, "", "a rule without an action")
-		return line{}, span{}, false
-	}
-	r := &rule{strip: int(k.Strip), add: k.Add, line: k.Where}
-	if strings.Trim(k.Add, "0123456789") != "" || len(k.Add) > mostDigits {
-		c.fault(k, "add", "add: want %d digits at most, got %q", mostDigits, k.Add)
-	}
-	if k.Strip < 0 || k.Strip > mostDigits {
-		c.fault(k, "strip", "strip: want 0 to %d, got %d", mostDigits, k.Strip)
+// rule compiles one rule of a plan. It returns false if the rule can't be used.
+func (c *compiler) rule(plan string, source *api.NumberRule) (compiledRule, numberRange, bool) {
+	if source.Then == nil {
+		c.fault(source, "", "a rule without an action")
+		return compiledRule{}, numberRange{}, false
+	}
+	r := &rule{strip: int(source.Strip), add: source.Add, position: source.Where}
+	if strings.Trim(source.Add, "0123456789") != "" || len(source.Add) > maxDigits {
+		c.fault(source, "add", "add: want %d digits at most, got %q", maxDigits, source.Add)
+	}
+	if source.Strip < 0 || source.Strip > maxDigits {
+		c.fault(source, "strip", "strip: want 0 to %d, got %d", maxDigits, source.Strip)
 		r.strip = 0
 	}
-	if k.When != "" {
-		c.used["period "+k.When] = true
-		if r.when = c.periods[k.When]; r.when == nil {
-			c.fault(k, "when", "when: no period %q", k.When)
+	if source.When != "" {
+		c.used["period "+source.When] = true
+		if r.when = c.periods[source.When]; r.when == nil {
+			c.fault(source, "when", "when: no period %q", source.When)
 		}
 	}
-	r.then = c.action(plan, k.Then, 0)
-	prefixes, sp, err := prefixesOf(k)
+	r.then = c.action(plan, source.Then, 0)
+	prefixes, span, err := expandPrefixes(source)
 	if err != nil {
-		c.fault(k, "", "%v", err)
-		return line{}, span{}, false
+		c.fault(source, "", "%v", err)
+		return compiledRule{}, numberRange{}, false
 	}
-	if d := prefixes[0]; r.strip > len(d) && len(prefixes) == 1 && d != "" {
-		c.fault(k, "strip", "strip: %d digits are more than the prefix %q has", r.strip, d)
+	if prefix := prefixes[0]; r.strip > len(prefix) && len(prefixes) == 1 && prefix != "" {
+		c.fault(source, "strip", "strip: %d digits are more than the prefix %q has", r.strip, prefix)
 	}
-	return line{k, r, prefixes}, sp, true
+	return compiledRule{source, r, prefixes}, span, true
 }
 
-// sortedEntries is the prefixes of all rules, those of one prefix in the order of the rules.
-func sortedEntries(lines []line, total int) []entry {
-	entries := make([]entry, 0, total)
-	for i, l := range lines {
-		for _, prefix := range l.prefixes {
-			entries = append(entries, entry{prefix, i})
+// sortedEntries returns the prefixes of all rules, sorted; equal prefixes keep the order of their rules.
+func sortedEntries(compiled []compiledRule, total int) []prefixEntry {
+	entries := make([]prefixEntry, 0, total)
+	for i, r := range compiled {
+		for _, prefix := range r.prefixes {
+			entries = append(entries, prefixEntry{prefix, i})
 		}
 	}
-	slices.SortFunc(entries, func(a, b entry) int {
-		return cmp.Or(strings.Compare(a.prefix, b.prefix), cmp.Compare(a.line, b.line))
+	slices.SortFunc(entries, func(a, b prefixEntry) int {
+		return cmp.Or(strings.Compare(a.prefix, b.prefix), cmp.Compare(a.ruleIndex, b.ruleIndex))
 	})
 	return entries
 }
 
-// shareRules gives each prefix the number of its set of rules in the plan. Prefixes with the same single rule share
-// one.
-func (c *compiler) shareRules(p *plan, lines []line, entries []entry) []prefixtrie.Prefix {
+// assignRuleSets assigns each prefix the index of its rule set in the plan. Prefixes with the same single rule share
+// a set.
+func (c *compiler) assignRuleSets(p *plan, compiled []compiledRule, entries []prefixEntry) []prefixtrie.Prefix {
 	prefixes := make([]prefixtrie.Prefix, 0, len(entries))
-	single := map[int]uint32{} // set of a single rule, by its line
+	single := map[int]uint32{} // index of the set with only this rule, by rule index
 	for i := 0; i < len(entries); {
 		j := i + 1
 		for j < len(entries) && entries[j].prefix == entries[i].prefix {
-			before, k := lines[entries[j-1].line], lines[entries[j].line].of
+			before, unreachable := compiled[entries[j-1].ruleIndex], compiled[entries[j].ruleIndex].source
 			if before.rule.when == nil {
-				c.fault(k, "", "rule %q is never reached:%s of the same prefix %s always holds",
-					k.Prefix, at(before.of), entries[j].prefix)
+				c.fault(unreachable, "", "rule %q is never reached: the rule%s of the same prefix %s always holds",
+					unreachable.Prefix, positionSuffix(before.source), entries[j].prefix)
 			}
 			j++
 		}
-		set, known := single[entries[i].line]
+		set, known := single[entries[i].ruleIndex]
 		if !known || j-i > 1 {
-			set = uint32(len(p.sets))
+			set = uint32(len(p.ruleSets))
 			rules := make([]*rule, 0, j-i)
 			for _, e := range entries[i:j] {
-				rules = append(rules, lines[e.line].rule)
+				rules = append(rules, compiled[e.ruleIndex].rule)
 			}
-			p.sets = append(p.sets, rules)
+			p.ruleSets = append(p.ruleSets, rules)
 			if j-i == 1 {
-				single[entries[i].line] = set
+				single[entries[i].ruleIndex] = set
 			}
 		}
 		prefixes = append(prefixes, prefixtrie.Prefix{Digits: entries[i].prefix, Value: set})
@@ -347,123 +347,126 @@
 	return prefixes
 }
 
-func at(k *api.NumberRule) string {
-	if k.Where == "" {
+func positionSuffix(r *api.NumberRule) string {
+	if r.Where == "" {
 		return ""
 	}
-	return " " + k.Where
+	return " " + r.Where
 }
 
-// span is a range of numbers of one length.
-type span struct {
+// numberRange is a range of numbers of the same length.
+type numberRange struct {
 	from, to string
-	at       *api.NumberRule
+	rule     *api.NumberRule
 }
 
-// spans refuses ranges that share a part where neither holds the other: it would be chance which rule stands for it.
-func (c *compiler) spans(of []span) {
-	slices.SortStableFunc(of, func(a, b span) int {
+// checkOverlaps rejects ranges that overlap without one containing the other: it would be arbitrary which rule
+// applies to the shared part.
+func (c *compiler) checkOverlaps(ranges []numberRange) {
+	slices.SortStableFunc(ranges, func(a, b numberRange) int {
 		return cmp.Or(cmp.Compare(len(a.from), len(b.from)), strings.Compare(a.from, b.from), strings.Compare(b.to, a.to))
 	})
-	var around []span // those that hold the present one, the widest first
-	for _, b := range of {
-		for len(around) > 0 && (len(around[0].from) != len(b.from) || around[len(around)-1].to < b.from) {
-			around = around[:len(around)-1]
+	var enclosing []numberRange // the ranges that contain the current one, the widest first
+	for _, b := range ranges {
+		for len(enclosing) > 0 && (len(enclosing[0].from) != len(b.from) || enclosing[len(enclosing)-1].to < b.from) {
+			enclosing = enclosing[:len(enclosing)-1]
 		}
-		if n := len(around); n > 0 && around[n-1].to < b.to {
-			a := around[n-1]
-			c.fault(b.at, "", "range %s-%s overlaps %s-%s%s in part", b.from, b.to, a.from, a.to, at(a.at))
+		if n := len(enclosing); n > 0 && enclosing[n-1].to < b.to {
+			a := enclosing[n-1]
+			c.fault(b.rule, "", "range %s-%s overlaps %s-%s%s in part", b.from, b.to, a.from, a.to, positionSuffix(a.rule))
 		}
-		around = append(around, b)
+		enclosing = append(enclosing, b)
 	}
 }
 
-// prefixesOf are the prefixes that a rule stands for.
-func prefixesOf(k *api.NumberRule) ([]string, span, error) {
-	switch m := rangeForm.FindStringSubmatch(k.Prefix); {
-	case len(k.Packed) > 0:
-		of, err := unpackPrefixes(k.Packed)
-		return of, span{}, err
+// expandPrefixes returns the prefixes that a rule covers, and its range if it has one.
+func expandPrefixes(r *api.NumberRule) ([]string, numberRange, error) {
+	switch m := rangePattern.FindStringSubmatch(r.Prefix); {
+	case len(r.Packed) > 0:
+		prefixes, err := unpackPrefixes(r.Packed)
+		return prefixes, numberRange{}, err
 	case m != nil:
-		of, err := prefixtrie.Cover(m[1], m[2])
+		prefixes, err := prefixtrie.Cover(m[1], m[2])
 		if err != nil {
-			return nil, span{}, fmt.Errorf("rule %q: %w", k.Prefix, err)
+			return nil, numberRange{}, fmt.Errorf("rule %q: %w", r.Prefix, err)
 		}
-		return of, span{from: m[1], to: m[2]}, nil
-	case strings.Trim(k.Prefix, "0123456789") != "" || len(k.Prefix) > mostDigits:
-		return nil, span{}, fmt.Errorf("rule %q: want a prefix of digits, or a range such as \"5145550000-5145559999\"",
-			k.Prefix)
-	}
-	return []string{k.Prefix}, span{}, nil
+		return prefixes, numberRange{from: m[1], to: m[2]}, nil
+	case strings.Trim(r.Prefix, "0123456789") != "" || len(r.Prefix) > maxDigits:
+		return nil, numberRange{}, fmt.Errorf(
+			"rule %q: want a prefix of digits, or a range such as \"5145550000-5145559999\"",
+			r.Prefix,
+		)
+	}
+	return []string{r.Prefix}, numberRange{}, nil
 }
 
-// action compiles what a rule does; depth bounds questions in questions.
-func (c *compiler) action(from string, x *api.NumberAction, depth int) action {
+// action compiles the action of a rule. depth is above 0 in the results of a look-up, where another is rejected.
+func (c *compiler) action(planName string, source *api.NumberAction, depth int) action {
 	var a action
-	switch do := x.Do.(type) {
+	switch do := source.Do.(type) {
 	case *api.NumberAction_Plan:
-		if a.plan = c.t.plans[do.Plan]; a.plan == nil {
-			c.fault(x, "plan", "plan: no plan %q", do.Plan)
+		if a.plan = c.table.plans[do.Plan]; a.plan == nil {
+			c.fault(source, "plan", "plan: no plan %q", do.Plan)
 		}
-		c.leads[from] = append(c.leads[from], reference{do.Plan, x})
+		c.planReferences[planName] = append(c.planReferences[planName], reference{do.Plan, source})
 	case *api.NumberAction_Route:
 		c.used["route "+do.Route] = true
-		if a.route = c.t.routes[do.Route]; a.route == nil {
-			c.fault(x, "route", "route: no route %q", do.Route)
+		if a.route = c.table.routes[do.Route]; a.route == nil {
+			c.fault(source, "route", "route: no route %q", do.Route)
 		}
 	case *api.NumberAction_Refuse:
 		a.refuse = &Refusal{int(do.Refuse.GetCode()), do.Refuse.GetWhy()}
 		if a.refuse.Code < 400 || a.refuse.Code > 699 {
-			c.fault(x, "code", "code: want 400 to 699, got %d", a.refuse.Code)
+			c.fault(source, "code", "code: want 400 to 699, got %d", a.refuse.Code)
 		}
 	case *api.NumberAction_Ask:
 		q := do.Ask
 		switch {
 		case depth > 0:
-			c.fault(x, "", "portability: asked for in what follows on portability")
+			c.fault(source, "", "portability: not allowed in the result of another portability look-up")
 		case !(q.GetWithinMs() >= 1 && q.GetWithinMs() <= 60000):
-			c.fault(x, "", "portability: within: want 1 to 60000 ms, got %v", q.GetWithinMs())
+			c.fault(source, "", "portability: within: want 1 to 60000 ms, got %v", q.GetWithinMs())
 		case q.Ported == nil || q.Same == nil || q.Silent == nil:
-			c.fault(x, "", "portability: want ported, same and silent")
+			c.fault(source, "", "portability: want ported, same and silent")
 		default:
-			a.ask = &question{
-				silence: time.Duration(math.Round(q.WithinMs * 1e6)),
-				ported:  c.action(from, q.Ported, 1),
-				same:    c.action(from, q.Same, 1),
-				silent:  c.action(from, q.Silent, 1),
+			a.lookup = &lookup{
+				timeout:   time.Duration(math.Round(q.WithinMs * 1e6)),
+				ported:    c.action(planName, q.Ported, 1),
+				notPorted: c.action(planName, q.Same, 1),
+				noAnswer:  c.action(planName, q.Silent, 1),
 			}
 		}
 	default:
-		c.fault(x, "", "a rule without an action")
+		c.fault(source, "", "a rule without an action")
 	}
 	return a
 }
 
-// reach refuses loops, which no number could end, and plans that nothing leads to.
-func (c *compiler) reach(plans []*api.NumberPlan, entry string) {
+// checkReachable rejects loops, in which an analysis would never end, and plans that the entry does not lead to.
+func (c *compiler) checkReachable(plans []*api.NumberPlan, entry string) {
 	const (
 		open = 1 + iota
 		done
 	)
 	state := map[string]int{}
-	var walk func(name string, way []string)
-	walk = func(name string, way []string) {
+	var visit func(name string, path []string)
+	visit = func(name string, path []string) {
 		state[name] = open
-		if len(way) == mostSteps/2 {
-			c.fault(c.leads[way[len(way)-1]][0].at, "plan", "plan: %d plans in a row are too many", len(way)+1)
+		if len(path) == maxSteps/2 {
+			c.fault(c.planReferences[path[len(path)-1]][0].action, "plan", "plan: a chain of %d plans is too long", len(path)+1)
 			return
 		}
-		for _, l := range c.leads[name] {
+		for _, ref := range c.planReferences[name] {
 			switch {
-			case state[l.to] == open:
-				c.fault(l.at, "plan", "loop: %s leads back to %s", strings.Join(append(way, name), " to "), l.to)
-			case state[l.to] == 0 && c.t.plans[l.to] != nil:
-				walk(l.to, append(way, name))
+			case state[ref.to] == open:
+				c.fault(ref.action, "plan", "loop: %s leads back to %s", strings.Join(append(path, name), " to "), ref.to)
+			case state[ref.to] == 0 && c.table.plans[ref.to] != nil:
+				visit(ref.to, append(path, name))
 			}
 		}
 		state[name] = done
 	}
-	walk(entry, nil)
+	visit(entry, nil)
 	for _, p := range plans {
 		if state[p.Name] == 0 {
 			c.fault(p, "", "plan %q is never reached from %q", p.Name, entry)
--- a/internal/decision/numberplan/names.go
+++ b/internal/decision/numberplan/names.go
@@ -4,15 +4,15 @@
 	"fmt"
 	"slices"
 	"strings"
-	_ "time/tzdata" // zones also where the machine has none
+	_ "time/tzdata" // for machines without a time zone database
 )
 
-// Names are what a table asks of the gateway that uses it.
+// Names are the classes, tenants and trunk groups that a table refers to or that a gateway has.
 type Names struct {
 	Classes, Tenants, Groups []string
 }
 
-// Names lists the classes, tenants and trunk groups that a table's routes name, in order.
+// Names returns the classes, tenants and trunk groups that a table's routes refer to, sorted.
 func (t *Table) Names() Names {
 	var n Names
 	for _, r := range t.routes {
@@ -26,30 +26,33 @@
 			n.Groups = append(n.Groups, c.group)
 		}
 	}
-	for _, of := range []*[]string{&n.Classes, &n.Tenants, &n.Groups} {
-		slices.Sort(*of)
-		*of = slices.Compact(*of)
+	for _, list := range []*[]string{&n.Classes, &n.Tenants, &n.Groups} {
+		slices.Sort(*list)
+		*list = slices.Compact(*list)
 	}
 	return n
 }
 
-// Fits says what a table names that its gateway does not have; nil: nothing.
-func (t *Table) Fits(has Names) error {
+// Fits returns an error that lists all names that the table refers to and the gateway does not have.
+func (t *Table) Fits(available Names) error {
 	var missing []string
 	want := t.Names()
-	for _, k := range []struct {
-		what      string
+	for _, list := range []struct {
+		kind      string
 		want, has []string
-	}{{"skill", want.Classes, has.Classes}, {"customer", want.Tenants, has.Tenants}, {"trunk group", want.Groups,
-		has.Groups}} {
-		for _, n := range k.want {
-			if !slices.Contains(k.has, n) {
-				missing = append(missing, fmt.Sprintf("%s %q", k.what, n))
+	}{
+		{"skill", want.Classes, available.Classes},
+		{"customer", want.Tenants, available.Tenants},
+		{"trunk group", want.Groups, available.Groups},
+	} {
+		for _, name := range list.want {
+			if !slices.Contains(list.has, name) {
+				missing = append(missing, fmt.Sprintf("%s %q", list.kind, name))
 			}
 		}
 	}
 	if len(missing) > 0 {
-		return fmt.Errorf("number table %s: names what this gateway does not have: %s", t.Name, strings.Join(missing, ", "))
+		return fmt.Errorf("number table %s: not configured on this gateway: %s", t.Name, strings.Join(missing, ", "))
 	}
 	return nil
 }
--- a/internal/decision/numberplan/number.go
+++ b/internal/decision/numberplan/number.go
@@ -1,8 +1,8 @@
-// Package numberplan decides what becomes of a number that was dialled: by the longest prefix, the time of day,
-// portability and weights, through plans that lead on to each other, to a route. A call carries one table from its
-// first digit to its end, however often the tables change meanwhile. Package number knows no wire, no clock and no
-// look-up: a step that needs one returns a question, and the analysis goes on with the answer, its absence or its
-// time-out.
+// Package numberplan analyzes dialled numbers. Plans that refer to each other lead a number to a route or a refusal,
+// by longest prefix, time of day, portability and weights. A call uses one table from its first digit to its end,
+// however often the gateway's table is replaced meanwhile. The package does no I/O and reads no clock: a step that
+// needs a portability look-up returns the number to look up, and the analysis resumes with the answer or the lack of
+// one.
 package numberplan
 
 import (
@@ -15,19 +15,19 @@
 
 //tally:decisions
 
-// mostSteps bounds an analysis whatever its table: one that is compiled has no loop, so this is never met.
-const mostSteps = 64
+// maxSteps bounds every analysis. A compiled table has no loops, so the limit is never reached.
+const maxSteps = 64
 
-// mostDigits is the longest number that is looked at: E.164 has 15, prefixes dialled and routing numbers come on top.
-const mostDigits = 40
+// maxDigits is the longest number accepted: E.164 allows 15 digits; dialled prefixes and routing numbers add to them.
+const maxDigits = 40
 
-// Table is a compiled table. It is only read.
+// Table is a compiled number table. It is never modified.
 type Table struct {
 	Name    string
 	Version uint64
-	Sum     string // of its compact form, SHA-256 in hex
-	Country string // digits that a national number gets in front
-	// Warnings are of what does no harm but was hardly meant.
+	Sum     string // SHA-256 of its compact form, in hex
+	Country string // country code, put in front of national numbers
+	// Warnings name parts that do no harm but are probably unintended.
 	Warnings []string
 	entry    *plan
 	plans    map[string]*plan
@@ -35,37 +35,37 @@
 	size     int
 }
 
-// Size is the number of its rules.
+// Size returns the number of rules; a range or packed rule counts once for each of its prefixes.
 func (t *Table) Size() int { return t.size }
 
 type plan struct {
-	name string
-	trie *prefixtrie.Trie
-	sets [][]*rule // by the trie's value: the rules of one prefix, in their order
+	name     string
+	trie     *prefixtrie.Trie
+	ruleSets [][]*rule // indexed by the trie's values: the rules of one prefix, in order
 }
 
 type rule struct {
-	when  *Period // nil: always
-	strip int
-	add   string
-	then  action
-	line  string // where it stands, for explanations
+	when     *Period // nil: always
+	strip    int
+	add      string
+	then     action
+	position string // where the rule is written, for explanations
 }
 
-// action is what a rule does; one of them is set.
+// action is what a rule does; exactly one field is set.
 type action struct {
 	plan   *plan
 	route  *route
 	refuse *Refusal
-	ask    *question
+	lookup *lookup
 }
 
-// question is a portability look-up and where each end of it leads.
-type question struct {
-	ported  action // with the routing number in place of the number
-	same    action // not ported
-	silent  action // no answer in time
-	silence time.Duration
+// lookup is a portability look-up and the action for each of its results.
+type lookup struct {
+	ported    action // continues with the routing number in place of the number
+	notPorted action
+	noAnswer  action // no answer in time
+	timeout   time.Duration
 }
 
 type route struct {
@@ -81,25 +81,26 @@
 	weight float64
 }
 
-// Refusal is an end without a route.
+// Refusal ends an analysis without a route.
 type Refusal struct {
-	Code int // of SIP
+	Code int // SIP status code
 	Why  string
 }
 
-// Route is where a call goes.
+// Route is where a call is sent.
 type Route struct {
 	Name     string
-	Class    string // "": what the caller asked for
-	Tenant   string // "": the caller's
+	Class    string // "": the one that the caller asked for
+	Tenant   string // "": that of the caller
 	Group    string // trunk group of the destination (RFC 4904)
-	Number   string // the number called, as it is sent on
-	Routing  string // the routing number that stands for it, "": portability was not looked up or it is not ported
+	Number   string // the called number, as it is sent on
+	Routing  string // the routing number; "": portability was not looked up, or the number is not ported
 	LookedUp bool   // portability was looked up (RFC 4694 npdi)
-	Carrier  string // the carrier that serves it (RFC 4694 cic), "": none is named
+	Carrier  string // the carrier that serves the number (RFC 4694 cic); "": unknown
 }
 
-// Outcome is what an analysis came to, or waits for; one of them is set.
+// Outcome is the result of an analysis, or the look-up that it waits for. One of Route, Refusal and
+// LookupNumber is set.
 type Outcome struct {
 	Route         *Route
 	Refusal       *Refusal
@@ -107,44 +108,44 @@
 	LookupTimeout time.Duration
 }
 
-// Answer is what a look-up brought.
+// Answer is the kind of result of a portability look-up.
 type Answer int
 
-// The answers.
+// The results of a portability look-up.
 const (
-	NotPorted Answer = iota // also: it does not exist
+	NotPorted Answer = iota // also: the number does not exist
 	Ported                  // with a routing number (RFC 4694 rn)
-	Silent                  // none in time, or a fault
+	Silent                  // no answer in time, or an error
 )
 
-// Found is what a look-up brought.
+// Found is the result of a portability look-up.
 type Found struct {
 	Answer  Answer
-	Routing string // Ported: the routing number (RFC 4694 rn)
-	Carrier string // the carrier (RFC 4694 cic), "": none is named
+	Routing string // if Ported: the routing number (RFC 4694 rn)
+	Carrier string // the carrier (RFC 4694 cic); "": unknown
 }
 
-// Analysis is one call's way through a table.
+// Analysis is the state of one call's number analysis.
 type Analysis struct {
-	Table   *Table
-	Steps   []string // what was done and why, where Explain is set
-	number  string   // what rules look at: the number called, or the routing number that stands for it
-	called  string   // set once a routing number stands for it
-	at      time.Time
-	draw    float64
-	now     action
-	asked   *question
-	carrier string
-	silent  bool // it had no answer
-	looked  bool // portability is looked up once only (RFC 4694 npdi)
-	steps   int
-	text    bool
+	Table    *Table
+	Steps    []string // each step with its reason, if Call.Explain is set
+	number   string   // what rules match: the called number, or its routing number once that is known
+	called   string   // the called number, set once number holds its routing number
+	at       time.Time
+	draw     float64
+	next     action
+	pending  *lookup
+	carrier  string
+	noAnswer bool // the look-up had no answer
+	lookedUp bool // portability is looked up only once (RFC 4694 npdi)
+	steps    int
+	explain  bool
 }
 
-// Normal makes digits of what was dialled: "+" and "00" are international, a leading 0 is dropped from a national
-// number, which gets the country's digits; spaces, dashes, dots and brackets are passed over. Anything else is an
-// error.
-func Normal(dialled, country string) (string, error) {
+// Normalize reduces a dialled number to digits. "+" and "00" begin an international number. Any other number loses a
+// leading 0 and gets the country code in front unless it begins with that. Spaces, dashes, dots and parentheses are
+// skipped; any other character is an error.
+func Normalize(dialled, country string) (string, error) {
 	var b strings.Builder
 	plus := false
 	for i, c := range strings.TrimSpace(dialled) {
@@ -162,7 +163,7 @@
 	switch {
 	case n == "":
 		return "", fmt.Errorf("number %q: no digits", dialled)
-	case len(n) > mostDigits:
+	case len(n) > maxDigits:
 		return "", fmt.Errorf("number: %d digits are too many", len(n))
 	case plus:
 		return n, nil
@@ -176,109 +177,109 @@
 	return n, nil
 }
 
-// Call is what is known of a number when its analysis begins.
+// Call is what is known of a call when the analysis of its number begins.
 type Call struct {
 	Dialled  string
-	LookedUp bool   // portability was looked up by somebody before us (RFC 4694 npdi)
-	Routing  string // the routing number that was found then, "": none
-	Carrier  string // the carrier that was named with it
+	LookedUp bool   // an earlier hop looked up portability (RFC 4694 npdi)
+	Routing  string // the routing number that this look-up found; "": none
+	Carrier  string // the carrier that came with it
 	At       time.Time
-	Draw     float64 // 0 to 1, drawn for weights
-	Explain  bool    // keep the steps
+	Draw     float64 // random, from 0 to 1, for the choice by weight
+	Explain  bool    // record the steps
 }
 
-// Begin starts the analysis of a number. The first outcome comes with it.
+// Begin starts the analysis of a call's number and returns it with its first outcome.
 func (t *Table) Begin(c Call) (*Analysis, Outcome) {
 	a := &Analysis{
-		Table:   t,
-		at:      c.At,
-		draw:    c.Draw,
-		looked:  c.LookedUp,
-		carrier: c.Carrier,
-		text:    c.Explain,
-		now:     action{plan: t.entry},
+		Table:    t,
+		at:       c.At,
+		draw:     c.Draw,
+		lookedUp: c.LookedUp,
+		carrier:  c.Carrier,
+		explain:  c.Explain,
+		next:     action{plan: t.entry},
 	}
-	n, err := Normal(c.Dialled, t.Country)
+	n, err := Normalize(c.Dialled, t.Country)
 	if err != nil {
-		a.say("%v", err)
+		a.addStep("%v", err)
 		return a, Outcome{Refusal: &Refusal{484, err.Error()}}
 	}
 	a.number = n
-	a.say("%q is %s", c.Dialled, n)
+	a.addStep("%q is %s", c.Dialled, n)
 	if c.LookedUp && c.Routing != "" {
-		rn, err := Normal(c.Routing, t.Country)
+		rn, err := Normalize(c.Routing, t.Country)
 		if err != nil {
-			a.say("routing number: %v", err)
+			a.addStep("routing number: %v", err)
 			return a, Outcome{Refusal: &Refusal{484, "routing " + err.Error()}}
 		}
 		a.called, a.number = n, rn
-		a.say("its routing number is %s", rn)
+		a.addStep("its routing number is %s", rn)
 	}
 	return a, a.run()
 }
 
-// Answered goes on after a question. A routing number that makes no sense counts as silence.
+// Answered resumes the analysis with the result of its look-up. An invalid routing number counts as no answer.
 func (a *Analysis) Answered(found Found) Outcome {
-	what, routing := found.Answer, found.Routing
-	q := a.asked
-	if q == nil {
+	answer, routing := found.Answer, found.Routing
+	pending := a.pending
+	if pending == nil {
 		return Outcome{Refusal: &Refusal{500, "nothing was asked"}}
 	}
-	a.asked = nil
-	if what == Ported {
-		n, err := Normal(routing, a.Table.Country)
+	a.pending = nil
+	if answer == Ported {
+		n, err := Normalize(routing, a.Table.Country)
 		if err != nil {
-			what = Silent
-			a.say("routing number: %v", err)
+			answer = Silent
+			a.addStep("routing number: %v", err)
 		} else {
 			a.called, a.number = a.number, n
 		}
 	}
-	if what != Silent {
+	if answer != Silent {
 		a.carrier = found.Carrier
 	}
-	switch what {
+	switch answer {
 	case Ported:
-		a.say("ported: %s", a.number)
-		a.now = q.ported
+		a.addStep("ported: %s", a.number)
+		a.next = pending.ported
 	case NotPorted:
-		a.say("not ported")
-		a.now = q.same
+		a.addStep("not ported")
+		a.next = pending.notPorted
 	default:
-		a.say("no answer")
-		a.silent = true
-		a.now = q.silent
+		a.addStep("no answer")
+		a.noAnswer = true
+		a.next = pending.noAnswer
 	}
 	return a.run()
 }
 
-func (a *Analysis) say(format string, args ...any) {
-	if a.text {
+func (a *Analysis) addStep(format string, args ...any) {
+	if a.explain {
 		a.Steps = append(a.Steps, fmt.Sprintf(format, args...))
 	}
 }
 
-// run follows actions until one ends the analysis or asks.
+// run applies actions until one ends the analysis or needs a look-up.
 func (a *Analysis) run() Outcome {
-	for ; a.steps < mostSteps; a.steps++ {
-		switch do := a.now; {
-		case do.refuse != nil:
-			a.say("refused: %d %s", do.refuse.Code, do.refuse.Why)
-			return Outcome{Refusal: do.refuse}
-		case do.route != nil:
-			return Outcome{Route: a.take(do.route)}
-		case do.ask != nil:
-			if a.looked {
-				a.say("portability was looked up before")
-				a.now = do.ask.same
+	for ; a.steps < maxSteps; a.steps++ {
+		switch current := a.next; {
+		case current.refuse != nil:
+			a.addStep("refused: %d %s", current.refuse.Code, current.refuse.Why)
+			return Outcome{Refusal: current.refuse}
+		case current.route != nil:
+			return Outcome{Route: a.buildRoute(current.route)}
+		case current.lookup != nil:
+			if a.lookedUp {
+				a.addStep("portability was looked up before")
+				a.next = current.lookup.notPorted
 				continue
 			}
-			a.looked, a.asked = true, do.ask
-			a.say("asks for the portability of %s", a.number)
-			return Outcome{LookupNumber: a.number, LookupTimeout: do.ask.silence}
-		case do.plan != nil:
-			if !a.match(do.plan) {
-				a.say("plan %s: nothing fits %s", do.plan.name, a.number)
+			a.lookedUp, a.pending = true, current.lookup
+			a.addStep("asks for the portability of %s", a.number)
+			return Outcome{LookupNumber: a.number, LookupTimeout: current.lookup.timeout}
+		case current.plan != nil:
+			if !a.match(current.plan) {
+				a.addStep("plan %s: nothing fits %s", current.plan.name, a.number)
 				return Outcome{Refusal: &Refusal{404, "no rule for this number"}}
 			}
 		default:
@@ -288,67 +289,69 @@
 	return Outcome{Refusal: &Refusal{500, "too many steps"}}
 }
 
-// match takes the first rule that holds now of the longest prefix that has one.
+// match applies the first rule that is in force at the time of the call, of the longest prefix that has one. It
+// returns false if there is none, or if the rule makes the number too long.
 func (a *Analysis) match(p *plan) bool {
 	for n := len(a.number); n >= 0; {
-		v, length, ok := p.trie.Find(a.number[:n])
+		set, length, ok := p.trie.Find(a.number[:n])
 		if !ok {
 			return false
 		}
-		for _, r := range p.sets[v] {
+		for _, candidate := range p.ruleSets[set] {
 			prefix := a.number[:length]
-			if r.when != nil && !r.when.Holds(a.at) {
-				a.say("plan %s, prefix %s (%s): not now, %s", p.name, prefix, r.line, r.when.Name)
+			if candidate.when != nil && !candidate.when.Holds(a.at) {
+				a.addStep("plan %s, prefix %s (%s): not now, %s", p.name, prefix, candidate.position, candidate.when.Name)
 				continue
 			}
-			a.number = r.add + a.number[min(r.strip, len(a.number)):]
-			a.say("plan %s, prefix %s (%s): %s", p.name, prefix, r.line, a.number)
-			a.now = r.then
-			return len(a.number) <= mostDigits
+			a.number = candidate.add + a.number[min(candidate.strip, len(a.number)):]
+			a.addStep("plan %s, prefix %s (%s): %s", p.name, prefix, candidate.position, a.number)
+			a.next = candidate.then
+			return len(a.number) <= maxDigits
 		}
 		n = length - 1
 	}
 	return false
 }
 
-// take chooses among a route's trunk groups by their weights.
-func (a *Analysis) take(r *route) *Route {
+// buildRoute returns the route of the call, with one of its trunk groups chosen by weight.
+func (a *Analysis) buildRoute(r *route) *Route {
 	out := &Route{
 		Name:     r.name,
 		Class:    r.skill,
 		Tenant:   r.customer,
 		Number:   "+" + a.number,
-		LookedUp: a.looked && !a.silent,
+		LookedUp: a.lookedUp && !a.noAnswer,
 		Carrier:  a.carrier,
 	}
 	if a.called != "" {
 		out.Number, out.Routing = "+"+a.called, "+"+a.number
 	}
-	u := a.draw * r.total
+	remaining := a.draw * r.total
 	for _, c := range r.choices {
 		out.Group = c.group
-		if u -= c.weight; u < 0 {
+		if remaining -= c.weight; remaining < 0 {
 			break
 		}
 	}
-	a.say("route %s: %s, skill %q, customer %q", r.name, out.Group, r.skill, r.customer)
+	a.addStep("route %s: %s, skill %q, customer %q", r.name, out.Group, r.skill, r.customer)
 	return out
 }
 
-// Period is a time of the week in a zone.
+// Period is a recurring time of the week in a time zone.
 type Period struct {
 	Name    string
 	Zone    *time.Location
-	Days    [7]bool         // by time.Weekday; none set: all
-	From    int             // minutes of the day on the wall clock there
-	To      int             // the first that does not belong; From = To: the whole day; To < From: past midnight
-	Except  map[string]bool // days like "2026-12-25" on which it does not begin
-	Only    map[string]bool // if set, days on which alone it begins
+	Days    [7]bool         // by time.Weekday; none set: every day
+	From    int             // minutes since midnight, local wall-clock time
+	To      int             // first minute after the period; From = To: the whole day; To < From: ends the next day
+	Except  map[string]bool // dates such as "2026-12-25" on which it does not begin
+	Only    map[string]bool // if not empty, the only dates on which it begins
 	anyDays bool
 }
 
-// Holds tells whether a time lies in the period. It goes by the wall clock there: an hour that occurs twice belongs
-// twice, one that never occurs does not. A part past midnight belongs to the day on which it began.
+// Holds reports whether a time is in the period, by the wall clock of its zone: an hour that occurs twice is in it
+// both times, and an hour that is skipped never is. The part after midnight belongs to the day on which the period
+// began.
 func (p *Period) Holds(at time.Time) bool {
 	t := at.In(p.Zone)
 	minute := t.Hour()*60 + t.Minute()
@@ -371,8 +374,8 @@
 	return p.anyDays || p.Days[t.Weekday()]
 }
 
-// Explain tells each step of a number's analysis and why; portability's answer is the routing number given, silence, or
-// that it is not ported.
+// Explain returns each step of a number's analysis with its reason. A portability look-up returns the given routing
+// number; without one, it gets no answer if silent is set, and else finds the number not ported.
 func (t *Table) Explain(c Call, routing string, silent bool) []string {
 	c.Explain = true
 	a, o := t.Begin(c)
--- a/internal/decision/numberplan/number_test.go
+++ b/internal/decision/numberplan/number_test.go
@@ -105,7 +105,7 @@
 	return x
 }
 
-func when(s string) time.Time {
+func parseTime(s string) time.Time {
 	v, err := time.Parse(time.RFC3339, s)
 	if err != nil {
 		panic(err)
@@ -113,7 +113,7 @@
 	return v
 }
 
-// result is an outcome in a word.
+// result formats an outcome as one line.
 func result(o Outcome) string {
 	switch {
 	case o.Route != nil:
@@ -130,13 +130,13 @@
 
 func TestAnalysis(t *testing.T) {
 	x := parse(t)
-	thursday, sunday, holiday := when("2026-12-03T14:00:00-05:00"), when("2026-12-06T23:30:00-05:00"),
-		when("2026-12-25T14:00:00-05:00")
+	thursday, sunday, holiday := parseTime("2026-12-03T14:00:00-05:00"), parseTime("2026-12-06T23:30:00-05:00"),
+		parseTime("2026-12-25T14:00:00-05:00")
 	for _, c := range []struct {
 		number string
 		at     time.Time
 		draw   float64
-		what   Answer
+		answer Answer
 		rn     string
 		want   string
 	}{
@@ -154,37 +154,37 @@
 		{"+1", thursday, 0, 0, "", "TG-2 +1"},
 		{"", thursday, 0, 0, "", `number "": no digits`},
 		{"+1-CALL-ME", thursday, 0, 0, "", `number "+1-CALL-ME": 'C' is no digit`},
-		{"+1418" + strings.Repeat("5", 36), sunday, 0, NotPorted, "", "no rule for this number"}, // 41 digits on its way
+		{"+1418" + strings.Repeat("5", 36), sunday, 0, NotPorted, "", "no rule for this number"}, // 41 digits with 99
 		{"+1418" + strings.Repeat("5", 35), sunday, 0, NotPorted, "", "TG-2 +99418" + strings.Repeat("5", 35)},
 		{strings.Repeat("1", 41), thursday, 0, 0, "", "number: 41 digits are too many"},
 		{strings.Repeat("1", 40), thursday, 0, 0, "", "TG-2 +" + strings.Repeat("1", 40)},
 	} {
 		a, o := x.Begin(Call{Dialled: c.number, At: c.at, Draw: c.draw, Explain: true})
 		if o.LookupNumber != "" {
-			o = a.Answered(Found{Answer: c.what, Routing: c.rn})
+			o = a.Answered(Found{Answer: c.answer, Routing: c.rn})
 		}
 		if got := result(o); got != c.want {
 			t.Errorf("%q at %v: %s, want %s\n  %s", c.number, c.at, got, c.want, strings.Join(a.Steps, "\n  "))
 		}
 		if again := a.Answered(Found{Answer: Silent}); again.Refusal == nil {
-			t.Errorf("%q: answered with nothing asked: %v", c.number, result(again))
+			t.Errorf("%q: an answer without a look-up led to %v", c.number, result(again))
 		}
 	}
 	if _, o := x.Begin(Call{Dialled: "+15145551234", LookedUp: true, Routing: "+1 613 555 0000",
 		At: sunday}); result(o) != "TG-2 +15145551234;rn=+16135550000" {
-		t.Errorf("a routing number found before: %s", result(o))
+		t.Errorf("routing number of an earlier look-up: %s", result(o))
 	}
 	if _, o := x.Begin(Call{Dialled: "+15145551234", LookedUp: true, Routing: "x", At: sunday}); o.Refusal == nil {
-		t.Errorf("a routing number that is none: %s", result(o))
+		t.Errorf("invalid routing number was accepted: %s", result(o))
 	}
 	if a, o := x.Begin(Call{Dialled: "+14185551234", At: sunday, LookedUp: true}); o.Route == nil || a.Steps != nil {
-		t.Errorf("looked up before: %s", result(o))
+		t.Errorf("portability was looked up before: %s", result(o))
 	}
 }
 
-// On the night on which clocks go back 01:30 to 02:00 comes twice, and belongs twice; on the one on which they go
-// forward 02:00 to 02:30 never comes.
-func TestClocksChange(t *testing.T) {
+// The period is 01:30 to 02:30. When clocks go back, 01:30 to 02:00 occurs twice and is in the period both times;
+// when they go forward, 02:00 to 02:30 does not occur.
+func TestDaylightSavingChange(t *testing.T) {
 	x := parse(t)
 	for at, want := range map[string]string{
 		// 01:29, 01:31, again 01:05
@@ -192,7 +192,7 @@
 		"2026-11-01T06:31:00Z": "TG-0", "2026-11-01T07:29:00Z": "TG-0", "2026-11-01T07:30:00Z": "TG-2",
 		"2026-03-08T06:31:00Z": "TG-0", "2026-03-08T06:59:00Z": "TG-0", "2026-03-08T07:00:00Z": "TG-2", // 01:59, then 03:00
 	} {
-		if _, o := x.Begin(Call{Dialled: "+15145551234", At: when(at)}); o.Route == nil || o.Route.Group != want {
+		if _, o := x.Begin(Call{Dialled: "+15145551234", At: parseTime(at)}); o.Route == nil || o.Route.Group != want {
 			t.Errorf("%s: %s, want %s", at, result(o), want)
 		}
 	}
@@ -203,7 +203,7 @@
 		{`plan = "local"`, `plan = "start"`, `t.hcl:69: loop: start to quebec leads back to start`},
 		{`plan = "local"`, `plan = "nowhere"`, `plan: no plan "nowhere"`},
 		{`route = "rosters"`, `route = "rooster"`, `t.hcl:44: route: no route "rooster"`},
-		{`when  = "thursday"`, ``, `is never reached: t.hcl:42 of the same prefix 1418 always holds`},
+		{`when  = "thursday"`, ``, `is never reached: the rule t.hcl:42 of the same prefix 1418 always holds`},
 		{`"14185550000-14185550199"`, `"14185550200-14185550199"`, `want two numbers of one length, the lower first`},
 		{`"1514"`, `"15l4"`, `want a prefix of digits`},
 		{`days   = ["thu"]`, `days   = ["thursday"]`, `t.hcl:11: days: want some of sun, mon`},
@@ -243,7 +243,7 @@
 	}
 }
 
-// No text and no number makes table or analysis fall or go on for ever.
+// No table text and no number makes compiling or analyzing panic or run forever.
 func FuzzTable(f *testing.F) {
 	f.Add(table, "+14185551234")
 	f.Add("plan \"start\" {\n rule \"\" {\n add = \"1\"\n plan = \"start\"\n }\n}", "1")
--- a/internal/decision/prefixtrie/digits.go
+++ b/internal/decision/prefixtrie/digits.go
@@ -1,6 +1,7 @@
-// Package prefixtrie finds the longest of many prefixes that a telephone number begins with. The trie is made for that:
-// ten ways a node, children counted by bits, prefixes that nothing follows kept as bare values, single ways run
-// together, and what is left of a prefix that is alone on its way in one node. It is built once and only read after.
+// Package prefixtrie finds the longest of many prefixes that a telephone number begins with. The trie is compact: a
+// node has up to ten children, which are located by counting bits; a prefix that no other continues is a bare value
+// in its parent; a run of digits without a branch is one chain node; and the rest of a prefix that is alone in its
+// subtree is one leaf node. It is built once and then only read.
 package prefixtrie
 
 import (
@@ -12,151 +13,166 @@
 
 //tally:decisions
 
-// Prefix is a beginning of numbers, in digits, and what it stands for.
+// Prefix is the leading digits of numbers, with a value.
 type Prefix struct {
 	Digits string
 	Value  uint32
 }
 
-// node is a place in the trie. A way with more than one prefix behind it is a node; a prefix that ends on a way is a
-// value. Both may be so for one digit.
+// node is a node of the trie. A digit has a child if longer prefixes continue with it, and a value if a prefix ends
+// with it. A digit may have both.
 type node struct {
-	kids   uint16 // by digit; chain: a run of digits without a choice; leaf: a run that ends a prefix, alone on its way
-	ends   uint16 // by digit; in a chain or leaf how many digits it has
-	first  uint32 // the first kid; in a chain the one after it; in a leaf its value
-	values uint32 // the first value; in a chain or leaf its digits, four bits each
+	children uint16 // one bit per digit; or chain: a run of digits without a branch; or leaf: the end of a lone prefix
+	ends     uint16 // one bit per digit; in a chain or leaf, its number of digits
+	first    uint32 // index of the first child; in a chain, of its only child; in a leaf, its value
+	values   uint32 // index of the first value; in a chain or leaf, its digits, four bits each
 }
 
 const (
-	chain    = 0xffff
-	leaf     = 0xfffe
-	mostRun  = 8       // digits that fit into a chain
-	mostSize = 1 << 31 // prefixes and nodes at most
+	chain       = 0xffff
+	leaf        = 0xfffe
+	maxRun      = 8       // digits that fit into a chain or leaf
+	maxPrefixes = 1 << 31 // limit of prefixes and nodes
 )
 
-// Trie is a set of prefixes.
+// Trie is a set of prefixes with their values.
 type Trie struct {
-	nodes  []node
-	values []uint32
-	any    uint32 // of the empty prefix
-	hasAny bool
-	size   int
+	nodes      []node
+	values     []uint32
+	emptyValue uint32 // the value of the empty prefix
+	hasEmpty   bool
+	size       int
 }
 
-// New builds a trie. Anything but digits, and one prefix twice with different values, is an error that names it; the
-// given slice is put in order.
-func New(of []Prefix) (*Trie, error) {
-	if len(of) >= mostSize {
-		return nil, fmt.Errorf("digits: %d prefixes are too many", len(of))
+// New builds a trie. A prefix with anything but digits, or one with two different values, is an error that names it.
+// The given slice gets sorted.
+func New(prefixes []Prefix) (*Trie, error) {
+	if len(prefixes) >= maxPrefixes {
+		return nil, fmt.Errorf("prefix trie: %d prefixes are too many", len(prefixes))
 	}
-	for _, p := range of {
+	for _, p := range prefixes {
 		for i := range len(p.Digits) {
 			if p.Digits[i] < '0' || p.Digits[i] > '9' {
-				return nil, fmt.Errorf("digits: prefix %q: want digits only", p.Digits)
+				return nil, fmt.Errorf("prefix trie: prefix %q: want digits only", p.Digits)
 			}
 		}
 	}
-	inOrder := func(a, b Prefix) int { return strings.Compare(a.Digits, b.Digits) }
-	if !slices.IsSortedFunc(of, inOrder) {
-		slices.SortFunc(of, inOrder)
+	byDigits := func(a, b Prefix) int { return strings.Compare(a.Digits, b.Digits) }
+	if !slices.IsSortedFunc(prefixes, byDigits) {
+		slices.SortFunc(prefixes, byDigits)
 	}
 	t := &Trie{}
-	for i := 1; i < len(of); i++ {
-		if of[i].Digits == of[i-1].Digits && of[i].Value != of[i-1].Value {
-			return nil, fmt.Errorf("digits: prefix %q stands for %d and %d", of[i].Digits, of[i-1].Value, of[i].Value)
+	for i := 1; i < len(prefixes); i++ {
+		if prefixes[i].Digits == prefixes[i-1].Digits && prefixes[i].Value != prefixes[i-1].Value {
+			return nil, fmt.Errorf(
+				"prefix trie: prefix %q has two values, %d and %d",
+				prefixes[i].Digits,
+				prefixes[i-1].Value,
+				prefixes[i].Value,
+			)
 		}
 	}
-	of = slices.CompactFunc(of, func(a, b Prefix) bool { return a.Digits == b.Digits })
-	t.size = len(of)
-	if len(of) > 0 && of[0].Digits == "" {
-		t.any, t.hasAny = of[0].Value, true
-		of = of[1:]
+	prefixes = slices.CompactFunc(prefixes, func(a, b Prefix) bool { return a.Digits == b.Digits })
+	t.size = len(prefixes)
+	if len(prefixes) > 0 && prefixes[0].Digits == "" {
+		t.emptyValue, t.hasEmpty = prefixes[0].Value, true
+		prefixes = prefixes[1:]
 	}
-	if len(of) == 0 {
+	if len(prefixes) == 0 {
 		return t, nil
 	}
 	t.nodes = append(t.nodes, node{})
-	t.grow(part{of, 0, 0})
+	t.build(subtree{prefixes, 0, 0})
 	t.nodes, t.values = slices.Clip(t.nodes), slices.Clip(t.values)
 	return t, nil
 }
 
-// part is a node to be made: the prefixes behind it, the digits before it, its place.
-type part struct {
-	of    []Prefix
-	depth int
-	at    uint32
+// subtree is a node to be built: the prefixes below it, the number of digits above it, its index.
+type subtree struct {
+	prefixes []Prefix
+	depth    int
+	index    uint32
 }
 
-// near is the most prefixes of a part that is made as a whole, so that it lies together in memory.
-const near = 64
+// clusterSize is the largest number of prefixes of a subtree whose nodes are placed next to each other in memory.
+const clusterSize = 64
 
-// grow makes a part breadth first, so that a node's kids lie together, and of a large one each part that is small as a
-// whole.
-func (t *Trie) grow(p part) {
-	queue := []part{p}
+// build builds a subtree breadth first, so that the children of a node are adjacent in memory. Within a large subtree
+// it builds each small one completely before the next.
+func (t *Trie) build(root subtree) {
+	queue := []subtree{root}
 	for head := 0; head < len(queue); head++ {
-		q := queue[head]
-		queue[head] = part{} // let go of
-		if len(q.of) <= near && len(p.of) > near {
-			t.grow(q)
+		current := queue[head]
+		queue[head] = subtree{} // drop the reference to its prefixes
+		if len(current.prefixes) <= clusterSize && len(root.prefixes) > clusterSize {
+			t.build(current)
 			continue
 		}
-		queue = t.node(q, queue)
+		queue = t.buildNode(current, queue)
 	}
 }
 
-// node makes a node and adds what is behind it to the parts to be made.
-func (t *Trie) node(p part, queue []part) []part {
+// buildNode builds a node and appends its children to the queue.
+func (t *Trie) buildNode(part subtree, queue []subtree) []subtree {
 	n := node{}
-	if run := len(p.of[0].Digits) - p.depth; len(p.of) == 1 && run <= mostRun {
-		t.nodes[p.at] = node{leaf, uint16(run), p.of[0].Value, packed(p.of[0].Digits[p.depth:])}
+	if run := len(part.prefixes[0].Digits) - part.depth; len(part.prefixes) == 1 && run <= maxRun {
+		t.nodes[part.index] = node{
+			leaf,
+			uint16(run),
+			part.prefixes[0].Value,
+			packDigits(part.prefixes[0].Digits[part.depth:]),
+		}
 		return queue
 	}
-	if run := shared(p.of, p.depth); run > 0 {
-		t.nodes[p.at] = node{chain, uint16(run), uint32(len(t.nodes)), packed(p.of[0].Digits[p.depth : p.depth+run])}
-		queue = append(queue, part{p.of, p.depth + run, uint32(len(t.nodes))})
+	if run := sharedRun(part.prefixes, part.depth); run > 0 {
+		t.nodes[part.index] = node{
+			chain,
+			uint16(run),
+			uint32(len(t.nodes)),
+			packDigits(part.prefixes[0].Digits[part.depth : part.depth+run]),
+		}
+		queue = append(queue, subtree{part.prefixes, part.depth + run, uint32(len(t.nodes))})
 		t.nodes = append(t.nodes, node{})
 		return queue
 	}
 	n.first, n.values = uint32(len(t.nodes)), uint32(len(t.values))
-	for i := 0; i < len(p.of); {
-		d := p.of[i].Digits[p.depth]
+	for i := 0; i < len(part.prefixes); {
+		d := part.prefixes[i].Digits[part.depth]
 		j := i + 1
-		for j < len(p.of) && p.of[j].Digits[p.depth] == d {
+		for j < len(part.prefixes) && part.prefixes[j].Digits[part.depth] == d {
 			j++
 		}
-		group := p.of[i:j]
-		if len(group[0].Digits) == p.depth+1 {
+		group := part.prefixes[i:j]
+		if len(group[0].Digits) == part.depth+1 {
 			n.ends |= 1 << (d - '0')
 			t.values = append(t.values, group[0].Value)
 			group = group[1:]
 		}
 		if len(group) > 0 {
-			n.kids |= 1 << (d - '0')
-			queue = append(queue, part{group, p.depth + 1, uint32(len(t.nodes))})
+			n.children |= 1 << (d - '0')
+			queue = append(queue, subtree{group, part.depth + 1, uint32(len(t.nodes))})
 			t.nodes = append(t.nodes, node{})
 		}
 		i = j
 	}
-	t.nodes[p.at] = n
+	t.nodes[part.index] = n
 	return queue
 }
 
-// packed is up to eight digits, four bits each.
-func packed(digits string) (p uint32) {
+// packDigits packs up to eight digits, four bits each.
+func packDigits(digits string) (p uint32) {
 	for i := range len(digits) {
 		p |= uint32(digits[i]-'0') << (4 * i)
 	}
 	return
 }
 
-// shared is how many digits from a depth on all of some prefixes share before any of them ends, as far as worth a
-// chain: one digit less than they share, for the last one may be where a prefix ends.
-func shared(of []Prefix, depth int) int {
-	a, b := of[0].Digits, of[len(of)-1].Digits // sorted: what these share all share
+// sharedRun returns how many digits, from a depth on, make a chain of all the prefixes; 0 if a chain is not worth it.
+// A chain is one digit shorter than the digits they share, because a prefix may end at the last of these.
+func sharedRun(prefixes []Prefix, depth int) int {
+	a, b := prefixes[0].Digits, prefixes[len(prefixes)-1].Digits // sorted: digits that these two share are shared by all
 	n := 0
-	for n < mostRun && depth+n+1 < len(a) && depth+n+1 < len(b) && a[depth+n] == b[depth+n] {
+	for n < maxRun && depth+n+1 < len(a) && depth+n+1 < len(b) && a[depth+n] == b[depth+n] {
 		n++
 	}
 	if n < 2 {
@@ -165,17 +181,17 @@
 	return n
 }
 
-// Find is the value of the longest prefix that a number begins with, and how many digits it has; false without one.
-// What is no digit ends the number.
+// Find returns the value and the length of the longest prefix that a number begins with, and whether there is one.
+// The number ends at the first character that is not a digit.
 func (t *Trie) Find(number string) (value uint32, length int, ok bool) {
-	value, ok = t.any, t.hasAny
+	value, ok = t.emptyValue, t.hasEmpty
 	if len(t.nodes) == 0 {
 		return
 	}
 	at := uint32(0)
 	for i := 0; i < len(number); {
 		n := &t.nodes[at]
-		if n.kids >= leaf {
+		if n.children >= leaf {
 			run := int(n.ends)
 			if len(number)-i < run {
 				return
@@ -186,7 +202,7 @@
 				}
 			}
 			i += run
-			if n.kids == leaf {
+			if n.children == leaf {
 				return n.first, i, true
 			}
 			at = n.first
@@ -200,36 +216,36 @@
 		if n.ends&bit != 0 {
 			value, length, ok = t.values[n.values+uint32(bits.OnesCount16(n.ends&(bit-1)))], i+1, true
 		}
-		if n.kids&bit == 0 {
+		if n.children&bit == 0 {
 			return
 		}
-		at = n.first + uint32(bits.OnesCount16(n.kids&(bit-1)))
+		at = n.first + uint32(bits.OnesCount16(n.children&(bit-1)))
 		i++
 	}
 	return
 }
 
-// Len is the number of prefixes.
+// Len returns the number of prefixes.
 func (t *Trie) Len() int { return t.size }
 
-// Bytes is what the trie takes.
+// Bytes returns the memory size of the trie.
 func (t *Trie) Bytes() int { return 12*cap(t.nodes) + 4*cap(t.values) }
 
-// Cover is the fewest prefixes that stand for all numbers from one to another of the same length, both included.
+// Cover returns the smallest set of prefixes for all numbers from one to another of the same length, both included.
 func Cover(from, to string) ([]string, error) {
 	if len(from) != len(to) || from > to || from == "" {
-		return nil, fmt.Errorf("digits: range %q to %q: want two numbers of one length, the lower first", from, to)
+		return nil, fmt.Errorf("range %q to %q: want two numbers of one length, the lower first", from, to)
 	}
 	for _, s := range []string{from, to} {
 		if strings.Trim(s, "0123456789") != "" {
-			return nil, fmt.Errorf("digits: range %q to %q: want digits only", from, to)
+			return nil, fmt.Errorf("range %q to %q: want digits only", from, to)
 		}
 	}
-	var of []string
+	var prefixes []string
 	var cover func(prefix, lo, hi string)
 	cover = func(prefix, lo, hi string) {
 		if strings.Trim(lo, "0") == "" && strings.Trim(hi, "9") == "" {
-			of = append(of, prefix)
+			prefixes = append(prefixes, prefix)
 			return
 		}
 		for d := lo[0]; d <= hi[0]; d++ {
@@ -244,5 +260,5 @@
 		}
 	}
 	cover("", from, to)
-	return of, nil
+	return prefixes, nil
 }
--- a/internal/gateway/tablestore/store.go
+++ b/internal/gateway/tablestore/store.go
@@ -1,4 +1,4 @@
-// Package tablestore has number tables in files: as people write them, and in the store of a gateway.
+// Package tablestore reads number tables from files and keeps the tables of a gateway in a store.
 package tablestore
 
 import (
@@ -20,34 +20,34 @@
 	"cobaltpier/internal/decision/tableversions"
 )
 
-// Store keeps the tables that a gateway ran, in one file. A table is in it with its checksum before it runs, and what
-// the file says to run is changed with it in one transaction.
+// Store keeps the tables that a gateway ran, in one file. Before a table runs, one transaction stores it with its
+// checksum and marks it as the running one.
 type Store struct {
 	db *bbolt.DB
 }
 
 var (
-	forms   = []byte("forms")   // serial: compact form
-	notes   = []byte("notes")   // serial: api.KeptTable
-	state   = []byte("state")   // running, history
-	running = []byte("running") // serial
-	history = []byte("history") // serials, the latest last
+	formsBucket = []byte("forms")   // serial: compact form
+	notesBucket = []byte("notes")   // serial: api.KeptTable
+	stateBucket = []byte("state")   // running, history
+	runningKey  = []byte("running") // serial
+	historyKey  = []byte("history") // serials, oldest first
 )
 
-// ErrDamaged says that a kept table is not what was kept.
-var ErrDamaged = errors.New("tables: kept table is damaged")
+// ErrDamaged means that the contents of a stored table have changed.
+var ErrDamaged = errors.New("number tables: stored table is damaged")
 
-// Open opens a store, and makes it where there is none. Another process that has it is an error after a second.
+// Open opens a store and creates it if there is none. It fails after a second if another process has the store open.
 func Open(file string) (*Store, error) {
 	db, err := bbolt.Open(file, 0o600, &bbolt.Options{Timeout: time.Second})
 	if errors.Is(err, berrors.ErrTimeout) {
-		return nil, fmt.Errorf("tables: store %s: another process has it: %w", file, err)
+		return nil, fmt.Errorf("number table store %s: in use by another process: %w", file, err)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("tables: store %s: %w", file, err)
+		return nil, fmt.Errorf("number table store %s: %w", file, err)
 	}
 	err = db.Update(func(tx *bbolt.Tx) error {
-		for _, b := range [][]byte{forms, notes, state} {
+		for _, b := range [][]byte{formsBucket, notesBucket, stateBucket} {
 			if _, err := tx.CreateBucketIfNotExists(b); err != nil {
 				return err
 			}
@@ -56,7 +56,7 @@
 	})
 	if err != nil {
 		db.Close()
-		return nil, fmt.Errorf("tables: store %s: %w", file, err)
+		return nil, fmt.Errorf("number table store %s: %w", file, err)
 	}
 	return &Store{db}, nil
 }
@@ -64,28 +64,29 @@
 // Close closes the file.
 func (s *Store) Close() error { return s.db.Close() }
 
-func key(serial uint64) []byte { return binary.BigEndian.AppendUint64(nil, serial) }
+func encodeSerial(serial uint64) []byte { return binary.BigEndian.AppendUint64(nil, serial) }
 
-func serials(b []byte) []uint64 {
-	var of []uint64
+func decodeSerials(b []byte) []uint64 {
+	var out []uint64
 	for ; len(b) >= 8; b = b[8:] {
-		of = append(of, binary.BigEndian.Uint64(b))
+		out = append(out, binary.BigEndian.Uint64(b))
 	}
-	return of
+	return out
 }
 
-// Keep writes a table as the running one. Serial 0: a new one, which gets the next number; another: one that is kept
-// already and runs again. shelf is what was on it before, which a start may have found less of than the file says.
+// Keep stores a table as the running one and returns its serial. Serial 0 means a new table, which gets the next
+// serial; any other means a stored table that runs again. history is the state before, which has fewer tables than
+// the file if some were skipped at the start.
 func (s *Store) Keep(
 	c tableversions.Checked,
 	note string,
 	serial uint64,
-	shelf tableversions.Shelf,
+	history tableversions.Shelf,
 	at time.Time,
 ) (uint64, error) {
 	err := s.db.Update(func(tx *bbolt.Tx) error {
 		if serial == 0 {
-			n, err := tx.Bucket(forms).NextSequence()
+			n, err := tx.Bucket(formsBucket).NextSequence()
 			if err != nil {
 				return err
 			}
@@ -98,54 +99,60 @@
 			if err != nil {
 				return err
 			}
-			if err := errors.Join(tx.Bucket(forms).Put(key(n), c.Form), tx.Bucket(notes).Put(key(n), kept)); err != nil {
+			if err := errors.Join(
+				tx.Bucket(formsBucket).Put(encodeSerial(n), c.Form),
+				tx.Bucket(notesBucket).Put(encodeSerial(n), kept),
+			); err != nil {
 				return err
 			}
 		}
-		shelf = shelf.Take(serial)
+		history = history.Take(serial)
 		var before []byte
-		for _, p := range shelf.Before {
-			before = append(before, key(p)...)
+		for _, p := range history.Before {
+			before = append(before, encodeSerial(p)...)
 		}
-		c := tx.Bucket(forms).Cursor()
+		c := tx.Bucket(formsBucket).Cursor()
 		for k, _ := c.First(); k != nil; k, _ = c.Next() {
-			if !shelf.Keeps(binary.BigEndian.Uint64(k), tx.Bucket(forms).Sequence()) {
-				if err := errors.Join(tx.Bucket(notes).Delete(k), c.Delete()); err != nil {
+			if !history.Keeps(binary.BigEndian.Uint64(k), tx.Bucket(formsBucket).Sequence()) {
+				if err := errors.Join(tx.Bucket(notesBucket).Delete(k), c.Delete()); err != nil {
 					return err
 				}
 			}
 		}
-		return errors.Join(tx.Bucket(state).Put(history, before), tx.Bucket(state).Put(running, key(shelf.Running)))
+		return errors.Join(
+			tx.Bucket(stateBucket).Put(historyKey, before),
+			tx.Bucket(stateBucket).Put(runningKey, encodeSerial(history.Running)),
+		)
 	})
 	if err != nil {
-		return 0, fmt.Errorf("tables: store: %w", err)
+		return 0, fmt.Errorf("number table store: %w", err)
 	}
 	return serial, nil
 }
 
-func shelfOf(tx *bbolt.Tx) tableversions.Shelf {
-	shelf := tableversions.Shelf{Before: serials(tx.Bucket(state).Get(history))}
-	if r := serials(tx.Bucket(state).Get(running)); len(r) == 1 {
-		shelf.Running = r[0]
+func readHistory(tx *bbolt.Tx) tableversions.Shelf {
+	history := tableversions.Shelf{Before: decodeSerials(tx.Bucket(stateBucket).Get(historyKey))}
+	if r := decodeSerials(tx.Bucket(stateBucket).Get(runningKey)); len(r) == 1 {
+		history.Running = r[0]
 	}
-	return shelf
+	return history
 }
 
-// Form is a kept table's compact form; its checksum is looked at.
+// Form returns the compact form of a stored table, after a check of its checksum.
 func (s *Store) Form(serial uint64) ([]byte, error) {
 	var form []byte
 	err := s.db.View(func(tx *bbolt.Tx) error {
-		b, n := tx.Bucket(forms).Get(key(serial)), tx.Bucket(notes).Get(key(serial))
+		b, note := tx.Bucket(formsBucket).Get(encodeSerial(serial)), tx.Bucket(notesBucket).Get(encodeSerial(serial))
 		kept := &api.KeptTable{}
-		if b == nil || n == nil {
-			return fmt.Errorf("tables: nothing is kept under %d", serial)
+		if b == nil || note == nil {
+			return fmt.Errorf("number table store: no table %d", serial)
 		}
-		if err := proto.Unmarshal(n, kept); err != nil {
-			return fmt.Errorf("%w: number %d: %w", ErrDamaged, serial, err)
+		if err := proto.Unmarshal(note, kept); err != nil {
+			return fmt.Errorf("%w: table %d: %w", ErrDamaged, serial, err)
 		}
 		if sum := sha256.Sum256(b); hex.EncodeToString(sum[:]) != kept.Sum {
 			return fmt.Errorf(
-				"%w: number %d, %s version %d: its checksum is not what was kept",
+				"%w: table %d, %s version %d: checksum does not match",
 				ErrDamaged,
 				serial,
 				kept.Name,
@@ -158,42 +165,42 @@
 	return form, err
 }
 
-// Shelf is what the store says to run, and what ran before it.
-func (s *Store) Shelf() (shelf tableversions.Shelf, err error) {
+// Shelf returns which table runs according to the store, and which ran before it.
+func (s *Store) Shelf() (history tableversions.Shelf, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
-		shelf = shelfOf(tx)
+		history = readHistory(tx)
 		return nil
 	})
 	return
 }
 
-// List is all that is kept, the latest first; what can't be read any more is said with it.
+// List returns all stored tables, the latest first. A table that can't be read any more has its Fault set.
 func (s *Store) List() ([]*api.KeptTable, error) {
-	var of []*api.KeptTable
+	var list []*api.KeptTable
 	err := s.db.View(func(tx *bbolt.Tx) error {
-		c := tx.Bucket(notes).Cursor()
+		c := tx.Bucket(notesBucket).Cursor()
 		for k, v := c.Last(); k != nil; k, v = c.Prev() {
 			kept := &api.KeptTable{}
 			if err := proto.Unmarshal(v, kept); err != nil {
 				kept = &api.KeptTable{Serial: binary.BigEndian.Uint64(k), Fault: err.Error()}
 			}
-			of = append(of, kept)
+			list = append(list, kept)
 		}
 		return nil
 	})
 	if err != nil {
-		return nil, fmt.Errorf("tables: store: %w", err)
+		return nil, fmt.Errorf("number table store: %w", err)
 	}
-	for _, k := range of {
+	for _, k := range list {
 		if _, err := s.Form(k.Serial); err != nil && k.Fault == "" {
 			k.Fault = err.Error()
 		}
 	}
-	return of, nil
+	return list, nil
 }
 
-// Load reads and compiles a table of a file, of HCL or of the compact form; every fault is told, with file and line
-// where there are lines.
+// Load reads and compiles a table file, in HCL or the compact form. The error lists all faults, with file and line
+// for HCL.
 func Load(file string) (*numberplan.Table, *api.NumberTable, error) {
 	src, err := os.ReadFile(file)
 	if err != nil {
