--- a/internal/cli/labcli/compare.go
+++ b/internal/cli/labcli/compare.go
@@ -22,20 +22,20 @@
 	set             []string
 }
 
-func (x *side) String() string {
-	parts := []string{x.module}
-	if x.program != "" {
-		parts = append(parts, x.program)
+func (s *side) String() string {
+	parts := []string{s.module}
+	if s.program != "" {
+		parts = append(parts, s.program)
 	}
-	return strings.Join(append(parts, x.set...), " ")
+	return strings.Join(append(parts, s.set...), " ")
 }
 
 func compare() *cobra.Command {
 	var seeds int
-	var first uint64
+	var firstSeed uint64
 	var confidence float64
-	var common []string
-	var page, sweep string
+	var commonSettings []string
+	var reportFile, sweep string
 	a, b := &side{}, &side{}
 	c := &cobra.Command{
 		Use:   "compare DAY",
@@ -49,7 +49,7 @@
 			"gateways.may_cancel=false --seeds 20 --report cancel.html\n" +
 			"  cobalt-lab compare trouble --sweep net.loss=0,0.01,0.05 --seeds 8",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			ctx, cancel := interrupted(cmd)
+			ctx, cancel := interruptContext(cmd)
 			defer cancel()
 			out := cmd.OutOrStdout()
 			sides := []*side{b}
@@ -59,60 +59,60 @@
 					return fmt.Errorf("sweep %q: want NAME=VALUE,VALUE and so on", sweep)
 				}
 				sides = nil
-				for _, v := range strings.Split(values, ",") {
+				for _, value := range strings.Split(values, ",") {
 					sides = append(
 						sides,
-						&side{module: b.module, program: b.program, set: append(append([]string{}, b.set...), name+"="+v)},
+						&side{module: b.module, program: b.program, set: append(append([]string{}, b.set...), name+"="+value)},
 					)
 				}
 			}
-			doc := report.Page{
+			page := report.Page{
 				Title: "Comparison on days of " + args[0],
 				Notes: []string{"Figures are of simulated switches. A: " + a.String()},
 			}
-			base, err := playSide(ctx, out, args[0], a, common, first, seeds)
+			daysA, err := playSide(ctx, out, args[0], a, commonSettings, firstSeed, seeds)
 			if err != nil {
 				return err
 			}
-			for _, x := range sides {
-				other, err := playSide(ctx, out, args[0], x, common, first, seeds)
+			for _, other := range sides {
+				otherDays, err := playSide(ctx, out, args[0], other, commonSettings, firstSeed, seeds)
 				if err != nil {
 					return err
 				}
-				fmt.Fprintf(out, "A: %s\nB: %s\n", a, x)
-				for i, name := range figureNames {
-					var va, vb []float64
-					for k := range min(len(base), len(other)) {
-						va, vb = append(va, base[k].list()[i]), append(vb, other[k].list()[i])
+				fmt.Fprintf(out, "A: %s\nB: %s\n", a, other)
+				for i, name := range metricNames {
+					var valuesA, valuesB []float64
+					for k := range min(len(daysA), len(otherDays)) {
+						valuesA, valuesB = append(valuesA, daysA[k].values()[i]), append(valuesB, otherDays[k].values()[i])
 					}
-					p := stats.Compare(va, vb, confidence)
-					fmt.Fprintf(out, "  %-24s %s\n", name, p)
+					paired := stats.Compare(valuesA, valuesB, confidence)
+					fmt.Fprintf(out, "  %-24s %s\n", name, paired)
 					label := name
 					if len(sides) > 1 {
-						label += " (" + x.set[len(x.set)-1] + ")"
+						label += " (" + other.set[len(other.set)-1] + ")"
 					}
 					if i < 4 {
-						doc.Pairs = append(doc.Pairs, report.Pair{Name: label, Result: p})
+						page.Pairs = append(page.Pairs, report.Pair{Name: label, Result: paired})
 					}
 				}
-				doc.Notes = append(doc.Notes, "B: "+x.String())
+				page.Notes = append(page.Notes, "B: "+other.String())
 			}
-			return write(page, "", doc)
+			return writeReport(reportFile, "", page)
 		},
 	}
-	f := c.Flags()
-	f.IntVar(&seeds, "seeds", 8, "so many days, with seeds one after the other")
-	f.Uint64Var(&first, "seed", 1, "the first seed")
-	f.Float64Var(&confidence, "confidence", 0.95, "of the intervals")
-	f.StringVar(&a.module, "a", "brain", "module of side A")
-	f.StringVar(&b.module, "b", "brain", "module of side B")
-	f.StringArrayVar(&a.set, "a-set", nil, "setting of side A, such as gateways.count=20")
-	f.StringArrayVar(&b.set, "b-set", nil, "setting of side B")
-	f.StringVar(&a.program, "a-program", "", "another build of cobalt-lab for side A")
-	f.StringVar(&b.program, "b-program", "", "another build of cobalt-lab for side B")
-	f.StringArrayVar(&common, "set", nil, "setting of both sides")
-	f.StringVar(&sweep, "sweep", "", "NAME=VALUE,VALUE,...: side B once for each value")
-	f.StringVar(&page, "report", "", "write an HTML page to this file")
+	flags := c.Flags()
+	flags.IntVar(&seeds, "seeds", 8, "so many days, with seeds one after the other")
+	flags.Uint64Var(&firstSeed, "seed", 1, "the first seed")
+	flags.Float64Var(&confidence, "confidence", 0.95, "of the intervals")
+	flags.StringVar(&a.module, "a", "brain", "module of side A")
+	flags.StringVar(&b.module, "b", "brain", "module of side B")
+	flags.StringArrayVar(&a.set, "a-set", nil, "setting of side A, such as gateways.count=20")
+	flags.StringArrayVar(&b.set, "b-set", nil, "setting of side B")
+	flags.StringVar(&a.program, "a-program", "", "another build of cobalt-lab for side A")
+	flags.StringVar(&b.program, "b-program", "", "another build of cobalt-lab for side B")
+	flags.StringArrayVar(&commonSettings, "set", nil, "setting of both sides")
+	flags.StringVar(&sweep, "sweep", "", "NAME=VALUE,VALUE,...: side B once for each value")
+	flags.StringVar(&reportFile, "report", "", "write an HTML page to this file")
 	return c
 }
 
@@ -121,13 +121,13 @@
 	ctx context.Context,
 	out io.Writer,
 	name string,
-	x *side,
-	common []string,
-	first uint64,
+	s *side,
+	commonSettings []string,
+	firstSeed uint64,
 	seeds int,
-) ([]*figures, error) {
-	set := append(append([]string{}, common...), x.set...)
-	if x.program != "" {
+) ([]*dayMetrics, error) {
+	settings := append(append([]string{}, commonSettings...), s.set...)
+	if s.program != "" {
 		args := []string{
 			"fleet",
 			name,
@@ -135,47 +135,47 @@
 			"--seeds",
 			fmt.Sprint(seeds),
 			"--seed",
-			fmt.Sprint(first),
+			fmt.Sprint(firstSeed),
 			"--module",
-			x.module,
+			s.module,
 		}
-		for _, v := range set {
-			args = append(args, "--set", v)
+		for _, setting := range settings {
+			args = append(args, "--set", setting)
 		}
-		text, err := exec.CommandContext(ctx, x.program, args...).Output()
+		text, err := exec.CommandContext(ctx, s.program, args...).Output()
 		if err != nil && len(text) == 0 {
-			return nil, fmt.Errorf("%s: %w", x.program, err)
+			return nil, fmt.Errorf("%s: %w", s.program, err)
 		}
-		var of []*figures
+		var days []*dayMetrics
 		for dec := json.NewDecoder(strings.NewReader(string(text))); dec.More(); {
-			f := &figures{}
-			if err := dec.Decode(f); err != nil {
-				return nil, fmt.Errorf("%s: %w", x.program, err)
+			metrics := &dayMetrics{}
+			if err := dec.Decode(metrics); err != nil {
+				return nil, fmt.Errorf("%s: %w", s.program, err)
 			}
-			of = append(of, f)
+			days = append(days, metrics)
 		}
-		return of, nil
+		return days, nil
 	}
-	s, err := scenario.Load(name, set...)
+	script, err := scenario.Load(name, settings...)
 	if err != nil {
 		return nil, err
 	}
-	mk := virtualrun.Module(x.module)
-	if mk == nil {
-		return nil, fmt.Errorf("module %q: want brain, lottery or random", x.module)
+	newPolicy := virtualrun.Module(s.module)
+	if newPolicy == nil {
+		return nil, fmt.Errorf("module %q: want brain, lottery or random", s.module)
 	}
-	of := make([]*figures, seeds)
+	days := make([]*dayMetrics, seeds)
 	if !virtualrun.Each(ctx, seeds, func(i int) {
-		d := *s
-		d.Seed = first + uint64(i)
-		of[i] = figuresOf(d.Seed, virtualrun.Play(&d, mk, virtualrun.Options{}))
+		day := *script
+		day.Seed = firstSeed + uint64(i)
+		days[i] = dayMetricsOf(day.Seed, virtualrun.Play(&day, newPolicy, virtualrun.Options{}))
 	}) {
 		return nil, ctx.Err()
 	}
-	for _, f := range of {
-		if f.Broken > 0 && x.module == "brain" {
-			fmt.Fprintf(out, "%s: seed %d breaks a rule %d times\n", x, f.Seed, f.Broken)
+	for _, metrics := range days {
+		if metrics.Broken > 0 && s.module == "brain" {
+			fmt.Fprintf(out, "%s: seed %d breaks a rule %d times\n", s, metrics.Seed, metrics.Broken)
 		}
 	}
-	return of, nil
+	return days, nil
 }
--- a/internal/cli/labcli/design.go
+++ b/internal/cli/labcli/design.go
@@ -23,25 +23,27 @@
 by the reports that each gateway had) make.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			for seed := 1; seed <= seeds; seed++ {
-				for _, away := range []int{-1, 1} {
-					s, err := scenario.Day("quiet")
+				for _, draining := range []int{-1, 1} {
+					script, err := scenario.Day("quiet")
 					if err != nil {
 						return err
 					}
-					s.Seed = uint64(seed)
+					script.Seed = uint64(seed)
 					var shares *scenario.Shares
-					st := scenario.New(s, 5060, func(r *api.Record) {
+					sim := scenario.New(script, 5060, func(record *api.Record) {
 						if shares != nil {
-							shares.Add(r)
+							shares.Add(record)
 						}
 					})
-					shares = scenario.NewShares(st, away)
-					if away >= 0 {
-						st.Drain(away)
+					shares = scenario.NewShares(sim, draining)
+					if draining >= 0 {
+						sim.Drain(draining)
 					}
-					scenario.NewVirtual(st, func(set *routing.Settings, h routing.Host) routing.Policy { return router.New(set, h) })
-					st.World.Run(s.Length + 10000)
-					fmt.Fprintf(cmd.OutOrStdout(), "seed %d, pool that drains: %d (-1: none)\n%s\n", seed, away, shares)
+					scenario.NewVirtual(sim, func(settings *routing.Settings, host routing.Host) routing.Policy {
+						return router.New(settings, host)
+					})
+					sim.World.Run(script.Length + 10000)
+					fmt.Fprintf(cmd.OutOrStdout(), "seed %d, pool that drains: %d (-1: none)\n%s\n", seed, draining, shares)
 				}
 			}
 			return nil
--- a/internal/cli/labcli/digits.go
+++ b/internal/cli/labcli/digits.go
@@ -55,20 +55,20 @@
 }
 
 // heap is the live heap, and how much was ever allocated.
-func heap() (live, count uint64) {
+func heapStats() (live, count uint64) {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return m.HeapAlloc, m.Mallocs
 }
 
-func measureDigits(out interface{ Write([]byte) (int, error) }, n, rounds int) error {
-	of := prefixbaseline.Draw(n)
+func measureDigits(out interface{ Write([]byte) (int, error) }, size, rounds int) error {
+	prefixes := prefixbaseline.Draw(size)
 	var numbers []string
 	for i := range uint64(1 << 16) {
-		numbers = append(numbers, of[int(detrand.Float64(3, i)*float64(n))].Digits+"5550123")
+		numbers = append(numbers, prefixes[int(detrand.Float64(3, i)*float64(size))].Digits+"5550123")
 	}
-	type way struct {
+	type searchMethod struct {
 		name   string
 		make   func() (finder, error)
 		find   finder
@@ -77,60 +77,70 @@
 		ns     []float64
 		allocs float64
 	}
-	ways := []*way{
-		{name: "trie", make: func() (finder, error) { return prefixtrie.New(append([]prefixtrie.Prefix{}, of...)) }},
-		{name: "map", make: func() (finder, error) { return prefixbaseline.NewMap(of), nil }},
-		{name: "sorted", make: func() (finder, error) { return prefixbaseline.NewSorted(of), nil }},
+	methods := []*searchMethod{
+		{name: "trie", make: func() (finder, error) { return prefixtrie.New(append([]prefixtrie.Prefix{}, prefixes...)) }},
+		{name: "map", make: func() (finder, error) { return prefixbaseline.NewMap(prefixes), nil }},
+		{name: "sorted", make: func() (finder, error) { return prefixbaseline.NewSorted(prefixes), nil }},
 	}
-	for _, w := range ways {
-		before, _ := heap()
-		begin := time.Now()
-		f, err := w.make()
+	for _, method := range methods {
+		before, _ := heapStats()
+		began := time.Now()
+		built, err := method.make()
 		if err != nil {
 			return err
 		}
-		w.build = float64(time.Since(begin)) / 1e6
-		w.find = f
-		after, _ := heap()
-		w.size = float64(int64(after)-int64(before)) / float64(n)
-		if t, ok := f.(*prefixtrie.Trie); ok {
-			w.size = float64(t.Bytes()) / float64(n)
+		method.build = float64(time.Since(began)) / 1e6
+		method.find = built
+		after, _ := heapStats()
+		method.size = float64(int64(after)-int64(before)) / float64(size)
+		if trie, ok := built.(*prefixtrie.Trie); ok {
+			method.size = float64(trie.Bytes()) / float64(size)
 		}
 	}
-	sum := 0
+	lengthSum := 0
 	for range rounds {
-		for _, w := range ways {
-			_, a := heap()
-			begin := time.Now()
+		for _, method := range methods {
+			_, mallocsBefore := heapStats()
+			began := time.Now()
 			for range 4 {
-				for _, x := range numbers {
-					_, l, _ := w.find.Find(x)
-					sum += l
+				for _, number := range numbers {
+					_, length, _ := method.find.Find(number)
+					lengthSum += length
 				}
 			}
-			w.ns = append(w.ns, float64(time.Since(begin))/float64(4*len(numbers)))
-			var m runtime.MemStats
-			runtime.ReadMemStats(&m)
-			w.allocs = float64(m.Mallocs-a) / float64(4*len(numbers))
+			method.ns = append(method.ns, float64(time.Since(began))/float64(4*len(numbers)))
+			var mem runtime.MemStats
+			runtime.ReadMemStats(&mem)
+			method.allocs = float64(mem.Mallocs-mallocsBefore) / float64(4*len(numbers))
 		}
 	}
-	for _, w := range ways {
-		beside := ""
-		if w != ways[0] {
-			ratio, one := make([]float64, rounds), make([]float64, rounds)
+	for _, method := range methods {
+		relative := ""
+		if method != methods[0] {
+			ratio, unit := make([]float64, rounds), make([]float64, rounds)
 			for i := range ratio {
-				ratio[i], one[i] = w.ns[i]/ways[0].ns[i], 0
+				ratio[i], unit[i] = method.ns[i]/methods[0].ns[i], 0
 			}
-			p := stats.Compare(one, ratio, 0.95)
-			beside = fmt.Sprintf("%.2f [%.2f, %.2f]", p.B, p.Low, p.High)
+			paired := stats.Compare(unit, ratio, 0.95)
+			relative = fmt.Sprintf("%.2f [%.2f, %.2f]", paired.B, paired.Low, paired.High)
 		}
 		mean := 0.0
-		for _, v := range w.ns {
-			mean += v / float64(rounds)
+		for _, ns := range method.ns {
+			mean += ns / float64(rounds)
 		}
-		fmt.Fprintf(out, "%9d %-7s %9.1f %9.1f %9.1f %8.4f   %s\n", n, w.name, w.build, w.size, mean, w.allocs, beside)
+		fmt.Fprintf(
+			out,
+			"%9d %-7s %9.1f %9.1f %9.1f %8.4f   %s\n",
+			size,
+			method.name,
+			method.build,
+			method.size,
+			mean,
+			method.allocs,
+			relative,
+		)
 	}
-	if sum == 0 {
+	if lengthSum == 0 {
 		return fmt.Errorf("digits: nothing was found")
 	}
 	return nil
--- a/internal/cli/labcli/fleet.go
+++ b/internal/cli/labcli/fleet.go
@@ -20,7 +20,7 @@
 )
 
 // figures are what days are compared by, higher being better but for waits and cold use.
-type figures struct {
+type dayMetrics struct {
 	Seed                                uint64
 	Whole, Worst10s, Skill, Customer    float64
 	Late, Cut, Unserved, P50, P99, Cold float64
@@ -28,7 +28,7 @@
 	Sum                                 string
 }
 
-var figureNames = []string{
+var metricNames = []string{
 	"service, whole day",
 	"service, worst 10 s",
 	"service, worst skill",
@@ -41,13 +41,13 @@
 	"cold budget used",
 }
 
-func (f *figures) list() []float64 {
-	return []float64{f.Whole, f.Worst10s, f.Skill, f.Customer, f.Late, f.Cut, f.Unserved, f.P50, f.P99, f.Cold}
+func (m *dayMetrics) values() []float64 {
+	return []float64{m.Whole, m.Worst10s, m.Skill, m.Customer, m.Late, m.Cut, m.Unserved, m.P50, m.P99, m.Cold}
 }
 
-func figuresOf(seed uint64, r *virtualrun.Result) *figures {
-	s := r.Service
-	return &figures{
+func dayMetricsOf(seed uint64, res *virtualrun.Result) *dayMetrics {
+	s := res.Service
+	return &dayMetrics{
 		Seed:     seed,
 		Whole:    s.Total,
 		Worst10s: s.Worst10s,
@@ -56,24 +56,24 @@
 		Late:     float64(s.Late),
 		Cut:      float64(s.Dropped),
 		Unserved: float64(s.Unserved),
-		P50:      at(s.Waits, 0.5),
-		P99:      at(s.Waits, 0.99),
-		Cold:     r.Totals.SlowStartUse,
-		Broken:   len(r.Findings),
-		Sum:      fmt.Sprintf("%016x", r.Sum),
+		P50:      quantile(s.Waits, 0.5),
+		P99:      quantile(s.Waits, 0.99),
+		Cold:     res.Totals.SlowStartUse,
+		Broken:   len(res.Findings),
+		Sum:      fmt.Sprintf("%016x", res.Sum),
 	}
 }
 
-func interrupted(cmd *cobra.Command) (context.Context, context.CancelFunc) {
+func interruptContext(cmd *cobra.Command) (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 }
 
 func fleetCmd() *cobra.Command {
 	var seeds int
-	var first uint64
-	var module, page, pictures, calls string
+	var firstSeed uint64
+	var module, reportFile, pictureDir, traceFile string
 	var asJSON bool
-	var set []string
+	var settings []string
 	c := &cobra.Command{
 		Use:   "fleet DAY",
 		Short: "Play days in virtual time, any number of gateways, several days at once",
@@ -83,74 +83,81 @@
 		Example: "  cobalt-lab fleet large --report day.html\n  cobalt-lab fleet trouble --seeds 20 --set " +
 			"gateways.count=64 --set load.rate=300",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			ctx, cancel := interrupted(cmd)
+			ctx, cancel := interruptContext(cmd)
 			defer cancel()
-			s, err := scenario.Load(args[0], set...)
+			script, err := scenario.Load(args[0], settings...)
 			if err != nil {
 				return err
 			}
-			mk := virtualrun.Module(module)
-			if mk == nil {
+			newPolicy := virtualrun.Module(module)
+			if newPolicy == nil {
 				return fmt.Errorf("module %q: want brain, lottery or random", module)
 			}
-			if first > 0 {
-				s.Seed = first
+			if firstSeed > 0 {
+				script.Seed = firstSeed
 			}
-			if err := replay(s, calls); err != nil {
+			if err := replayTrace(script, traceFile); err != nil {
 				return err
 			}
 			out := cmd.OutOrStdout()
-			res := make([]*virtualrun.Result, seeds)
-			begin := time.Now()
+			results := make([]*virtualrun.Result, seeds)
+			began := time.Now()
 			virtualrun.Each(ctx, seeds, func(i int) {
-				d := *s
-				d.Seed = s.Seed + uint64(i)
-				res[i] = virtualrun.Play(&d, mk, virtualrun.Options{Series: page != "" || pictures != "", Sum: true})
+				day := *script
+				day.Seed = script.Seed + uint64(i)
+				results[i] = virtualrun.Play(
+					&day,
+					newPolicy,
+					virtualrun.Options{Series: reportFile != "" || pictureDir != "", Sum: true},
+				)
 			})
-			spent := time.Since(begin)
+			elapsed := time.Since(began)
 			if !asJSON {
-				fmt.Fprintf(out, "%5s  %s  %16s  %s\n", "seed", serviceHead, "sum", "took")
+				fmt.Fprintf(out, "%5s  %s  %16s  %s\n", "seed", serviceHeader, "sum", "took")
+			}
+			broken, callCount := false, 0
+			page := report.Page{
+				Title: "Days of " + script.Name,
+				Notes: []string{"Figures are of simulated switches.", describeScript(script)},
 			}
-			broken, callers := false, 0
-			doc := report.Page{Title: "Days of " + s.Name, Notes: []string{"Figures are of simulated switches.", describe(s)}}
-			for i, r := range res {
-				if r == nil {
+			for i, res := range results {
+				if res == nil {
 					continue
 				}
-				seed := s.Seed + uint64(i)
-				callers += r.Totals.Calls
-				broken = broken || module == "brain" && len(r.Findings) > 0
+				seed := script.Seed + uint64(i)
+				callCount += res.Totals.Calls
+				broken = broken || module == "brain" && len(res.Findings) > 0
 				if asJSON {
-					if err := json.NewEncoder(out).Encode(figuresOf(seed, r)); err != nil {
+					if err := json.NewEncoder(out).Encode(dayMetricsOf(seed, res)); err != nil {
 						return fmt.Errorf("fleet: %w", err)
 					}
 					continue
 				}
-				row := line(&processrun.Result{Service: r.Service, Findings: r.Findings, Totals: r.Totals})
-				fmt.Fprintf(out, "%5d  %s  %016x  %s\n", seed, row, r.Sum, r.Elapsed.Round(10*time.Millisecond))
-				d := report.Day{
-					Name:  fmt.Sprintf("%s, seed %d", s.Name, seed),
-					Lines: []string{serviceHead, row},
-					Plots: report.Plots(r.Series),
+				row := serviceRow(&processrun.Result{Service: res.Service, Findings: res.Findings, Totals: res.Totals})
+				fmt.Fprintf(out, "%5d  %s  %016x  %s\n", seed, row, res.Sum, res.Elapsed.Round(10*time.Millisecond))
+				day := report.Day{
+					Name:  fmt.Sprintf("%s, seed %d", script.Name, seed),
+					Lines: []string{serviceHeader, row},
+					Plots: report.Plots(res.Series),
 				}
-				for k, f := range r.Findings {
-					if k < 5 {
-						fmt.Fprintln(out, "  ", f)
-						d.Lines = append(d.Lines, f.String())
+				for j, finding := range res.Findings {
+					if j < 5 {
+						fmt.Fprintln(out, "  ", finding)
+						day.Lines = append(day.Lines, finding.String())
 					}
 				}
-				doc.Days = append(doc.Days, d)
+				page.Days = append(page.Days, day)
 			}
 			if !asJSON {
 				fmt.Fprintf(
 					out,
 					"%d contacts in %s: %.0f a second of real time\n",
-					callers,
-					spent.Round(time.Millisecond),
-					float64(callers)/spent.Seconds(),
+					callCount,
+					elapsed.Round(time.Millisecond),
+					float64(callCount)/elapsed.Seconds(),
 				)
 			}
-			if err := write(page, pictures, doc); err != nil {
+			if err := writeReport(reportFile, pictureDir, page); err != nil {
 				return err
 			}
 			if broken {
@@ -160,39 +167,39 @@
 		},
 	}
 	c.Flags().IntVar(&seeds, "seeds", 1, "so many days, with seeds one after the other")
-	c.Flags().Uint64Var(&first, "seed", 0, "the first seed, in place of the script's")
+	c.Flags().Uint64Var(&firstSeed, "seed", 0, "the first seed, in place of the script's")
 	c.Flags().StringVar(&module, "module", "brain", "what decides: brain, or the baselines lottery and random")
-	c.Flags().StringVar(&page, "report", "", "write an HTML page with plots to this file")
-	c.Flags().StringVar(&pictures, "pictures", "", "write the plots as PNG files into this folder")
+	c.Flags().StringVar(&reportFile, "report", "", "write an HTML page with plots to this file")
+	c.Flags().StringVar(&pictureDir, "pictures", "", "write the plots as PNG files into this folder")
 	c.Flags().StringVar(
-		&calls,
+		&traceFile,
 		"trace",
 		"",
 		"replay the calls of this trace in place of the script's load; nobody dials again",
 	)
 	c.Flags().BoolVar(&asJSON, "json", false, "a line of JSON for each day")
-	c.Flags().StringArrayVar(&set, "set", nil, "change a value of the script, such as pools.count=6")
+	c.Flags().StringArrayVar(&settings, "set", nil, "change a value of the script, such as pools.count=6")
 	return c
 }
 
-func describe(s *scenariofile.Script) string {
+func describeScript(script *scenariofile.Script) string {
 	return fmt.Sprintf(
 		"%d gateways, %d switches, %g contacts a second for %s.",
-		s.Gateways.Count,
-		s.Pools.Count,
-		s.Load.Rate,
-		time.Duration(s.Length*1e6),
+		script.Gateways.Count,
+		script.Pools.Count,
+		script.Load.Rate,
+		time.Duration(script.Length*1e6),
 	)
 }
 
 // write writes a report and its pictures, where they are wanted.
-func write(page, pictures string, doc report.Page) error {
-	if page != "" {
-		f, err := os.Create(page)
+func writeReport(reportFile, pictureDir string, page report.Page) error {
+	if reportFile != "" {
+		f, err := os.Create(reportFile)
 		if err != nil {
 			return fmt.Errorf("report: %w", err)
 		}
-		if err := report.Write(f, doc); err != nil {
+		if err := report.Write(f, page); err != nil {
 			f.Close()
 			return err
 		}
@@ -200,19 +207,19 @@
 			return fmt.Errorf("report: %w", err)
 		}
 	}
-	if pictures == "" {
+	if pictureDir == "" {
 		return nil
 	}
-	if err := os.MkdirAll(pictures, 0o755); err != nil {
+	if err := os.MkdirAll(pictureDir, 0o755); err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
-	for i, d := range doc.Days {
-		for j, p := range d.Plots {
-			f, err := os.Create(filepath.Join(pictures, fmt.Sprintf("day%d-%d.png", i+1, j+1)))
+	for i, day := range page.Days {
+		for j, picture := range day.Plots {
+			f, err := os.Create(filepath.Join(pictureDir, fmt.Sprintf("day%d-%d.png", i+1, j+1)))
 			if err != nil {
 				return fmt.Errorf("report: %w", err)
 			}
-			if err := p.PNG(f); err != nil {
+			if err := picture.PNG(f); err != nil {
 				f.Close()
 				return err
 			}
--- a/internal/cli/labcli/labcmd.go
+++ b/internal/cli/labcli/labcmd.go
@@ -136,7 +136,7 @@
 		Args:    cobra.ExactArgs(1),
 		Example: "  cobalt-lab day trouble --seeds 10\n  cobalt-lab day my.hcl --virtual --module brain,lottery,random",
 		Long: "Puts on a day from a script, prints how callers were served and the verdict on the five rules.\n\n" +
-			"Troubles that a script may name:\n" + kinds(),
+			"Troubles that a script may name:\n" + faultKinds(),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			s, err := scenario.Load(args[0], f.set...)
 			if err != nil {
@@ -149,48 +149,48 @@
 	return c
 }
 
-func kinds() string {
+func faultKinds() string {
 	var b strings.Builder
-	for _, k := range scenariofile.KindNames() {
-		fmt.Fprintf(&b, "  %-13s %s\n", k, scenariofile.Kinds[k])
+	for _, kind := range scenariofile.KindNames() {
+		fmt.Fprintf(&b, "  %-13s %s\n", kind, scenariofile.Kinds[kind])
 	}
 	return b.String()
 }
 
-func (f *dayFlags) run(cmd *cobra.Command, s *scenariofile.Script) error {
+func (f *dayFlags) run(cmd *cobra.Command, script *scenariofile.Script) error {
 	ctx, cancel := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 	defer cancel()
 	out := cmd.OutOrStdout()
 	if f.seed > 0 {
-		s.Seed = f.seed
+		script.Seed = f.seed
 	}
-	if err := replay(s, f.trace); err != nil {
+	if err := replayTrace(script, f.trace); err != nil {
 		return err
 	}
-	first, broken := s.Seed, false
+	firstSeed, broken := script.Seed, false
 	if f.seeds > 1 || strings.Contains(f.module, ",") {
-		fmt.Fprintf(out, "%-8s %5s  %s\n", "module", "seed", serviceHead)
+		fmt.Fprintf(out, "%-8s %5s  %s\n", "module", "seed", serviceHeader)
 	}
 	for i := 0; i < f.seeds; i++ {
 		for _, module := range strings.Split(f.module, ",") {
-			day := *s
-			day.Seed = first + uint64(i)
-			res, err := f.one(ctx, out, &day, module)
+			day := *script
+			day.Seed = firstSeed + uint64(i)
+			res, err := f.runModule(ctx, out, &day, module)
 			if err != nil {
 				return err
 			}
 			if f.seeds > 1 || strings.Contains(f.module, ",") {
-				fmt.Fprintf(out, "%-8s %5d  %s\n", module, day.Seed, line(res))
-				for k, v := range res.Findings {
-					if k < 3 && module == "brain" {
-						fmt.Fprintln(out, "  ", v)
+				fmt.Fprintf(out, "%-8s %5d  %s\n", module, day.Seed, serviceRow(res))
+				for j, finding := range res.Findings {
+					if j < 3 && module == "brain" {
+						fmt.Fprintln(out, "  ", finding)
 					}
 				}
-				for _, e := range res.Exits {
-					fmt.Fprintln(out, "  gateway ended badly:", e)
+				for _, failure := range res.Exits {
+					fmt.Fprintln(out, "  gateway ended badly:", failure)
 				}
 			} else {
-				tell(out, res)
+				printDay(out, res)
 			}
 			broken = broken || module == "brain" && res.Broken()
 		}
@@ -201,83 +201,87 @@
 	return nil
 }
 
-func (f *dayFlags) one(
+func (f *dayFlags) runModule(
 	ctx context.Context,
 	out io.Writer,
-	s *scenariofile.Script,
+	script *scenariofile.Script,
 	module string,
 ) (*processrun.Result, error) {
-	mk := virtualrun.Module(module)
-	if mk == nil {
+	newPolicy := virtualrun.Module(module)
+	if newPolicy == nil {
 		return nil, fmt.Errorf("module %q: want brain, lottery or random", module)
 	}
 	if f.virtual {
-		return Virtual(s, mk, f.capture)
+		return RunVirtual(script, newPolicy, f.capture)
 	}
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return nil, fmt.Errorf("own program: %w", err)
 	}
-	o := processrun.Options{
-		Port:    f.port,
-		Capture: f.capture,
-		Dir:     f.dir,
-		Edge:    []string{self, "edge", "run"},
-		Module:  module,
-		Level:   f.level,
+	options := processrun.Options{
+		Port:           f.port,
+		Capture:        f.capture,
+		Dir:            f.dir,
+		GatewayCommand: []string{executable, "edge", "run"},
+		Module:         module,
+		Level:          f.level,
 	}
 	if f.seeds == 1 {
-		o.Say = func(s string) { fmt.Fprintln(out, s) }
+		options.Progress = func(text string) { fmt.Fprintln(out, text) }
 		fmt.Fprintf(
 			out,
 			"day %q, seed %d: %d gateways, %d switches, %g contacts a second for %s\n",
-			s.Name,
-			s.Seed,
-			s.Gateways.Count,
-			s.Pools.Count,
-			s.Load.Rate,
-			time.Duration(s.Length*1e6),
+			script.Name,
+			script.Seed,
+			script.Gateways.Count,
+			script.Pools.Count,
+			script.Load.Rate,
+			time.Duration(script.Length*1e6),
 		)
 	}
-	return processrun.Run(ctx, s, o)
+	return processrun.Run(ctx, script, options)
 }
 
 // Virtual puts a day on in virtual time.
-func Virtual(s *scenariofile.Script, mk routing.PolicyFactory, file string) (*processrun.Result, error) {
-	o := virtualrun.Options{}
-	var keep *capture.Writer
-	if file != "" {
-		f, err := os.Create(file)
+func RunVirtual(
+	script *scenariofile.Script,
+	newPolicy routing.PolicyFactory,
+	captureFile string,
+) (*processrun.Result, error) {
+	options := virtualrun.Options{}
+	var writer *capture.Writer
+	if captureFile != "" {
+		f, err := os.Create(captureFile)
 		if err != nil {
 			return nil, fmt.Errorf("capture: %w", err)
 		}
 		defer f.Close()
-		keep = capture.NewWriter(f)
-		o.Record = keep.Add
+		writer = capture.NewWriter(f)
+		options.Record = writer.Add
 	}
-	r := virtualrun.Play(s, mk, o)
-	if keep != nil {
-		if err := keep.Flush(); err != nil {
+	res := virtualrun.Play(script, newPolicy, options)
+	if writer != nil {
+		if err := writer.Flush(); err != nil {
 			return nil, err
 		}
 	}
 	return &processrun.Result{
-		Service:  r.Service,
-		Findings: r.Findings,
-		Totals:   r.Totals,
-		Tables:   r.Tables,
-		Kiosks:   r.Kiosks,
+		Service:  res.Service,
+		Findings: res.Findings,
+		Totals:   res.Totals,
+		Tables:   res.Tables,
+		Kiosks:   res.Kiosks,
 	}, nil
 }
 
-const serviceHead = "whole  worst10s  worst skill            worst customer         offered   late    cut  " +
+const serviceHeader = "whole  worst10s  worst skill            worst customer         offered   late    cut  " +
 	"unserved  p50 ms  p99 ms  cold  behind  rules"
 
-func line(r *processrun.Result) string {
-	s := r.Service
+func serviceRow(res *processrun.Result) string {
+	s := res.Service
 	rules := "kept"
-	if r.Broken() {
-		rules = verdicts(r)
+	if res.Broken() {
+		rules = violationSummary(res)
 	}
 	return fmt.Sprintf(
 		"%.3f     %.3f  %-15s %.3f  %-15.15s %.3f  %7d %6d %6d  %8d  %6.0f  %6.0f  %3.0f%%  %4.0fms  %s",
@@ -291,37 +295,37 @@
 		s.Late,
 		s.Dropped,
 		s.Unserved,
-		at(s.Waits, 0.5),
-		at(s.Waits, 0.99),
-		100*r.Totals.SlowStartUse,
-		r.Late,
+		quantile(s.Waits, 0.5),
+		quantile(s.Waits, 0.99),
+		100*res.Totals.SlowStartUse,
+		res.Late,
 		rules,
 	)
 }
 
-func at(sorted []float64, q float64) float64 {
+func quantile(sorted []float64, q float64) float64 {
 	if len(sorted) == 0 {
 		return 0
 	}
 	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
 }
 
-func verdicts(r *processrun.Result) string {
-	var n [6]int
-	for _, f := range r.Findings {
-		n[f.Rule]++
+func violationSummary(res *processrun.Result) string {
+	var byRule [6]int
+	for _, f := range res.Findings {
+		byRule[f.Rule]++
 	}
 	var parts []string
 	for i := 1; i <= 5; i++ {
-		if n[i] > 0 {
-			parts = append(parts, fmt.Sprintf("rule %d broken %d times", i, n[i]))
+		if byRule[i] > 0 {
+			parts = append(parts, fmt.Sprintf("rule %d broken %d times", i, byRule[i]))
 		}
 	}
-	if r.Tables != nil && len(r.Tables.Findings) > 0 {
-		parts = append(parts, fmt.Sprintf("%d contacts by the wrong table", len(r.Tables.Findings)))
+	if res.Tables != nil && len(res.Tables.Findings) > 0 {
+		parts = append(parts, fmt.Sprintf("%d contacts by the wrong table", len(res.Tables.Findings)))
 	}
-	if len(r.Exits) > 0 {
-		parts = append(parts, fmt.Sprintf("%d gateways ended badly", len(r.Exits)))
+	if len(res.Exits) > 0 {
+		parts = append(parts, fmt.Sprintf("%d gateways ended badly", len(res.Exits)))
 	}
 	return strings.Join(parts, ", ")
 }
@@ -369,25 +373,25 @@
 				return fmt.Errorf("judge: %w", err)
 			}
 			defer f.Close()
-			k := conformance.New()
+			checker := conformance.New()
 			if err := capture.Read(f, func(r *api.Record) error {
-				k.Add(r)
+				checker.Add(r)
 				return nil
 			}); err != nil {
 				return err
 			}
-			k.Finish()
-			for _, v := range k.Findings {
-				fmt.Fprintln(cmd.OutOrStdout(), v)
+			checker.Finish()
+			for _, finding := range checker.Findings {
+				fmt.Fprintln(cmd.OutOrStdout(), finding)
 			}
 			fmt.Fprintf(
 				cmd.OutOrStdout(),
 				"%d contacts, %d rings, %d findings\n",
-				k.Totals.Calls,
-				k.Totals.Attempts,
-				len(k.Findings),
+				checker.Totals.Calls,
+				checker.Totals.Attempts,
+				len(checker.Findings),
 			)
-			if len(k.Findings) > 0 {
+			if len(checker.Findings) > 0 {
 				return processrun.ErrBroken
 			}
 			return nil
--- a/internal/cli/labcli/load.go
+++ b/internal/cli/labcli/load.go
@@ -24,18 +24,18 @@
 )
 
 type loadFlags struct {
-	planFile, traceFile, out string
-	targets                  []string
-	self, context            string
-	processes, shard         int
-	speed                    float64
-	all                      bool
-	late                     time.Duration
-	start                    int64
-	check                    bool
-	rate                     float64
-	span                     time.Duration
-	raw                      bool
+	planFile, traceFile, record string
+	targets                     []string
+	source, context             string
+	processes, shard            int
+	speed                       float64
+	speedAll                    bool
+	maxLateness                 time.Duration
+	start                       int64
+	check                       bool
+	rate                        float64
+	length                      time.Duration
+	raw                         bool
 }
 
 func loadCmd() *cobra.Command {
@@ -56,67 +56,67 @@
 			"monday.trc --speed 2 --to 127.0.0.1:5060\n" +
 			"  cobalt-lab load --check --rate 1000 --for 30s",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			ctx, cancel := interrupted(cmd)
+			ctx, cancel := interruptContext(cmd)
 			defer cancel()
 			return f.run(ctx, cmd.OutOrStdout())
 		},
 	}
-	fl := c.Flags()
-	fl.StringVar(&f.planFile, "plan", "", "HCL file that says what comes; without it and --trace, --rate for --for")
-	fl.StringVar(&f.traceFile, "trace", "", "a recorded trace in place of a plan")
-	fl.Float64Var(&f.speed, "speed", 1, "times of coming go so many times faster; holds and patience stay")
-	fl.BoolVar(&f.all, "speed-all", false, "holds and patience go faster too")
-	fl.StringSliceVar(&f.targets, "to", nil, "SIP addresses of the gateways, by number")
-	fl.StringVar(&f.self, "from", "127.61.0.1:5060", "address that calls come from; each process takes the next one")
-	fl.StringVar(&f.context, "context", "laurentide.example", "trunk-context of the calls")
-	fl.IntVar(&f.processes, "processes", 1, "so many load processes; their histograms are merged")
-	fl.IntVar(&f.shard, "shard", -1, "this process's part; set by the parent")
-	fl.Int64Var(&f.start, "start", 0, "when the plan begins, ns since 1970; set by the parent")
-	fl.BoolVar(&f.raw, "raw", false, "print the result for a parent to merge")
-	fl.DurationVar(&f.late, "late", 5*time.Millisecond, "lateness of the slowest thousandth that is allowed")
-	fl.BoolVar(&f.check, "check", false, "against a stand-in that pauses on purpose")
-	fl.Float64Var(&f.rate, "rate", 1000, "contacts a second without a plan")
-	fl.DurationVar(&f.span, "for", 30*time.Second, "length without a plan")
-	fl.StringVar(&f.out, "record", "", "write the planned calls to this trace and send nothing")
-	for _, n := range []string{"shard", "start", "raw"} {
-		_ = fl.MarkHidden(n)
+	flags := c.Flags()
+	flags.StringVar(&f.planFile, "plan", "", "HCL file that says what comes; without it and --trace, --rate for --for")
+	flags.StringVar(&f.traceFile, "trace", "", "a recorded trace in place of a plan")
+	flags.Float64Var(&f.speed, "speed", 1, "times of coming go so many times faster; holds and patience stay")
+	flags.BoolVar(&f.speedAll, "speed-all", false, "holds and patience go faster too")
+	flags.StringSliceVar(&f.targets, "to", nil, "SIP addresses of the gateways, by number")
+	flags.StringVar(&f.source, "from", "127.61.0.1:5060", "address that calls come from; each process takes the next one")
+	flags.StringVar(&f.context, "context", "laurentide.example", "trunk-context of the calls")
+	flags.IntVar(&f.processes, "processes", 1, "so many load processes; their histograms are merged")
+	flags.IntVar(&f.shard, "shard", -1, "this process's part; set by the parent")
+	flags.Int64Var(&f.start, "start", 0, "when the plan begins, ns since 1970; set by the parent")
+	flags.BoolVar(&f.raw, "raw", false, "print the result for a parent to merge")
+	flags.DurationVar(&f.maxLateness, "late", 5*time.Millisecond, "lateness of the slowest thousandth that is allowed")
+	flags.BoolVar(&f.check, "check", false, "against a stand-in that pauses on purpose")
+	flags.Float64Var(&f.rate, "rate", 1000, "contacts a second without a plan")
+	flags.DurationVar(&f.length, "for", 30*time.Second, "length without a plan")
+	flags.StringVar(&f.record, "record", "", "write the planned calls to this trace and send nothing")
+	for _, name := range []string{"shard", "start", "raw"} {
+		_ = flags.MarkHidden(name)
 	}
 	return c
 }
 
 // calls are what is to be sent.
 func (f *loadFlags) calls() ([]*api.Call, error) {
-	var of []*api.Call
+	var calls []*api.Call
 	switch {
 	case f.traceFile != "":
-		in, err := os.Open(f.traceFile)
+		file, err := os.Open(f.traceFile)
 		if err != nil {
 			return nil, fmt.Errorf("load: %w", err)
 		}
-		defer in.Close()
-		if of, err = calltrace.All(in); err != nil {
-			return nil, fmt.Errorf("%w; %d calls before that can be had with cobalt-lab trace", err, len(of))
+		defer file.Close()
+		if calls, err = calltrace.All(file); err != nil {
+			return nil, fmt.Errorf("%w; %d calls before that can be had with cobalt-lab trace", err, len(calls))
 		}
-		for _, c := range of {
+		for _, c := range calls {
 			if c.PatienceMs == 0 {
 				c.PatienceMs = 9000
 			}
 		}
 	case f.planFile != "":
-		b, err := hclfile.Load(f.planFile)
+		block, err := hclfile.Load(f.planFile)
 		if err != nil {
 			return nil, err
 		}
-		p, err := workload.Read(b)
+		plan, err := workload.Read(block)
 		if err != nil {
 			return nil, err
 		}
-		of = p.Calls()
+		calls = plan.Calls()
 	default:
-		p := &workload.Plan{
+		plan := &workload.Plan{
 			Seed:      1,
 			Rate:      f.rate,
-			Length:    float64(f.span) / 1e6,
+			Length:    float64(f.length) / 1e6,
 			Shape:     "steady",
 			Gateways:  max(1, len(f.targets)),
 			Drift:     15000,
@@ -125,15 +125,15 @@
 			Skills:    []workload.Skill{{Name: "shift-lookup", Share: 1, Hold: 500, Patience: 9000}},
 			Customers: []workload.Share{{Name: "load.example", Share: 1}},
 		}
-		of = p.Calls()
+		calls = plan.Calls()
 	}
 	if f.speed <= 0 {
 		return nil, fmt.Errorf("load: speed: want more than 0, got %v", f.speed)
 	}
-	if f.speed != 1 || f.all {
-		of = calltrace.Speed(of, f.speed, f.all)
+	if f.speed != 1 || f.speedAll {
+		calls = calltrace.Speed(calls, f.speed, f.speedAll)
 	}
-	return of, nil
+	return calls, nil
 }
 
 func (f *loadFlags) run(ctx context.Context, out io.Writer) error {
@@ -141,20 +141,20 @@
 	if err != nil {
 		return err
 	}
-	if f.out != "" {
-		return saveTrace(f.out, calls)
+	if f.record != "" {
+		return writeTrace(f.record, calls)
 	}
-	self, err := netip.ParseAddrPort(f.self)
+	source, err := netip.ParseAddrPort(f.source)
 	if err != nil {
 		return fmt.Errorf("load: --from: %w", err)
 	}
 	var targets []netip.AddrPort
 	for _, t := range f.targets {
-		a, err := netip.ParseAddrPort(t)
+		addr, err := netip.ParseAddrPort(t)
 		if err != nil {
 			return fmt.Errorf("load: --to: %w", err)
 		}
-		targets = append(targets, a)
+		targets = append(targets, addr)
 	}
 	start := time.Now().Add(200 * time.Millisecond)
 	if f.processes > 1 && f.shard < 0 {
@@ -163,18 +163,18 @@
 	if f.start != 0 {
 		start = time.Now().Add(time.Until(time.Unix(0, f.start)))
 	}
-	var still *loadgen.Still
+	var standIn *loadgen.Still
 	if f.check && f.shard < 0 {
-		still = &loadgen.Still{
+		standIn = &loadgen.Still{
 			Delay:  40 * time.Millisecond,
-			Pauses: []loadgen.Pause{{From: f.span / 4, For: f.span / 20}, {From: f.span * 2 / 3, For: f.span / 60}},
+			Pauses: []loadgen.Pause{{From: f.length / 4, For: f.length / 20}, {From: f.length * 2 / 3, For: f.length / 60}},
 		}
-		at := netip.MustParseAddrPort("127.61.1.1:5060")
-		if err := still.Serve(at, start); err != nil {
+		standInAddr := netip.MustParseAddrPort("127.61.1.1:5060")
+		if err := standIn.Serve(standInAddr, start); err != nil {
 			return err
 		}
-		defer still.Close()
-		targets, f.targets = []netip.AddrPort{at}, []string{at.String()}
+		defer standIn.Close()
+		targets, f.targets = []netip.AddrPort{standInAddr}, []string{standInAddr.String()}
 	}
 	if len(targets) == 0 {
 		return fmt.Errorf("load: want --to with the gateways' addresses")
@@ -187,33 +187,33 @@
 				"speed %g: times of coming divided by %g; holds and patience %s; targets stay what they are\n",
 				f.speed,
 				f.speed,
-				map[bool]string{true: "divided too", false: "as recorded"}[f.all],
+				map[bool]string{true: "divided too", false: "as recorded"}[f.speedAll],
 			)
 		}
 	}
 	var res *loadgen.Result
 	if f.processes > 1 && f.shard < 0 {
-		res, err = f.spread(ctx, start)
+		res, err = f.runShards(ctx, start)
 	} else {
 		if f.shard >= 0 {
-			var mine []*api.Call
+			var shardCalls []*api.Call
 			for i, c := range calls {
 				if i%f.processes == f.shard {
-					mine = append(mine, c)
+					shardCalls = append(shardCalls, c)
 				}
 			}
-			calls = mine
-			a := self.Addr().As4()
-			a[3] += byte(f.shard)
-			self = netip.AddrPortFrom(netip.AddrFrom4(a), self.Port())
+			calls = shardCalls
+			octets := source.Addr().As4()
+			octets[3] += byte(f.shard)
+			source = netip.AddrPortFrom(netip.AddrFrom4(octets), source.Port())
 		}
-		res, err = loadgen.Run(ctx, calls, loadgen.Options{Self: self, Targets: targets, Context: f.context, Start: start})
+		res, err = loadgen.Run(ctx, calls, loadgen.Options{Self: source, Targets: targets, Context: f.context, Start: start})
 	}
 	if err != nil {
 		return err
 	}
 	if f.raw {
-		return writeRaw(out, res)
+		return writeShardResult(out, res)
 	}
 	fmt.Fprintf(
 		out,
@@ -238,99 +238,99 @@
 	row("wait, from the intended time", res.Intended)
 	row("wait, from the time of sending", res.Sent)
 	row("the generator's own lateness", res.Late)
-	if still != nil {
-		if err := f.compare(out, still, calls, res); err != nil {
+	if standIn != nil {
+		if err := f.compareWaits(out, standIn, calls, res); err != nil {
 			return err
 		}
 	}
-	return res.Judge(f.late)
+	return res.Judge(f.maxLateness)
 }
 
 // compare sets what was reported beside the true waits of the stand-in's schedule.
-func (f *loadFlags) compare(out io.Writer, s *loadgen.Still, calls []*api.Call, res *loadgen.Result) error {
-	var true_ []float64
+func (f *loadFlags) compareWaits(out io.Writer, standIn *loadgen.Still, calls []*api.Call, res *loadgen.Result) error {
+	var trueWaits []float64
 	for _, c := range calls {
-		true_ = append(true_, float64(s.True(time.Duration(c.AtMs*1e6)))/1e6)
+		trueWaits = append(trueWaits, float64(standIn.True(time.Duration(c.AtMs*1e6)))/1e6)
 	}
-	slices.Sort(true_)
-	worst := 0.0
+	slices.Sort(trueWaits)
+	largest := 0.0
 	fmt.Fprintf(out, "%-36s", "true, by the stand-in's schedule")
-	for _, q := range []float64{50, 90, 99, 99.9, 99.99, 100} {
-		v := true_[min(len(true_)-1, int(q/100*float64(len(true_))))]
-		fmt.Fprintf(out, " %9.2f", v)
-		if q != 90 && q != 99.99 {
-			got := float64(res.Intended.ValueAtQuantile(q)) / 1000
-			worst = max(worst, max(got-v, v-got)/v)
+	for _, percentile := range []float64{50, 90, 99, 99.9, 99.99, 100} {
+		trueWait := trueWaits[min(len(trueWaits)-1, int(percentile/100*float64(len(trueWaits))))]
+		fmt.Fprintf(out, " %9.2f", trueWait)
+		if percentile != 90 && percentile != 99.99 {
+			reported := float64(res.Intended.ValueAtQuantile(percentile)) / 1000
+			largest = max(largest, max(reported-trueWait, trueWait-reported)/trueWait)
 		}
 	}
-	fmt.Fprintf(out, "\nlargest difference at p50, p99, p99.9 and maximum: %.2f %% (aim 1)\n", 100*worst)
+	fmt.Fprintf(out, "\nlargest difference at p50, p99, p99.9 and maximum: %.2f %% (aim 1)\n", 100*largest)
 	return nil
 }
 
 // raw is a result on its way to the process that merges.
-type raw struct {
+type shardResult struct {
 	Intended, Sent, Late                               []byte
 	Planned, Stood, Refused, Unanswered, Repeats, Past int64
 }
 
-func writeRaw(out io.Writer, r *loadgen.Result) error {
-	x := raw{
-		Planned:    r.Planned,
-		Stood:      r.Answered,
-		Refused:    r.Refused,
-		Unanswered: r.Unanswered,
-		Repeats:    r.Repeats,
-		Past:       r.Past,
-	}
-	for _, h := range []struct {
+func writeShardResult(out io.Writer, res *loadgen.Result) error {
+	encoded := shardResult{
+		Planned:    res.Planned,
+		Stood:      res.Answered,
+		Refused:    res.Refused,
+		Unanswered: res.Unanswered,
+		Repeats:    res.Repeats,
+		Past:       res.Past,
+	}
+	for _, histogram := range []struct {
 		from *hdrhistogram.Histogram
 		to   *[]byte
-	}{{r.Intended, &x.Intended}, {r.Sent, &x.Sent}, {r.Late, &x.Late}} {
-		b, err := h.from.EncodeV2()
+	}{{res.Intended, &encoded.Intended}, {res.Sent, &encoded.Sent}, {res.Late, &encoded.Late}} {
+		data, err := histogram.from.EncodeV2()
 		if err != nil {
 			return fmt.Errorf("load: %w", err)
 		}
-		*h.to = b
+		*histogram.to = data
 	}
-	return json.NewEncoder(out).Encode(x)
+	return json.NewEncoder(out).Encode(encoded)
 }
 
-func readRaw(text []byte) (*loadgen.Result, error) {
-	var x raw
-	if err := json.Unmarshal(text, &x); err != nil {
+func readShardResult(text []byte) (*loadgen.Result, error) {
+	var encoded shardResult
+	if err := json.Unmarshal(text, &encoded); err != nil {
 		return nil, fmt.Errorf("load: a part's result: %w", err)
 	}
-	r := loadgen.NewResult()
-	r.Planned, r.Answered, r.Refused, r.Unanswered, r.Repeats, r.Past = x.Planned, x.Stood, x.Refused, x.Unanswered,
-		x.Repeats, x.Past
-	for _, h := range []struct {
+	res := loadgen.NewResult()
+	res.Planned, res.Answered, res.Refused, res.Unanswered, res.Repeats, res.Past = encoded.Planned, encoded.Stood,
+		encoded.Refused, encoded.Unanswered, encoded.Repeats, encoded.Past
+	for _, histogram := range []struct {
 		from []byte
 		to   *hdrhistogram.Histogram
-	}{{x.Intended, r.Intended}, {x.Sent, r.Sent}, {x.Late, r.Late}} {
-		d, err := hdrhistogram.Decode(h.from)
+	}{{encoded.Intended, res.Intended}, {encoded.Sent, res.Sent}, {encoded.Late, res.Late}} {
+		decoded, err := hdrhistogram.Decode(histogram.from)
 		if err != nil {
 			return nil, fmt.Errorf("load: a part's histogram: %w", err)
 		}
-		if dropped := h.to.Merge(d); dropped > 0 {
+		if dropped := histogram.to.Merge(decoded); dropped > 0 {
 			return nil, fmt.Errorf("load: %d waits of a part do not fit", dropped)
 		}
 	}
-	return r, nil
+	return res, nil
 }
 
 // spread runs the load in several processes and merges what they measured.
-func (f *loadFlags) spread(ctx context.Context, start time.Time) (*loadgen.Result, error) {
-	self, err := os.Executable()
+func (f *loadFlags) runShards(ctx context.Context, start time.Time) (*loadgen.Result, error) {
+	executable, err := os.Executable()
 	if err != nil {
 		return nil, fmt.Errorf("own program: %w", err)
 	}
-	base := []string{
+	commonArgs := []string{
 		"load",
 		"--raw",
 		"--processes",
 		fmt.Sprint(f.processes),
 		"--from",
-		f.self,
+		f.source,
 		"--context",
 		f.context,
 		"--start",
@@ -340,52 +340,52 @@
 		"--rate",
 		fmt.Sprint(f.rate),
 		"--for",
-		f.span.String(),
+		f.length.String(),
 		"--to",
 		strings.Join(f.targets, ","),
 	}
-	for _, x := range [][2]string{{"--plan", f.planFile}, {"--trace", f.traceFile}} {
-		if x[1] != "" {
-			base = append(base, x[0], x[1])
+	for _, option := range [][2]string{{"--plan", f.planFile}, {"--trace", f.traceFile}} {
+		if option[1] != "" {
+			commonArgs = append(commonArgs, option[0], option[1])
 		}
 	}
-	if f.all {
-		base = append(base, "--speed-all")
+	if f.speedAll {
+		commonArgs = append(commonArgs, "--speed-all")
 	}
-	outs, errs := make([]bytes.Buffer, f.processes), make([]bytes.Buffer, f.processes)
+	stdouts, stderrs := make([]bytes.Buffer, f.processes), make([]bytes.Buffer, f.processes)
 	cmds := make([]*exec.Cmd, f.processes)
 	for i := range cmds {
-		cmds[i] = exec.CommandContext(ctx, self, append(slices.Clone(base), "--shard", fmt.Sprint(i))...)
-		cmds[i].Stdout, cmds[i].Stderr = &outs[i], &errs[i]
+		cmds[i] = exec.CommandContext(ctx, executable, append(slices.Clone(commonArgs), "--shard", fmt.Sprint(i))...)
+		cmds[i].Stdout, cmds[i].Stderr = &stdouts[i], &stderrs[i]
 		if err := cmds[i].Start(); err != nil {
 			return nil, fmt.Errorf("load: process %d: %w", i, err)
 		}
 	}
 	res := loadgen.NewResult()
-	var fault error
-	for i, c := range cmds {
-		if err := c.Wait(); err != nil {
-			fault = fmt.Errorf("load: process %d: %w: %s", i, err, strings.TrimSpace(errs[i].String()))
+	var lastErr error
+	for i, cmd := range cmds {
+		if err := cmd.Wait(); err != nil {
+			lastErr = fmt.Errorf("load: process %d: %w: %s", i, err, strings.TrimSpace(stderrs[i].String()))
 			continue
 		}
-		part, err := readRaw(outs[i].Bytes())
+		shard, err := readShardResult(stdouts[i].Bytes())
 		if err != nil {
-			fault = err
+			lastErr = err
 			continue
 		}
-		res.Merge(part)
+		res.Merge(shard)
 	}
-	return res, fault
+	return res, lastErr
 }
 
-func saveTrace(file string, calls []*api.Call) error {
+func writeTrace(file string, calls []*api.Call) error {
 	f, err := os.Create(file)
 	if err != nil {
 		return fmt.Errorf("trace: %w", err)
 	}
 	w := calltrace.NewWriter(f)
-	for _, c := range calls {
-		if err := w.Add(c); err != nil {
+	for _, call := range calls {
+		if err := w.Add(call); err != nil {
 			f.Close()
 			return err
 		}
--- a/internal/cli/labcli/lookups.go
+++ b/internal/cli/labcli/lookups.go
@@ -18,7 +18,7 @@
 // lookups measures what trouble of DNS servers costs callers.
 func lookups() *cobra.Command {
 	var seeds int
-	var set []string
+	var settings []string
 	c := &cobra.Command{
 		Use:   "lookups",
 		Short: "What trouble of the DNS servers costs in service, with and without cache, stale answers and shared look-ups",
@@ -31,17 +31,17 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, cancel := signal.NotifyContext(cmd.Context(), syscall.SIGINT, syscall.SIGTERM)
 			defer cancel()
-			return lookupTable(ctx, cmd, seeds, set)
+			return lookupTable(ctx, cmd, seeds, settings)
 		},
 	}
 	c.Flags().IntVar(&seeds, "seeds", 5, "days of each kind")
-	c.Flags().StringArrayVar(&set, "set", nil, "change a value of the day, such as load.rate=300")
+	c.Flags().StringArrayVar(&settings, "set", nil, "change a value of the day, such as load.rate=300")
 	return c
 }
 
-func lookupTable(ctx context.Context, cmd *cobra.Command, seeds int, set []string) error {
+func lookupTable(ctx context.Context, cmd *cobra.Command, seeds int, settings []string) error {
 	out := cmd.OutOrStdout()
-	troubles := []scenariofile.Trouble{
+	faults := []scenariofile.Trouble{
 		{},
 		{Kind: "names_silent", Part: 0.5},
 		{Kind: "names_silent", Part: 1},
@@ -67,24 +67,24 @@
 		change func(*scenariofile.Numbers)
 	}{
 		{"as it is", func(*scenariofile.Numbers) {}},
-		{"no cache", func(n *scenariofile.Numbers) { n.Cache = false }},
+		{"no cache", func(numbers *scenariofile.Numbers) { numbers.Cache = false }},
 		{
 			"no stale",
-			func(n *scenariofile.Numbers) { n.Stale = 0 },
+			func(numbers *scenariofile.Numbers) { numbers.Stale = 0 },
 		},
-		{"not shared", func(n *scenariofile.Numbers) { n.Alone = true }},
+		{"not shared", func(numbers *scenariofile.Numbers) { numbers.Alone = true }},
 	}
-	type figures struct {
+	type cellResults struct {
 		service, lost, sent, p99 []float64
 	}
-	cells := make([]figures, len(troubles)*len(modes))
+	cells := make([]cellResults, len(faults)*len(modes))
 	for i := range cells {
-		c := &cells[i]
-		c.service, c.lost, c.sent, c.p99 = make([]float64, seeds), make([]float64, seeds), make([]float64, seeds),
-			make([]float64, seeds)
+		cell := &cells[i]
+		cell.service, cell.lost, cell.sent, cell.p99 = make([]float64, seeds), make([]float64, seeds),
+			make([]float64, seeds), make([]float64, seeds)
 	}
-	broken := make([]int, len(cells)*seeds)
-	base := append(
+	violationCounts := make([]int, len(cells)*seeds)
+	commonSettings := append(
 		[]string{
 			`length="24s"`,
 			"gateways.count=4",
@@ -94,32 +94,32 @@
 			`numbers.silent="refuse"`,
 			`numbers.ttl="3s"`,
 		},
-		set...)
-	if _, err := scenario.Day("numbers", base...); err != nil {
+		settings...)
+	if _, err := scenario.Day("numbers", commonSettings...); err != nil {
 		return err
 	}
-	mk := virtualrun.Module("brain")
-	all := virtualrun.Each(ctx, len(broken), func(i int) {
-		cell, seed := i/seeds, i%seeds
-		s, err := scenario.Day("numbers", base...)
+	newPolicy := virtualrun.Module("brain")
+	complete := virtualrun.Each(ctx, len(violationCounts), func(i int) {
+		cellIndex, seed := i/seeds, i%seeds
+		script, err := scenario.Day("numbers", commonSettings...)
 		if err != nil {
 			return // looked at before
 		}
-		s.Seed = uint64(seed + 1)
-		if t := troubles[cell/len(modes)]; t.Kind != "" {
-			t.At, t.For = 6000, 12000
-			s.Troubles = []scenariofile.Trouble{t}
+		script.Seed = uint64(seed + 1)
+		if fault := faults[cellIndex/len(modes)]; fault.Kind != "" {
+			fault.At, fault.For = 6000, 12000
+			script.Troubles = []scenariofile.Trouble{fault}
 		}
-		modes[cell%len(modes)].change(&s.Numbers)
-		r := virtualrun.Play(s, mk, virtualrun.Options{})
-		l := r.NumberLookups
-		c := &cells[cell]
-		c.service[seed], c.p99[seed] = r.Service.Total, at(r.Service.Waits, 0.99)
-		c.lost[seed], c.sent[seed] = float64(l.Failed)/float64(max(1, l.Lookups)), float64(l.Sent+l.Streams)/float64(max(1,
-			l.Lookups))
-		broken[i] = len(r.Findings) + len(r.Tables.Findings)
+		modes[cellIndex%len(modes)].change(&script.Numbers)
+		res := virtualrun.Play(script, newPolicy, virtualrun.Options{})
+		lookupTotals := res.NumberLookups
+		cell := &cells[cellIndex]
+		cell.service[seed], cell.p99[seed] = res.Service.Total, quantile(res.Service.Waits, 0.99)
+		cell.lost[seed], cell.sent[seed] = float64(lookupTotals.Failed)/float64(max(1, lookupTotals.Lookups)),
+			float64(lookupTotals.Sent+lookupTotals.Streams)/float64(max(1, lookupTotals.Lookups))
+		violationCounts[i] = len(res.Findings) + len(res.Tables.Findings)
 	})
-	if !all {
+	if !complete {
 		return ctx.Err()
 	}
 	fmt.Fprintf(
@@ -133,44 +133,44 @@
 		"p99 ms",
 		"service beside \"as it is\", 95 % interval",
 	)
-	wrong := 0
+	violations := 0
 	for i := range cells {
-		c, t := &cells[i], troubles[i/len(modes)]
+		cell, fault := &cells[i], faults[i/len(modes)]
 		name := "none"
-		if t.Kind != "" {
-			name = fmt.Sprintf("%s %g", t.Kind, t.Part)
+		if fault.Kind != "" {
+			name = fmt.Sprintf("%s %g", fault.Kind, fault.Part)
 		}
-		beside := ""
+		difference := ""
 		if i%len(modes) > 0 {
-			p := stats.Compare(cells[i-i%len(modes)].service, c.service, 0.95)
-			beside = fmt.Sprintf("%+.4f [%+.4f, %+.4f] %s", p.Mean, p.Low, p.High, p.Verdict())
+			paired := stats.Compare(cells[i-i%len(modes)].service, cell.service, 0.95)
+			difference = fmt.Sprintf("%+.4f [%+.4f, %+.4f] %s", paired.Mean, paired.Low, paired.High, paired.Verdict())
 		}
-		for _, n := range broken[i*seeds : (i+1)*seeds] {
-			wrong += n
+		for _, count := range violationCounts[i*seeds : (i+1)*seeds] {
+			violations += count
 		}
 		fmt.Fprintf(
 			out,
 			"%-20s %-11s %8.4f %6.2f%% %7.3f %8.0f  %s\n",
 			name,
 			modes[i%len(modes)].name,
-			mean(c.service),
-			100*mean(c.lost),
-			mean(c.sent),
-			mean(c.p99),
-			beside,
+			mean(cell.service),
+			100*mean(cell.lost),
+			mean(cell.sent),
+			mean(cell.p99),
+			difference,
 		)
 	}
-	fmt.Fprintf(out, "broken rules and contacts by a wrong table: %d in %d days\n", wrong, len(broken))
-	if wrong > 0 {
+	fmt.Fprintf(out, "broken rules and contacts by a wrong table: %d in %d days\n", violations, len(violationCounts))
+	if violations > 0 {
 		return processrun.ErrBroken
 	}
 	return nil
 }
 
-func mean(of []float64) float64 {
+func mean(values []float64) float64 {
 	sum := 0.0
-	for _, v := range of {
-		sum += v
+	for _, value := range values {
+		sum += value
 	}
-	return sum / float64(max(1, len(of)))
+	return sum / float64(max(1, len(values)))
 }
--- a/internal/cli/labcli/record.go
+++ b/internal/cli/labcli/record.go
@@ -19,87 +19,88 @@
 
 // recorder makes a trace of what callers sent and got in a capture.
 type recorder struct {
-	nodes map[string]*api.Node
-	gates map[string]uint32
-	calls map[string]*api.Call // by gateway's address and branch
-	stood map[string]float64   // by Call-ID: when it stood
-	byID  map[string]*api.Call
-	of    []*api.Call
+	nodes          map[string]*api.Node
+	gatewayNumbers map[string]uint32
+	calls          map[string]*api.Call // by gateway's address and branch
+	answeredAt     map[string]float64   // by Call-ID: when it stood
+	callsByID      map[string]*api.Call
+	recorded       []*api.Call
 }
 
-func (r *recorder) add(rec *api.Record) error {
-	switch v := rec.What.(type) {
+func (r *recorder) add(record *api.Record) error {
+	switch entry := record.What.(type) {
 	case *api.Record_Node:
-		r.nodes[v.Node.Addr] = v.Node
-		if v.Node.Role == "edge" {
-			r.gates[v.Node.Addr] = uint32(len(r.gates))
+		r.nodes[entry.Node.Addr] = entry.Node
+		if entry.Node.Role == "edge" {
+			r.gatewayNumbers[entry.Node.Addr] = uint32(len(r.gatewayNumbers))
 		}
 	case *api.Record_Datagram:
-		from, to := r.nodes[v.Datagram.From], r.nodes[v.Datagram.To]
+		from, to := r.nodes[entry.Datagram.From], r.nodes[entry.Datagram.To]
 		if from == nil || to == nil || from.Role != "caller" && to.Role != "caller" {
 			return nil
 		}
-		m, err := siptransaction.Parse(v.Datagram.Data)
+		message, err := siptransaction.Parse(entry.Datagram.Data)
 		if err != nil {
 			return nil
 		}
-		r.message(rec.At, v.Datagram, m)
+		r.message(record.At, entry.Datagram, message)
 	}
 	return nil
 }
 
-func (r *recorder) message(at float64, d *api.Datagram, m sip.Message) {
+func (r *recorder) message(atMs float64, datagram *api.Datagram, m sip.Message) {
 	branch, _ := m.Via().Params.Get("branch")
-	id := string(*m.CallID())
+	callID := string(*m.CallID())
 	switch m := m.(type) {
 	case *sip.Request:
-		switch key := d.To + branch; {
+		switch key := datagram.To + branch; {
 		case m.Method == sip.BYE:
-			if c, from := r.byID[id], r.stood[id]; c != nil && from > 0 {
-				c.HoldMs = at - from
+			if call, answeredAt := r.callsByID[callID], r.answeredAt[callID]; call != nil && answeredAt > 0 {
+				call.HoldMs = atMs - answeredAt
 			}
 		case m.Method == sip.INVITE && r.calls[key] == nil && siptransaction.Tag(m.To().Params) == "":
 			number, params, _ := strings.Cut(m.Recipient.User, ";")
-			c := &api.Call{AtMs: at, Gateway: r.gates[d.To], Number: number, Customer: m.From().Address.Host,
+			call := &api.Call{AtMs: atMs, Gateway: r.gatewayNumbers[datagram.To], Number: number,
+				Customer:   m.From().Address.Host,
 				PatienceMs: siptransaction.ParseRetryAfter(siptransaction.HeaderValue(m, "Expires"))}
-			c.Skill, _ = strings.CutPrefix(siptransaction.HeaderValue(m, siptransaction.Service), "urn:urn-7:")
-			for p := range strings.SplitSeq(params, ";") {
-				if g, ok := strings.CutPrefix(p, "tgrp="); ok {
-					c.Group = g
+			call.Skill, _ = strings.CutPrefix(siptransaction.HeaderValue(m, siptransaction.Service), "urn:urn-7:")
+			for param := range strings.SplitSeq(params, ";") {
+				if group, ok := strings.CutPrefix(param, "tgrp="); ok {
+					call.Group = group
 				}
 			}
-			r.calls[key], r.byID[id] = c, c
-			r.of = append(r.of, c)
+			r.calls[key], r.callsByID[callID] = call, call
+			r.recorded = append(r.recorded, call)
 		}
 	case *sip.Response:
-		if c := r.calls[d.From+branch]; c != nil && m.CSeq().MethodName == sip.INVITE && m.StatusCode >= 200 &&
-			c.Answer == 0 {
-			c.Answer, c.WaitMs = uint32(m.StatusCode), at-c.AtMs
+		if call := r.calls[datagram.From+branch]; call != nil && m.CSeq().MethodName == sip.INVITE &&
+			m.StatusCode >= 200 && call.Answer == 0 {
+			call.Answer, call.WaitMs = uint32(m.StatusCode), atMs-call.AtMs
 			if m.StatusCode < 300 {
-				r.stood[id] = at
+				r.answeredAt[callID] = atMs
 			}
 		}
 	}
 }
 
 // fromCapture reads a capture's calls.
-func fromCapture(name string) ([]*api.Call, error) {
+func callsFromCapture(name string) ([]*api.Call, error) {
 	f, err := os.Open(name)
 	if err != nil {
 		return nil, fmt.Errorf("trace: %w", err)
 	}
 	defer f.Close()
 	r := &recorder{
-		nodes: map[string]*api.Node{},
-		gates: map[string]uint32{},
-		calls: map[string]*api.Call{},
-		stood: map[string]float64{},
-		byID:  map[string]*api.Call{},
+		nodes:          map[string]*api.Node{},
+		gatewayNumbers: map[string]uint32{},
+		calls:          map[string]*api.Call{},
+		answeredAt:     map[string]float64{},
+		callsByID:      map[string]*api.Call{},
 	}
 	if err := capture.Read(f, r.add); err != nil {
 		return nil, err
 	}
-	return r.of, nil
+	return r.recorded, nil
 }
 
 func captureTrace() *cobra.Command {
@@ -112,22 +113,22 @@
 against callers that dial again, they would come twice, so "cobalt-lab day --trace" lets nobody dial
 again.`,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			of, err := fromCapture(args[0])
+			calls, err := callsFromCapture(args[0])
 			if err != nil {
 				return err
 			}
 			answers := map[uint32]int{}
-			for _, c := range of {
-				answers[c.Answer]++
+			for _, call := range calls {
+				answers[call.Answer]++
 			}
 			var parts []string
-			for a, n := range answers {
-				parts = append(parts, strconv.Itoa(int(a))+": "+strconv.Itoa(n))
+			for status, count := range answers {
+				parts = append(parts, strconv.Itoa(int(status))+": "+strconv.Itoa(count))
 			}
 			slices.Sort(parts)
-			fmt.Fprintf(cmd.OutOrStdout(), "%s; answers %s\n", calltrace.Summary(of), strings.Join(parts, ", "))
+			fmt.Fprintf(cmd.OutOrStdout(), "%s; answers %s\n", calltrace.Summary(calls), strings.Join(parts, ", "))
 			if out != "" {
-				return saveTrace(out, of)
+				return writeTrace(out, calls)
 			}
 			return nil
 		},
@@ -137,18 +138,18 @@
 }
 
 // replay puts a trace's calls in the place of a script's load.
-func replay(s *scenariofile.Script, file string) error {
+func replayTrace(script *scenariofile.Script, file string) error {
 	if file == "" {
 		return nil
 	}
-	of, err := read(file)
+	calls, err := readTrace(file)
 	if err != nil {
 		return err
 	}
-	s.Calls = of
-	s.Callers.Redials = 0
-	if len(of) > 0 {
-		s.Length = max(s.Length, of[len(of)-1].AtMs+1000)
+	script.Calls = calls
+	script.Callers.Redials = 0
+	if len(calls) > 0 {
+		script.Length = max(script.Length, calls[len(calls)-1].AtMs+1000)
 	}
 	return nil
 }
--- a/internal/cli/labcli/swap.go
+++ b/internal/cli/labcli/swap.go
@@ -29,19 +29,19 @@
 and the collector take.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			out := cmd.OutOrStdout()
-			form, err := large(size)
+			definition, err := largeTable(size)
 			if err != nil {
 				return err
 			}
-			before, _ := heap()
-			begin := time.Now()
-			t, err := numberplan.Compile(form)
+			heapBefore, _ := heapStats()
+			began := time.Now()
+			table, err := numberplan.Compile(definition)
 			if err != nil {
 				return err
 			}
-			took := time.Since(begin)
-			after, _ := heap()
-			packed, err := numberplan.Pack(form)
+			compileTime := time.Since(began)
+			heapAfter, _ := heapStats()
+			packed, err := numberplan.Pack(definition)
 			if err != nil {
 				return err
 			}
@@ -49,35 +49,35 @@
 				out,
 				"%d prefixes: %.1f MiB compact (%.1f octets each), compiled in %.0f ms, %.1f MiB in memory (%.1f octets each)\n",
 				size,
-				mib(len(packed)),
+				mebibytes(len(packed)),
 				float64(len(packed))/float64(size),
-				float64(took)/1e6,
-				mib(int(after)-int(before)),
-				float64(int64(after)-int64(before))/float64(size),
+				float64(compileTime)/1e6,
+				mebibytes(int(heapAfter)-int(heapBefore)),
+				float64(int64(heapAfter)-int64(heapBefore))/float64(size),
 			)
-			of := prefixbaseline.Draw(min(size, 1<<16))
-			check := func() {
+			prefixes := prefixbaseline.Draw(min(size, 1<<16))
+			runChecks := func() {
 				for range rounds {
-					if c := tableversions.Check(packed, t.Names()); c.Err != nil {
-						panic(c.Err) // it was compiled above
+					if checked := tableversions.Check(packed, table.Names()); checked.Err != nil {
+						panic(checked.Err) // it was compiled above
 					}
 				}
 			}
-			alone := lateness(t, of, func() { time.Sleep(time.Duration(rounds) * took) })
-			with := lateness(t, of, check)
+			alone := measureLateness(table, prefixes, func() { time.Sleep(time.Duration(rounds) * compileTime) })
+			besideChecks := measureLateness(table, prefixes, runChecks)
 			fmt.Fprintf(out, "%-20s %10s %10s %10s %10s\n", "loop of 1 ms", "p50 ms", "p99 ms", "p99.9 ms", "most ms")
-			for _, x := range []struct {
+			for _, row := range []struct {
 				name string
 				late []float64
-			}{{"alone", alone}, {fmt.Sprintf("beside %d checks", rounds), with}} {
+			}{{"alone", alone}, {fmt.Sprintf("beside %d checks", rounds), besideChecks}} {
 				fmt.Fprintf(
 					out,
 					"%-20s %10.3f %10.3f %10.3f %10.3f\n",
-					x.name,
-					at(x.late, 0.5),
-					at(x.late, 0.99),
-					at(x.late, 0.999),
-					at(x.late, 1),
+					row.name,
+					quantile(row.late, 0.5),
+					quantile(row.late, 0.99),
+					quantile(row.late, 0.999),
+					quantile(row.late, 1),
 				)
 			}
 			return nil
@@ -88,41 +88,41 @@
 	return c
 }
 
-func mib(n int) float64 { return float64(n) / (1 << 20) }
+func mebibytes(n int) float64 { return float64(n) / (1 << 20) }
 
 // large makes a table of many prefixes.
-func large(size int) (*api.NumberTable, error) {
+func largeTable(size int) (*api.NumberTable, error) {
 	const routes = 200
-	form := &api.NumberTable{Name: "large", Version: 1, Entry: "start", Plans: []*api.NumberPlan{{Name: "start"}}}
-	of := make([][]string, routes)
-	for i, p := range prefixbaseline.Draw(size) {
-		of[i%routes] = append(of[i%routes], p.Digits)
+	table := &api.NumberTable{Name: "large", Version: 1, Entry: "start", Plans: []*api.NumberPlan{{Name: "start"}}}
+	prefixes := make([][]string, routes)
+	for i, prefix := range prefixbaseline.Draw(size) {
+		prefixes[i%routes] = append(prefixes[i%routes], prefix.Digits)
 	}
-	for i, p := range of {
+	for i, prefix := range prefixes {
 		name := fmt.Sprint("r", i)
-		packed, err := numberplan.PackPrefixes(p)
+		packed, err := numberplan.PackPrefixes(prefix)
 		if err != nil {
 			return nil, err
 		}
-		form.Routes = append(
-			form.Routes,
+		table.Routes = append(
+			table.Routes,
 			&api.NumberRoute{Name: name, Choices: []*api.NumberChoice{{Group: fmt.Sprint("TG-", i), Weight: 1}}},
 		)
-		form.Plans[0].Rules = append(
-			form.Plans[0].Rules,
+		table.Plans[0].Rules = append(
+			table.Plans[0].Rules,
 			&api.NumberRule{Packed: packed, Then: &api.NumberAction{Do: &api.NumberAction_Route{Route: name}}},
 		)
 	}
-	return form, nil
+	return table, nil
 }
 
 // lateness runs a loop beside something and returns how late each turn was, ms, sorted.
-func lateness(t *numberplan.Table, of []prefixtrie.Prefix, beside func()) []float64 {
+func measureLateness(table *numberplan.Table, prefixes []prefixtrie.Prefix, load func()) []float64 {
 	runtime.GC()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		beside()
+		load()
 	}()
 	var late []float64
 	next := time.Now()
@@ -131,7 +131,7 @@
 		time.Sleep(time.Until(next))
 		late = append(late, math.Max(0, float64(time.Since(next))/1e6))
 		for range 10 {
-			t.Begin(numberplan.Call{Dialled: "+" + of[i%len(of)].Digits + "55", At: next})
+			table.Begin(numberplan.Call{Dialled: "+" + prefixes[i%len(prefixes)].Digits + "55", At: next})
 			i++
 		}
 		if now := time.Now(); now.Sub(next) > time.Millisecond { // turns that were missed are not made up for
--- a/internal/cli/labcli/throughput.go
+++ b/internal/cli/labcli/throughput.go
@@ -25,17 +25,17 @@
 
 // echo answers every datagram with itself, on the gateway's own reactor: a hidden command, for comparison.
 func echo() *cobra.Command {
-	var at string
+	var listenAddr string
 	c := &cobra.Command{Use: "echo", Hidden: true, RunE: func(cmd *cobra.Command, _ []string) error {
-		addr, err := netip.ParseAddrPort(at)
+		addr, err := netip.ParseAddrPort(listenAddr)
 		if err != nil {
 			return fmt.Errorf("echo: %w", err)
 		}
-		var s *reactor.UDPSockets
+		var sockets *reactor.UDPSockets
 		ready := make(chan struct{})
-		s, err = reactor.Listen([]netip.AddrPort{addr}, 1, func(local, from netip.AddrPort, data []byte) {
+		sockets, err = reactor.Listen([]netip.AddrPort{addr}, 1, func(local, from netip.AddrPort, data []byte) {
 			<-ready
-			s.Send(local, from, data)
+			sockets.Send(local, from, data)
 		})
 		if err != nil {
 			return err
@@ -44,20 +44,20 @@
 		stop := make(chan os.Signal, 1)
 		signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 		<-stop
-		s.Close()
+		sockets.Close()
 		return nil
 	}}
-	c.Flags().StringVar(&at, "at", "", "address")
+	c.Flags().StringVar(&listenAddr, "at", "", "address")
 	return c
 }
 
 // oneList is an endpoint list with one endpoint that never changes.
-type oneList struct {
+type fixedEndpointList struct {
 	api.UnimplementedPoolListServer
 	at string
 }
 
-func (l *oneList) Follow(_ *api.FollowRequest, stream grpc.ServerStreamingServer[api.Update]) error {
+func (l *fixedEndpointList) Follow(_ *api.FollowRequest, stream grpc.ServerStreamingServer[api.Update]) error {
 	if err := stream.Send(
 		&api.Update{
 			Version: 1,
@@ -72,12 +72,12 @@
 }
 
 type throughputFlags struct {
-	port int
-	step time.Duration
-	most float64
-	soak time.Duration
-	hold time.Duration
-	prof string
+	port    int
+	step    time.Duration
+	maxRate float64
+	soak    time.Duration
+	hold    time.Duration
+	profile string
 }
 
 func throughput() *cobra.Command {
@@ -95,18 +95,18 @@
 	}
 	c.Flags().IntVar(&f.port, "port", 17060, "port of the addresses in 127.0.0.0/8")
 	c.Flags().DurationVar(&f.step, "step", 4*time.Second, "how long each rate is kept")
-	c.Flags().Float64Var(&f.most, "most", 30000, "the highest rate tried, contacts a second")
+	c.Flags().Float64Var(&f.maxRate, "most", 30000, "the highest rate tried, contacts a second")
 	c.Flags().DurationVar(&f.soak, "soak", 0, "then a run so long at half of the rate")
 	c.Flags().DurationVar(&f.hold, "hold", 8*time.Second, "how long contacts stand where memory is measured")
-	c.Flags().StringVar(&f.prof, "profile", "", "write the gateway's CPU profile to this file")
+	c.Flags().StringVar(&f.profile, "profile", "", "write the gateway's CPU profile to this file")
 	return c
 }
 
 func (f *throughputFlags) run(out io.Writer) error {
-	at := func(n byte) netip.AddrPort {
-		return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 60, 0, n}), uint16(f.port))
+	addr := func(lastOctet byte) netip.AddrPort {
+		return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 60, 0, lastOctet}), uint16(f.port))
 	}
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return fmt.Errorf("own program: %w", err)
 	}
@@ -116,76 +116,81 @@
 	}
 	defer os.RemoveAll(dir)
 	start := func(args ...string) (*exec.Cmd, *bytes.Buffer, error) {
-		c := exec.Command(self, args...)
-		c.Env = append(os.Environ(), "GOMAXPROCS=1")
-		log := &bytes.Buffer{}
-		c.Stderr = log
-		return c, log, c.Start()
+		cmd := exec.Command(executable, args...)
+		cmd.Env = append(os.Environ(), "GOMAXPROCS=1")
+		stderr := &bytes.Buffer{}
+		cmd.Stderr = stderr
+		return cmd, stderr, cmd.Start()
 	}
-	stop := func(c *exec.Cmd) error {
-		_ = c.Process.Signal(syscall.SIGTERM)
-		return c.Wait()
+	stop := func(cmd *exec.Cmd) error {
+		_ = cmd.Process.Signal(syscall.SIGTERM)
+		return cmd.Wait()
 	}
 	echoRate := func() (float64, error) {
-		c, _, err := start("echo", "--at", at(9).String())
+		cmd, _, err := start("echo", "--at", addr(9).String())
 		if err != nil {
 			return 0, err
 		}
-		defer func() { _ = stop(c) }()
+		defer func() { _ = stop(cmd) }()
 		time.Sleep(300 * time.Millisecond)
 		best := 0.0
 		for rate := 20000.0; rate < 1e6; rate *= 1.25 {
-			sent, back, _, err := saturation.Echo(at(9), rate, f.step/2)
+			sent, returned, _, err := saturation.Echo(addr(9), rate, f.step/2)
 			if err != nil {
 				return 0, err
 			}
-			got := float64(back) / (f.step / 2).Seconds()
-			best = max(best, got)
-			if float64(back) < 0.99*float64(sent) || float64(sent) < 0.95*rate*(f.step/2).Seconds() {
+			echoed := float64(returned) / (f.step / 2).Seconds()
+			best = max(best, echoed)
+			if float64(returned) < 0.99*float64(sent) || float64(sent) < 0.95*rate*(f.step/2).Seconds() {
 				break
 			}
 		}
 		return best, nil
 	}
-	before, err := echoRate()
+	echoBefore, err := echoRate()
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "bare echo, one core: %.0f datagrams a second there and back\n", before)
+	fmt.Fprintf(out, "bare echo, one core: %.0f datagrams a second there and back\n", echoBefore)
 
-	lis, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return fmt.Errorf("throughput: pool list: %w", err)
 	}
-	server := grpc.NewServer()
-	api.RegisterPoolListServer(server, &oneList{at: at(3).String()})
-	go func() { _ = server.Serve(lis) }() // ends with Stop
-	defer server.Stop()
-	file := filepath.Join(dir, "edge.hcl")
+	listServer := grpc.NewServer()
+	api.RegisterPoolListServer(listServer, &fixedEndpointList{at: addr(3).String()})
+	go func() { _ = listServer.Serve(listener) }() // ends with Stop
+	defer listServer.Stop()
+	configFile := filepath.Join(dir, "edge.hcl")
 	if err := os.WriteFile(
-		file,
-		[]byte(fmt.Sprintf(rushSettings, at(1), netip.AddrPortFrom(at(1).Addr(), uint16(f.port+10)), lis.Addr())),
+		configFile,
+		[]byte(fmt.Sprintf(
+			gatewaySettings,
+			addr(1),
+			netip.AddrPortFrom(addr(1).Addr(), uint16(f.port+10)),
+			listener.Addr(),
+		)),
 		0o644,
 	); err != nil {
 		return fmt.Errorf("throughput: %w", err)
 	}
-	args := []string{"edge", "run", "--config", file}
-	if f.prof != "" {
-		args = append(args, "--profile", f.prof)
+	args := []string{"edge", "run", "--config", configFile}
+	if f.profile != "" {
+		args = append(args, "--profile", f.profile)
 	}
-	edge, log, err := start(args...)
+	gateway, gatewayLog, err := start(args...)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = edge.Process.Kill() }()
-	rig, err := saturation.NewRig(at(2), at(3), at(1))
+	defer func() { _ = gateway.Process.Kill() }()
+	rig, err := saturation.NewRig(addr(2), addr(3), addr(1))
 	if err != nil {
 		return err
 	}
 	defer rig.Close()
 	time.Sleep(time.Second)
 	rig.Run(saturation.Load{Rate: 200, For: 3 * time.Second}) // the module learns that its endpoint answers at once
-	best := 0.0
+	bestRate := 0.0
 	fmt.Fprintf(
 		out,
 		"%8s %8s %8s %8s %9s %9s %9s %8s\n",
@@ -198,63 +203,63 @@
 		"p99.9 µs",
 		"late",
 	)
-	show := func(rate float64, r *saturation.Result) {
+	printRow := func(rate float64, res *saturation.Result) {
 		fmt.Fprintf(
 			out,
 			"%8.0f %8d %8d %8d %9d %9d %9d %8s\n",
 			rate,
-			r.Sent,
-			r.Answered,
-			r.Repeats,
-			r.Added.ValueAtQuantile(50),
-			r.Added.ValueAtQuantile(99),
-			r.Added.ValueAtQuantile(99.9),
-			r.Late.Round(100*time.Microsecond),
+			res.Sent,
+			res.Answered,
+			res.Repeats,
+			res.Added.ValueAtQuantile(50),
+			res.Added.ValueAtQuantile(99),
+			res.Added.ValueAtQuantile(99.9),
+			res.Late.Round(100*time.Microsecond),
 		)
 	}
-	for rate := 500.0; rate <= f.most; rate *= 1.25 {
-		r := rig.Run(saturation.Load{Rate: rate, For: f.step})
-		show(rate, r)
-		if float64(r.Answered) < 0.995*float64(r.Sent) || float64(r.Repeats) > 0.001*float64(r.Sent) {
+	for rate := 500.0; rate <= f.maxRate; rate *= 1.25 {
+		res := rig.Run(saturation.Load{Rate: rate, For: f.step})
+		printRow(rate, res)
+		if float64(res.Answered) < 0.995*float64(res.Sent) || float64(res.Repeats) > 0.001*float64(res.Sent) {
 			break
 		}
-		best = rate
+		bestRate = rate
 	}
 	time.Sleep(2 * time.Second)
-	after, err := echoRate()
+	echoAfter, err := echoRate()
 	if err != nil {
 		return err
 	}
-	mean := (before + after) / 2
-	fmt.Fprintf(out, "bare echo again: %.0f\n", after)
+	meanEchoRate := (echoBefore + echoAfter) / 2
+	fmt.Fprintf(out, "bare echo again: %.0f\n", echoAfter)
 	fmt.Fprintf(
 		out,
 		"gateway, one core: %.0f contacts a second, %.0f datagrams a second in and out; echo %.0f in and out; ratio "+
 			"%.2f (aim 0.33)\n",
-		best,
-		12*best,
-		2*mean,
-		12*best/(2*mean),
+		bestRate,
+		12*bestRate,
+		2*meanEchoRate,
+		12*bestRate/(2*meanEchoRate),
 	)
-	r := rig.Run(saturation.Load{Rate: best / 2, For: 2 * f.step})
+	res := rig.Run(saturation.Load{Rate: bestRate / 2, For: 2 * f.step})
 	fmt.Fprintf(
 		out,
 		"at half of that, set-up from caller to switch: p50 %.2f ms, p99 %.2f ms (aim 2), p99.9 %.2f ms; answer back: "+
 			"p50 %.2f, p99 %.2f, p99.9 %.2f\n",
-		ms(r.Added.ValueAtQuantile(50)),
-		ms(r.Added.ValueAtQuantile(99)),
-		ms(r.Added.ValueAtQuantile(99.9)),
-		ms(r.Back.ValueAtQuantile(50)),
-		ms(r.Back.ValueAtQuantile(99)),
-		ms(r.Back.ValueAtQuantile(99.9)),
+		ms(res.Added.ValueAtQuantile(50)),
+		ms(res.Added.ValueAtQuantile(99)),
+		ms(res.Added.ValueAtQuantile(99.9)),
+		ms(res.Back.ValueAtQuantile(50)),
+		ms(res.Back.ValueAtQuantile(99)),
+		ms(res.Back.ValueAtQuantile(99.9)),
 	)
 	time.Sleep(30 * time.Second) // transactions of the runs before end
-	empty := rss(edge.Process.Pid)
-	held := min(1000, best/2)
-	full := 0.0
+	emptyKiB := residentKiB(gateway.Process.Pid)
+	heldRate := min(1000, bestRate/2)
+	fullKiB := 0.0
 	done := make(chan struct{})
 	go func() {
-		rig.Run(saturation.Load{Rate: held, For: f.hold, HoldingTime: f.hold})
+		rig.Run(saturation.Load{Rate: heldRate, For: f.hold, HoldingTime: f.hold})
 		close(done)
 	}()
 	for sampling := true; sampling; {
@@ -262,27 +267,27 @@
 		case <-done:
 			sampling = false
 		case <-time.After(200 * time.Millisecond):
-			full = max(full, rss(edge.Process.Pid))
+			fullKiB = max(fullKiB, residentKiB(gateway.Process.Pid))
 		}
 	}
-	n := held * f.hold.Seconds()
+	heldCalls := heldRate * f.hold.Seconds()
 	fmt.Fprintf(
 		out,
 		"memory: %.1f MiB before, %.1f MiB at most with %.0f contacts held: %.1f KiB each (aim 20)\n",
-		empty/1024,
-		full/1024,
-		n,
-		(full-empty)/n,
+		emptyKiB/1024,
+		fullKiB/1024,
+		heldCalls,
+		(fullKiB-emptyKiB)/heldCalls,
 	)
 	if f.soak > 0 {
 		fmt.Fprintf(out, "%8s %10s %10s\n", "minute", "memory MiB", "stood")
-		for from := time.Duration(0); from < f.soak; from += time.Minute {
-			r := rig.Run(saturation.Load{Rate: best / 2, For: min(time.Minute, f.soak-from)})
-			fmt.Fprintf(out, "%8.0f %10.1f %10d\n", from.Minutes()+1, rss(edge.Process.Pid)/1024, r.Answered)
+		for elapsed := time.Duration(0); elapsed < f.soak; elapsed += time.Minute {
+			res := rig.Run(saturation.Load{Rate: bestRate / 2, For: min(time.Minute, f.soak-elapsed)})
+			fmt.Fprintf(out, "%8.0f %10.1f %10d\n", elapsed.Minutes()+1, residentKiB(gateway.Process.Pid)/1024, res.Answered)
 		}
 	}
-	if err := stop(edge); err != nil {
-		return fmt.Errorf("gateway: %w: %s", err, log)
+	if err := stop(gateway); err != nil {
+		return fmt.Errorf("gateway: %w: %s", err, gatewayLog)
 	}
 	return nil
 }
@@ -290,21 +295,21 @@
 func ms(us int64) float64 { return float64(us) / 1000 }
 
 // rss is a process's resident memory in KiB, as the kernel tells it.
-func rss(pid int) float64 {
-	b, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/status")
+func residentKiB(pid int) float64 {
+	status, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/status")
 	if err != nil {
 		return 0
 	}
-	_, rest, _ := strings.Cut(string(b), "VmRSS:")
-	f := strings.Fields(rest)
-	if len(f) == 0 {
+	_, rest, _ := strings.Cut(string(status), "VmRSS:")
+	fields := strings.Fields(rest)
+	if len(fields) == 0 {
 		return 0
 	}
-	v, _ := strconv.ParseFloat(f[0], 64)
-	return v
+	kib, _ := strconv.ParseFloat(fields[0], 64)
+	return kib
 }
 
-const rushSettings = `
+const gatewaySettings = `
 gateway {
   name          = "rush"
   sip           = "%s"
--- a/internal/emulator/processrun/check.go
+++ b/internal/emulator/processrun/check.go
@@ -37,7 +37,7 @@
 	}
 	if s.Analyses() {
 		c.tables = conformance.NewTables(scenario.Mark4)
-		c.tables.Blur = tableBlur
+		c.tables.Blur = tableReordering
 	}
 	if captureFile != "" {
 		f, err := os.Create(captureFile)
--- a/internal/emulator/processrun/day.go
+++ b/internal/emulator/processrun/day.go
@@ -31,13 +31,13 @@
 
 // Options are how a day is put on.
 type Options struct {
-	Port    int      // SIP port of all addresses; port+10 and port+20 are used too
-	Capture string   // file; "": none is kept
-	Dir     string   // for settings and logs of the gateways; "": a new one, removed when all went well
-	Edge    []string // command that runs a gateway; "--config FILE" is added
-	Module  string
-	Level   string
-	Say     func(string)
+	Port           int      // SIP port of all addresses; port+10 and port+20 are used too
+	Capture        string   // file; "": none is kept
+	Dir            string   // for settings and logs of the gateways; "": a new one, removed when all went well
+	GatewayCommand []string // command that runs a gateway; "--config FILE" is added
+	Module         string
+	Level          string
+	Progress       func(string)
 }
 
 // Result is what a day came to.
@@ -60,19 +60,19 @@
 
 type runner struct {
 	api.UnimplementedPoolListServer
-	o       Options
-	st      *scenario.Scenario
-	sockets *reactor.UDPSockets
-	list    net.Listener
-	server  *grpc.Server
-	mu      sync.Mutex
-	procs   []*process
-	follow  map[string]chan *api.Update
-	joined  chan string
-	running bool
-	relays  map[netip.AddrPort]int // where messages for a gateway come in
-	names   []*dnsserver.Served
-	admins  []*grpc.ClientConn // of the gateways, for number tables
+	options      Options
+	scenario     *scenario.Scenario
+	sockets      *reactor.UDPSockets
+	listListener net.Listener
+	listServer   *grpc.Server
+	mu           sync.Mutex
+	gateways     []*process
+	followers    map[string]chan *api.Update
+	joined       chan string
+	running      bool
+	relays       map[netip.AddrPort]int // where messages for a gateway come in
+	nameServers  []*dnsserver.Served
+	admins       []*grpc.ClientConn // of the gateways, for number tables
 }
 
 type process struct {
@@ -84,45 +84,46 @@
 }
 
 const (
-	// blur is how far records of different sockets may be out of order, ms: they are read by pollers that take turns.
-	blur = 10
-	// tableBlur is the same for number tables: the gateway's sockets and its service are read by turns; ms.
-	tableBlur = 250
-	// afterDay is how long calls may still end after the day's last, in ms.
-	afterDay     = 12000
+	// maxReordering is how far records of different sockets may be out of order, ms: they are read by pollers that
+	// take turns.
+	maxReordering = 10
+	// tableReordering is the same for number tables: the gateway's sockets and its service are read by turns; ms.
+	tableReordering = 250
+	// extraRunTime is how long calls may still end after the day's last, in ms.
+	extraRunTime = 12000
 	drainTimeout = 30000 // ms
 	startTimeout = 20 * time.Second
 )
 
 // Run plays a day; it ends early when ctx does.
-func Run(ctx context.Context, s *scenariofile.Script, o Options) (*Result, error) {
+func Run(ctx context.Context, script *scenariofile.Script, options Options) (*Result, error) {
 	r := &runner{
-		o:      o,
-		follow: map[string]chan *api.Update{},
-		joined: make(chan string, 4096),
-		relays: map[netip.AddrPort]int{},
+		options:   options,
+		followers: map[string]chan *api.Update{},
+		joined:    make(chan string, 4096),
+		relays:    map[netip.AddrPort]int{},
 	}
-	temporary := o.Dir == ""
+	temporary := options.Dir == ""
 	if temporary {
 		dir, err := os.MkdirTemp("", "cobalt-day-")
 		if err != nil {
 			return nil, fmt.Errorf("day: %w", err)
 		}
-		r.o.Dir = dir
+		r.options.Dir = dir
 	}
-	check, err := startCheck(s, o.Capture)
+	check, err := startCheck(script, options.Capture)
 	if err != nil {
 		return nil, err
 	}
 	defer check.close()
-	r.st = scenario.NewReal(s, o.Port, blur, check.add)
-	r.st.Fleet = r
-	r.st.Say = func(at float64, what string) { r.say(fmt.Sprintf("%6.1f s  %s", at/1000, what)) }
+	r.scenario = scenario.NewReal(script, options.Port, maxReordering, check.add)
+	r.scenario.Fleet = r
+	r.scenario.Say = func(at float64, what string) { r.report(fmt.Sprintf("%6.1f s  %s", at/1000, what)) }
 	defer r.close()
 	if err := r.startAll(ctx); err != nil {
 		return nil, err
 	}
-	res := &Result{Dir: r.o.Dir}
+	res := &Result{Dir: r.options.Dir}
 	r.play(ctx, res)
 	r.drain(res)
 	if err := check.finish(res); err != nil {
@@ -130,37 +131,37 @@
 	}
 	res.Lost = r.sockets.Lost.Load()
 	if temporary && !res.Broken() {
-		os.RemoveAll(r.o.Dir)
+		os.RemoveAll(r.options.Dir)
 	}
 	return res, ctx.Err()
 }
 
-func (r *runner) say(text string) {
-	if r.o.Say != nil {
-		r.o.Say(text)
+func (r *runner) report(text string) {
+	if r.options.Progress != nil {
+		r.options.Progress(text)
 	}
 }
 
 // startAll binds the stand-ins' sockets, starts the gateways and waits until each has asked for the endpoint list.
 func (r *runner) startAll(ctx context.Context) error {
-	if err := r.open(); err != nil {
+	if err := r.openSockets(); err != nil {
 		return err
 	}
-	if err := r.openNames(); err != nil {
+	if err := r.startNameServers(); err != nil {
 		return err
 	}
-	for i := range r.st.Gateways {
-		if err := r.launch(i); err != nil {
+	for i := range r.scenario.Gateways {
+		if err := r.startGateway(i); err != nil {
 			return err
 		}
 	}
-	for range r.st.Gateways {
+	for range r.scenario.Gateways {
 		select {
 		case <-r.joined:
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(startTimeout):
-			return fmt.Errorf("day: gateways do not come up; their logs are in %s", r.o.Dir)
+			return fmt.Errorf("day: gateways do not come up; their logs are in %s", r.options.Dir)
 		}
 	}
 	return nil
@@ -168,24 +169,24 @@
 
 // play plays the day itself.
 func (r *runner) play(ctx context.Context, res *Result) {
-	w := r.st.World
-	w.Begin()
+	world := r.scenario.World
+	world.Begin()
 	r.setRunning(true)
-	for _, g := range r.st.Gateways {
-		r.st.Welcome(g, 0)
-		if n := r.st.Names; n != nil {
-			r.st.TableIn(g.Number, n.Version)
+	for _, g := range r.scenario.Gateways {
+		r.scenario.Welcome(g, 0)
+		if names := r.scenario.Names; names != nil {
+			r.scenario.TableIn(g.Number, names.Version)
 		}
 	}
 	r.progress(res)
-	w.RunReal(r.st.Script.Length+afterDay, ctx.Done())
-	res.Kiosks = r.st.KioskService()
-	res.Service = r.st.Service() // before the gateways drain: that releases calls that would have gone on
+	world.RunReal(r.scenario.Script.Length+extraRunTime, ctx.Done())
+	res.Kiosks = r.scenario.KioskService()
+	res.Service = r.scenario.Service() // before the gateways drain: that releases calls that would have gone on
 }
 
 // drain stops the gateways as an operator would and reports those that did not end well.
 func (r *runner) drain(res *Result) {
-	r.say("the day is over; gateways drain")
+	r.report("the day is over; gateways drain")
 	r.setRunning(false)
 	processes := r.processes()
 	for _, p := range processes {
@@ -198,13 +199,13 @@
 		}
 		close(ended)
 	}()
-	w := r.st.World
-	w.RunReal(w.Now+drainTimeout, ended) // the switches still take what the gateways send
+	world := r.scenario.World
+	world.RunReal(world.Now+drainTimeout, ended) // the switches still take what the gateways send
 	for i, p := range processes {
 		select {
 		case <-p.done:
 			if p.err != nil && !p.killed {
-				res.Exits = append(res.Exits, fmt.Sprintf("edge-%d: %v: %s", i, p.err, tail(p.log.Name())))
+				res.Exits = append(res.Exits, fmt.Sprintf("edge-%d: %v: %s", i, p.err, lastLines(p.log.Name())))
 			}
 		default:
 			_ = p.cmd.Process.Kill()
@@ -223,51 +224,51 @@
 func (r *runner) processes() []*process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]*process{}, r.procs...)
+	return append([]*process{}, r.gateways...)
 }
 
 // open binds what the stand-ins need.
-func (r *runner) open() error {
-	st := r.st
-	addrs := st.Addresses()
-	for _, g := range st.Gateways {
-		relay := netip.AddrPortFrom(g.Addr.Addr(), uint16(r.o.Port+20))
+func (r *runner) openSockets() error {
+	s := r.scenario
+	addrs := s.Addresses()
+	for _, g := range s.Gateways {
+		relay := netip.AddrPortFrom(g.Addr.Addr(), uint16(r.options.Port+20))
 		r.relays[relay] = g.Number
 		addrs = append(addrs, relay)
 	}
 	var err error
 	r.sockets, err = reactor.Listen(addrs, 2, func(local, from netip.AddrPort, data []byte) {
-		if to, ok := r.relays[local]; ok {
-			r.relay(to, local, data)
+		if target, ok := r.relays[local]; ok {
+			r.relay(target, local, data)
 			return
 		}
-		st.World.Arrived(from, local, data)
+		s.World.Arrived(from, local, data)
 	})
 	if err != nil {
 		return fmt.Errorf("day: stand-ins: %w", err)
 	}
-	for _, g := range st.Gateways {
+	for _, g := range s.Gateways {
 		g.Node.Real = func(to, from netip.AddrPort, data []byte) { r.sockets.Send(from, to, data) }
 		if g.FrontAt != nil {
 			g.FrontAt.Real = g.Node.Real
 		}
 	}
-	if r.list, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+	if r.listListener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		return fmt.Errorf("day: pool list: %w", err)
 	}
-	r.server = grpc.NewServer()
-	api.RegisterPoolListServer(r.server, r)
-	go func() { _ = r.server.Serve(r.list) }() // ends with Stop
+	r.listServer = grpc.NewServer()
+	api.RegisterPoolListServer(r.listServer, r)
+	go func() { _ = r.listServer.Serve(r.listListener) }() // ends with Stop
 	return nil
 }
 
 // relay is the wire between gateways.
-func (r *runner) relay(to int, local netip.AddrPort, data []byte) {
-	if len(data) < 3 || int(binary.BigEndian.Uint16(data)) >= len(r.st.Gateways) {
+func (r *runner) relay(target int, local netip.AddrPort, data []byte) {
+	if len(data) < 3 || int(binary.BigEndian.Uint16(data)) >= len(r.scenario.Gateways) {
 		return
 	}
-	r.st.World.Do(func() {
-		r.st.Tell(to, func(float64) { r.sockets.Send(local, r.st.Gateways[to].Peer, data) })
+	r.scenario.World.Do(func() {
+		r.scenario.Tell(target, func(float64) { r.sockets.Send(local, r.scenario.Gateways[target].Peer, data) })
 	})
 }
 
@@ -285,11 +286,11 @@
 	for _, c := range r.admins {
 		c.Close()
 	}
-	for _, n := range r.names {
+	for _, n := range r.nameServers {
 		n.Close()
 	}
-	if r.server != nil {
-		r.server.Stop()
+	if r.listServer != nil {
+		r.listServer.Stop()
 	}
 	if r.sockets != nil {
 		r.sockets.Close()
@@ -297,18 +298,18 @@
 }
 
 // launch starts a gateway's process.
-func (r *runner) launch(i int) error {
-	g := r.st.Gateways[i]
-	file := filepath.Join(r.o.Dir, g.Name+".hcl")
+func (r *runner) startGateway(i int) error {
+	g := r.scenario.Gateways[i]
+	file := filepath.Join(r.options.Dir, g.Name+".hcl")
 	if err := os.WriteFile(file, []byte(r.gatewayFile(i)), 0o644); err != nil {
 		return fmt.Errorf("day: %w", err)
 	}
-	log, err := os.OpenFile(filepath.Join(r.o.Dir, g.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	log, err := os.OpenFile(filepath.Join(r.options.Dir, g.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return fmt.Errorf("day: %w", err)
 	}
-	args := append(append([]string{}, r.o.Edge[1:]...), "--config", file, "--module", r.o.Module)
-	p := &process{cmd: exec.Command(r.o.Edge[0], args...), log: log, done: make(chan struct{})}
+	args := append(append([]string{}, r.options.GatewayCommand[1:]...), "--config", file, "--module", r.options.Module)
+	p := &process{cmd: exec.Command(r.options.GatewayCommand[0], args...), log: log, done: make(chan struct{})}
 	p.cmd.Stderr, p.cmd.Stdout = log, log
 	if err := p.cmd.Start(); err != nil {
 		return fmt.Errorf("day: start %s: %w", g.Name, err)
@@ -319,26 +320,26 @@
 	}()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if i < len(r.procs) {
-		r.procs[i] = p
+	if i < len(r.gateways) {
+		r.gateways[i] = p
 	} else {
-		r.procs = append(r.procs, p)
+		r.gateways = append(r.gateways, p)
 	}
 	return nil
 }
 
 // Follow implements the endpoint list's service.
 func (r *runner) Follow(req *api.FollowRequest, stream grpc.ServerStreamingServer[api.Update]) error {
-	ch := make(chan *api.Update, 1024)
+	updates := make(chan *api.Update, 1024)
 	r.mu.Lock()
-	r.follow[req.Gateway] = ch
+	r.followers[req.Gateway] = updates
 	running := r.running
 	r.mu.Unlock()
 	if running {
-		r.st.World.Do(func() {
-			for _, g := range r.st.Gateways {
+		r.scenario.World.Do(func() {
+			for _, g := range r.scenario.Gateways {
 				if g.Name == req.Gateway {
-					r.st.Welcome(g, req.Have)
+					r.scenario.Welcome(g, req.Have)
 				}
 			}
 		})
@@ -350,8 +351,8 @@
 	}
 	for {
 		select {
-		case u := <-ch:
-			if err := stream.Send(u); err != nil {
+		case update := <-updates:
+			if err := stream.Send(update); err != nil {
 				return err
 			}
 		case <-stream.Context().Done():
@@ -361,12 +362,12 @@
 }
 
 // List implements stage.Fleet.
-func (r *runner) List(i int, u *api.Update) {
+func (r *runner) List(i int, update *api.Update) {
 	r.mu.Lock()
-	ch := r.follow[r.st.Gateways[i].Name]
+	updates := r.followers[r.scenario.Gateways[i].Name]
 	r.mu.Unlock()
 	select {
-	case ch <- u:
+	case updates <- update:
 	default:
 	}
 }
@@ -374,7 +375,7 @@
 func (r *runner) process(i int) *process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.procs[i]
+	return r.gateways[i]
 }
 
 // Halt implements stage.Fleet.
@@ -393,40 +394,40 @@
 // Start implements stage.Fleet.
 func (r *runner) Start(i int) {
 	<-r.process(i).done
-	if err := r.launch(i); err != nil && r.o.Say != nil {
-		r.o.Say(err.Error())
+	if err := r.startGateway(i); err != nil && r.options.Progress != nil {
+		r.options.Progress(err.Error())
 	}
 }
 
 // progress tells how the day goes, and sees how far the stand-ins run behind the clock.
 func (r *runner) progress(res *Result) {
-	w := r.st.World
+	world := r.scenario.World
 	var tick func()
-	next := 5000.0
+	nextReport := 5000.0
 	tick = func() {
-		if late := w.Wall() - w.Now; late > res.Late {
-			res.Late = late
+		if behind := world.Wall() - world.Now; behind > res.Late {
+			res.Late = behind
 		}
-		if w.Now >= next && r.o.Say != nil {
-			next += 5000
-			sv := r.st.Service()
-			r.o.Say(
+		if world.Now >= nextReport && r.options.Progress != nil {
+			nextReport += 5000
+			service := r.scenario.Service()
+			r.options.Progress(
 				fmt.Sprintf(
 					"%6.1f s  %d callers planned, %d stood in time, %d late, %d cut",
-					w.Now/1000,
-					sv.Arrived,
-					sv.Answered,
-					sv.Late,
-					sv.Dropped,
+					world.Now/1000,
+					service.Arrived,
+					service.Answered,
+					service.Late,
+					service.Dropped,
 				),
 			)
 		}
-		w.At(w.Now+100, tick)
+		world.At(world.Now+100, tick)
 	}
 	tick()
 }
 
-func tail(file string) string {
+func lastLines(file string) string {
 	b, err := os.ReadFile(file)
 	if err != nil {
 		return err.Error()
--- a/internal/emulator/processrun/numbers.go
+++ b/internal/emulator/processrun/numbers.go
@@ -18,46 +18,46 @@
 )
 
 // openNames puts the DNS servers behind sockets and writes the first table.
-func (r *runner) openNames() error {
-	n := r.st.Names
-	if n == nil {
+func (r *runner) startNameServers() error {
+	names := r.scenario.Names
+	if names == nil {
 		return nil
 	}
-	for i, s := range n.Servers {
-		v, err := dnsserver.Serve(s, n.Addrs[i])
+	for i, server := range names.Servers {
+		served, err := dnsserver.Serve(server, names.Addrs[i])
 		if err != nil {
 			return fmt.Errorf("day: %w", err)
 		}
-		r.names = append(r.names, v)
+		r.nameServers = append(r.nameServers, served)
 	}
-	n.Alter = func(i int, do func(*dnsserver.Server)) { r.names[i].Change(do) }
-	if err := os.WriteFile(r.tableFile(), r.st.Table(n.Version).Form, 0o644); err != nil {
+	names.Alter = func(i int, change func(*dnsserver.Server)) { r.nameServers[i].Change(change) }
+	if err := os.WriteFile(r.tableFile(), r.scenario.Table(names.Version).Form, 0o644); err != nil {
 		return fmt.Errorf("day: %w", err)
 	}
-	for i := range r.st.Gateways {
-		c, err := grpc.NewClient(r.admin(i).String(), grpc.WithTransportCredentials(insecure.NewCredentials()))
+	for i := range r.scenario.Gateways {
+		conn, err := grpc.NewClient(r.adminAddr(i).String(), grpc.WithTransportCredentials(insecure.NewCredentials()))
 		if err != nil {
 			return fmt.Errorf("day: %w", err)
 		}
-		r.admins = append(r.admins, c)
+		r.admins = append(r.admins, conn)
 	}
 	return nil
 }
 
-func (r *runner) tableFile() string { return filepath.Join(r.o.Dir, "first.table") }
+func (r *runner) tableFile() string { return filepath.Join(r.options.Dir, "first.table") }
 
 // admin is where a gateway's number tables are changed.
-func (r *runner) admin(i int) netip.AddrPort {
-	return netip.AddrPortFrom(r.st.Gateways[i].Addr.Addr(), uint16(r.o.Port+30))
+func (r *runner) adminAddr(i int) netip.AddrPort {
+	return netip.AddrPortFrom(r.scenario.Gateways[i].Addr.Addr(), uint16(r.options.Port+30))
 }
 
 func (r *runner) numberSettings(i int) string {
-	s, n := r.st.Script.Numbers, r.st.Names
-	c := r.st.Resolve(0)
-	ms := func(v float64) string { return time.Duration(v * 1e6).String() }
+	numbers, names := r.scenario.Script.Numbers, r.scenario.Names
+	resolver := r.scenario.Resolve(0)
+	formatMs := func(ms float64) string { return time.Duration(ms * 1e6).String() }
 	var servers []string
-	for _, a := range n.Addrs {
-		servers = append(servers, fmt.Sprintf("%q", a))
+	for _, addr := range names.Addrs {
+		servers = append(servers, fmt.Sprintf("%q", addr))
 	}
 	return fmt.Sprintf(
 		`numbers {
@@ -82,34 +82,34 @@
 }
 `,
 		r.tableFile(),
-		filepath.Join(r.o.Dir, r.st.Gateways[i].Name+".tables"),
-		r.admin(i),
-		s.Share,
+		filepath.Join(r.options.Dir, r.scenario.Gateways[i].Name+".tables"),
+		r.adminAddr(i),
+		numbers.Share,
 		scenario.Apex,
 		strings.Join(servers, ", "),
-		c.MaxLookups,
-		c.Tries,
-		ms(c.StaleAfter),
-		c.Cache.MaxEntries,
-		ms(c.Cache.MinTTL),
-		ms(c.Cache.MaxTTL),
-		ms(c.Cache.MaxNegativeTTL),
-		ms(c.Cache.StaleTime),
-		ms(c.Cache.FailureTTL),
+		resolver.MaxLookups,
+		resolver.Tries,
+		formatMs(resolver.StaleAfter),
+		resolver.Cache.MaxEntries,
+		formatMs(resolver.Cache.MinTTL),
+		formatMs(resolver.Cache.MaxTTL),
+		formatMs(resolver.Cache.MaxNegativeTTL),
+		formatMs(resolver.Cache.StaleTime),
+		formatMs(resolver.Cache.FailureTTL),
 	)
 }
 
 // Table implements stage.Fleet: a gateway that is down or stalls gets the next one.
-func (r *runner) Table(i int, t *scenario.Table) {
+func (r *runner) Table(i int, table *scenario.Table) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
-		_, err := api.NewNumbersClient(r.admins[i]).Put(ctx, &api.PutTable{Table: t.Form, Note: "the laboratory"})
-		r.st.World.Do(func() {
+		_, err := api.NewNumbersClient(r.admins[i]).Put(ctx, &api.PutTable{Table: table.Form, Note: "the laboratory"})
+		r.scenario.World.Do(func() {
 			if err == nil {
-				r.st.TableIn(i, t.Version)
-			} else if r.o.Say != nil {
-				r.o.Say(fmt.Sprintf("table %d at %s: %v", t.Version, r.st.Gateways[i].Name, err))
+				r.scenario.TableIn(i, table.Version)
+			} else if r.options.Progress != nil {
+				r.options.Progress(fmt.Sprintf("table %d at %s: %v", table.Version, r.scenario.Gateways[i].Name, err))
 			}
 		})
 	}()
--- a/internal/emulator/report/report.go
+++ b/internal/emulator/report/report.go
@@ -48,19 +48,19 @@
 // Plot is a picture.
 type Plot struct {
 	Title string
-	p     *plot.Plot
+	plot  *plot.Plot
 }
 
 // Sizes of a picture.
 const (
-	wide = 24 * vg.Centimeter
-	high = 7 * vg.Centimeter
+	pictureWidth  = 24 * vg.Centimeter
+	pictureHeight = 7 * vg.Centimeter
 )
 
 // SVG is the picture as text to stand in a page.
 func (p Plot) SVG() (template.HTML, error) {
-	c := vgsvg.New(wide, high)
-	p.p.Draw(draw.New(c))
+	c := vgsvg.New(pictureWidth, pictureHeight)
+	p.plot.Draw(draw.New(c))
 	var b bytes.Buffer
 	if _, err := c.WriteTo(&b); err != nil {
 		return "", fmt.Errorf("report: %s: %w", p.Title, err)
@@ -74,8 +74,8 @@
 
 // PNG writes the picture as a file of its own.
 func (p Plot) PNG(w io.Writer) error {
-	c := vgimg.New(wide, high)
-	p.p.Draw(draw.New(c))
+	c := vgimg.New(pictureWidth, pictureHeight)
+	p.plot.Draw(draw.New(c))
 	if _, err := (vgimg.PngCanvas{Canvas: c}).WriteTo(w); err != nil {
 		return fmt.Errorf("report: %s: %w", p.Title, err)
 	}
@@ -100,19 +100,19 @@
 	{0x17, 0xbe, 0xcf, 255},
 }
 
-func base(title, y string, s *virtualrun.Series, top float64) *plot.Plot {
+func newTimePlot(title, yLabel string, series *virtualrun.Series, top float64) *plot.Plot {
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", y
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", yLabel
 	p.Legend.Top, p.Legend.Left = true, false
-	p.X.Min, p.X.Max = 0, float64(s.Seconds)*1.16 // room for the legend
+	p.X.Min, p.X.Max = 0, float64(series.Seconds)*1.16 // room for the legend
 	p.Y.Min, p.Y.Max = 0, top
 	p.Add(plotter.NewGrid())
-	for i, t := range s.Faults { // marked on the time axis
-		a, b := t.At/1000, math.Min(float64(s.Seconds), (t.At+t.For)/1000)
-		if a >= float64(s.Seconds) {
+	for i, fault := range series.Faults { // marked on the time axis
+		from, to := fault.At/1000, math.Min(float64(series.Seconds), (fault.At+fault.For)/1000)
+		if from >= float64(series.Seconds) {
 			continue
 		}
-		box, err := plotter.NewPolygon(plotter.XYs{{X: a, Y: 0}, {X: b, Y: 0}, {X: b, Y: top}, {X: a, Y: top}})
+		box, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: 0}, {X: to, Y: 0}, {X: to, Y: top}, {X: from, Y: top}})
 		if err != nil {
 			continue
 		}
@@ -120,7 +120,10 @@
 		box.Width = 0
 		p.Add(box)
 		label, err := plotter.NewLabels(
-			plotter.XYLabels{XYs: plotter.XYs{{X: a + 0.2, Y: top * (0.02 + 0.07*float64(i%4))}}, Labels: []string{t.Kind}},
+			plotter.XYLabels{
+				XYs:    plotter.XYs{{X: from + 0.2, Y: top * (0.02 + 0.07*float64(i%4))}},
+				Labels: []string{fault.Kind},
+			},
 		)
 		if err == nil {
 			p.Add(label)
@@ -130,40 +133,40 @@
 }
 
 // line adds a series, second by second; gaps where it is NaN.
-func line(p *plot.Plot, name string, v []float64, colour int) {
-	var pts plotter.XYs
+func addSeries(p *plot.Plot, name string, samples []float64, colour int) {
+	var points plotter.XYs
 	first := true
 	flush := func() {
-		if len(pts) == 0 {
+		if len(points) == 0 {
 			return
 		}
-		l, err := plotter.NewLine(pts)
+		curve, err := plotter.NewLine(points)
 		if err == nil {
-			l.Color, l.Width = colours[colour%len(colours)], vg.Points(1.3)
-			p.Add(l)
+			curve.Color, curve.Width = colours[colour%len(colours)], vg.Points(1.3)
+			p.Add(curve)
 			if first {
-				p.Legend.Add(name, l)
+				p.Legend.Add(name, curve)
 				first = false
 			}
 		}
-		pts = nil
+		points = nil
 	}
-	for i, x := range v {
-		if math.IsNaN(x) || math.IsInf(x, 0) {
+	for i, sample := range samples {
+		if math.IsNaN(sample) || math.IsInf(sample, 0) {
 			flush()
 			continue
 		}
-		pts = append(pts, plotter.XY{X: float64(i) + 0.5, Y: x})
+		points = append(points, plotter.XY{X: float64(i) + 0.5, Y: sample})
 	}
 	flush()
 }
 
-func most(of ...[]float64) float64 {
+func axisMax(series ...[]float64) float64 {
 	top := 1.0
-	for _, v := range of {
-		for _, x := range v {
-			if !math.IsNaN(x) && !math.IsInf(x, 0) {
-				top = math.Max(top, x)
+	for _, samples := range series {
+		for _, sample := range samples {
+			if !math.IsNaN(sample) && !math.IsInf(sample, 0) {
+				top = math.Max(top, sample)
 			}
 		}
 	}
@@ -171,79 +174,83 @@
 }
 
 // Plots are the pictures of a day.
-func Plots(s *virtualrun.Series) []Plot {
-	if s == nil || s.Seconds == 0 {
+func Plots(series *virtualrun.Series) []Plot {
+	if series == nil || series.Seconds == 0 {
 		return nil
 	}
-	var of []Plot
-	add := func(title, y string, top float64) *plot.Plot {
-		p := base(title, y, s, top)
-		of = append(of, Plot{title, p})
+	var plots []Plot
+	add := func(title, yLabel string, top float64) *plot.Plot {
+		p := newTimePlot(title, yLabel, series, top)
+		plots = append(plots, Plot{title, p})
 		return p
 	}
 	p := add("Service by second of coming (value that stood in time over value offered)", "share", 1.05)
-	line(p, "service", s.Service, 0)
-	p = add("Contacts that came, and set-ups sent", "a second", most(s.Arrivals, total(s.Attempts, s.Seconds)))
-	line(p, "callers' first tries", s.Arrivals, 0)
-	line(p, "set-ups", total(s.Attempts, s.Seconds), 1)
-	p = add("Wait of contacts that stood, by second of coming", "ms", most(s.P50, s.P95))
-	line(p, "p50", s.P50, 0)
-	line(p, "p95", s.P95, 1)
-	p = add("Set-ups by switch", "a second", most(values(s.Attempts)...))
-	for i, k := range keys(s.Attempts) {
-		line(p, k, s.Attempts[k], i)
+	addSeries(p, "service", series.Service, 0)
+	p = add(
+		"Contacts that came, and set-ups sent",
+		"a second",
+		axisMax(series.Arrivals, sumSeries(series.Attempts, series.Seconds)),
+	)
+	addSeries(p, "callers' first tries", series.Arrivals, 0)
+	addSeries(p, "set-ups", sumSeries(series.Attempts, series.Seconds), 1)
+	p = add("Wait of contacts that stood, by second of coming", "ms", axisMax(series.P50, series.P95))
+	addSeries(p, "p50", series.P50, 0)
+	addSeries(p, "p95", series.P95, 1)
+	p = add("Set-ups by switch", "a second", axisMax(seriesByKey(series.Attempts)...))
+	for i, name := range sortedKeys(series.Attempts) {
+		addSeries(p, name, series.Attempts[name], i)
 	}
-	p = add("Rings by what the switch answered", "a second", most(values(s.Outcomes)...))
-	for i, k := range keys(s.Outcomes) {
-		line(p, k, s.Outcomes[k], i)
+	p = add("Rings by what the switch answered", "a second", axisMax(seriesByKey(series.Outcomes)...))
+	for i, name := range sortedKeys(series.Outcomes) {
+		addSeries(p, name, series.Outcomes[name], i)
 	}
-	if len(s.SlowStart) > 0 {
-		by, top := map[string]plotter.XYs{}, 1.1
-		for _, c := range s.SlowStart {
-			by[c.Switch] = append(by[c.Switch], plotter.XY{X: c.At / 1000, Y: c.Used})
-			top = math.Max(top, c.Used*1.1)
+	if len(series.SlowStart) > 0 {
+		bySwitch, top := map[string]plotter.XYs{}, 1.1
+		for _, budget := range series.SlowStart {
+			bySwitch[budget.Switch] = append(bySwitch[budget.Switch], plotter.XY{X: budget.At / 1000, Y: budget.Used})
+			top = math.Max(top, budget.Used*1.1)
 		}
 		p = add("Cold budgets: work of the window that ends here over what is allowed", "1 is the limit", top)
-		limit, err := plotter.NewLine(plotter.XYs{{X: 0, Y: 1}, {X: float64(s.Seconds), Y: 1}})
+		limit, err := plotter.NewLine(plotter.XYs{{X: 0, Y: 1}, {X: float64(series.Seconds), Y: 1}})
 		if err == nil {
 			limit.Color, limit.Dashes = colours[1], []vg.Length{vg.Points(4), vg.Points(3)}
 			p.Add(limit)
 			p.Legend.Add("limit", limit)
 		}
-		for i, k := range keys(by) {
-			l, err := plotter.NewLine(by[k])
+		for i, name := range sortedKeys(bySwitch) {
+			curve, err := plotter.NewLine(bySwitch[name])
 			if err == nil {
-				l.Color = colours[(i+2)%len(colours)]
-				p.Add(l)
-				p.Legend.Add(k, l)
+				curve.Color = colours[(i+2)%len(colours)]
+				p.Add(curve)
+				p.Legend.Add(name, curve)
 			}
 		}
 	}
-	return of
+	return plots
 }
 
-func keys[V any](m map[string]V) []string {
-	var of []string
-	for k := range m {
-		of = append(of, k)
+func sortedKeys[V any](m map[string]V) []string {
+	var keys []string
+	for key := range m {
+		keys = append(keys, key)
 	}
-	slices.Sort(of)
-	return of
+	slices.Sort(keys)
+	return keys
 }
 
-func values(m map[string][]float64) [][]float64 {
-	var of [][]float64
-	for _, k := range keys(m) {
-		of = append(of, m[k])
+func seriesByKey(m map[string][]float64) [][]float64 {
+	var series [][]float64
+	for _, key := range sortedKeys(m) {
+		series = append(series, m[key])
 	}
-	return of
+	return series
 }
 
-func total(m map[string][]float64, n int) []float64 {
-	sum := make([]float64, n)
-	for _, v := range m {
-		for i, x := range v {
-			sum[i] += x
+func sumSeries(m map[string][]float64, seconds int) []float64 {
+	sum := make([]float64, seconds)
+	for _, samples := range m {
+		for i, sample := range samples {
+			sum[i] += sample
 		}
 	}
 	return sum
@@ -261,18 +268,18 @@
 	}
 	zero.Dashes = []vg.Length{vg.Points(3), vg.Points(3)}
 	p.Add(zero)
-	for i, x := range pairs {
+	for i, pair := range pairs {
 		y := float64(len(pairs) - 1 - i)
-		ticks = append(ticks, plot.Tick{Value: y, Label: x.Name})
-		if math.IsInf(x.Result.Low, 0) {
+		ticks = append(ticks, plot.Tick{Value: y, Label: pair.Name})
+		if math.IsInf(pair.Result.Low, 0) {
 			continue
 		}
-		bar, err := plotter.NewLine(plotter.XYs{{X: x.Result.Low, Y: y}, {X: x.Result.High, Y: y}})
+		bar, err := plotter.NewLine(plotter.XYs{{X: pair.Result.Low, Y: y}, {X: pair.Result.High, Y: y}})
 		if err != nil {
 			return Plot{}, fmt.Errorf("report: intervals: %w", err)
 		}
 		bar.Width, bar.Color = vg.Points(2), colours[0]
-		dot, err := plotter.NewScatter(plotter.XYs{{X: x.Result.Mean, Y: y}})
+		dot, err := plotter.NewScatter(plotter.XYs{{X: pair.Result.Mean, Y: y}})
 		if err != nil {
 			return Plot{}, fmt.Errorf("report: intervals: %w", err)
 		}
@@ -286,7 +293,7 @@
 
 // Write writes the page. A report of nothing says so.
 func Write(w io.Writer, page Page) error {
-	type shown struct {
+	type dayContent struct {
 		Name  string
 		Lines []string
 		Plots []template.HTML
@@ -294,21 +301,21 @@
 	data := struct {
 		Title     string
 		Notes     []string
-		Days      []shown
+		Days      []dayContent
 		Pairs     []Pair
 		Intervals template.HTML
 		Empty     bool
 	}{Title: page.Title, Notes: page.Notes, Pairs: page.Pairs, Empty: len(page.Days)+len(page.Pairs) == 0}
-	for _, d := range page.Days {
-		x := shown{Name: d.Name, Lines: d.Lines}
-		for _, p := range d.Plots {
+	for _, day := range page.Days {
+		content := dayContent{Name: day.Name, Lines: day.Lines}
+		for _, p := range day.Plots {
 			svg, err := p.SVG()
 			if err != nil {
 				return err
 			}
-			x.Plots = append(x.Plots, svg)
+			content.Plots = append(content.Plots, svg)
 		}
-		data.Days = append(data.Days, x)
+		data.Days = append(data.Days, content)
 	}
 	if len(page.Pairs) > 0 {
 		p, err := Intervals(page.Pairs)
@@ -319,7 +326,7 @@
 			return err
 		}
 	}
-	if err := sheet.Execute(w, data); err != nil {
+	if err := parsedPage.Execute(w, data); err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
 	return nil
@@ -330,4 +337,4 @@
 //go:embed page.html
 var pageTemplate string
 
-var sheet = template.Must(template.New("report").Parse(pageTemplate))
+var parsedPage = template.Must(template.New("report").Parse(pageTemplate))
--- a/internal/emulator/stats/stats.go
+++ b/internal/emulator/stats/stats.go
@@ -17,7 +17,7 @@
 	Mean          float64
 	Low, High     float64 // the interval that holds the true mean with the confidence
 	A, B          float64 // the means of both sides
-	Better, Worse int     // pairs in which B is above or below A
+	Higher, Lower int     // pairs in which B is above or below A
 	Confidence    float64
 }
 
@@ -29,26 +29,26 @@
 	if n == 0 {
 		return p
 	}
-	d := make([]float64, n)
+	differences := make([]float64, n)
 	for i := range n {
-		d[i] = b[i] - a[i]
+		differences[i] = b[i] - a[i]
 		switch {
-		case d[i] > 0:
-			p.Better++
-		case d[i] < 0:
-			p.Worse++
+		case differences[i] > 0:
+			p.Higher++
+		case differences[i] < 0:
+			p.Lower++
 		}
 	}
-	p.A, p.B, p.Mean = stat.Mean(a[:n], nil), stat.Mean(b[:n], nil), stat.Mean(d, nil)
+	p.A, p.B, p.Mean = stat.Mean(a[:n], nil), stat.Mean(b[:n], nil), stat.Mean(differences, nil)
 	if n < 2 {
 		return p
 	}
-	half := distuv.StudentsT{
+	halfWidth := distuv.StudentsT{
 		Mu:    0,
 		Sigma: 1,
 		Nu:    float64(n - 1),
-	}.Quantile(0.5+confidence/2) * stat.StdDev(d, nil) / math.Sqrt(float64(n))
-	p.Low, p.High = p.Mean-half, p.Mean+half
+	}.Quantile(0.5+confidence/2) * stat.StdDev(differences, nil) / math.Sqrt(float64(n))
+	p.Low, p.High = p.Mean-halfWidth, p.Mean+halfWidth
 	return p
 }
 
@@ -75,8 +75,8 @@
 		p.High,
 		100*p.Confidence,
 		p.N,
-		p.Better,
-		p.Worse,
+		p.Higher,
+		p.Lower,
 		p.Verdict(),
 	)
 }
--- a/internal/emulator/workload/plan.go
+++ b/internal/emulator/workload/plan.go
@@ -47,59 +47,64 @@
 var Shapes = []string{"steady", "ramp", "surge", "day", "bursts"}
 
 // Read takes a plan from settings.
-func Read(b *hclconfig.Block) (*Plan, error) {
+func Read(block *hclconfig.Block) (*Plan, error) {
 	const day = 24 * 3600 * 1000.0
-	p := &Plan{
-		Seed:     uint64(b.Int("seed", 1, 0, 1<<31)),
-		Rate:     b.Num("rate", 100, 0.001, 1e6),
-		Length:   b.Ms("length", 30000, 1, day),
-		Shape:    b.Text("shape", "steady", Shapes...),
-		Swing:    b.Num("swing", 0.8, 0, 20),
-		Every:    b.Ms("every", 5000, 1, day),
-		Gateways: b.Int("gateways", 1, 1, 100000),
-		Uneven:   b.Num("uneven", 0, 0, 1),
-		Drift:    b.Ms("drift", 15000, 1, day),
-		Groups:   b.Texts("groups"),
-		Skew:     b.Num("skew", 0, 0, 1),
-		Numbers:  b.Int("numbers", 100000, 1, 1<<30),
+	plan := &Plan{
+		Seed:     uint64(block.Int("seed", 1, 0, 1<<31)),
+		Rate:     block.Num("rate", 100, 0.001, 1e6),
+		Length:   block.Ms("length", 30000, 1, day),
+		Shape:    block.Text("shape", "steady", Shapes...),
+		Swing:    block.Num("swing", 0.8, 0, 20),
+		Every:    block.Ms("every", 5000, 1, day),
+		Gateways: block.Int("gateways", 1, 1, 100000),
+		Uneven:   block.Num("uneven", 0, 0, 1),
+		Drift:    block.Ms("drift", 15000, 1, day),
+		Groups:   block.Texts("groups"),
+		Skew:     block.Num("skew", 0, 0, 1),
+		Numbers:  block.Int("numbers", 100000, 1, 1<<30),
 	}
-	for _, k := range b.Blocks("skill", 1) {
-		p.Skills = append(
-			p.Skills,
-			Skill{k.Labels[0], k.Num("share", 1, 0, 1), k.Ms("hold", 3000, 0, day), k.Ms("patience", 9000, 1000, day)},
+	for _, skill := range block.Blocks("skill", 1) {
+		plan.Skills = append(
+			plan.Skills,
+			Skill{
+				skill.Labels[0],
+				skill.Num("share", 1, 0, 1),
+				skill.Ms("hold", 3000, 0, day),
+				skill.Ms("patience", 9000, 1000, day),
+			},
 		)
 	}
-	if len(p.Skills) == 0 {
-		p.Skills = []Skill{{"shift-lookup", 1, 3000, 9000}}
+	if len(plan.Skills) == 0 {
+		plan.Skills = []Skill{{"shift-lookup", 1, 3000, 9000}}
 	}
-	for _, c := range b.Blocks("customer", 1) {
-		p.Customers = append(p.Customers, Share{c.Labels[0], c.Num("share", 1, 0, 1)})
+	for _, customer := range block.Blocks("customer", 1) {
+		plan.Customers = append(plan.Customers, Share{customer.Labels[0], customer.Num("share", 1, 0, 1)})
 	}
-	if len(p.Customers) == 0 {
-		p.Customers = []Share{{"laurentide.example", 1}}
+	if len(plan.Customers) == 0 {
+		plan.Customers = []Share{{"laurentide.example", 1}}
 	}
-	if len(p.Groups) == 0 {
-		p.Groups = []string{"TG-0"}
+	if len(plan.Groups) == 0 {
+		plan.Groups = []string{"TG-0"}
 	}
-	return p, b.Err()
+	return plan, block.Err()
 }
 
-// At is the rate at a time as a multiple of the mean rate.
-func (p *Plan) At(at float64) float64 {
-	x := at / p.Length
+// RateFactor is the rate at a time as a multiple of the mean rate.
+func (p *Plan) RateFactor(atMs float64) float64 {
+	progress := atMs / p.Length
 	switch p.Shape {
 	case "ramp":
-		return 1 + p.Swing*(2*x-1)*math.Min(1, 1/math.Max(p.Swing, 1e-9))
+		return 1 + p.Swing*(2*progress-1)*math.Min(1, 1/math.Max(p.Swing, 1e-9))
 	case "surge": // a Thursday: rosters go up, callers come within minutes and trail off
-		y := (x - 0.35) / 0.08
-		if x > 0.35 {
-			y = (x - 0.35) / 0.25
+		fromPeak := (progress - 0.35) / 0.08
+		if progress > 0.35 {
+			fromPeak = (progress - 0.35) / 0.25
 		}
-		return (1 + p.Swing*math.Exp(-y*y)) / (1 + p.Swing*0.292)
+		return (1 + p.Swing*math.Exp(-fromPeak*fromPeak)) / (1 + p.Swing*0.292)
 	case "day":
-		return 1 + math.Min(1, p.Swing)*math.Sin(2*math.Pi*(x-0.25))
+		return 1 + math.Min(1, p.Swing)*math.Sin(2*math.Pi*(progress-0.25))
 	case "bursts":
-		if math.Mod(at, p.Every) < p.Every/5 {
+		if math.Mod(atMs, p.Every) < p.Every/5 {
 			return (1 + p.Swing) / (1 + p.Swing/5)
 		}
 		return 1 / (1 + p.Swing/5)
@@ -109,45 +114,45 @@
 
 // Calls draws the calls, a Poisson stream of the shape's rate.
 func (p *Plan) Calls() []*api.Call {
-	n := &siptransaction.Generator{Seed: p.Seed}
-	most := 0.0
+	random := &siptransaction.Generator{Seed: p.Seed}
+	peak := 0.0
 	for i := range 1000 {
-		most = math.Max(most, p.At(p.Length*float64(i)/1000))
+		peak = math.Max(peak, p.RateFactor(p.Length*float64(i)/1000))
 	}
-	part := func(count int, spread float64) []float64 {
-		w := make([]float64, count)
-		for i := range w {
-			w[i] = 1 + spread*(2*n.Float64()-1)
+	drawShares := func(count int, spread float64) []float64 {
+		shares := make([]float64, count)
+		for i := range shares {
+			shares[i] = 1 + spread*(2*random.Float64()-1)
 		}
-		return w
+		return shares
 	}
-	gates := part(p.Gateways, p.Uneven)
-	var homes []float64
+	gatewayShares := drawShares(p.Gateways, p.Uneven)
+	var groupShares []float64
 	segment := -1
-	var of []*api.Call
-	for at := 0.0; ; {
-		at += -math.Log(1-n.Float64()) * 1000 / (p.Rate * most)
-		if at >= p.Length {
-			return of
+	var calls []*api.Call
+	for atMs := 0.0; ; {
+		atMs += -math.Log(1-random.Float64()) * 1000 / (p.Rate * peak)
+		if atMs >= p.Length {
+			return calls
 		}
-		if n.Float64()*most > p.At(at) {
+		if random.Float64()*peak > p.RateFactor(atMs) {
 			continue
 		}
-		if k := int(at / p.Drift); k != segment {
-			segment, homes = k, part(len(p.Groups), p.Skew)
+		if current := int(atMs / p.Drift); current != segment {
+			segment, groupShares = current, drawShares(len(p.Groups), p.Skew)
 		}
-		skill := p.Skills[Pick(n.Float64(), len(p.Skills), func(i int) float64 { return p.Skills[i].Share })]
-		of = append(
-			of,
+		skill := p.Skills[Pick(random.Float64(), len(p.Skills), func(i int) float64 { return p.Skills[i].Share })]
+		calls = append(
+			calls,
 			&api.Call{
-				AtMs:    at,
-				Gateway: uint32(Pick(n.Float64(), len(gates), func(i int) float64 { return gates[i] })),
-				Number:  fmt.Sprintf("+1418%07d", int(n.Float64()*float64(p.Numbers))),
+				AtMs:    atMs,
+				Gateway: uint32(Pick(random.Float64(), len(gatewayShares), func(i int) float64 { return gatewayShares[i] })),
+				Number:  fmt.Sprintf("+1418%07d", int(random.Float64()*float64(p.Numbers))),
 				Skill:   skill.Name,
-				Customer: p.Customers[Pick(n.Float64(), len(p.Customers),
+				Customer: p.Customers[Pick(random.Float64(), len(p.Customers),
 					func(i int) float64 { return p.Customers[i].Share })].Name,
-				Group:      p.Groups[Pick(n.Float64(), len(homes), func(i int) float64 { return homes[i] })],
-				HoldMs:     -math.Log(1-n.Float64()) * skill.Hold,
+				Group:      p.Groups[Pick(random.Float64(), len(groupShares), func(i int) float64 { return groupShares[i] })],
+				HoldMs:     -math.Log(1-random.Float64()) * skill.Hold,
 				PatienceMs: skill.Patience,
 			},
 		)
