--- a/internal/cli/labcli/compare.go
+++ b/internal/cli/labcli/compare.go
@@ -83,7 +83,7 @@
 				for i, name := range metricNames {
 					var valuesA, valuesB []float64
 					for k := range min(len(daysA), len(otherDays)) {
-						valuesA, valuesB = append(valuesA, daysA[k].values()[i]), append(valuesB, otherDays[k].values()[i])
+						valuesA, valuesB = append(valuesA, daysA[k].vector()[i]), append(valuesB, otherDays[k].vector()[i])
 					}
 					paired := stats.Compare(valuesA, valuesB, confidence)
 					fmt.Fprintf(out, "  %-24s %s\n", name, paired)
--- a/internal/cli/labcli/digits.go
+++ b/internal/cli/labcli/digits.go
@@ -62,11 +62,11 @@
 	return m.HeapAlloc, m.Mallocs
 }
 
-func measureDigits(out interface{ Write([]byte) (int, error) }, size, rounds int) error {
-	prefixes := prefixbaseline.Draw(size)
+func measureDigits(out interface{ Write([]byte) (int, error) }, count, rounds int) error {
+	prefixes := prefixbaseline.Draw(count)
 	var numbers []string
 	for i := range uint64(1 << 16) {
-		numbers = append(numbers, prefixes[int(detrand.Float64(3, i)*float64(size))].Digits+"5550123")
+		numbers = append(numbers, prefixes[int(detrand.Float64(3, i)*float64(count))].Digits+"5550123")
 	}
 	type searchMethod struct {
 		name   string
@@ -92,9 +92,9 @@
 		method.build = float64(time.Since(began)) / 1e6
 		method.find = built
 		after, _ := heapStats()
-		method.size = float64(int64(after)-int64(before)) / float64(size)
+		method.size = float64(int64(after)-int64(before)) / float64(count)
 		if trie, ok := built.(*prefixtrie.Trie); ok {
-			method.size = float64(trie.Bytes()) / float64(size)
+			method.size = float64(trie.Bytes()) / float64(count)
 		}
 	}
 	lengthSum := 0
@@ -125,13 +125,13 @@
 			relative = fmt.Sprintf("%.2f [%.2f, %.2f]", paired.B, paired.Low, paired.High)
 		}
 		mean := 0.0
-		for _, ns := range method.ns {
-			mean += ns / float64(rounds)
+		for _, sample := range method.ns {
+			mean += sample / float64(rounds)
 		}
 		fmt.Fprintf(
 			out,
 			"%9d %-7s %9.1f %9.1f %9.1f %8.4f   %s\n",
-			size,
+			count,
 			method.name,
 			method.build,
 			method.size,
--- a/internal/cli/labcli/fleet.go
+++ b/internal/cli/labcli/fleet.go
@@ -41,7 +41,7 @@
 	"cold budget used",
 }
 
-func (m *dayMetrics) values() []float64 {
+func (m *dayMetrics) vector() []float64 {
 	return []float64{m.Whole, m.Worst10s, m.Skill, m.Customer, m.Late, m.Cut, m.Unserved, m.P50, m.P99, m.Cold}
 }
 
--- a/internal/cli/labcli/load.go
+++ b/internal/cli/labcli/load.go
@@ -84,8 +84,8 @@
 	return c
 }
 
-// calls are what is to be sent.
-func (f *loadFlags) calls() ([]*api.Call, error) {
+// plannedCalls are what is to be sent.
+func (f *loadFlags) plannedCalls() ([]*api.Call, error) {
 	var calls []*api.Call
 	switch {
 	case f.traceFile != "":
@@ -137,7 +137,7 @@
 }
 
 func (f *loadFlags) run(ctx context.Context, out io.Writer) error {
-	calls, err := f.calls()
+	calls, err := f.plannedCalls()
 	if err != nil {
 		return err
 	}
--- a/internal/cli/labcli/record.go
+++ b/internal/cli/labcli/record.go
@@ -43,20 +43,20 @@
 		if err != nil {
 			return nil
 		}
-		r.message(record.At, entry.Datagram, message)
+		r.addMessage(record.At, entry.Datagram, message)
 	}
 	return nil
 }
 
-func (r *recorder) message(atMs float64, datagram *api.Datagram, m sip.Message) {
+func (r *recorder) addMessage(atMs float64, datagram *api.Datagram, m sip.Message) {
 	branch, _ := m.Via().Params.Get("branch")
 	callID := string(*m.CallID())
 	switch m := m.(type) {
 	case *sip.Request:
 		switch key := datagram.To + branch; {
 		case m.Method == sip.BYE:
-			if call, answeredAt := r.callsByID[callID], r.answeredAt[callID]; call != nil && answeredAt > 0 {
-				call.HoldMs = atMs - answeredAt
+			if call, talkStart := r.callsByID[callID], r.answeredAt[callID]; call != nil && talkStart > 0 {
+				call.HoldMs = atMs - talkStart
 			}
 		case m.Method == sip.INVITE && r.calls[key] == nil && siptransaction.Tag(m.To().Params) == "":
 			number, params, _ := strings.Cut(m.Recipient.User, ";")
--- a/internal/emulator/processrun/day.go
+++ b/internal/emulator/processrun/day.go
@@ -61,7 +61,7 @@
 type runner struct {
 	api.UnimplementedPoolListServer
 	options      Options
-	scenario     *scenario.Scenario
+	sim          *scenario.Scenario
 	sockets      *reactor.UDPSockets
 	listListener net.Listener
 	listServer   *grpc.Server
@@ -116,9 +116,9 @@
 		return nil, err
 	}
 	defer check.close()
-	r.scenario = scenario.NewReal(script, options.Port, maxReordering, check.add)
-	r.scenario.Fleet = r
-	r.scenario.Say = func(at float64, what string) { r.report(fmt.Sprintf("%6.1f s  %s", at/1000, what)) }
+	r.sim = scenario.NewReal(script, options.Port, maxReordering, check.add)
+	r.sim.Fleet = r
+	r.sim.Say = func(at float64, what string) { r.report(fmt.Sprintf("%6.1f s  %s", at/1000, what)) }
 	defer r.close()
 	if err := r.startAll(ctx); err != nil {
 		return nil, err
@@ -150,12 +150,12 @@
 	if err := r.startNameServers(); err != nil {
 		return err
 	}
-	for i := range r.scenario.Gateways {
+	for i := range r.sim.Gateways {
 		if err := r.startGateway(i); err != nil {
 			return err
 		}
 	}
-	for range r.scenario.Gateways {
+	for range r.sim.Gateways {
 		select {
 		case <-r.joined:
 		case <-ctx.Done():
@@ -169,19 +169,19 @@
 
 // play plays the day itself.
 func (r *runner) play(ctx context.Context, res *Result) {
-	world := r.scenario.World
+	world := r.sim.World
 	world.Begin()
 	r.setRunning(true)
-	for _, g := range r.scenario.Gateways {
-		r.scenario.Welcome(g, 0)
-		if names := r.scenario.Names; names != nil {
-			r.scenario.TableIn(g.Number, names.Version)
+	for _, g := range r.sim.Gateways {
+		r.sim.Welcome(g, 0)
+		if names := r.sim.Names; names != nil {
+			r.sim.TableIn(g.Number, names.Version)
 		}
 	}
 	r.progress(res)
-	world.RunReal(r.scenario.Script.Length+extraRunTime, ctx.Done())
-	res.Kiosks = r.scenario.KioskService()
-	res.Service = r.scenario.Service() // before the gateways drain: that releases calls that would have gone on
+	world.RunReal(r.sim.Script.Length+extraRunTime, ctx.Done())
+	res.Kiosks = r.sim.KioskService()
+	res.Service = r.sim.Service() // before the gateways drain: that releases calls that would have gone on
 }
 
 // drain stops the gateways as an operator would and reports those that did not end well.
@@ -199,7 +199,7 @@
 		}
 		close(ended)
 	}()
-	world := r.scenario.World
+	world := r.sim.World
 	world.RunReal(world.Now+drainTimeout, ended) // the switches still take what the gateways send
 	for i, p := range processes {
 		select {
@@ -229,7 +229,7 @@
 
 // open binds what the stand-ins need.
 func (r *runner) openSockets() error {
-	s := r.scenario
+	s := r.sim
 	addrs := s.Addresses()
 	for _, g := range s.Gateways {
 		relay := netip.AddrPortFrom(g.Addr.Addr(), uint16(r.options.Port+20))
@@ -264,11 +264,11 @@
 
 // relay is the wire between gateways.
 func (r *runner) relay(target int, local netip.AddrPort, data []byte) {
-	if len(data) < 3 || int(binary.BigEndian.Uint16(data)) >= len(r.scenario.Gateways) {
+	if len(data) < 3 || int(binary.BigEndian.Uint16(data)) >= len(r.sim.Gateways) {
 		return
 	}
-	r.scenario.World.Do(func() {
-		r.scenario.Tell(target, func(float64) { r.sockets.Send(local, r.scenario.Gateways[target].Peer, data) })
+	r.sim.World.Do(func() {
+		r.sim.Tell(target, func(float64) { r.sockets.Send(local, r.sim.Gateways[target].Peer, data) })
 	})
 }
 
@@ -299,7 +299,7 @@
 
 // launch starts a gateway's process.
 func (r *runner) startGateway(i int) error {
-	g := r.scenario.Gateways[i]
+	g := r.sim.Gateways[i]
 	file := filepath.Join(r.options.Dir, g.Name+".hcl")
 	if err := os.WriteFile(file, []byte(r.gatewayFile(i)), 0o644); err != nil {
 		return fmt.Errorf("day: %w", err)
@@ -336,10 +336,10 @@
 	running := r.running
 	r.mu.Unlock()
 	if running {
-		r.scenario.World.Do(func() {
-			for _, g := range r.scenario.Gateways {
+		r.sim.World.Do(func() {
+			for _, g := range r.sim.Gateways {
 				if g.Name == req.Gateway {
-					r.scenario.Welcome(g, req.Have)
+					r.sim.Welcome(g, req.Have)
 				}
 			}
 		})
@@ -364,7 +364,7 @@
 // List implements stage.Fleet.
 func (r *runner) List(i int, update *api.Update) {
 	r.mu.Lock()
-	updates := r.followers[r.scenario.Gateways[i].Name]
+	updates := r.followers[r.sim.Gateways[i].Name]
 	r.mu.Unlock()
 	select {
 	case updates <- update:
@@ -401,7 +401,7 @@
 
 // progress tells how the day goes, and sees how far the stand-ins run behind the clock.
 func (r *runner) progress(res *Result) {
-	world := r.scenario.World
+	world := r.sim.World
 	var tick func()
 	nextReport := 5000.0
 	tick = func() {
@@ -410,7 +410,7 @@
 		}
 		if world.Now >= nextReport && r.options.Progress != nil {
 			nextReport += 5000
-			service := r.scenario.Service()
+			service := r.sim.Service()
 			r.options.Progress(
 				fmt.Sprintf(
 					"%6.1f s  %d callers planned, %d stood in time, %d late, %d cut",
--- a/internal/emulator/processrun/gatewayfile.go
+++ b/internal/emulator/processrun/gatewayfile.go
@@ -22,14 +22,14 @@
 
 // gatewayFile returns gateway i's configuration file.
 func (r *runner) gatewayFile(i int) string {
-	g := r.scenario.Gateways[i]
-	config := r.scenario.Config(g)
+	g := r.sim.Gateways[i]
+	config := r.sim.Config(g)
 	var w fileWriter
 	r.writeGateway(&w, g, config)
 	w.line("list {\n  addr = %q\n}\nlog {\n  level = %q\n}", r.listListener.Addr(), r.options.Level)
 	w.writeRules(config)
 	w.writeTraffic(config)
-	if r.scenario.Names != nil {
+	if r.sim.Names != nil {
 		w.WriteString(r.numberSettings(i))
 	}
 	if g.FrontAt != nil {
@@ -42,10 +42,10 @@
 	w.line("gateway {\n  name = %q\n  sip = %q\n  peer = %q", g.Name, g.Addr, g.Peer)
 	w.line("  trunk_context = %q\n  gateways = %d", c.TrunkContext, c.Settings.Gateways)
 	w.line("  number = %d\n  seed = %d", g.Number, c.Settings.Seed%(1<<53))
-	w.line("  tick = %q\n  margin = %q", duration(r.scenario.Script.Gateways.Tick), duration(c.AnswerMargin))
+	w.line("  tick = %q\n  margin = %q", duration(r.sim.Script.Gateways.Tick), duration(c.AnswerMargin))
 	w.line("  most_held = %d\n  most_rate = %g", c.LoadShedding.MaxPending, c.LoadShedding.RatePerSecond)
 	w.line("  drain_within = \"5s\"\n  peers = [")
-	for _, peer := range r.scenario.Gateways {
+	for _, peer := range r.sim.Gateways {
 		w.line("    %q,", netip.AddrPortFrom(peer.Addr.Addr(), uint16(r.options.Port+20)))
 	}
 	w.line("  ]\n}")
@@ -81,7 +81,7 @@
 
 // writeFront writes the ENUM server's block.
 func (r *runner) writeENUMServer(w *fileWriter, g *scenario.Gateway) {
-	front := r.scenario.FrontConfig()
+	front := r.sim.FrontConfig()
 	w.line("front {\n  listen = %q\n  apex = %q\n  skill = %q", g.Front, front.Apex, front.Class)
 	w.line("  negative = %d\n  patience = %q", front.Negative, duration(front.Patience))
 	w.line("  repeat = %q\n  gain = %g", duration(front.Repeat), front.Gain)
--- a/internal/emulator/processrun/numbers.go
+++ b/internal/emulator/processrun/numbers.go
@@ -19,7 +19,7 @@
 
 // openNames puts the DNS servers behind sockets and writes the first table.
 func (r *runner) startNameServers() error {
-	names := r.scenario.Names
+	names := r.sim.Names
 	if names == nil {
 		return nil
 	}
@@ -31,10 +31,10 @@
 		r.nameServers = append(r.nameServers, served)
 	}
 	names.Alter = func(i int, change func(*dnsserver.Server)) { r.nameServers[i].Change(change) }
-	if err := os.WriteFile(r.tableFile(), r.scenario.Table(names.Version).Form, 0o644); err != nil {
+	if err := os.WriteFile(r.tableFile(), r.sim.Table(names.Version).Form, 0o644); err != nil {
 		return fmt.Errorf("day: %w", err)
 	}
-	for i := range r.scenario.Gateways {
+	for i := range r.sim.Gateways {
 		conn, err := grpc.NewClient(r.adminAddr(i).String(), grpc.WithTransportCredentials(insecure.NewCredentials()))
 		if err != nil {
 			return fmt.Errorf("day: %w", err)
@@ -48,12 +48,12 @@
 
 // admin is where a gateway's number tables are changed.
 func (r *runner) adminAddr(i int) netip.AddrPort {
-	return netip.AddrPortFrom(r.scenario.Gateways[i].Addr.Addr(), uint16(r.options.Port+30))
+	return netip.AddrPortFrom(r.sim.Gateways[i].Addr.Addr(), uint16(r.options.Port+30))
 }
 
 func (r *runner) numberSettings(i int) string {
-	numbers, names := r.scenario.Script.Numbers, r.scenario.Names
-	resolver := r.scenario.Resolve(0)
+	numbers, names := r.sim.Script.Numbers, r.sim.Names
+	resolver := r.sim.Resolve(0)
 	formatMs := func(ms float64) string { return time.Duration(ms * 1e6).String() }
 	var servers []string
 	for _, addr := range names.Addrs {
@@ -82,7 +82,7 @@
 }
 `,
 		r.tableFile(),
-		filepath.Join(r.options.Dir, r.scenario.Gateways[i].Name+".tables"),
+		filepath.Join(r.options.Dir, r.sim.Gateways[i].Name+".tables"),
 		r.adminAddr(i),
 		numbers.Share,
 		scenario.Apex,
@@ -105,11 +105,11 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
 		_, err := api.NewNumbersClient(r.admins[i]).Put(ctx, &api.PutTable{Table: table.Form, Note: "the laboratory"})
-		r.scenario.World.Do(func() {
+		r.sim.World.Do(func() {
 			if err == nil {
-				r.scenario.TableIn(i, table.Version)
+				r.sim.TableIn(i, table.Version)
 			} else if r.options.Progress != nil {
-				r.options.Progress(fmt.Sprintf("table %d at %s: %v", table.Version, r.scenario.Gateways[i].Name, err))
+				r.options.Progress(fmt.Sprintf("table %d at %s: %v", table.Version, r.sim.Gateways[i].Name, err))
 			}
 		})
 	}()
--- a/internal/emulator/report/report.go
+++ b/internal/emulator/report/report.go
@@ -47,8 +47,8 @@
 
 // Plot is a picture.
 type Plot struct {
-	Title string
-	plot  *plot.Plot
+	Title   string
+	drawing *plot.Plot
 }
 
 // Sizes of a picture.
@@ -60,7 +60,7 @@
 // SVG is the picture as text to stand in a page.
 func (p Plot) SVG() (template.HTML, error) {
 	c := vgsvg.New(pictureWidth, pictureHeight)
-	p.plot.Draw(draw.New(c))
+	p.drawing.Draw(draw.New(c))
 	var b bytes.Buffer
 	if _, err := c.WriteTo(&b); err != nil {
 		return "", fmt.Errorf("report: %s: %w", p.Title, err)
@@ -75,7 +75,7 @@
 // PNG writes the picture as a file of its own.
 func (p Plot) PNG(w io.Writer) error {
 	c := vgimg.New(pictureWidth, pictureHeight)
-	p.plot.Draw(draw.New(c))
+	p.drawing.Draw(draw.New(c))
 	if _, err := (vgimg.PngCanvas{Canvas: c}).WriteTo(w); err != nil {
 		return fmt.Errorf("report: %s: %w", p.Title, err)
 	}
