--- a/internal/cli/labcli/compare.go
+++ b/internal/cli/labcli/compare.go
@@ -16,7 +16,7 @@
 	"cobaltpier/internal/emulator/virtualrun"
 )
 
-// side is one side of a comparison.
+// side is what one side of a comparison runs: a policy, possibly another build, and changed settings.
 type side struct {
 	module, program string
 	set             []string
@@ -39,12 +39,13 @@
 	a, b := &side{}, &side{}
 	c := &cobra.Command{
 		Use:   "compare DAY",
-		Short: "Two settings, modules or builds on the same seeds: differences with intervals",
+		Short: "Compare two settings, policies or builds on the same seeds, with confidence intervals",
 		Args:  cobra.ExactArgs(1),
-		Long: `Plays the same days with two sides and takes the differences day by day, with the interval that
-holds the true mean. It says that a side is higher only where the interval does not hold nought. A
-side is a module (--a, --b), changed settings (--a-set, --b-set), another build of cobalt-lab
-(--a-program, --b-program), or all of them. --sweep plays one setting at several values against A.`,
+		Long: `Runs the same days for two sides, A and B, and takes the differences day by day, with the confidence
+interval of their mean. A side is called higher only if the interval does not contain zero. A side
+is a routing policy (--a, --b), changed settings (--a-set, --b-set), another build of cobalt-lab
+(--a-program, --b-program), or any combination of these. --sweep compares several values of one
+setting with A.`,
 		Example: "  cobalt-lab compare trouble --b lottery --seeds 10\n  cobalt-lab compare trouble --b-set " +
 			"gateways.may_cancel=false --seeds 20 --report cancel.html\n" +
 			"  cobalt-lab compare trouble --sweep net.loss=0,0.01,0.05 --seeds 8",
@@ -56,7 +57,7 @@
 			if sweep != "" {
 				name, values, ok := strings.Cut(sweep, "=")
 				if !ok {
-					return fmt.Errorf("sweep %q: want NAME=VALUE,VALUE and so on", sweep)
+					return fmt.Errorf("--sweep %q: want NAME=VALUE,VALUE,...", sweep)
 				}
 				sides = nil
 				for _, value := range strings.Split(values, ",") {
@@ -101,22 +102,22 @@
 		},
 	}
 	flags := c.Flags()
-	flags.IntVar(&seeds, "seeds", 8, "so many days, with seeds one after the other")
-	flags.Uint64Var(&firstSeed, "seed", 1, "the first seed")
-	flags.Float64Var(&confidence, "confidence", 0.95, "of the intervals")
-	flags.StringVar(&a.module, "a", "brain", "module of side A")
-	flags.StringVar(&b.module, "b", "brain", "module of side B")
+	flags.IntVar(&seeds, "seeds", 8, "number of days to run, with consecutive seeds")
+	flags.Uint64Var(&firstSeed, "seed", 1, "first seed")
+	flags.Float64Var(&confidence, "confidence", 0.95, "confidence level of the intervals")
+	flags.StringVar(&a.module, "a", "brain", "routing policy of side A")
+	flags.StringVar(&b.module, "b", "brain", "routing policy of side B")
 	flags.StringArrayVar(&a.set, "a-set", nil, "setting of side A, such as gateways.count=20")
 	flags.StringArrayVar(&b.set, "b-set", nil, "setting of side B")
 	flags.StringVar(&a.program, "a-program", "", "another build of cobalt-lab for side A")
 	flags.StringVar(&b.program, "b-program", "", "another build of cobalt-lab for side B")
 	flags.StringArrayVar(&commonSettings, "set", nil, "setting of both sides")
-	flags.StringVar(&sweep, "sweep", "", "NAME=VALUE,VALUE,...: side B once for each value")
+	flags.StringVar(&sweep, "sweep", "", "NAME=VALUE,VALUE,...: run side B once for each value")
 	flags.StringVar(&reportFile, "report", "", "write an HTML page to this file")
 	return c
 }
 
-// playSide plays the days of one side and returns their figures in the order of their seeds.
+// playSide runs the days of one side and returns their metrics in the order of the seeds.
 func playSide(
 	ctx context.Context,
 	out io.Writer,
--- a/internal/cli/labcli/design.go
+++ b/internal/cli/labcli/design.go
@@ -15,12 +15,12 @@
 	var seeds int
 	c := &cobra.Command{
 		Use:   "design",
-		Short: "Compare a quiet day with the design: destination first, and the lottery's shares",
+		Short: "Compare a quiet day with the design: first attempts at the destination, and the lottery's shares",
 		Args:  cobra.NoArgs,
-		Long: `Plays a quiet day in virtual time, once with all switches and once with one that drains, and
-compares the traffic with the design: the share of first rings at the destination, and how often
-each pool was drawn beside what its tickets (total capacity times the square of relative capacity,
-by the reports that each gateway had) make.`,
+		Long: `Runs a quiet day in virtual time, once with all switches and once with one that drains, and compares
+the traffic with the design: the share of first attempts at the destination, and how often each pool
+was drawn against the share of its tickets (total capacity times the square of relative capacity, by
+the load reports that each gateway had).`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			for seed := 1; seed <= seeds; seed++ {
 				for _, draining := range []int{-1, 1} {
@@ -49,6 +49,6 @@
 			return nil
 		},
 	}
-	c.Flags().IntVar(&seeds, "seeds", 1, "so many days")
+	c.Flags().IntVar(&seeds, "seeds", 1, "number of days to run, with consecutive seeds")
 	return c
 }
--- a/internal/cli/labcli/digits.go
+++ b/internal/cli/labcli/digits.go
@@ -13,17 +13,18 @@
 	"cobaltpier/internal/emulator/stats"
 )
 
-// digitsCmd measures the trie beside plain ways, in turns on the same numbers.
+// digitsCmd returns the command that compares the digit trie with two simple methods on the same numbers.
 func digitsCmd() *cobra.Command {
 	var sizes []int
 	var rounds int
 	c := &cobra.Command{
 		Use:   "digits",
-		Short: "Measure the digit trie beside a map of prefixes and a sorted search",
+		Short: "Compare the digit trie with a map of prefixes and a sorted search",
 		Args:  cobra.NoArgs,
-		Long: `Builds each of three ways to find the longest prefix from the same prefixes (areas, exchanges and
-ported numbers of full length), and lets them find the same numbers by turns. Memory of the plain
-ways is what the heap grew by, the prefixes' own texts left out. Ratios are of the same round.`,
+		Long: `Builds three longest-prefix matchers from the same prefixes (areas, exchanges and full-length ported
+numbers) and has them look up the same numbers in alternating rounds. Memory of the map and of the
+sorted search is the growth of the heap, without the text of the prefixes. Ratios are within the
+same round.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			out := cmd.OutOrStdout()
 			fmt.Fprintf(
@@ -45,8 +46,8 @@
 			return nil
 		},
 	}
-	c.Flags().IntSliceVar(&sizes, "sizes", []int{1000, 100000, 1000000}, "how many prefixes")
-	c.Flags().IntVar(&rounds, "rounds", 15, "turns of each way")
+	c.Flags().IntSliceVar(&sizes, "sizes", []int{1000, 100000, 1000000}, "numbers of prefixes to measure with")
+	c.Flags().IntVar(&rounds, "rounds", 15, "number of rounds for each method")
 	return c
 }
 
@@ -54,7 +55,7 @@
 	Find(number string) (uint32, int, bool)
 }
 
-// heap is the live heap, and how much was ever allocated.
+// heapStats returns the size of the live heap and the number of allocations so far.
 func heapStats() (live, count uint64) {
 	runtime.GC()
 	var m runtime.MemStats
@@ -69,13 +70,13 @@
 		numbers = append(numbers, prefixes[int(detrand.Float64(3, i)*float64(count))].Digits+"5550123")
 	}
 	type searchMethod struct {
-		name   string
-		make   func() (finder, error)
-		find   finder
-		build  float64
-		size   float64
-		ns     []float64
-		allocs float64
+		name            string
+		make            func() (finder, error)
+		find            finder
+		buildMs         float64
+		bytesPerPrefix  float64
+		nsPerLookup     []float64
+		allocsPerLookup float64
 	}
 	methods := []*searchMethod{
 		{name: "trie", make: func() (finder, error) { return prefixtrie.New(append([]prefixtrie.Prefix{}, prefixes...)) }},
@@ -89,12 +90,12 @@
 		if err != nil {
 			return err
 		}
-		method.build = float64(time.Since(began)) / 1e6
+		method.buildMs = float64(time.Since(began)) / 1e6
 		method.find = built
 		after, _ := heapStats()
-		method.size = float64(int64(after)-int64(before)) / float64(count)
+		method.bytesPerPrefix = float64(int64(after)-int64(before)) / float64(count)
 		if trie, ok := built.(*prefixtrie.Trie); ok {
-			method.size = float64(trie.Bytes()) / float64(count)
+			method.bytesPerPrefix = float64(trie.Bytes()) / float64(count)
 		}
 	}
 	lengthSum := 0
@@ -108,24 +109,24 @@
 					lengthSum += length
 				}
 			}
-			method.ns = append(method.ns, float64(time.Since(began))/float64(4*len(numbers)))
+			method.nsPerLookup = append(method.nsPerLookup, float64(time.Since(began))/float64(4*len(numbers)))
 			var mem runtime.MemStats
 			runtime.ReadMemStats(&mem)
-			method.allocs = float64(mem.Mallocs-mallocsBefore) / float64(4*len(numbers))
+			method.allocsPerLookup = float64(mem.Mallocs-mallocsBefore) / float64(4*len(numbers))
 		}
 	}
 	for _, method := range methods {
 		relative := ""
 		if method != methods[0] {
-			ratio, unit := make([]float64, rounds), make([]float64, rounds)
+			ratio, zeros := make([]float64, rounds), make([]float64, rounds)
 			for i := range ratio {
-				ratio[i], unit[i] = method.ns[i]/methods[0].ns[i], 0
+				ratio[i], zeros[i] = method.nsPerLookup[i]/methods[0].nsPerLookup[i], 0
 			}
-			paired := stats.Compare(unit, ratio, 0.95)
+			paired := stats.Compare(zeros, ratio, 0.95)
 			relative = fmt.Sprintf("%.2f [%.2f, %.2f]", paired.B, paired.Low, paired.High)
 		}
 		mean := 0.0
-		for _, sample := range method.ns {
+		for _, sample := range method.nsPerLookup {
 			mean += sample / float64(rounds)
 		}
 		fmt.Fprintf(
@@ -133,15 +134,15 @@
 			"%9d %-7s %9.1f %9.1f %9.1f %8.4f   %s\n",
 			count,
 			method.name,
-			method.build,
-			method.size,
+			method.buildMs,
+			method.bytesPerPrefix,
 			mean,
-			method.allocs,
+			method.allocsPerLookup,
 			relative,
 		)
 	}
 	if lengthSum == 0 {
-		return fmt.Errorf("digits: nothing was found")
+		return fmt.Errorf("digits: no number matched a prefix")
 	}
 	return nil
 }
--- a/internal/cli/labcli/fleet.go
+++ b/internal/cli/labcli/fleet.go
@@ -19,7 +19,8 @@
 	"cobaltpier/internal/emulator/virtualrun"
 )
 
-// figures are what days are compared by, higher being better but for waits and cold use.
+// dayMetrics holds what days are compared by; "fleet --json" writes it under these field names. Higher is better for
+// the service shares, lower for the counts, the waits and Cold, the use of slow-start budgets.
 type dayMetrics struct {
 	Seed                                uint64
 	Whole, Worst10s, Skill, Customer    float64
@@ -76,10 +77,11 @@
 	var settings []string
 	c := &cobra.Command{
 		Use:   "fleet DAY",
-		Short: "Play days in virtual time, any number of gateways, several days at once",
+		Short: "Run days in virtual time, with any number of gateways, several days in parallel",
 		Args:  cobra.ExactArgs(1),
-		Long: `Plays days in virtual time: the same edges and switches as on sockets, driven by one scheduler. The
-same seed gives the same capture to the byte (the sum that is printed), on any number of cores.`,
+		Long: `Runs days in virtual time: the same gateways and switch models as with real sockets, driven by one
+scheduler. The same seed gives the same capture, byte for byte, on any number of cores; the printed
+sum is the checksum of the capture.`,
 		Example: "  cobalt-lab fleet large --report day.html\n  cobalt-lab fleet trouble --seeds 20 --set " +
 			"gateways.count=64 --set load.rate=300",
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -166,19 +168,19 @@
 			return ctx.Err()
 		},
 	}
-	c.Flags().IntVar(&seeds, "seeds", 1, "so many days, with seeds one after the other")
-	c.Flags().Uint64Var(&firstSeed, "seed", 0, "the first seed, in place of the script's")
-	c.Flags().StringVar(&module, "module", "brain", "what decides: brain, or the baselines lottery and random")
+	c.Flags().IntVar(&seeds, "seeds", 1, "number of days to run, with consecutive seeds")
+	c.Flags().Uint64Var(&firstSeed, "seed", 0, "first seed, instead of the script's")
+	c.Flags().StringVar(&module, "module", "brain", "routing policy: brain, or the baselines lottery and random")
 	c.Flags().StringVar(&reportFile, "report", "", "write an HTML page with plots to this file")
-	c.Flags().StringVar(&pictureDir, "pictures", "", "write the plots as PNG files into this folder")
+	c.Flags().StringVar(&pictureDir, "pictures", "", "write the plots as PNG files to this directory")
 	c.Flags().StringVar(
 		&traceFile,
 		"trace",
 		"",
-		"replay the calls of this trace in place of the script's load; nobody dials again",
+		"replay the calls of this trace instead of the script's load; callers do not redial",
 	)
-	c.Flags().BoolVar(&asJSON, "json", false, "a line of JSON for each day")
-	c.Flags().StringArrayVar(&settings, "set", nil, "change a value of the script, such as pools.count=6")
+	c.Flags().BoolVar(&asJSON, "json", false, "print one line of JSON for each day")
+	c.Flags().StringArrayVar(&settings, "set", nil, "override a value of the script, such as pools.count=6")
 	return c
 }
 
@@ -192,7 +194,7 @@
 	)
 }
 
-// write writes a report and its pictures, where they are wanted.
+// writeReport writes the HTML report and its plots as PNG files; an empty name skips either.
 func writeReport(reportFile, pictureDir string, page report.Page) error {
 	if reportFile != "" {
 		f, err := os.Create(reportFile)
--- a/internal/cli/labcli/hunt.go
+++ b/internal/cli/labcli/hunt.go
@@ -20,12 +20,12 @@
 	var shrink int
 	c := &cobra.Command{
 		Use:   "hunt",
-		Short: "Look for days that break a rule or serve callers worst, and cut them down",
+		Short: "Search for days that break a rule or serve callers worst, and minimise them",
 		Args:  cobra.NoArgs,
-		Long: `Draws small days by chance (sizes, settings, troubles), goes on from the worst by small changes, and
-cuts what breaks a rule down to the smallest day that still breaks it. Finds are written at once as
-JSON days, which "cobalt-lab fleet FILE" plays again; a hunt that is stopped keeps what it had.
-Those in lab/hunt/corpus are played by the tests.`,
+		Long: `Generates small random days (sizes, settings, faults), mutates the worst ones, and reduces each day
+that breaks a rule to the smallest one that still breaks it. Finds are written at once as JSON days,
+which "cobalt-lab fleet FILE" replays; an interrupted hunt keeps the finds written so far. The tests
+replay those in lab/hunt/corpus.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, cancel := interruptContext(cmd)
 			defer cancel()
@@ -115,12 +115,12 @@
 			return nil
 		},
 	}
-	c.Flags().IntVar(&options.Days, "days", 1000, "days to play")
-	c.Flags().Uint64Var(&options.Seed, "seed", 1, "of the hunt")
-	c.Flags().BoolVar(&options.Large, "large", false, "days of 10 to 40 gateways")
-	c.Flags().StringVar(&dir, "dir", "found", "where finds go")
-	c.Flags().StringVar(&module, "module", "brain", "what decides")
-	c.Flags().IntVar(&shrink, "shrink", 200, "days played at most to cut a find down")
+	c.Flags().IntVar(&options.Days, "days", 1000, "number of days to run")
+	c.Flags().Uint64Var(&options.Seed, "seed", 1, "seed of the search")
+	c.Flags().BoolVar(&options.Large, "large", false, "generate days of 10 to 40 gateways")
+	c.Flags().StringVar(&dir, "dir", "found", "directory for the finds")
+	c.Flags().StringVar(&module, "module", "brain", "routing policy: brain, lottery or random")
+	c.Flags().IntVar(&shrink, "shrink", 200, "maximum number of days to run while minimising a find")
 	return c
 }
 
--- a/internal/cli/labcli/labcmd.go
+++ b/internal/cli/labcli/labcmd.go
@@ -1,4 +1,5 @@
-// Package labcli is the command line of cobalt-lab, the laboratory: stand-ins, days of trouble, captures and verdicts.
+// Package labcli implements the commands of cobalt-lab, the test laboratory: they run scenarios against stand-ins of
+// switches and callers, capture the traffic and check it against the five rules.
 package labcli
 
 import (
@@ -26,16 +27,17 @@
 	"cobaltpier/internal/routing"
 )
 
-// New is the command.
+// New returns the cobalt-lab command with its subcommands.
 func New() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "cobalt-lab",
-		Short: "The laboratory: stand-ins of switches and callers, days of trouble, verdicts",
-		Long: `cobalt-lab puts days on: stand-ins of core switches, callers and the pool list, gateways as
-processes of their own (or in virtual time), and a checker that judges the five rules from the
-traffic alone. The switches are models; their figures are of simulated servers.
+		Short: "Test laboratory: runs scenarios against stand-ins and checks the traffic",
+		Long: `cobalt-lab runs scenarios, called days: stand-ins of core switches, callers and the endpoint list;
+gateways as separate processes or in virtual time; and a checker that verifies the five rules from
+the traffic alone. The switches are models, so all results are for simulated servers.
 
-Start with "cobalt-lab try". Status 0: all went well; 1: something failed; 3: a rule was broken.`,
+Start with "cobalt-lab try". Exit status: 0 success; 1 an error; 3 a rule was broken or a gateway
+failed.`,
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
@@ -63,7 +65,7 @@
 	return root
 }
 
-// Status is the exit code for an error.
+// Status returns the exit code for an error.
 func Status(err error) int {
 	switch {
 	case err == nil:
@@ -88,25 +90,25 @@
 }
 
 func (f *dayFlags) add(c *cobra.Command) {
-	c.Flags().BoolVar(&f.virtual, "virtual", false, "in virtual time: no sockets, the same seed gives the same day")
-	c.Flags().IntVar(&f.seeds, "seeds", 1, "so many days, with seeds one after the other")
-	c.Flags().Uint64Var(&f.seed, "seed", 0, "the first seed, in place of the script's")
+	c.Flags().BoolVar(&f.virtual, "virtual", false, "run in virtual time, without sockets; a seed repeats the same day")
+	c.Flags().IntVar(&f.seeds, "seeds", 1, "number of days to run, with consecutive seeds")
+	c.Flags().Uint64Var(&f.seed, "seed", 0, "first seed, instead of the script's")
 	c.Flags().StringVar(
 		&f.module,
 		"module",
 		"brain",
-		"what decides: brain, or the baselines lottery and random; several with commas",
+		"routing policy: brain, or the baselines lottery and random; several separated by commas",
 	)
-	c.Flags().StringVar(&f.capture, "capture", "", "keep the traffic in this file (see cobalt-lab show)")
-	c.Flags().StringVar(&f.dir, "dir", "", "keep the gateways' settings and logs there")
+	c.Flags().StringVar(&f.capture, "capture", "", "write the traffic to this file (see cobalt-lab show)")
+	c.Flags().StringVar(&f.dir, "dir", "", "keep the gateways' configuration files and logs in this directory")
 	c.Flags().IntVar(&f.port, "port", 15060, "SIP port of the addresses in 127.0.0.0/8; port+10 and port+20 are used too")
 	c.Flags().StringVar(
 		&f.trace,
 		"trace",
 		"",
-		"replay the calls of this trace in place of the script's load; nobody dials again",
+		"replay the calls of this trace instead of the script's load; callers do not redial",
 	)
-	c.Flags().StringArrayVar(&f.set, "set", nil, "change a value of the script, such as pools.count=6 or 'net.loss=0.01'")
+	c.Flags().StringArrayVar(&f.set, "set", nil, "override a value of the script, such as pools.count=6 or net.loss=0.01")
 	c.Flags().StringVar(&f.level, "log", "info", "log level of the gateways")
 }
 
@@ -114,7 +116,7 @@
 	var f dayFlags
 	c := &cobra.Command{
 		Use:   "try",
-		Short: "Put on a short day that comes with the program, with real sockets and processes",
+		Short: "Run a short built-in day, with real sockets and processes",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			s, err := scenario.Day("try", f.set...)
@@ -132,11 +134,11 @@
 	var f dayFlags
 	c := &cobra.Command{
 		Use:     "day SCRIPT.hcl",
-		Short:   "Put on a day from a script, or one that comes with the program",
+		Short:   "Run a day from a script, or a built-in one",
 		Args:    cobra.ExactArgs(1),
 		Example: "  cobalt-lab day trouble --seeds 10\n  cobalt-lab day my.hcl --virtual --module brain,lottery,random",
-		Long: "Puts on a day from a script, prints how callers were served and the verdict on the five rules.\n\n" +
-			"Troubles that a script may name:\n" + faultKinds(),
+		Long: "Runs a day from a script and prints how callers were served and whether the five rules were kept.\n\n" +
+			"Faults that a script may name:\n" + faultKinds(),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			s, err := scenario.Load(args[0], f.set...)
 			if err != nil {
@@ -216,7 +218,7 @@
 	}
 	executable, err := os.Executable()
 	if err != nil {
-		return nil, fmt.Errorf("own program: %w", err)
+		return nil, fmt.Errorf("path of this executable: %w", err)
 	}
 	options := processrun.Options{
 		Port:           f.port,
@@ -242,7 +244,7 @@
 	return processrun.Run(ctx, script, options)
 }
 
-// Virtual puts a day on in virtual time.
+// RunVirtual runs a day in virtual time; captureFile "" writes no capture.
 func RunVirtual(
 	script *scenariofile.Script,
 	newPolicy routing.PolicyFactory,
@@ -342,7 +344,7 @@
 func show() *cobra.Command {
 	var whole bool
 	var only string
-	c := &cobra.Command{Use: "show CAPTURE", Short: "Print a capture for a person to read", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{Use: "show CAPTURE", Short: "Print a capture as text", Args: cobra.ExactArgs(1),
 		Example: "  cobalt-lab show day.cap --only 8a1f03b2\n  cobalt-lab show day.cap --whole | less",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			f, err := os.Open(args[0])
@@ -360,13 +362,13 @@
 				return nil
 			})
 		}}
-	c.Flags().BoolVar(&whole, "whole", false, "whole messages, not a line each")
-	c.Flags().StringVar(&only, "only", "", "only records that hold this text, such as a part of a Session-ID")
+	c.Flags().BoolVar(&whole, "whole", false, "print whole messages instead of one line each")
+	c.Flags().StringVar(&only, "only", "", "print only records that contain this text, such as part of a Session-ID")
 	return c
 }
 
 func judge() *cobra.Command {
-	return &cobra.Command{Use: "judge CAPTURE", Short: "Judge the five rules from a capture", Args: cobra.ExactArgs(1),
+	return &cobra.Command{Use: "judge CAPTURE", Short: "Check a capture against the five rules", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			f, err := os.Open(args[0])
 			if err != nil {
--- a/internal/cli/labcli/load.go
+++ b/internal/cli/labcli/load.go
@@ -42,16 +42,16 @@
 	var f loadFlags
 	c := &cobra.Command{
 		Use:   "load",
-		Short: "Send planned or recorded calls to gateways, open loop, and measure their waits",
+		Short: "Send planned or recorded calls to gateways in an open loop and measure their waits",
 		Args:  cobra.NoArgs,
-		Long: `Sends calls at the times they are planned for, whatever becomes of those before. Waits count from
-the intended time of each call: when a gateway stands still, all that was meant to come meanwhile
-counts with its whole wait (no coordinated omission). Beside them stand the waits from the time of
-sending. The generator measures its own lateness; a run in which it was the bottleneck says so and
-ends with status 1.
+		Long: `Sends each call at its planned time, whether or not earlier calls have been answered. Waits are
+measured from the planned time: while a gateway stalls, every call planned for that time counts with
+its whole wait (no coordinated omission). Waits from the time of sending are printed too. The
+generator measures its own lateness; if it was the bottleneck, the run reports that and exits with
+status 1.
 
---check runs against a stand-in that pauses on purpose and compares what is reported with the true
-waits, which its schedule gives.`,
+--check runs against a stand-in that pauses on purpose and compares the reported waits with the true
+ones, which follow from its schedule.`,
 		Example: "  cobalt-lab load --plan thursday.hcl --to 127.0.0.1:5060 --processes 2\n  cobalt-lab load --trace " +
 			"monday.trc --speed 2 --to 127.0.0.1:5060\n" +
 			"  cobalt-lab load --check --rate 1000 --for 30s",
@@ -62,29 +62,29 @@
 		},
 	}
 	flags := c.Flags()
-	flags.StringVar(&f.planFile, "plan", "", "HCL file that says what comes; without it and --trace, --rate for --for")
-	flags.StringVar(&f.traceFile, "trace", "", "a recorded trace in place of a plan")
-	flags.Float64Var(&f.speed, "speed", 1, "times of coming go so many times faster; holds and patience stay")
-	flags.BoolVar(&f.speedAll, "speed-all", false, "holds and patience go faster too")
-	flags.StringSliceVar(&f.targets, "to", nil, "SIP addresses of the gateways, by number")
-	flags.StringVar(&f.source, "from", "127.61.0.1:5060", "address that calls come from; each process takes the next one")
+	flags.StringVar(&f.planFile, "plan", "", "HCL file with the plan; without it and --trace: --rate for --for")
+	flags.StringVar(&f.traceFile, "trace", "", "recorded trace to replay instead of a plan")
+	flags.Float64Var(&f.speed, "speed", 1, "factor by which arrivals are sped up; holding times and patience stay")
+	flags.BoolVar(&f.speedAll, "speed-all", false, "speed up holding times and patience too")
+	flags.StringSliceVar(&f.targets, "to", nil, "SIP addresses of the gateways, in the order of their numbers")
+	flags.StringVar(&f.source, "from", "127.61.0.1:5060", "source address of the calls; each process takes the next one")
 	flags.StringVar(&f.context, "context", "laurentide.example", "trunk-context of the calls")
-	flags.IntVar(&f.processes, "processes", 1, "so many load processes; their histograms are merged")
-	flags.IntVar(&f.shard, "shard", -1, "this process's part; set by the parent")
-	flags.Int64Var(&f.start, "start", 0, "when the plan begins, ns since 1970; set by the parent")
-	flags.BoolVar(&f.raw, "raw", false, "print the result for a parent to merge")
-	flags.DurationVar(&f.maxLateness, "late", 5*time.Millisecond, "lateness of the slowest thousandth that is allowed")
-	flags.BoolVar(&f.check, "check", false, "against a stand-in that pauses on purpose")
-	flags.Float64Var(&f.rate, "rate", 1000, "contacts a second without a plan")
-	flags.DurationVar(&f.length, "for", 30*time.Second, "length without a plan")
-	flags.StringVar(&f.record, "record", "", "write the planned calls to this trace and send nothing")
+	flags.IntVar(&f.processes, "processes", 1, "number of load processes; their histograms are merged")
+	flags.IntVar(&f.shard, "shard", -1, "index of this process's part of the calls; set by the parent")
+	flags.Int64Var(&f.start, "start", 0, "start of the plan, ns since 1970; set by the parent")
+	flags.BoolVar(&f.raw, "raw", false, "print the result as JSON for the parent to merge")
+	flags.DurationVar(&f.maxLateness, "late", 5*time.Millisecond, "lateness allowed for the slowest thousandth")
+	flags.BoolVar(&f.check, "check", false, "run against a stand-in that pauses on purpose")
+	flags.Float64Var(&f.rate, "rate", 1000, "calls a second when there is no plan")
+	flags.DurationVar(&f.length, "for", 30*time.Second, "length of the load when there is no plan")
+	flags.StringVar(&f.record, "record", "", "write the planned calls to this trace file and send nothing")
 	for _, name := range []string{"shard", "start", "raw"} {
 		_ = flags.MarkHidden(name)
 	}
 	return c
 }
 
-// plannedCalls are what is to be sent.
+// plannedCalls returns the calls of the trace, of the plan file or of a steady load.
 func (f *loadFlags) plannedCalls() ([]*api.Call, error) {
 	var calls []*api.Call
 	switch {
@@ -95,7 +95,7 @@
 		}
 		defer file.Close()
 		if calls, err = calltrace.All(file); err != nil {
-			return nil, fmt.Errorf("%w; %d calls before that can be had with cobalt-lab trace", err, len(calls))
+			return nil, fmt.Errorf("%w; the %d calls before the damage can be extracted with cobalt-lab trace", err, len(calls))
 		}
 		for _, c := range calls {
 			if c.PatienceMs == 0 {
@@ -128,7 +128,7 @@
 		calls = plan.Calls()
 	}
 	if f.speed <= 0 {
-		return nil, fmt.Errorf("load: speed: want more than 0, got %v", f.speed)
+		return nil, fmt.Errorf("load: --speed: want a value above 0, got %v", f.speed)
 	}
 	if f.speed != 1 || f.speedAll {
 		calls = calltrace.Speed(calls, f.speed, f.speedAll)
@@ -177,7 +177,7 @@
 		targets, f.targets = []netip.AddrPort{standInAddr}, []string{standInAddr.String()}
 	}
 	if len(targets) == 0 {
-		return fmt.Errorf("load: want --to with the gateways' addresses")
+		return fmt.Errorf("load: --to: want the gateways' addresses")
 	}
 	if !f.raw {
 		fmt.Fprintf(out, "plan: %s\n", calltrace.Summary(calls))
@@ -246,7 +246,7 @@
 	return res.Judge(f.maxLateness)
 }
 
-// compare sets what was reported beside the true waits of the stand-in's schedule.
+// compareWaits prints the true waits, by the stand-in's schedule, and how far the reported ones are from them.
 func (f *loadFlags) compareWaits(out io.Writer, standIn *loadgen.Still, calls []*api.Call, res *loadgen.Result) error {
 	var trueWaits []float64
 	for _, c := range calls {
@@ -267,7 +267,7 @@
 	return nil
 }
 
-// raw is a result on its way to the process that merges.
+// shardResult is the result of one load process, as JSON for the process that merges the results.
 type shardResult struct {
 	Intended, Sent, Late                               []byte
 	Planned, Stood, Refused, Unanswered, Repeats, Past int64
@@ -298,7 +298,7 @@
 func readShardResult(text []byte) (*loadgen.Result, error) {
 	var encoded shardResult
 	if err := json.Unmarshal(text, &encoded); err != nil {
-		return nil, fmt.Errorf("load: a part's result: %w", err)
+		return nil, fmt.Errorf("load: result of a load process: %w", err)
 	}
 	res := loadgen.NewResult()
 	res.Planned, res.Answered, res.Refused, res.Unanswered, res.Repeats, res.Past = encoded.Planned, encoded.Stood,
@@ -309,20 +309,20 @@
 	}{{encoded.Intended, res.Intended}, {encoded.Sent, res.Sent}, {encoded.Late, res.Late}} {
 		decoded, err := hdrhistogram.Decode(histogram.from)
 		if err != nil {
-			return nil, fmt.Errorf("load: a part's histogram: %w", err)
+			return nil, fmt.Errorf("load: histogram of a load process: %w", err)
 		}
 		if dropped := histogram.to.Merge(decoded); dropped > 0 {
-			return nil, fmt.Errorf("load: %d waits of a part do not fit", dropped)
+			return nil, fmt.Errorf("load: %d waits of a load process exceed the histogram's range", dropped)
 		}
 	}
 	return res, nil
 }
 
-// spread runs the load in several processes and merges what they measured.
+// runShards runs the load in several processes and merges their results.
 func (f *loadFlags) runShards(ctx context.Context, start time.Time) (*loadgen.Result, error) {
 	executable, err := os.Executable()
 	if err != nil {
-		return nil, fmt.Errorf("own program: %w", err)
+		return nil, fmt.Errorf("path of this executable: %w", err)
 	}
 	commonArgs := []string{
 		"load",
--- a/internal/cli/labcli/lookups.go
+++ b/internal/cli/labcli/lookups.go
@@ -15,27 +15,28 @@
 	"cobaltpier/internal/emulator/virtualrun"
 )
 
-// lookups measures what trouble of DNS servers costs callers.
+// lookups returns the command that measures what faults of DNS servers cost callers.
 func lookups() *cobra.Command {
 	var seeds int
 	var settings []string
 	c := &cobra.Command{
 		Use:   "lookups",
-		Short: "What trouble of the DNS servers costs in service, with and without cache, stale answers and shared look-ups",
+		Short: "Measure what DNS server faults cost in service, with and without cache, stale answers, shared look-ups",
 		Args:  cobra.NoArgs,
-		Long: `Plays a day in virtual time on which each number's portability is looked up and a number without an
-answer is deferred, with each trouble of the DNS servers alone, and each of: all as it is; nothing
-kept; nothing served stale; look-ups of one number not shared. The same seeds for all. "lost" is the
-part of the look-ups that had no answer; "sent" datagrams and streams for each look-up. Differences
-in service are of the same seeds against all as it is. Of simulated switches and servers.`,
+		Long: `Runs a day in virtual time on which the portability of each number is looked up and a call whose
+look-up gets no answer is deferred. Each fault of the DNS servers is run alone, in four modes: the
+resolver as it is; without cache; without stale answers; without sharing the look-ups of a number.
+All runs use the same seeds. "lost" is the share of look-ups without an answer, "sent" the number of
+datagrams and streams for each look-up. Differences in service are against "as it is" on the same
+seeds. Switches and servers are simulated.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, cancel := signal.NotifyContext(cmd.Context(), syscall.SIGINT, syscall.SIGTERM)
 			defer cancel()
 			return lookupTable(ctx, cmd, seeds, settings)
 		},
 	}
-	c.Flags().IntVar(&seeds, "seeds", 5, "days of each kind")
-	c.Flags().StringArrayVar(&settings, "set", nil, "change a value of the day, such as load.rate=300")
+	c.Flags().IntVar(&seeds, "seeds", 5, "days for each fault and mode")
+	c.Flags().StringArrayVar(&settings, "set", nil, "override a value of the day, such as load.rate=300")
 	return c
 }
 
@@ -103,7 +104,7 @@
 		cellIndex, seed := i/seeds, i%seeds
 		script, err := scenario.Day("numbers", commonSettings...)
 		if err != nil {
-			return // looked at before
+			return // cannot happen: the same settings were loaded above
 		}
 		script.Seed = uint64(seed + 1)
 		if fault := faults[cellIndex/len(modes)]; fault.Kind != "" {
--- a/internal/cli/labcli/record.go
+++ b/internal/cli/labcli/record.go
@@ -17,12 +17,12 @@
 	"cobaltpier/internal/protocol/siptransaction"
 )
 
-// recorder makes a trace of what callers sent and got in a capture.
+// recorder builds a trace from what callers sent and received in a capture.
 type recorder struct {
 	nodes          map[string]*api.Node
 	gatewayNumbers map[string]uint32
 	calls          map[string]*api.Call // by gateway's address and branch
-	answeredAt     map[string]float64   // by Call-ID: when it stood
+	answeredAt     map[string]float64   // by Call-ID: when the call was answered
 	callsByID      map[string]*api.Call
 	recorded       []*api.Call
 }
@@ -83,7 +83,7 @@
 	}
 }
 
-// fromCapture reads a capture's calls.
+// callsFromCapture returns the calls of a capture.
 func callsFromCapture(name string) ([]*api.Call, error) {
 	f, err := os.Open(name)
 	if err != nil {
@@ -107,11 +107,11 @@
 	var out string
 	c := &cobra.Command{
 		Use:   "record CAPTURE",
-		Short: "Make a trace of a capture: each try of a caller, with its answer and wait",
+		Short: "Make a trace from a capture: each call attempt of a caller, with its answer and wait",
 		Args:  cobra.ExactArgs(1),
-		Long: `Makes a trace of what callers sent in a capture. Redials stand in it as calls of their own: replayed
-against callers that dial again, they would come twice, so "cobalt-lab day --trace" lets nobody dial
-again.`,
+		Long: `Makes a trace of what callers sent in a capture. Redials are calls of their own in it: if callers
+redialled in the replay too, they would come twice, so "cobalt-lab day --trace" turns redialling
+off.`,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			calls, err := callsFromCapture(args[0])
 			if err != nil {
@@ -137,7 +137,7 @@
 	return c
 }
 
-// replay puts a trace's calls in the place of a script's load.
+// replayTrace replaces a script's load by the calls of a trace.
 func replayTrace(script *scenariofile.Script, file string) error {
 	if file == "" {
 		return nil
--- a/internal/cli/labcli/swap.go
+++ b/internal/cli/labcli/swap.go
@@ -16,17 +16,18 @@
 	"cobaltpier/internal/emulator/prefixbaseline"
 )
 
-// swap measures what a large table costs, and how long a loop is held up while one is checked beside it.
+// swap returns the command that measures the cost of a large table, and how late a loop runs while one is checked in
+// parallel.
 func swap() *cobra.Command {
 	var size, rounds int
 	c := &cobra.Command{
 		Use:   "swap",
-		Short: "What a large number table costs, and whether a loop is held up while one is checked beside it",
+		Short: "Measure the cost of a large number table, and how late a loop runs while one is checked in parallel",
 		Args:  cobra.NoArgs,
-		Long: `Makes a table of many prefixes with 200 routes and checks it as a gateway does, again and again,
-while a loop of one goroutine wants to run every millisecond, analyses ten numbers each time and
-notes how late it is. The same loop runs alone as long before; the differences are what the check
-and the collector take.`,
+		Long: `Makes a table of many prefixes with 200 routes and checks it repeatedly, as a gateway does, while a
+loop in one goroutine that is due every millisecond analyses ten numbers each time and records how
+late it runs. Before that, the same loop runs alone for as long; the difference is the cost of the
+checks and of garbage collection.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			out := cmd.OutOrStdout()
 			definition, err := largeTable(size)
@@ -59,7 +60,7 @@
 			runChecks := func() {
 				for range rounds {
 					if checked := tableversions.Check(packed, table.Names()); checked.Err != nil {
-						panic(checked.Err) // it was compiled above
+						panic(checked.Err) // cannot happen: the table was compiled above
 					}
 				}
 			}
@@ -83,14 +84,14 @@
 			return nil
 		},
 	}
-	c.Flags().IntVar(&size, "size", 1000000, "prefixes")
-	c.Flags().IntVar(&rounds, "rounds", 5, "checks")
+	c.Flags().IntVar(&size, "size", 1000000, "number of prefixes")
+	c.Flags().IntVar(&rounds, "rounds", 5, "number of checks")
 	return c
 }
 
 func mebibytes(n int) float64 { return float64(n) / (1 << 20) }
 
-// large makes a table of many prefixes.
+// largeTable returns a number table of many prefixes.
 func largeTable(size int) (*api.NumberTable, error) {
 	const routes = 200
 	table := &api.NumberTable{Name: "large", Version: 1, Entry: "start", Plans: []*api.NumberPlan{{Name: "start"}}}
@@ -116,7 +117,7 @@
 	return table, nil
 }
 
-// lateness runs a loop beside something and returns how late each turn was, ms, sorted.
+// measureLateness runs a loop in parallel with load and returns how late each iteration was, ms, sorted.
 func measureLateness(table *numberplan.Table, prefixes []prefixtrie.Prefix, load func()) []float64 {
 	runtime.GC()
 	done := make(chan struct{})
@@ -134,7 +135,7 @@
 			table.Begin(numberplan.Call{Dialled: "+" + prefixes[i%len(prefixes)].Digits + "55", At: next})
 			i++
 		}
-		if now := time.Now(); now.Sub(next) > time.Millisecond { // turns that were missed are not made up for
+		if now := time.Now(); now.Sub(next) > time.Millisecond { // missed iterations are not made up for
 			next = now
 		}
 		select {
--- a/internal/cli/labcli/throughput.go
+++ b/internal/cli/labcli/throughput.go
@@ -23,7 +23,8 @@
 	"cobaltpier/internal/gateway/reactor"
 )
 
-// echo answers every datagram with itself, on the gateway's own reactor: a hidden command, for comparison.
+// echo returns a hidden command that sends every datagram back, on the gateway's own reactor: the baseline of
+// throughput.
 func echo() *cobra.Command {
 	var listenAddr string
 	c := &cobra.Command{Use: "echo", Hidden: true, RunE: func(cmd *cobra.Command, _ []string) error {
@@ -47,11 +48,11 @@
 		sockets.Close()
 		return nil
 	}}
-	c.Flags().StringVar(&listenAddr, "at", "", "address")
+	c.Flags().StringVar(&listenAddr, "at", "", "address to listen on")
 	return c
 }
 
-// oneList is an endpoint list with one endpoint that never changes.
+// fixedEndpointList serves an endpoint list with one endpoint that never changes.
 type fixedEndpointList struct {
 	api.UnimplementedPoolListServer
 	at string
@@ -84,20 +85,20 @@
 	var f throughputFlags
 	c := &cobra.Command{
 		Use:   "throughput",
-		Short: "How many contacts a second one gateway carries on one core, beside a bare echo",
+		Short: "Measure how many calls a second one gateway carries on one core, compared with a bare echo",
 		Args:  cobra.NoArgs,
-		Long: `Runs one gateway process on one core with callers and a switch that do next to nothing, and raises
-the rate until not all contacts stand, or the gateway repeats set-ups because it answers too slowly
-itself. A bare echo on the same reactor and one core is measured in the same way before and after
-it. Then: the time that the gateway adds at half of its rate, the memory of held contacts, and with
---soak a long run that shows growth.`,
+		Long: `Runs one gateway process on one core, with callers and a switch that do almost no work, and raises
+the rate until not all calls are established or set-ups are retransmitted because the gateway is too
+slow. A bare echo server on the same reactor and one core is measured in the same way before and
+after. Then it measures the latency that the gateway adds at half of its rate and the memory of held
+calls; --soak adds a long run that shows memory growth.`,
 		RunE: func(cmd *cobra.Command, _ []string) error { return f.run(cmd.OutOrStdout()) },
 	}
 	c.Flags().IntVar(&f.port, "port", 17060, "port of the addresses in 127.0.0.0/8")
-	c.Flags().DurationVar(&f.step, "step", 4*time.Second, "how long each rate is kept")
-	c.Flags().Float64Var(&f.maxRate, "most", 30000, "the highest rate tried, contacts a second")
-	c.Flags().DurationVar(&f.soak, "soak", 0, "then a run so long at half of the rate")
-	c.Flags().DurationVar(&f.hold, "hold", 8*time.Second, "how long contacts stand where memory is measured")
+	c.Flags().DurationVar(&f.step, "step", 4*time.Second, "duration of each rate")
+	c.Flags().Float64Var(&f.maxRate, "most", 30000, "highest rate to try, calls a second")
+	c.Flags().DurationVar(&f.soak, "soak", 0, "duration of a final run at half of the rate; 0: none")
+	c.Flags().DurationVar(&f.hold, "hold", 8*time.Second, "holding time of the calls in the memory measurement")
 	c.Flags().StringVar(&f.profile, "profile", "", "write the gateway's CPU profile to this file")
 	return c
 }
@@ -108,7 +109,7 @@
 	}
 	executable, err := os.Executable()
 	if err != nil {
-		return fmt.Errorf("own program: %w", err)
+		return fmt.Errorf("path of this executable: %w", err)
 	}
 	dir, err := os.MkdirTemp("", "cobalt-rush-")
 	if err != nil {
@@ -155,7 +156,7 @@
 
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return fmt.Errorf("throughput: pool list: %w", err)
+		return fmt.Errorf("throughput: endpoint list: %w", err)
 	}
 	listServer := grpc.NewServer()
 	api.RegisterPoolListServer(listServer, &fixedEndpointList{at: addr(3).String()})
@@ -189,7 +190,7 @@
 	}
 	defer rig.Close()
 	time.Sleep(time.Second)
-	rig.Run(saturation.Load{Rate: 200, For: 3 * time.Second}) // the module learns that its endpoint answers at once
+	rig.Run(saturation.Load{Rate: 200, For: 3 * time.Second}) // lets the policy learn that its endpoint answers at once
 	bestRate := 0.0
 	fmt.Fprintf(
 		out,
@@ -253,7 +254,7 @@
 		ms(res.Back.ValueAtQuantile(99)),
 		ms(res.Back.ValueAtQuantile(99.9)),
 	)
-	time.Sleep(30 * time.Second) // transactions of the runs before end
+	time.Sleep(30 * time.Second) // waits until the transactions of the earlier runs have ended
 	emptyKiB := residentKiB(gateway.Process.Pid)
 	heldRate := min(1000, bestRate/2)
 	fullKiB := 0.0
@@ -294,7 +295,7 @@
 
 func ms(us int64) float64 { return float64(us) / 1000 }
 
-// rss is a process's resident memory in KiB, as the kernel tells it.
+// residentKiB returns a process's resident memory in KiB, from /proc; 0 if it cannot be read.
 func residentKiB(pid int) float64 {
 	status, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/status")
 	if err != nil {
--- a/internal/cli/labcli/trace.go
+++ b/internal/cli/labcli/trace.go
@@ -17,9 +17,9 @@
 func traceCmd() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "trace",
-		Short: "Import, cut, merge, scale, speed up and anonymise traces of calls",
-		Long: `Works on traces (api/trace.proto has the format). A trace that is damaged is read up to the damage;
-the error names the place, and what was read is written all the same.`,
+		Short: "Import, cut, merge, scale, speed up and anonymise call traces",
+		Long: `Works on call traces (api/trace.proto defines the format). A damaged trace is read up to the damage:
+the error names the position, and the calls before it are still written.`,
 	}
 	var out string
 	addCommand := func(use, short string, args cobra.PositionalArgs,
@@ -58,86 +58,86 @@
 	first := func(traces [][]*api.Call) []*api.Call { return traces[0] }
 	addCommand(
 		"info FILE",
-		"Say what a trace holds",
+		"Summarise a trace",
 		cobra.ExactArgs(1),
 		func(traces [][]*api.Call) ([]*api.Call, error) { return first(traces), nil },
 		nil,
 	)
 	addCommand(
 		"import FILE",
-		"Read calls from CSV (with a line of column names) or JSON lines, by the file's ending",
+		"Read calls from CSV (with a header line) or JSON lines, depending on the file name extension",
 		cobra.ExactArgs(1),
 		func(traces [][]*api.Call) ([]*api.Call, error) { return first(traces), nil },
 		nil,
 	)
 	addCommand(
 		"merge FILE...",
-		"Put traces together by their times",
+		"Merge traces by the times of their calls",
 		cobra.MinimumNArgs(1),
 		func(traces [][]*api.Call) ([]*api.Call, error) { return calltrace.Merge(traces...), nil },
 		nil,
 	)
 	var from, to time.Duration
-	addCommand("cut FILE", "Keep a part", cobra.ExactArgs(1), func(traces [][]*api.Call) ([]*api.Call, error) {
+	addCommand("cut FILE", "Keep a range of time", cobra.ExactArgs(1), func(traces [][]*api.Call) ([]*api.Call, error) {
 		end := math.Inf(1)
 		if to > 0 {
 			end = float64(to) / 1e6
 		}
 		return calltrace.Slice(first(traces), float64(from)/1e6, end), nil
 	}, func(sub *cobra.Command) {
-		sub.Flags().DurationVar(&from, "from", 0, "first time that is kept")
-		sub.Flags().DurationVar(&to, "to", 0, "first time that is not; 0: all")
+		sub.Flags().DurationVar(&from, "from", 0, "start of the range")
+		sub.Flags().DurationVar(&to, "to", 0, "end of the range, exclusive; 0: to the end of the trace")
 	})
 	var factor, jitter float64
 	var seed uint64
 	addCommand(
 		"scale FILE",
-		"Make so many times as many calls",
+		"Multiply the number of calls by a factor",
 		cobra.ExactArgs(1),
 		func(traces [][]*api.Call) ([]*api.Call, error) {
 			if !(factor > 0) {
-				return nil, fmt.Errorf("scale: want --by above 0, got %v", factor)
+				return nil, fmt.Errorf("scale: --by: want a value above 0, got %v", factor)
 			}
 			return calltrace.Scale(first(traces), factor, jitter, seed), nil
 		},
 		func(sub *cobra.Command) {
 			sub.Flags().Float64Var(&factor, "by", 1, "factor")
-			sub.Flags().Float64Var(&jitter, "jitter", 1000, "copies come within so many ms after their call")
-			sub.Flags().Uint64Var(&seed, "seed", 1, "of what is kept and copied")
+			sub.Flags().Float64Var(&jitter, "jitter", 1000, "copies arrive up to this many ms after the original call")
+			sub.Flags().Uint64Var(&seed, "seed", 1, "seed of the choice of calls to keep and copy")
 		},
 	)
 	var speed float64
 	var all bool
 	addCommand(
 		"speed FILE",
-		"Play times of coming so many times faster",
+		"Speed up arrivals by a factor",
 		cobra.ExactArgs(1),
 		func(traces [][]*api.Call) ([]*api.Call, error) {
 			if !(speed > 0) {
-				return nil, fmt.Errorf("speed: want --by above 0, got %v", speed)
+				return nil, fmt.Errorf("speed: --by: want a value above 0, got %v", speed)
 			}
 			return calltrace.Speed(first(traces), speed, all), nil
 		},
 		func(sub *cobra.Command) {
 			sub.Flags().Float64Var(&speed, "by", 1, "factor")
-			sub.Flags().BoolVar(&all, "all", false, "holds and patience too")
+			sub.Flags().BoolVar(&all, "all", false, "speed up holding times and patience too")
 		},
 	)
 	var key string
 	var keep int
 	addCommand(
 		"anonymise FILE",
-		"Put other digits in the place of the numbers called",
+		"Replace the digits of the numbers called",
 		cobra.ExactArgs(1),
 		func(traces [][]*api.Call) ([]*api.Call, error) {
 			if key == "" {
-				return nil, fmt.Errorf("anonymise: want --key: the same key gives the same digits")
+				return nil, fmt.Errorf("anonymise: --key is required; the same key gives the same digits")
 			}
 			return calltrace.Anonymise(first(traces), key, keep), nil
 		},
 		func(sub *cobra.Command) {
-			sub.Flags().StringVar(&key, "key", "", "secret")
-			sub.Flags().IntVar(&keep, "keep", 5, "characters at the start that stay, which routing goes by")
+			sub.Flags().StringVar(&key, "key", "", "secret key of the replacement")
+			sub.Flags().IntVar(&keep, "keep", 5, "number of leading characters, used for routing, that stay")
 		},
 	)
 	c.AddCommand(captureTrace())
