--- a/internal/cli/labcli/labcmd.go
+++ b/internal/cli/labcli/labcmd.go
@@ -188,7 +188,7 @@
 						fmt.Fprintln(out, "  ", finding)
 					}
 				}
-				for _, failure := range res.Exits {
+				for _, failure := range res.GatewayFailures {
 					fmt.Fprintln(out, "  gateway ended badly:", failure)
 				}
 			} else {
@@ -300,7 +300,7 @@
 		quantile(s.Waits, 0.5),
 		quantile(s.Waits, 0.99),
 		100*res.Totals.SlowStartUse,
-		res.Late,
+		res.ClockLag,
 		rules,
 	)
 }
@@ -326,8 +326,8 @@
 	if res.Tables != nil && len(res.Tables.Findings) > 0 {
 		parts = append(parts, fmt.Sprintf("%d contacts by the wrong table", len(res.Tables.Findings)))
 	}
-	if len(res.Exits) > 0 {
-		parts = append(parts, fmt.Sprintf("%d gateways ended badly", len(res.Exits)))
+	if len(res.GatewayFailures) > 0 {
+		parts = append(parts, fmt.Sprintf("%d gateways ended badly", len(res.GatewayFailures)))
 	}
 	return strings.Join(parts, ", ")
 }
--- a/internal/cli/labcli/load.go
+++ b/internal/cli/labcli/load.go
@@ -107,7 +107,7 @@
 		if err != nil {
 			return nil, err
 		}
-		plan, err := workload.Read(block)
+		plan, err := workload.ReadPlan(block)
 		if err != nil {
 			return nil, err
 		}
@@ -123,7 +123,7 @@
 			Groups:    []string{"TG-0"},
 			Numbers:   100000,
 			Skills:    []workload.Skill{{Name: "shift-lookup", Share: 1, Hold: 500, Patience: 9000}},
-			Customers: []workload.Share{{Name: "load.example", Share: 1}},
+			Customers: []workload.Customer{{Name: "load.example", Share: 1}},
 		}
 		calls = plan.Calls()
 	}
--- a/internal/cli/labcli/printday.go
+++ b/internal/cli/labcli/printday.go
@@ -44,12 +44,12 @@
 		res.Totals.Attempts,
 		res.Totals.Retransmissions,
 	)
-	if res.Late > 0 {
+	if res.ClockLag > 0 {
 		fmt.Fprintf(
 			out,
 			"  stand-ins        at most %.0f ms behind the clock, %d datagrams lost by sockets\n",
-			res.Late,
-			res.Lost,
+			res.ClockLag,
+			res.DatagramsLost,
 		)
 	}
 	fmt.Fprintf(out, "\nThe five rules, judged from the traffic:\n")
@@ -109,7 +109,7 @@
 			}
 		}
 	}
-	for _, failure := range res.Exits {
+	for _, failure := range res.GatewayFailures {
 		fmt.Fprintln(out, "  gateway ended badly:", failure)
 	}
 	if res.Broken() && res.Dir != "" {
--- a/internal/emulator/processrun/day.go
+++ b/internal/emulator/processrun/day.go
@@ -42,20 +42,20 @@
 
 // Result is what a day came to.
 type Result struct {
-	Service  scenario.Service
-	Findings []conformance.Finding
-	Totals   conformance.Totals
-	Tables   *conformance.Tables // nil: no number tables
-	Kiosks   scenario.KioskService
-	Exits    []string // gateways that did not end as they should
-	Lost     uint64   // datagrams that sockets did not take
-	Late     float64  // ms: the most that the stand-ins ran behind the clock
-	Dir      string
+	Service         scenario.Service
+	Findings        []conformance.Finding
+	Totals          conformance.Totals
+	Tables          *conformance.Tables // nil: no number tables
+	Kiosks          scenario.KioskService
+	GatewayFailures []string // gateways that did not end as they should
+	DatagramsLost   uint64   // datagrams that sockets did not take
+	ClockLag        float64  // ms: the most that the stand-ins ran behind the clock
+	Dir             string
 }
 
 // Broken tells whether a rule was broken or a gateway ended badly.
 func (r *Result) Broken() bool {
-	return len(r.Findings) > 0 || len(r.Exits) > 0 || r.Tables != nil && len(r.Tables.Findings) > 0
+	return len(r.Findings) > 0 || len(r.GatewayFailures) > 0 || r.Tables != nil && len(r.Tables.Findings) > 0
 }
 
 type runner struct {
@@ -68,7 +68,7 @@
 	mu           sync.Mutex
 	gateways     []*process
 	followers    map[string]chan *api.Update
-	joined       chan string
+	subscribed   chan string
 	running      bool
 	relays       map[netip.AddrPort]int // where messages for a gateway come in
 	nameServers  []*dnsserver.Served
@@ -98,10 +98,10 @@
 // Run plays a day; it ends early when ctx does.
 func Run(ctx context.Context, script *scenariofile.Script, options Options) (*Result, error) {
 	r := &runner{
-		options:   options,
-		followers: map[string]chan *api.Update{},
-		joined:    make(chan string, 4096),
-		relays:    map[netip.AddrPort]int{},
+		options:    options,
+		followers:  map[string]chan *api.Update{},
+		subscribed: make(chan string, 4096),
+		relays:     map[netip.AddrPort]int{},
 	}
 	temporary := options.Dir == ""
 	if temporary {
@@ -129,7 +129,7 @@
 	if err := check.finish(res); err != nil {
 		return nil, err
 	}
-	res.Lost = r.sockets.Lost.Load()
+	res.DatagramsLost = r.sockets.Lost.Load()
 	if temporary && !res.Broken() {
 		os.RemoveAll(r.options.Dir)
 	}
@@ -157,7 +157,7 @@
 	}
 	for range r.sim.Gateways {
 		select {
-		case <-r.joined:
+		case <-r.subscribed:
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(startTimeout):
@@ -205,12 +205,15 @@
 		select {
 		case <-p.done:
 			if p.err != nil && !p.killed {
-				res.Exits = append(res.Exits, fmt.Sprintf("edge-%d: %v: %s", i, p.err, lastLines(p.log.Name())))
+				res.GatewayFailures = append(
+					res.GatewayFailures,
+					fmt.Sprintf("edge-%d: %v: %s", i, p.err, lastLines(p.log.Name())),
+				)
 			}
 		default:
 			_ = p.cmd.Process.Kill()
 			<-p.done
-			res.Exits = append(res.Exits, fmt.Sprintf("edge-%d did not drain within 30 s", i))
+			res.GatewayFailures = append(res.GatewayFailures, fmt.Sprintf("edge-%d did not drain within 30 s", i))
 		}
 	}
 }
@@ -345,7 +348,7 @@
 		})
 	} else {
 		select {
-		case r.joined <- req.Gateway:
+		case r.subscribed <- req.Gateway:
 		default:
 		}
 	}
@@ -361,7 +364,7 @@
 	}
 }
 
-// List implements stage.Fleet.
+// List implements scenario.Fleet.
 func (r *runner) List(i int, update *api.Update) {
 	r.mu.Lock()
 	updates := r.followers[r.sim.Gateways[i].Name]
@@ -378,20 +381,20 @@
 	return r.gateways[i]
 }
 
-// Halt implements stage.Fleet.
+// Halt implements scenario.Fleet.
 func (r *runner) Halt(i int) { _ = r.process(i).cmd.Process.Signal(syscall.SIGSTOP) }
 
-// Go implements stage.Fleet.
+// Go implements scenario.Fleet.
 func (r *runner) Go(i int) { _ = r.process(i).cmd.Process.Signal(syscall.SIGCONT) }
 
-// Kill implements stage.Fleet.
+// Kill implements scenario.Fleet.
 func (r *runner) Kill(i int) {
 	p := r.process(i)
 	p.killed = true
 	_ = p.cmd.Process.Kill()
 }
 
-// Start implements stage.Fleet.
+// Start implements scenario.Fleet.
 func (r *runner) Start(i int) {
 	<-r.process(i).done
 	if err := r.startGateway(i); err != nil && r.options.Progress != nil {
@@ -405,8 +408,8 @@
 	var tick func()
 	nextReport := 5000.0
 	tick = func() {
-		if behind := world.Wall() - world.Now; behind > res.Late {
-			res.Late = behind
+		if behind := world.Wall() - world.Now; behind > res.ClockLag {
+			res.ClockLag = behind
 		}
 		if world.Now >= nextReport && r.options.Progress != nil {
 			nextReport += 5000
--- a/internal/emulator/processrun/gatewayfile.go
+++ b/internal/emulator/processrun/gatewayfile.go
@@ -81,13 +81,13 @@
 
 // writeFront writes the ENUM server's block.
 func (r *runner) writeENUMServer(w *fileWriter, g *scenario.Gateway) {
-	front := r.sim.FrontConfig()
-	w.line("front {\n  listen = %q\n  apex = %q\n  skill = %q", g.Front, front.Apex, front.Class)
-	w.line("  negative = %d\n  patience = %q", front.Negative, duration(front.Patience))
-	w.line("  repeat = %q\n  gain = %g", duration(front.Repeat), front.Gain)
-	w.line("  most = %d\n  keep = %d", front.MaxPending, front.Keep)
-	w.line("  rate = %g\n  burst = %g\n  clients = %d", front.Limits.Rate, front.Limits.Burst, front.Limits.Clients)
-	for _, client := range front.Limits.Nets {
+	enumServer := r.sim.FrontConfig()
+	w.line("front {\n  listen = %q\n  apex = %q\n  skill = %q", g.Front, enumServer.Apex, enumServer.Class)
+	w.line("  negative = %d\n  patience = %q", enumServer.Negative, duration(enumServer.Patience))
+	w.line("  repeat = %q\n  gain = %g", duration(enumServer.Repeat), enumServer.Gain)
+	w.line("  most = %d\n  keep = %d", enumServer.MaxPending, enumServer.Keep)
+	w.line("  rate = %g\n  burst = %g\n  clients = %d", enumServer.Limits.Rate, enumServer.Limits.Burst, enumServer.Limits.Clients)
+	for _, client := range enumServer.Limits.Nets {
 		w.line("  client %q {\n    rate = %g\n  }", client.Prefix, client.Rate)
 	}
 	w.line("}")
--- a/internal/emulator/processrun/numbers.go
+++ b/internal/emulator/processrun/numbers.go
@@ -99,7 +99,7 @@
 	)
 }
 
-// Table implements stage.Fleet: a gateway that is down or stalls gets the next one.
+// Table implements scenario.Fleet: a gateway that is down or stalls gets the next one.
 func (r *runner) Table(i int, table *scenario.Table) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
--- a/internal/emulator/workload/plan.go
+++ b/internal/emulator/workload/plan.go
@@ -28,7 +28,7 @@
 	Skew      float64 // destinations' parts differ by so much
 	Numbers   int
 	Skills    []Skill
-	Customers []Share
+	Customers []Customer
 }
 
 // Skill is a class of calls.
@@ -38,7 +38,7 @@
 }
 
 // Share is a tenant's part.
-type Share struct {
+type Customer struct {
 	Name  string
 	Share float64
 }
@@ -47,7 +47,7 @@
 var Shapes = []string{"steady", "ramp", "surge", "day", "bursts"}
 
 // Read takes a plan from settings.
-func Read(block *hclconfig.Block) (*Plan, error) {
+func ReadPlan(block *hclconfig.Block) (*Plan, error) {
 	const day = 24 * 3600 * 1000.0
 	plan := &Plan{
 		Seed:     uint64(block.Int("seed", 1, 0, 1<<31)),
@@ -78,10 +78,10 @@
 		plan.Skills = []Skill{{"shift-lookup", 1, 3000, 9000}}
 	}
 	for _, customer := range block.Blocks("customer", 1) {
-		plan.Customers = append(plan.Customers, Share{customer.Labels[0], customer.Num("share", 1, 0, 1)})
+		plan.Customers = append(plan.Customers, Customer{customer.Labels[0], customer.Num("share", 1, 0, 1)})
 	}
 	if len(plan.Customers) == 0 {
-		plan.Customers = []Share{{"laurentide.example", 1}}
+		plan.Customers = []Customer{{"laurentide.example", 1}}
 	}
 	if len(plan.Groups) == 0 {
 		plan.Groups = []string{"TG-0"}
