--- a/internal/emulator/processrun/check.go
+++ b/internal/emulator/processrun/check.go
@@ -13,22 +13,22 @@
 
 //tally:standin
 
-// maxRecordQueue bounds the records that wait for the checker.
+// maxRecordQueue is the maximum number of records that wait for the checker.
 const maxRecordQueue = 1 << 16
 
-// check judges the records of a day, in a goroutine of its own: parsing them must not hold the stand-ins up.
+// check checks the records of a run in a goroutine of its own, so that parsing them does not delay the stand-ins.
 type check struct {
 	checker *conformance.Checker
-	tables  *conformance.Tables // nil: the day has no number tables
-	file    *os.File            // of the capture; nil: none
+	tables  *conformance.Tables // nil: the scenario has no number tables
+	file    *os.File            // the capture file; nil: none
 	capture *capture.Writer     // nil: none
 	records chan *api.Record
 	done    chan struct{} // closed after the last record
-	err     error         // of the capture; to be read after done
+	err     error         // from writing the capture; may be read once done is closed
 	ended   bool
 }
 
-// startCheck starts the checker; captureFile "" keeps no capture.
+// startCheck starts the checker; captureFile "" writes no capture.
 func startCheck(s *scenariofile.Script, captureFile string) (*check, error) {
 	c := &check{
 		checker: conformance.New(),
@@ -68,7 +68,7 @@
 	}
 }
 
-// finish waits for the last record and writes what was found into a result.
+// finish waits for the last record and stores the findings in a result.
 func (c *check) finish(res *Result) error {
 	close(c.records)
 	c.ended = true
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// close ends a check that was not finished.
+// close stops the check if finish was not called, and closes the capture file.
 func (c *check) close() {
 	if !c.ended {
 		close(c.records)
--- a/internal/emulator/processrun/day.go
+++ b/internal/emulator/processrun/day.go
@@ -1,5 +1,5 @@
-// Package processrun puts a script's day on with gateways that are processes of their own: real sockets, a real
-// endpoint list stream, signals. Switches, callers and the wire are the stage's, by the wall clock.
+// Package processrun runs a scenario with each gateway as a process of its own: real sockets, a real endpoint list
+// stream and signals. The scenario's stand-ins play the switches, the callers and the network, by the wall clock.
 package processrun
 
 //tally:standin
@@ -29,31 +29,31 @@
 	"cobaltpier/internal/gateway/reactor"
 )
 
-// Options are how a day is put on.
+// Options configure a run.
 type Options struct {
 	Port           int      // SIP port of all addresses; port+10 and port+20 are used too
-	Capture        string   // file; "": none is kept
-	Dir            string   // for settings and logs of the gateways; "": a new one, removed when all went well
+	Capture        string   // file for the captured traffic; "": none
+	Dir            string   // for configuration and logs of the gateways; "": a temporary one, removed if nothing failed
 	GatewayCommand []string // command that runs a gateway; "--config FILE" is added
 	Module         string
 	Level          string
 	Progress       func(string)
 }
 
-// Result is what a day came to.
+// Result is the outcome of a run.
 type Result struct {
 	Service         scenario.Service
 	Findings        []conformance.Finding
 	Totals          conformance.Totals
-	Tables          *conformance.Tables // nil: no number tables
+	Tables          *conformance.Tables // nil: the scenario has no number tables
 	Kiosks          scenario.KioskService
-	GatewayFailures []string // gateways that did not end as they should
-	DatagramsLost   uint64   // datagrams that sockets did not take
-	ClockLag        float64  // ms: the most that the stand-ins ran behind the clock
+	GatewayFailures []string // gateways that exited with an error or did not drain in time
+	DatagramsLost   uint64   // datagrams that the kernel did not accept from the stand-ins
+	ClockLag        float64  // ms: maximum lag of the stand-ins behind the wall clock
 	Dir             string
 }
 
-// Broken tells whether a rule was broken or a gateway ended badly.
+// Broken reports whether a rule was broken, a call was set up by a wrong number table or a gateway failed.
 func (r *Result) Broken() bool {
 	return len(r.Findings) > 0 || len(r.GatewayFailures) > 0 || r.Tables != nil && len(r.Tables.Findings) > 0
 }
@@ -70,9 +70,9 @@
 	followers    map[string]chan *api.Update
 	subscribed   chan string
 	running      bool
-	relays       map[netip.AddrPort]int // where messages for a gateway come in
+	relays       map[netip.AddrPort]int // by the address that relays peer messages to the gateway
 	nameServers  []*dnsserver.Served
-	admins       []*grpc.ClientConn // of the gateways, for number tables
+	admins       []*grpc.ClientConn // connections to the gateways, to put number tables
 }
 
 type process struct {
@@ -84,18 +84,17 @@
 }
 
 const (
-	// maxReordering is how far records of different sockets may be out of order, ms: they are read by pollers that
-	// take turns.
+	// maxReordering is how far records of different sockets may be out of order, ms: pollers read them in turns.
 	maxReordering = 10
-	// tableReordering is the same for number tables: the gateway's sockets and its service are read by turns; ms.
+	// tableReordering is the same for number tables, ms: the gateway reads its sockets and its gRPC service in turns.
 	tableReordering = 250
-	// extraRunTime is how long calls may still end after the day's last, in ms.
+	// extraRunTime is how long the run goes on after the script's end, ms, for calls to end.
 	extraRunTime = 12000
 	drainTimeout = 30000 // ms
 	startTimeout = 20 * time.Second
 )
 
-// Run plays a day; it ends early when ctx does.
+// Run runs a scenario; it ends early when ctx is canceled.
 func Run(ctx context.Context, script *scenariofile.Script, options Options) (*Result, error) {
 	r := &runner{
 		options:    options,
@@ -142,7 +141,7 @@
 	}
 }
 
-// startAll binds the stand-ins' sockets, starts the gateways and waits until each has asked for the endpoint list.
+// startAll binds the stand-ins' sockets, starts the gateways and waits until each has subscribed to the endpoint list.
 func (r *runner) startAll(ctx context.Context) error {
 	if err := r.openSockets(); err != nil {
 		return err
@@ -161,13 +160,13 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(startTimeout):
-			return fmt.Errorf("day: gateways do not come up; their logs are in %s", r.options.Dir)
+			return fmt.Errorf("day: a gateway did not ask for the endpoint list in time; logs are in %s", r.options.Dir)
 		}
 	}
 	return nil
 }
 
-// play plays the day itself.
+// play runs the scenario up to the end of its last calls.
 func (r *runner) play(ctx context.Context, res *Result) {
 	world := r.sim.World
 	world.Begin()
@@ -181,10 +180,10 @@
 	r.progress(res)
 	world.RunReal(r.sim.Script.Length+extraRunTime, ctx.Done())
 	res.Kiosks = r.sim.KioskService()
-	res.Service = r.sim.Service() // before the gateways drain: that releases calls that would have gone on
+	res.Service = r.sim.Service() // taken before the gateways drain: draining releases calls that would have gone on
 }
 
-// drain stops the gateways as an operator would and reports those that did not end well.
+// drain stops the gateways as an operator would, with SIGTERM, and records those that failed.
 func (r *runner) drain(res *Result) {
 	r.report("the day is over; gateways drain")
 	r.setRunning(false)
@@ -200,7 +199,7 @@
 		close(ended)
 	}()
 	world := r.sim.World
-	world.RunReal(world.Now+drainTimeout, ended) // the switches still take what the gateways send
+	world.RunReal(world.Now+drainTimeout, ended) // the switches still answer the gateways
 	for i, p := range processes {
 		select {
 		case <-p.done:
@@ -230,7 +229,7 @@
 	return append([]*process{}, r.gateways...)
 }
 
-// open binds what the stand-ins need.
+// openSockets binds the stand-ins' sockets and serves the endpoint list.
 func (r *runner) openSockets() error {
 	s := r.sim
 	addrs := s.Addresses()
@@ -257,7 +256,7 @@
 		}
 	}
 	if r.listListener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
-		return fmt.Errorf("day: pool list: %w", err)
+		return fmt.Errorf("day: endpoint list: %w", err)
 	}
 	r.listServer = grpc.NewServer()
 	api.RegisterPoolListServer(r.listServer, r)
@@ -265,7 +264,7 @@
 	return nil
 }
 
-// relay is the wire between gateways.
+// relay passes a message between gateways through the simulated network.
 func (r *runner) relay(target int, local netip.AddrPort, data []byte) {
 	if len(data) < 3 || int(binary.BigEndian.Uint16(data)) >= len(r.sim.Gateways) {
 		return
@@ -300,7 +299,7 @@
 	}
 }
 
-// launch starts a gateway's process.
+// startGateway writes gateway i's configuration file and starts its process.
 func (r *runner) startGateway(i int) error {
 	g := r.sim.Gateways[i]
 	file := filepath.Join(r.options.Dir, g.Name+".hcl")
@@ -331,7 +330,7 @@
 	return nil
 }
 
-// Follow implements the endpoint list's service.
+// Follow implements the endpoint list service.
 func (r *runner) Follow(req *api.FollowRequest, stream grpc.ServerStreamingServer[api.Update]) error {
 	updates := make(chan *api.Update, 1024)
 	r.mu.Lock()
@@ -402,7 +401,7 @@
 	}
 }
 
-// progress tells how the day goes, and sees how far the stand-ins run behind the clock.
+// progress reports the state of the run every 5 s and records how far the stand-ins lag behind the clock.
 func (r *runner) progress(res *Result) {
 	world := r.sim.World
 	var tick func()
@@ -439,5 +438,5 @@
 	return strings.Join(lines[max(0, len(lines)-2):], " / ")
 }
 
-// ErrBroken says that a day broke a rule.
-var ErrBroken = errors.New("a rule was broken")
+// ErrBroken means that a run broke a rule or that one of its gateways failed.
+var ErrBroken = errors.New("a rule was broken or a gateway failed; see the findings in the output")
--- a/internal/emulator/processrun/gatewayfile.go
+++ b/internal/emulator/processrun/gatewayfile.go
@@ -51,7 +51,7 @@
 	w.line("  ]\n}")
 }
 
-// writeRules writes what the gateway may do and the times it keeps.
+// writeRules writes the blocks allow, timers and rules.
 func (w *fileWriter) writeRules(c *b2bua.Config) {
 	s := c.Settings
 	w.line("allow {\n  max_rings = %d\n  probe = %t\n  tell = %t", s.MaxAttempts, s.ProbeEnabled, s.GossipEnabled)
@@ -79,15 +79,15 @@
 	}
 }
 
-// writeFront writes the ENUM server's block.
+// writeENUMServer writes the block of the ENUM server.
 func (r *runner) writeENUMServer(w *fileWriter, g *scenario.Gateway) {
-	enumServer := r.sim.FrontConfig()
-	w.line("front {\n  listen = %q\n  apex = %q\n  skill = %q", g.Front, enumServer.Apex, enumServer.Class)
-	w.line("  negative = %d\n  patience = %q", enumServer.Negative, duration(enumServer.Patience))
-	w.line("  repeat = %q\n  gain = %g", duration(enumServer.Repeat), enumServer.Gain)
-	w.line("  most = %d\n  keep = %d", enumServer.MaxPending, enumServer.Keep)
-	w.line("  rate = %g\n  burst = %g\n  clients = %d", enumServer.Limits.Rate, enumServer.Limits.Burst, enumServer.Limits.Clients)
-	for _, client := range enumServer.Limits.Nets {
+	enum := r.sim.FrontConfig()
+	w.line("front {\n  listen = %q\n  apex = %q\n  skill = %q", g.Front, enum.Apex, enum.Class)
+	w.line("  negative = %d\n  patience = %q", enum.Negative, duration(enum.Patience))
+	w.line("  repeat = %q\n  gain = %g", duration(enum.Repeat), enum.Gain)
+	w.line("  most = %d\n  keep = %d", enum.MaxPending, enum.Keep)
+	w.line("  rate = %g\n  burst = %g\n  clients = %d", enum.Limits.Rate, enum.Limits.Burst, enum.Limits.Clients)
+	for _, client := range enum.Limits.Nets {
 		w.line("  client %q {\n    rate = %g\n  }", client.Prefix, client.Rate)
 	}
 	w.line("}")
--- a/internal/emulator/processrun/numbers.go
+++ b/internal/emulator/processrun/numbers.go
@@ -17,7 +17,8 @@
 	"cobaltpier/internal/emulator/scenario"
 )
 
-// openNames puts the DNS servers behind sockets and writes the first table.
+// startNameServers serves the DNS servers on sockets, writes the first number table and connects to the gateways' admin
+// services.
 func (r *runner) startNameServers() error {
 	names := r.sim.Names
 	if names == nil {
@@ -46,7 +47,7 @@
 
 func (r *runner) tableFile() string { return filepath.Join(r.options.Dir, "first.table") }
 
-// admin is where a gateway's number tables are changed.
+// adminAddr returns the address of gateway i's service for number tables.
 func (r *runner) adminAddr(i int) netip.AddrPort {
 	return netip.AddrPortFrom(r.sim.Gateways[i].Addr.Addr(), uint16(r.options.Port+30))
 }
@@ -99,7 +100,7 @@
 	)
 }
 
-// Table implements scenario.Fleet: a gateway that is down or stalls gets the next one.
+// Table implements scenario.Fleet. A gateway that is down or stalled misses this table and gets the next one.
 func (r *runner) Table(i int, table *scenario.Table) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
