--- a/internal/emulator/report/report.go
+++ b/internal/emulator/report/report.go
@@ -1,4 +1,4 @@
-// Package report draws days and comparisons into one HTML file that opens without a network.
+// Package report writes runs and comparisons as one self-contained HTML file with plots.
 package report
 
 //tally:standin
@@ -24,7 +24,7 @@
 	"cobaltpier/internal/emulator/virtualrun"
 )
 
-// Page is a report.
+// Page is the content of a report.
 type Page struct {
 	Title string
 	Notes []string
@@ -39,25 +39,25 @@
 	Plots []Plot
 }
 
-// Pair is a comparison of one figure.
+// Pair is the comparison of one metric.
 type Pair struct {
 	Name   string
 	Result stats.Paired
 }
 
-// Plot is a picture.
+// Plot is a plot with its title.
 type Plot struct {
 	Title   string
 	drawing *plot.Plot
 }
 
-// Sizes of a picture.
+// Size of a plot.
 const (
 	pictureWidth  = 24 * vg.Centimeter
 	pictureHeight = 7 * vg.Centimeter
 )
 
-// SVG is the picture as text to stand in a page.
+// SVG returns the plot as an svg element for an HTML page.
 func (p Plot) SVG() (template.HTML, error) {
 	c := vgsvg.New(pictureWidth, pictureHeight)
 	p.drawing.Draw(draw.New(c))
@@ -72,7 +72,7 @@
 	return template.HTML(text), nil
 }
 
-// PNG writes the picture as a file of its own.
+// PNG writes the plot as a PNG file.
 func (p Plot) PNG(w io.Writer) error {
 	c := vgimg.New(pictureWidth, pictureHeight)
 	p.drawing.Draw(draw.New(c))
@@ -107,7 +107,7 @@
 	p.X.Min, p.X.Max = 0, float64(series.Seconds)*1.16 // room for the legend
 	p.Y.Min, p.Y.Max = 0, top
 	p.Add(plotter.NewGrid())
-	for i, fault := range series.Faults { // marked on the time axis
+	for i, fault := range series.Faults { // faults are marked on the time axis
 		from, to := fault.At/1000, math.Min(float64(series.Seconds), (fault.At+fault.For)/1000)
 		if from >= float64(series.Seconds) {
 			continue
@@ -132,7 +132,7 @@
 	return p
 }
 
-// line adds a series, second by second; gaps where it is NaN.
+// addSeries adds a curve with one sample a second; NaN and infinite samples are gaps.
 func addSeries(p *plot.Plot, name string, samples []float64, colour int) {
 	var points plotter.XYs
 	first := true
@@ -173,7 +173,7 @@
 	return top * 1.1
 }
 
-// Plots are the pictures of a day.
+// Plots returns the plots of a run.
 func Plots(series *virtualrun.Series) []Plot {
 	if series == nil || series.Seconds == 0 {
 		return nil
@@ -256,7 +256,7 @@
 	return sum
 }
 
-// Intervals is a picture of comparisons: each mean difference with its interval.
+// Intervals returns a plot of comparisons: each mean difference with its confidence interval.
 func Intervals(pairs []Pair) (Plot, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text = "B less A, with intervals", "difference"
@@ -291,7 +291,7 @@
 	return Plot{"B less A", p}, nil
 }
 
-// Write writes the page. A report of nothing says so.
+// Write writes the page as HTML. A report without days and pairs says that nothing was run.
 func Write(w io.Writer, page Page) error {
 	type dayContent struct {
 		Name  string
--- a/internal/emulator/stats/stats.go
+++ b/internal/emulator/stats/stats.go
@@ -11,18 +11,18 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Paired is what a set of differences of pairs tells.
+// Paired summarises the differences of paired measurements.
 type Paired struct {
 	N             int
 	Mean          float64
-	Low, High     float64 // the interval that holds the true mean with the confidence
-	A, B          float64 // the means of both sides
-	Higher, Lower int     // pairs in which B is above or below A
+	Low, High     float64 // confidence interval of the mean difference
+	A, B          float64 // means of the two sides
+	Higher, Lower int     // number of pairs in which B is above or below A
 	Confidence    float64
 }
 
-// Compare takes b's differences from a, pair by pair, and the interval of their mean by Student's t. Fewer than two
-// pairs have an interval without bounds.
+// Compare takes the differences b-a, pair by pair, and the confidence interval of their mean by Student's t
+// distribution. With fewer than two pairs the interval is unbounded.
 func Compare(a, b []float64, confidence float64) Paired {
 	n := min(len(a), len(b))
 	p := Paired{N: n, Low: math.Inf(-1), High: math.Inf(1), Confidence: confidence}
@@ -52,7 +52,7 @@
 	return p
 }
 
-// Verdict says more only than the noise allows.
+// Verdict says which side is higher, if the interval excludes zero.
 func (p Paired) Verdict() string {
 	switch {
 	case p.N < 2:
--- a/internal/emulator/workload/plan.go
+++ b/internal/emulator/workload/plan.go
@@ -1,5 +1,5 @@
-// Package workload draws calls ahead from a seed: when each is meant to come, where and what for. What is planned does
-// not depend on any answer.
+// Package workload draws the calls of a plan from a seed, before any is sent: arrival time, gateway, number, class and
+// holding time of each. The plan does not depend on how calls are answered.
 package workload
 
 //tally:standin
@@ -13,19 +13,19 @@
 	"cobaltpier/internal/protocol/siptransaction"
 )
 
-// Plan says what comes. Times are milliseconds.
+// Plan describes the calls to draw. Times are milliseconds.
 type Plan struct {
 	Seed      uint64
-	Rate      float64 // calls a second, the mean of the shape
+	Rate      float64 // calls a second, the mean over the shape
 	Length    float64
 	Shape     string  // steady, ramp, surge, day, bursts
 	Swing     float64 // ramp: from 1-swing to 1+swing times the rate; surge, bursts: the peak is 1+swing times
-	Every     float64 // bursts: one so often
+	Every     float64 // bursts: interval between their starts
 	Gateways  int
-	Uneven    float64 // gateways' parts differ by so much, up or down
-	Drift     float64 // destinations' parts change after so long
+	Uneven    float64 // spread of the gateways' shares, up and down
+	Drift     float64 // the destinations' shares change at this interval
 	Groups    []string
-	Skew      float64 // destinations' parts differ by so much
+	Skew      float64 // spread of the destinations' shares, up and down
 	Numbers   int
 	Skills    []Skill
 	Customers []Customer
@@ -37,16 +37,16 @@
 	Share, Hold, Patience float64
 }
 
-// Share is a tenant's part.
+// Customer is a tenant with its share of the calls.
 type Customer struct {
 	Name  string
 	Share float64
 }
 
-// Shapes are the shapes that are known.
+// Shapes are the known shapes of the rate over time.
 var Shapes = []string{"steady", "ramp", "surge", "day", "bursts"}
 
-// Read takes a plan from settings.
+// ReadPlan reads a plan from a configuration block.
 func ReadPlan(block *hclconfig.Block) (*Plan, error) {
 	const day = 24 * 3600 * 1000.0
 	plan := &Plan{
@@ -89,13 +89,13 @@
 	return plan, block.Err()
 }
 
-// RateFactor is the rate at a time as a multiple of the mean rate.
+// RateFactor returns the rate at a time as a multiple of the mean rate.
 func (p *Plan) RateFactor(atMs float64) float64 {
 	progress := atMs / p.Length
 	switch p.Shape {
 	case "ramp":
 		return 1 + p.Swing*(2*progress-1)*math.Min(1, 1/math.Max(p.Swing, 1e-9))
-	case "surge": // a Thursday: rosters go up, callers come within minutes and trail off
+	case "surge": // a steep rise and a slow decline, as when callers react to a published roster within minutes
 		fromPeak := (progress - 0.35) / 0.08
 		if progress > 0.35 {
 			fromPeak = (progress - 0.35) / 0.25
@@ -112,7 +112,7 @@
 	return 1
 }
 
-// Calls draws the calls, a Poisson stream of the shape's rate.
+// Calls draws the calls: a Poisson process whose rate follows the shape.
 func (p *Plan) Calls() []*api.Call {
 	random := &siptransaction.Generator{Seed: p.Seed}
 	peak := 0.0
@@ -159,7 +159,7 @@
 	}
 }
 
-// Pick chooses among n by weights, with a number from 0 to 1.
+// Pick returns an index below n, drawn by weight; u is uniform in [0, 1).
 func Pick(u float64, n int, weight func(int) float64) int {
 	sum := 0.0
 	for i := range n {
