--- a/internal/cli/labcli/load.go
+++ b/internal/cli/labcli/load.go
@@ -149,8 +149,8 @@
 		return fmt.Errorf("load: --from: %w", err)
 	}
 	var targets []netip.AddrPort
-	for _, t := range f.targets {
-		addr, err := netip.ParseAddrPort(t)
+	for _, target := range f.targets {
+		addr, err := netip.ParseAddrPort(target)
 		if err != nil {
 			return fmt.Errorf("load: --to: %w", err)
 		}
@@ -228,16 +228,16 @@
 		fmt.Fprintf(out, "%d waits were past the histograms' range of ten minutes and count at its end\n", res.Past)
 	}
 	fmt.Fprintf(out, "%-36s %9s %9s %9s %9s %9s %9s\n", "ms", "p50", "p90", "p99", "p99.9", "p99.99", "max")
-	row := func(name string, h *hdrhistogram.Histogram) {
+	printRow := func(name string, histogram *hdrhistogram.Histogram) {
 		fmt.Fprintf(out, "%-36s", name)
-		for _, q := range []float64{50, 90, 99, 99.9, 99.99, 100} {
-			fmt.Fprintf(out, " %9.2f", float64(h.ValueAtQuantile(q))/1000)
+		for _, percentile := range []float64{50, 90, 99, 99.9, 99.99, 100} {
+			fmt.Fprintf(out, " %9.2f", float64(histogram.ValueAtQuantile(percentile))/1000)
 		}
 		fmt.Fprintln(out)
 	}
-	row("wait, from the intended time", res.Intended)
-	row("wait, from the time of sending", res.Sent)
-	row("the generator's own lateness", res.Late)
+	printRow("wait, from the intended time", res.Intended)
+	printRow("wait, from the time of sending", res.Sent)
+	printRow("the generator's own lateness", res.Late)
 	if standIn != nil {
 		if err := f.compareWaits(out, standIn, calls, res); err != nil {
 			return err
--- a/internal/cli/labcli/throughput.go
+++ b/internal/cli/labcli/throughput.go
@@ -55,7 +55,7 @@
 // fixedEndpointList serves an endpoint list with one endpoint that never changes.
 type fixedEndpointList struct {
 	api.UnimplementedPoolListServer
-	at string
+	endpointAddr string
 }
 
 func (l *fixedEndpointList) Follow(_ *api.FollowRequest, stream grpc.ServerStreamingServer[api.Update]) error {
@@ -63,7 +63,7 @@
 		&api.Update{
 			Version: 1,
 			Whole:   true,
-			Members: []*api.Member{{Id: "rush", State: api.State_READY, AgeMs: -1, Addr: l.at}},
+			Members: []*api.Member{{Id: "rush", State: api.State_READY, AgeMs: -1, Addr: l.endpointAddr}},
 		},
 	); err != nil {
 		return err
@@ -159,7 +159,7 @@
 		return fmt.Errorf("throughput: endpoint list: %w", err)
 	}
 	listServer := grpc.NewServer()
-	api.RegisterPoolListServer(listServer, &fixedEndpointList{at: addr(3).String()})
+	api.RegisterPoolListServer(listServer, &fixedEndpointList{endpointAddr: addr(3).String()})
 	go func() { _ = listServer.Serve(listener) }() // ends with Stop
 	defer listServer.Stop()
 	configFile := filepath.Join(dir, "edge.hcl")
