--- a/internal/cli/labcli/compare.go
+++ b/internal/cli/labcli/compare.go
@@ -30,7 +30,7 @@
 	return strings.Join(append(parts, s.set...), " ")
 }
 
-func compare() *cobra.Command {
+func compareCmd() *cobra.Command {
 	var seeds int
 	var firstSeed uint64
 	var confidence float64
@@ -57,7 +57,7 @@
 			if sweep != "" {
 				name, values, ok := strings.Cut(sweep, "=")
 				if !ok {
-					return fmt.Errorf("--sweep %q: want NAME=VALUE,VALUE,...", sweep)
+					return fmt.Errorf("--sweep %q: want NAME=VALUE[,VALUE]", sweep)
 				}
 				sides = nil
 				for _, value := range strings.Split(values, ",") {
--- a/internal/cli/labcli/design.go
+++ b/internal/cli/labcli/design.go
@@ -11,7 +11,7 @@
 	"cobaltpier/internal/routing"
 )
 
-func design() *cobra.Command {
+func designCmd() *cobra.Command {
 	var seeds int
 	c := &cobra.Command{
 		Use:   "design",
--- a/internal/cli/labcli/labcmd.go
+++ b/internal/cli/labcli/labcmd.go
@@ -44,22 +44,22 @@
 	edge := edgecli.New()
 	edge.Use, edge.Hidden = "edge", true
 	root.AddCommand(
-		try(),
+		tryCmd(),
 		dayCmd(),
-		show(),
-		judge(),
-		throughput(),
-		design(),
-		echo(),
+		showCmd(),
+		judgeCmd(),
+		throughputCmd(),
+		designCmd(),
+		echoCmd(),
 		fleetCmd(),
-		compare(),
+		compareCmd(),
 		huntCmd(),
 		loadCmd(),
 		traceCmd(),
 		numbercli.New(),
 		digitsCmd(),
-		swap(),
-		lookups(),
+		swapCmd(),
+		lookupsCmd(),
 		edge,
 	)
 	return root
@@ -112,7 +112,7 @@
 	c.Flags().StringVar(&f.level, "log", "info", "log level of the gateways")
 }
 
-func try() *cobra.Command {
+func tryCmd() *cobra.Command {
 	var f dayFlags
 	c := &cobra.Command{
 		Use:   "try",
@@ -341,7 +341,7 @@
 	"the release is awaited",
 }
 
-func show() *cobra.Command {
+func showCmd() *cobra.Command {
 	var whole bool
 	var only string
 	c := &cobra.Command{Use: "show CAPTURE", Short: "Print a capture as text", Args: cobra.ExactArgs(1),
@@ -367,7 +367,7 @@
 	return c
 }
 
-func judge() *cobra.Command {
+func judgeCmd() *cobra.Command {
 	return &cobra.Command{Use: "judge CAPTURE", Short: "Check a capture against the five rules", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			f, err := os.Open(args[0])
--- a/internal/cli/labcli/lookups.go
+++ b/internal/cli/labcli/lookups.go
@@ -15,8 +15,8 @@
 	"cobaltpier/internal/emulator/virtualrun"
 )
 
-// lookups returns the command that measures what faults of DNS servers cost callers.
-func lookups() *cobra.Command {
+// lookupsCmd returns the command that measures what faults of DNS servers cost callers.
+func lookupsCmd() *cobra.Command {
 	var seeds int
 	var settings []string
 	c := &cobra.Command{
--- a/internal/cli/labcli/record.go
+++ b/internal/cli/labcli/record.go
@@ -103,7 +103,7 @@
 	return r.recorded, nil
 }
 
-func captureTrace() *cobra.Command {
+func recordCmd() *cobra.Command {
 	var out string
 	c := &cobra.Command{
 		Use:   "record CAPTURE",
--- a/internal/cli/labcli/swap.go
+++ b/internal/cli/labcli/swap.go
@@ -16,9 +16,9 @@
 	"cobaltpier/internal/emulator/prefixbaseline"
 )
 
-// swap returns the command that measures the cost of a large table, and how late a loop runs while one is checked in
+// swapCmd returns the command that measures the cost of a large table, and how late a loop runs while one is checked in
 // parallel.
-func swap() *cobra.Command {
+func swapCmd() *cobra.Command {
 	var size, rounds int
 	c := &cobra.Command{
 		Use:   "swap",
--- a/internal/cli/labcli/throughput.go
+++ b/internal/cli/labcli/throughput.go
@@ -23,9 +23,9 @@
 	"cobaltpier/internal/gateway/reactor"
 )
 
-// echo returns a hidden command that sends every datagram back, on the gateway's own reactor: the baseline of
+// echoCmd returns a hidden command that sends every datagram back, on the gateway's own reactor: the baseline of
 // throughput.
-func echo() *cobra.Command {
+func echoCmd() *cobra.Command {
 	var listenAddr string
 	c := &cobra.Command{Use: "echo", Hidden: true, RunE: func(cmd *cobra.Command, _ []string) error {
 		addr, err := netip.ParseAddrPort(listenAddr)
@@ -81,7 +81,7 @@
 	profile string
 }
 
-func throughput() *cobra.Command {
+func throughputCmd() *cobra.Command {
 	var f throughputFlags
 	c := &cobra.Command{
 		Use:   "throughput",
--- a/internal/cli/labcli/trace.go
+++ b/internal/cli/labcli/trace.go
@@ -140,7 +140,7 @@
 			sub.Flags().IntVar(&keep, "keep", 5, "number of leading characters, used for routing, that stay")
 		},
 	)
-	c.AddCommand(captureTrace())
+	c.AddCommand(recordCmd())
 	return c
 }
 
