--- a/internal/cli/labcli/design.go
+++ b/internal/cli/labcli/design.go
@@ -11,42 +11,44 @@
 	"cobaltpier/internal/routing"
 )
 
-func design() *cobra.Command {
+func designCmd() *cobra.Command {
 	var seeds int
 	c := &cobra.Command{
 		Use:   "design",
-		Short: "Compare a quiet day with the design: destination first, and the lottery's shares",
+		Short: "Compare a quiet day with the design: first attempts at the destination, and the lottery's shares",
 		Args:  cobra.NoArgs,
-		Long: `Plays a quiet day in virtual time, once with all switches and once with one that drains, and
-compares the traffic with the design: the share of first rings at the destination, and how often
-each pool was drawn beside what its tickets (total capacity times the square of relative capacity,
-by the reports that each gateway had) make.`,
+		Long: `Runs a quiet day in virtual time, once with all switches and once with one that drains, and compares
+the traffic with the design: the share of first attempts at the destination, and how often each pool
+was drawn against the share of its tickets (total capacity times the square of relative capacity, by
+the load reports that each gateway had).`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			for seed := 1; seed <= seeds; seed++ {
-				for _, away := range []int{-1, 1} {
-					s, err := scenario.Day("quiet")
+				for _, draining := range []int{-1, 1} {
+					script, err := scenario.Day("quiet")
 					if err != nil {
 						return err
 					}
-					s.Seed = uint64(seed)
+					script.Seed = uint64(seed)
 					var shares *scenario.Shares
-					st := scenario.New(s, 5060, func(r *api.Record) {
+					sim := scenario.New(script, 5060, func(record *api.Record) {
 						if shares != nil {
-							shares.Add(r)
+							shares.Add(record)
 						}
 					})
-					shares = scenario.NewShares(st, away)
-					if away >= 0 {
-						st.Drain(away)
+					shares = scenario.NewShares(sim, draining)
+					if draining >= 0 {
+						sim.Drain(draining)
 					}
-					scenario.NewVirtual(st, func(set *routing.Settings, h routing.Host) routing.Policy { return router.New(set, h) })
-					st.World.Run(s.Length + 10000)
-					fmt.Fprintf(cmd.OutOrStdout(), "seed %d, pool that drains: %d (-1: none)\n%s\n", seed, away, shares)
+					scenario.NewVirtual(sim, func(settings *routing.Settings, host routing.Host) routing.Policy {
+						return router.New(settings, host)
+					})
+					sim.World.Run(script.Length + 10000)
+					fmt.Fprintf(cmd.OutOrStdout(), "seed %d, pool that drains: %d (-1: none)\n%s\n", seed, draining, shares)
 				}
 			}
 			return nil
 		},
 	}
-	c.Flags().IntVar(&seeds, "seeds", 1, "so many days")
+	c.Flags().IntVar(&seeds, "seeds", 1, "number of days to run, with consecutive seeds")
 	return c
 }
--- a/internal/cli/labcli/digits.go
+++ b/internal/cli/labcli/digits.go
@@ -13,17 +13,18 @@
 	"cobaltpier/internal/emulator/stats"
 )
 
-// digitsCmd measures the trie beside plain ways, in turns on the same numbers.
+// digitsCmd returns the command that compares the digit trie with two simple methods on the same numbers.
 func digitsCmd() *cobra.Command {
 	var sizes []int
 	var rounds int
 	c := &cobra.Command{
 		Use:   "digits",
-		Short: "Measure the digit trie beside a map of prefixes and a sorted search",
+		Short: "Compare the digit trie with a map of prefixes and a sorted search",
 		Args:  cobra.NoArgs,
-		Long: `Builds each of three ways to find the longest prefix from the same prefixes (areas, exchanges and
-ported numbers of full length), and lets them find the same numbers by turns. Memory of the plain
-ways is what the heap grew by, the prefixes' own texts left out. Ratios are of the same round.`,
+		Long: `Builds three longest-prefix matchers from the same prefixes (areas, exchanges and full-length ported
+numbers) and has them look up the same numbers in alternating rounds. Memory of the map and of the
+sorted search is the growth of the heap, without the text of the prefixes. Ratios are within the
+same round.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			out := cmd.OutOrStdout()
 			fmt.Fprintf(
@@ -45,8 +46,8 @@
 			return nil
 		},
 	}
-	c.Flags().IntSliceVar(&sizes, "sizes", []int{1000, 100000, 1000000}, "how many prefixes")
-	c.Flags().IntVar(&rounds, "rounds", 15, "turns of each way")
+	c.Flags().IntSliceVar(&sizes, "sizes", []int{1000, 100000, 1000000}, "numbers of prefixes to measure with")
+	c.Flags().IntVar(&rounds, "rounds", 15, "number of rounds for each method")
 	return c
 }
 
@@ -54,84 +55,94 @@
 	Find(number string) (uint32, int, bool)
 }
 
-// heap is the live heap, and how much was ever allocated.
-func heap() (live, count uint64) {
+// heapStats returns the size of the live heap and the number of allocations so far.
+func heapStats() (live, count uint64) {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return m.HeapAlloc, m.Mallocs
 }
 
-func measureDigits(out interface{ Write([]byte) (int, error) }, n, rounds int) error {
-	of := prefixbaseline.Draw(n)
+func measureDigits(out interface{ Write([]byte) (int, error) }, count, rounds int) error {
+	prefixes := prefixbaseline.Draw(count)
 	var numbers []string
 	for i := range uint64(1 << 16) {
-		numbers = append(numbers, of[int(detrand.Float64(3, i)*float64(n))].Digits+"5550123")
+		numbers = append(numbers, prefixes[int(detrand.Float64(3, i)*float64(count))].Digits+"5550123")
 	}
-	type way struct {
-		name   string
-		make   func() (finder, error)
-		find   finder
-		build  float64
-		size   float64
-		ns     []float64
-		allocs float64
+	type searchMethod struct {
+		name            string
+		make            func() (finder, error)
+		find            finder
+		buildMs         float64
+		bytesPerPrefix  float64
+		nsPerLookup     []float64
+		allocsPerLookup float64
 	}
-	ways := []*way{
-		{name: "trie", make: func() (finder, error) { return prefixtrie.New(append([]prefixtrie.Prefix{}, of...)) }},
-		{name: "map", make: func() (finder, error) { return prefixbaseline.NewMap(of), nil }},
-		{name: "sorted", make: func() (finder, error) { return prefixbaseline.NewSorted(of), nil }},
+	methods := []*searchMethod{
+		{name: "trie", make: func() (finder, error) { return prefixtrie.New(append([]prefixtrie.Prefix{}, prefixes...)) }},
+		{name: "map", make: func() (finder, error) { return prefixbaseline.NewMap(prefixes), nil }},
+		{name: "sorted", make: func() (finder, error) { return prefixbaseline.NewSorted(prefixes), nil }},
 	}
-	for _, w := range ways {
-		before, _ := heap()
-		begin := time.Now()
-		f, err := w.make()
+	for _, method := range methods {
+		before, _ := heapStats()
+		began := time.Now()
+		built, err := method.make()
 		if err != nil {
 			return err
 		}
-		w.build = float64(time.Since(begin)) / 1e6
-		w.find = f
-		after, _ := heap()
-		w.size = float64(int64(after)-int64(before)) / float64(n)
-		if t, ok := f.(*prefixtrie.Trie); ok {
-			w.size = float64(t.Bytes()) / float64(n)
+		method.buildMs = float64(time.Since(began)) / 1e6
+		method.find = built
+		after, _ := heapStats()
+		method.bytesPerPrefix = float64(int64(after)-int64(before)) / float64(count)
+		if trie, ok := built.(*prefixtrie.Trie); ok {
+			method.bytesPerPrefix = float64(trie.Bytes()) / float64(count)
 		}
 	}
-	sum := 0
+	lengthSum := 0
 	for range rounds {
-		for _, w := range ways {
-			_, a := heap()
-			begin := time.Now()
+		for _, method := range methods {
+			_, mallocsBefore := heapStats()
+			began := time.Now()
 			for range 4 {
-				for _, x := range numbers {
-					_, l, _ := w.find.Find(x)
-					sum += l
+				for _, number := range numbers {
+					_, length, _ := method.find.Find(number)
+					lengthSum += length
 				}
 			}
-			w.ns = append(w.ns, float64(time.Since(begin))/float64(4*len(numbers)))
-			var m runtime.MemStats
-			runtime.ReadMemStats(&m)
-			w.allocs = float64(m.Mallocs-a) / float64(4*len(numbers))
+			method.nsPerLookup = append(method.nsPerLookup, float64(time.Since(began))/float64(4*len(numbers)))
+			var mem runtime.MemStats
+			runtime.ReadMemStats(&mem)
+			method.allocsPerLookup = float64(mem.Mallocs-mallocsBefore) / float64(4*len(numbers))
 		}
 	}
-	for _, w := range ways {
-		beside := ""
-		if w != ways[0] {
-			ratio, one := make([]float64, rounds), make([]float64, rounds)
+	for _, method := range methods {
+		relative := ""
+		if method != methods[0] {
+			ratio, zeros := make([]float64, rounds), make([]float64, rounds)
 			for i := range ratio {
-				ratio[i], one[i] = w.ns[i]/ways[0].ns[i], 0
+				ratio[i], zeros[i] = method.nsPerLookup[i]/methods[0].nsPerLookup[i], 0
 			}
-			p := stats.Compare(one, ratio, 0.95)
-			beside = fmt.Sprintf("%.2f [%.2f, %.2f]", p.B, p.Low, p.High)
+			paired := stats.Compare(zeros, ratio, 0.95)
+			relative = fmt.Sprintf("%.2f [%.2f, %.2f]", paired.B, paired.Low, paired.High)
 		}
 		mean := 0.0
-		for _, v := range w.ns {
-			mean += v / float64(rounds)
+		for _, sample := range method.nsPerLookup {
+			mean += sample / float64(rounds)
 		}
-		fmt.Fprintf(out, "%9d %-7s %9.1f %9.1f %9.1f %8.4f   %s\n", n, w.name, w.build, w.size, mean, w.allocs, beside)
+		fmt.Fprintf(
+			out,
+			"%9d %-7s %9.1f %9.1f %9.1f %8.4f   %s\n",
+			count,
+			method.name,
+			method.buildMs,
+			method.bytesPerPrefix,
+			mean,
+			method.allocsPerLookup,
+			relative,
+		)
 	}
-	if sum == 0 {
-		return fmt.Errorf("digits: nothing was found")
+	if lengthSum == 0 {
+		return fmt.Errorf("digits: no number matched a prefix")
 	}
 	return nil
 }
--- a/internal/cli/labcli/labcmd.go
+++ b/internal/cli/labcli/labcmd.go
@@ -1,4 +1,5 @@
-// Package labcli is the command line of cobalt-lab, the laboratory: stand-ins, days of trouble, captures and verdicts.
+// Package labcli implements the commands of cobalt-lab, the test laboratory: they run scenarios against stand-ins of
+// switches and callers, capture the traffic and check it against the five rules.
 package labcli
 
 import (
@@ -26,44 +27,45 @@
 	"cobaltpier/internal/routing"
 )
 
-// New is the command.
+// New returns the cobalt-lab command with its subcommands.
 func New() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "cobalt-lab",
-		Short: "The laboratory: stand-ins of switches and callers, days of trouble, verdicts",
-		Long: `cobalt-lab puts days on: stand-ins of core switches, callers and the pool list, gateways as
-processes of their own (or in virtual time), and a checker that judges the five rules from the
-traffic alone. The switches are models; their figures are of simulated servers.
+		Short: "Test laboratory: runs scenarios against stand-ins and checks the traffic",
+		Long: `cobalt-lab runs scenarios, called days: stand-ins of core switches, callers and the endpoint list;
+gateways as separate processes or in virtual time; and a checker that verifies the five rules from
+the traffic alone. The switches are models, so all results are for simulated servers.
 
-Start with "cobalt-lab try". Status 0: all went well; 1: something failed; 3: a rule was broken.`,
+Start with "cobalt-lab try". Exit status: 0 success; 1 an error; 3 a rule was broken or a gateway
+failed.`,
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
 	edge := edgecli.New()
 	edge.Use, edge.Hidden = "edge", true
 	root.AddCommand(
-		try(),
+		tryCmd(),
 		dayCmd(),
-		show(),
-		judge(),
-		throughput(),
-		design(),
-		echo(),
+		showCmd(),
+		judgeCmd(),
+		throughputCmd(),
+		designCmd(),
+		echoCmd(),
 		fleetCmd(),
-		compare(),
+		compareCmd(),
 		huntCmd(),
 		loadCmd(),
 		traceCmd(),
 		numbercli.New(),
 		digitsCmd(),
-		swap(),
-		lookups(),
+		swapCmd(),
+		lookupsCmd(),
 		edge,
 	)
 	return root
 }
 
-// Status is the exit code for an error.
+// Status returns the exit code for an error.
 func Status(err error) int {
 	switch {
 	case err == nil:
@@ -88,33 +90,33 @@
 }
 
 func (f *dayFlags) add(c *cobra.Command) {
-	c.Flags().BoolVar(&f.virtual, "virtual", false, "in virtual time: no sockets, the same seed gives the same day")
-	c.Flags().IntVar(&f.seeds, "seeds", 1, "so many days, with seeds one after the other")
-	c.Flags().Uint64Var(&f.seed, "seed", 0, "the first seed, in place of the script's")
+	c.Flags().BoolVar(&f.virtual, "virtual", false, "run in virtual time, without sockets; a seed repeats the same day")
+	c.Flags().IntVar(&f.seeds, "seeds", 1, "number of days to run, with consecutive seeds")
+	c.Flags().Uint64Var(&f.seed, "seed", 0, "first seed, instead of the script's")
 	c.Flags().StringVar(
 		&f.module,
 		"module",
 		"brain",
-		"what decides: brain, or the baselines lottery and random; several with commas",
+		"routing policy: brain, or the baselines lottery and random; several separated by commas",
 	)
-	c.Flags().StringVar(&f.capture, "capture", "", "keep the traffic in this file (see cobalt-lab show)")
-	c.Flags().StringVar(&f.dir, "dir", "", "keep the gateways' settings and logs there")
+	c.Flags().StringVar(&f.capture, "capture", "", "write the traffic to this file (see cobalt-lab show)")
+	c.Flags().StringVar(&f.dir, "dir", "", "keep the gateways' configuration files and logs in this directory")
 	c.Flags().IntVar(&f.port, "port", 15060, "SIP port of the addresses in 127.0.0.0/8; port+10 and port+20 are used too")
 	c.Flags().StringVar(
 		&f.trace,
 		"trace",
 		"",
-		"replay the calls of this trace in place of the script's load; nobody dials again",
+		"replay the calls of this trace instead of the script's load; callers do not redial",
 	)
-	c.Flags().StringArrayVar(&f.set, "set", nil, "change a value of the script, such as pools.count=6 or 'net.loss=0.01'")
+	c.Flags().StringArrayVar(&f.set, "set", nil, "override a value of the script, such as pools.count=6 or net.loss=0.01")
 	c.Flags().StringVar(&f.level, "log", "info", "log level of the gateways")
 }
 
-func try() *cobra.Command {
+func tryCmd() *cobra.Command {
 	var f dayFlags
 	c := &cobra.Command{
 		Use:   "try",
-		Short: "Put on a short day that comes with the program, with real sockets and processes",
+		Short: "Run a short built-in day, with real sockets and processes",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			s, err := scenario.Day("try", f.set...)
@@ -132,11 +134,11 @@
 	var f dayFlags
 	c := &cobra.Command{
 		Use:     "day SCRIPT.hcl",
-		Short:   "Put on a day from a script, or one that comes with the program",
+		Short:   "Run a day from a script, or a built-in one",
 		Args:    cobra.ExactArgs(1),
 		Example: "  cobalt-lab day trouble --seeds 10\n  cobalt-lab day my.hcl --virtual --module brain,lottery,random",
-		Long: "Puts on a day from a script, prints how callers were served and the verdict on the five rules.\n\n" +
-			"Troubles that a script may name:\n" + kinds(),
+		Long: "Runs a day from a script and prints how callers were served and whether the five rules were kept.\n\n" +
+			"Faults that a script may name:\n" + faultKinds(),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			s, err := scenario.Load(args[0], f.set...)
 			if err != nil {
@@ -149,48 +151,48 @@
 	return c
 }
 
-func kinds() string {
+func faultKinds() string {
 	var b strings.Builder
-	for _, k := range scenariofile.KindNames() {
-		fmt.Fprintf(&b, "  %-13s %s\n", k, scenariofile.Kinds[k])
+	for _, kind := range scenariofile.KindNames() {
+		fmt.Fprintf(&b, "  %-13s %s\n", kind, scenariofile.Kinds[kind])
 	}
 	return b.String()
 }
 
-func (f *dayFlags) run(cmd *cobra.Command, s *scenariofile.Script) error {
+func (f *dayFlags) run(cmd *cobra.Command, script *scenariofile.Script) error {
 	ctx, cancel := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 	defer cancel()
 	out := cmd.OutOrStdout()
 	if f.seed > 0 {
-		s.Seed = f.seed
+		script.Seed = f.seed
 	}
-	if err := replay(s, f.trace); err != nil {
+	if err := replayTrace(script, f.trace); err != nil {
 		return err
 	}
-	first, broken := s.Seed, false
+	firstSeed, broken := script.Seed, false
 	if f.seeds > 1 || strings.Contains(f.module, ",") {
-		fmt.Fprintf(out, "%-8s %5s  %s\n", "module", "seed", serviceHead)
+		fmt.Fprintf(out, "%-8s %5s  %s\n", "module", "seed", serviceHeader)
 	}
 	for i := 0; i < f.seeds; i++ {
 		for _, module := range strings.Split(f.module, ",") {
-			day := *s
-			day.Seed = first + uint64(i)
-			res, err := f.one(ctx, out, &day, module)
+			day := *script
+			day.Seed = firstSeed + uint64(i)
+			res, err := f.runModule(ctx, out, &day, module)
 			if err != nil {
 				return err
 			}
 			if f.seeds > 1 || strings.Contains(f.module, ",") {
-				fmt.Fprintf(out, "%-8s %5d  %s\n", module, day.Seed, line(res))
-				for k, v := range res.Findings {
-					if k < 3 && module == "brain" {
-						fmt.Fprintln(out, "  ", v)
+				fmt.Fprintf(out, "%-8s %5d  %s\n", module, day.Seed, serviceRow(res))
+				for j, finding := range res.Findings {
+					if j < 3 && module == "brain" {
+						fmt.Fprintln(out, "  ", finding)
 					}
 				}
-				for _, e := range res.Exits {
-					fmt.Fprintln(out, "  gateway ended badly:", e)
+				for _, failure := range res.GatewayFailures {
+					fmt.Fprintln(out, "  gateway ended badly:", failure)
 				}
 			} else {
-				tell(out, res)
+				printDay(out, res)
 			}
 			broken = broken || module == "brain" && res.Broken()
 		}
@@ -201,83 +203,87 @@
 	return nil
 }
 
-func (f *dayFlags) one(
+func (f *dayFlags) runModule(
 	ctx context.Context,
 	out io.Writer,
-	s *scenariofile.Script,
+	script *scenariofile.Script,
 	module string,
 ) (*processrun.Result, error) {
-	mk := virtualrun.Module(module)
-	if mk == nil {
+	newPolicy := virtualrun.Module(module)
+	if newPolicy == nil {
 		return nil, fmt.Errorf("module %q: want brain, lottery or random", module)
 	}
 	if f.virtual {
-		return Virtual(s, mk, f.capture)
+		return RunVirtual(script, newPolicy, f.capture)
 	}
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
-		return nil, fmt.Errorf("own program: %w", err)
+		return nil, fmt.Errorf("path of this executable: %w", err)
 	}
-	o := processrun.Options{
-		Port:    f.port,
-		Capture: f.capture,
-		Dir:     f.dir,
-		Edge:    []string{self, "edge", "run"},
-		Module:  module,
-		Level:   f.level,
+	options := processrun.Options{
+		Port:           f.port,
+		Capture:        f.capture,
+		Dir:            f.dir,
+		GatewayCommand: []string{executable, "edge", "run"},
+		Module:         module,
+		Level:          f.level,
 	}
 	if f.seeds == 1 {
-		o.Say = func(s string) { fmt.Fprintln(out, s) }
+		options.Progress = func(text string) { fmt.Fprintln(out, text) }
 		fmt.Fprintf(
 			out,
 			"day %q, seed %d: %d gateways, %d switches, %g contacts a second for %s\n",
-			s.Name,
-			s.Seed,
-			s.Gateways.Count,
-			s.Pools.Count,
-			s.Load.Rate,
-			time.Duration(s.Length*1e6),
+			script.Name,
+			script.Seed,
+			script.Gateways.Count,
+			script.Pools.Count,
+			script.Load.Rate,
+			time.Duration(script.Length*1e6),
 		)
 	}
-	return processrun.Run(ctx, s, o)
+	return processrun.Run(ctx, script, options)
 }
 
-// Virtual puts a day on in virtual time.
-func Virtual(s *scenariofile.Script, mk routing.PolicyFactory, file string) (*processrun.Result, error) {
-	o := virtualrun.Options{}
-	var keep *capture.Writer
-	if file != "" {
-		f, err := os.Create(file)
+// RunVirtual runs a day in virtual time; captureFile "" writes no capture.
+func RunVirtual(
+	script *scenariofile.Script,
+	newPolicy routing.PolicyFactory,
+	captureFile string,
+) (*processrun.Result, error) {
+	options := virtualrun.Options{}
+	var writer *capture.Writer
+	if captureFile != "" {
+		f, err := os.Create(captureFile)
 		if err != nil {
 			return nil, fmt.Errorf("capture: %w", err)
 		}
 		defer f.Close()
-		keep = capture.NewWriter(f)
-		o.Record = keep.Add
+		writer = capture.NewWriter(f)
+		options.Record = writer.Add
 	}
-	r := virtualrun.Play(s, mk, o)
-	if keep != nil {
-		if err := keep.Flush(); err != nil {
+	res := virtualrun.Play(script, newPolicy, options)
+	if writer != nil {
+		if err := writer.Flush(); err != nil {
 			return nil, err
 		}
 	}
 	return &processrun.Result{
-		Service:  r.Service,
-		Findings: r.Findings,
-		Totals:   r.Totals,
-		Tables:   r.Tables,
-		Kiosks:   r.Kiosks,
+		Service:  res.Service,
+		Findings: res.Findings,
+		Totals:   res.Totals,
+		Tables:   res.Tables,
+		Kiosks:   res.Kiosks,
 	}, nil
 }
 
-const serviceHead = "whole  worst10s  worst skill            worst customer         offered   late    cut  " +
+const serviceHeader = "whole  worst10s  worst skill            worst customer         offered   late    cut  " +
 	"unserved  p50 ms  p99 ms  cold  behind  rules"
 
-func line(r *processrun.Result) string {
-	s := r.Service
+func serviceRow(res *processrun.Result) string {
+	s := res.Service
 	rules := "kept"
-	if r.Broken() {
-		rules = verdicts(r)
+	if res.Broken() {
+		rules = violationSummary(res)
 	}
 	return fmt.Sprintf(
 		"%.3f     %.3f  %-15s %.3f  %-15.15s %.3f  %7d %6d %6d  %8d  %6.0f  %6.0f  %3.0f%%  %4.0fms  %s",
@@ -291,37 +297,37 @@
 		s.Late,
 		s.Dropped,
 		s.Unserved,
-		at(s.Waits, 0.5),
-		at(s.Waits, 0.99),
-		100*r.Totals.SlowStartUse,
-		r.Late,
+		quantile(s.Waits, 0.5),
+		quantile(s.Waits, 0.99),
+		100*res.Totals.SlowStartUse,
+		res.ClockLag,
 		rules,
 	)
 }
 
-func at(sorted []float64, q float64) float64 {
+func quantile(sorted []float64, q float64) float64 {
 	if len(sorted) == 0 {
 		return 0
 	}
 	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
 }
 
-func verdicts(r *processrun.Result) string {
-	var n [6]int
-	for _, f := range r.Findings {
-		n[f.Rule]++
+func violationSummary(res *processrun.Result) string {
+	var byRule [6]int
+	for _, f := range res.Findings {
+		byRule[f.Rule]++
 	}
 	var parts []string
 	for i := 1; i <= 5; i++ {
-		if n[i] > 0 {
-			parts = append(parts, fmt.Sprintf("rule %d broken %d times", i, n[i]))
+		if byRule[i] > 0 {
+			parts = append(parts, fmt.Sprintf("rule %d broken %d times", i, byRule[i]))
 		}
 	}
-	if r.Tables != nil && len(r.Tables.Findings) > 0 {
-		parts = append(parts, fmt.Sprintf("%d contacts by the wrong table", len(r.Tables.Findings)))
+	if res.Tables != nil && len(res.Tables.Findings) > 0 {
+		parts = append(parts, fmt.Sprintf("%d contacts by the wrong table", len(res.Tables.Findings)))
 	}
-	if len(r.Exits) > 0 {
-		parts = append(parts, fmt.Sprintf("%d gateways ended badly", len(r.Exits)))
+	if len(res.GatewayFailures) > 0 {
+		parts = append(parts, fmt.Sprintf("%d gateways ended badly", len(res.GatewayFailures)))
 	}
 	return strings.Join(parts, ", ")
 }
@@ -335,10 +341,10 @@
 	"the release is awaited",
 }
 
-func show() *cobra.Command {
+func showCmd() *cobra.Command {
 	var whole bool
 	var only string
-	c := &cobra.Command{Use: "show CAPTURE", Short: "Print a capture for a person to read", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{Use: "show CAPTURE", Short: "Print a capture as text", Args: cobra.ExactArgs(1),
 		Example: "  cobalt-lab show day.cap --only 8a1f03b2\n  cobalt-lab show day.cap --whole | less",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			f, err := os.Open(args[0])
@@ -356,38 +362,38 @@
 				return nil
 			})
 		}}
-	c.Flags().BoolVar(&whole, "whole", false, "whole messages, not a line each")
-	c.Flags().StringVar(&only, "only", "", "only records that hold this text, such as a part of a Session-ID")
+	c.Flags().BoolVar(&whole, "whole", false, "print whole messages instead of one line each")
+	c.Flags().StringVar(&only, "only", "", "print only records that contain this text, such as part of a Session-ID")
 	return c
 }
 
-func judge() *cobra.Command {
-	return &cobra.Command{Use: "judge CAPTURE", Short: "Judge the five rules from a capture", Args: cobra.ExactArgs(1),
+func judgeCmd() *cobra.Command {
+	return &cobra.Command{Use: "judge CAPTURE", Short: "Check a capture against the five rules", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			f, err := os.Open(args[0])
 			if err != nil {
 				return fmt.Errorf("judge: %w", err)
 			}
 			defer f.Close()
-			k := conformance.New()
+			checker := conformance.New()
 			if err := capture.Read(f, func(r *api.Record) error {
-				k.Add(r)
+				checker.Add(r)
 				return nil
 			}); err != nil {
 				return err
 			}
-			k.Finish()
-			for _, v := range k.Findings {
-				fmt.Fprintln(cmd.OutOrStdout(), v)
+			checker.Finish()
+			for _, finding := range checker.Findings {
+				fmt.Fprintln(cmd.OutOrStdout(), finding)
 			}
 			fmt.Fprintf(
 				cmd.OutOrStdout(),
 				"%d contacts, %d rings, %d findings\n",
-				k.Totals.Calls,
-				k.Totals.Attempts,
-				len(k.Findings),
+				checker.Totals.Calls,
+				checker.Totals.Attempts,
+				len(checker.Findings),
 			)
-			if len(k.Findings) > 0 {
+			if len(checker.Findings) > 0 {
 				return processrun.ErrBroken
 			}
 			return nil
--- a/internal/cli/labcli/swap.go
+++ b/internal/cli/labcli/swap.go
@@ -16,32 +16,33 @@
 	"cobaltpier/internal/emulator/prefixbaseline"
 )
 
-// swap measures what a large table costs, and how long a loop is held up while one is checked beside it.
-func swap() *cobra.Command {
+// swapCmd returns the command that measures the cost of a large table, and how late a loop runs while one is checked in
+// parallel.
+func swapCmd() *cobra.Command {
 	var size, rounds int
 	c := &cobra.Command{
 		Use:   "swap",
-		Short: "What a large number table costs, and whether a loop is held up while one is checked beside it",
+		Short: "Measure the cost of a large number table, and how late a loop runs while one is checked in parallel",
 		Args:  cobra.NoArgs,
-		Long: `Makes a table of many prefixes with 200 routes and checks it as a gateway does, again and again,
-while a loop of one goroutine wants to run every millisecond, analyses ten numbers each time and
-notes how late it is. The same loop runs alone as long before; the differences are what the check
-and the collector take.`,
+		Long: `Makes a table of many prefixes with 200 routes and checks it repeatedly, as a gateway does, while a
+loop in one goroutine that is due every millisecond analyses ten numbers each time and records how
+late it runs. Before that, the same loop runs alone for as long; the difference is the cost of the
+checks and of garbage collection.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			out := cmd.OutOrStdout()
-			form, err := large(size)
+			definition, err := largeTable(size)
 			if err != nil {
 				return err
 			}
-			before, _ := heap()
-			begin := time.Now()
-			t, err := numberplan.Compile(form)
+			heapBefore, _ := heapStats()
+			began := time.Now()
+			table, err := numberplan.Compile(definition)
 			if err != nil {
 				return err
 			}
-			took := time.Since(begin)
-			after, _ := heap()
-			packed, err := numberplan.Pack(form)
+			compileTime := time.Since(began)
+			heapAfter, _ := heapStats()
+			packed, err := numberplan.Pack(definition)
 			if err != nil {
 				return err
 			}
@@ -49,80 +50,80 @@
 				out,
 				"%d prefixes: %.1f MiB compact (%.1f octets each), compiled in %.0f ms, %.1f MiB in memory (%.1f octets each)\n",
 				size,
-				mib(len(packed)),
+				mebibytes(len(packed)),
 				float64(len(packed))/float64(size),
-				float64(took)/1e6,
-				mib(int(after)-int(before)),
-				float64(int64(after)-int64(before))/float64(size),
+				float64(compileTime)/1e6,
+				mebibytes(int(heapAfter)-int(heapBefore)),
+				float64(int64(heapAfter)-int64(heapBefore))/float64(size),
 			)
-			of := prefixbaseline.Draw(min(size, 1<<16))
-			check := func() {
+			prefixes := prefixbaseline.Draw(min(size, 1<<16))
+			runChecks := func() {
 				for range rounds {
-					if c := tableversions.Check(packed, t.Names()); c.Err != nil {
-						panic(c.Err) // it was compiled above
+					if checked := tableversions.Check(packed, table.Names()); checked.Err != nil {
+						panic(checked.Err) // cannot happen: the table was compiled above
 					}
 				}
 			}
-			alone := lateness(t, of, func() { time.Sleep(time.Duration(rounds) * took) })
-			with := lateness(t, of, check)
+			alone := measureLateness(table, prefixes, func() { time.Sleep(time.Duration(rounds) * compileTime) })
+			besideChecks := measureLateness(table, prefixes, runChecks)
 			fmt.Fprintf(out, "%-20s %10s %10s %10s %10s\n", "loop of 1 ms", "p50 ms", "p99 ms", "p99.9 ms", "most ms")
-			for _, x := range []struct {
+			for _, row := range []struct {
 				name string
 				late []float64
-			}{{"alone", alone}, {fmt.Sprintf("beside %d checks", rounds), with}} {
+			}{{"alone", alone}, {fmt.Sprintf("beside %d checks", rounds), besideChecks}} {
 				fmt.Fprintf(
 					out,
 					"%-20s %10.3f %10.3f %10.3f %10.3f\n",
-					x.name,
-					at(x.late, 0.5),
-					at(x.late, 0.99),
-					at(x.late, 0.999),
-					at(x.late, 1),
+					row.name,
+					quantile(row.late, 0.5),
+					quantile(row.late, 0.99),
+					quantile(row.late, 0.999),
+					quantile(row.late, 1),
 				)
 			}
 			return nil
 		},
 	}
-	c.Flags().IntVar(&size, "size", 1000000, "prefixes")
-	c.Flags().IntVar(&rounds, "rounds", 5, "checks")
+	c.Flags().IntVar(&size, "size", 1000000, "number of prefixes")
+	c.Flags().IntVar(&rounds, "rounds", 5, "number of checks")
 	return c
 }
 
-func mib(n int) float64 { return float64(n) / (1 << 20) }
+func mebibytes(n int) float64 { return float64(n) / (1 << 20) }
 
-// large makes a table of many prefixes.
-func large(size int) (*api.NumberTable, error) {
+// largeTable returns a number table of many prefixes.
+func largeTable(size int) (*api.NumberTable, error) {
 	const routes = 200
-	form := &api.NumberTable{Name: "large", Version: 1, Entry: "start", Plans: []*api.NumberPlan{{Name: "start"}}}
-	of := make([][]string, routes)
-	for i, p := range prefixbaseline.Draw(size) {
-		of[i%routes] = append(of[i%routes], p.Digits)
+	table := &api.NumberTable{Name: "large", Version: 1, Entry: "start", Plans: []*api.NumberPlan{{Name: "start"}}}
+	prefixes := make([][]string, routes)
+	for i, prefix := range prefixbaseline.Draw(size) {
+		prefixes[i%routes] = append(prefixes[i%routes], prefix.Digits)
 	}
-	for i, p := range of {
+	for i, prefix := range prefixes {
 		name := fmt.Sprint("r", i)
-		packed, err := numberplan.PackPrefixes(p)
+		packed, err := numberplan.PackPrefixes(prefix)
 		if err != nil {
 			return nil, err
 		}
-		form.Routes = append(
-			form.Routes,
+		table.Routes = append(
+			table.Routes,
 			&api.NumberRoute{Name: name, Choices: []*api.NumberChoice{{Group: fmt.Sprint("TG-", i), Weight: 1}}},
 		)
-		form.Plans[0].Rules = append(
-			form.Plans[0].Rules,
+		table.Plans[0].Rules = append(
+			table.Plans[0].Rules,
 			&api.NumberRule{Packed: packed, Then: &api.NumberAction{Do: &api.NumberAction_Route{Route: name}}},
 		)
 	}
-	return form, nil
+	return table, nil
 }
 
-// lateness runs a loop beside something and returns how late each turn was, ms, sorted.
-func lateness(t *numberplan.Table, of []prefixtrie.Prefix, beside func()) []float64 {
+// measureLateness runs a loop in parallel with load and returns how late each iteration was, ms, sorted.
+func measureLateness(table *numberplan.Table, prefixes []prefixtrie.Prefix, load func()) []float64 {
 	runtime.GC()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		beside()
+		load()
 	}()
 	var late []float64
 	next := time.Now()
@@ -131,10 +132,10 @@
 		time.Sleep(time.Until(next))
 		late = append(late, math.Max(0, float64(time.Since(next))/1e6))
 		for range 10 {
-			t.Begin(numberplan.Call{Dialled: "+" + of[i%len(of)].Digits + "55", At: next})
+			table.Begin(numberplan.Call{Dialled: "+" + prefixes[i%len(prefixes)].Digits + "55", At: next})
 			i++
 		}
-		if now := time.Now(); now.Sub(next) > time.Millisecond { // turns that were missed are not made up for
+		if now := time.Now(); now.Sub(next) > time.Millisecond { // missed iterations are not made up for
 			next = now
 		}
 		select {
--- a/internal/emulator/processrun/day.go
+++ b/internal/emulator/processrun/day.go
@@ -1,5 +1,5 @@
-// Package processrun puts a script's day on with gateways that are processes of their own: real sockets, a real
-// endpoint list stream, signals. Switches, callers and the wire are the stage's, by the wall clock.
+// Package processrun runs a scenario with each gateway as a process of its own: real sockets, a real endpoint list
+// stream and signals. The scenario's stand-ins play the switches, the callers and the network, by the wall clock.
 package processrun
 
 //tally:standin
@@ -29,50 +29,50 @@
 	"cobaltpier/internal/gateway/reactor"
 )
 
-// Options are how a day is put on.
+// Options configure a run.
 type Options struct {
-	Port    int      // SIP port of all addresses; port+10 and port+20 are used too
-	Capture string   // file; "": none is kept
-	Dir     string   // for settings and logs of the gateways; "": a new one, removed when all went well
-	Edge    []string // command that runs a gateway; "--config FILE" is added
-	Module  string
-	Level   string
-	Say     func(string)
+	Port           int      // SIP port of all addresses; port+10 and port+20 are used too
+	Capture        string   // file for the captured traffic; "": none
+	Dir            string   // for configuration and logs of the gateways; "": a temporary one, removed if nothing failed
+	GatewayCommand []string // command that runs a gateway; "--config FILE" is added
+	Module         string
+	Level          string
+	Progress       func(string)
 }
 
-// Result is what a day came to.
+// Result is the outcome of a run.
 type Result struct {
-	Service  scenario.Service
-	Findings []conformance.Finding
-	Totals   conformance.Totals
-	Tables   *conformance.Tables // nil: no number tables
-	Kiosks   scenario.KioskService
-	Exits    []string // gateways that did not end as they should
-	Lost     uint64   // datagrams that sockets did not take
-	Late     float64  // ms: the most that the stand-ins ran behind the clock
-	Dir      string
+	Service         scenario.Service
+	Findings        []conformance.Finding
+	Totals          conformance.Totals
+	Tables          *conformance.Tables // nil: the scenario has no number tables
+	Kiosks          scenario.KioskService
+	GatewayFailures []string // gateways that exited with an error or did not drain in time
+	DatagramsLost   uint64   // datagrams that the kernel did not accept from the stand-ins
+	ClockLag        float64  // ms: maximum lag of the stand-ins behind the wall clock
+	Dir             string
 }
 
-// Broken tells whether a rule was broken or a gateway ended badly.
+// Broken reports whether a rule was broken, a call was set up by a wrong number table or a gateway failed.
 func (r *Result) Broken() bool {
-	return len(r.Findings) > 0 || len(r.Exits) > 0 || r.Tables != nil && len(r.Tables.Findings) > 0
+	return len(r.Findings) > 0 || len(r.GatewayFailures) > 0 || r.Tables != nil && len(r.Tables.Findings) > 0
 }
 
 type runner struct {
 	api.UnimplementedPoolListServer
-	o       Options
-	st      *scenario.Scenario
-	sockets *reactor.UDPSockets
-	list    net.Listener
-	server  *grpc.Server
-	mu      sync.Mutex
-	procs   []*process
-	follow  map[string]chan *api.Update
-	joined  chan string
-	running bool
-	relays  map[netip.AddrPort]int // where messages for a gateway come in
-	names   []*dnsserver.Served
-	admins  []*grpc.ClientConn // of the gateways, for number tables
+	options      Options
+	sim          *scenario.Scenario
+	sockets      *reactor.UDPSockets
+	listListener net.Listener
+	listServer   *grpc.Server
+	mu           sync.Mutex
+	gateways     []*process
+	followers    map[string]chan *api.Update
+	subscribed   chan string
+	running      bool
+	relays       map[netip.AddrPort]int // by the address that relays peer messages to the gateway
+	nameServers  []*dnsserver.Served
+	admins       []*grpc.ClientConn // connections to the gateways, to put number tables
 }
 
 type process struct {
@@ -84,108 +84,108 @@
 }
 
 const (
-	// blur is how far records of different sockets may be out of order, ms: they are read by pollers that take turns.
-	blur = 10
-	// tableBlur is the same for number tables: the gateway's sockets and its service are read by turns; ms.
-	tableBlur = 250
-	// afterDay is how long calls may still end after the day's last, in ms.
-	afterDay     = 12000
+	// maxReordering is how far records of different sockets may be out of order, ms: pollers read them in turns.
+	maxReordering = 10
+	// tableReordering is the same for number tables, ms: the gateway reads its sockets and its gRPC service in turns.
+	tableReordering = 250
+	// extraRunTime is how long the run goes on after the script's end, ms, for calls to end.
+	extraRunTime = 12000
 	drainTimeout = 30000 // ms
 	startTimeout = 20 * time.Second
 )
 
-// Run plays a day; it ends early when ctx does.
-func Run(ctx context.Context, s *scenariofile.Script, o Options) (*Result, error) {
+// Run runs a scenario; it ends early when ctx is canceled.
+func Run(ctx context.Context, script *scenariofile.Script, options Options) (*Result, error) {
 	r := &runner{
-		o:      o,
-		follow: map[string]chan *api.Update{},
-		joined: make(chan string, 4096),
-		relays: map[netip.AddrPort]int{},
+		options:    options,
+		followers:  map[string]chan *api.Update{},
+		subscribed: make(chan string, 4096),
+		relays:     map[netip.AddrPort]int{},
 	}
-	temporary := o.Dir == ""
+	temporary := options.Dir == ""
 	if temporary {
 		dir, err := os.MkdirTemp("", "cobalt-day-")
 		if err != nil {
 			return nil, fmt.Errorf("day: %w", err)
 		}
-		r.o.Dir = dir
+		r.options.Dir = dir
 	}
-	check, err := startCheck(s, o.Capture)
+	check, err := startCheck(script, options.Capture)
 	if err != nil {
 		return nil, err
 	}
 	defer check.close()
-	r.st = scenario.NewReal(s, o.Port, blur, check.add)
-	r.st.Fleet = r
-	r.st.Say = func(at float64, what string) { r.say(fmt.Sprintf("%6.1f s  %s", at/1000, what)) }
+	r.sim = scenario.NewReal(script, options.Port, maxReordering, check.add)
+	r.sim.Fleet = r
+	r.sim.Say = func(at float64, what string) { r.report(fmt.Sprintf("%6.1f s  %s", at/1000, what)) }
 	defer r.close()
 	if err := r.startAll(ctx); err != nil {
 		return nil, err
 	}
-	res := &Result{Dir: r.o.Dir}
+	res := &Result{Dir: r.options.Dir}
 	r.play(ctx, res)
 	r.drain(res)
 	if err := check.finish(res); err != nil {
 		return nil, err
 	}
-	res.Lost = r.sockets.Lost.Load()
+	res.DatagramsLost = r.sockets.Lost.Load()
 	if temporary && !res.Broken() {
-		os.RemoveAll(r.o.Dir)
+		os.RemoveAll(r.options.Dir)
 	}
 	return res, ctx.Err()
 }
 
-func (r *runner) say(text string) {
-	if r.o.Say != nil {
-		r.o.Say(text)
+func (r *runner) report(text string) {
+	if r.options.Progress != nil {
+		r.options.Progress(text)
 	}
 }
 
-// startAll binds the stand-ins' sockets, starts the gateways and waits until each has asked for the endpoint list.
+// startAll binds the stand-ins' sockets, starts the gateways and waits until each has subscribed to the endpoint list.
 func (r *runner) startAll(ctx context.Context) error {
-	if err := r.open(); err != nil {
+	if err := r.openSockets(); err != nil {
 		return err
 	}
-	if err := r.openNames(); err != nil {
+	if err := r.startNameServers(); err != nil {
 		return err
 	}
-	for i := range r.st.Gateways {
-		if err := r.launch(i); err != nil {
+	for i := range r.sim.Gateways {
+		if err := r.startGateway(i); err != nil {
 			return err
 		}
 	}
-	for range r.st.Gateways {
+	for range r.sim.Gateways {
 		select {
-		case <-r.joined:
+		case <-r.subscribed:
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(startTimeout):
-			return fmt.Errorf("day: gateways do not come up; their logs are in %s", r.o.Dir)
+			return fmt.Errorf("day: a gateway did not ask for the endpoint list in time; logs are in %s", r.options.Dir)
 		}
 	}
 	return nil
 }
 
-// play plays the day itself.
+// play runs the scenario up to the end of its last calls.
 func (r *runner) play(ctx context.Context, res *Result) {
-	w := r.st.World
-	w.Begin()
+	world := r.sim.World
+	world.Begin()
 	r.setRunning(true)
-	for _, g := range r.st.Gateways {
-		r.st.Welcome(g, 0)
-		if n := r.st.Names; n != nil {
-			r.st.TableIn(g.Number, n.Version)
+	for _, g := range r.sim.Gateways {
+		r.sim.Welcome(g, 0)
+		if names := r.sim.Names; names != nil {
+			r.sim.TableIn(g.Number, names.Version)
 		}
 	}
 	r.progress(res)
-	w.RunReal(r.st.Script.Length+afterDay, ctx.Done())
-	res.Kiosks = r.st.KioskService()
-	res.Service = r.st.Service() // before the gateways drain: that releases calls that would have gone on
+	world.RunReal(r.sim.Script.Length+extraRunTime, ctx.Done())
+	res.Kiosks = r.sim.KioskService()
+	res.Service = r.sim.Service() // taken before the gateways drain: draining releases calls that would have gone on
 }
 
-// drain stops the gateways as an operator would and reports those that did not end well.
+// drain stops the gateways as an operator would, with SIGTERM, and records those that failed.
 func (r *runner) drain(res *Result) {
-	r.say("the day is over; gateways drain")
+	r.report("the day is over; gateways drain")
 	r.setRunning(false)
 	processes := r.processes()
 	for _, p := range processes {
@@ -198,18 +198,21 @@
 		}
 		close(ended)
 	}()
-	w := r.st.World
-	w.RunReal(w.Now+drainTimeout, ended) // the switches still take what the gateways send
+	world := r.sim.World
+	world.RunReal(world.Now+drainTimeout, ended) // the switches still answer the gateways
 	for i, p := range processes {
 		select {
 		case <-p.done:
 			if p.err != nil && !p.killed {
-				res.Exits = append(res.Exits, fmt.Sprintf("edge-%d: %v: %s", i, p.err, tail(p.log.Name())))
+				res.GatewayFailures = append(
+					res.GatewayFailures,
+					fmt.Sprintf("edge-%d: %v: %s", i, p.err, lastLines(p.log.Name())),
+				)
 			}
 		default:
 			_ = p.cmd.Process.Kill()
 			<-p.done
-			res.Exits = append(res.Exits, fmt.Sprintf("edge-%d did not drain within 30 s", i))
+			res.GatewayFailures = append(res.GatewayFailures, fmt.Sprintf("edge-%d did not drain within 30 s", i))
 		}
 	}
 }
@@ -223,51 +226,51 @@
 func (r *runner) processes() []*process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]*process{}, r.procs...)
+	return append([]*process{}, r.gateways...)
 }
 
-// open binds what the stand-ins need.
-func (r *runner) open() error {
-	st := r.st
-	addrs := st.Addresses()
-	for _, g := range st.Gateways {
-		relay := netip.AddrPortFrom(g.Addr.Addr(), uint16(r.o.Port+20))
+// openSockets binds the stand-ins' sockets and serves the endpoint list.
+func (r *runner) openSockets() error {
+	s := r.sim
+	addrs := s.Addresses()
+	for _, g := range s.Gateways {
+		relay := netip.AddrPortFrom(g.Addr.Addr(), uint16(r.options.Port+20))
 		r.relays[relay] = g.Number
 		addrs = append(addrs, relay)
 	}
 	var err error
 	r.sockets, err = reactor.Listen(addrs, 2, func(local, from netip.AddrPort, data []byte) {
-		if to, ok := r.relays[local]; ok {
-			r.relay(to, local, data)
+		if target, ok := r.relays[local]; ok {
+			r.relay(target, local, data)
 			return
 		}
-		st.World.Arrived(from, local, data)
+		s.World.Arrived(from, local, data)
 	})
 	if err != nil {
 		return fmt.Errorf("day: stand-ins: %w", err)
 	}
-	for _, g := range st.Gateways {
+	for _, g := range s.Gateways {
 		g.Node.Real = func(to, from netip.AddrPort, data []byte) { r.sockets.Send(from, to, data) }
 		if g.FrontAt != nil {
 			g.FrontAt.Real = g.Node.Real
 		}
 	}
-	if r.list, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
-		return fmt.Errorf("day: pool list: %w", err)
+	if r.listListener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+		return fmt.Errorf("day: endpoint list: %w", err)
 	}
-	r.server = grpc.NewServer()
-	api.RegisterPoolListServer(r.server, r)
-	go func() { _ = r.server.Serve(r.list) }() // ends with Stop
+	r.listServer = grpc.NewServer()
+	api.RegisterPoolListServer(r.listServer, r)
+	go func() { _ = r.listServer.Serve(r.listListener) }() // ends with Stop
 	return nil
 }
 
-// relay is the wire between gateways.
-func (r *runner) relay(to int, local netip.AddrPort, data []byte) {
-	if len(data) < 3 || int(binary.BigEndian.Uint16(data)) >= len(r.st.Gateways) {
+// relay passes a message between gateways through the simulated network.
+func (r *runner) relay(target int, local netip.AddrPort, data []byte) {
+	if len(data) < 3 || int(binary.BigEndian.Uint16(data)) >= len(r.sim.Gateways) {
 		return
 	}
-	r.st.World.Do(func() {
-		r.st.Tell(to, func(float64) { r.sockets.Send(local, r.st.Gateways[to].Peer, data) })
+	r.sim.World.Do(func() {
+		r.sim.Tell(target, func(float64) { r.sockets.Send(local, r.sim.Gateways[target].Peer, data) })
 	})
 }
 
@@ -285,30 +288,30 @@
 	for _, c := range r.admins {
 		c.Close()
 	}
-	for _, n := range r.names {
+	for _, n := range r.nameServers {
 		n.Close()
 	}
-	if r.server != nil {
-		r.server.Stop()
+	if r.listServer != nil {
+		r.listServer.Stop()
 	}
 	if r.sockets != nil {
 		r.sockets.Close()
 	}
 }
 
-// launch starts a gateway's process.
-func (r *runner) launch(i int) error {
-	g := r.st.Gateways[i]
-	file := filepath.Join(r.o.Dir, g.Name+".hcl")
+// startGateway writes gateway i's configuration file and starts its process.
+func (r *runner) startGateway(i int) error {
+	g := r.sim.Gateways[i]
+	file := filepath.Join(r.options.Dir, g.Name+".hcl")
 	if err := os.WriteFile(file, []byte(r.gatewayFile(i)), 0o644); err != nil {
 		return fmt.Errorf("day: %w", err)
 	}
-	log, err := os.OpenFile(filepath.Join(r.o.Dir, g.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	log, err := os.OpenFile(filepath.Join(r.options.Dir, g.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return fmt.Errorf("day: %w", err)
 	}
-	args := append(append([]string{}, r.o.Edge[1:]...), "--config", file, "--module", r.o.Module)
-	p := &process{cmd: exec.Command(r.o.Edge[0], args...), log: log, done: make(chan struct{})}
+	args := append(append([]string{}, r.options.GatewayCommand[1:]...), "--config", file, "--module", r.options.Module)
+	p := &process{cmd: exec.Command(r.options.GatewayCommand[0], args...), log: log, done: make(chan struct{})}
 	p.cmd.Stderr, p.cmd.Stdout = log, log
 	if err := p.cmd.Start(); err != nil {
 		return fmt.Errorf("day: start %s: %w", g.Name, err)
@@ -319,39 +322,39 @@
 	}()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if i < len(r.procs) {
-		r.procs[i] = p
+	if i < len(r.gateways) {
+		r.gateways[i] = p
 	} else {
-		r.procs = append(r.procs, p)
+		r.gateways = append(r.gateways, p)
 	}
 	return nil
 }
 
-// Follow implements the endpoint list's service.
+// Follow implements the endpoint list service.
 func (r *runner) Follow(req *api.FollowRequest, stream grpc.ServerStreamingServer[api.Update]) error {
-	ch := make(chan *api.Update, 1024)
+	updates := make(chan *api.Update, 1024)
 	r.mu.Lock()
-	r.follow[req.Gateway] = ch
+	r.followers[req.Gateway] = updates
 	running := r.running
 	r.mu.Unlock()
 	if running {
-		r.st.World.Do(func() {
-			for _, g := range r.st.Gateways {
+		r.sim.World.Do(func() {
+			for _, g := range r.sim.Gateways {
 				if g.Name == req.Gateway {
-					r.st.Welcome(g, req.Have)
+					r.sim.Welcome(g, req.Have)
 				}
 			}
 		})
 	} else {
 		select {
-		case r.joined <- req.Gateway:
+		case r.subscribed <- req.Gateway:
 		default:
 		}
 	}
 	for {
 		select {
-		case u := <-ch:
-			if err := stream.Send(u); err != nil {
+		case update := <-updates:
+			if err := stream.Send(update); err != nil {
 				return err
 			}
 		case <-stream.Context().Done():
@@ -360,13 +363,13 @@
 	}
 }
 
-// List implements stage.Fleet.
-func (r *runner) List(i int, u *api.Update) {
+// List implements scenario.Fleet.
+func (r *runner) List(i int, update *api.Update) {
 	r.mu.Lock()
-	ch := r.follow[r.st.Gateways[i].Name]
+	updates := r.followers[r.sim.Gateways[i].Name]
 	r.mu.Unlock()
 	select {
-	case ch <- u:
+	case updates <- update:
 	default:
 	}
 }
@@ -374,59 +377,59 @@
 func (r *runner) process(i int) *process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.procs[i]
+	return r.gateways[i]
 }
 
-// Halt implements stage.Fleet.
+// Halt implements scenario.Fleet.
 func (r *runner) Halt(i int) { _ = r.process(i).cmd.Process.Signal(syscall.SIGSTOP) }
 
-// Go implements stage.Fleet.
+// Go implements scenario.Fleet.
 func (r *runner) Go(i int) { _ = r.process(i).cmd.Process.Signal(syscall.SIGCONT) }
 
-// Kill implements stage.Fleet.
+// Kill implements scenario.Fleet.
 func (r *runner) Kill(i int) {
 	p := r.process(i)
 	p.killed = true
 	_ = p.cmd.Process.Kill()
 }
 
-// Start implements stage.Fleet.
+// Start implements scenario.Fleet.
 func (r *runner) Start(i int) {
 	<-r.process(i).done
-	if err := r.launch(i); err != nil && r.o.Say != nil {
-		r.o.Say(err.Error())
+	if err := r.startGateway(i); err != nil && r.options.Progress != nil {
+		r.options.Progress(err.Error())
 	}
 }
 
-// progress tells how the day goes, and sees how far the stand-ins run behind the clock.
+// progress reports the state of the run every 5 s and records how far the stand-ins lag behind the clock.
 func (r *runner) progress(res *Result) {
-	w := r.st.World
+	world := r.sim.World
 	var tick func()
-	next := 5000.0
+	nextReport := 5000.0
 	tick = func() {
-		if late := w.Wall() - w.Now; late > res.Late {
-			res.Late = late
+		if behind := world.Wall() - world.Now; behind > res.ClockLag {
+			res.ClockLag = behind
 		}
-		if w.Now >= next && r.o.Say != nil {
-			next += 5000
-			sv := r.st.Service()
-			r.o.Say(
+		if world.Now >= nextReport && r.options.Progress != nil {
+			nextReport += 5000
+			service := r.sim.Service()
+			r.options.Progress(
 				fmt.Sprintf(
 					"%6.1f s  %d callers planned, %d stood in time, %d late, %d cut",
-					w.Now/1000,
-					sv.Arrived,
-					sv.Answered,
-					sv.Late,
-					sv.Dropped,
+					world.Now/1000,
+					service.Arrived,
+					service.Answered,
+					service.Late,
+					service.Dropped,
 				),
 			)
 		}
-		w.At(w.Now+100, tick)
+		world.At(world.Now+100, tick)
 	}
 	tick()
 }
 
-func tail(file string) string {
+func lastLines(file string) string {
 	b, err := os.ReadFile(file)
 	if err != nil {
 		return err.Error()
@@ -435,5 +438,5 @@
 	return strings.Join(lines[max(0, len(lines)-2):], " / ")
 }
 
-// ErrBroken says that a day broke a rule.
-var ErrBroken = errors.New("a rule was broken")
+// ErrBroken means that a run broke a rule or that one of its gateways failed.
+var ErrBroken = errors.New("a rule was broken or a gateway failed; see the findings in the output")
--- a/internal/emulator/processrun/numbers.go
+++ b/internal/emulator/processrun/numbers.go
@@ -17,47 +17,48 @@
 	"cobaltpier/internal/emulator/scenario"
 )
 
-// openNames puts the DNS servers behind sockets and writes the first table.
-func (r *runner) openNames() error {
-	n := r.st.Names
-	if n == nil {
+// startNameServers serves the DNS servers on sockets, writes the first number table and connects to the gateways' admin
+// services.
+func (r *runner) startNameServers() error {
+	names := r.sim.Names
+	if names == nil {
 		return nil
 	}
-	for i, s := range n.Servers {
-		v, err := dnsserver.Serve(s, n.Addrs[i])
+	for i, server := range names.Servers {
+		served, err := dnsserver.Serve(server, names.Addrs[i])
 		if err != nil {
 			return fmt.Errorf("day: %w", err)
 		}
-		r.names = append(r.names, v)
+		r.nameServers = append(r.nameServers, served)
 	}
-	n.Alter = func(i int, do func(*dnsserver.Server)) { r.names[i].Change(do) }
-	if err := os.WriteFile(r.tableFile(), r.st.Table(n.Version).Form, 0o644); err != nil {
+	names.Alter = func(i int, change func(*dnsserver.Server)) { r.nameServers[i].Change(change) }
+	if err := os.WriteFile(r.tableFile(), r.sim.Table(names.Version).Form, 0o644); err != nil {
 		return fmt.Errorf("day: %w", err)
 	}
-	for i := range r.st.Gateways {
-		c, err := grpc.NewClient(r.admin(i).String(), grpc.WithTransportCredentials(insecure.NewCredentials()))
+	for i := range r.sim.Gateways {
+		conn, err := grpc.NewClient(r.adminAddr(i).String(), grpc.WithTransportCredentials(insecure.NewCredentials()))
 		if err != nil {
 			return fmt.Errorf("day: %w", err)
 		}
-		r.admins = append(r.admins, c)
+		r.admins = append(r.admins, conn)
 	}
 	return nil
 }
 
-func (r *runner) tableFile() string { return filepath.Join(r.o.Dir, "first.table") }
+func (r *runner) tableFile() string { return filepath.Join(r.options.Dir, "first.table") }
 
-// admin is where a gateway's number tables are changed.
-func (r *runner) admin(i int) netip.AddrPort {
-	return netip.AddrPortFrom(r.st.Gateways[i].Addr.Addr(), uint16(r.o.Port+30))
+// adminAddr returns the address of gateway i's service for number tables.
+func (r *runner) adminAddr(i int) netip.AddrPort {
+	return netip.AddrPortFrom(r.sim.Gateways[i].Addr.Addr(), uint16(r.options.Port+30))
 }
 
 func (r *runner) numberSettings(i int) string {
-	s, n := r.st.Script.Numbers, r.st.Names
-	c := r.st.Resolve(0)
-	ms := func(v float64) string { return time.Duration(v * 1e6).String() }
+	numbers, names := r.sim.Script.Numbers, r.sim.Names
+	resolver := r.sim.Resolve(0)
+	formatMs := func(ms float64) string { return time.Duration(ms * 1e6).String() }
 	var servers []string
-	for _, a := range n.Addrs {
-		servers = append(servers, fmt.Sprintf("%q", a))
+	for _, addr := range names.Addrs {
+		servers = append(servers, fmt.Sprintf("%q", addr))
 	}
 	return fmt.Sprintf(
 		`numbers {
@@ -82,34 +83,34 @@
 }
 `,
 		r.tableFile(),
-		filepath.Join(r.o.Dir, r.st.Gateways[i].Name+".tables"),
-		r.admin(i),
-		s.Share,
+		filepath.Join(r.options.Dir, r.sim.Gateways[i].Name+".tables"),
+		r.adminAddr(i),
+		numbers.Share,
 		scenario.Apex,
 		strings.Join(servers, ", "),
-		c.MaxLookups,
-		c.Tries,
-		ms(c.StaleAfter),
-		c.Cache.MaxEntries,
-		ms(c.Cache.MinTTL),
-		ms(c.Cache.MaxTTL),
-		ms(c.Cache.MaxNegativeTTL),
-		ms(c.Cache.StaleTime),
-		ms(c.Cache.FailureTTL),
+		resolver.MaxLookups,
+		resolver.Tries,
+		formatMs(resolver.StaleAfter),
+		resolver.Cache.MaxEntries,
+		formatMs(resolver.Cache.MinTTL),
+		formatMs(resolver.Cache.MaxTTL),
+		formatMs(resolver.Cache.MaxNegativeTTL),
+		formatMs(resolver.Cache.StaleTime),
+		formatMs(resolver.Cache.FailureTTL),
 	)
 }
 
-// Table implements stage.Fleet: a gateway that is down or stalls gets the next one.
-func (r *runner) Table(i int, t *scenario.Table) {
+// Table implements scenario.Fleet. A gateway that is down or stalled misses this table and gets the next one.
+func (r *runner) Table(i int, table *scenario.Table) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
-		_, err := api.NewNumbersClient(r.admins[i]).Put(ctx, &api.PutTable{Table: t.Form, Note: "the laboratory"})
-		r.st.World.Do(func() {
+		_, err := api.NewNumbersClient(r.admins[i]).Put(ctx, &api.PutTable{Table: table.Form, Note: "the laboratory"})
+		r.sim.World.Do(func() {
 			if err == nil {
-				r.st.TableIn(i, t.Version)
-			} else if r.o.Say != nil {
-				r.o.Say(fmt.Sprintf("table %d at %s: %v", t.Version, r.st.Gateways[i].Name, err))
+				r.sim.TableIn(i, table.Version)
+			} else if r.options.Progress != nil {
+				r.options.Progress(fmt.Sprintf("table %d at %s: %v", table.Version, r.sim.Gateways[i].Name, err))
 			}
 		})
 	}()
--- a/internal/emulator/stats/stats.go
+++ b/internal/emulator/stats/stats.go
@@ -11,48 +11,48 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Paired is what a set of differences of pairs tells.
+// Paired summarises the differences of paired measurements.
 type Paired struct {
 	N             int
 	Mean          float64
-	Low, High     float64 // the interval that holds the true mean with the confidence
-	A, B          float64 // the means of both sides
-	Better, Worse int     // pairs in which B is above or below A
+	Low, High     float64 // confidence interval of the mean difference
+	A, B          float64 // means of the two sides
+	Higher, Lower int     // number of pairs in which B is above or below A
 	Confidence    float64
 }
 
-// Compare takes b's differences from a, pair by pair, and the interval of their mean by Student's t. Fewer than two
-// pairs have an interval without bounds.
+// Compare takes the differences b-a, pair by pair, and the confidence interval of their mean by Student's t
+// distribution. With fewer than two pairs the interval is unbounded.
 func Compare(a, b []float64, confidence float64) Paired {
 	n := min(len(a), len(b))
 	p := Paired{N: n, Low: math.Inf(-1), High: math.Inf(1), Confidence: confidence}
 	if n == 0 {
 		return p
 	}
-	d := make([]float64, n)
+	differences := make([]float64, n)
 	for i := range n {
-		d[i] = b[i] - a[i]
+		differences[i] = b[i] - a[i]
 		switch {
-		case d[i] > 0:
-			p.Better++
-		case d[i] < 0:
-			p.Worse++
+		case differences[i] > 0:
+			p.Higher++
+		case differences[i] < 0:
+			p.Lower++
 		}
 	}
-	p.A, p.B, p.Mean = stat.Mean(a[:n], nil), stat.Mean(b[:n], nil), stat.Mean(d, nil)
+	p.A, p.B, p.Mean = stat.Mean(a[:n], nil), stat.Mean(b[:n], nil), stat.Mean(differences, nil)
 	if n < 2 {
 		return p
 	}
-	half := distuv.StudentsT{
+	halfWidth := distuv.StudentsT{
 		Mu:    0,
 		Sigma: 1,
 		Nu:    float64(n - 1),
-	}.Quantile(0.5+confidence/2) * stat.StdDev(d, nil) / math.Sqrt(float64(n))
-	p.Low, p.High = p.Mean-half, p.Mean+half
+	}.Quantile(0.5+confidence/2) * stat.StdDev(differences, nil) / math.Sqrt(float64(n))
+	p.Low, p.High = p.Mean-halfWidth, p.Mean+halfWidth
 	return p
 }
 
-// Verdict says more only than the noise allows.
+// Verdict says which side is higher, if the interval excludes zero.
 func (p Paired) Verdict() string {
 	switch {
 	case p.N < 2:
@@ -75,8 +75,8 @@
 		p.High,
 		100*p.Confidence,
 		p.N,
-		p.Better,
-		p.Worse,
+		p.Higher,
+		p.Lower,
 		p.Verdict(),
 	)
 }
