--- a/internal/gateway/sipserver/enumlistener.go
+++ b/internal/gateway/sipserver/enumlistener.go
@@ -31,13 +31,13 @@
 
 // listenENUM opens the ENUM server's UDP and TCP sockets.
 func (s *Server) listenENUM() (*enumListener, error) {
-	set := &s.config.ENUMServer
-	d := &enumListener{server: s, enum: enumserver.New(set.Config, s.agent), conns: map[*net.TCPConn]struct{}{}}
+	settings := &s.config.ENUMServer
+	l := &enumListener{server: s, enum: enumserver.New(settings.Config, s.agent), conns: map[*net.TCPConn]struct{}{}}
 	var err error
-	d.sockets, err = reactor.Listen([]netip.AddrPort{set.Listen}, 1, func(local, from netip.AddrPort, data []byte) {
+	l.sockets, err = reactor.Listen([]netip.AddrPort{settings.Listen}, 1, func(local, from netip.AddrPort, data []byte) {
 		select {
 		case s.events <- event{kind: callback, do: func(now float64) {
-			d.enum.Receive(now, from, data, false, func(b []byte) { d.sockets.Send(local, from, b) })
+			l.enum.Receive(now, from, data, false, func(b []byte) { l.sockets.Send(local, from, b) })
 		}}:
 		default: // queue full: dropped, as the network may drop it
 		}
@@ -45,64 +45,64 @@
 	if err != nil {
 		return nil, fmt.Errorf("front: %w", err)
 	}
-	if d.tcp, err = net.ListenTCP("tcp", net.TCPAddrFromAddrPort(set.Listen)); err != nil {
-		d.sockets.Close()
+	if l.tcp, err = net.ListenTCP("tcp", net.TCPAddrFromAddrPort(settings.Listen)); err != nil {
+		l.sockets.Close()
 		return nil, fmt.Errorf("front: %w", err)
 	}
-	d.goroutines.Add(1)
-	go d.accept()
-	s.log.Info().Str("addr", set.Listen.String()).Str("apex", set.Apex).Msg("ENUM server listening")
-	return d, nil
+	l.goroutines.Add(1)
+	go l.accept()
+	s.log.Info().Str("addr", settings.Listen.String()).Str("apex", settings.Apex).Msg("ENUM server listening")
+	return l, nil
 }
 
-func (d *enumListener) close() {
-	d.sockets.Close()
-	d.tcp.Close()
-	d.mu.Lock()
-	for c := range d.conns {
+func (l *enumListener) close() {
+	l.sockets.Close()
+	l.tcp.Close()
+	l.mu.Lock()
+	for c := range l.conns {
 		c.Close()
 	}
-	d.mu.Unlock()
-	d.goroutines.Wait()
+	l.mu.Unlock()
+	l.goroutines.Wait()
 }
 
-func (d *enumListener) accept() {
-	defer d.goroutines.Done()
+func (l *enumListener) accept() {
+	defer l.goroutines.Done()
 	for {
-		c, err := d.tcp.AcceptTCP()
+		c, err := l.tcp.AcceptTCP()
 		if err != nil {
 			return
 		}
-		d.mu.Lock()
-		full := len(d.conns) >= d.server.config.ENUMServer.MaxConns
+		l.mu.Lock()
+		full := len(l.conns) >= l.server.config.ENUMServer.MaxConns
 		if !full {
-			d.conns[c] = struct{}{}
-			d.goroutines.Add(1)
+			l.conns[c] = struct{}{}
+			l.goroutines.Add(1)
 		}
-		d.mu.Unlock()
+		l.mu.Unlock()
 		if full {
 			c.Close()
 			continue
 		}
-		go d.serve(c)
+		go l.serveConn(c)
 	}
 }
 
-// serve reads queries from a connection. A second goroutine writes the answers as they become available.
-func (d *enumListener) serve(c *net.TCPConn) {
-	defer d.goroutines.Done()
+// serveConn reads queries from a connection. A second goroutine writes the answers as they become available.
+func (l *enumListener) serveConn(c *net.TCPConn) {
+	defer l.goroutines.Done()
 	out, done := make(chan []byte, maxPendingWrites), make(chan struct{})
 	defer func() {
 		close(done)
 		c.Close()
-		d.mu.Lock()
-		delete(d.conns, c)
-		d.mu.Unlock()
+		l.mu.Lock()
+		delete(l.conns, c)
+		l.mu.Unlock()
 	}()
-	idle, conn := time.Duration(d.server.config.ENUMServer.IdleTimeout*1e6), &dns.Conn{Conn: c}
-	d.goroutines.Add(1)
+	idle, conn := time.Duration(l.server.config.ENUMServer.IdleTimeout*1e6), &dns.Conn{Conn: c}
+	l.goroutines.Add(1)
 	go func() {
-		defer d.goroutines.Done()
+		defer l.goroutines.Done()
 		for {
 			select {
 			case b := <-out:
@@ -125,8 +125,8 @@
 			return
 		}
 		data := bytes.Clone(b[:n])
-		d.server.enqueue(event{kind: callback, do: func(now float64) {
-			d.enum.Receive(now, from, data, true, func(b []byte) {
+		l.server.enqueue(event{kind: callback, do: func(now float64) {
+			l.enum.Receive(now, from, data, true, func(b []byte) {
 				select {
 				case out <- b:
 				default:
--- a/internal/gateway/sipserver/numbers.go
+++ b/internal/gateway/sipserver/numbers.go
@@ -173,10 +173,10 @@
 func (n *numberService) Resolve(
 	now float64,
 	digits string,
-	within float64,
+	timeout float64,
 	done func(float64, numberplan.Found),
 ) func() {
-	return n.finder.Resolve(now, digits, within, done)
+	return n.finder.Resolve(now, digits, timeout, done)
 }
 
 // Wake implements b2bua.Lookup.
@@ -201,9 +201,9 @@
 }
 
 // Stream implements dnsclient.Transport (RFC 1035 4.2.2): truncated answers are rare, so each gets a goroutine.
-func (n *numberService) Stream(token uint64, to netip.AddrPort, data []byte, within float64) {
+func (n *numberService) Stream(token uint64, to netip.AddrPort, data []byte, timeout float64) {
 	go func() {
-		b, err := exchangeTCP(to, data, time.Duration(within*1e6))
+		b, err := exchangeTCP(to, data, time.Duration(timeout*1e6))
 		if err != nil {
 			n.server.log.Debug().Err(err).Stringer("server", to).Msg("DNS query over TCP failed")
 			b = nil
@@ -212,13 +212,13 @@
 	}()
 }
 
-func exchangeTCP(to netip.AddrPort, data []byte, within time.Duration) ([]byte, error) {
-	c, err := dns.DialTimeout("tcp", to.String(), within)
+func exchangeTCP(to netip.AddrPort, data []byte, timeout time.Duration) ([]byte, error) {
+	c, err := dns.DialTimeout("tcp", to.String(), timeout)
 	if err != nil {
 		return nil, err
 	}
 	defer c.Close()
-	if err := c.SetDeadline(time.Now().Add(within)); err != nil {
+	if err := c.SetDeadline(time.Now().Add(timeout)); err != nil {
 		return nil, err
 	}
 	if _, err := c.Write(data); err != nil {
@@ -251,8 +251,8 @@
 		return
 	}
 	go func() {
-		got, err := n.store.Keep(c, note, serial, shelf, time.Now())
-		n.server.enqueue(event{kind: callback, do: func(float64) { n.keeper.Kept(got, err) }})
+		kept, err := n.store.Keep(c, note, serial, shelf, time.Now())
+		n.server.enqueue(event{kind: callback, do: func(float64) { n.keeper.Kept(kept, err) }})
 	}()
 }
 
@@ -266,15 +266,15 @@
 // admin is the gRPC service for number tables.
 type admin struct {
 	api.UnimplementedNumbersServer
-	n   *numberService
-	ctx context.Context // ends with the gateway
+	numbers *numberService
+	ctx     context.Context // ends with the gateway
 }
 
 // runInLoop runs do in the event loop and waits until it calls done.
 func (a *admin) runInLoop(ctx context.Context, do func(done func(error))) error {
 	result := make(chan error, 1)
 	select {
-	case a.n.server.events <- event{kind: callback, do: func(float64) { do(func(err error) { result <- err }) }}:
+	case a.numbers.server.events <- event{kind: callback, do: func(float64) { do(func(err error) { result <- err }) }}:
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-a.ctx.Done():
@@ -292,7 +292,9 @@
 
 // Put implements the service.
 func (a *admin) Put(ctx context.Context, req *api.PutTable) (*api.TableState, error) {
-	if err := a.runInLoop(ctx, func(done func(error)) { a.n.keeper.Put(req.Table, req.Note, done) }); err != nil {
+	if err := a.runInLoop(ctx, func(done func(error)) {
+		a.numbers.keeper.Put(req.Table, req.Note, done)
+	}); err != nil {
 		return nil, statusError(err)
 	}
 	return a.state(ctx)
@@ -300,10 +302,10 @@
 
 // Back implements the service.
 func (a *admin) Back(ctx context.Context, _ *api.BackRequest) (*api.TableState, error) {
-	if a.n.store == nil {
-		return nil, status.Error(codes.FailedPrecondition, "numbers: no table store is configured to go back in")
+	if a.numbers.store == nil {
+		return nil, status.Error(codes.FailedPrecondition, "numbers: no table store is configured to hold earlier tables")
 	}
-	if err := a.runInLoop(ctx, func(done func(error)) { a.n.keeper.Back(done) }); err != nil {
+	if err := a.runInLoop(ctx, func(done func(error)) { a.numbers.keeper.Back(done) }); err != nil {
 		return nil, statusError(err)
 	}
 	return a.state(ctx)
@@ -324,24 +326,24 @@
 func (a *admin) state(ctx context.Context) (*api.TableState, error) {
 	s := &api.TableState{}
 	err := a.runInLoop(ctx, func(done func(error)) {
-		k := a.n.keeper
-		t := k.Running
+		keeper := a.numbers.keeper
+		table := keeper.Running
 		s.Running = &api.KeptTable{
-			Serial:  k.Shelf.Running,
-			Name:    t.Name,
-			Version: t.Version,
-			Sum:     t.Sum,
-			Rules:   int64(t.Size()),
+			Serial:  keeper.Shelf.Running,
+			Name:    table.Name,
+			Version: table.Version,
+			Sum:     table.Sum,
+			Rules:   int64(table.Size()),
 		}
-		old, n := a.n.server.agent.Tables()
-		s.OldTables, s.OldContacts = int32(old), int32(n)
+		oldTables, oldContacts := a.numbers.server.agent.Tables()
+		s.OldTables, s.OldContacts = int32(oldTables), int32(oldContacts)
 		done(nil)
 	})
 	if err != nil {
 		return nil, err
 	}
-	if a.n.store != nil {
-		if s.Kept, err = a.n.store.List(); err != nil {
+	if a.numbers.store != nil {
+		if s.Kept, err = a.numbers.store.List(); err != nil {
 			return nil, status.Error(codes.DataLoss, err.Error())
 		}
 	}
@@ -351,7 +353,7 @@
 // Explain implements the service.
 func (a *admin) Explain(ctx context.Context, req *api.ExplainRequest) (*api.Explained, error) {
 	var t *numberplan.Table
-	if err := a.runInLoop(ctx, func(done func(error)) { t = a.n.keeper.Running; done(nil) }); err != nil {
+	if err := a.runInLoop(ctx, func(done func(error)) { t = a.numbers.keeper.Running; done(nil) }); err != nil {
 		return nil, err
 	}
 	at := time.Now()
@@ -364,8 +366,8 @@
 	}, nil
 }
 
-// serve serves the gRPC service until ctx ends.
-func (n *numberService) serve(ctx context.Context, log zerolog.Logger) error {
+// serveAdmin starts the gRPC service for number tables, which runs until ctx ends.
+func (n *numberService) serveAdmin(ctx context.Context, log zerolog.Logger) error {
 	if n.config.Admin == "" {
 		return nil
 	}
@@ -374,7 +376,7 @@
 		return fmt.Errorf("numbers: admin: %w", err)
 	}
 	s := grpc.NewServer(grpc.MaxRecvMsgSize(numberplan.MaxBytes))
-	api.RegisterNumbersServer(s, &admin{n: n, ctx: ctx})
+	api.RegisterNumbersServer(s, &admin{numbers: n, ctx: ctx})
 	go func() {
 		<-ctx.Done()
 		s.Stop()
--- a/internal/gateway/sipserver/numbers_test.go
+++ b/internal/gateway/sipserver/numbers_test.go
@@ -56,9 +56,9 @@
 // TestNumbers runs a gateway with number tables on real sockets: portability by DNS, over TCP where the datagram is
 // truncated; tables put in service, refused, gone back from, and found again after a restart.
 func TestNumbers(t *testing.T) {
-	now := goleak.IgnoreCurrent()
-	t.Cleanup(func() { goleak.VerifyNone(t, now) })
-	k, list := startListServer(t)
+	existing := goleak.IgnoreCurrent()
+	t.Cleanup(func() { goleak.VerifyNone(t, existing) })
+	discovery, list := startListServer(t)
 	switchConn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.72.0.19:19062")))
 	if err != nil {
 		t.Fatal(err)
@@ -79,26 +79,26 @@
 	}
 	defer server.Close()
 	dir := t.TempDir()
-	table := func(version int, group string) string {
+	tableFile := func(version int, group string) string {
 		f := filepath.Join(dir, fmt.Sprintf("t%d%s.hcl", version, group))
 		if err := os.WriteFile(f, []byte(fmt.Sprintf(numberTable, version, group, 70+version)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		return f
 	}
-	form := func(file string) []byte {
-		_, x, err := tablestore.Load(file)
+	packed := func(file string) []byte {
+		_, form, err := tablestore.Load(file)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b, err := numberplan.Pack(x)
+		b, err := numberplan.Pack(form)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return b
 	}
 	admin := "127.72.0.11:19092"
-	read := func() *gatewayconfig.Config {
+	newConfig := func() *gatewayconfig.Config {
 		return config(t, list, 11, "0s", fmt.Sprintf(`
 numbers {
   table = %q
@@ -116,20 +116,20 @@
     rate = 1000
   }
 }
-`, table(1, "TG-0"), filepath.Join(dir, "store"), admin, server.Addr()))
+`, tableFile(1, "TG-0"), filepath.Join(dir, "store"), admin, server.Addr()))
 	}
-	stop, over := make(chan struct{}, 4), make(chan runResult, 1)
+	stop, results := make(chan struct{}, 4), make(chan runResult, 1)
 	run := func() {
-		k.send <- &api.Update{Version: 3, Whole: true, Members: []*api.Member{{Id: "m", State: api.State_READY, AgeMs: -1,
-			Addr: "127.72.0.19:19062"}}}
+		discovery.updates <- &api.Update{Version: 3, Whole: true, Members: []*api.Member{{Id: "m",
+			State: api.State_READY, AgeMs: -1, Addr: "127.72.0.19:19062"}}}
 		go func() {
-			out, err := Run(context.Background(), read(), newRouter, zerolog.Nop(), stop)
-			over <- runResult{out, err}
+			outcome, err := Run(context.Background(), newConfig(), newRouter, zerolog.Nop(), stop)
+			results <- runResult{outcome, err}
 		}()
 	}
 	calls := 0
-	// call dials until a call that begins so reaches the switch
-	call := func(begins string) {
+	// call places calls until one whose request URI has the given prefix reaches the switch.
+	call := func(prefix string) {
 		t.Helper()
 		for range 60 {
 			calls++
@@ -146,15 +146,15 @@
 				),
 				netip.MustParseAddrPort("127.72.0.11:19062"),
 			)
-			if _, _, ok := readUntil(switchConn, 300*time.Millisecond, "INVITE "+begins, ";npdi;rn=+15145550000;"); ok {
+			if _, _, ok := readUntil(switchConn, 300*time.Millisecond, "INVITE "+prefix, ";npdi;rn=+15145550000;"); ok {
 				return
 			}
 		}
-		t.Fatalf("no call %s reaches the switch", begins)
+		t.Fatalf("no call to %s reaches the switch", prefix)
 	}
 	run()
 	call("sip:+71418555")
-	look := func(net string, number int) *dns.Msg {
+	lookUp := func(net string, number int) *dns.Msg {
 		t.Helper()
 		m := new(dns.Msg)
 		d, _ := enum.Domain(fmt.Sprint(number), "kiosk.test")
@@ -168,8 +168,8 @@
 	}
 	for i, net := range []string{"udp", "tcp", "udp"} {
 		var m *dns.Msg
-		for range 100 { // the switch here answers nothing: the policy may defer
-			if m = look(net, 14185550100+i); len(m.Answer) > 0 {
+		for range 100 { // the switch answers no call here, so the policy may defer look-ups
+			if m = lookUp(net, 14185550100+i); len(m.Answer) > 0 {
 				break
 			}
 			time.Sleep(100 * time.Millisecond)
@@ -182,44 +182,46 @@
 			t.Errorf("a look-up by %s: %v", net, m)
 		}
 	}
-	if m := look("udp", 418555); m.Rcode != dns.RcodeNameError { // with the country's digit in front it would have a rule
-		t.Errorf("a number of another country: %v", m)
+	// with the country code in front of it, a rule would match
+	if m := lookUp("udp", 418555); m.Rcode != dns.RcodeNameError {
+		t.Errorf("number of another country: %v", m)
 	}
-	if m := look("udp", 33123); m.Rcode != dns.RcodeNameError {
-		t.Errorf("a number without a rule: %v", m)
+	if m := lookUp("udp", 33123); m.Rcode != dns.RcodeNameError {
+		t.Errorf("number without a rule: %v", m)
 	}
 	conn, err := grpc.NewClient(admin, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	c, ctx := api.NewNumbersClient(conn), context.Background()
-	if _, err := c.Put(ctx, &api.PutTable{Table: form(table(2, "TG-9"))}); err == nil ||
+	client, ctx := api.NewNumbersClient(conn), context.Background()
+	if _, err := client.Put(ctx, &api.PutTable{Table: packed(tableFile(2, "TG-9"))}); err == nil ||
 		!strings.Contains(err.Error(), `trunk group "TG-9"`) {
 		t.Errorf("a bad table: %v", err)
 	}
 	call("sip:+71418555")
-	s, err := c.Put(ctx, &api.PutTable{Table: form(table(2, "TG-0")), Note: "two"})
-	if err != nil || s.Running.Version != 2 || len(s.Kept) != 2 || s.Kept[0].Note != "two" {
-		t.Fatalf("%v, %v", s, err)
+	state, err := client.Put(ctx, &api.PutTable{Table: packed(tableFile(2, "TG-0")), Note: "two"})
+	if err != nil || state.Running.Version != 2 || len(state.Kept) != 2 || state.Kept[0].Note != "two" {
+		t.Fatalf("table state %v, %v", state, err)
 	}
 	call("sip:+72418555")
-	e, err := c.Explain(ctx, &api.ExplainRequest{Number: "+14185550000", Ported: "+1514"})
-	if err != nil || !strings.Contains(strings.Join(e.Steps, "\n"), "ported: 1514") {
-		t.Errorf("%v, %v", e, err)
+	explained, err := client.Explain(ctx, &api.ExplainRequest{Number: "+14185550000", Ported: "+1514"})
+	if err != nil || !strings.Contains(strings.Join(explained.Steps, "\n"), "ported: 1514") {
+		t.Errorf("explained: %v, %v", explained, err)
 	}
 	stop <- struct{}{}
-	if e := <-over; e.err != nil || e.out != Drained {
-		t.Fatalf("ended %v, %v", e.out, e.err)
+	if result := <-results; result.err != nil || result.outcome != Drained {
+		t.Fatalf("ended %v, %v", result.outcome, result.err)
 	}
 	run() // what the store says to run runs, whatever the settings' table is
 	call("sip:+72418555")
-	if s, err = c.Back(ctx, &api.BackRequest{}, grpc.WaitForReady(true)); err != nil || s.Running.Version != 1 {
-		t.Fatalf("%v, %v", s, err)
+	if state, err = client.Back(ctx, &api.BackRequest{}, grpc.WaitForReady(true)); err != nil ||
+		state.Running.Version != 1 {
+		t.Fatalf("table state %v, %v", state, err)
 	}
 	call("sip:+71418555")
-	if _, err = c.Back(ctx, &api.BackRequest{}); err == nil || !strings.Contains(err.Error(), "no table before") {
-		t.Errorf("back from the first: %v", err)
+	if _, err = client.Back(ctx, &api.BackRequest{}); err == nil || !strings.Contains(err.Error(), "no table before") {
+		t.Errorf("going back from the first table: %v", err)
 	}
 	server.Change(func(s *dnsserver.Server) { s.Faults = dnsserver.Faults{Silent: true} })
 	_, _ = callerConn.WriteToUDPAddrPort(
@@ -238,7 +240,7 @@
 		t.Error("a look-up without an answer does not end as the table says")
 	}
 	stop <- struct{}{}
-	if e := <-over; e.err != nil || e.out != Drained {
-		t.Errorf("ended %v, %v", e.out, e.err)
+	if result := <-results; result.err != nil || result.outcome != Drained {
+		t.Errorf("ended %v, %v", result.outcome, result.err)
 	}
 }
--- a/internal/gateway/sipserver/server.go
+++ b/internal/gateway/sipserver/server.go
@@ -149,7 +149,7 @@
 	if numbers.client != nil {
 		s.config.NumberLookup = numbers
 	}
-	return numbers.serve(ctx, s.log)
+	return numbers.serveAdmin(ctx, s.log)
 }
 
 func (s *Server) closeSockets() {
--- a/internal/gateway/sipserver/server_test.go
+++ b/internal/gateway/sipserver/server_test.go
@@ -23,24 +23,24 @@
 // listServer is an endpoint list server whose updates a test sends.
 type listServer struct {
 	api.UnimplementedPoolListServer
-	mu        sync.Mutex
-	requested []uint64
-	send      chan *api.Update
-	cut       chan struct{}
+	mu         sync.Mutex
+	requested  []uint64
+	updates    chan *api.Update
+	disconnect chan struct{}
 }
 
-func (k *listServer) Follow(req *api.FollowRequest, stream grpc.ServerStreamingServer[api.Update]) error {
-	k.mu.Lock()
-	k.requested = append(k.requested, req.Have)
-	k.mu.Unlock()
+func (l *listServer) Follow(req *api.FollowRequest, stream grpc.ServerStreamingServer[api.Update]) error {
+	l.mu.Lock()
+	l.requested = append(l.requested, req.Have)
+	l.mu.Unlock()
 	for {
 		select {
-		case u := <-k.send:
-			if err := stream.Send(u); err != nil {
+		case update := <-l.updates:
+			if err := stream.Send(update); err != nil {
 				return err
 			}
-		case <-k.cut:
-			return fmt.Errorf("cut")
+		case <-l.disconnect:
+			return fmt.Errorf("stream closed by the test")
 		case <-stream.Context().Done():
 			return nil
 		}
@@ -53,15 +53,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	k := &listServer{send: make(chan *api.Update, 16), cut: make(chan struct{})}
+	server := &listServer{updates: make(chan *api.Update, 16), disconnect: make(chan struct{})}
 	s := grpc.NewServer()
-	api.RegisterPoolListServer(s, k)
+	api.RegisterPoolListServer(s, server)
 	go func() { _ = s.Serve(l) }() // ends with Stop
 	t.Cleanup(s.Stop)
-	return k, l.Addr().String()
+	return server, l.Addr().String()
 }
 
-func config(t *testing.T, list string, host byte, drain, more string) *gatewayconfig.Config {
+func config(t *testing.T, list string, host byte, drainTimeout, blocks string) *gatewayconfig.Config {
 	t.Helper()
 	s, err := gatewayconfig.Parse("test", []byte(fmt.Sprintf(`
 gateway {
@@ -89,7 +89,7 @@
   pool = 0
   size = 100
 }
-`, host, list, drain)+more))
+`, host, list, drainTimeout)+blocks))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,21 +99,21 @@
 func newRouter(s *routing.Settings, h routing.Host) routing.Policy { return router.New(s, h) }
 
 type runResult struct {
-	out Outcome
-	err error
+	outcome Outcome
+	err     error
 }
 
-// readMessage returns the next message that begins with a text and holds another.
-func readMessage(t *testing.T, c *net.UDPConn, begins, holds string) (string, netip.AddrPort) {
+// readMessage returns the next message that has the given prefix and contains the given text.
+func readMessage(t *testing.T, c *net.UDPConn, prefix, text string) (string, netip.AddrPort) {
 	t.Helper()
-	msg, from, ok := readUntil(c, 10*time.Second, begins, holds)
+	msg, from, ok := readUntil(c, 10*time.Second, prefix, text)
 	if !ok {
-		t.Fatalf("no %q with %q", begins, holds)
+		t.Fatalf("no message with prefix %q that contains %q", prefix, text)
 	}
 	return msg, from
 }
 
-func readUntil(c *net.UDPConn, wait time.Duration, begins, holds string) (string, netip.AddrPort, bool) {
+func readUntil(c *net.UDPConn, wait time.Duration, prefix, text string) (string, netip.AddrPort, bool) {
 	_ = c.SetReadDeadline(time.Now().Add(wait))
 	b := make([]byte, 1<<16)
 	for {
@@ -121,7 +121,7 @@
 		if err != nil {
 			return "", from, false
 		}
-		if m := string(b[:n]); strings.HasPrefix(m, begins) && strings.Contains(m, holds) {
+		if m := string(b[:n]); strings.HasPrefix(m, prefix) && strings.Contains(m, text) {
 			return m, from, true
 		}
 	}
@@ -137,9 +137,9 @@
 // drain before the call is answered, passes the answer on, releases the call when the drain timeout is over and exits
 // without leaked goroutines. A second stop signal ends the gateway at once.
 func TestGatewayLifecycle(t *testing.T) {
-	now := goleak.IgnoreCurrent()
-	t.Cleanup(func() { goleak.VerifyNone(t, now) }) // after the list has stopped
-	k, addr := startListServer(t)
+	existing := goleak.IgnoreCurrent()
+	t.Cleanup(func() { goleak.VerifyNone(t, existing) }) // runs after the list server has stopped
+	discovery, addr := startListServer(t)
 	switchConn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.72.0.9:19062")))
 	if err != nil {
 		t.Fatal(err)
@@ -150,13 +150,13 @@
 		t.Fatal(err)
 	}
 	defer callerConn.Close()
-	k.send <- &api.Update{Version: 3, Whole: true, Members: []*api.Member{{Id: "m", State: api.State_READY, AgeMs: -1,
-		Addr: "127.72.0.9:19062"}}}
-	set := config(t, addr, 1, "200ms", "")
-	stop, over := make(chan struct{}, 4), make(chan runResult, 1)
+	discovery.updates <- &api.Update{Version: 3, Whole: true, Members: []*api.Member{{Id: "m",
+		State: api.State_READY, AgeMs: -1, Addr: "127.72.0.9:19062"}}}
+	cfg := config(t, addr, 1, "200ms", "")
+	stop, results := make(chan struct{}, 4), make(chan runResult, 1)
 	go func() {
-		out, err := Run(context.Background(), set, newRouter, zerolog.Nop(), stop)
-		over <- runResult{out, err}
+		outcome, err := Run(context.Background(), cfg, newRouter, zerolog.Nop(), stop)
+		results <- runResult{outcome, err}
 	}()
 	invite := func(id string) {
 		_, _ = callerConn.WriteToUDPAddrPort(
@@ -169,11 +169,11 @@
 					"\r\n",
 				),
 			),
-			set.Address,
+			cfg.Address,
 		)
 	}
-	// until the list has come, calls are refused
-	rung := func(id string) (string, netip.AddrPort) {
+	// Repeats the call until it reaches the switch: calls are refused until the endpoint list has arrived.
+	callSwitch := func(id string) (string, netip.AddrPort) {
 		for i := range 60 {
 			invite(fmt.Sprint(id, i))
 			if msg, from, ok := readUntil(switchConn, 200*time.Millisecond, "INVITE", ""); ok {
@@ -183,7 +183,7 @@
 		t.Fatal("no call reaches the switch")
 		return "", netip.AddrPort{}
 	}
-	msg, from := rung("one")
+	msg, from := callSwitch("one")
 	stop <- struct{}{}
 	time.Sleep(50 * time.Millisecond)
 	invite("two")
@@ -205,25 +205,25 @@
 	readMessage(t, callerConn, "BYE", "") // its time to drain is over
 	readMessage(t, switchConn, "BYE", "")
 	select {
-	case e := <-over:
-		if e.out != Drained || e.err != nil {
-			t.Errorf("ended %v, %v", e.out, e.err)
+	case result := <-results:
+		if result.outcome != Drained || result.err != nil {
+			t.Errorf("ended %v, %v", result.outcome, result.err)
 		}
 	case <-time.After(20 * time.Second):
 		t.Fatal("does not end")
 	}
-	// the second signal
-	set = config(t, addr, 1, "60s", "")
-	k.send <- &api.Update{Version: 3, Whole: true, Members: []*api.Member{{Id: "m", State: api.State_READY, AgeMs: -1,
-		Addr: "127.72.0.9:19062"}}}
+	// a second stop signal
+	cfg = config(t, addr, 1, "60s", "")
+	discovery.updates <- &api.Update{Version: 3, Whole: true, Members: []*api.Member{{Id: "m",
+		State: api.State_READY, AgeMs: -1, Addr: "127.72.0.9:19062"}}}
 	go func() {
-		out, err := Run(context.Background(), set, newRouter, zerolog.Nop(), stop)
-		over <- runResult{out, err}
+		outcome, err := Run(context.Background(), cfg, newRouter, zerolog.Nop(), stop)
+		results <- runResult{outcome, err}
 	}()
-	rung("three")
+	callSwitch("three")
 	if _, err := Run(
 		context.Background(),
-		set,
+		cfg,
 		newRouter,
 		zerolog.Nop(),
 		nil,
@@ -233,51 +233,52 @@
 	}
 	stop <- struct{}{}
 	stop <- struct{}{}
-	if e := <-over; e.out != Forced || e.err != nil {
-		t.Errorf("told twice: ended %v, %v", e.out, e.err)
+	if result := <-results; result.outcome != Forced || result.err != nil {
+		t.Errorf("two stop signals: ended %v, %v", result.outcome, result.err)
 	}
 }
 
 // TestEndpointListReconnect cuts the stream of the endpoint list: the gateway reconnects with the version that it has,
 // and asks for the whole list after a gap in the versions.
 func TestEndpointListReconnect(t *testing.T) {
-	k, addr := startListServer(t)
-	set := config(t, addr, 2, "0s", "")
-	stop, over := make(chan struct{}, 4), make(chan runResult, 1)
+	discovery, addr := startListServer(t)
+	cfg := config(t, addr, 2, "0s", "")
+	stop, results := make(chan struct{}, 4), make(chan runResult, 1)
 	go func() {
-		out, err := Run(context.Background(), set, newRouter, zerolog.Nop(), stop)
-		over <- runResult{out, err}
+		outcome, err := Run(context.Background(), cfg, newRouter, zerolog.Nop(), stop)
+		results <- runResult{outcome, err}
 	}()
-	k.send <- &api.Update{Version: 7, Whole: true, Members: []*api.Member{{Id: "m", State: api.State_READY, AgeMs: -1,
-		Addr: "127.72.0.9:19062"}}}
-	k.send <- &api.Update{Version: 8, Members: []*api.Member{{Id: "m", State: api.State_DRAINING, AgeMs: -1,
+	discovery.updates <- &api.Update{Version: 7, Whole: true, Members: []*api.Member{{Id: "m",
+		State: api.State_READY, AgeMs: -1, Addr: "127.72.0.9:19062"}}}
+	discovery.updates <- &api.Update{Version: 8, Members: []*api.Member{{Id: "m", State: api.State_DRAINING, AgeMs: -1,
 		Addr: "127.72.0.9:19062"}}}
-	for len(k.send) > 0 {
+	for len(discovery.updates) > 0 {
 		time.Sleep(10 * time.Millisecond)
 	}
 	time.Sleep(500 * time.Millisecond) // the stream's own way
 	wait := func(n int) []uint64 {
 		for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-			k.mu.Lock()
-			if len(k.requested) >= n {
-				defer k.mu.Unlock()
-				return k.requested
+			discovery.mu.Lock()
+			if len(discovery.requested) >= n {
+				defer discovery.mu.Unlock()
+				return discovery.requested
 			}
-			k.mu.Unlock()
+			discovery.mu.Unlock()
 		}
 		t.Fatal("does not come back")
 		return nil
 	}
-	k.cut <- struct{}{}
+	discovery.disconnect <- struct{}{}
 	if a := wait(2); a[0] != 0 || a[1] != 8 {
 		t.Errorf("asked with %v, want 0 and 8", a)
 	}
-	k.send <- &api.Update{Version: 11, Members: []*api.Member{{Id: "m", State: api.State_GONE}}} // 9 and 10 are missing
+	// 9 and 10 are missing
+	discovery.updates <- &api.Update{Version: 11, Members: []*api.Member{{Id: "m", State: api.State_GONE}}}
 	if a := wait(3); a[2] != 0 {
 		t.Errorf("asked with %v, want the whole list after a gap", a)
 	}
 	stop <- struct{}{}
-	if e := <-over; e.out != Drained {
-		t.Errorf("ended %v", e.out)
+	if result := <-results; result.outcome != Drained {
+		t.Errorf("ended %v", result.outcome)
 	}
 }
