--- a/internal/gateway/sipserver/enumlistener.go
+++ b/internal/gateway/sipserver/enumlistener.go
@@ -26,7 +26,8 @@
 	goroutines sync.WaitGroup
 }
 
-// maxPendingWrites limits the answers that wait for a slow TCP client. Beyond it the connection is closed.
+// maxPendingWrites is the maximum number of answers waiting to be written to a slow TCP client. With more, the
+// connection is closed.
 const maxPendingWrites = 64
 
 // listenENUM opens the ENUM server's UDP and TCP sockets.
--- a/internal/gateway/sipserver/numbers.go
+++ b/internal/gateway/sipserver/numbers.go
@@ -41,7 +41,7 @@
 	ports        []netip.AddrPort
 }
 
-// openNumbers finds the table to run and opens the DNS client's sockets.
+// openNumbers selects the table to run and opens the DNS client's sockets.
 func (s *Server) openNumbers() (*numberService, error) {
 	n := &numberService{server: s, config: &s.config.Numbers, names: s.config.Names()}
 	err := n.openTable()
@@ -55,7 +55,7 @@
 	return n, nil
 }
 
-// openTable finds the table to run: the latest in the store that can be used, else the one that the configuration
+// openTable selects the table to run: the latest usable one in the store, or else the one that the configuration
 // names.
 func (n *numberService) openTable() error {
 	var shelf tableversions.Shelf
@@ -84,6 +84,7 @@
 // loggedChecksumDigits is the number of digits of a table's checksum in the log.
 const loggedChecksumDigits = 16
 
+// recoverTable opens the store and takes the latest usable table from it, if there is one.
 func (n *numberService) recoverTable() (tableversions.Shelf, error) {
 	store, err := tablestore.Open(n.config.Store)
 	if err != nil {
@@ -102,7 +103,7 @@
 	return shelf, nil
 }
 
-// loadTable reads the table file of the configuration, and keeps it in the store if there is one.
+// loadTable reads the table file that the configuration names, and stores it if there is a store.
 func (n *numberService) loadTable(shelf tableversions.Shelf) (tableversions.Shelf, error) {
 	table, form, err := tablestore.Load(n.config.Table)
 	if err != nil {
@@ -270,7 +271,7 @@
 	ctx     context.Context // ends with the gateway
 }
 
-// runInLoop runs do in the event loop and waits until it calls done.
+// runInLoop runs do in the event loop and waits until do calls done.
 func (a *admin) runInLoop(ctx context.Context, do func(done func(error))) error {
 	result := make(chan error, 1)
 	select {
--- a/internal/gateway/sipserver/numbers_test.go
+++ b/internal/gateway/sipserver/numbers_test.go
@@ -54,7 +54,8 @@
 `
 
 // TestNumbers runs a gateway with number tables on real sockets: portability by DNS, over TCP where the datagram is
-// truncated; tables put in service, refused, gone back from, and found again after a restart.
+// truncated; a table is put in service, another is refused, the gateway restarts with the running table and goes back
+// to the one before.
 func TestNumbers(t *testing.T) {
 	existing := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, existing) })
@@ -179,7 +180,7 @@
 				m.Answer[0].String(),
 				";npdi;rn=+15145550000;tgrp=TG-0;trunk-context=x.example@127.72.0.19:19062!",
 			) {
-			t.Errorf("a look-up by %s: %v", net, m)
+			t.Errorf("look-up over %s: %v", net, m)
 		}
 	}
 	// with the country code in front of it, a rule would match
@@ -197,7 +198,7 @@
 	client, ctx := api.NewNumbersClient(conn), context.Background()
 	if _, err := client.Put(ctx, &api.PutTable{Table: packed(tableFile(2, "TG-9"))}); err == nil ||
 		!strings.Contains(err.Error(), `trunk group "TG-9"`) {
-		t.Errorf("a bad table: %v", err)
+		t.Errorf("table with an unknown trunk group: %v", err)
 	}
 	call("sip:+71418555")
 	state, err := client.Put(ctx, &api.PutTable{Table: packed(tableFile(2, "TG-0")), Note: "two"})
@@ -213,7 +214,7 @@
 	if result := <-results; result.err != nil || result.outcome != Drained {
 		t.Fatalf("ended %v, %v", result.outcome, result.err)
 	}
-	run() // what the store says to run runs, whatever the settings' table is
+	run() // runs the table that the store names as running, not the one of the configuration
 	call("sip:+72418555")
 	if state, err = client.Back(ctx, &api.BackRequest{}, grpc.WaitForReady(true)); err != nil ||
 		state.Running.Version != 1 {
@@ -237,7 +238,7 @@
 		netip.MustParseAddrPort("127.72.0.11:19062"),
 	)
 	if _, _, ok := readUntil(callerConn, 10*time.Second, "SIP/2.0 504 no answer", "Call-ID: last"); !ok {
-		t.Error("a look-up without an answer does not end as the table says")
+		t.Error("a call whose look-up got no answer is not refused as the table says")
 	}
 	stop <- struct{}{}
 	if result := <-results; result.err != nil || result.outcome != Drained {
--- a/internal/gateway/sipserver/server_test.go
+++ b/internal/gateway/sipserver/server_test.go
@@ -202,7 +202,7 @@
 	)
 	readMessage(t, switchConn, "ACK", "")
 	readMessage(t, callerConn, "SIP/2.0 200", "")
-	readMessage(t, callerConn, "BYE", "") // its time to drain is over
+	readMessage(t, callerConn, "BYE", "") // its drain timeout has passed
 	readMessage(t, switchConn, "BYE", "")
 	select {
 	case result := <-results:
@@ -210,7 +210,7 @@
 			t.Errorf("ended %v, %v", result.outcome, result.err)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("does not end")
+		t.Fatal("the gateway does not end")
 	}
 	// a second stop signal
 	cfg = config(t, addr, 1, "60s", "")
@@ -255,7 +255,7 @@
 	for len(discovery.updates) > 0 {
 		time.Sleep(10 * time.Millisecond)
 	}
-	time.Sleep(500 * time.Millisecond) // the stream's own way
+	time.Sleep(500 * time.Millisecond) // for the gRPC stream to deliver them
 	wait := func(n int) []uint64 {
 		for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 			discovery.mu.Lock()
@@ -265,17 +265,17 @@
 			}
 			discovery.mu.Unlock()
 		}
-		t.Fatal("does not come back")
+		t.Fatal("the gateway does not reconnect")
 		return nil
 	}
 	discovery.disconnect <- struct{}{}
 	if a := wait(2); a[0] != 0 || a[1] != 8 {
-		t.Errorf("asked with %v, want 0 and 8", a)
+		t.Errorf("requested with versions %v, want 0 and 8", a)
 	}
 	// 9 and 10 are missing
 	discovery.updates <- &api.Update{Version: 11, Members: []*api.Member{{Id: "m", State: api.State_GONE}}}
 	if a := wait(3); a[2] != 0 {
-		t.Errorf("asked with %v, want the whole list after a gap", a)
+		t.Errorf("requested with versions %v, want 0 (the whole list) after a gap", a)
 	}
 	stop <- struct{}{}
 	if result := <-results; result.outcome != Drained {
