--- a/internal/protocol/dnsclient/client.go
+++ b/internal/protocol/dnsclient/client.go
@@ -25,8 +25,9 @@
 type Transport interface {
 	// Query sends a datagram from the source port with the given index, counted from 0.
 	Query(port int, to netip.AddrPort, data []byte)
-	// Stream sends a message over TCP and passes the response to OnStreamResponse, or nil if none arrives in time.
-	Stream(token uint64, to netip.AddrPort, data []byte, within float64)
+	// Stream sends a message over TCP and passes the response to OnStreamResponse, or nil if none
+	// arrives within timeout ms.
+	Stream(token uint64, to netip.AddrPort, data []byte, timeout float64)
 }
 
 // Config configures a Client. Times are in ms.
@@ -160,13 +161,13 @@
 	return detrand.Hash(c.cfg.Seed, c.drawCount)
 }
 
-// Query looks up a name's rules. done is called once within the given time, before Query returns if the answer is known
-// already. stop cancels the look-up, and done is not called after that.
-func (c *Client) Query(now float64, name string, within float64, done func(now float64, w Answer)) (stop func()) {
+// Query looks up a name's rules. done is called once within timeout ms, and before Query returns if the answer is
+// already known. stop cancels the look-up; done is not called after that.
+func (c *Client) Query(now float64, name string, timeout float64, done func(now float64, a Answer)) (stop func()) {
 	c.now = now
 	c.Counts.Lookups++
 	name = strings.ToLower(dns.Fqdn(name))
-	if _, ok := dns.IsDomainName(name); !ok || within <= 0 {
+	if _, ok := dns.IsDomainName(name); !ok || timeout <= 0 {
 		c.Counts.Failed++
 		done(now, Answer{Status: Failed})
 		return func() {}
@@ -207,19 +208,19 @@
 	} else {
 		c.Counts.Shared++
 	}
-	a := &waiter{done: done}
-	l.waiters = append(l.waiters, a)
-	a.deadline = c.timers.Schedule(now+within, func() {
+	w := &waiter{done: done}
+	l.waiters = append(l.waiters, w)
+	w.deadline = c.timers.Schedule(now+timeout, func() {
 		c.Counts.Late++
-		c.respondEarly(a, c.cache.stale(c.now, name))
+		c.respondEarly(w, c.cache.stale(c.now, name))
 	})
-	if stale != nil && c.cfg.StaleAfter < within {
-		a.staleTimer = c.timers.Schedule(now+c.cfg.StaleAfter, func() { c.respondEarly(a, c.cache.stale(c.now, name)) })
+	if stale != nil && c.cfg.StaleAfter < timeout {
+		w.staleTimer = c.timers.Schedule(now+c.cfg.StaleAfter, func() { c.respondEarly(w, c.cache.stale(c.now, name)) })
 	}
 	return func() {
-		a.closed = true
-		c.timers.Cancel(a.deadline)
-		c.timers.Cancel(a.staleTimer)
+		w.closed = true
+		c.timers.Cancel(w.deadline)
+		c.timers.Cancel(w.staleTimer)
 	}
 }
 
@@ -358,7 +359,7 @@
 		return
 	}
 	c.cache.fail(c.now, l.name)
-	c.finish(l, func(a *waiter) Answer {
+	c.finish(l, func(w *waiter) Answer {
 		if e := c.cache.stale(c.now, l.name); e != nil {
 			c.Counts.Stale++
 			return e.answer(true)
--- a/internal/protocol/dnsclient/health_test.go
+++ b/internal/protocol/dnsclient/health_test.go
@@ -52,17 +52,17 @@
 
 // Ids, ports and letter case are random, so a spoofed response has to guess all of them.
 func TestQueriesRandomized(t *testing.T) {
-	r := newTestHost(t, 1, nil)
+	host := newTestHost(t, 1, nil)
 	mixed := map[string]bool{}
 	for i := range 2000 {
-		r.ask(fmt.Sprint(14180000000+i), 500)
-		for k, s := range r.c.outstanding {
-			_ = k
-			mixed[s.name[len(s.name)-10:]] = true
+		host.lookUp(fmt.Sprint(14180000000+i), 500)
+		for key, query := range host.client.outstanding {
+			_ = key
+			mixed[query.name[len(query.name)-10:]] = true
 		}
-		r.run(r.now + 20)
+		host.run(host.now + 20)
 	}
-	if len(r.ids) < 1900 || len(r.ports) != 4 || len(mixed) != 32 { // five letters
-		t.Errorf("%d ids, ports %v, %d ways to write the apex", len(r.ids), r.ports, len(mixed))
+	if len(host.ids) < 1900 || len(host.ports) != 4 || len(mixed) != 32 { // five letters
+		t.Errorf("%d ids, ports %v, %d spellings of the apex", len(host.ids), host.ports, len(mixed))
 	}
 }
--- a/internal/protocol/dnsclient/response_test.go
+++ b/internal/protocol/dnsclient/response_test.go
@@ -15,10 +15,10 @@
 
 // A response must match the query in server, port, id, name including letter case, and type.
 func TestMatches(t *testing.T) {
-	r := silent(t, func(c *Config) { c.Tries = 1 })
-	g := r.ask("14185551234", 5000)
-	s := r.pending()
-	other := func(n string) string {
+	host := newSilentHost(t, func(c *Config) { c.Tries = 1 })
+	result := host.lookUp("14185551234", 5000)
+	query := host.outstandingQuery()
+	changeCase := func(n string) string {
 		for i, c := range n {
 			if c >= 'a' && c <= 'z' {
 				return n[:i] + string(c-32) + n[i+1:]
@@ -26,46 +26,48 @@
 		}
 		return n
 	}
-	get := func(change func(m *dns.Msg)) { r.c.Receive(1, s.key.port, s.key.from, r.reply(s, change)) }
-	for what, send := range map[string]func(){
-		"another server": func() { r.c.Receive(1, s.key.port, addr(5), r.reply(s, nil)) },
-		"another port":   func() { r.c.Receive(1, s.key.port+1, s.key.from, r.reply(s, nil)) },
-		"another id":     func() { get(func(m *dns.Msg) { m.Id++ }) },
-		"another name":   func() { get(func(m *dns.Msg) { m.Question[0].Name = "1." + s.name }) },
-		"other letters":  func() { get(func(m *dns.Msg) { m.Question[0].Name = other(s.name) }) },
-		"another type":   func() { get(func(m *dns.Msg) { m.Question[0].Qtype = dns.TypeTXT }) },
-		"no question":    func() { get(func(m *dns.Msg) { m.Question = nil }) },
-		"a question":     func() { get(func(m *dns.Msg) { m.Response = false }) },
-		"cut off":        func() { r.c.Receive(1, s.key.port, s.key.from, r.reply(s, nil)[:40]) },
-		"nearly nothing": func() { r.c.Receive(1, s.key.port, s.key.from, []byte{1}) },
+	respond := func(change func(m *dns.Msg)) {
+		host.client.Receive(1, query.key.port, query.key.from, host.reply(query, change))
+	}
+	for name, send := range map[string]func(){
+		"other server":   func() { host.client.Receive(1, query.key.port, addr(5), host.reply(query, nil)) },
+		"other port":     func() { host.client.Receive(1, query.key.port+1, query.key.from, host.reply(query, nil)) },
+		"other id":       func() { respond(func(m *dns.Msg) { m.Id++ }) },
+		"other name":     func() { respond(func(m *dns.Msg) { m.Question[0].Name = "1." + query.name }) },
+		"other case":     func() { respond(func(m *dns.Msg) { m.Question[0].Name = changeCase(query.name) }) },
+		"other type":     func() { respond(func(m *dns.Msg) { m.Question[0].Qtype = dns.TypeTXT }) },
+		"no question":    func() { respond(func(m *dns.Msg) { m.Question = nil }) },
+		"not a response": func() { respond(func(m *dns.Msg) { m.Response = false }) },
+		"truncated data": func() { host.client.Receive(1, query.key.port, query.key.from, host.reply(query, nil)[:40]) },
+		"one octet":      func() { host.client.Receive(1, query.key.port, query.key.from, []byte{1}) },
 	} {
-		before := r.c.Counts.Strays
-		if send(); g.n != 0 || r.c.Counts.Strays != before+1 {
-			t.Fatalf("%s: %d answers, %d strays", what, g.n, r.c.Counts.Strays-before)
+		before := host.client.Counts.Strays
+		if send(); result.count != 0 || host.client.Counts.Strays != before+1 {
+			t.Fatalf("%s: %d answers, %d unmatched responses", name, result.count, host.client.Counts.Strays-before)
 		}
 	}
-	if get(nil); g.n != 1 || g.Status != Found {
-		t.Errorf("the right one: %+v", g)
+	if respond(nil); result.count != 1 || result.Status != Found {
+		t.Errorf("matching response: %+v", result)
 	}
 }
 
 // A response over TCP must match the query, including its id.
 func TestStreamMatches(t *testing.T) {
-	for what, change := range map[string]func(m *dns.Msg){"another id": func(m *dns.Msg) { m.Id++ },
-		"another name":  func(m *dns.Msg) { m.Question[0].Name = "1.e164.test." },
-		"the right one": nil} {
-		r := silent(t, func(c *Config) { c.Tries = 1 })
-		g := r.ask("14185551234", 5000)
-		s := r.pending()
-		r.c.Receive(1, s.key.port, s.key.from, r.reply(s, func(m *dns.Msg) { m.Truncated = true }))
-		s = r.pending()
-		r.now = 2
-		r.c.OnStreamResponse(2, s.token, r.reply(s, change))
-		if (g.Status == Found && g.n == 1) != (change == nil) {
-			t.Errorf("%s: %+v", what, g)
+	for name, change := range map[string]func(m *dns.Msg){"other id": func(m *dns.Msg) { m.Id++ },
+		"other name": func(m *dns.Msg) { m.Question[0].Name = "1.e164.test." },
+		"matching":   nil} {
+		host := newSilentHost(t, func(c *Config) { c.Tries = 1 })
+		result := host.lookUp("14185551234", 5000)
+		query := host.outstandingQuery()
+		host.client.Receive(1, query.key.port, query.key.from, host.reply(query, func(m *dns.Msg) { m.Truncated = true }))
+		query = host.outstandingQuery()
+		host.now = 2
+		host.client.OnStreamResponse(2, query.token, host.reply(query, change))
+		if (result.Status == Found && result.count == 1) != (change == nil) {
+			t.Errorf("%s: %+v", name, result)
 		}
-		if r.run(3000); g.n != 1 {
-			t.Errorf("%s: %d answers", what, g.n)
+		if host.run(3000); result.count != 1 {
+			t.Errorf("%s: %d answers", name, result.count)
 		}
 	}
 }
@@ -85,7 +87,7 @@
 	cname := func(from, to string) dns.RR {
 		return &dns.CNAME{Hdr: dns.RR_Header{Name: from, Rrtype: dns.TypeCNAME, Class: dns.ClassINET, Ttl: 60}, Target: to}
 	}
-	for what, c := range map[string]struct {
+	for name, c := range map[string]struct {
 		change func(m *dns.Msg)
 		want   Status
 	}{
@@ -108,12 +110,12 @@
 		}, Failed},
 		"a fault": {func(m *dns.Msg) { m.Rcode = dns.RcodeServerFailure }, Failed},
 	} {
-		r := silent(t, func(c *Config) { c.Tries = 1 })
-		g := r.ask("14185551234", 5000)
-		s := r.pending()
-		r.c.Receive(1, s.key.port, s.key.from, r.reply(s, c.change))
-		if r.run(3000); g.n != 1 || g.Status != c.want {
-			t.Errorf("%s: %+v, want %d", what, g, c.want)
+		host := newSilentHost(t, func(c *Config) { c.Tries = 1 })
+		result := host.lookUp("14185551234", 5000)
+		query := host.outstandingQuery()
+		host.client.Receive(1, query.key.port, query.key.from, host.reply(query, c.change))
+		if host.run(3000); result.count != 1 || result.Status != c.want {
+			t.Errorf("%s: %+v, want %d", name, result, c.want)
 		}
 	}
 }
@@ -123,30 +125,30 @@
 	m := new(dns.Msg)
 	m.SetQuestion("4.3.2.1.e164.test.", dns.TypeNAPTR)
 	m.Response = true
-	b, _ := m.Pack()
-	f.Add(b)
+	data, _ := m.Pack()
+	f.Add(data)
 	rr, err := dns.NewRR(`4.3.2.1.e164.test. 60 IN NAPTR 1 2 "u" "E2U+sip" "!^.*$!sip:a@x!" .`)
 	if err != nil {
 		f.Fatal(err)
 	}
 	m.Answer = []dns.RR{rr}
-	b, _ = m.Pack()
-	f.Add(b)
+	data, _ = m.Pack()
+	f.Add(data)
 	f.Fuzz(func(t *testing.T, data []byte) {
-		r := newTestHost(t, 1, nil)
-		r.servers[0].Faults.Silent = true
-		g := r.ask("1234", 500)
-		for k, s := range r.c.outstanding {
+		host := newTestHost(t, 1, nil)
+		host.servers[0].Faults.Silent = true
+		result := host.lookUp("1234", 500)
+		for key, query := range host.client.outstanding {
 			if len(data) > 2 {
 				data = slices.Clone(data)
-				data[0], data[1] = byte(k.id>>8), byte(k.id)
+				data[0], data[1] = byte(key.id>>8), byte(key.id)
 			}
-			s.name = "4.3.2.1.e164.test."
-			r.c.Receive(1, k.port, k.from, data)
+			query.name = "4.3.2.1.e164.test."
+			host.client.Receive(1, key.port, key.from, data)
 		}
-		r.run(5000)
-		if g.n != 1 {
-			t.Errorf("%d answers", g.n)
+		host.run(5000)
+		if result.count != 1 {
+			t.Errorf("%d answers", result.count)
 		}
 	})
 }
@@ -155,18 +157,18 @@
 // timing and server faults.
 func TestAnswersBelongToName(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		r := newTestHost(t, 3, func(c *Config) { c.Seed = rapid.Uint64().Draw(rt, "seed"); c.Cache.MaxEntries = 20 })
-		r.servers[0].Zone.TTL = uint32(rapid.IntRange(0, 3).Draw(rt, "ttl"))
-		type q struct {
-			n     string
-			g     *got
-			until float64
+		host := newTestHost(t, 3, func(c *Config) { c.Seed = rapid.Uint64().Draw(rt, "seed"); c.Cache.MaxEntries = 20 })
+		host.servers[0].Zone.TTL = uint32(rapid.IntRange(0, 3).Draw(rt, "ttl"))
+		type startedLookup struct {
+			number   string
+			result   *lookupResult
+			deadline float64
 		}
-		var qs []q
+		var lookups []startedLookup
 		for i := range rapid.IntRange(10, 120).Draw(rt, "steps") {
-			if rapid.IntRange(0, 4).Draw(rt, "trouble") == 0 {
-				u := func(k uint64) float64 { return detrand.Float64(uint64(i), k, r.c.cfg.Seed) }
-				r.servers[int(3*u(0))].Faults = dnsserver.Faults{
+			if rapid.IntRange(0, 4).Draw(rt, "fault") == 0 {
+				u := func(k uint64) float64 { return detrand.Float64(uint64(i), k, host.client.cfg.Seed) }
+				host.servers[int(3*u(0))].Faults = dnsserver.Faults{
 					Silent:    u(1) < 0.2,
 					Delay:     300 * u(2),
 					Jitter:    300 * u(3),
@@ -183,28 +185,28 @@
 				}
 			}
 			n := fmt.Sprint(14180000000 + rapid.IntRange(0, 40).Draw(rt, "number"))
-			within := rapid.Float64Range(1, 800).Draw(rt, "within")
-			qs = append(qs, q{n, r.ask(n, within), r.now + within})
-			r.run(r.now + rapid.Float64Range(0, 400).Draw(rt, "pause"))
+			timeout := rapid.Float64Range(1, 800).Draw(rt, "timeout")
+			lookups = append(lookups, startedLookup{n, host.lookUp(n, timeout), host.now + timeout})
+			host.run(host.now + rapid.Float64Range(0, 400).Draw(rt, "pause"))
 		}
-		r.run(r.now + 10000) // five queries of a second each, and streams
-		for _, q := range qs {
-			if q.g.n != 1 || q.g.at > q.until+1e-6 {
-				rt.Fatalf("%s: %d answers, at %.1f of %.1f", q.n, q.g.n, q.g.at, q.until)
+		host.run(host.now + 10000) // five UDP queries of a second each, and TCP queries
+		for _, l := range lookups {
+			if l.result.count != 1 || l.result.at > l.deadline+1e-6 {
+				rt.Fatalf("%s: %d answers, at %.1f, deadline %.1f", l.number, l.result.count, l.result.at, l.deadline)
 			}
-			if q.g.Status == None && r.servers[0].Zone.Exists(q.n) {
-				rt.Fatalf("%s exists, and was said not to", q.n)
+			if l.result.Status == None && host.servers[0].Zone.Exists(l.number) {
+				rt.Fatalf("%s exists, but was answered as missing", l.number)
 			}
-			if q.g.Status == Found {
-				res, err := enum.Apply("+"+q.n, q.g.Rules, "pstn:tel")
+			if l.result.Status == Found {
+				res, err := enum.Apply("+"+l.number, l.result.Rules, "pstn:tel")
 				_, p, _ := enum.Tel(res.URI)
-				if err != nil || p.Routing != r.servers[0].Zone.Routing(q.n) {
-					rt.Fatalf("%s: %v, %v", q.n, res, err)
+				if err != nil || p.Routing != host.servers[0].Zone.Routing(l.number) {
+					rt.Fatalf("%s: %v, %v", l.number, res, err)
 				}
 			}
 		}
-		if f, _ := r.c.OpenCounts(); f != 0 || len(r.c.outstanding) != 0 {
-			rt.Fatalf("left over: %d names, %d queries", f, len(r.c.outstanding))
+		if open, _ := host.client.OpenCounts(); open != 0 || len(host.client.outstanding) != 0 {
+			rt.Fatalf("left over: %d look-ups, %d UDP queries", open, len(host.client.outstanding))
 		}
 	})
 }
--- a/internal/protocol/dnsclient/testhost_test.go
+++ b/internal/protocol/dnsclient/testhost_test.go
@@ -17,7 +17,7 @@
 // testHost runs a client and stand-in servers in virtual time.
 type testHost struct {
 	t       testing.TB
-	c       *Client
+	client  *Client
 	events  timerqueue.Queue
 	now     float64
 	servers []*dnsserver.Server
@@ -32,9 +32,9 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(1 + i)}), 53)
 }
 
-func newTestHost(t testing.TB, n int, change func(*Config)) *testHost {
-	r := &testHost{t: t, sent: make([]int, n), ids: map[uint16]bool{}, ports: map[int]int{}}
-	z := &dnsserver.Zone{
+func newTestHost(t testing.TB, servers int, change func(*Config)) *testHost {
+	host := &testHost{t: t, sent: make([]int, servers), ids: map[uint16]bool{}, ports: map[int]int{}}
+	zone := &dnsserver.Zone{
 		Apex:   "e164.test.",
 		Seed:   5,
 		Ported: 0.3,
@@ -57,98 +57,102 @@
 			FailureTTL:     1000,
 		},
 	}
-	for i := range n {
-		r.addrs = append(r.addrs, addr(i))
-		r.servers = append(
-			r.servers,
-			&dnsserver.Server{Zone: z, Seed: uint64(i), Faults: dnsserver.Faults{Delay: 10, Jitter: 4}},
+	for i := range servers {
+		host.addrs = append(host.addrs, addr(i))
+		host.servers = append(
+			host.servers,
+			&dnsserver.Server{Zone: zone, Seed: uint64(i), Faults: dnsserver.Faults{Delay: 10, Jitter: 4}},
 		)
 	}
-	cfg.Servers = r.addrs
+	cfg.Servers = host.addrs
 	if change != nil {
 		change(&cfg)
 	}
-	r.c = New(cfg, r)
-	return r
+	host.client = New(cfg, host)
+	return host
 }
 
-func (r *testHost) Query(port int, to netip.AddrPort, data []byte) {
-	i := slices.Index(r.addrs, to)
-	r.sent[i]++
-	r.ids[uint16(data[0])<<8|uint16(data[1])] = true
-	r.ports[port]++
-	for _, x := range r.servers[i].Datagram(data) {
-		r.events.Schedule(r.now+x.After, func() { r.c.Receive(r.now, port, to, x.Data) })
+func (h *testHost) Query(port int, to netip.AddrPort, data []byte) {
+	i := slices.Index(h.addrs, to)
+	h.sent[i]++
+	h.ids[uint16(data[0])<<8|uint16(data[1])] = true
+	h.ports[port]++
+	for _, response := range h.servers[i].Datagram(data) {
+		h.events.Schedule(h.now+response.After, func() { h.client.Receive(h.now, port, to, response.Data) })
 	}
 }
 
-func (r *testHost) Stream(token uint64, to netip.AddrPort, data []byte, within float64) {
-	r.streams++
-	xs := r.servers[slices.Index(r.addrs, to)].Stream(data)
-	if len(xs) == 0 {
+func (h *testHost) Stream(token uint64, to netip.AddrPort, data []byte, timeout float64) {
+	h.streams++
+	responses := h.servers[slices.Index(h.addrs, to)].Stream(data)
+	if len(responses) == 0 {
 		return // the client's own timeout ends the query
 	}
-	r.events.Schedule(r.now+xs[0].After, func() { r.c.OnStreamResponse(r.now, token, xs[0].Data) })
+	h.events.Schedule(h.now+responses[0].After, func() { h.client.OnStreamResponse(h.now, token, responses[0].Data) })
 }
 
-func (r *testHost) run(until float64) {
+// run advances the time to until, and handles all responses and timers that are due.
+func (h *testHost) run(until float64) {
 	for {
-		at := math.Min(r.events.Next(), r.c.NextWakeup())
+		at := math.Min(h.events.Next(), h.client.NextWakeup())
 		if at > until {
-			r.now = until
+			h.now = until
 			return
 		}
-		r.now = math.Max(at, r.now)
-		r.events.Run(r.now)
-		r.c.Step(r.now)
+		h.now = math.Max(at, h.now)
+		h.events.Run(h.now)
+		h.client.Step(h.now)
 	}
 }
 
-type got struct {
+// lookupResult is the latest answer to a look-up, and the number of answers.
+type lookupResult struct {
 	Answer
-	at float64
-	n  int
+	at    float64 // time of that answer
+	count int
 }
 
-func (r *testHost) ask(number string, within float64) *got {
-	d, err := enum.Domain(number, "e164.test.")
+// lookUp starts a look-up of a number.
+func (h *testHost) lookUp(number string, timeout float64) *lookupResult {
+	domain, err := enum.Domain(number, "e164.test.")
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	g := &got{}
-	r.c.Query(r.now, d, within, func(now float64, a Answer) { *g = got{a, now, g.n + 1} })
-	return g
+	r := &lookupResult{}
+	h.client.Query(h.now, domain, timeout, func(now float64, a Answer) { *r = lookupResult{a, now, r.count + 1} })
+	return r
 }
 
-// find returns a number that satisfies the condition.
-func (r *testHost) find(want func(z *dnsserver.Zone, n string) bool) string {
+// findNumber returns a number that satisfies the condition.
+func (h *testHost) findNumber(want func(z *dnsserver.Zone, n string) bool) string {
 	for i := range 10000 {
-		if n := fmt.Sprint(14185550000 + i); want(r.servers[0].Zone, n) {
+		if n := fmt.Sprint(14185550000 + i); want(h.servers[0].Zone, n) {
 			return n
 		}
 	}
-	r.t.Fatal("no such number")
+	h.t.Fatal("no number satisfies the condition")
 	return ""
 }
 
-func (r *testHost) ported() string {
-	return r.find(func(z *dnsserver.Zone, n string) bool { return z.Routing(n) != "" })
+// portedNumber returns a number that the zone lists as ported.
+func (h *testHost) portedNumber() string {
+	return h.findNumber(func(z *dnsserver.Zone, n string) bool { return z.Routing(n) != "" })
 }
 
-// pending returns the one outstanding query.
-func (r *testHost) pending() *outstandingQuery {
-	for _, s := range r.c.outstanding {
+// outstandingQuery returns the one outstanding query.
+func (h *testHost) outstandingQuery() *outstandingQuery {
+	for _, s := range h.client.outstanding {
 		return s
 	}
-	for _, s := range r.c.streams {
+	for _, s := range h.client.streams {
 		return s
 	}
-	r.t.Fatal("no outstanding query")
+	h.t.Fatal("no outstanding query")
 	return nil
 }
 
 // reply builds a response to a query, modified by change.
-func (r *testHost) reply(s *outstandingQuery, change func(m *dns.Msg)) []byte {
+func (h *testHost) reply(s *outstandingQuery, change func(m *dns.Msg)) []byte {
 	m := new(dns.Msg)
 	m.SetQuestion(s.name, dns.TypeNAPTR)
 	m.Id, m.Response, m.Authoritative = s.key.id, true, true
@@ -158,7 +162,7 @@
 	}
 	b, err := m.Pack()
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	return b
 }
@@ -173,9 +177,9 @@
 	}
 }
 
-// silent returns a host whose server does not respond, so that the test supplies the responses.
-func silent(t testing.TB, change func(*Config)) *testHost {
-	r := newTestHost(t, 1, change)
-	r.servers[0].Faults = dnsserver.Faults{Silent: true}
-	return r
+// newSilentHost returns a host whose server does not respond, so that the test supplies the responses.
+func newSilentHost(t testing.TB, change func(*Config)) *testHost {
+	host := newTestHost(t, 1, change)
+	host.servers[0].Faults = dnsserver.Faults{Silent: true}
+	return host
 }
