--- a/internal/protocol/dnsclient/client.go
+++ b/internal/protocol/dnsclient/client.go
@@ -118,7 +118,7 @@
 
 const (
 	maxMismatches  = 8      // unmatched responses after which a server is queried over TCP only
-	streamOnlyTime = 2000.0 // ms: how long it is
+	streamOnlyTime = 2000.0 // ms: for how long
 	maxUDPSize     = 1232   // octets of a UDP response that avoid fragmentation (RFC 6891 6.2.5)
 	// ms: responses are accepted this long after the last query timed out, in case all servers have become slower than
 	// the timeouts that were learned.
--- a/internal/protocol/dnsclient/client_test.go
+++ b/internal/protocol/dnsclient/client_test.go
@@ -111,7 +111,7 @@
 				t.Errorf("%d TCP queries, want 100 at least", host.streams)
 			}
 			if late > 0 || failed > 4 {
-				t.Errorf("of 2000 %d late, %d failed", late, failed)
+				t.Errorf("of 2000 look-ups, %d late, %d failed", late, failed)
 			}
 			if lookups, cached := host.client.OpenCounts(); lookups != 0 || cached == 0 ||
 				len(host.client.outstanding) != 0 || len(host.client.streams) != 0 {
@@ -232,7 +232,7 @@
 	}
 }
 
-// Truncated responses open no more than maxStreams streams at once; all look-ups fail before their deadline.
+// Truncated responses open no more than maxStreams TCP queries at once; all look-ups fail before their deadline.
 func TestStreamsBounded(t *testing.T) {
 	host := newTestHost(t, 1, nil)
 	host.servers[0].Faults = dnsserver.Faults{Delay: 5, Truncated: 1, NoStream: true}
@@ -246,7 +246,7 @@
 		most = max(most, len(host.client.streams))
 	}
 	if most != maxStreams {
-		t.Errorf("%d streams at once", most)
+		t.Errorf("%d TCP queries at once", most)
 	}
 	for i, result := range results {
 		if result.count != 1 || result.Status != Failed || result.at > 3000 {
--- a/internal/protocol/dnsclient/counts.go
+++ b/internal/protocol/dnsclient/counts.go
@@ -1,24 +1,24 @@
 package dnsclient
 
-// Counts are what a client has seen since its start.
+// Counts are the counters of a client since its start.
 type Counts struct {
-	Lookups  uint64 `json:"lookups"` // look-ups
-	Cached   uint64 `json:"cached"`  // answered from the cache
-	Stale    uint64 `json:"stale"`   // answered with expired records
-	Shared   uint64 `json:"shared"`  // answered with another look-up
-	Sent     uint64 `json:"sent"`    // queries by datagram
-	Streams  uint64 `json:"streams"` // queries by stream
-	Answered uint64 `json:"answered"`
-	None     uint64 `json:"none"` // names that do not exist
-	Failed   uint64 `json:"failed"`
-	Late     uint64 `json:"late"`   // responses after the timeout
-	Full     uint64 `json:"full"`   // look-ups refused because too many were open
-	Strays   uint64 `json:"strays"` // responses to no query
-	Lame     uint64 `json:"lame"`   // responses of servers without the zone
-	Down     uint64 `json:"down"`   // times that a server went down
+	Lookups  uint64 `json:"lookups"`
+	Cached   uint64 `json:"cached"`   // look-ups answered from the cache
+	Stale    uint64 `json:"stale"`    // look-ups answered with a stale answer
+	Shared   uint64 `json:"shared"`   // look-ups that shared the queries of another one
+	Sent     uint64 `json:"sent"`     // queries over UDP
+	Streams  uint64 `json:"streams"`  // queries over TCP
+	Answered uint64 `json:"answered"` // responses with rules
+	None     uint64 `json:"none"`     // negative responses: the name does not exist or has no rules
+	Failed   uint64 `json:"failed"`   // look-ups without an answer
+	Late     uint64 `json:"late"`     // look-ups whose deadline passed before they were answered
+	Full     uint64 `json:"full"`     // look-ups refused by MaxLookups, and TCP queries not sent because of maxStreams
+	Strays   uint64 `json:"strays"`   // responses that match no query
+	Lame     uint64 `json:"lame"`     // errors, refusals and referrals to other servers
+	Down     uint64 `json:"down"`     // look-ups refused because no server may be queried
 }
 
-// Add adds another's counts.
+// Add adds the counts of another client.
 func (c *Counts) Add(o *Counts) {
 	for _, x := range []struct{ to, of *uint64 }{{&c.Lookups, &o.Lookups}, {&c.Cached, &o.Cached}, {&c.Stale, &o.Stale},
 		{&c.Shared, &o.Shared},
--- a/internal/protocol/dnsclient/health_test.go
+++ b/internal/protocol/dnsclient/health_test.go
@@ -11,16 +11,16 @@
 	h.OnLame(0, 1)
 	h.OnLame(0, 2)
 	if h.UpCount(3) != 2 {
-		t.Error("lame after two faults: they may be the names'")
+		t.Error("avoided after two lame responses: the names may be at fault")
 	}
 	h.OnValid(0)
 	h.OnLame(0, 4)
 	h.OnLame(0, 5)
 	if h.UpCount(6) != 2 {
-		t.Error("lame though a good answer came between")
+		t.Error("avoided, though there was a valid response in between")
 	}
 	if h.OnLame(0, 7); h.UpCount(8) != 1 || h.UpCount(7+lameDownTime) != 2 {
-		t.Errorf("three faults in a row: %d up, after a while %d", h.UpCount(8), h.UpCount(7+lameDownTime))
+		t.Errorf("three lame responses in a row: %d up, after lameDownTime %d", h.UpCount(8), h.UpCount(7+lameDownTime))
 	}
 	h = NewHealth(1)
 	h.OnResponse(0, 100, 10)
@@ -28,25 +28,25 @@
 		h.OnTimeout(0, 500, 90)
 	}
 	if h.UpCount(500) != 1 {
-		t.Error("down by what was sent before its latest answer")
+		t.Error("down after timeouts of queries sent before its latest response")
 	}
 	for i := range 10 {
 		h.OnTimeout(0, 600, 510+float64(i))
 	}
 	if h.UpCount(600) != 1 {
-		t.Error("down within 90 ms: that is a burst that it was late for")
+		t.Error("down within 90 ms, which may be one late burst")
 	}
 	if h.OnTimeout(0, 510+downAfterSilence, 600); h.UpCount(510+downAfterSilence) != 0 {
-		t.Error("up after a dozen misses and 250 ms")
+		t.Error("up after a dozen timeouts and 250 ms")
 	}
 	h = NewHealth(1)
 	h.OnResponse(0, 0, 40)
 	_, first := h.Choose(1, nil, 0.5)
 	if _, again := h.Choose(1, []int{0}, 0.5); again != 2*first {
-		t.Errorf("waits %v, again %v", first, again)
+		t.Errorf("timeout %v, of the second query %v", first, again)
 	}
 	if _, again := h.Choose(1, []int{0, 0, 0, 0, 0, 0, 0, 0}, 0.5); again != maxTimeout {
-		t.Errorf("waits %v after many tries", again)
+		t.Errorf("timeout %v after many queries", again)
 	}
 }
 
--- a/internal/protocol/dnsclient/response_test.go
+++ b/internal/protocol/dnsclient/response_test.go
@@ -91,24 +91,24 @@
 		change func(m *dns.Msg)
 		want   Status
 	}{
-		"a name of a name": {func(m *dns.Msg) {
+		"chain of CNAMEs": {func(m *dns.Msg) {
 			m.Answer = []dns.RR{naptr("b.test."), cname(m.Question[0].Name, "a.test."), cname("a.test.", "b.test.")}
 		}, Found},
-		"names in a ring": {func(m *dns.Msg) {
+		"loop of CNAMEs": {func(m *dns.Msg) {
 			m.Answer = []dns.RR{cname(m.Question[0].Name, "a.test."), cname("a.test.", m.Question[0].Name)}
 		}, None},
-		"none, by the zone": {func(m *dns.Msg) {
+		"negative, SOA of the zone": {func(m *dns.Msg) {
 			m.Answer, m.Authoritative, m.Rcode, m.Ns = nil, false, dns.RcodeNameError, soa("e164.test.")
 		}, None},
-		"none, by another zone": {func(m *dns.Msg) {
+		"negative, SOA of another zone": {func(m *dns.Msg) {
 			m.Answer, m.Authoritative, m.Rcode, m.Ns = nil, false, dns.RcodeNameError, soa("other.test.")
 		}, Failed},
-		"pointed elsewhere": {func(m *dns.Msg) {
+		"referral": {func(m *dns.Msg) {
 			m.Answer, m.Authoritative, m.RecursionAvailable = nil, false, true
 			m.Ns = []dns.RR{&dns.NS{Hdr: dns.RR_Header{Name: "e164.test.", Rrtype: dns.TypeNS, Class: dns.ClassINET, Ttl: 60},
 				Ns: "n.test."}}
 		}, Failed},
-		"a fault": {func(m *dns.Msg) { m.Rcode = dns.RcodeServerFailure }, Failed},
+		"server failure": {func(m *dns.Msg) { m.Rcode = dns.RcodeServerFailure }, Failed},
 	} {
 		host := newSilentHost(t, func(c *Config) { c.Tries = 1 })
 		result := host.lookUp("14185551234", 5000)
--- a/internal/protocol/dnsclient/testhost_test.go
+++ b/internal/protocol/dnsclient/testhost_test.go
@@ -22,8 +22,8 @@
 	now     float64
 	servers []*dnsserver.Server
 	addrs   []netip.AddrPort
-	sent    []int // datagrams by server
-	streams int
+	sent    []int // queries over UDP by server
+	streams int   // queries over TCP
 	ids     map[uint16]bool
 	ports   map[int]int
 }
