--- a/internal/protocol/dnsclient/response_test.go
+++ b/internal/protocol/dnsclient/response_test.go
@@ -125,15 +125,15 @@
 	m := new(dns.Msg)
 	m.SetQuestion("4.3.2.1.e164.test.", dns.TypeNAPTR)
 	m.Response = true
-	data, _ := m.Pack()
-	f.Add(data)
+	message, _ := m.Pack()
+	f.Add(message)
 	rr, err := dns.NewRR(`4.3.2.1.e164.test. 60 IN NAPTR 1 2 "u" "E2U+sip" "!^.*$!sip:a@x!" .`)
 	if err != nil {
 		f.Fatal(err)
 	}
 	m.Answer = []dns.RR{rr}
-	data, _ = m.Pack()
-	f.Add(data)
+	message, _ = m.Pack()
+	f.Add(message)
 	f.Fuzz(func(t *testing.T, data []byte) {
 		host := newTestHost(t, 1, nil)
 		host.servers[0].Faults.Silent = true
