--- a/internal/protocol/enumserver/server_test.go
+++ b/internal/protocol/enumserver/server_test.go
@@ -13,50 +13,50 @@
 
 // fakeEnquirer stands in for a gateway; the test supplies the results.
 type fakeEnquirer struct {
-	asked     []string
-	done      []func(now float64, n b2bua.EnquiryResult)
-	stopped   int
-	ready     bool
-	immediate *b2bua.EnquiryResult
+	enquiries []string // number and class of each
+	callbacks []func(now float64, n b2bua.EnquiryResult)
+	canceled  int
+	valid     bool                 // whether a returned endpoint may still be called
+	immediate *b2bua.EnquiryResult // if set, the answer to every enquiry
 }
 
-func (d *fakeEnquirer) StartEnquiry(
+func (e *fakeEnquirer) StartEnquiry(
 	now float64,
 	number, skill string,
 	patience float64,
 	done func(float64, b2bua.EnquiryResult),
 ) func() {
-	d.asked = append(d.asked, number+" "+skill)
-	if d.immediate != nil {
-		done(now, *d.immediate)
+	e.enquiries = append(e.enquiries, number+" "+skill)
+	if e.immediate != nil {
+		done(now, *e.immediate)
 		return func() {}
 	}
-	d.done = append(d.done, done)
-	return func() { d.stopped++ }
+	e.callbacks = append(e.callbacks, done)
+	return func() { e.canceled++ }
 }
 
-func (d *fakeEnquirer) success() b2bua.EnquiryResult {
+func (e *fakeEnquirer) success() b2bua.EnquiryResult {
 	return b2bua.EnquiryResult{
 		Code:   200,
 		Addr:   netip.MustParseAddrPort("127.0.0.3:5060"),
 		Group:  "TG-0",
 		Number: "+14185551234",
 		Params: ";npdi",
-		Valid:  func() bool { return d.ready },
+		Valid:  func() bool { return e.valid },
 	}
 }
 
 type testServer struct {
 	*testing.T
-	f        *Server
-	enquirer *fakeEnquirer
-	got      []*dns.Msg
-	size     []int
-	now      float64
+	server    *Server
+	enquirer  *fakeEnquirer
+	responses []*dns.Msg
+	sizes     []int // of the responses in octets
+	now       float64
 }
 
 func newTestServer(t *testing.T, change func(*Config)) *testServer {
-	c := Config{
+	config := Config{
 		Apex:       "e164.test",
 		Class:      "shift-lookup",
 		TTL:        0,
@@ -69,11 +69,11 @@
 		Context:    "x.example",
 	}
 	if change != nil {
-		change(&c)
+		change(&config)
 	}
-	r := &testServer{T: t, enquirer: &fakeEnquirer{ready: true}, now: 1000}
-	r.f = New(c, r.enquirer)
-	return r
+	s := &testServer{T: t, enquirer: &fakeEnquirer{valid: true}, now: 1000}
+	s.server = New(config, s.enquirer)
+	return s
 }
 
 var clientAddr = netip.MustParseAddrPort("10.0.0.1:4000")
@@ -88,17 +88,18 @@
 	return m
 }
 
-func (r *testServer) ask(from netip.AddrPort, m *dns.Msg, stream bool) {
+// receive passes a query to the server.
+func (s *testServer) receive(from netip.AddrPort, m *dns.Msg, stream bool) {
 	b, err := m.Pack()
 	if err != nil {
-		r.Fatal(err)
+		s.Fatal(err)
 	}
-	r.f.Receive(r.now, from, b, stream, func(b []byte) {
+	s.server.Receive(s.now, from, b, stream, func(b []byte) {
 		m := new(dns.Msg)
 		if err := m.Unpack(b); err != nil {
-			r.Fatal(err)
+			s.Fatal(err)
 		}
-		r.got, r.size = append(r.got, m), append(r.size, len(b))
+		s.responses, s.sizes = append(s.responses, m), append(s.sizes, len(b))
 	})
 }
 
@@ -106,40 +107,42 @@
 
 // A query is answered once, with the selected endpoint or with the response code and reason of the failure.
 func TestAnswers(t *testing.T) {
-	r := newTestServer(t, nil)
-	r.ask(clientAddr, query(strings.ToUpper(name), dns.TypeNAPTR, 7, 1232), false)
-	if len(r.got) != 0 || len(r.enquirer.asked) != 1 || r.enquirer.asked[0] != "+14185551234 shift-lookup" {
-		t.Fatalf("%v, asked %v", r.got, r.enquirer.asked)
-	}
-	r.enquirer.done[0](1100, r.enquirer.success())
-	m := r.got[0]
-	n, ok := m.Answer[0].(*dns.NAPTR)
-	if !ok || m.Id != 7 || !m.Authoritative || n.Hdr.Ttl != 0 || n.Hdr.Name != strings.ToUpper(name) || n.Flags != "u" ||
-		n.Service != "E2U+sip" ||
-		n.Regexp != "!^.*$!sip:+14185551234;npdi;tgrp=TG-0;trunk-context=x.example@127.0.0.3:5060!" {
+	s := newTestServer(t, nil)
+	s.receive(clientAddr, query(strings.ToUpper(name), dns.TypeNAPTR, 7, 1232), false)
+	if len(s.responses) != 0 || len(s.enquirer.enquiries) != 1 ||
+		s.enquirer.enquiries[0] != "+14185551234 shift-lookup" {
+		t.Fatalf("responses %v, enquiries %v", s.responses, s.enquirer.enquiries)
+	}
+	s.enquirer.callbacks[0](1100, s.enquirer.success())
+	m := s.responses[0]
+	naptr, ok := m.Answer[0].(*dns.NAPTR)
+	if !ok || m.Id != 7 || !m.Authoritative || naptr.Hdr.Ttl != 0 || naptr.Hdr.Name != strings.ToUpper(name) ||
+		naptr.Flags != "u" || naptr.Service != "E2U+sip" ||
+		naptr.Regexp != "!^.*$!sip:+14185551234;npdi;tgrp=TG-0;trunk-context=x.example@127.0.0.3:5060!" {
 		t.Errorf("%v", m)
 	}
 	for i, c := range []struct {
-		n     b2bua.EnquiryResult
-		rcode int
-		text  string
+		result b2bua.EnquiryResult
+		rcode  int
+		text   string
 	}{
 		{b2bua.EnquiryResult{Code: 404, Reason: "no rule"}, dns.RcodeNameError, ""},
 		{b2bua.EnquiryResult{Code: 503, Reason: "deferred", RetryAfter: 1500}, dns.RcodeServerFailure,
 			"deferred; retry after 1500 ms"},
 		{b2bua.EnquiryResult{Code: 500, Reason: "fault"}, dns.RcodeServerFailure, "fault"},
 	} {
-		r.got = nil
-		r.enquirer.immediate = &c.n
-		r.ask(clientAddr, query(name, dns.TypeNAPTR, uint16(100+i), 1232), false)
-		m := r.got[0]
-		if len(r.got) != 1 || m.Rcode != c.rcode || len(m.Answer) != 0 || c.rcode == dns.RcodeNameError && len(m.Ns) != 1 {
-			t.Errorf("%+v: %v", c.n, m)
+		s.responses = nil
+		s.enquirer.immediate = &c.result
+		s.receive(clientAddr, query(name, dns.TypeNAPTR, uint16(100+i), 1232), false)
+		m := s.responses[0]
+		if len(s.responses) != 1 || m.Rcode != c.rcode || len(m.Answer) != 0 ||
+			c.rcode == dns.RcodeNameError && len(m.Ns) != 1 {
+			t.Errorf("%+v: %v", c.result, m)
 		}
 		if c.text != "" {
-			o := m.IsEdns0()
-			if o == nil || len(o.Option) != 1 || o.Option[0].(*dns.EDNS0_EDE).ExtraText != c.text {
-				t.Errorf("%+v: %v", c.n, o)
+			option := m.IsEdns0()
+			if option == nil || len(option.Option) != 1 || option.Option[0].(*dns.EDNS0_EDE).ExtraText != c.text {
+				t.Errorf("%+v: %v", c.result, option)
 			}
 		}
 	}
@@ -147,26 +150,27 @@
 
 // A URI too long for a NAPTR record is answered with SERVFAIL. Found by generated inputs.
 func TestURITooLong(t *testing.T) {
-	r := newTestServer(t, nil)
-	n := r.enquirer.success()
-	n.Params = strings.Repeat("x", 250)
-	r.enquirer.immediate = &n
-	r.ask(clientAddr, query(name, dns.TypeNAPTR, 1, 1232), true)
-	if len(r.got) != 1 || r.got[0].Rcode != dns.RcodeServerFailure || r.got[0].Id != 1 || len(r.got[0].Question) != 1 {
-		t.Errorf("%v", r.got)
+	s := newTestServer(t, nil)
+	result := s.enquirer.success()
+	result.Params = strings.Repeat("x", 250)
+	s.enquirer.immediate = &result
+	s.receive(clientAddr, query(name, dns.TypeNAPTR, 1, 1232), true)
+	if len(s.responses) != 1 || s.responses[0].Rcode != dns.RcodeServerFailure || s.responses[0].Id != 1 ||
+		len(s.responses[0].Question) != 1 {
+		t.Errorf("%v", s.responses)
 	}
 }
 
 // Queries that do not ask for a number in the zone start no enquiry, and a response is never answered.
 func TestQueriesWithoutEnquiry(t *testing.T) {
-	r := newTestServer(t, nil)
+	s := newTestServer(t, nil)
 	reply := query(name, dns.TypeNAPTR, 1, 0)
 	reply.Response = true
 	notify := query(name, dns.TypeNAPTR, 1, 0)
 	notify.Opcode = dns.OpcodeNotify
 	chaos := query(name, dns.TypeNAPTR, 1, 0)
 	chaos.Question[0].Qclass = dns.ClassCHAOS
-	for what, c := range map[string]struct {
+	for description, c := range map[string]struct {
 		m    *dns.Msg
 		want int // -1: nothing
 	}{
@@ -180,19 +184,19 @@
 		"another class":     {chaos, dns.RcodeRefused},
 		"41 digits":         {query(strings.Repeat("1.", 41)+"e164.test.", dns.TypeNAPTR, 1, 0), dns.RcodeNameError},
 	} {
-		r.got = nil
-		r.ask(clientAddr, c.m, false)
-		if c.want < 0 && len(r.got) != 0 ||
-			c.want >= 0 && (len(r.got) != 1 || r.got[0].Rcode != c.want || len(r.got[0].Answer) != 0) {
-			t.Errorf("%s: %v", what, r.got)
+		s.responses = nil
+		s.receive(clientAddr, c.m, false)
+		if c.want < 0 && len(s.responses) != 0 ||
+			c.want >= 0 && (len(s.responses) != 1 || s.responses[0].Rcode != c.want || len(s.responses[0].Answer) != 0) {
+			t.Errorf("%s: %v", description, s.responses)
 		}
 	}
-	if len(r.enquirer.asked) != 0 {
-		t.Errorf("asked %v", r.enquirer.asked)
+	if len(s.enquirer.enquiries) != 0 {
+		t.Errorf("enquiries %v", s.enquirer.enquiries)
 	}
-	r.got = nil
-	r.f.Receive(0, clientAddr, []byte{0, 1, 2}, true, func([]byte) { t.Error("answered three octets") })
-	r.f.Receive(
+	s.responses = nil
+	s.server.Receive(0, clientAddr, []byte{0, 1, 2}, true, func([]byte) { t.Error("answered a message of three octets") })
+	s.server.Receive(
 		0,
 		clientAddr,
 		append([]byte{0, 9, 0, 0}, make([]byte, 3)...),
@@ -204,65 +208,67 @@
 // Repeats of a pending query share its enquiry. Later repeats get the same answer, unless the endpoint is draining:
 // then a new enquiry starts. Another id or client starts an enquiry of its own.
 func TestRepeats(t *testing.T) {
-	r := newTestServer(t, nil)
+	s := newTestServer(t, nil)
 	q := query(name, dns.TypeNAPTR, 7, 1232)
-	r.ask(clientAddr, q, false)
-	r.ask(clientAddr, q, false)
-	if len(r.enquirer.asked) != 1 {
-		t.Fatalf("asked %v", r.enquirer.asked)
-	}
-	r.enquirer.done[0](r.now, r.enquirer.success())
-	r.ask(clientAddr, q, false)
-	if len(r.got) != 3 || len(r.enquirer.asked) != 1 {
-		t.Fatalf("%d answers, asked %v", len(r.got), r.enquirer.asked)
-	}
-	r.ask(clientAddr, query(name, dns.TypeNAPTR, 8, 1232), false)
-	r.ask(netip.MustParseAddrPort("10.0.0.2:4000"), q, false)
-	if len(r.enquirer.asked) != 3 {
-		t.Fatalf("asked %v", r.enquirer.asked)
-	}
-	r.enquirer.ready = false
-	r.ask(clientAddr, q, false)
-	if len(r.got) != 3 || len(r.enquirer.asked) != 4 {
-		t.Errorf("while the pool drains: %d answers, asked %v", len(r.got), r.enquirer.asked)
-	}
-	r.f.Close(r.now)
-	if r.enquirer.stopped != 3 || len(r.got) != 6 || r.got[5].Rcode != dns.RcodeServerFailure || r.f.OpenCount() != 0 {
-		t.Errorf("closed: %d stopped, %d answers, %d open", r.enquirer.stopped, len(r.got), r.f.OpenCount())
+	s.receive(clientAddr, q, false)
+	s.receive(clientAddr, q, false)
+	if len(s.enquirer.enquiries) != 1 {
+		t.Fatalf("enquiries %v", s.enquirer.enquiries)
+	}
+	s.enquirer.callbacks[0](s.now, s.enquirer.success())
+	s.receive(clientAddr, q, false)
+	if len(s.responses) != 3 || len(s.enquirer.enquiries) != 1 {
+		t.Fatalf("%d answers, enquiries %v", len(s.responses), s.enquirer.enquiries)
+	}
+	s.receive(clientAddr, query(name, dns.TypeNAPTR, 8, 1232), false)
+	s.receive(netip.MustParseAddrPort("10.0.0.2:4000"), q, false)
+	if len(s.enquirer.enquiries) != 3 {
+		t.Fatalf("enquiries %v", s.enquirer.enquiries)
+	}
+	s.enquirer.valid = false
+	s.receive(clientAddr, q, false)
+	if len(s.responses) != 3 || len(s.enquirer.enquiries) != 4 {
+		t.Errorf("while the endpoint drains: %d answers, enquiries %v", len(s.responses), s.enquirer.enquiries)
+	}
+	s.server.Close(s.now)
+	if s.enquirer.canceled != 3 || len(s.responses) != 6 ||
+		s.responses[5].Rcode != dns.RcodeServerFailure || s.server.OpenCount() != 0 {
+		t.Errorf("closed: %d enquiries canceled, %d answers, %d queries open",
+			s.enquirer.canceled, len(s.responses), s.server.OpenCount())
 	}
 }
 
 // Answers are kept for a limited time, and the numbers of pending and kept queries are limited.
 func TestHeldQueriesBounded(t *testing.T) {
-	r := newTestServer(t, nil)
+	s := newTestServer(t, nil)
 	for i := range 300 {
-		r.ask(clientAddr, query(name, dns.TypeNAPTR, uint16(i), 0), true)
+		s.receive(clientAddr, query(name, dns.TypeNAPTR, uint16(i), 0), true)
 	}
-	if r.f.OpenCount() != 100 || len(r.got) != 200 {
-		t.Errorf("%d held, %d failed", r.f.OpenCount(), len(r.got))
+	if s.server.OpenCount() != 100 || len(s.responses) != 200 {
+		t.Errorf("%d queries open, %d failed", s.server.OpenCount(), len(s.responses))
 	}
-	for _, d := range r.enquirer.done {
-		d(r.now, r.enquirer.success())
+	for _, d := range s.enquirer.callbacks {
+		d(s.now, s.enquirer.success())
 	}
-	n := b2bua.EnquiryResult{Code: 404}
-	r.enquirer.immediate = &n
+	result := b2bua.EnquiryResult{Code: 404}
+	s.enquirer.immediate = &result
 	for i := range 200 {
-		r.ask(clientAddr, query(name, dns.TypeNAPTR, uint16(1000+i), 0), true)
+		s.receive(clientAddr, query(name, dns.TypeNAPTR, uint16(1000+i), 0), true)
 	}
-	if r.f.OpenCount() < 150 || r.f.OpenCount() > 151 {
-		t.Errorf("%d remembered", r.f.OpenCount())
+	if s.server.OpenCount() < 150 || s.server.OpenCount() > 151 {
+		t.Errorf("%d queries open, want 150 or 151", s.server.OpenCount())
 	}
-	r.now += 5001
-	if r.ask(clientAddr, query(name, dns.TypeNAPTR, 2000, 0), true); r.f.OpenCount() != 1 {
-		t.Errorf("%d remembered too long", r.f.OpenCount())
+	s.now += 5001
+	if s.receive(clientAddr, query(name, dns.TypeNAPTR, 2000, 0), true); s.server.OpenCount() != 1 {
+		t.Errorf("%d queries open after Repeat, want 1", s.server.OpenCount())
 	}
 }
 
 // A client over its UDP rate gets no more than the rate; half of the other queries get a truncated response no longer
 // than the query. Over TCP it is served. Forged addresses use bounded memory.
 func TestLimits(t *testing.T) {
-	n := b2bua.EnquiryResult{Code: 404}
-	r := newTestServer(t, func(c *Config) {
+	result := b2bua.EnquiryResult{Code: 404}
+	s := newTestServer(t, func(c *Config) {
 		c.Limits = Limits{
 			Rate:    10,
 			Burst:   20,
@@ -270,14 +276,14 @@
 			Nets:    []Net{{netip.MustParsePrefix("10.1.0.0/16"), 1000}, {netip.MustParsePrefix("10.2.0.0/16"), 0}},
 		}
 	})
-	r.enquirer.immediate = &n
+	s.enquirer.immediate = &result
 	flood := func(from string, count int) (answered, slipped, refused int) {
-		r.got, r.size = nil, nil
+		s.responses, s.sizes = nil, nil
 		for i := range count {
-			r.now += 1
-			r.ask(netip.MustParseAddrPort(from), query(name, dns.TypeNAPTR, uint16(i), 1232), false)
+			s.now += 1
+			s.receive(netip.MustParseAddrPort(from), query(name, dns.TypeNAPTR, uint16(i), 1232), false)
 		}
-		for i, m := range r.got {
+		for i, m := range s.responses {
 			switch {
 			case m.Rcode == dns.RcodeNameError:
 				answered++
@@ -285,59 +291,60 @@
 				refused++
 			case m.Truncated:
 				slipped++
-				if r.size[i] > 60 {
-					t.Errorf("a truncated answer of %d octets", r.size[i])
+				if s.sizes[i] > 60 {
+					t.Errorf("truncated response of %d octets", s.sizes[i])
 				}
 			}
 		}
 		return
 	}
-	if a, s, x := flood("10.0.0.1:1", 1000); a != 30 && a != 29 || s < 484 || s > 486 || x != 0 {
-		t.Errorf("%d answered, %d truncated, %d refused of 1000", a, s, x)
+	if answered, slipped, refused := flood("10.0.0.1:1", 1000); answered != 30 && answered != 29 || slipped < 484 ||
+		slipped > 486 || refused != 0 {
+		t.Errorf("%d answered, %d truncated, %d refused of 1000", answered, slipped, refused)
 	}
 	if a, _, _ := flood("10.0.0.200:1", 100); a > 2 {
 		t.Errorf("its neighbour: %d answered", a)
 	}
-	if a, s, _ := flood("10.1.0.1:1", 1000); a != 1000 || s != 0 {
-		t.Errorf("a known network: %d answered, %d truncated", a, s)
+	if a, slipped, _ := flood("10.1.0.1:1", 1000); a != 1000 || slipped != 0 {
+		t.Errorf("network with its own rate: %d answered, %d truncated", a, slipped)
 	}
-	r.now += 5000 // after a stall, the delayed queries arrive at once
-	r.got = nil
+	s.now += 5000 // after a stall, the delayed queries arrive at once
+	s.responses = nil
 	for i := range 900 {
-		r.ask(netip.MustParseAddrPort("10.1.0.1:1"), query(name, dns.TypeNAPTR, uint16(2000+i), 1232), false)
+		s.receive(netip.MustParseAddrPort("10.1.0.1:1"), query(name, dns.TypeNAPTR, uint16(2000+i), 1232), false)
 	}
-	for _, m := range r.got {
+	for _, m := range s.responses {
 		if m.Truncated {
 			t.Error("a known network is truncated after a standstill")
 			break
 		}
 	}
-	if a, _, x := flood("10.2.0.1:1", 100); a != 0 || x != 100 {
-		t.Errorf("a refused network: %d answered, %d refused", a, x)
+	if a, _, refused := flood("10.2.0.1:1", 100); a != 0 || refused != 100 {
+		t.Errorf("refused network: %d answered, %d refused", a, refused)
 	}
-	r.got = nil
-	if r.ask(netip.MustParseAddrPort("10.0.0.1:1"), query(name, dns.TypeNAPTR, 1, 0), true); len(r.got) != 1 ||
-		r.got[0].Truncated {
-		t.Errorf("over TCP: %v", r.got)
+	s.responses = nil
+	if s.receive(netip.MustParseAddrPort("10.0.0.1:1"), query(name, dns.TypeNAPTR, 1, 0), true); len(s.responses) != 1 ||
+		s.responses[0].Truncated {
+		t.Errorf("over TCP: %v", s.responses)
 	}
 	for i := range 100000 {
-		r.f.limits.check(r.now, netip.AddrFrom4([4]byte{byte(20 + i>>16), byte(i >> 8), byte(i), 1}))
+		s.server.limits.check(s.now, netip.AddrFrom4([4]byte{byte(20 + i>>16), byte(i >> 8), byte(i), 1}))
 	}
-	if n := len(r.f.limits.current) + len(r.f.limits.previous); n > 1000 {
-		t.Errorf("%d networks remembered", n)
+	if n := len(s.server.limits.current) + len(s.server.limits.previous); n > 1000 {
+		t.Errorf("%d client networks tracked, want 1000 at most", n)
 	}
-	r = newTestServer(t, func(c *Config) { c.Limits = Limits{Total: 100} })
-	r.enquirer.immediate = &n
+	s = newTestServer(t, func(c *Config) { c.Limits = Limits{Total: 100} })
+	s.enquirer.immediate = &result
 	answered := 0
 	for i := range 2000 {
-		r.now++
-		r.got = nil
-		r.ask(
+		s.now++
+		s.responses = nil
+		s.receive(
 			netip.AddrPortFrom(netip.AddrFrom4([4]byte{30, byte(i >> 8), byte(i), 1}), 1),
 			query(name, dns.TypeNAPTR, 1, 0),
 			false,
 		)
-		if len(r.got) > 0 && !r.got[0].Truncated {
+		if len(s.responses) > 0 && !s.responses[0].Truncated {
 			answered++
 		}
 	}
@@ -351,16 +358,16 @@
 func TestAmplificationBounded(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		gain := rapid.Float64Range(1, 10).Draw(rt, "gain")
-		r := newTestServer(t, func(c *Config) { c.Gain = gain })
-		n := r.enquirer.success()
-		n.Params = strings.Repeat("x", rapid.IntRange(0, 200).Draw(rt, "long"))
-		switch rapid.IntRange(0, 2).Draw(rt, "what") {
+		s := newTestServer(t, func(c *Config) { c.Gain = gain })
+		result := s.enquirer.success()
+		result.Params = strings.Repeat("x", rapid.IntRange(0, 200).Draw(rt, "params length"))
+		switch rapid.IntRange(0, 2).Draw(rt, "result") {
 		case 0:
-			r.enquirer.immediate = &n
+			s.enquirer.immediate = &result
 		case 1:
-			r.enquirer.immediate = &b2bua.EnquiryResult{Code: 404}
+			s.enquirer.immediate = &b2bua.EnquiryResult{Code: 404}
 		case 2:
-			r.enquirer.immediate = &b2bua.EnquiryResult{Code: 503, Reason: strings.Repeat("y", 50), RetryAfter: 3}
+			s.enquirer.immediate = &b2bua.EnquiryResult{Code: 503, Reason: strings.Repeat("y", 50), RetryAfter: 3}
 		}
 		edns := uint16(rapid.SampledFrom([]int{0, 100, 512, 1232, 65535}).Draw(rt, "edns"))
 		q := query(
@@ -370,13 +377,14 @@
 			edns,
 		)
 		b, _ := q.Pack()
-		r.ask(clientAddr, q, false)
-		if len(r.got) != 1 {
-			rt.Fatalf("%d answers", len(r.got))
+		s.receive(clientAddr, q, false)
+		if len(s.responses) != 1 {
+			rt.Fatalf("%d answers", len(s.responses))
 		}
 		// a truncated response holds only the question
-		if s := r.size[0]; float64(s) > max(gain*float64(len(b)), float64(len(b))) || s > 1232 || edns < 513 && s > 512 {
-			rt.Fatalf("%d octets for %d, gain %.1f, edns %d", s, len(b), gain, edns)
+		if size := s.sizes[0]; float64(size) > max(gain*float64(len(b)), float64(len(b))) || size > 1232 ||
+			edns < 513 && size > 512 {
+			rt.Fatalf("response of %d octets to a query of %d, gain %.1f, EDNS size %d", size, len(b), gain, edns)
 		}
 	})
 }
@@ -386,11 +394,11 @@
 	f.Add(b, true)
 	f.Add([]byte{0, 1, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 1}, true)
 	f.Fuzz(func(t *testing.T, b []byte, stream bool) {
-		r := newTestServer(t, nil)
-		n := r.enquirer.success()
-		r.enquirer.immediate = &n
+		s := newTestServer(t, nil)
+		result := s.enquirer.success()
+		s.enquirer.immediate = &result
 		sent := 0
-		r.f.Receive(1, clientAddr, b, stream, func(out []byte) {
+		s.server.Receive(1, clientAddr, b, stream, func(out []byte) {
 			sent++
 			if !stream && float64(len(out)) > 8*float64(len(b)) {
 				t.Errorf("%d octets for %d", len(out), len(b))
--- a/internal/protocol/portability/finder.go
+++ b/internal/protocol/portability/finder.go
@@ -18,7 +18,7 @@
 
 // Resolver looks up the rules of a domain; dnsclient.Client implements it.
 type Resolver interface {
-	Query(now float64, name string, within float64, done func(now float64, a dnsclient.Answer)) (stop func())
+	Query(now float64, name string, timeout float64, done func(now float64, a dnsclient.Answer)) (stop func())
 }
 
 // Finder looks up ported numbers.
@@ -43,7 +43,7 @@
 func (f *Finder) Resolve(
 	now float64,
 	digits string,
-	within float64,
+	timeout float64,
 	done func(now float64, found numberplan.Found),
 ) (stop func()) {
 	name, err := enum.Domain(digits, f.Apex)
@@ -52,7 +52,7 @@
 		done(now, numberplan.Found{Answer: numberplan.Silent})
 		return func() {}
 	}
-	until, seen := now+within, map[string]bool{}
+	deadline, seen := now+timeout, map[string]bool{}
 	canceled, cancelQuery := false, func() {}
 	var step func(now float64, name string)
 	step = func(now float64, name string) {
@@ -76,7 +76,7 @@
 			}
 			done(now, found)
 		}
-		cancelQuery = f.Resolver.Query(now, name, until-now, onAnswer)
+		cancelQuery = f.Resolver.Query(now, name, deadline-now, onAnswer)
 	}
 	step(now, name)
 	return func() {
@@ -103,18 +103,18 @@
 	case err == nil && res.Next != "":
 		return res.Next, numberplan.Found{}
 	}
-	var p enum.Ported
+	var ported enum.Ported
 	if err == nil {
-		_, p, err = enum.Tel(res.URI)
+		_, ported, err = enum.Tel(res.URI)
 	}
 	switch {
 	case err != nil:
 		f.Counts.Bad++
 		return "", numberplan.Found{Answer: numberplan.Silent}
-	case p.Routing == "":
+	case ported.Routing == "":
 		f.Counts.Same++
-		return "", numberplan.Found{Answer: numberplan.NotPorted, Carrier: p.Carrier}
+		return "", numberplan.Found{Answer: numberplan.NotPorted, Carrier: ported.Carrier}
 	}
 	f.Counts.Ported++
-	return "", numberplan.Found{Answer: numberplan.Ported, Routing: p.Routing, Carrier: p.Carrier}
+	return "", numberplan.Found{Answer: numberplan.Ported, Routing: ported.Routing, Carrier: ported.Carrier}
 }
--- a/internal/protocol/portability/finder_test.go
+++ b/internal/protocol/portability/finder_test.go
@@ -11,25 +11,25 @@
 
 // fakeResolver answers immediately, or with later set when the test runs the waiting callbacks.
 type fakeResolver struct {
-	of       map[string]dnsclient.Answer
-	waiting  []func()
-	later    bool
+	answers  map[string]dnsclient.Answer // by domain; others fail
+	pending  []func()
+	delayed  bool
 	timeouts []float64
-	stopped  int
+	canceled int
 }
 
-func (b *fakeResolver) Query(now float64, name string, within float64, done func(float64, dnsclient.Answer)) func() {
-	b.timeouts = append(b.timeouts, within)
-	a, ok := b.of[name]
+func (r *fakeResolver) Query(now float64, name string, timeout float64, done func(float64, dnsclient.Answer)) func() {
+	r.timeouts = append(r.timeouts, timeout)
+	a, ok := r.answers[name]
 	if !ok {
 		a.Status = dnsclient.Failed
 	}
-	if b.later {
-		b.waiting = append(b.waiting, func() { done(now+100, a) })
+	if r.delayed {
+		r.pending = append(r.pending, func() { done(now+100, a) })
 	} else {
 		done(now, a)
 	}
-	return func() { b.stopped++ }
+	return func() { r.canceled++ }
 }
 
 func rules(of ...enum.Rule) dnsclient.Answer { return dnsclient.Answer{Rules: of} }
@@ -38,7 +38,7 @@
 
 func TestResolve(t *testing.T) {
 	loop := rules(enum.Rule{Replacement: "1.p.test."})
-	b := &fakeResolver{of: map[string]dnsclient.Answer{
+	resolver := &fakeResolver{answers: map[string]dnsclient.Answer{
 		"1.p.test.":   loop,
 		"2.p.test.":   rules(tel(`!^(.*)$!tel:\1;npdi;rn=+1514!`)),
 		"8.7.p.test.": rules(tel(`!^(.*)$!tel:\1;npdi;rn=+1514;cic=+1-6789!`)),
@@ -51,43 +51,43 @@
 		"9.p.test.":   rules(tel(`!^.*$!sip:a@x!`)),
 	}}
 	for i := range 9 {
-		b.of[fmt.Sprintf("far%d.test.", i)] = rules(enum.Rule{Replacement: fmt.Sprintf("far%d.test.", i+1)})
+		resolver.answers[fmt.Sprintf("far%d.test.", i)] = rules(enum.Rule{Replacement: fmt.Sprintf("far%d.test.", i+1)})
 	}
-	b.of["0.p.test."] = rules(enum.Rule{Replacement: "far0.test."})
-	f := &Finder{Resolver: b, Apex: "p.test", Services: []string{"pstn:tel"}}
-	for n, want := range map[string]string{"1": "2 ", "2": "1 +1514", "3": "0 ", "4": "0 ", "5": "2 ", "6": "0 ",
+	resolver.answers["0.p.test."] = rules(enum.Rule{Replacement: "far0.test."})
+	finder := &Finder{Resolver: resolver, Apex: "p.test", Services: []string{"pstn:tel"}}
+	for number, want := range map[string]string{"1": "2 ", "2": "1 +1514", "3": "0 ", "4": "0 ", "5": "2 ", "6": "0 ",
 		"7": "1 +1514", "78": "1 +1514+1-6789", "8": "2 ",
 		"9": "2 ", "0": "2 ", "77": "2 ", "": "2 "} {
 		calls, got := 0, ""
-		f.Resolve(0, n, 500, func(_ float64, f numberplan.Found) {
+		finder.Resolve(0, number, 500, func(_ float64, found numberplan.Found) {
 			calls++
-			got = fmt.Sprint(int(f.Answer), " ", f.Routing, f.Carrier)
+			got = fmt.Sprint(int(found.Answer), " ", found.Routing, found.Carrier)
 		})
 		if calls != 1 || got != want {
-			t.Errorf("%q: %q, %d times; want %q", n, got, calls, want)
+			t.Errorf("%q: %q, answered %d times; want %q", number, got, calls, want)
 		}
 	}
 }
 
 // All steps share one deadline, and a canceled look-up is not answered.
 func TestDeadlineAndCancel(t *testing.T) {
-	b := &fakeResolver{
-		later: true,
-		of: map[string]dnsclient.Answer{
+	resolver := &fakeResolver{
+		delayed: true,
+		answers: map[string]dnsclient.Answer{
 			"7.p.test.": rules(enum.Rule{Replacement: "2.p.test."}),
 			"2.p.test.": rules(tel(`!^.*$!tel:+1;rn=+2!`)),
 		},
 	}
-	f := &Finder{Resolver: b, Apex: "p.test", Services: []string{"pstn:tel"}}
+	finder := &Finder{Resolver: resolver, Apex: "p.test", Services: []string{"pstn:tel"}}
 	calls := 0
-	stop := f.Resolve(0, "7", 500, func(float64, numberplan.Found) { calls++ })
-	b.waiting[0]()
-	if len(b.timeouts) != 2 || b.timeouts[1] != 400 {
-		t.Errorf("times given: %v", b.timeouts)
+	stop := finder.Resolve(0, "7", 500, func(float64, numberplan.Found) { calls++ })
+	resolver.pending[0]()
+	if len(resolver.timeouts) != 2 || resolver.timeouts[1] != 400 {
+		t.Errorf("timeouts of the queries: %v", resolver.timeouts)
 	}
 	stop()
-	b.waiting[1]()
-	if calls != 0 || b.stopped != 1 {
-		t.Errorf("answered %d times after it was canceled, stopped %d", calls, b.stopped)
+	resolver.pending[1]()
+	if calls != 0 || resolver.canceled != 1 {
+		t.Errorf("answered %d times after the look-up was canceled, %d queries canceled", calls, resolver.canceled)
 	}
 }
