--- a/internal/protocol/enumserver/server_test.go
+++ b/internal/protocol/enumserver/server_test.go
@@ -46,6 +46,7 @@
 	}
 }
 
+// testServer is a server with a fake gateway; it records the responses.
 type testServer struct {
 	*testing.T
 	server    *Server
@@ -172,17 +173,17 @@
 	chaos.Question[0].Qclass = dns.ClassCHAOS
 	for description, c := range map[string]struct {
 		m    *dns.Msg
-		want int // -1: nothing
+		want int // response code; -1: no response
 	}{
-		"an answer":         {reply, -1},
-		"another zone":      {query("1.e164.arpa.", dns.TypeNAPTR, 1, 0), dns.RcodeRefused},
-		"a longer apex":     {query("1.xe164.test.", dns.TypeNAPTR, 1, 0), dns.RcodeRefused},
-		"no digits":         {query("a.e164.test.", dns.TypeNAPTR, 1, 0), dns.RcodeNameError},
-		"the apex":          {query("e164.test.", dns.TypeNAPTR, 1, 0), dns.RcodeSuccess},
-		"another type":      {query(name, dns.TypeA, 1, 0), dns.RcodeSuccess},
-		"another operation": {notify, dns.RcodeNotImplemented},
-		"another class":     {chaos, dns.RcodeRefused},
-		"41 digits":         {query(strings.Repeat("1.", 41)+"e164.test.", dns.TypeNAPTR, 1, 0), dns.RcodeNameError},
+		"a response":     {reply, -1},
+		"another zone":   {query("1.e164.arpa.", dns.TypeNAPTR, 1, 0), dns.RcodeRefused},
+		"a longer apex":  {query("1.xe164.test.", dns.TypeNAPTR, 1, 0), dns.RcodeRefused},
+		"no digits":      {query("a.e164.test.", dns.TypeNAPTR, 1, 0), dns.RcodeNameError},
+		"the apex":       {query("e164.test.", dns.TypeNAPTR, 1, 0), dns.RcodeSuccess},
+		"another type":   {query(name, dns.TypeA, 1, 0), dns.RcodeSuccess},
+		"another opcode": {notify, dns.RcodeNotImplemented},
+		"another class":  {chaos, dns.RcodeRefused},
+		"41 digits":      {query(strings.Repeat("1.", 41)+"e164.test.", dns.TypeNAPTR, 1, 0), dns.RcodeNameError},
 	} {
 		s.responses = nil
 		s.receive(clientAddr, c.m, false)
@@ -303,7 +304,7 @@
 		t.Errorf("%d answered, %d truncated, %d refused of 1000", answered, slipped, refused)
 	}
 	if a, _, _ := flood("10.0.0.200:1", 100); a > 2 {
-		t.Errorf("its neighbour: %d answered", a)
+		t.Errorf("another address of that network: %d answered", a)
 	}
 	if a, slipped, _ := flood("10.1.0.1:1", 1000); a != 1000 || slipped != 0 {
 		t.Errorf("network with its own rate: %d answered, %d truncated", a, slipped)
@@ -315,7 +316,7 @@
 	}
 	for _, m := range s.responses {
 		if m.Truncated {
-			t.Error("a known network is truncated after a standstill")
+			t.Error("responses to a network with its own rate are truncated after a stall")
 			break
 		}
 	}
@@ -401,10 +402,10 @@
 		s.server.Receive(1, clientAddr, b, stream, func(out []byte) {
 			sent++
 			if !stream && float64(len(out)) > 8*float64(len(b)) {
-				t.Errorf("%d octets for %d", len(out), len(b))
+				t.Errorf("response of %d octets to a query of %d", len(out), len(b))
 			}
 			if len(b) > 2 && b[2]&0x80 != 0 {
-				t.Error("an answer was answered")
+				t.Error("a response was answered")
 			}
 		})
 		if sent > 1 {
--- a/internal/protocol/portability/finder.go
+++ b/internal/protocol/portability/finder.go
@@ -34,12 +34,12 @@
 	Ported uint64 `json:"ported"`
 	Same   uint64 `json:"same"`   // numbers that were not ported
 	Silent uint64 `json:"silent"` // look-ups without an answer
-	Bad    uint64 `json:"bad"`    // invalid records
-	Stale  uint64 `json:"stale"`
+	Bad    uint64 `json:"bad"`    // look-ups ended by an invalid number, invalid rules, a loop or too many steps
+	Stale  uint64 `json:"stale"`  // stale answers used
 }
 
-// Resolve looks up a number, given as digits only. done is called once within the given time, possibly before Resolve
-// returns; stop cancels the look-up. Invalid rules count as no answer, for which the number table defines the action.
+// Resolve looks up a number, given as digits only. done is called once within timeout ms, possibly before Resolve
+// returns; stop cancels the look-up. Invalid rules count as no answer; the number table says what happens then.
 func (f *Finder) Resolve(
 	now float64,
 	digits string,
--- a/internal/protocol/portability/finder_test.go
+++ b/internal/protocol/portability/finder_test.go
@@ -9,7 +9,7 @@
 	"cobaltpier/internal/protocol/dnsclient"
 )
 
-// fakeResolver answers immediately, or with later set when the test runs the waiting callbacks.
+// fakeResolver answers immediately, or if delayed is set, when the test runs the pending callbacks.
 type fakeResolver struct {
 	answers  map[string]dnsclient.Answer // by domain; others fail
 	pending  []func()
@@ -36,6 +36,7 @@
 
 func tel(re string) enum.Rule { return enum.Rule{Flags: "u", Service: "E2U+pstn:tel", Regexp: re} }
 
+// The result of a look-up: 0 not ported, 1 ported with routing number and carrier, 2 no valid answer.
 func TestResolve(t *testing.T) {
 	loop := rules(enum.Rule{Replacement: "1.p.test."})
 	resolver := &fakeResolver{answers: map[string]dnsclient.Answer{
