--- a/internal/decision/enum/enum_test.go
+++ b/internal/decision/enum/enum_test.go
@@ -12,25 +12,25 @@
 // Numbers convert to domains and back; anything else is rejected.
 func TestDomain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.StringMatching(`[0-9]{1,40}`).Draw(t, "number")
-		d, err := Domain(n, "e164.arpa")
+		number := rapid.StringMatching(`[0-9]{1,40}`).Draw(t, "number")
+		domain, err := Domain(number, "e164.arpa")
 		if err != nil {
 			t.Fatal(err)
 		}
-		back, err := Number(strings.ToUpper(d), "E164.arpa.")
-		if err != nil || back != n {
-			t.Fatalf("%s: %s, back %q, %v", n, d, back, err)
+		back, err := Number(strings.ToUpper(domain), "E164.arpa.")
+		if err != nil || back != number {
+			t.Fatalf("%s: domain %s, converted back %q, %v", number, domain, back, err)
 		}
 	})
-	for _, n := range []string{"", "+1", "1a", strings.Repeat("1", 41)} {
-		if _, err := Domain(n, "e164.arpa"); err == nil {
-			t.Errorf("%q has a domain", n)
+	for _, number := range []string{"", "+1", "1a", strings.Repeat("1", 41)} {
+		if _, err := Domain(number, "e164.arpa"); err == nil {
+			t.Errorf("%q has a domain", number)
 		}
 	}
-	for _, d := range []string{"e164.arpa", "1.e164.org.", "12.e164.arpa.", "x.1.e164.arpa", ".e164.arpa",
+	for _, domain := range []string{"e164.arpa", "1.e164.org.", "12.e164.arpa.", "x.1.e164.arpa", ".e164.arpa",
 		strings.Repeat("1.", 41) + "e164.arpa"} {
-		if n, err := Number(d, "e164.arpa"); err == nil {
-			t.Errorf("%q is number %q", d, n)
+		if number, err := Number(domain, "e164.arpa"); err == nil {
+			t.Errorf("%q was converted to number %q", domain, number)
 		}
 	}
 }
@@ -106,9 +106,9 @@
 		{"tel:alice", "", Ported{}, true},
 		{"sip:+1418@x", "", Ported{}, true},
 	} {
-		n, p, err := Tel(c.uri)
-		if (err != nil) != c.bad || !c.bad && (n != c.number || p != c.want) {
-			t.Errorf("%s: %s %+v, %v", c.uri, n, p, err)
+		number, ported, err := Tel(c.uri)
+		if (err != nil) != c.bad || !c.bad && (number != c.number || ported != c.want) {
+			t.Errorf("%s: %s %+v, %v", c.uri, number, ported, err)
 		}
 	}
 }
--- a/internal/protocol/b2bua/numberanalysis_test.go
+++ b/internal/protocol/b2bua/numberanalysis_test.go
@@ -67,12 +67,12 @@
 }
 `
 
-func numbers(t *testing.T, version int) *numberplan.Table {
-	x, _, err := numberplan.Parse("t.hcl", []byte(fmt.Sprintf(tableText, version, version, 700+version, 700+version)))
+func newTable(t *testing.T, version int) *numberplan.Table {
+	table, _, err := numberplan.Parse("t.hcl", []byte(fmt.Sprintf(tableText, version, version, 700+version, 700+version)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return x
+	return table
 }
 
 // manualLookup records look-ups, which the test answers.
@@ -80,92 +80,95 @@
 	numbers   []string
 	timeouts  []float64
 	callbacks []func(now float64, found numberplan.Found)
-	stops     int
+	canceled  int
 }
 
-func (b *manualLookup) Resolve(_ float64, digits string, within float64, done func(float64, numberplan.Found)) func() {
-	b.numbers, b.timeouts, b.callbacks = append(b.numbers, digits), append(b.timeouts, within), append(b.callbacks, done)
-	return func() { b.stops++ }
+func (l *manualLookup) Resolve(_ float64, digits string, timeout float64, done func(float64, numberplan.Found)) func() {
+	l.numbers, l.timeouts, l.callbacks = append(l.numbers, digits), append(l.timeouts, timeout), append(l.callbacks, done)
+	return func() { l.canceled++ }
 }
-func (b *manualLookup) Wake(float64)        {}
-func (b *manualLookup) NextWakeup() float64 { return 1e18 }
+func (l *manualLookup) Wake(float64)        {}
+func (l *manualLookup) NextWakeup() float64 { return 1e18 }
 
 func newNumberTestHost(t *testing.T) (*testHost, *manualLookup) {
-	r, b := newTestHost(t), &manualLookup{}
-	r.agent.config.NumberLookup, r.agent.config.LookupShare = b, 0.25
-	r.agent.SetTable(numbers(t, 1))
-	return r, b
+	host, lookup := newTestHost(t), &manualLookup{}
+	host.agent.config.NumberLookup, host.agent.config.LookupShare = lookup, 0.25
+	host.agent.SetTable(newTable(t, 1))
+	return host, lookup
 }
 
 // A call to a ported number is set up over the route's trunk group with the routing number, and the timeout of the
 // route's class applies.
 func TestPortedNumber(t *testing.T) {
-	r, b := newNumberTestHost(t)
-	var got *routing.Call
-	r.policy.onCall = func(now float64, routed *routing.Call) {
-		got = routed
-		r.policy.host.StartAttempt(routed, r.policy.endpoints[1], routed.Deadline-now)
+	host, lookup := newNumberTestHost(t)
+	var passed *routing.Call
+	host.policy.onCall = func(now float64, routed *routing.Call) {
+		passed = routed
+		host.policy.host.StartAttempt(routed, host.policy.endpoints[1], routed.Deadline-now)
 	}
-	r.receive(caller, callerRequest("INVITE", "a1", ""))
-	if len(b.numbers) != 1 || b.numbers[0] != "14185550123" || b.timeouts[0] != 400 || got != nil {
-		t.Fatalf("asked %v within %v, offered %v", b.numbers, b.timeouts, got)
+	host.receive(caller, callerRequest("INVITE", "a1", ""))
+	if len(lookup.numbers) != 1 || lookup.numbers[0] != "14185550123" || lookup.timeouts[0] != 400 || passed != nil {
+		t.Fatalf("looked up %v with timeouts %v, passed to the policy %v", lookup.numbers, lookup.timeouts, passed)
 	}
-	r.advance(200)
-	r.expectSent(caller, "SIP/2.0 100")
-	b.callbacks[0](r.now, numberplan.Found{Answer: numberplan.Ported, Routing: "+15145550000", Carrier: "+1-6789"})
-	if got == nil || got.Class.Name != "claim" || got.DestinationID != 1 || got.Destination != r.policy.endpoints[1] ||
-		got.Deadline != got.ArrivedAt+6000 {
-		t.Fatalf("offered %+v", got)
+	host.advance(200)
+	host.expectSent(caller, "SIP/2.0 100")
+	lookup.callbacks[0](
+		host.now,
+		numberplan.Found{Answer: numberplan.Ported, Routing: "+15145550000", Carrier: "+1-6789"},
+	)
+	if passed == nil || passed.Class.Name != "claim" || passed.DestinationID != 1 ||
+		passed.Destination != host.policy.endpoints[1] || passed.Deadline != passed.ArrivedAt+6000 {
+		t.Fatalf("passed to the policy %+v", passed)
 	}
-	req := r.expectSent(switchB, "INVITE sip:+14185550123;npdi;rn=+70115145550000;cic=+1-6789;tgrp=TG-1;")
+	req := host.expectSent(switchB, "INVITE sip:+14185550123;npdi;rn=+70115145550000;cic=+1-6789;tgrp=TG-1;")
 	if siptransaction.HeaderValue(req.(*sip.Request), siptransaction.Service) != "urn:urn-7:claim" {
 		t.Error("wrong class in the setup")
 	}
-	if n, _ := r.agent.Tables(); n != 0 {
+	if n, _ := host.agent.Tables(); n != 0 {
 		t.Errorf("%d old tables", n)
 	}
 }
 
 // A look-up uses no more than its share of the call's remaining timeout.
 func TestLookupTimeoutShare(t *testing.T) {
-	r, b := newNumberTestHost(t)
-	r.receive(caller, strings.Replace(callerRequest("INVITE", "a1", ""), "Expires: 9", "Expires: 1", 1))
-	if len(b.timeouts) != 1 || b.timeouts[0] != 250 {
-		t.Errorf("within %v", b.timeouts)
+	host, lookup := newNumberTestHost(t)
+	host.receive(caller, strings.Replace(callerRequest("INVITE", "a1", ""), "Expires: 9", "Expires: 1", 1))
+	if len(lookup.timeouts) != 1 || lookup.timeouts[0] != 250 {
+		t.Errorf("timeouts %v, want 250", lookup.timeouts)
 	}
 }
 
 // No look-up starts if the share of look-ups is 0.
 func TestZeroLookupShare(t *testing.T) {
-	r, b := newNumberTestHost(t)
-	r.agent.config.LookupShare = 0
-	home := -1
-	r.policy.onCall = func(_ float64, routed *routing.Call) { home = routed.DestinationID }
-	r.receive(caller, callerRequest("INVITE", "a1", ""))
-	if len(b.numbers) != 0 || home != 0 {
-		t.Errorf("asked %v, offered with destination %d", b.numbers, home)
+	host, lookup := newNumberTestHost(t)
+	host.agent.config.LookupShare = 0
+	destination := -1
+	host.policy.onCall = func(_ float64, routed *routing.Call) { destination = routed.DestinationID }
+	host.receive(caller, callerRequest("INVITE", "a1", ""))
+	if len(lookup.numbers) != 0 || destination != 0 {
+		t.Errorf("looked up %v, passed to the policy with destination %d", lookup.numbers, destination)
 	}
 }
 
 // A caller's CANCEL cancels its look-up. An answer after the CANCEL or the call's end has no effect.
 func TestLookupAnswerTooLate(t *testing.T) {
-	r, b := newNumberTestHost(t)
-	r.policy.onCall = func(float64, *routing.Call) { t.Error("offered") }
-	r.receive(caller, callerRequest("INVITE", "a1", ""))
-	r.receive(caller, callerRequest("CANCEL", "a1", ""))
-	r.expectSent(caller, "SIP/2.0 487")
-	b.callbacks[0](r.now, numberplan.Found{Answer: numberplan.NotPorted})
-	if b.stops != 1 || len(r.policy.events) != 0 {
-		t.Errorf("stopped %d, the policy recorded %v", b.stops, r.policy.events)
+	host, lookup := newNumberTestHost(t)
+	host.policy.onCall = func(float64, *routing.Call) { t.Error("call passed to the policy") }
+	host.receive(caller, callerRequest("INVITE", "a1", ""))
+	host.receive(caller, callerRequest("CANCEL", "a1", ""))
+	host.expectSent(caller, "SIP/2.0 487")
+	lookup.callbacks[0](host.now, numberplan.Found{Answer: numberplan.NotPorted})
+	if lookup.canceled != 1 || len(host.policy.events) != 0 {
+		t.Errorf("%d look-ups canceled, the policy recorded %v", lookup.canceled, host.policy.events)
 	}
-	r.receive(caller, callerRequest("INVITE", "b1", ""))
-	r.advance(9500) // the look-up never returns
-	r.expectSent(caller, "SIP/2.0 500")
-	b.callbacks[1](r.now, numberplan.Found{Answer: numberplan.NotPorted})
-	if b.stops != 2 || r.agent.Counts.Overdue != 1 {
-		t.Errorf("stopped %d, overdue %d", b.stops, r.agent.Counts.Overdue)
+	host.receive(caller, callerRequest("INVITE", "b1", ""))
+	host.advance(9500) // the look-up never returns
+	host.expectSent(caller, "SIP/2.0 500")
+	lookup.callbacks[1](host.now, numberplan.Found{Answer: numberplan.NotPorted})
+	if lookup.canceled != 2 || host.agent.Counts.Overdue != 1 {
+		t.Errorf("%d look-ups canceled, %d calls overdue", lookup.canceled, host.agent.Counts.Overdue)
 	}
-	if old, n := r.agent.Tables(); old != 0 || n != 0 {
+	if old, n := host.agent.Tables(); old != 0 || n != 0 {
 		t.Errorf("%d calls use %d old tables", n, old)
 	}
 }
@@ -173,119 +176,120 @@
 // The table changes while 1000 calls wait for look-ups: each call keeps its table, and the old tables are released
 // after the calls' final answers.
 func TestTableChangeDuringLookups(t *testing.T) {
-	r, b := newNumberTestHost(t)
-	r.agent.LoadShedder.MaxPending = 5000
+	host, lookup := newNumberTestHost(t)
+	host.agent.LoadShedder.MaxPending = 5000
 	var sent []string
-	r.policy.onCall = func(now float64, routed *routing.Call) {
+	host.policy.onCall = func(now float64, routed *routing.Call) {
 		sent = append(sent, routed.CalledNumber+routed.HostData.(*callcontrol.Session).SignalingLeg.(*call).number.params)
-		r.policy.host.Reject(routed, 0)
+		host.policy.host.Reject(routed, 0)
 	}
 	for v := 1; v <= 4; v++ {
-		r.agent.SetTable(numbers(t, v))
+		host.agent.SetTable(newTable(t, v))
 		for i := range 250 {
-			r.receive(caller, callerRequest("INVITE", fmt.Sprintf("%x%d", v, i), ""))
+			host.receive(caller, callerRequest("INVITE", fmt.Sprintf("%x%d", v, i), ""))
 		}
 	}
-	old, n := r.agent.Tables()
+	old, n := host.agent.Tables()
 	if old != 3 || n != 750 {
 		t.Fatalf("%d calls use %d old tables", n, old)
 	}
-	r.agent.SetTable(numbers(t, 5))
+	host.agent.SetTable(newTable(t, 5))
 	for i := range 1000 {
-		b.callbacks[i](r.now, numberplan.Found{Answer: numberplan.NotPorted})
+		lookup.callbacks[i](host.now, numberplan.Found{Answer: numberplan.NotPorted})
 	}
 	for i, s := range sent {
 		if want := fmt.Sprintf("+%d14185550123;npdi", 701+i/250); s != want {
 			t.Fatalf("call %d was sent to %s, want %s", i, s, want)
 		}
 	}
-	if old, n := r.agent.Tables(); len(sent) != 1000 || old != 0 || n != 0 {
-		t.Errorf("%d offered; %d calls use %d old tables", len(sent), n, old)
+	if old, n := host.agent.Tables(); len(sent) != 1000 || old != 0 || n != 0 {
+		t.Errorf("%d passed to the policy; %d calls use %d old tables", len(sent), n, old)
 	}
 }
 
 // An old table is garbage-collected after the last call that uses it has its final answer, and not before. Established
 // calls don't keep it.
 func TestOldTableIsFreed(t *testing.T) {
-	r, b := newNumberTestHost(t)
-	r.policy.onCall = func(now float64, routed *routing.Call) {
-		r.policy.host.StartAttempt(routed, r.policy.endpoints[1], routed.Deadline-now)
+	host, lookup := newNumberTestHost(t)
+	host.policy.onCall = func(now float64, routed *routing.Call) {
+		host.policy.host.StartAttempt(routed, host.policy.endpoints[1], routed.Deadline-now)
 	}
 	old := func() weak.Pointer[numberplan.Table] {
-		x := numbers(t, 2)
-		r.agent.SetTable(x)
-		return weak.Make(x)
+		table := newTable(t, 2)
+		host.agent.SetTable(table)
+		return weak.Make(table)
 	}()
-	r.receive(caller, callerRequest("INVITE", "a1", ""))
-	r.agent.SetTable(numbers(t, 3))
+	host.receive(caller, callerRequest("INVITE", "a1", ""))
+	host.agent.SetTable(newTable(t, 3))
 	runtime.GC()
 	if old.Value() == nil {
 		t.Fatal("table freed while a call uses it")
 	}
-	b.callbacks[0](r.now, numberplan.Found{Answer: numberplan.NotPorted})
-	b.callbacks = nil
-	r.respond(switchB, r.expectSent(switchB, "INVITE"), 200, "s1", "")
-	r.expectSent(caller, "SIP/2.0 200")
+	lookup.callbacks[0](host.now, numberplan.Found{Answer: numberplan.NotPorted})
+	lookup.callbacks = nil
+	host.respond(switchB, host.expectSent(switchB, "INVITE"), 200, "s1", "")
+	host.expectSent(caller, "SIP/2.0 200")
 	runtime.GC()
 	runtime.GC()
 	if old.Value() != nil {
 		t.Error("old table not freed")
 	}
-	if _, standing := r.agent.InProgress(); standing != 1 {
-		t.Errorf("%d established calls", standing)
+	if _, established := host.agent.InProgress(); established != 1 {
+		t.Errorf("%d established calls", established)
 	}
 }
 
 // Refused and malformed numbers are answered at once without a look-up. A route to an unknown trunk group gets 500.
 func TestNumberRefused(t *testing.T) {
-	r, b := newNumberTestHost(t)
-	r.policy.onCall = func(float64, *routing.Call) { t.Error("offered") }
+	host, lookup := newNumberTestHost(t)
+	host.policy.onCall = func(float64, *routing.Call) { t.Error("call passed to the policy") }
 	for number, want := range map[string]string{"+19115550123": "SIP/2.0 410 not here", "+15145550123": "SIP/2.0 404",
 		"+1CALLME":     "SIP/2.0 484",
 		"+16135550123": "SIP/2.0 500", "+1418555;npdi;npdi": "SIP/2.0 400"} {
-		r.receive(caller, strings.Replace(callerRequest("INVITE", "z"+want[8:11], ""), "+14185550123", number, 1))
-		r.expectSent(caller, want)
-		r.nextPacket = 0
+		host.receive(caller, strings.Replace(callerRequest("INVITE", "z"+want[8:11], ""), "+14185550123", number, 1))
+		host.expectSent(caller, want)
+		host.nextPacket = 0
 	}
-	if held, _ := r.agent.InProgress(); held != 0 || len(b.numbers) != 0 || len(r.agent.tables) != 0 {
-		t.Errorf("%d held, asked %v, %d tables", held, b.numbers, len(r.agent.tables))
+	if pending, _ := host.agent.InProgress(); pending != 0 || len(lookup.numbers) != 0 || len(host.agent.tables) != 0 {
+		t.Errorf("%d pending, looked up %v, %d tables", pending, lookup.numbers, len(host.agent.tables))
 	}
 }
 
 // Calls that are shed cause no look-ups.
 func TestShedCallsAreNotLookedUp(t *testing.T) {
-	r, b := newNumberTestHost(t)
-	r.agent.LoadShedder.MaxPending = 10
+	host, lookup := newNumberTestHost(t)
+	host.agent.LoadShedder.MaxPending = 10
 	for i := range 200 {
-		r.receive(caller, callerRequest("INVITE", fmt.Sprintf("f%d", i), ""))
+		host.receive(caller, callerRequest("INVITE", fmt.Sprintf("f%d", i), ""))
 	}
-	if len(b.numbers) > 10 || r.agent.Counts.Shed < 190 {
-		t.Errorf("%d looked up, %d shed", len(b.numbers), r.agent.Counts.Shed)
+	if len(lookup.numbers) > 10 || host.agent.Counts.Shed < 190 {
+		t.Errorf("%d looked up, %d shed", len(lookup.numbers), host.agent.Counts.Shed)
 	}
 }
 
 // A call that waits for a look-up is served although the agent drains meanwhile; the endpoint's state at the end of the
 // look-up counts (rule 3).
 func TestDrainDuringLookup(t *testing.T) {
-	r, b := newNumberTestHost(t)
-	r.policy.onCall = func(now float64, routed *routing.Call) {
-		r.policy.host.StartAttempt(routed, r.policy.endpoints[0], routed.Deadline-now)
+	host, lookup := newNumberTestHost(t)
+	host.policy.onCall = func(now float64, routed *routing.Call) {
+		host.policy.host.StartAttempt(routed, host.policy.endpoints[0], routed.Deadline-now)
 	}
-	r.receive(caller, callerRequest("INVITE", "a1", ""))
-	r.agent.StopAdmitting()
-	r.sendList(routing.Draining)
-	b.callbacks[0](r.now, numberplan.Found{Answer: numberplan.Silent})
-	r.advance(1)
-	if len(r.policy.events) != 1 || !strings.HasPrefix(r.policy.events[0], fmt.Sprintf("ended %d", routing.NotSent)) ||
-		r.agent.Counts.Blocked != 1 {
-		t.Errorf("rule 3: events %v, blocked %d", r.policy.events, r.agent.Counts.Blocked)
+	host.receive(caller, callerRequest("INVITE", "a1", ""))
+	host.agent.StopAdmitting()
+	host.sendList(routing.Draining)
+	lookup.callbacks[0](host.now, numberplan.Found{Answer: numberplan.Silent})
+	host.advance(1)
+	if len(host.policy.events) != 1 ||
+		!strings.HasPrefix(host.policy.events[0], fmt.Sprintf("ended %d", routing.NotSent)) ||
+		host.agent.Counts.Blocked != 1 {
+		t.Errorf("rule 3: events %v, blocked %d", host.policy.events, host.agent.Counts.Blocked)
 	}
-	for _, p := range r.packets {
+	for _, p := range host.packets {
 		if p.to == switchA && strings.HasPrefix(p.data, "INVITE") {
 			t.Error("setup to a draining endpoint")
 		}
 	}
-	r.sendList(routing.Ready)
-	r.receive(caller, callerRequest("INVITE", "b1", ""))
-	r.expectSent(caller, "SIP/2.0 503")
+	host.sendList(routing.Ready)
+	host.receive(caller, callerRequest("INVITE", "b1", ""))
+	host.expectSent(caller, "SIP/2.0 503")
 }
--- a/internal/protocol/b2bua/testhost_test.go
+++ b/internal/protocol/b2bua/testhost_test.go
@@ -18,41 +18,41 @@
 	host         routing.Host
 	endpoints    []*routing.Endpoint
 	onCall       func(now float64, c *routing.Call)
-	onAttemptEnd func(now float64, r *routing.Attempt)
+	onAttemptEnd func(now float64, attempt *routing.Attempt)
 	onWakeup     func(now float64, c *routing.Call)
 	events       []string
 }
 
-func (m *scriptedPolicy) OnEndpoints(_ float64, ps []*routing.Endpoint) {
-	if m.endpoints == nil {
-		m.endpoints = ps
+func (p *scriptedPolicy) OnEndpoints(_ float64, endpoints []*routing.Endpoint) {
+	if p.endpoints == nil {
+		p.endpoints = endpoints
 	}
 }
 
-func (m *scriptedPolicy) OnCall(now float64, routed *routing.Call) { m.onCall(now, routed) }
+func (p *scriptedPolicy) OnCall(now float64, routed *routing.Call) { p.onCall(now, routed) }
 
-func (m *scriptedPolicy) OnAnswer(_ float64, attempt *routing.Attempt) {
-	m.events = append(m.events, "stood")
+func (p *scriptedPolicy) OnAnswer(_ float64, attempt *routing.Attempt) {
+	p.events = append(p.events, "answered")
 }
 
-func (m *scriptedPolicy) OnAttemptEnd(now float64, attempt *routing.Attempt, closed bool) {
-	m.events = append(m.events, fmt.Sprintf("ended %d closed %v wait %v", attempt.Outcome, closed, attempt.RetryAfter))
-	if m.onAttemptEnd != nil {
-		m.onAttemptEnd(now, attempt)
+func (p *scriptedPolicy) OnAttemptEnd(now float64, attempt *routing.Attempt, closed bool) {
+	p.events = append(p.events, fmt.Sprintf("ended %d closed %v wait %v", attempt.Outcome, closed, attempt.RetryAfter))
+	if p.onAttemptEnd != nil {
+		p.onAttemptEnd(now, attempt)
 	}
 }
 
-func (m *scriptedPolicy) OnHangup(float64, *routing.Call) { m.events = append(m.events, "left") }
+func (p *scriptedPolicy) OnHangup(float64, *routing.Call) { p.events = append(p.events, "hung up") }
 
-func (m *scriptedPolicy) OnLoadReport(_ float64, endpoint *routing.Endpoint, ok, full bool) {
-	m.events = append(m.events, fmt.Sprintf("report %v %v", ok, full))
+func (p *scriptedPolicy) OnLoadReport(_ float64, endpoint *routing.Endpoint, ok, full bool) {
+	p.events = append(p.events, fmt.Sprintf("report %v %v", ok, full))
 }
 
-func (m *scriptedPolicy) OnGossip(float64, int, []byte) {}
+func (p *scriptedPolicy) OnGossip(float64, int, []byte) {}
 
-func (m *scriptedPolicy) OnWakeup(now float64, routed *routing.Call) {
-	if m.onWakeup != nil {
-		m.onWakeup(now, routed)
+func (p *scriptedPolicy) OnWakeup(now float64, routed *routing.Call) {
+	if p.onWakeup != nil {
+		p.onWakeup(now, routed)
 	}
 }
 
@@ -71,15 +71,15 @@
 	nextPacket int
 }
 
-func (r *testHost) Send(to netip.AddrPort, data []byte) {
-	r.packets = append(r.packets, packet{to, string(data)})
+func (h *testHost) Send(to netip.AddrPort, data []byte) {
+	h.packets = append(h.packets, packet{to, string(data)})
 }
 
-func (r *testHost) SendGossip(int, []byte) {}
+func (h *testHost) SendGossip(int, []byte) {}
 
 func newTestHost(t *testing.T) *testHost {
-	r := &testHost{T: t, policy: &scriptedPolicy{}, now: 1e6}
-	set := &routing.Settings{
+	host := &testHost{T: t, policy: &scriptedPolicy{}, now: 1e6}
+	settings := &routing.Settings{
 		Gateways:          1,
 		Seed:              3,
 		TickInterval:      1,
@@ -93,12 +93,12 @@
 			{Name: "claim", LatencyObjective: 1000, Timeout: 6000, Weight: 5},
 		},
 	}
-	r.agent = New(
+	host.agent = New(
 		&Config{
 			Name:         "e",
 			Address:      gatewayAddr,
 			TrunkContext: "x.example",
-			Settings:     set,
+			Settings:     settings,
 			Times:        siptransaction.Timers{T1: 400, T2: 3200, T4: 5000},
 			DefaultClass: "shift-lookup",
 			Groups: []Group{
@@ -107,39 +107,39 @@
 			},
 			LoadShedding: loadshed.Gate{MaxPending: 100},
 		},
-		func(_ *routing.Settings, h routing.Host) routing.Policy { r.policy.host = h; return r.policy },
-		r,
+		func(_ *routing.Settings, h routing.Host) routing.Policy { host.policy.host = h; return host.policy },
+		host,
 	)
-	r.policy.onCall = func(now float64, routed *routing.Call) {
-		r.policy.host.StartAttempt(routed, r.policy.endpoints[0], routed.Deadline-now)
+	host.policy.onCall = func(now float64, routed *routing.Call) {
+		host.policy.host.StartAttempt(routed, host.policy.endpoints[0], routed.Deadline-now)
 	}
-	r.sendList(routing.Ready)
-	return r
+	host.sendList(routing.Ready)
+	return host
 }
 
-func (r *testHost) sendList(a routing.State) {
-	r.agent.OnEndpointList(
-		r.now,
+func (h *testHost) sendList(state routing.State) {
+	h.agent.OnEndpointList(
+		h.now,
 		[]ListEntry{
-			{ID: "a", DestinationID: 0, State: a, Addr: switchA},
+			{ID: "a", DestinationID: 0, State: state, Addr: switchA},
 			{ID: "b", DestinationID: 1, State: routing.Ready, Addr: switchB},
 		},
 		true,
 	)
 }
 
-func (r *testHost) advance(ms float64) {
-	for end := r.now + ms; r.now < end; {
-		r.now++
-		r.agent.Step(r.now)
+func (h *testHost) advance(ms float64) {
+	for end := h.now + ms; h.now < end; {
+		h.now++
+		h.agent.Step(h.now)
 	}
 }
 
 // receive hands a message of a caller or endpoint to the agent.
-func (r *testHost) receive(from netip.AddrPort, text string) {
+func (h *testHost) receive(from netip.AddrPort, text string) {
 	head, body, _ := strings.Cut(text, "\n\n")
-	r.agent.Receive(r.now, from, []byte(strings.ReplaceAll(head, "\n", "\r\n")+"\r\n\r\n"+body))
-	r.agent.Step(r.now)
+	h.agent.Receive(h.now, from, []byte(strings.ReplaceAll(head, "\n", "\r\n")+"\r\n\r\n"+body))
+	h.agent.Step(h.now)
 }
 
 func callerRequest(method, id, toParams string) string {
@@ -160,57 +160,57 @@
 		"\nExpires: 9\nContent-Length: 0"
 }
 
-// expectSent returns the next packet to an address that starts with a text; the test fails if there is none.
-func (r *testHost) expectSent(to netip.AddrPort, begins string) sip.Message {
-	r.Helper()
-	for ; r.nextPacket < len(r.packets); r.nextPacket++ {
-		p := r.packets[r.nextPacket]
-		if p.to == to && strings.HasPrefix(p.data, begins) {
-			r.nextPacket++
-			m, err := siptransaction.Parse([]byte(p.data))
+// expectSent returns the next packet to an address that starts with a prefix; the test fails if there is none.
+func (h *testHost) expectSent(to netip.AddrPort, prefix string) sip.Message {
+	h.Helper()
+	for ; h.nextPacket < len(h.packets); h.nextPacket++ {
+		sent := h.packets[h.nextPacket]
+		if sent.to == to && strings.HasPrefix(sent.data, prefix) {
+			h.nextPacket++
+			m, err := siptransaction.Parse([]byte(sent.data))
 			if err != nil {
-				r.Fatalf("%q: %v", p.data, err)
+				h.Fatalf("%q: %v", sent.data, err)
 			}
 			return m
 		}
 	}
-	var all []string
-	for _, p := range r.packets {
-		l, _, _ := strings.Cut(p.data, "\r\n")
-		all = append(all, p.to.String()+" "+l)
+	var lines []string
+	for _, sent := range h.packets {
+		line, _, _ := strings.Cut(sent.data, "\r\n")
+		lines = append(lines, sent.to.String()+" "+line)
 	}
-	r.Fatalf("nothing to %v begins with %q; sent:\n%s", to, begins, strings.Join(all, "\n"))
+	h.Fatalf("no packet to %v has the prefix %q; sent:\n%s", to, prefix, strings.Join(lines, "\n"))
 	return nil
 }
 
-// count returns the number of packets to an address that start with a text.
-func (r *testHost) count(to netip.AddrPort, begins string) (n int) {
-	for _, p := range r.packets {
-		if p.to == to && strings.HasPrefix(p.data, begins) {
+// count returns the number of packets to an address that start with a prefix.
+func (h *testHost) count(to netip.AddrPort, prefix string) (n int) {
+	for _, sent := range h.packets {
+		if sent.to == to && strings.HasPrefix(sent.data, prefix) {
 			n++
 		}
 	}
 	return n
 }
 
-// respond sends the agent a response of an endpoint to a request.
-func (r *testHost) respond(from netip.AddrPort, to sip.Message, code int, tag, more string) {
-	res := siptransaction.Response(to.(*sip.Request), code, "X", tag)
-	if code == 200 && to.(*sip.Request).Method == sip.INVITE {
-		res.AppendHeader(
+// respond passes an endpoint's response to a request to the agent; field is a further header field or empty.
+func (h *testHost) respond(from netip.AddrPort, request sip.Message, code int, tag, field string) {
+	response := siptransaction.Response(request.(*sip.Request), code, "X", tag)
+	if code == 200 && request.(*sip.Request).Method == sip.INVITE {
+		response.AppendHeader(
 			&sip.ContactHeader{Address: sip.Uri{Scheme: "sip", Host: from.Addr().String(), Port: int(from.Port())}},
 		)
 	}
-	if k, v, ok := strings.Cut(more, ": "); ok {
-		res.AppendHeader(sip.NewHeader(k, v))
+	if name, value, ok := strings.Cut(field, ": "); ok {
+		response.AppendHeader(sip.NewHeader(name, value))
 	}
-	r.agent.Receive(r.now, from, []byte(res.String()))
-	r.agent.Step(r.now)
+	h.agent.Receive(h.now, from, []byte(response.String()))
+	h.agent.Step(h.now)
 }
 
-func (r *testHost) expectEvents(want ...string) {
-	r.Helper()
-	if got := strings.Join(r.policy.events, ", "); got != strings.Join(want, ", ") {
-		r.Errorf("the policy recorded %s, want %s", got, strings.Join(want, ", "))
+func (h *testHost) expectEvents(want ...string) {
+	h.Helper()
+	if got := strings.Join(h.policy.events, ", "); got != strings.Join(want, ", ") {
+		h.Errorf("the policy recorded %s, want %s", got, strings.Join(want, ", "))
 	}
 }
--- a/internal/protocol/siptransaction/layer_test.go
+++ b/internal/protocol/siptransaction/layer_test.go
@@ -15,24 +15,24 @@
 
 // testUser is one end of a lossy link and counts the events of its layer.
 type testUser struct {
-	l                               *Layer
+	layer                           *Layer
 	timers                          timerqueue.Queue
 	requests, cancels, acks, strays int
-	answer                          func(s *Server, req *sip.Request)
+	onRequest                       func(s *Server, req *sip.Request)
 }
 
-func (s *testUser) OnRequest(sv *Server, req *sip.Request) {
-	s.requests++
-	if s.answer != nil {
-		s.answer(sv, req)
+func (u *testUser) OnRequest(s *Server, req *sip.Request) {
+	u.requests++
+	if u.onRequest != nil {
+		u.onRequest(s, req)
 	}
 }
-func (s *testUser) OnCancel(sv *Server, req *sip.Request) {
-	s.cancels++
-	sv.Respond(Response(sv.Request(), 487, "Request Terminated", "t"))
+func (u *testUser) OnCancel(s *Server, req *sip.Request) {
+	u.cancels++
+	s.Respond(Response(s.Request(), 487, "Request Terminated", "t"))
 }
-func (s *testUser) OnAck(req *sip.Request)                        { s.acks++ }
-func (s *testUser) OnStrayResponse(*sip.Response, netip.AddrPort) { s.strays++ }
+func (u *testUser) OnAck(req *sip.Request)                        { u.acks++ }
+func (u *testUser) OnStrayResponse(*sip.Response, netip.AddrPort) { u.strays++ }
 
 type inFlight struct {
 	at   float64
@@ -46,31 +46,31 @@
 func TestLossyWire(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := 0.0
-		a, b := &testUser{}, &testUser{}
-		var wire []inFlight
+		uac, uas := &testUser{}, &testUser{}
+		var network []inFlight
 		loss := rapid.SampledFrom([]float64{0, 0.1, 0.4}).Draw(t, "loss")
-		n := &Generator{Seed: uint64(rapid.IntRange(0, 1<<30).Draw(t, "seed"))}
+		random := &Generator{Seed: uint64(rapid.IntRange(0, 1<<30).Draw(t, "seed"))}
 		send := func(from netip.AddrPort, to *testUser) func(netip.AddrPort, []byte) {
 			return func(_ netip.AddrPort, data []byte) {
-				for range 1 + int(n.Float64()*1.2) {
-					if n.Float64() >= loss {
-						wire = append(wire, inFlight{now + 1 + 30*n.Float64(), to, from, data})
+				for range 1 + int(random.Float64()*1.2) {
+					if random.Float64() >= loss {
+						network = append(network, inFlight{now + 1 + 30*random.Float64(), to, from, data})
 					}
 				}
 			}
 		}
-		a.l = NewLayer(clientAddr, Timers{100, 800, 500}, &Generator{Seed: 1}, &a.timers, a, send(clientAddr, b))
-		b.l = NewLayer(serverAddr, Timers{100, 800, 500}, &Generator{Seed: 2}, &b.timers, b, send(serverAddr, a))
+		uac.layer = NewLayer(clientAddr, Timers{100, 800, 500}, &Generator{Seed: 1}, &uac.timers, uac, send(clientAddr, uas))
+		uas.layer = NewLayer(serverAddr, Timers{100, 800, 500}, &Generator{Seed: 2}, &uas.timers, uas, send(serverAddr, uac))
 		method := rapid.SampledFrom([]sip.RequestMethod{sip.INVITE, sip.BYE}).Draw(t, "method")
 		code := rapid.SampledFrom([]int{200, 486, 503}).Draw(t, "code")
-		ring, cancel := rapid.Bool().Draw(t, "ring"), rapid.Bool().Draw(t, "cancel")
+		provisional, cancel := rapid.Bool().Draw(t, "ring"), rapid.Bool().Draw(t, "cancel")
 		var server *Server
-		b.answer = func(s *Server, req *sip.Request) {
+		uas.onRequest = func(s *Server, req *sip.Request) {
 			server = s
-			if ring && method == sip.INVITE {
+			if provisional && method == sip.INVITE {
 				s.Respond(Response(req, 180, "Ringing", "t"))
 			}
-			b.timers.Schedule(now+150, func() { s.Respond(Response(req, code, "X", "t")) })
+			uas.timers.Schedule(now+150, func() { s.Respond(Response(req, code, "X", "t")) })
 		}
 		var finals []int
 		timedOut := false
@@ -80,8 +80,8 @@
 		req.AppendHeader(&sip.ToHeader{Address: req.Recipient})
 		req.AppendHeader(&id)
 		req.AppendHeader(&sip.CSeqHeader{SeqNo: 1, MethodName: method})
-		var c *Client
-		c = a.l.Send(req, serverAddr, overloadParams(), func(res *sip.Response) {
+		var tx *Client
+		tx = uac.layer.Send(req, serverAddr, overloadParams(), func(res *sip.Response) {
 			switch {
 			case res == nil:
 				timedOut = true
@@ -91,27 +91,27 @@
 					server.Acknowledge() // as the ACK, which no transaction carries, would
 				}
 			case cancel:
-				c.Cancel()
+				tx.Cancel()
 			}
 		})
 		for ; now < 45000; now++ {
-			var rest []inFlight
-			due := wire
-			wire = nil
+			var later []inFlight
+			due := network
+			network = nil
 			for _, f := range due {
 				if f.at <= now {
-					f.to.l.Receive(now, f.from, f.data)
+					f.to.layer.Receive(now, f.from, f.data)
 				} else {
-					rest = append(rest, f)
+					later = append(later, f)
 				}
 			}
-			wire = append(rest, wire...)
-			a.l.Now, b.l.Now = now, now
-			a.timers.Run(now)
-			b.timers.Run(now)
+			network = append(later, network...)
+			uac.layer.Now, uas.layer.Now = now, now
+			uac.timers.Run(now)
+			uas.timers.Run(now)
 		}
-		if b.requests > 1 || b.cancels > 1 {
-			t.Fatalf("%d requests, %d cancels", b.requests, b.cancels)
+		if uas.requests > 1 || uas.cancels > 1 {
+			t.Fatalf("%d requests, %d cancels", uas.requests, uas.cancels)
 		}
 		for _, f := range finals {
 			if f != finals[0] {
@@ -124,11 +124,11 @@
 		if (method != sip.INVITE || len(finals) > 0 && finals[0] >= 300) && len(finals) > 1 {
 			t.Fatalf("several final answers %v", finals)
 		}
-		if ac, as := a.l.OpenCounts(); ac+as != 0 {
-			t.Fatalf("the client still holds %d transactions", ac+as)
+		if clients, servers := uac.layer.OpenCounts(); clients+servers != 0 {
+			t.Fatalf("the client still holds %d transactions", clients+servers)
 		}
-		if bc, bs := b.l.OpenCounts(); bc+bs != 0 {
-			t.Fatalf("the server still holds %d transactions", bc+bs)
+		if clients, servers := uas.layer.OpenCounts(); clients+servers != 0 {
+			t.Fatalf("the server still holds %d transactions", clients+servers)
 		}
 	})
 }
