--- a/internal/protocol/b2bua/agent_test.go
+++ b/internal/protocol/b2bua/agent_test.go
@@ -210,7 +210,7 @@
 		res := host.expectSent(caller, "SIP/2.0 503").(*sip.Response)
 		retryAfter := siptransaction.HeaderValue(res, siptransaction.RetryAfter)
 		if siptransaction.ParseRetryAfter(retryAfter) != 300 {
-			t.Errorf("caller told to wait %q", siptransaction.HeaderValue(res, siptransaction.RetryAfter))
+			t.Errorf("Retry-After %q to the caller", siptransaction.HeaderValue(res, siptransaction.RetryAfter))
 		}
 	}
 }
@@ -257,7 +257,7 @@
 	)
 	bye := host.expectSent(caller, "BYE").(*sip.Request)
 	if !strings.Contains(siptransaction.HeaderValue(bye, siptransaction.Reason), "cause=41") {
-		t.Errorf("reason %q to the caller", siptransaction.HeaderValue(bye, siptransaction.Reason))
+		t.Errorf("Reason %q to the caller", siptransaction.HeaderValue(bye, siptransaction.Reason))
 	}
 	host.expectEvents("answered", "ended 0 closed true wait 0", "answered", "ended 5 closed true wait 0")
 	host.receive(caller, callerRequest("BYE", "8a", ";tag=nobody"))
--- a/internal/protocol/b2bua/testhost_test.go
+++ b/internal/protocol/b2bua/testhost_test.go
@@ -13,7 +13,7 @@
 	"cobaltpier/internal/routing"
 )
 
-// scriptedPolicy is a routing policy whose decisions a test sets; it records what it is told.
+// scriptedPolicy is a routing policy whose decisions a test sets; it records the events that it receives.
 type scriptedPolicy struct {
 	host         routing.Host
 	endpoints    []*routing.Endpoint
--- a/internal/protocol/siptransaction/layer_test.go
+++ b/internal/protocol/siptransaction/layer_test.go
@@ -88,7 +88,7 @@
 			case res.StatusCode >= 200:
 				finals = append(finals, res.StatusCode)
 				if res.StatusCode < 300 && method == sip.INVITE {
-					server.Acknowledge() // as the ACK, which no transaction carries, would
+					server.Acknowledge() // stands in for the ACK of a 2xx, which belongs to no transaction
 				}
 			case cancel:
 				tx.Cancel()
@@ -115,14 +115,14 @@
 		}
 		for _, f := range finals {
 			if f != finals[0] {
-				t.Fatalf("final answers %v", finals)
+				t.Fatalf("different final responses %v", finals)
 			}
 		}
 		if len(finals) == 0 && !timedOut || len(finals) > 0 && timedOut {
-			t.Fatalf("final answers %v, timed out %v", finals, timedOut)
+			t.Fatalf("final responses %v, timed out %v", finals, timedOut)
 		}
 		if (method != sip.INVITE || len(finals) > 0 && finals[0] >= 300) && len(finals) > 1 {
-			t.Fatalf("several final answers %v", finals)
+			t.Fatalf("several final responses %v", finals)
 		}
 		if clients, servers := uac.layer.OpenCounts(); clients+servers != 0 {
 			t.Fatalf("the client still holds %d transactions", clients+servers)
