--- a/internal/decision/enum/enum.go
+++ b/internal/decision/enum/enum.go
@@ -91,7 +91,7 @@
 			strings.Compare(a.Replacement, b.Replacement),
 		)
 	})
-	found := ErrNoRule
+	failure := ErrNoRule
 	for _, r := range rules {
 		switch strings.ToLower(r.Flags) {
 		case "u":
@@ -103,7 +103,7 @@
 				return Result{URI: uri}, nil
 			}
 			if errors.Is(err, ErrInvalid) {
-				found = err
+				failure = err
 			}
 		case "": // non-terminal, without a service: a replacement, or an expression that results in a domain
 			next := r.Replacement
@@ -111,21 +111,21 @@
 				var err error
 				if next, err = substitute(number, r.Regexp); err != nil {
 					if errors.Is(err, ErrInvalid) {
-						found = err
+						failure = err
 					}
 					continue
 				}
 			}
 			if next = strings.TrimSuffix(next, "."); next == "" || len(next) > 253 {
-				found = fmt.Errorf("%w: non-terminal rule without a valid domain", ErrInvalid)
+				failure = fmt.Errorf("%w: non-terminal rule without a valid domain", ErrInvalid)
 				continue
 			}
 			return Result{Next: strings.ToLower(next) + "."}, nil
 		default:
-			found = fmt.Errorf("%w: flags %q", ErrInvalid, r.Flags)
+			failure = fmt.Errorf("%w: flags %q", ErrInvalid, r.Flags)
 		}
 	}
-	return Result{}, found
+	return Result{}, failure
 }
 
 // Serves reports whether a service field "E2U+type:subtype+..." (RFC 6116 3.4.3) has one of the given enumservices.
@@ -148,11 +148,11 @@
 	if len(field) < 3 || len(field) > maxRegexpLength {
 		return "", fmt.Errorf("%w: regexp of %d octets", ErrInvalid, len(field))
 	}
-	d := field[0]
-	if d >= '0' && d <= '9' || d == '\\' || d == 'i' || d > 126 {
-		return "", fmt.Errorf("%w: delimiter %q", ErrInvalid, d)
+	delimiter := field[0]
+	if delimiter >= '0' && delimiter <= '9' || delimiter == '\\' || delimiter == 'i' || delimiter > 126 {
+		return "", fmt.Errorf("%w: delimiter %q", ErrInvalid, delimiter)
 	}
-	parts := split(field[1:], d)
+	parts := split(field[1:], delimiter)
 	if len(parts) != 3 || parts[2] != "" && parts[2] != "i" {
 		return "", fmt.Errorf("%w: regexp %q: want three delimiters", ErrInvalid, field)
 	}
@@ -190,17 +190,17 @@
 }
 
 // split splits at unescaped delimiters; an escaped delimiter loses its backslash.
-func split(s string, d byte) []string {
+func split(s string, delimiter byte) []string {
 	parts, cur := []string{}, []byte{}
 	for i := 0; i < len(s); i++ {
 		switch {
-		case s[i] == '\\' && i+1 < len(s) && s[i+1] == d:
+		case s[i] == '\\' && i+1 < len(s) && s[i+1] == delimiter:
 			i++
-			cur = append(cur, d)
+			cur = append(cur, delimiter)
 		case s[i] == '\\' && i+1 < len(s):
 			cur = append(cur, s[i], s[i+1])
 			i++
-		case s[i] == d:
+		case s[i] == delimiter:
 			parts, cur = append(parts, string(cur)), []byte{}
 		default:
 			cur = append(cur, s[i])
--- a/internal/protocol/b2bua/enquiry.go
+++ b/internal/protocol/b2bua/enquiry.go
@@ -23,7 +23,7 @@
 type enquiry struct {
 	*session
 	attempt *routing.Attempt
-	done    func(now float64, n EnquiryResult)
+	done    func(now float64, result EnquiryResult)
 }
 
 // StartEnquiry asks which endpoint a call to this number, as dialled, and of this class would be sent to now. done is
@@ -33,7 +33,7 @@
 	now float64,
 	number, className string,
 	timeout float64,
-	done func(now float64, n EnquiryResult),
+	done func(now float64, result EnquiryResult),
 ) (stop func()) {
 	a.Now, a.sip.Now = now, now
 	class := a.Classes[className]
--- a/internal/protocol/b2bua/numberanalysis.go
+++ b/internal/protocol/b2bua/numberanalysis.go
@@ -103,13 +103,13 @@
 
 // onAnalysisEnd handles the outcome of an analysis that needed a look-up: it passes the call to the policy or answers
 // it.
-func (s *session) onAnalysisEnd(o numberplan.Outcome) {
+func (s *session) onAnalysisEnd(outcome numberplan.Outcome) {
 	a := s.agent
 	switch {
-	case o.Refusal != nil:
+	case outcome.Refusal != nil:
 		a.Counts.Unrouted++
-		s.respond(o.Refusal.Code, reasonPhrase(o.Refusal.Why))
-	case o.Route == nil || !s.applyRoute(o.Route):
+		s.respond(outcome.Refusal.Code, reasonPhrase(outcome.Refusal.Why))
+	case outcome.Route == nil || !s.applyRoute(outcome.Route):
 		a.Fail(s.Call)
 	default:
 		s.Destination = a.Endpoints.ByDestination(s.DestinationID)
@@ -152,19 +152,19 @@
 
 // releaseTable drops the call's reference to its number table and cancels a pending look-up.
 func (s *session) releaseTable() {
-	r := &s.number
-	if r.cancelLookup != nil {
-		r.cancelLookup()
-		r.cancelLookup = nil
+	number := &s.number
+	if number.cancelLookup != nil {
+		number.cancelLookup()
+		number.cancelLookup = nil
 	}
-	if r.analysis == nil {
+	if number.analysis == nil {
 		return
 	}
-	t := r.analysis.Table
+	t := number.analysis.Table
 	if s.agent.tables[t]--; s.agent.tables[t] == 0 {
 		delete(s.agent.tables, t)
 	}
-	r.analysis = nil
+	number.analysis = nil
 }
 
 // reasonPhrase turns a text of a table into a reason phrase (RFC 3261 7.2): one line of at most 200 bytes.
--- a/internal/protocol/dnsclient/client.go
+++ b/internal/protocol/dnsclient/client.go
@@ -257,7 +257,7 @@
 // sendQuery sends a look-up's next query. It returns false if no server may be queried now.
 func (c *Client) sendQuery(l *lookup) bool {
 	random := c.draw()
-	server, wait := c.health.Choose(c.now, l.triedServers, float64(random>>11)/(1<<53))
+	server, timeout := c.health.Choose(c.now, l.triedServers, float64(random>>11)/(1<<53))
 	if server < 0 {
 		return false
 	}
@@ -283,7 +283,7 @@
 	l.queries = append(l.queries, q)
 	c.Counts.Sent++
 	c.transport.Query(q.key.port, q.key.from, data)
-	q.timer = c.timers.Schedule(c.now+wait, func() {
+	q.timer = c.timers.Schedule(c.now+timeout, func() {
 		c.health.OnTimeout(server, c.now, q.sentAt)
 		c.retry(l)
 	})
--- a/internal/protocol/dnsclient/health.go
+++ b/internal/protocol/dnsclient/health.go
@@ -46,7 +46,7 @@
 // Choose selects a server for the next query of a look-up that has already queried the servers in tried, and the
 // timeout of that query; -1: no server may be queried now. A server that is down gets a single query when its back-off
 // is over, and no other until that one has ended.
-func (h *Health) Choose(now float64, tried []int, draw float64) (server int, wait float64) {
+func (h *Health) Choose(now float64, tried []int, draw float64) (server int, timeout float64) {
 	best, cost := -1, math.Inf(1)
 	var up []int
 	for i := range h.servers {
@@ -89,7 +89,7 @@
 
 // chooseAllDown selects a server while none is up: the one that was queried least recently, if that was at least
 // allDownRetry ago.
-func (h *Health) chooseAllDown(now float64, tries int) (server int, wait float64) {
+func (h *Health) chooseAllDown(now float64, tries int) (server int, timeout float64) {
 	best := -1
 	for i := range h.servers {
 		s := &h.servers[i]
@@ -113,24 +113,24 @@
 	return part*float64(n) < 1
 }
 
-// timeout returns the time to wait for a response, doubled for each earlier query of the look-up to this server.
-func (h *Health) timeout(i, again int) float64 {
+// timeout returns the timeout of a query, doubled for each earlier query of the same look-up to this server.
+func (h *Health) timeout(i, earlier int) float64 {
 	s := &h.servers[i]
 	w := initialTimeout
 	if s.rtt > 0 {
 		w = s.rtt + 4*s.dev
 	}
-	return math.Min(maxTimeout, math.Max(minTimeout, w)*float64(int(1)<<min(again, 6)))
+	return math.Min(maxTimeout, math.Max(minTimeout, w)*float64(int(1)<<min(earlier, 6)))
 }
 
 // OnResponse records a response and its response time: the server is up.
-func (h *Health) OnResponse(i int, now, took float64) {
+func (h *Health) OnResponse(i int, now, responseTime float64) {
 	s := &h.servers[i]
 	if s.rtt == 0 {
-		s.rtt, s.dev = took, took/2
+		s.rtt, s.dev = responseTime, responseTime/2
 	} else {
-		s.dev = 0.75*s.dev + 0.25*math.Abs(took-s.rtt)
-		s.rtt = 0.875*s.rtt + 0.125*took
+		s.dev = 0.75*s.dev + 0.25*math.Abs(responseTime-s.rtt)
+		s.rtt = 0.875*s.rtt + 0.125*responseTime
 	}
 	s.lastResponse, s.misses, s.downTime, s.probeUntil, s.down = now, 0, 0, 0, false
 	if s.lameCount < downAfterMisses {
@@ -140,13 +140,13 @@
 
 // OnTimeout records that a query sent at the given time timed out. A query sent before the latest response is ignored,
 // as it says nothing about the current state of the server.
-func (h *Health) OnTimeout(i int, now, at float64) {
+func (h *Health) OnTimeout(i int, now, sentAt float64) {
 	s := &h.servers[i]
-	if at < s.lastResponse {
+	if sentAt < s.lastResponse {
 		return
 	}
 	if s.misses == 0 {
-		s.firstMissSent = at
+		s.firstMissSent = sentAt
 	}
 	s.misses++
 	if s.misses >= downAfterMisses && now-s.firstMissSent >= downAfterSilence && now >= s.avoidUntil {
--- a/internal/protocol/enumserver/server.go
+++ b/internal/protocol/enumserver/server.go
@@ -23,8 +23,8 @@
 	StartEnquiry(
 		now float64,
 		number, skill string,
-		patience float64,
-		done func(now float64, n b2bua.EnquiryResult),
+		timeout float64,
+		done func(now float64, result b2bua.EnquiryResult),
 	) (stop func())
 }
 
@@ -103,14 +103,14 @@
 
 // dropExpired removes expired answers, and the oldest ones above the limit Keep.
 func (s *Server) dropExpired() {
-	n := 0
-	for n < len(s.remembered) && (s.now >= s.remembered[n].expires || len(s.remembered)-n > s.cfg.Keep) {
-		if k := s.remembered[n]; s.open[k.key] == k.query {
-			delete(s.open, k.key)
+	dropped := 0
+	for dropped < len(s.remembered) && (s.now >= s.remembered[dropped].expires || len(s.remembered)-dropped > s.cfg.Keep) {
+		if oldest := s.remembered[dropped]; s.open[oldest.key] == oldest.query {
+			delete(s.open, oldest.key)
 		}
-		n++
+		dropped++
 	}
-	s.remembered = s.remembered[n:]
+	s.remembered = s.remembered[dropped:]
 }
 
 // OpenCount returns the number of queries held, pending or kept for repeats.
@@ -173,19 +173,19 @@
 
 // onQuery answers a query, or starts an enquiry for its number.
 func (s *Server) onQuery(from netip.AddrPort, r replyTo) {
-	q := r.msg.Question[0]
-	name := strings.ToLower(q.Name)
+	question := r.msg.Question[0]
+	name := strings.ToLower(question.Name)
 	switch {
 	case r.msg.Opcode != dns.OpcodeQuery:
 		s.respondCode(r, dns.RcodeNotImplemented)
 		return
-	case q.Qclass != dns.ClassINET || !dns.IsSubDomain(s.cfg.Apex, name):
+	case question.Qclass != dns.ClassINET || !dns.IsSubDomain(s.cfg.Apex, name):
 		s.Counts.Refused++
 		s.respondCode(r, dns.RcodeRefused)
 		return
 	}
 	number, err := enum.Number(name, s.cfg.Apex)
-	if name == s.cfg.Apex || err == nil && q.Qtype != dns.TypeNAPTR {
+	if name == s.cfg.Apex || err == nil && question.Qtype != dns.TypeNAPTR {
 		s.respondEmpty(r, dns.RcodeSuccess)
 		return
 	}
@@ -193,59 +193,59 @@
 		s.respondEmpty(r, dns.RcodeNameError)
 		return
 	}
-	k := queryKey{from, r.msg.Id, name}
-	if x := s.open[k]; x != nil {
+	key := queryKey{from, r.msg.Id, name}
+	if query := s.open[key]; query != nil {
 		s.Counts.Repeats++
 		switch {
-		case x.result == nil: // repeats share the enquiry
-			if len(x.replies) < maxReplies {
-				x.replies = append(x.replies, r)
+		case query.result == nil: // repeats share the enquiry
+			if len(query.replies) < maxReplies {
+				query.replies = append(query.replies, r)
 			}
 			return
-		case x.result.Code != 200 || x.result.Valid():
-			s.answer(r, x.result)
+		case query.result.Code != 200 || query.result.Valid():
+			s.answer(r, query.result)
 			return
 		}
-		delete(s.open, k) // the endpoint is draining or gone: select again
+		delete(s.open, key) // the endpoint is draining or gone: select again
 	}
 	if s.pending >= s.cfg.MaxPending {
 		s.Counts.Failed++
 		s.respondCode(r, dns.RcodeServerFailure)
 		return
 	}
-	x := &pendingQuery{replies: []replyTo{r}}
-	s.open[k] = x
+	query := &pendingQuery{replies: []replyTo{r}}
+	s.open[key] = query
 	s.pending++
 	stop := s.enquirer.StartEnquiry(s.now, "+"+number, s.cfg.Class, s.cfg.Patience, func(
 		now float64,
-		n b2bua.EnquiryResult,
+		result b2bua.EnquiryResult,
 	) {
 		s.now = now
 		s.pending--
-		x.result, x.stop = &n, nil
-		for _, r := range x.replies {
-			s.answer(r, &n)
+		query.result, query.stop = &result, nil
+		for _, r := range query.replies {
+			s.answer(r, &result)
 		}
-		x.replies = nil
-		s.remembered = append(s.remembered, rememberedQuery{k, x, now + s.cfg.Repeat})
+		query.replies = nil
+		s.remembered = append(s.remembered, rememberedQuery{key, query, now + s.cfg.Repeat})
 	})
-	if x.result == nil {
-		x.stop = stop
+	if query.result == nil {
+		query.stop = stop
 	}
 }
 
 // Close stops all pending enquiries and answers their queries with an error.
 func (s *Server) Close(now float64) {
 	s.now = now
-	for _, k := range slices.SortedFunc(maps.Keys(s.open), queryKey.compare) {
-		x := s.open[k]
-		if x.stop != nil {
-			x.stop()
-			for _, r := range x.replies {
+	for _, key := range slices.SortedFunc(maps.Keys(s.open), queryKey.compare) {
+		query := s.open[key]
+		if query.stop != nil {
+			query.stop()
+			for _, r := range query.replies {
 				s.respondCode(r, dns.RcodeServerFailure)
 			}
 		}
-		delete(s.open, k)
+		delete(s.open, key)
 	}
 	s.remembered, s.pending = nil, 0
 }
@@ -255,11 +255,12 @@
 }
 
 // answer sends the result of an enquiry. A SIP URI names endpoint and trunk group (RFC 6116 3.4, RFC 3764, RFC 4904).
-func (s *Server) answer(r replyTo, n *b2bua.EnquiryResult) {
-	switch n.Code {
+func (s *Server) answer(r replyTo, result *b2bua.EnquiryResult) {
+	switch result.Code {
 	case 200:
 		s.Counts.Named++
-		uri := fmt.Sprintf("sip:%s%s;tgrp=%s;trunk-context=%s@%s", n.Number, n.Params, n.Group, s.cfg.Context, n.Addr)
+		uri := fmt.Sprintf("sip:%s%s;tgrp=%s;trunk-context=%s@%s",
+			result.Number, result.Params, result.Group, s.cfg.Context, result.Addr)
 		out := s.newResponse(r)
 		out.Authoritative = true
 		out.Answer = []dns.RR{
@@ -286,9 +287,9 @@
 		out := s.newResponse(r)
 		out.Rcode = dns.RcodeServerFailure
 		if o := out.IsEdns0(); o != nil {
-			text := n.Reason
-			if n.RetryAfter > 0 {
-				text += fmt.Sprintf("; retry after %.0f ms", n.RetryAfter)
+			text := result.Reason
+			if result.RetryAfter > 0 {
+				text += fmt.Sprintf("; retry after %.0f ms", result.RetryAfter)
 			}
 			o.Option = append(o.Option, &dns.EDNS0_EDE{InfoCode: dns.ExtendedErrorCodeNotReady, ExtraText: text})
 		}
--- a/internal/protocol/enumserver/server_test.go
+++ b/internal/protocol/enumserver/server_test.go
@@ -23,7 +23,7 @@
 func (e *fakeEnquirer) StartEnquiry(
 	now float64,
 	number, skill string,
-	patience float64,
+	timeout float64,
 	done func(float64, b2bua.EnquiryResult),
 ) func() {
 	e.enquiries = append(e.enquiries, number+" "+skill)
--- a/internal/protocol/siptransaction/client.go
+++ b/internal/protocol/siptransaction/client.go
@@ -33,10 +33,10 @@
 func (l *Layer) Send(req *sip.Request, to netip.AddrPort, via sip.HeaderParams,
 	onResponse func(*sip.Response)) *Client {
 	branch := "z9hG4bK" + l.Generator.Next()
-	p := via.Clone()
-	p.Add("branch", branch)
+	params := via.Clone()
+	params.Add("branch", branch)
 	req.PrependHeader(&sip.ViaHeader{ProtocolName: "SIP", ProtocolVersion: "2.0", Transport: "UDP",
-		Host: l.Address.Addr().String(), Port: int(l.Address.Port()), Params: p})
+		Host: l.Address.Addr().String(), Port: int(l.Address.Port()), Params: params})
 	c := &Client{layer: l, key: string(req.Method) + branch, request: req, to: to, data: l.encode(req),
 		interval: l.Times.T1, onResponse: onResponse}
 	l.clients[c.key] = c
@@ -81,24 +81,24 @@
 		return c.cancelSent
 	}
 	c.cancelSent = true
-	l, r := c.layer, sip.NewRequest(sip.CANCEL, c.request.Recipient)
-	r.AppendHeader(c.request.Via())
-	r.AppendHeader(c.request.From())
-	r.AppendHeader(c.request.To())
-	r.AppendHeader(c.request.CallID())
-	r.AppendHeader(&sip.CSeqHeader{SeqNo: c.request.CSeq().SeqNo, MethodName: sip.CANCEL})
-	r.AppendHeader(sip.NewHeader("Max-Forwards", "70"))
+	l, req := c.layer, sip.NewRequest(sip.CANCEL, c.request.Recipient)
+	req.AppendHeader(c.request.Via())
+	req.AppendHeader(c.request.From())
+	req.AppendHeader(c.request.To())
+	req.AppendHeader(c.request.CallID())
+	req.AppendHeader(&sip.CSeqHeader{SeqNo: c.request.CSeq().SeqNo, MethodName: sip.CANCEL})
+	req.AppendHeader(sip.NewHeader("Max-Forwards", "70"))
 	if s := c.request.GetHeader(SessionID); s != nil {
-		r.AppendHeader(s)
+		req.AppendHeader(s)
 	}
 	branch, _ := c.request.Via().Params.Get("branch")
-	k := &Client{layer: l, key: "CANCEL" + branch, request: r, to: c.to, data: l.encode(r), interval: l.Times.T1,
+	cancel := &Client{layer: l, key: "CANCEL" + branch, request: req, to: c.to, data: l.encode(req), interval: l.Times.T1,
 		onResponse: func(*sip.Response) {}}
-	l.clients[k.key] = k
-	l.send(k.to, k.data)
-	k.dueAt = l.Now + k.interval
-	k.timer = l.Timers.Schedule(k.dueAt, k.retransmit)
-	k.expiry = l.Timers.Schedule(l.Now+64*l.Times.T1, k.discard)
+	l.clients[cancel.key] = cancel
+	l.send(cancel.to, cancel.data)
+	cancel.dueAt = l.Now + cancel.interval
+	cancel.timer = l.Timers.Schedule(cancel.dueAt, cancel.retransmit)
+	cancel.expiry = l.Timers.Schedule(l.Now+64*l.Times.T1, cancel.discard)
 	l.Timers.Cancel(c.expiry) // RFC 3261 9.1: no response is expected later than 64 T1 after the CANCEL
 	c.expiry = l.Timers.Schedule(l.Now+64*l.Times.T1, func() {
 		c.discard()
@@ -169,14 +169,14 @@
 
 // ackFor encodes the ACK of a final response other than 2xx (RFC 3261 17.1.1.3).
 func (c *Client) ackFor(res *sip.Response) []byte {
-	r := sip.NewRequest(sip.ACK, c.request.Recipient)
-	r.AppendHeader(c.request.Via())
-	r.AppendHeader(c.request.From())
-	r.AppendHeader(res.To())
-	r.AppendHeader(c.request.CallID())
-	r.AppendHeader(&sip.CSeqHeader{SeqNo: c.request.CSeq().SeqNo, MethodName: sip.ACK})
-	r.AppendHeader(sip.NewHeader("Max-Forwards", "70"))
-	return c.layer.encode(r)
+	req := sip.NewRequest(sip.ACK, c.request.Recipient)
+	req.AppendHeader(c.request.Via())
+	req.AppendHeader(c.request.From())
+	req.AppendHeader(res.To())
+	req.AppendHeader(c.request.CallID())
+	req.AppendHeader(&sip.CSeqHeader{SeqNo: c.request.CSeq().SeqNo, MethodName: sip.ACK})
+	req.AppendHeader(sip.NewHeader("Max-Forwards", "70"))
+	return c.layer.encode(req)
 }
 
 // Discard removes a transaction that its user no longer needs.
--- a/internal/protocol/siptransaction/layer.go
+++ b/internal/protocol/siptransaction/layer.go
@@ -105,10 +105,10 @@
 }
 
 // NewLayer returns a layer for a local address that sends datagrams through out.
-func NewLayer(self netip.AddrPort, t Timers, names *Generator, timers *timerqueue.Queue, user User,
-	out func(netip.AddrPort, []byte)) *Layer {
-	return &Layer{Parse: Parse, Address: self, Generator: names, Timers: timers, Times: t, user: user, send: out,
-		clients: map[string]*Client{}, servers: map[string]*Server{}, merged: map[string]*Server{}}
+func NewLayer(address netip.AddrPort, times Timers, generator *Generator, timers *timerqueue.Queue, user User,
+	send func(netip.AddrPort, []byte)) *Layer {
+	return &Layer{Parse: Parse, Address: address, Generator: generator, Timers: timers, Times: times, user: user,
+		send: send, clients: map[string]*Client{}, servers: map[string]*Server{}, merged: map[string]*Server{}}
 }
 
 // OpenCounts returns the number of open client and server transactions.
@@ -156,20 +156,20 @@
 		return
 	}
 	s := &Server{layer: l, key: key, request: m, to: responseAddress(from, m.Via())}
-	if code, was := l.ended.known(l.Now, 64*l.Times.T1, key); was {
+	if code, ended := l.ended.known(l.Now, 64*l.Times.T1, key); ended {
 		if code != 0 {
 			l.send(s.to, l.encode(Response(m, code, "OK", l.Generator.Next())))
 		}
 		return
 	}
 	if m.Method == sip.INVITE && Tag(m.To().Params) == "" {
-		once := string(*m.CallID()) + "|" + Tag(m.From().Params) + "|" + strconv.Itoa(int(m.CSeq().SeqNo))
-		if l.merged[once] != nil {
+		mergeKey := string(*m.CallID()) + "|" + Tag(m.From().Params) + "|" + strconv.Itoa(int(m.CSeq().SeqNo))
+		if l.merged[mergeKey] != nil {
 			l.servers[key] = s
 			s.Respond(Response(m, 482, "Loop Detected", l.Generator.Next()))
 			return
 		}
-		l.merged[once], s.mergeKey = s, once
+		l.merged[mergeKey], s.mergeKey = s, mergeKey
 	}
 	l.servers[key] = s
 	l.user.OnRequest(s, m)
@@ -181,7 +181,7 @@
 		return
 	}
 	s := &Server{layer: l, key: "CANCEL" + key, request: m, to: responseAddress(from, m.Via())}
-	if _, was := l.ended.known(l.Now, 64*l.Times.T1, s.key); was {
+	if _, ended := l.ended.known(l.Now, 64*l.Times.T1, s.key); ended {
 		l.send(s.to, l.encode(Response(m, 200, "OK", l.Generator.Next())))
 		return
 	}
--- a/internal/protocol/siptransaction/message.go
+++ b/internal/protocol/siptransaction/message.go
@@ -31,15 +31,15 @@
 }
 
 // Next returns a string that this generator has not returned before.
-func (s *Generator) Next() string {
-	s.counter++
-	return strconv.FormatUint(detrand.Hash(s.Seed, s.counter), 36)
+func (g *Generator) Next() string {
+	g.counter++
+	return strconv.FormatUint(detrand.Hash(g.Seed, g.counter), 36)
 }
 
 // Float64 returns a number from 0 to 1 from the same sequence.
-func (s *Generator) Float64() float64 {
-	s.counter++
-	return detrand.Float64(s.Seed, s.counter)
+func (g *Generator) Float64() float64 {
+	g.counter++
+	return detrand.Float64(g.Seed, g.counter)
 }
 
 // Parse parses a datagram. It returns an error if a mandatory header field is missing (RFC 3261 8.1.1) or the library
@@ -213,7 +213,7 @@
 func FormatSessionID(id string) string { return id + ";remote=" + nilSessionID }
 
 // NewSessionID makes a session ID: 32 lower-case hex digits (RFC 7989 4.1).
-func NewSessionID(n *Generator) string {
-	a, b := n.Float64(), n.Float64()
+func NewSessionID(g *Generator) string {
+	a, b := g.Float64(), g.Float64()
 	return fmt.Sprintf("%016x%016x", uint64(a*(1<<53))|1<<63, uint64(b*(1<<53))|1<<62)
 }
