--- a/internal/protocol/b2bua/outboundleg.go
+++ b/internal/protocol/b2bua/outboundleg.go
@@ -246,9 +246,9 @@
 	l.call.agent.sip.Send(req, l.to, nil, func(*sip.Response) {})
 }
 
-// OnStrayResponse implements siptransaction.User: an endpoint answers a setup that is unknown here: it was sent
-// by an earlier process, or its dialog was released since. The answer is acknowledged and released, so that no circuit
-// stays in use, but only if it comes from the address of a listed endpoint.
+// OnStrayResponse implements siptransaction.User: an endpoint answers a setup that is unknown here, because an earlier
+// process sent it or its dialog was released since. The answer is acknowledged and released, so that no circuit stays
+// in use, but only if it comes from the address of a listed endpoint.
 func (a *Agent) OnStrayResponse(res *sip.Response, from netip.AddrPort) {
 	a.Now = a.sip.Now
 	known := false
--- a/internal/protocol/enumserver/server.go
+++ b/internal/protocol/enumserver/server.go
@@ -45,16 +45,16 @@
 
 // Counts are the counters of a server.
 type Counts struct {
-	Queries   uint64 `json:"queries"`
-	Named     uint64 `json:"named"` // queries answered with an endpoint
-	None      uint64 `json:"none"`  // queries for numbers without one
-	Failed    uint64 `json:"failed"`
-	Repeats   uint64 `json:"repeats"`
-	Refused   uint64 `json:"refused"` // queries refused by a limit
-	Slipped   uint64 `json:"slipped"` // queries over a limit that were answered as truncated
-	Dropped   uint64 `json:"dropped"` // queries over a limit that were not answered
-	Truncated uint64 `json:"truncated"`
-	Bad       uint64 `json:"bad"` // malformed messages
+	Queries   uint64 `json:"queries"`   // all messages received
+	Named     uint64 `json:"named"`     // responses that name an endpoint
+	None      uint64 `json:"none"`      // negative responses: no such name, or no record of the queried type
+	Failed    uint64 `json:"failed"`    // queries that failed, answered with SERVFAIL
+	Repeats   uint64 `json:"repeats"`   // queries that repeat an earlier one
+	Refused   uint64 `json:"refused"`   // queries refused by a limit, or for another zone or class
+	Slipped   uint64 `json:"slipped"`   // queries over a limit that were answered as truncated
+	Dropped   uint64 `json:"dropped"`   // queries over a limit that were not answered
+	Truncated uint64 `json:"truncated"` // responses truncated because of their size
+	Bad       uint64 `json:"bad"`       // malformed messages, responses, and messages without exactly one question
 }
 
 // Server answers ENUM queries. It is not safe for concurrent use.
@@ -101,7 +101,7 @@
 	return &Server{cfg: cfg, enquirer: enquirer, limits: newLimiter(cfg.Limits), open: map[queryKey]*pendingQuery{}}
 }
 
-// dropExpired removes expired answers, and the oldest ones above the limit Keep.
+// dropExpired drops expired answers, and the oldest ones above the limit Keep.
 func (s *Server) dropExpired() {
 	dropped := 0
 	for dropped < len(s.remembered) && (s.now >= s.remembered[dropped].expires || len(s.remembered)-dropped > s.cfg.Keep) {
