--- a/internal/protocol/b2bua/agent_test.go
+++ b/internal/protocol/b2bua/agent_test.go
@@ -84,19 +84,19 @@
 func TestCancelCrosses200(t *testing.T) {
 	host := newTestHost(t)
 	host.policy.onAttemptEnd = func(now float64, attempt *routing.Attempt) {
-		host.policy.host.ScheduleWakeup(now+1, attempt.Call)
+		host.policy.routingHost.ScheduleWakeup(now+1, attempt.Call)
 	}
 	host.policy.onWakeup = func(now float64, routed *routing.Call) {
 		if !routed.Finished && routed.InFlight == nil {
 			// before the retry hold-off is over: blocked
-			host.policy.host.StartAttempt(routed, host.policy.endpoints[1], routed.Deadline-now)
-			host.policy.host.ScheduleWakeup(now+100, routed)
+			host.policy.routingHost.StartAttempt(routed, host.policy.endpoints[1], routed.Deadline-now)
+			host.policy.routingHost.ScheduleWakeup(now+100, routed)
 		}
 	}
 	host.receive(caller, callerRequest("INVITE", "2a", ""))
 	invite := host.expectSent(switchA, "INVITE")
 	host.respond(switchA, invite, 180, "s", "")
-	host.policy.host.CancelAttempt(host.agent.dialogs[siptransaction.Tag(invite.From().Params)].leg.attempt)
+	host.policy.routingHost.CancelAttempt(host.agent.dialogs[siptransaction.Tag(invite.From().Params)].leg.attempt)
 	host.expectSent(switchA, "CANCEL")
 	host.advance(10)
 	if host.count(switchB, "INVITE") != 0 {
@@ -123,7 +123,7 @@
 	host := newTestHost(t)
 	host.policy.onAttemptEnd = func(_ float64, attempt *routing.Attempt) {
 		if !attempt.Call.Finished {
-			host.policy.host.Fail(attempt.Call)
+			host.policy.routingHost.Fail(attempt.Call)
 		}
 	}
 	host.receive(caller, callerRequest("INVITE", "3a", ""))
@@ -170,10 +170,10 @@
 func TestCallerCancelsInHoldOff(t *testing.T) {
 	host := newTestHost(t)
 	host.policy.onAttemptEnd = func(now float64, attempt *routing.Attempt) {
-		host.policy.host.ScheduleWakeup(now+500, attempt.Call)
+		host.policy.routingHost.ScheduleWakeup(now+500, attempt.Call)
 	}
 	host.policy.onWakeup = func(now float64, routed *routing.Call) {
-		host.policy.host.StartAttempt(routed, host.policy.endpoints[1], 100)
+		host.policy.routingHost.StartAttempt(routed, host.policy.endpoints[1], 100)
 	}
 	host.receive(caller, callerRequest("INVITE", "5a", ""))
 	invite := host.expectSent(switchA, "INVITE")
@@ -202,7 +202,9 @@
 		{302, "Contact: <sip:127.0.0.9>", "ended 1 closed false wait 0"},
 	} {
 		host := newTestHost(t)
-		host.policy.onAttemptEnd = func(_ float64, attempt *routing.Attempt) { host.policy.host.Reject(attempt.Call, 300) }
+		host.policy.onAttemptEnd = func(_ float64, attempt *routing.Attempt) {
+			host.policy.routingHost.Reject(attempt.Call, 300)
+		}
 		host.receive(caller, callerRequest("INVITE", fmt.Sprintf("%da", i+1), ""))
 		host.respond(switchA, host.expectSent(switchA, "INVITE"), c.code, "s", c.field)
 		host.expectSent(switchA, "ACK")
@@ -278,7 +280,7 @@
 // A gateway that stalls past a retransmission and the timeout sends the answer without a retransmission.
 func TestStallPastTimeout(t *testing.T) {
 	host := newTestHost(t)
-	host.policy.onAttemptEnd = func(_ float64, attempt *routing.Attempt) { host.policy.host.Fail(attempt.Call) }
+	host.policy.onAttemptEnd = func(_ float64, attempt *routing.Attempt) { host.policy.routingHost.Fail(attempt.Call) }
 	host.receive(caller, callerRequest("INVITE", "1d", ""))
 	host.advance(2000) // the next retransmission is due at 2800, the timeout at 9000
 	sent := host.count(switchA, "INVITE")
@@ -296,7 +298,7 @@
 	host := newTestHost(t)
 	host.policy.onAttemptEnd = func(_ float64, attempt *routing.Attempt) {
 		if !attempt.Call.Finished {
-			host.policy.host.Fail(attempt.Call)
+			host.policy.routingHost.Fail(attempt.Call)
 		}
 	}
 	host.advance(1000)
@@ -343,8 +345,8 @@
 	host.advance(9011)
 	host.expectSent(caller, "SIP/2.0 500")
 	host.policy.onCall = func(_ float64, routed *routing.Call) {
-		host.policy.host.Reject(routed, 0)
-		host.policy.host.Fail(routed)
+		host.policy.routingHost.Reject(routed, 0)
+		host.policy.routingHost.Fail(routed)
 	}
 	host.receive(caller, callerRequest("INVITE", "2b", ""))
 	host.expectSent(caller, "SIP/2.0 503")
--- a/internal/protocol/b2bua/enquiry_test.go
+++ b/internal/protocol/b2bua/enquiry_test.go
@@ -13,7 +13,7 @@
 func TestEnquiry(t *testing.T) {
 	host, lookup := newNumberTestHost(t)
 	host.policy.onCall = func(now float64, routed *routing.Call) {
-		host.policy.host.StartAttempt(routed, host.policy.endpoints[1], routed.Deadline-now)
+		host.policy.routingHost.StartAttempt(routed, host.policy.endpoints[1], routed.Deadline-now)
 	}
 	var results []EnquiryResult
 	host.agent.StartEnquiry(host.now, "14185550123", "shift-lookup", 2000,
@@ -54,9 +54,9 @@
 	var results []EnquiryResult
 	done := func(_ float64, r EnquiryResult) { results = append(results, r) }
 	host.policy.onCall = func(now float64, routed *routing.Call) {
-		host.policy.host.StartAttempt(routed, host.policy.endpoints[0], 100)
-		host.policy.host.StartAttempt(routed, host.policy.endpoints[1], 100)
-		host.policy.host.Reject(routed, 0)
+		host.policy.routingHost.StartAttempt(routed, host.policy.endpoints[0], 100)
+		host.policy.routingHost.StartAttempt(routed, host.policy.endpoints[1], 100)
+		host.policy.routingHost.Reject(routed, 0)
 	}
 	host.agent.StartEnquiry(host.now, "1", "shift-lookup", 2000, done)
 	host.advance(2)
@@ -66,7 +66,7 @@
 	results = nil
 	host.sendList(routing.Draining)
 	host.policy.onCall = func(now float64, routed *routing.Call) {
-		host.policy.host.StartAttempt(routed, host.policy.endpoints[0], 100)
+		host.policy.routingHost.StartAttempt(routed, host.policy.endpoints[0], 100)
 	}
 	host.agent.StartEnquiry(host.now, "1", "shift-lookup", 2000, done)
 	host.advance(1990)
--- a/internal/protocol/b2bua/numberanalysis_test.go
+++ b/internal/protocol/b2bua/numberanalysis_test.go
@@ -104,7 +104,7 @@
 	var passed *routing.Call
 	host.policy.onCall = func(now float64, routed *routing.Call) {
 		passed = routed
-		host.policy.host.StartAttempt(routed, host.policy.endpoints[1], routed.Deadline-now)
+		host.policy.routingHost.StartAttempt(routed, host.policy.endpoints[1], routed.Deadline-now)
 	}
 	host.receive(caller, callerRequest("INVITE", "a1", ""))
 	if len(lookup.numbers) != 1 || lookup.numbers[0] != "14185550123" || lookup.timeouts[0] != 400 || passed != nil {
@@ -181,7 +181,7 @@
 	var sent []string
 	host.policy.onCall = func(now float64, routed *routing.Call) {
 		sent = append(sent, routed.CalledNumber+routed.HostData.(*callcontrol.Session).SignalingLeg.(*call).number.params)
-		host.policy.host.Reject(routed, 0)
+		host.policy.routingHost.Reject(routed, 0)
 	}
 	for v := 1; v <= 4; v++ {
 		host.agent.SetTable(newTable(t, v))
@@ -212,7 +212,7 @@
 func TestOldTableIsFreed(t *testing.T) {
 	host, lookup := newNumberTestHost(t)
 	host.policy.onCall = func(now float64, routed *routing.Call) {
-		host.policy.host.StartAttempt(routed, host.policy.endpoints[1], routed.Deadline-now)
+		host.policy.routingHost.StartAttempt(routed, host.policy.endpoints[1], routed.Deadline-now)
 	}
 	old := func() weak.Pointer[numberplan.Table] {
 		table := newTable(t, 2)
@@ -272,7 +272,7 @@
 func TestDrainDuringLookup(t *testing.T) {
 	host, lookup := newNumberTestHost(t)
 	host.policy.onCall = func(now float64, routed *routing.Call) {
-		host.policy.host.StartAttempt(routed, host.policy.endpoints[0], routed.Deadline-now)
+		host.policy.routingHost.StartAttempt(routed, host.policy.endpoints[0], routed.Deadline-now)
 	}
 	host.receive(caller, callerRequest("INVITE", "a1", ""))
 	host.agent.StopAdmitting()
--- a/internal/protocol/b2bua/testhost_test.go
+++ b/internal/protocol/b2bua/testhost_test.go
@@ -15,7 +15,7 @@
 
 // scriptedPolicy is a routing policy whose decisions a test sets; it records the events that it receives.
 type scriptedPolicy struct {
-	host         routing.Host
+	routingHost  routing.Host
 	endpoints    []*routing.Endpoint
 	onCall       func(now float64, c *routing.Call)
 	onAttemptEnd func(now float64, attempt *routing.Attempt)
@@ -107,11 +107,14 @@
 			},
 			LoadShedding: loadshed.Gate{MaxPending: 100},
 		},
-		func(_ *routing.Settings, h routing.Host) routing.Policy { host.policy.host = h; return host.policy },
+		func(_ *routing.Settings, h routing.Host) routing.Policy {
+			host.policy.routingHost = h
+			return host.policy
+		},
 		host,
 	)
 	host.policy.onCall = func(now float64, routed *routing.Call) {
-		host.policy.host.StartAttempt(routed, host.policy.endpoints[0], routed.Deadline-now)
+		host.policy.routingHost.StartAttempt(routed, host.policy.endpoints[0], routed.Deadline-now)
 	}
 	host.sendList(routing.Ready)
 	return host
