--- a/internal/protocol/b2bua/agent.go
+++ b/internal/protocol/b2bua/agent.go
@@ -67,7 +67,7 @@
 	Table        *numberplan.Table
 	NumberLookup Lookup    // nil: look-ups are not available
 	LookupShare  float64   // share of a call's remaining timeout that a look-up may use
-	Epoch        time.Time // the wall clock when this agent's clock stood at 0, for times of day
+	Epoch        time.Time // the wall-clock time at which this agent's clock is 0, for times of day
 	// DisabledGuard turns off the enforcement of one rule, for tests of the conformance checker; 0: none.
 	DisabledGuard routing.Rule
 }
