--- a/internal/decision/enum/enum_test.go
+++ b/internal/decision/enum/enum_test.go
@@ -12,25 +12,25 @@
 // Numbers convert to domains and back; anything else is rejected.
 func TestDomain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.StringMatching(`[0-9]{1,40}`).Draw(t, "number")
-		d, err := Domain(n, "e164.arpa")
+		number := rapid.StringMatching(`[0-9]{1,40}`).Draw(t, "number")
+		domain, err := Domain(number, "e164.arpa")
 		if err != nil {
 			t.Fatal(err)
 		}
-		back, err := Number(strings.ToUpper(d), "E164.arpa.")
-		if err != nil || back != n {
-			t.Fatalf("%s: %s, back %q, %v", n, d, back, err)
+		back, err := Number(strings.ToUpper(domain), "E164.arpa.")
+		if err != nil || back != number {
+			t.Fatalf("%s: domain %s, converted back %q, %v", number, domain, back, err)
 		}
 	})
-	for _, n := range []string{"", "+1", "1a", strings.Repeat("1", 41)} {
-		if _, err := Domain(n, "e164.arpa"); err == nil {
-			t.Errorf("%q has a domain", n)
+	for _, number := range []string{"", "+1", "1a", strings.Repeat("1", 41)} {
+		if _, err := Domain(number, "e164.arpa"); err == nil {
+			t.Errorf("%q has a domain", number)
 		}
 	}
-	for _, d := range []string{"e164.arpa", "1.e164.org.", "12.e164.arpa.", "x.1.e164.arpa", ".e164.arpa",
+	for _, domain := range []string{"e164.arpa", "1.e164.org.", "12.e164.arpa.", "x.1.e164.arpa", ".e164.arpa",
 		strings.Repeat("1.", 41) + "e164.arpa"} {
-		if n, err := Number(d, "e164.arpa"); err == nil {
-			t.Errorf("%q is number %q", d, n)
+		if number, err := Number(domain, "e164.arpa"); err == nil {
+			t.Errorf("%q was converted to number %q", domain, number)
 		}
 	}
 }
@@ -61,18 +61,18 @@
 		{"unknown flag", []Rule{{1, 1, "q", "E2U+sip", "!^.*$!sip:a@x!", ""}}, Result{}, ErrInvalid},
 		{"no delimiter", []Rule{sip(1, 1, "!^.*$!sip:a")}, Result{}, ErrInvalid},
 		{"a digit as delimiter", []Rule{sip(1, 1, "1^.*$1sip:a1")}, Result{}, ErrInvalid},
-		{"no such group", []Rule{sip(1, 1, `!^.*$!sip:\1!`)}, Result{}, ErrInvalid},
+		{"reference to a missing group", []Rule{sip(1, 1, `!^.*$!sip:\1!`)}, Result{}, ErrInvalid},
 		{"bad expression", []Rule{sip(1, 1, `!^(.*$!sip:a!`)}, Result{}, ErrInvalid},
-		{"made to run for ever", []Rule{sip(1, 1, `!^((((.*)*)*)*)*x$!sip:a!`)}, Result{}, ErrNoRule},
-		{"made to take all memory", []Rule{sip(1, 1, `!^((.{1000}){1000}){1000}$!sip:a!`)}, Result{}, ErrInvalid},
-		{"counts in counts", []Rule{sip(1, 1, `!^(((((.{9}){9}){9}){9}){9})$!sip:a!`)}, Result{}, ErrInvalid},
-		{"a bad one does not hide a good one", []Rule{sip(1, 1, `!^(.*$!sip:a!`), sip(1, 2, "!^.*$!sip:b!")},
+		{"exponential backtracking", []Rule{sip(1, 1, `!^((((.*)*)*)*)*x$!sip:a!`)}, Result{}, ErrNoRule},
+		{"huge nested counts", []Rule{sip(1, 1, `!^((.{1000}){1000}){1000}$!sip:a!`)}, Result{}, ErrInvalid},
+		{"deeply nested counts", []Rule{sip(1, 1, `!^(((((.{9}){9}){9}){9}){9})$!sip:a!`)}, Result{}, ErrInvalid},
+		{"an invalid rule does not hide a valid one", []Rule{sip(1, 1, `!^(.*$!sip:a!`), sip(1, 2, "!^.*$!sip:b!")},
 			Result{URI: "sip:b"}, nil},
-		{"too many", slices.Repeat([]Rule{sip(1, 1, "!^.*$!sip:a@x!")}, MaxRules+1), Result{}, ErrInvalid},
-		{"as many as may be", slices.Repeat([]Rule{sip(1, 1, "!^.*$!sip:a@x!")}, MaxRules), Result{URI: "sip:a@x"}, nil},
-		{"the longest way to fit", []Rule{sip(1, 1, `!^\+1(4|41)!sip:\1@x!`)}, Result{URI: "sip:41@x"}, nil},
-		{"a domain too long", []Rule{{1, 1, "", "", "", strings.Repeat("a.", 130)}}, Result{}, ErrInvalid},
-		{"an expression too long", []Rule{sip(1, 1, "!^.*$!sip:"+strings.Repeat("a", 250)+"!")}, Result{}, ErrInvalid},
+		{"too many rules", slices.Repeat([]Rule{sip(1, 1, "!^.*$!sip:a@x!")}, MaxRules+1), Result{}, ErrInvalid},
+		{"MaxRules rules", slices.Repeat([]Rule{sip(1, 1, "!^.*$!sip:a@x!")}, MaxRules), Result{URI: "sip:a@x"}, nil},
+		{"leftmost-longest match", []Rule{sip(1, 1, `!^\+1(4|41)!sip:\1@x!`)}, Result{URI: "sip:41@x"}, nil},
+		{"domain too long", []Rule{{1, 1, "", "", "", strings.Repeat("a.", 130)}}, Result{}, ErrInvalid},
+		{"expression too long", []Rule{sip(1, 1, "!^.*$!sip:"+strings.Repeat("a", 250)+"!")}, Result{}, ErrInvalid},
 	} {
 		got, err := Apply(n, c.rules, "sip")
 		if got != c.want || !errors.Is(err, c.err) {
@@ -106,9 +106,9 @@
 		{"tel:alice", "", Ported{}, true},
 		{"sip:+1418@x", "", Ported{}, true},
 	} {
-		n, p, err := Tel(c.uri)
-		if (err != nil) != c.bad || !c.bad && (n != c.number || p != c.want) {
-			t.Errorf("%s: %s %+v, %v", c.uri, n, p, err)
+		number, ported, err := Tel(c.uri)
+		if (err != nil) != c.bad || !c.bad && (number != c.number || ported != c.want) {
+			t.Errorf("%s: %s %+v, %v", c.uri, number, ported, err)
 		}
 	}
 }
--- a/internal/protocol/portability/finder.go
+++ b/internal/protocol/portability/finder.go
@@ -18,7 +18,7 @@
 
 // Resolver looks up the rules of a domain; dnsclient.Client implements it.
 type Resolver interface {
-	Query(now float64, name string, within float64, done func(now float64, a dnsclient.Answer)) (stop func())
+	Query(now float64, name string, timeout float64, done func(now float64, a dnsclient.Answer)) (stop func())
 }
 
 // Finder looks up ported numbers.
@@ -34,16 +34,16 @@
 	Ported uint64 `json:"ported"`
 	Same   uint64 `json:"same"`   // numbers that were not ported
 	Silent uint64 `json:"silent"` // look-ups without an answer
-	Bad    uint64 `json:"bad"`    // invalid records
-	Stale  uint64 `json:"stale"`
+	Bad    uint64 `json:"bad"`    // look-ups ended by an invalid number, invalid rules, a loop or too many steps
+	Stale  uint64 `json:"stale"`  // stale answers used
 }
 
-// Resolve looks up a number, given as digits only. done is called once within the given time, possibly before Resolve
-// returns; stop cancels the look-up. Invalid rules count as no answer, for which the number table defines the action.
+// Resolve looks up a number, given as digits only. done is called once within timeout ms, possibly before Resolve
+// returns; stop cancels the look-up. Invalid rules count as no answer; the number table says what happens then.
 func (f *Finder) Resolve(
 	now float64,
 	digits string,
-	within float64,
+	timeout float64,
 	done func(now float64, found numberplan.Found),
 ) (stop func()) {
 	name, err := enum.Domain(digits, f.Apex)
@@ -52,7 +52,7 @@
 		done(now, numberplan.Found{Answer: numberplan.Silent})
 		return func() {}
 	}
-	until, seen := now+within, map[string]bool{}
+	deadline, seen := now+timeout, map[string]bool{}
 	canceled, cancelQuery := false, func() {}
 	var step func(now float64, name string)
 	step = func(now float64, name string) {
@@ -76,7 +76,7 @@
 			}
 			done(now, found)
 		}
-		cancelQuery = f.Resolver.Query(now, name, until-now, onAnswer)
+		cancelQuery = f.Resolver.Query(now, name, deadline-now, onAnswer)
 	}
 	step(now, name)
 	return func() {
@@ -103,18 +103,18 @@
 	case err == nil && res.Next != "":
 		return res.Next, numberplan.Found{}
 	}
-	var p enum.Ported
+	var ported enum.Ported
 	if err == nil {
-		_, p, err = enum.Tel(res.URI)
+		_, ported, err = enum.Tel(res.URI)
 	}
 	switch {
 	case err != nil:
 		f.Counts.Bad++
 		return "", numberplan.Found{Answer: numberplan.Silent}
-	case p.Routing == "":
+	case ported.Routing == "":
 		f.Counts.Same++
-		return "", numberplan.Found{Answer: numberplan.NotPorted, Carrier: p.Carrier}
+		return "", numberplan.Found{Answer: numberplan.NotPorted, Carrier: ported.Carrier}
 	}
 	f.Counts.Ported++
-	return "", numberplan.Found{Answer: numberplan.Ported, Routing: p.Routing, Carrier: p.Carrier}
+	return "", numberplan.Found{Answer: numberplan.Ported, Routing: ported.Routing, Carrier: ported.Carrier}
 }
