--- a/internal/emulator/loadgen/load.go
+++ b/internal/emulator/loadgen/load.go
@@ -26,9 +26,9 @@
 
 // Waits are kept in µs, from 1 to ten minutes, three digits.
 const (
-	lowest  = 1
-	highest = 600_000_000
-	digits  = 3
+	minWaitMicros     = 1
+	maxWaitMicros     = 600_000_000
+	significantDigits = 3
 )
 
 // ErrBottleneck says that the generator itself was late: what it measured is not of the gateway alone.
@@ -55,15 +55,17 @@
 
 // NewResult is an empty one.
 func NewResult() *Result {
-	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(lowest, highest, digits) }
+	h := func() *hdrhistogram.Histogram {
+		return hdrhistogram.New(minWaitMicros, maxWaitMicros, significantDigits)
+	}
 	return &Result{Intended: h(), Sent: h(), Late: h()}
 }
 
 // record puts a wait into a histogram; one past its range counts at its end, and in Past.
 func (r *Result) record(h *hdrhistogram.Histogram, d time.Duration) {
-	v := max(lowest, d.Microseconds())
-	if v > highest {
-		v = highest
+	v := max(minWaitMicros, d.Microseconds())
+	if v > maxWaitMicros {
+		v = maxWaitMicros
 		r.Past++
 	}
 	if err := h.RecordValue(v); err != nil {
@@ -95,25 +97,25 @@
 
 type call struct {
 	*api.Call
-	n        int
-	due      time.Time
-	sent     time.Time
-	answered bool // anything came
-	final    bool
-	repeat   *time.Timer
-	giveUp   *time.Timer
-	gap      time.Duration
-	invite   []byte
+	index              int
+	due                time.Time
+	sentAt             time.Time
+	responded          bool // any response was received
+	finished           bool
+	retransmitTimer    *time.Timer
+	timeoutTimer       *time.Timer
+	retransmitInterval time.Duration
+	invite             []byte
 }
 
 type runner struct {
-	o     Options
-	conn  *net.UDPConn
-	mu    sync.Mutex
-	calls []call
-	res   *Result
-	open  sync.WaitGroup
-	id    string
+	options Options
+	conn    *net.UDPConn
+	mu      sync.Mutex
+	calls   []call
+	result  *Result
+	pending sync.WaitGroup
+	runID   string
 }
 
 // Run sends the calls and waits until each has ended. A call that nobody answers within its timeout is canceled and
@@ -135,46 +137,46 @@
 		o.Start = time.Now().Add(50 * time.Millisecond)
 	}
 	r := &runner{
-		o:     o,
-		conn:  conn,
-		calls: make([]call, len(calls)),
-		res:   NewResult(),
-		id:    strconv.FormatInt(time.Now().UnixNano()%1e9, 36),
+		options: o,
+		conn:    conn,
+		calls:   make([]call, len(calls)),
+		result:  NewResult(),
+		runID:   strconv.FormatInt(time.Now().UnixNano()%1e9, 36),
 	}
-	read := make(chan struct{})
-	go func() { defer close(read); r.read() }()
-	r.res.Planned = int64(len(calls))
-	sent := r.send(ctx, calls)
+	receiveDone := make(chan struct{})
+	go func() { defer close(receiveDone); r.receive() }()
+	r.result.Planned = int64(len(calls))
+	sentCount := r.sendCalls(ctx, calls)
 	done := make(chan struct{})
-	go func() { r.open.Wait(); close(done) }()
+	go func() { r.pending.Wait(); close(done) }()
 	select {
 	case <-done:
 	case <-ctx.Done():
 	}
 	time.Sleep(50 * time.Millisecond) // the last releases
 	conn.Close()
-	<-read
+	<-receiveDone
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for i := range r.calls[:sent] { // none of them may act any more
-		for _, t := range []*time.Timer{r.calls[i].repeat, r.calls[i].giveUp} {
+	for i := range r.calls[:sentCount] { // none of them may act any more
+		for _, t := range []*time.Timer{r.calls[i].retransmitTimer, r.calls[i].timeoutTimer} {
 			if t != nil {
 				t.Stop()
 			}
 		}
-		r.calls[i].final = true
+		r.calls[i].finished = true
 	}
-	return r.res, ctx.Err()
+	return r.result, ctx.Err()
 }
 
 // send keeps to the plan. It sleeps by the kernel's own fine clock, for the runtime's timers round up to a millisecond.
-func (r *runner) send(ctx context.Context, calls []*api.Call) int {
+func (r *runner) sendCalls(ctx context.Context, calls []*api.Call) int {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	for i, c := range calls {
-		due := r.o.Start.Add(time.Duration(c.AtMs * 1e6))
+		due := r.options.Start.Add(time.Duration(c.AtMs * 1e6))
 		k := &r.calls[i]
-		k.Call, k.n, k.due, k.gap = c, i, due, r.o.T1
+		k.Call, k.index, k.due, k.retransmitInterval = c, i, due, r.options.T1
 		k.invite = r.request("INVITE", k, nil)
 		for {
 			if ctx.Err() != nil {
@@ -187,78 +189,80 @@
 			ts := unix.NsecToTimespec(int64(min(wait, 50*time.Millisecond)))
 			_ = unix.Nanosleep(&ts, nil)
 		}
-		r.open.Add(1)
+		r.pending.Add(1)
 		r.mu.Lock()
-		k.sent = time.Now()
-		r.res.record(r.res.Late, k.sent.Sub(due))
-		k.repeat = time.AfterFunc(k.gap, func() { r.again(k) })
-		k.giveUp = time.AfterFunc(time.Until(due)+time.Duration(c.PatienceMs*1e6), func() { r.late(k) })
+		k.sentAt = time.Now()
+		r.result.record(r.result.Late, k.sentAt.Sub(due))
+		k.retransmitTimer = time.AfterFunc(k.retransmitInterval, func() { r.retransmit(k) })
+		k.timeoutTimer = time.AfterFunc(time.Until(due)+time.Duration(c.PatienceMs*1e6), func() { r.onTimeout(k) })
 		r.mu.Unlock()
 		r.write(k, k.invite)
 	}
 	return len(calls)
 }
 
-func (r *runner) target(k *call) netip.AddrPort { return r.o.Targets[int(k.Gateway)%len(r.o.Targets)] }
+func (r *runner) target(k *call) netip.AddrPort {
+	return r.options.Targets[int(k.Gateway)%len(r.options.Targets)]
+}
 
 func (r *runner) write(k *call, data []byte) { _, _ = r.conn.WriteToUDPAddrPort(data, r.target(k)) }
 
 // again repeats a setup that nobody answered (RFC 3261 17.1.1.2).
-func (r *runner) again(k *call) {
+func (r *runner) retransmit(k *call) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if k.answered || k.final {
+	if k.responded || k.finished {
 		return
 	}
-	r.res.Repeats++
-	k.gap *= 2
-	k.repeat = time.AfterFunc(k.gap, func() { r.again(k) })
+	r.result.Repeats++
+	k.retransmitInterval *= 2
+	k.retransmitTimer = time.AfterFunc(k.retransmitInterval, func() { r.retransmit(k) })
 	r.write(k, k.invite)
 }
 
 // late: the caller's timeout is over.
-func (r *runner) late(k *call) {
+func (r *runner) onTimeout(k *call) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if k.final {
+	if k.finished {
 		return
 	}
-	k.final = true
-	r.res.Unanswered++
+	k.finished = true
+	r.result.Unanswered++
 	wait := time.Duration(k.PatienceMs * 1e6)
-	r.res.record(r.res.Intended, wait)
-	r.res.record(r.res.Sent, wait-k.sent.Sub(k.due))
-	if k.answered {
+	r.result.record(r.result.Intended, wait)
+	r.result.record(r.result.Sent, wait-k.sentAt.Sub(k.due))
+	if k.responded {
 		r.write(k, r.request("CANCEL", k, nil))
 	}
-	r.open.Done()
+	r.pending.Done()
 }
 
-func (r *runner) read() {
+func (r *runner) receive() {
 	buf := make([]byte, 1<<16)
 	for {
 		n, _, err := r.conn.ReadFromUDPAddrPort(buf)
 		if err != nil {
 			return
 		}
-		r.heard(buf[:n], time.Now())
+		r.onDatagram(buf[:n], time.Now())
 	}
 }
 
-func (r *runner) heard(d []byte, at time.Time) {
+func (r *runner) onDatagram(d []byte, at time.Time) {
 	if len(d) < 16 {
 		return
 	}
 	if bytes.HasPrefix(d, []byte("BYE ")) {
-		r.released(d)
+		r.answerBye(d)
 		return
 	}
-	id := field(d, "Call-ID")
-	if !bytes.HasPrefix(d, []byte("SIP/2.0 ")) || !bytes.HasPrefix(id, []byte(r.id)) ||
-		!bytes.HasSuffix(field(d, "CSeq"), []byte("INVITE")) {
+	id := headerField(d, "Call-ID")
+	if !bytes.HasPrefix(d, []byte("SIP/2.0 ")) || !bytes.HasPrefix(id, []byte(r.runID)) ||
+		!bytes.HasSuffix(headerField(d, "CSeq"), []byte("INVITE")) {
 		return
 	}
-	i, err := strconv.ParseInt(string(id[len(r.id)+1:]), 16, 64)
+	i, err := strconv.ParseInt(string(id[len(r.runID)+1:]), 16, 64)
 	if err != nil || i < 0 || int(i) >= len(r.calls) {
 		return
 	}
@@ -268,57 +272,57 @@
 	if k.Call == nil {
 		return
 	}
-	k.answered = true
+	k.responded = true
 	switch d[8] {
 	case '1':
 		return
 	case '2':
-		to := bytes.Clone(field(d, "To"))
+		to := bytes.Clone(headerField(d, "To"))
 		r.write(k, r.request("ACK", k, to))
-		if k.final {
+		if k.finished {
 			return
 		}
-		r.end(k)
-		r.res.Answered++
-		r.res.record(r.res.Intended, at.Sub(k.due))
-		r.res.record(r.res.Sent, at.Sub(k.sent))
+		r.finish(k)
+		r.result.Answered++
+		r.result.record(r.result.Intended, at.Sub(k.due))
+		r.result.record(r.result.Sent, at.Sub(k.sentAt))
 		time.AfterFunc(time.Duration(k.HoldMs*1e6), func() {
 			r.write(k, r.request("BYE", k, to))
-			r.open.Done()
+			r.pending.Done()
 		})
 	default:
-		r.write(k, r.request("ACK", k, bytes.Clone(field(d, "To"))))
-		if k.final {
+		r.write(k, r.request("ACK", k, bytes.Clone(headerField(d, "To"))))
+		if k.finished {
 			return
 		}
-		r.end(k)
-		r.res.Refused++
-		r.open.Done()
+		r.finish(k)
+		r.result.Refused++
+		r.pending.Done()
 	}
 }
 
-func (r *runner) end(k *call) {
-	k.final = true
-	k.repeat.Stop()
-	k.giveUp.Stop()
+func (r *runner) finish(k *call) {
+	k.finished = true
+	k.retransmitTimer.Stop()
+	k.timeoutTimer.Stop()
 }
 
 // released answers a BYE from the other side.
-func (r *runner) released(d []byte) {
+func (r *runner) answerBye(d []byte) {
 	var b []byte
 	b = append(b, "SIP/2.0 200 OK"...)
 	for _, name := range []string{"Via", "From", "To", "Call-ID", "CSeq"} {
-		b = append(append(append(append(b, "\r\n"...), name...), ": "...), field(d, name)...)
+		b = append(append(append(append(b, "\r\n"...), name...), ": "...), headerField(d, name)...)
 	}
 	b = append(b, "\r\nContent-Length: 0\r\n\r\n"...)
-	for _, t := range r.o.Targets { // the Via says who asked
-		if bytes.Contains(field(d, "Via"), []byte(t.String())) {
+	for _, t := range r.options.Targets { // the Via says who asked
+		if bytes.Contains(headerField(d, "Via"), []byte(t.String())) {
 			_, _ = r.conn.WriteToUDPAddrPort(b, t)
 		}
 	}
 }
 
-func field(d []byte, name string) []byte {
+func headerField(d []byte, name string) []byte {
 	i := bytes.Index(d, []byte("\r\n"+name+": "))
 	if i < 0 {
 		return nil
@@ -332,12 +336,12 @@
 
 // request is a message of a call; written by hand, since a generator must cost less than what it measures.
 func (r *runner) request(method string, k *call, to []byte) []byte {
-	n := fmt.Sprintf("%s.%08x", r.id, k.n)
+	n := fmt.Sprintf("%s.%08x", r.runID, k.index)
 	b := make([]byte, 0, 900)
 	at := r.target(k).String()
 	b = fmt.Appendf(b, "%s sip:%s", method, k.Number)
 	if k.Group != "" {
-		b = fmt.Appendf(b, ";tgrp=%s;trunk-context=%s", k.Group, r.o.Context)
+		b = fmt.Appendf(b, ";tgrp=%s;trunk-context=%s", k.Group, r.options.Context)
 	}
 	branch, seq := n, 1
 	switch method {
@@ -367,7 +371,7 @@
 		seq,
 		method,
 		r.conn.LocalAddr(),
-		uint64(k.n)+1<<40,
+		uint64(k.index)+1<<40,
 		0,
 	)
 	if method == "INVITE" {
--- a/internal/emulator/loadgen/load_test.go
+++ b/internal/emulator/loadgen/load_test.go
@@ -11,20 +11,20 @@
 	"cobaltpier/api"
 )
 
-func every(n int, gap float64) []*api.Call {
-	var of []*api.Call
+func evenlySpacedCalls(n int, gap float64) []*api.Call {
+	var calls []*api.Call
 	for i := range n {
-		of = append(
-			of,
+		calls = append(
+			calls,
 			&api.Call{AtMs: float64(i) * gap, Number: "+1", Skill: "a", Customer: "x", HoldMs: 20, PatienceMs: 5000},
 		)
 	}
-	return of
+	return calls
 }
 
 // A stand-in stalls for half of the run: the calls that were meant to come meanwhile count with their whole wait,
 // and the load does not slow down. Bounds are wide: the machine may be busy.
-func TestStandingStill(t *testing.T) {
+func TestStallCountsWholeWait(t *testing.T) {
 	at := netip.MustParseAddrPort("127.73.0.2:19063")
 	s := &Still{Delay: 10 * time.Millisecond, Pauses: []Pause{{300 * time.Millisecond, 600 * time.Millisecond}}}
 	start := time.Now().Add(100 * time.Millisecond)
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	calls := every(600, 2) // 1.2 s
+	calls := evenlySpacedCalls(600, 2) // 1.2 s
 	r, err := Run(
 		context.Background(),
 		calls,
@@ -59,7 +59,7 @@
 
 // Nobody answers: each call counts with its timeout, and none is left out.
 func TestNobodyAnswers(t *testing.T) {
-	calls := every(20, 5)
+	calls := evenlySpacedCalls(20, 5)
 	for _, c := range calls {
 		c.PatienceMs = 300
 	}
--- a/internal/emulator/loadgen/still.go
+++ b/internal/emulator/loadgen/stalling_server.go
@@ -18,17 +18,17 @@
 	Pauses []Pause // in order, not overlapping
 	conn   *net.UDPConn
 	start  time.Time
-	queue  chan late
-	wait   sync.WaitGroup
+	queue  chan delayedResponse
+	wg     sync.WaitGroup
 }
 
 // Pause is from a time after the start, for so long.
 type Pause struct{ From, For time.Duration }
 
-type late struct {
-	at   time.Time
-	to   netip.AddrPort
-	data []byte
+type delayedResponse struct {
+	sendAt time.Time
+	to     netip.AddrPort
+	data   []byte
 }
 
 // True is the wait of a call that comes at a time after the start.
@@ -49,17 +49,17 @@
 		return fmt.Errorf("load: stand-in: %w", err)
 	}
 	_ = conn.SetReadBuffer(8 << 20)
-	s.conn, s.start, s.queue = conn, start, make(chan late, 1<<20)
-	s.wait.Add(2)
+	s.conn, s.start, s.queue = conn, start, make(chan delayedResponse, 1<<20)
+	s.wg.Add(2)
 	go func() {
-		defer s.wait.Done()
+		defer s.wg.Done()
 		defer close(s.queue)
-		s.read()
+		s.receive()
 	}()
 	go func() {
-		defer s.wait.Done()
+		defer s.wg.Done()
 		for l := range s.queue {
-			for wait := time.Until(l.at); wait > 0; wait = time.Until(l.at) {
+			for wait := time.Until(l.sendAt); wait > 0; wait = time.Until(l.sendAt) {
 				ts := unix.NsecToTimespec(int64(min(wait, 50*time.Millisecond)))
 				_ = unix.Nanosleep(&ts, nil)
 			}
@@ -72,12 +72,12 @@
 // Close ends it.
 func (s *Still) Close() {
 	s.conn.Close()
-	s.wait.Wait()
+	s.wg.Wait()
 }
 
-func (s *Still) read() {
+func (s *Still) receive() {
 	buf := make([]byte, 1<<16)
-	seen := map[string]bool{}
+	seenCalls := map[string]bool{}
 	for {
 		n, from, err := s.conn.ReadFromUDPAddrPort(buf)
 		if err != nil {
@@ -88,8 +88,8 @@
 			var b []byte
 			b = append(append(b, "SIP/2.0 "...), status...)
 			for _, name := range []string{"Via", "From", "To", "Call-ID", "CSeq"} {
-				b = append(append(append(append(b, "\r\n"...), name...), ": "...), field(d, name)...)
-				if name == "To" && !bytes.Contains(field(d, "To"), []byte(";tag=")) {
+				b = append(append(append(append(b, "\r\n"...), name...), ": "...), headerField(d, name)...)
+				if name == "To" && !bytes.Contains(headerField(d, "To"), []byte(";tag=")) {
 					b = append(b, ";tag=still"...)
 				}
 			}
@@ -97,13 +97,13 @@
 		}
 		switch {
 		case bytes.HasPrefix(d, []byte("INVITE ")):
-			id := string(field(d, "Call-ID"))
-			if seen[id] {
+			id := string(headerField(d, "Call-ID"))
+			if seenCalls[id] {
 				continue // a repeat
 			}
-			seen[id] = true
+			seenCalls[id] = true
 			now := time.Since(s.start)
-			s.queue <- late{s.start.Add(now + s.True(now)), from, answer("200 OK")}
+			s.queue <- delayedResponse{s.start.Add(now + s.True(now)), from, answer("200 OK")}
 		case bytes.HasPrefix(d, []byte("BYE ")):
 			_, _ = s.conn.WriteToUDPAddrPort(answer("200 OK"), from)
 		}
