--- a/internal/emulator/loadgen/load.go
+++ b/internal/emulator/loadgen/load.go
@@ -1,6 +1,6 @@
-// Package loadgen sends planned calls to gateways at the times they were planned for, whatever becomes of those before,
-// and measures waits from the intended times: a gateway that stalls does not slow the load, and what would have come
-// meanwhile is counted with its whole wait. It watches its own lateness, and says when it was itself the bottleneck.
+// Package loadgen sends planned calls to gateways at their planned times, regardless of earlier calls, and measures waits
+// from the planned times: a stalled gateway does not slow the load, and the calls due during a stall count with their
+// whole wait. It measures its own lateness and reports when it was itself the bottleneck.
 package loadgen
 
 //tally:standin
@@ -24,36 +24,38 @@
 	"cobaltpier/api"
 )
 
-// Waits are kept in µs, from 1 to ten minutes, three digits.
+// Histograms hold waits in µs, from 1 µs to ten minutes, with three significant digits.
 const (
 	minWaitMicros     = 1
 	maxWaitMicros     = 600_000_000
 	significantDigits = 3
 )
 
-// ErrBottleneck says that the generator itself was late: what it measured is not of the gateway alone.
+// ErrBottleneck reports that the generator itself was late, so the measured waits include its own lateness.
 var ErrBottleneck = errors.New("the generator was the bottleneck")
 
-// Options say where calls go.
+// Options configure a run of the generator.
 type Options struct {
 	Self    netip.AddrPort
-	Targets []netip.AddrPort // by gateway; calls of higher numbers go round
+	Targets []netip.AddrPort // by gateway number, modulo the number of targets
 	Context string           // trunk-context
-	T1      time.Duration    // first gap between repeats of a setup
-	Late    time.Duration    // lateness of the generator's slowest thousandth that is allowed
-	Start   time.Time        // when the plan's time 0 is; zero: now
+	T1      time.Duration    // time until the first retransmission of a setup
+	Late    time.Duration    // allowed lateness of the generator at the 99.9th percentile
+	Start   time.Time        // time 0 of the plan; if zero, shortly after Run is called
 }
 
-// Result is what was measured. Histograms are of µs and can be merged.
+// Result holds the measurements of a run. Its histograms are in µs and can be merged.
 type Result struct {
-	// waits till the call stood, from the time it was meant to come
-	Intended                                              *hdrhistogram.Histogram
-	Sent                                                  *hdrhistogram.Histogram // the same from the time it was sent
-	Late                                                  *hdrhistogram.Histogram // from the one to the other
+	// waits until the call was established, from its planned time
+	Intended *hdrhistogram.Histogram
+	// the same waits, from the time the setup was sent
+	Sent *hdrhistogram.Histogram
+	// from the planned time to the time the setup was sent
+	Late *hdrhistogram.Histogram
 	Planned, Answered, Refused, Unanswered, Repeats, Past int64
 }
 
-// NewResult is an empty one.
+// NewResult returns an empty result.
 func NewResult() *Result {
 	h := func() *hdrhistogram.Histogram {
 		return hdrhistogram.New(minWaitMicros, maxWaitMicros, significantDigits)
@@ -61,7 +63,7 @@
 	return &Result{Intended: h(), Sent: h(), Late: h()}
 }
 
-// record puts a wait into a histogram; one past its range counts at its end, and in Past.
+// record adds a wait to a histogram. A wait above the range counts as the highest value, and in Past.
 func (r *Result) record(h *hdrhistogram.Histogram, d time.Duration) {
 	v := max(minWaitMicros, d.Microseconds())
 	if v > maxWaitMicros {
@@ -73,7 +75,7 @@
 	}
 }
 
-// Merge adds another process's result.
+// Merge adds the result of another process.
 func (r *Result) Merge(o *Result) {
 	r.Intended.Merge(o.Intended)
 	r.Sent.Merge(o.Sent)
@@ -86,11 +88,11 @@
 	r.Past += o.Past
 }
 
-// Judge says whether the generator kept up: its slowest thousandth is no later than allowed.
+// Judge returns ErrBottleneck if the generator's lateness at the 99.9th percentile is more than allowed.
 func (r *Result) Judge(allowed time.Duration) error {
 	late := time.Duration(r.Late.ValueAtQuantile(99.9)) * time.Microsecond
 	if late > allowed {
-		return fmt.Errorf("%w: it sent its slowest thousandth %v late or more, %v is allowed", ErrBottleneck, late, allowed)
+		return fmt.Errorf("%w: 99.9th percentile of its lateness is %v, %v is allowed", ErrBottleneck, late, allowed)
 	}
 	return nil
 }
@@ -118,8 +120,8 @@
 	runID   string
 }
 
-// Run sends the calls and waits until each has ended. A call that nobody answers within its timeout is canceled and
-// counts with that wait: it is not left out.
+// Run sends the calls and waits until each has ended. A call that is not answered within its timeout is canceled and
+// counts with the timeout as its wait, rather than being left out.
 func Run(ctx context.Context, calls []*api.Call, o Options) (*Result, error) {
 	if len(o.Targets) == 0 {
 		return nil, fmt.Errorf("load: no gateway to send to")
@@ -153,12 +155,12 @@
 	case <-done:
 	case <-ctx.Done():
 	}
-	time.Sleep(50 * time.Millisecond) // the last releases
+	time.Sleep(50 * time.Millisecond) // time for the last releases to be sent
 	conn.Close()
 	<-receiveDone
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for i := range r.calls[:sentCount] { // none of them may act any more
+	for i := range r.calls[:sentCount] { // stops timers and ignores later responses
 		for _, t := range []*time.Timer{r.calls[i].retransmitTimer, r.calls[i].timeoutTimer} {
 			if t != nil {
 				t.Stop()
@@ -169,7 +171,8 @@
 	return r.result, ctx.Err()
 }
 
-// send keeps to the plan. It sleeps by the kernel's own fine clock, for the runtime's timers round up to a millisecond.
+// sendCalls sends each setup at its planned time and returns the number sent. It sleeps with nanosleep, since the Go
+// runtime's timers round up to a millisecond.
 func (r *runner) sendCalls(ctx context.Context, calls []*api.Call) int {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -207,7 +210,7 @@
 
 func (r *runner) write(k *call, data []byte) { _, _ = r.conn.WriteToUDPAddrPort(data, r.target(k)) }
 
-// again repeats a setup that nobody answered (RFC 3261 17.1.1.2).
+// retransmit repeats a setup that got no response (RFC 3261 17.1.1.2).
 func (r *runner) retransmit(k *call) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -220,7 +223,7 @@
 	r.write(k, k.invite)
 }
 
-// late: the caller's timeout is over.
+// onTimeout ends a call that was not answered within the caller's timeout.
 func (r *runner) onTimeout(k *call) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -307,7 +310,7 @@
 	k.timeoutTimer.Stop()
 }
 
-// released answers a BYE from the other side.
+// answerBye answers a BYE from the gateway.
 func (r *runner) answerBye(d []byte) {
 	var b []byte
 	b = append(b, "SIP/2.0 200 OK"...)
@@ -315,7 +318,7 @@
 		b = append(append(append(append(b, "\r\n"...), name...), ": "...), headerField(d, name)...)
 	}
 	b = append(b, "\r\nContent-Length: 0\r\n\r\n"...)
-	for _, t := range r.options.Targets { // the Via says who asked
+	for _, t := range r.options.Targets { // the topmost Via holds the sender's address
 		if bytes.Contains(headerField(d, "Via"), []byte(t.String())) {
 			_, _ = r.conn.WriteToUDPAddrPort(b, t)
 		}
@@ -334,7 +337,8 @@
 	return v
 }
 
-// request is a message of a call; written by hand, since a generator must cost less than what it measures.
+// request encodes a SIP request of a call. It formats the message directly, since the generator must cost less than
+// the gateway that it measures.
 func (r *runner) request(method string, k *call, to []byte) []byte {
 	n := fmt.Sprintf("%s.%08x", r.runID, k.index)
 	b := make([]byte, 0, 900)
--- a/internal/emulator/loadgen/load_test.go
+++ b/internal/emulator/loadgen/load_test.go
@@ -22,8 +22,9 @@
 	return calls
 }
 
-// A stand-in stalls for half of the run: the calls that were meant to come meanwhile count with their whole wait,
-// and the load does not slow down. Bounds are wide: the machine may be busy.
+// TestStallCountsWholeWait guards against coordinated omission: the server stalls for half of the run, and the calls
+// planned during the stall must count with their whole wait while the load does not slow down. The bounds are wide
+// because the machine may be busy.
 func TestStallCountsWholeWait(t *testing.T) {
 	at := netip.MustParseAddrPort("127.73.0.2:19063")
 	s := &Still{Delay: 10 * time.Millisecond, Pauses: []Pause{{300 * time.Millisecond, 600 * time.Millisecond}}}
@@ -42,7 +43,7 @@
 		t.Fatal(err)
 	}
 	if r.Planned != 600 || r.Answered != 600 || r.Intended.TotalCount() != 600 {
-		t.Errorf("%d of %d stood, %d counted", r.Answered, r.Planned, r.Intended.TotalCount())
+		t.Errorf("%d of %d calls answered, %d counted", r.Answered, r.Planned, r.Intended.TotalCount())
 	}
 	var want []time.Duration
 	for _, c := range calls {
@@ -57,7 +58,7 @@
 	}
 }
 
-// Nobody answers: each call counts with its timeout, and none is left out.
+// TestNobodyAnswers checks that calls without an answer count with their timeout and none is left out.
 func TestNobodyAnswers(t *testing.T) {
 	calls := evenlySpacedCalls(20, 5)
 	for _, c := range calls {
@@ -80,7 +81,8 @@
 	}
 }
 
-// Merged parts are the whole; a wait past the range is counted at its end and told; a late generator is told.
+// TestMergeAndJudge checks that merged results equal the whole, that a wait above the range is counted at its end and
+// in Past, and that a late generator is reported.
 func TestMergeAndJudge(t *testing.T) {
 	whole, merged := NewResult(), NewResult()
 	for p := range 64 {
@@ -94,11 +96,11 @@
 		merged.Merge(part)
 	}
 	if !merged.Intended.Equals(whole.Intended) || merged.Planned != 6400 {
-		t.Error("merged parts are not the whole")
+		t.Error("the merged result differs from the whole")
 	}
 	merged.record(merged.Intended, time.Hour)
 	if merged.Past != 1 || merged.Intended.TotalCount() != 6401 {
-		t.Errorf("%d past the range, %d counted", merged.Past, merged.Intended.TotalCount())
+		t.Errorf("%d above the range, %d counted", merged.Past, merged.Intended.TotalCount())
 	}
 	merged.record(merged.Late, time.Millisecond)
 	if err := merged.Judge(5 * time.Millisecond); err != nil {
--- a/internal/emulator/loadgen/stalling_server.go
+++ b/internal/emulator/loadgen/stalling_server.go
@@ -11,8 +11,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Still is a stand-in that answers each setup after a fixed delay, and stalls at planned times: what would be
-// answered then is answered at the end of the pause, in order. So the true wait of every call is known beforehand.
+// Still is a stand-in for a gateway that answers each setup after a fixed delay and stalls at planned times. Answers
+// due during a stall are sent at its end, in order, so the true wait of every call is known beforehand.
 type Still struct {
 	Delay  time.Duration
 	Pauses []Pause // in order, not overlapping
@@ -22,7 +22,7 @@
 	wg     sync.WaitGroup
 }
 
-// Pause is from a time after the start, for so long.
+// Pause is a stall that begins at From after the start and lasts For.
 type Pause struct{ From, For time.Duration }
 
 type delayedResponse struct {
@@ -31,7 +31,7 @@
 	data   []byte
 }
 
-// True is the wait of a call that comes at a time after the start.
+// True returns the expected wait of a call that arrives at the given time after the start.
 func (s *Still) True(at time.Duration) time.Duration {
 	end := at + s.Delay
 	for _, p := range s.Pauses {
@@ -42,7 +42,7 @@
 	return end - at
 }
 
-// Serve answers at an address until Close; start is the plan's time 0.
+// Serve answers at an address until Close is called; start is time 0 of the plan.
 func (s *Still) Serve(at netip.AddrPort, start time.Time) error {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(at))
 	if err != nil {
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// Close ends it.
+// Close closes the socket and waits until both goroutines have ended.
 func (s *Still) Close() {
 	s.conn.Close()
 	s.wg.Wait()
@@ -99,7 +99,7 @@
 		case bytes.HasPrefix(d, []byte("INVITE ")):
 			id := string(headerField(d, "Call-ID"))
 			if seenCalls[id] {
-				continue // a repeat
+				continue // a retransmission
 			}
 			seenCalls[id] = true
 			now := time.Since(s.start)
