--- a/internal/emulator/loadgen/load.go
+++ b/internal/emulator/loadgen/load.go
@@ -51,7 +51,7 @@
 	// the same waits, from the time the setup was sent
 	Sent *hdrhistogram.Histogram
 	// from the planned time to the time the setup was sent
-	Late *hdrhistogram.Histogram
+	Late                                                  *hdrhistogram.Histogram
 	Planned, Answered, Refused, Unanswered, Repeats, Past int64
 }
 
--- a/internal/emulator/search/hunt.go
+++ b/internal/emulator/search/search.go
@@ -47,7 +47,7 @@
 }
 
 // kinds of trouble that a hunt draws, with the range of their sizes.
-var kinds = []struct {
+var faultKinds = []struct {
 	name   string
 	lo, hi float64
 }{
@@ -74,40 +74,40 @@
 
 // Draw makes a small day by chance.
 func Draw(seed uint64, large bool) *scenariofile.Script {
-	n := &siptransaction.Generator{Seed: seed ^ 0x5bd1e995}
-	in := func(lo, hi float64) float64 { return lo + (hi-lo)*n.Float64() }
-	whole := func(lo, hi int) int { return lo + int(n.Float64()*float64(hi-lo+1)) }
+	rng := &siptransaction.Generator{Seed: seed ^ 0x5bd1e995}
+	between := func(lo, hi float64) float64 { return lo + (hi-lo)*rng.Float64() }
+	intBetween := func(lo, hi int) int { return lo + int(rng.Float64()*float64(hi-lo+1)) }
 	s := Plain()
-	s.Seed, s.Length = seed, in(8000, 14000)
-	s.Gateways.Count, s.Pools.Count = whole(1, 6), whole(2, 4)
+	s.Seed, s.Length = seed, between(8000, 14000)
+	s.Gateways.Count, s.Pools.Count = intBetween(1, 6), intBetween(2, 4)
 	if large {
-		s.Gateways.Count, s.Pools.Count = whole(10, 40), whole(3, 8)
+		s.Gateways.Count, s.Pools.Count = intBetween(10, 40), intBetween(3, 8)
 	}
-	s.Gateways.Cancel, s.Gateways.Tell = n.Float64() < 0.7, n.Float64() < 0.7
-	s.Gateways.Tick = []float64{1, 5, 10}[whole(0, 2)]
-	s.Pools.Model.WorksOn, s.Pools.Model.NamesWait = n.Float64() < 0.5, n.Float64() < 0.5
-	s.Pools.Model.Reports = [][]string{{"util", "queue"}, {"rate"}, {"loss", "wait"}, {"wait"}}[whole(0, 3)]
-	s.Pools.Model.ErrorRate = []float64{0, 0.001, 0.02}[whole(0, 2)]
-	s.Pools.Model.WaitLimit = in(800, 4000)
-	s.Pools.Spread = in(0, 0.6)
-	s.Rules.ColdShare = in(0.2, 0.5)
-	s.Pools.Model.ColdShare, s.Pools.Model.Warm = s.Rules.ColdShare, in(4000, 14000)
-	s.Net.Double, s.Net.Jitter = []float64{0, 0.01, 0.1}[whole(0, 2)], in(0, 0.9)
-	s.Net.Loss = []float64{0, 0, 0.005, 0.03}[whole(0, 3)]
+	s.Gateways.Cancel, s.Gateways.Tell = rng.Float64() < 0.7, rng.Float64() < 0.7
+	s.Gateways.Tick = []float64{1, 5, 10}[intBetween(0, 2)]
+	s.Pools.Model.WorksOn, s.Pools.Model.NamesWait = rng.Float64() < 0.5, rng.Float64() < 0.5
+	s.Pools.Model.Reports = [][]string{{"util", "queue"}, {"rate"}, {"loss", "wait"}, {"wait"}}[intBetween(0, 3)]
+	s.Pools.Model.ErrorRate = []float64{0, 0.001, 0.02}[intBetween(0, 2)]
+	s.Pools.Model.WaitLimit = between(800, 4000)
+	s.Pools.Spread = between(0, 0.6)
+	s.Rules.ColdShare = between(0.2, 0.5)
+	s.Pools.Model.ColdShare, s.Pools.Model.Warm = s.Rules.ColdShare, between(4000, 14000)
+	s.Net.Double, s.Net.Jitter = []float64{0, 0.01, 0.1}[intBetween(0, 2)], between(0, 0.9)
+	s.Net.Loss = []float64{0, 0, 0.005, 0.03}[intBetween(0, 3)]
 	work := s.Pools.Model.Setup + s.Pools.Model.Answer + s.Pools.Model.Release
-	s.Load.Rate = in(0.5, 1.25) * float64(s.Pools.Count) * 1000 / work
-	s.List.SilentLo, s.List.SilentHi, s.List.NoticeHi = 1000, in(1500, 6000), in(800, 4000)
-	for range whole(1, 4) {
-		s.Troubles = append(s.Troubles, trouble(n, s))
+	s.Load.Rate = between(0.5, 1.25) * float64(s.Pools.Count) * 1000 / work
+	s.List.SilentLo, s.List.SilentHi, s.List.NoticeHi = 1000, between(1500, 6000), between(800, 4000)
+	for range intBetween(1, 4) {
+		s.Troubles = append(s.Troubles, randomFault(rng, s))
 	}
-	if n.Float64() < 0.5 {
-		numbers(n, s)
+	if rng.Float64() < 0.5 {
+		addNumberAnalysis(rng, s)
 	}
 	return s
 }
 
 // namesKinds are the troubles of DNS servers.
-var namesKinds = []struct {
+var dnsFaultKinds = []struct {
 	name   string
 	lo, hi float64
 }{{"names_silent", 1, 1}, {"names_slow", 0.05, 2}, {"names_lossy", 0.1, 0.9}, {"names_spoofed", 1, 40}, {"names_cut",
@@ -116,67 +116,67 @@
 
 // numbers lets a day's gateways analyse numbers, with tables that change and DNS servers that fail, and maybe kiosks
 // that ask in place of a part of the callers.
-func numbers(n *siptransaction.Generator, s *scenariofile.Script) {
-	in := func(lo, hi float64) float64 { return lo + (hi-lo)*n.Float64() }
-	some := func(of ...float64) float64 { return of[int(n.Float64()*float64(len(of)))] }
+func addNumberAnalysis(rng *siptransaction.Generator, s *scenariofile.Script) {
+	between := func(lo, hi float64) float64 { return lo + (hi-lo)*rng.Float64() }
+	oneOf := func(values ...float64) float64 { return values[int(rng.Float64()*float64(len(values)))] }
 	s.Numbers = scenariofile.Numbers{
 		On:      true,
-		Change:  some(0, 300, 1000, 3000),
-		Ported:  in(0, 0.6),
-		None:    in(0, 0.3),
-		Leads:   in(0, 0.6),
-		TTL:     some(0, 1000, 60000),
-		Delay:   in(0, 40),
-		Jitter:  in(0, 60),
-		Servers: 1 + int(n.Float64()*3),
-		Within:  in(50, 2500),
-		Share:   in(0.05, 0.9),
-		Popular: some(1, 3, 8),
-		Cache:   n.Float64() < 0.8,
-		Refuse:  n.Float64() < 0.5,
-		Stale:   some(0, 600e3),
-		Fail:    some(0, 1000),
+		Change:  oneOf(0, 300, 1000, 3000),
+		Ported:  between(0, 0.6),
+		None:    between(0, 0.3),
+		Leads:   between(0, 0.6),
+		TTL:     oneOf(0, 1000, 60000),
+		Delay:   between(0, 40),
+		Jitter:  between(0, 60),
+		Servers: 1 + int(rng.Float64()*3),
+		Within:  between(50, 2500),
+		Share:   between(0.05, 0.9),
+		Popular: oneOf(1, 3, 8),
+		Cache:   rng.Float64() < 0.8,
+		Refuse:  rng.Float64() < 0.5,
+		Stale:   oneOf(0, 600e3),
+		Fail:    oneOf(0, 1000),
 	}
-	for range int(n.Float64() * 3) {
-		k := namesKinds[int(n.Float64()*float64(len(namesKinds)))]
+	for range int(rng.Float64() * 3) {
+		kind := dnsFaultKinds[int(rng.Float64()*float64(len(dnsFaultKinds)))]
 		s.Troubles = append(
 			s.Troubles,
 			scenariofile.Trouble{
-				Kind: k.name,
-				At:   500 + n.Float64()*s.Length*0.6,
-				For:  300 + n.Float64()*s.Length*0.5,
-				Part: 0.1 + 0.9*n.Float64(),
-				Size: in(k.lo, k.hi),
+				Kind: kind.name,
+				At:   500 + rng.Float64()*s.Length*0.6,
+				For:  300 + rng.Float64()*s.Length*0.5,
+				Part: 0.1 + 0.9*rng.Float64(),
+				Size: between(kind.lo, kind.hi),
 			},
 		)
 	}
-	if n.Float64() < 0.6 {
-		part := in(0.1, 0.9)
+	if rng.Float64() < 0.6 {
+		share := between(0.1, 0.9)
 		s.Kiosks = scenariofile.Kiosks{
-			Rate:    s.Load.Rate * part,
-			Hold:    in(1000, 6000),
-			Loss:    some(0, 0.02, 0.2),
-			Wait:    in(200, 1500),
-			Repeats: int(n.Float64() * 4),
-			Asks:    int(n.Float64() * 4),
+			Rate:    s.Load.Rate * share,
+			Hold:    between(1000, 6000),
+			Loss:    oneOf(0, 0.02, 0.2),
+			Wait:    between(200, 1500),
+			Repeats: int(rng.Float64() * 4),
+			Asks:    int(rng.Float64() * 4),
 		}
-		s.Load.Rate *= 1 - part
+		s.Load.Rate *= 1 - share
 	}
 }
 
-func trouble(n *siptransaction.Generator, s *scenariofile.Script) scenariofile.Trouble {
-	k := kinds[int(n.Float64()*float64(len(kinds)))]
-	t := scenariofile.Trouble{
-		Kind: k.name,
-		At:   500 + n.Float64()*s.Length*0.6,
-		For:  300 + n.Float64()*s.Length*0.5,
-		Part: 0.1 + 0.8*n.Float64(),
-		Size: k.lo + (k.hi-k.lo)*n.Float64(),
+func randomFault(rng *siptransaction.Generator, s *scenariofile.Script) scenariofile.Trouble {
+	kind := faultKinds[int(rng.Float64()*float64(len(faultKinds)))]
+	fault := scenariofile.Trouble{
+		Kind: kind.name,
+		At:   500 + rng.Float64()*s.Length*0.6,
+		For:  300 + rng.Float64()*s.Length*0.5,
+		Part: 0.1 + 0.8*rng.Float64(),
+		Size: kind.lo + (kind.hi-kind.lo)*rng.Float64(),
 	}
-	if k.name == "region" || k.name == "lines" {
-		t.Region = s.Regions[int(n.Float64()*float64(len(s.Regions)))]
+	if kind.name == "region" || kind.name == "lines" {
+		fault.Region = s.Regions[int(rng.Float64()*float64(len(s.Regions)))]
 	}
-	return t
+	return fault
 }
 
 // Plain is the day that others are drawn from: slow switches, so that few calls make a load.
@@ -189,34 +189,35 @@
 }
 
 // change makes a day like another.
-func change(s *scenariofile.Script, seed uint64) *scenariofile.Script {
-	n := &siptransaction.Generator{Seed: seed}
-	c := *s
-	c.Troubles = append([]scenariofile.Trouble{}, s.Troubles...)
-	switch int(n.Float64() * 6) {
+func mutate(s *scenariofile.Script, seed uint64) *scenariofile.Script {
+	rng := &siptransaction.Generator{Seed: seed}
+	mutant := *s
+	mutant.Troubles = append([]scenariofile.Trouble{}, s.Troubles...)
+	switch int(rng.Float64() * 6) {
 	case 0:
-		c.Seed = seed
+		mutant.Seed = seed
 	case 1:
-		if len(c.Troubles) < 6 {
-			c.Troubles = append(c.Troubles, trouble(n, &c))
+		if len(mutant.Troubles) < 6 {
+			mutant.Troubles = append(mutant.Troubles, randomFault(rng, &mutant))
 		}
 	case 2:
-		if len(c.Troubles) > 0 {
-			i := int(n.Float64() * float64(len(c.Troubles)))
-			c.Troubles[i].At, c.Troubles[i].For = 500+n.Float64()*c.Length*0.6, 300+n.Float64()*c.Length*0.5
+		if len(mutant.Troubles) > 0 {
+			i := int(rng.Float64() * float64(len(mutant.Troubles)))
+			mutant.Troubles[i].At, mutant.Troubles[i].For =
+				500+rng.Float64()*mutant.Length*0.6, 300+rng.Float64()*mutant.Length*0.5
 		}
 	case 3:
-		if len(c.Troubles) > 0 {
-			i := int(n.Float64() * float64(len(c.Troubles)))
-			c.Troubles[i].Part = 0.1 + 0.8*n.Float64()
-			c.Troubles[i].Size *= 0.7 + 0.6*n.Float64()
+		if len(mutant.Troubles) > 0 {
+			i := int(rng.Float64() * float64(len(mutant.Troubles)))
+			mutant.Troubles[i].Part = 0.1 + 0.8*rng.Float64()
+			mutant.Troubles[i].Size *= 0.7 + 0.6*rng.Float64()
 		}
 	case 4:
-		c.Load.Rate *= 0.8 + 0.4*n.Float64()
+		mutant.Load.Rate *= 0.8 + 0.4*rng.Float64()
 	default:
-		c.Gateways.Count = max(1, c.Gateways.Count+int(n.Float64()*5)-2)
+		mutant.Gateways.Count = max(1, mutant.Gateways.Count+int(rng.Float64()*5)-2)
 	}
-	return &c
+	return &mutant
 }
 
 // Judge is how bad a day was. Broken rules come first; then the use of cold budgets and what was not served.
@@ -242,15 +243,15 @@
 	var mu sync.Mutex
 	res := &Result{}
 	var elite []Find // what guides: high use of a cold budget, or bad service
-	hint := func(r *virtualrun.Result, f Find) float64 { return f.Score + r.Totals.SlowStartUse }
-	hints := map[*scenariofile.Script]float64{}
+	guidanceScore := func(r *virtualrun.Result, f Find) float64 { return f.Score + r.Totals.SlowStartUse }
+	guidance := map[*scenariofile.Script]float64{}
 	virtualrun.Each(ctx, o.Days, func(i int) {
 		seed := o.Seed*1000003 + uint64(i)
-		n := &siptransaction.Generator{Seed: seed}
+		rng := &siptransaction.Generator{Seed: seed}
 		var s *scenariofile.Script
 		mu.Lock()
-		if len(elite) > 8 && n.Float64() < 0.5 {
-			s = change(elite[int(n.Float64()*float64(len(elite)))].Script, seed)
+		if len(elite) > 8 && rng.Float64() < 0.5 {
+			s = mutate(elite[int(rng.Float64()*float64(len(elite)))].Script, seed)
 		}
 		mu.Unlock()
 		if s == nil {
@@ -264,15 +265,15 @@
 		if r.Totals.SlowStartUse > res.Cold {
 			res.Cold, res.At = r.Totals.SlowStartUse, s
 		}
-		hints[s] = hint(r, f)
-		elite = insert(elite, f, 24, func(f Find) float64 { return hints[f.Script] })
+		guidance[s] = guidanceScore(r, f)
+		elite = insertSorted(elite, f, 24, func(f Find) float64 { return guidance[f.Script] })
 		if f.Rule > 0 {
 			res.Broken = append(res.Broken, f)
 			if o.Found != nil {
 				o.Found(f)
 			}
 		} else {
-			res.Worst = insert(res.Worst, f, 10, func(f Find) float64 { return f.Score })
+			res.Worst = insertSorted(res.Worst, f, 10, func(f Find) float64 { return f.Score })
 		}
 		if o.Say != nil && res.Days%200 == 0 && len(res.Worst) > 0 {
 			o.Say(res.Days, res.Worst[0].Score)
@@ -282,29 +283,29 @@
 }
 
 // insert keeps a list sorted, the highest first, and short.
-func insert(of []Find, f Find, most int, score func(Find) float64) []Find {
-	i := len(of)
-	for i > 0 && score(of[i-1]) < score(f) {
+func insertSorted(finds []Find, f Find, limit int, score func(Find) float64) []Find {
+	i := len(finds)
+	for i > 0 && score(finds[i-1]) < score(f) {
 		i--
 	}
-	of = append(of, Find{})
-	copy(of[i+1:], of[i:])
-	of[i] = f
-	return of[:min(most, len(of))]
+	finds = append(finds, Find{})
+	copy(finds[i+1:], finds[i:])
+	finds[i] = f
+	return finds[:min(limit, len(finds))]
 }
 
 // Shrink cuts a day down while it still shows what was found: fewer troubles, gateways and switches, shorter, less
 // load, plainer settings. same tells whether a day still shows it. It plays at most so many days.
-func Shrink(s *scenariofile.Script, same func(*scenariofile.Script) bool, most int) *scenariofile.Script {
+func Shrink(s *scenariofile.Script, reproduces func(*scenariofile.Script) bool, maxRuns int) *scenariofile.Script {
 	plain := Plain()
-	for again := true; again && most > 0; {
-		again = false
-		for _, c := range smaller(s, plain) {
-			if most--; most < 0 {
+	for reduced := true; reduced && maxRuns > 0; {
+		reduced = false
+		for _, candidate := range reductions(s, plain) {
+			if maxRuns--; maxRuns < 0 {
 				return s
 			}
-			if same(c) {
-				s, again = c, true
+			if reproduces(candidate) {
+				s, reduced = candidate, true
 				break
 			}
 		}
@@ -313,13 +314,13 @@
 }
 
 // smaller are the days one step smaller than another.
-func smaller(s, plain *scenariofile.Script) []*scenariofile.Script {
-	var of []*scenariofile.Script
-	add := func(do func(c *scenariofile.Script)) {
+func reductions(s, plain *scenariofile.Script) []*scenariofile.Script {
+	var candidates []*scenariofile.Script
+	add := func(edit func(c *scenariofile.Script)) {
 		c := *s
 		c.Troubles = append([]scenariofile.Trouble{}, s.Troubles...)
-		do(&c)
-		of = append(of, &c)
+		edit(&c)
+		candidates = append(candidates, &c)
 	}
 	for i := range s.Troubles {
 		add(func(c *scenariofile.Script) { c.Troubles = append(c.Troubles[:i], c.Troubles[i+1:]...) })
@@ -364,5 +365,5 @@
 			add(func(c *scenariofile.Script) { c.Troubles[i].For = math.Round(t.For/2/100) * 100 })
 		}
 	}
-	return of
+	return candidates
 }
--- a/internal/emulator/search/hunt_test.go
+++ b/internal/emulator/search/search_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestSmallHunt plays some days by the real module, the same with every run.
-func TestSmallHunt(t *testing.T) {
+// TestSmallSearch plays some days by the real module, the same with every run.
+func TestSmallSearch(t *testing.T) {
 	r := Run(context.Background(), Options{Days: 24, Seed: 99})
 	for _, f := range r.Broken {
 		t.Error(f.What)
@@ -50,8 +50,8 @@
 	}
 }
 
-// faulty breaks a rule on days with a stall and more than one gateway.
-func faulty(s *scenariofile.Script) *virtualrun.Result {
+// simulateFaulty breaks a rule on days with a stall and more than one gateway.
+func simulateFaulty(s *scenariofile.Script) *virtualrun.Result {
 	r := &virtualrun.Result{}
 	for _, t := range s.Troubles {
 		if t.Kind == "stall" && s.Gateways.Count > 1 {
@@ -64,16 +64,20 @@
 // A hunt finds what breaks a rule, cuts it down to that, and keeps its finds when it is stopped half way.
 func TestFindAndShrink(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	told := 0
-	r := Run(ctx, Options{Days: 100000, Seed: 3, Play: faulty, Found: func(Find) {
-		if told++; told == 5 {
+	reported := 0
+	r := Run(ctx, Options{Days: 100000, Seed: 3, Play: simulateFaulty, Found: func(Find) {
+		if reported++; reported == 5 {
 			cancel()
 		}
 	}})
-	if r.Days >= 100000 || len(r.Broken) < 5 || told < 5 {
-		t.Fatalf("%d days, %d finds, %d told", r.Days, len(r.Broken), told)
+	if r.Days >= 100000 || len(r.Broken) < 5 || reported < 5 {
+		t.Fatalf("%d days, %d finds, %d reported", r.Days, len(r.Broken), reported)
 	}
-	small := Shrink(r.Broken[0].Script, func(s *scenariofile.Script) bool { return Judge(s, faulty(s)).Rule == 2 }, 1000)
+	small := Shrink(
+		r.Broken[0].Script,
+		func(s *scenariofile.Script) bool { return Judge(s, simulateFaulty(s)).Rule == 2 },
+		1000,
+	)
 	if len(small.Troubles) != 1 || small.Troubles[0].Kind != "stall" || small.Gateways.Count != 2 ||
 		small.Pools.Count != 1 ||
 		small.Length > 5000 {
