--- a/internal/emulator/search/search.go
+++ b/internal/emulator/search/search.go
@@ -1,5 +1,5 @@
-// Package search looks for days on which a rule breaks or callers are served worst: it draws small days by chance, goes
-// on from the worst ones by small changes, and cuts what it finds down to the least that still shows it.
+// Package search looks for scenarios that break a rule or serve callers worst. It draws small random scenarios, mutates
+// the worst ones, and reduces what it finds to the smallest scenario that still reproduces it.
 package search
 
 //tally:standin
@@ -16,37 +16,37 @@
 	"cobaltpier/internal/protocol/siptransaction"
 )
 
-// Find is a day that stands out.
+// Find is a scenario that breaks a rule or serves callers badly.
 type Find struct {
 	Script *scenariofile.Script
-	Rule   int     // the broken rule; 0: none, a day of bad service; Tables: a call by another number table than its own
-	What   string  // the first finding
-	Score  float64 // how bad: 10 and more for a broken rule
+	Rule   int     // the broken rule, 0 for bad service only, or Tables for a call routed by the wrong number table
+	What   string  // the first finding of the checker
+	Score  float64 // higher is worse; at least 10 for a broken rule
 }
 
-// Tables stands in place of a rule's number.
+// Tables is the value of Find.Rule for findings about number tables.
 const Tables = 6
 
-// Options say how to hunt.
+// Options configure a search.
 type Options struct {
 	Days  int
 	Seed  uint64
-	Large bool                                          // days of up to 40 gateways
-	Play  func(*scenariofile.Script) *virtualrun.Result // nil: the project's module
-	Found func(Find)                                    // told at once, so that a hunt that is stopped loses nothing
+	Large bool                                          // draws scenarios with up to 40 gateways
+	Play  func(*scenariofile.Script) *virtualrun.Result // runs a scenario; nil: with the project's own policy
+	Found func(Find)                                    // called at once, so that an interrupted search loses none
 	Say   func(done int, worst float64)
 }
 
-// Result is what a hunt came to.
+// Result holds the outcome of a search.
 type Result struct {
 	Days   int
 	Broken []Find
-	Worst  []Find               // of service, the worst first, at most ten
-	Cold   float64              // the most of a cold budget that was used
-	At     *scenariofile.Script // on this day
+	Worst  []Find               // scenarios that break no rule, worst service first, at most ten
+	Cold   float64              // highest share of a slow-start budget that was used
+	At     *scenariofile.Script // scenario with that share
 }
 
-// kinds of trouble that a hunt draws, with the range of their sizes.
+// faultKinds are the kinds of fault that a search draws, with the range of their sizes.
 var faultKinds = []struct {
 	name   string
 	lo, hi float64
@@ -72,7 +72,7 @@
 	{"listless", 1, 1},
 }
 
-// Draw makes a small day by chance.
+// Draw returns a small random scenario.
 func Draw(seed uint64, large bool) *scenariofile.Script {
 	rng := &siptransaction.Generator{Seed: seed ^ 0x5bd1e995}
 	between := func(lo, hi float64) float64 { return lo + (hi-lo)*rng.Float64() }
@@ -106,7 +106,7 @@
 	return s
 }
 
-// namesKinds are the troubles of DNS servers.
+// dnsFaultKinds are the faults of DNS servers, with the range of their sizes.
 var dnsFaultKinds = []struct {
 	name   string
 	lo, hi float64
@@ -114,8 +114,8 @@
 	0.1, 1}, {"names_lame", 1, 1},
 	{"names_wrong", 0.1, 1}}
 
-// numbers lets a day's gateways analyse numbers, with tables that change and DNS servers that fail, and maybe kiosks
-// that ask in place of a part of the callers.
+// addNumberAnalysis turns on number analysis in a scenario, with changing number tables and DNS server faults. In some
+// scenarios it replaces a share of the callers by kiosks, which look up the endpoint by ENUM.
 func addNumberAnalysis(rng *siptransaction.Generator, s *scenariofile.Script) {
 	between := func(lo, hi float64) float64 { return lo + (hi-lo)*rng.Float64() }
 	oneOf := func(values ...float64) float64 { return values[int(rng.Float64()*float64(len(values)))] }
@@ -179,16 +179,16 @@
 	return fault
 }
 
-// Plain is the day that others are drawn from: slow switches, so that few calls make a load.
+// Plain returns the scenario that random ones start from. Its core switches are slow, so that few calls load them.
 func Plain() *scenariofile.Script {
 	s, err := scenario.Day("plain")
 	if err != nil {
-		panic(err) // a file of this program's own
+		panic(err) // the file is embedded in the program
 	}
 	return s
 }
 
-// change makes a day like another.
+// mutate returns a copy of a scenario with one random change.
 func mutate(s *scenariofile.Script, seed uint64) *scenariofile.Script {
 	rng := &siptransaction.Generator{Seed: seed}
 	mutant := *s
@@ -220,7 +220,8 @@
 	return &mutant
 }
 
-// Judge is how bad a day was. Broken rules come first; then the use of cold budgets and what was not served.
+// Judge rates the result of a scenario. A broken rule scores at least 10; otherwise the score is the share of calls not
+// served.
 func Judge(s *scenariofile.Script, r *virtualrun.Result) Find {
 	f := Find{Script: s, Score: 1 - r.Service.Total}
 	if len(r.Findings) > 0 {
@@ -233,7 +234,7 @@
 	return f
 }
 
-// Run hunts until its days are played or ctx ends; what was found until then stands in the result.
+// Run searches until all scenarios have run or ctx ends. The result holds what was found up to then.
 func Run(ctx context.Context, o Options) *Result {
 	if o.Play == nil {
 		o.Play = func(s *scenariofile.Script) *virtualrun.Result {
@@ -242,7 +243,7 @@
 	}
 	var mu sync.Mutex
 	res := &Result{}
-	var elite []Find // what guides: high use of a cold budget, or bad service
+	var elite []Find // scenarios to mutate: high use of a slow-start budget, or bad service
 	guidanceScore := func(r *virtualrun.Result, f Find) float64 { return f.Score + r.Totals.SlowStartUse }
 	guidance := map[*scenariofile.Script]float64{}
 	virtualrun.Each(ctx, o.Days, func(i int) {
@@ -282,7 +283,7 @@
 	return res
 }
 
-// insert keeps a list sorted, the highest first, and short.
+// insertSorted inserts f into a list sorted by descending score and cuts the list to limit entries.
 func insertSorted(finds []Find, f Find, limit int, score func(Find) float64) []Find {
 	i := len(finds)
 	for i > 0 && score(finds[i-1]) < score(f) {
@@ -294,8 +295,9 @@
 	return finds[:min(limit, len(finds))]
 }
 
-// Shrink cuts a day down while it still shows what was found: fewer troubles, gateways and switches, shorter, less
-// load, plainer settings. same tells whether a day still shows it. It plays at most so many days.
+// Shrink reduces a scenario as long as it reproduces the find: fewer faults, gateways and core switches, a shorter run,
+// less load, plainer settings. reproduces reports whether a smaller scenario still does; it is called at most maxRuns
+// times.
 func Shrink(s *scenariofile.Script, reproduces func(*scenariofile.Script) bool, maxRuns int) *scenariofile.Script {
 	plain := Plain()
 	for reduced := true; reduced && maxRuns > 0; {
@@ -313,7 +315,7 @@
 	return s
 }
 
-// smaller are the days one step smaller than another.
+// reductions returns all scenarios that are one step smaller than s.
 func reductions(s, plain *scenariofile.Script) []*scenariofile.Script {
 	var candidates []*scenariofile.Script
 	add := func(edit func(c *scenariofile.Script)) {
--- a/internal/emulator/search/search_test.go
+++ b/internal/emulator/search/search_test.go
@@ -15,7 +15,7 @@
 //go:embed corpus
 var corpus embed.FS
 
-// TestCorpus plays every day that a hunt found and that was mended: no rule may break on it again.
+// TestCorpus runs every scenario that a search found and whose fault has been fixed: no rule may break on it again.
 func TestCorpus(t *testing.T) {
 	files, err := corpus.ReadDir("corpus")
 	if err != nil {
@@ -39,18 +39,18 @@
 	}
 }
 
-// TestSmallSearch plays some days by the real module, the same with every run.
+// TestSmallSearch runs a few scenarios, the same ones every time, with the project's own policy.
 func TestSmallSearch(t *testing.T) {
 	r := Run(context.Background(), Options{Days: 24, Seed: 99})
 	for _, f := range r.Broken {
 		t.Error(f.What)
 	}
 	if r.Days != 24 || len(r.Worst) == 0 || r.Cold == 0 {
-		t.Errorf("%d days, %d worst, cold %v", r.Days, len(r.Worst), r.Cold)
+		t.Errorf("%d scenarios, %d worst, slow-start use %v", r.Days, len(r.Worst), r.Cold)
 	}
 }
 
-// simulateFaulty breaks a rule on days with a stall and more than one gateway.
+// simulateFaulty reports a broken rule for scenarios with a stall and more than one gateway.
 func simulateFaulty(s *scenariofile.Script) *virtualrun.Result {
 	r := &virtualrun.Result{}
 	for _, t := range s.Troubles {
@@ -61,7 +61,8 @@
 	return r
 }
 
-// A hunt finds what breaks a rule, cuts it down to that, and keeps its finds when it is stopped half way.
+// TestFindAndShrink checks that a search finds a broken rule, reduces the scenario to what is needed, and keeps its
+// finds when it is canceled half way.
 func TestFindAndShrink(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	reported := 0
@@ -71,7 +72,7 @@
 		}
 	}})
 	if r.Days >= 100000 || len(r.Broken) < 5 || reported < 5 {
-		t.Fatalf("%d days, %d finds, %d reported", r.Days, len(r.Broken), reported)
+		t.Fatalf("%d scenarios, %d finds, %d reported", r.Days, len(r.Broken), reported)
 	}
 	small := Shrink(
 		r.Broken[0].Script,
@@ -82,7 +83,7 @@
 		small.Pools.Count != 1 ||
 		small.Length > 5000 {
 		t.Errorf(
-			"cut down to %d gateways, %d switches, %v ms, %v",
+			"reduced to %d gateways, %d switches, %v ms, %v",
 			small.Gateways.Count,
 			small.Pools.Count,
 			small.Length,
