--- a/internal/emulator/calltrace/trace.go
+++ b/internal/emulator/calltrace/trace.go
@@ -26,17 +26,17 @@
 )
 
 const (
-	magic     = "cobtrc1\n"
-	perBlock  = 4096
-	mostBlock = 1 << 26 // bytes: no block is longer, whatever its length says
+	magic         = "cobtrc1\n"
+	callsPerBlock = 4096
+	maxBlockBytes = 1 << 26 // bytes: no block is longer, whatever its length says
 )
 
 // Writer writes a trace. Calls must come in the order of their times.
 type Writer struct {
-	w     io.Writer
-	block api.Block
-	last  float64
-	begun bool
+	w             io.Writer
+	block         api.Block
+	last          float64
+	headerWritten bool
 }
 
 // NewWriter writes to w.
@@ -49,7 +49,7 @@
 	}
 	w.last = c.AtMs
 	w.block.Calls = append(w.block.Calls, c)
-	if len(w.block.Calls) >= perBlock {
+	if len(w.block.Calls) >= callsPerBlock {
 		return w.Flush()
 	}
 	return nil
@@ -58,9 +58,9 @@
 // Flush writes what waits.
 func (w *Writer) Flush() error {
 	var out bytes.Buffer
-	if !w.begun {
+	if !w.headerWritten {
 		out.WriteString(magic)
-		w.begun = true
+		w.headerWritten = true
 	}
 	if len(w.block.Calls) > 0 {
 		raw, err := proto.Marshal(&w.block)
@@ -100,7 +100,7 @@
 	at := int64(len(magic))
 	last := 0.0
 	for n := 1; ; n++ {
-		bad := func(why string, err error) error {
+		damaged := func(why string, err error) error {
 			if err != nil {
 				why += ": " + err.Error()
 			}
@@ -110,34 +110,34 @@
 		if k, err := io.ReadFull(rd, h[:]); err == io.EOF && k == 0 {
 			return nil
 		} else if err != nil {
-			return bad("cut short", nil)
+			return damaged("cut short", nil)
 		}
 		size := binary.LittleEndian.Uint32(h[:])
-		if size > mostBlock {
-			return bad(fmt.Sprintf("%d bytes are too many", size), nil)
+		if size > maxBlockBytes {
+			return damaged(fmt.Sprintf("%d bytes are too many", size), nil)
 		}
 		var z bytes.Buffer
 		if k, err := io.CopyN(&z, rd, int64(size)); err != nil {
-			return bad(fmt.Sprintf("cut short after %d of %d bytes", k, size), nil)
+			return damaged(fmt.Sprintf("cut short after %d of %d bytes", k, size), nil)
 		}
 		if crc32.ChecksumIEEE(z.Bytes()) != binary.LittleEndian.Uint32(h[4:]) {
-			return bad("wrong checksum", nil)
+			return damaged("wrong checksum", nil)
 		}
 		g, err := gzip.NewReader(&z)
 		if err != nil {
-			return bad("gzip", err)
+			return damaged("gzip", err)
 		}
-		raw, err := io.ReadAll(io.LimitReader(g, 8*mostBlock))
+		raw, err := io.ReadAll(io.LimitReader(g, 8*maxBlockBytes))
 		if err != nil {
-			return bad("gzip", err)
+			return damaged("gzip", err)
 		}
 		var b api.Block
 		if err := proto.Unmarshal(raw, &b); err != nil {
-			return bad("protobuf", err)
+			return damaged("protobuf", err)
 		}
 		for _, c := range b.Calls {
 			if !(c.AtMs >= last) {
-				return bad(fmt.Sprintf("a call at %v ms after one at %v ms", c.AtMs, last), nil)
+				return damaged(fmt.Sprintf("a call at %v ms after one at %v ms", c.AtMs, last), nil)
 			}
 			last = c.AtMs
 			if err := do(c); err != nil {
@@ -150,26 +150,26 @@
 
 // All reads a whole trace; what was read stands beside the error.
 func All(r io.Reader) ([]*api.Call, error) {
-	var of []*api.Call
-	err := Read(r, func(c *api.Call) error { of = append(of, c); return nil })
-	return of, err
+	var calls []*api.Call
+	err := Read(r, func(c *api.Call) error { calls = append(calls, c); return nil })
+	return calls, err
 }
 
 // columns of CSV and JSON lines, and where their values go.
 var columns = map[string]func(*api.Call, string) error{
-	"at_ms":       func(c *api.Call, s string) error { return number(&c.AtMs, s) },
-	"gateway":     func(c *api.Call, s string) error { return whole(&c.Gateway, s) },
+	"at_ms":       func(c *api.Call, s string) error { return setFloat(&c.AtMs, s) },
+	"gateway":     func(c *api.Call, s string) error { return setUint32(&c.Gateway, s) },
 	"number":      func(c *api.Call, s string) error { c.Number = s; return nil },
 	"skill":       func(c *api.Call, s string) error { c.Skill = s; return nil },
 	"customer":    func(c *api.Call, s string) error { c.Customer = s; return nil },
 	"group":       func(c *api.Call, s string) error { c.Group = s; return nil },
-	"hold_ms":     func(c *api.Call, s string) error { return number(&c.HoldMs, s) },
-	"patience_ms": func(c *api.Call, s string) error { return number(&c.PatienceMs, s) },
-	"answer":      func(c *api.Call, s string) error { return whole(&c.Answer, s) },
-	"wait_ms":     func(c *api.Call, s string) error { return number(&c.WaitMs, s) },
+	"hold_ms":     func(c *api.Call, s string) error { return setFloat(&c.HoldMs, s) },
+	"patience_ms": func(c *api.Call, s string) error { return setFloat(&c.PatienceMs, s) },
+	"answer":      func(c *api.Call, s string) error { return setUint32(&c.Answer, s) },
+	"wait_ms":     func(c *api.Call, s string) error { return setFloat(&c.WaitMs, s) },
 }
 
-func number(to *float64, s string) error {
+func setFloat(to *float64, s string) error {
 	if s == "" {
 		return nil
 	}
@@ -181,7 +181,7 @@
 	return nil
 }
 
-func whole(to *uint32, s string) error {
+func setUint32(to *uint32, s string) error {
 	if s == "" {
 		return nil
 	}
@@ -193,7 +193,7 @@
 	return nil
 }
 
-func known() string {
+func columnNames() string {
 	var names []string
 	for k := range columns {
 		names = append(names, k)
@@ -211,35 +211,35 @@
 	}
 	for _, h := range head {
 		if columns[h] == nil {
-			return nil, fmt.Errorf("csv: line 1: column %q is not known; known: %s", h, known())
+			return nil, fmt.Errorf("csv: line 1: column %q is not known; known: %s", h, columnNames())
 		}
 	}
 	if !slices.Contains(head, "at_ms") || !slices.Contains(head, "number") {
 		return nil, fmt.Errorf("csv: line 1: want at least at_ms and number")
 	}
-	var of []*api.Call
+	var calls []*api.Call
 	for {
 		row, err := rd.Read()
 		if errors.Is(err, io.EOF) {
-			return sorted(of), nil
+			return sortByTime(calls), nil
 		}
 		if err != nil {
-			return sorted(of), fmt.Errorf("csv: %w", err)
+			return sortByTime(calls), fmt.Errorf("csv: %w", err)
 		}
 		c := &api.Call{}
 		for i, v := range row {
 			if err := columns[head[i]](c, strings.TrimSpace(v)); err != nil {
 				n, _ := rd.FieldPos(i)
-				return sorted(of), fmt.Errorf("csv: line %d: %s: %w", n, head[i], err)
+				return sortByTime(calls), fmt.Errorf("csv: line %d: %s: %w", n, head[i], err)
 			}
 		}
-		of = append(of, c)
+		calls = append(calls, c)
 	}
 }
 
 // FromJSON reads calls from lines of JSON objects with the same names as CSV's columns.
 func FromJSON(r io.Reader) ([]*api.Call, error) {
-	var of []*api.Call
+	var calls []*api.Call
 	sc := bufio.NewScanner(r)
 	sc.Buffer(nil, 1<<20)
 	for n := 1; sc.Scan(); n++ {
@@ -248,32 +248,32 @@
 		}
 		var m map[string]any
 		if err := json.Unmarshal(sc.Bytes(), &m); err != nil {
-			return sorted(of), fmt.Errorf("json: line %d: %w", n, err)
+			return sortByTime(calls), fmt.Errorf("json: line %d: %w", n, err)
 		}
 		c := &api.Call{}
 		for k, v := range m {
 			set := columns[k]
 			if set == nil {
-				return sorted(of), fmt.Errorf("json: line %d: %q is not known; known: %s", n, k, known())
+				return sortByTime(calls), fmt.Errorf("json: line %d: %q is not known; known: %s", n, k, columnNames())
 			}
 			text := fmt.Sprint(v)
 			if f, ok := v.(float64); ok {
 				text = strconv.FormatFloat(f, 'f', -1, 64)
 			}
 			if err := set(c, text); err != nil {
-				return sorted(of), fmt.Errorf("json: line %d: %s: %w", n, k, err)
+				return sortByTime(calls), fmt.Errorf("json: line %d: %s: %w", n, k, err)
 			}
 		}
-		of = append(of, c)
+		calls = append(calls, c)
 	}
 	if err := sc.Err(); err != nil {
-		return sorted(of), fmt.Errorf("json: %w", err)
+		return sortByTime(calls), fmt.Errorf("json: %w", err)
 	}
-	return sorted(of), nil
+	return sortByTime(calls), nil
 }
 
-func sorted(of []*api.Call) []*api.Call {
-	slices.SortStableFunc(of, func(a, b *api.Call) int {
+func sortByTime(calls []*api.Call) []*api.Call {
+	slices.SortStableFunc(calls, func(a, b *api.Call) int {
 		switch {
 		case a.AtMs < b.AtMs:
 			return -1
@@ -282,13 +282,13 @@
 		}
 		return 0
 	})
-	return of
+	return calls
 }
 
 // Slice keeps the calls from a time on and before another, and counts their times from there.
-func Slice(of []*api.Call, from, to float64) []*api.Call {
+func Slice(calls []*api.Call, from, to float64) []*api.Call {
 	var out []*api.Call
-	for _, c := range of {
+	for _, c := range calls {
 		if c.AtMs >= from && c.AtMs < to {
 			c = proto.CloneOf(c)
 			c.AtMs -= from
@@ -299,13 +299,13 @@
 }
 
 // Merge puts traces together by their times.
-func Merge(of ...[]*api.Call) []*api.Call { return sorted(slices.Concat(of...)) }
+func Merge(traces ...[]*api.Call) []*api.Call { return sortByTime(slices.Concat(traces...)) }
 
 // Speed plays times of coming so many times faster. Holds and timeout are people's and stay as they are, unless all is
 // set: then they shrink too, and load per circuit stays what it was.
-func Speed(of []*api.Call, factor float64, all bool) []*api.Call {
-	out := make([]*api.Call, len(of))
-	for i, c := range of {
+func Speed(calls []*api.Call, factor float64, all bool) []*api.Call {
+	out := make([]*api.Call, len(calls))
+	for i, c := range calls {
 		c = proto.CloneOf(c)
 		c.AtMs /= factor
 		if all {
@@ -319,9 +319,9 @@
 
 // Scale makes so many times as many calls: each is kept, left out or doubled by a hash of the seed and its place, and
 // copies come within jitter ms after their call, so that they do not all come at once.
-func Scale(of []*api.Call, factor, jitter float64, seed uint64) []*api.Call {
+func Scale(calls []*api.Call, factor, jitter float64, seed uint64) []*api.Call {
 	var out []*api.Call
-	for i, c := range of {
+	for i, c := range calls {
 		n := int(factor)
 		if detrand.Float64(seed, uint64(i), 0) < factor-math.Floor(factor) {
 			n++
@@ -334,23 +334,23 @@
 			out = append(out, d)
 		}
 	}
-	return sorted(out)
+	return sortByTime(out)
 }
 
 // Anonymise puts other digits in the place of the numbers called, the same for the same number and key, and keeps their
 // first digits, which routing goes by. Who has no key can't tell the numbers; one number can be followed through the
 // trace, since redials are known by it.
-func Anonymise(of []*api.Call, key string, keep int) []*api.Call {
-	out := make([]*api.Call, len(of))
-	for i, c := range of {
+func Anonymise(calls []*api.Call, key string, keep int) []*api.Call {
+	out := make([]*api.Call, len(calls))
+	for i, c := range calls {
 		c = proto.CloneOf(c)
-		c.Number = hidden(c.Number, key, keep)
+		c.Number = maskNumber(c.Number, key, keep)
 		out[i] = c
 	}
 	return out
 }
 
-func hidden(number, key string, keep int) string {
+func maskNumber(number, key string, keep int) string {
 	if len(number) <= keep {
 		return number
 	}
@@ -365,16 +365,16 @@
 }
 
 // Summary says in a few lines what a trace holds.
-func Summary(of []*api.Call) string {
-	if len(of) == 0 {
+func Summary(calls []*api.Call) string {
+	if len(calls) == 0 {
 		return "no calls"
 	}
-	skills, gates := map[string]int{}, map[uint32]int{}
-	for _, c := range of {
+	skills, gateways := map[string]int{}, map[uint32]int{}
+	for _, c := range calls {
 		skills[c.Skill]++
-		gates[c.Gateway]++
+		gateways[c.Gateway]++
 	}
-	span := of[len(of)-1].AtMs - of[0].AtMs
+	span := calls[len(calls)-1].AtMs - calls[0].AtMs
 	var names []string
 	for k, n := range skills {
 		names = append(names, fmt.Sprintf("%s %d", k, n))
@@ -382,22 +382,22 @@
 	slices.Sort(names)
 	rate := math.NaN()
 	if span > 0 {
-		rate = float64(len(of)-1) / span * 1000
+		rate = float64(len(calls)-1) / span * 1000
 	}
 	return fmt.Sprintf(
 		"%d calls in %.1f s, %.1f a second, at %d gateways; by skill: %s",
-		len(of),
+		len(calls),
 		span/1000,
 		rate,
-		len(gates),
+		len(gateways),
 		strings.Join(names, ", "),
 	)
 }
 
 // Fingerprint names a trace's calls.
-func Fingerprint(of []*api.Call) string {
+func Fingerprint(calls []*api.Call) string {
 	h := fnv.New64a()
-	for _, c := range of {
+	for _, c := range calls {
 		b, err := proto.MarshalOptions{Deterministic: true}.Marshal(c)
 		if err == nil {
 			h.Write(b)
--- a/internal/emulator/calltrace/trace_test.go
+++ b/internal/emulator/calltrace/trace_test.go
@@ -13,11 +13,11 @@
 	"cobaltpier/api"
 )
 
-func calls(n int) []*api.Call {
-	var of []*api.Call
+func makeCalls(n int) []*api.Call {
+	var calls []*api.Call
 	for i := range n {
-		of = append(
-			of,
+		calls = append(
+			calls,
 			&api.Call{
 				AtMs:       float64(i) * 1.5,
 				Number:     "+14185550" + strings.Repeat("7", i%4),
@@ -27,14 +27,14 @@
 			},
 		)
 	}
-	return of
+	return calls
 }
 
-func file(t *testing.T, of []*api.Call) []byte {
+func encodeTrace(t *testing.T, calls []*api.Call) []byte {
 	t.Helper()
 	var b bytes.Buffer
 	w := NewWriter(&b)
-	for _, c := range of {
+	for _, c := range calls {
 		if err := w.Add(c); err != nil {
 			t.Fatal(err)
 		}
@@ -47,8 +47,8 @@
 
 // What is written comes back, in blocks; calls out of order are refused.
 func TestRoundTrip(t *testing.T) {
-	want := calls(2*perBlock + 7)
-	got, err := All(bytes.NewReader(file(t, want)))
+	want := makeCalls(2*callsPerBlock + 7)
+	got, err := All(bytes.NewReader(encodeTrace(t, want)))
 	if err != nil || Fingerprint(got) != Fingerprint(want) {
 		t.Errorf("%d calls, %v", len(got), err)
 	}
@@ -57,16 +57,16 @@
 	if w.Add(&api.Call{AtMs: 4}) == nil || w.Add(&api.Call{AtMs: math.NaN()}) == nil {
 		t.Error("calls out of order taken")
 	}
-	if of, err := All(bytes.NewReader(file(t, nil))); err != nil || len(of) != 0 {
-		t.Errorf("empty trace: %d calls, %v", len(of), err)
+	if calls, err := All(bytes.NewReader(encodeTrace(t, nil))); err != nil || len(calls) != 0 {
+		t.Errorf("empty trace: %d calls, %v", len(calls), err)
 	}
 }
 
 // A file that is cut anywhere, or with a byte changed anywhere, gives whole blocks up to there, and an error that says
 // where; never a wrong call.
 func TestDamage(t *testing.T) {
-	want := calls(2*perBlock + 7)
-	whole := file(t, want)
+	want := makeCalls(2*callsPerBlock + 7)
+	whole := encodeTrace(t, want)
 	rapid.Check(t, func(t *rapid.T) {
 		b := bytes.Clone(whole)
 		at := rapid.IntRange(0, len(b)-1).Draw(t, "at")
@@ -79,7 +79,7 @@
 		if err != nil && !errors.Is(err, ErrDamaged) {
 			t.Fatalf("error %v", err)
 		}
-		if err == nil && len(got)%perBlock != 0 { // cut between two blocks: all that is there is whole
+		if err == nil && len(got)%callsPerBlock != 0 { // cut between two blocks: all that is there is whole
 			t.Fatalf("no error, %d calls", len(got))
 		}
 		for i, c := range got {
@@ -91,15 +91,15 @@
 }
 
 func TestImport(t *testing.T) {
-	of, err := FromCSV(strings.NewReader("at_ms,number,skill\n20,+1418,a\n10,+1514,b\n"))
-	if err != nil || len(of) != 2 || of[0].Number != "+1514" || of[1].AtMs != 20 {
-		t.Errorf("%v, %v", of, err)
+	calls, err := FromCSV(strings.NewReader("at_ms,number,skill\n20,+1418,a\n10,+1514,b\n"))
+	if err != nil || len(calls) != 2 || calls[0].Number != "+1514" || calls[1].AtMs != 20 {
+		t.Errorf("%v, %v", calls, err)
 	}
-	of, err = FromJSON(
+	calls, err = FromJSON(
 		strings.NewReader("{\"at_ms\": 1.5, \"number\": \"+1\", \"gateway\": 3}\n\n{\"at_ms\": 0, \"number\": \"+2\"}\n"),
 	)
-	if err != nil || len(of) != 2 || of[1].Gateway != 3 {
-		t.Errorf("%v, %v", of, err)
+	if err != nil || len(calls) != 2 || calls[1].Gateway != 3 {
+		t.Errorf("%v, %v", calls, err)
 	}
 	for in, want := range map[string]string{
 		"":                               "no line of column names",
@@ -120,35 +120,35 @@
 	}
 }
 
-func TestTools(t *testing.T) {
-	of := calls(1000)
-	if c := Slice(of, 150, 300); len(c) != 100 || c[0].AtMs != 0 || of[100].AtMs != 150 {
+func TestTransforms(t *testing.T) {
+	calls := makeCalls(1000)
+	if c := Slice(calls, 150, 300); len(c) != 100 || c[0].AtMs != 0 || calls[100].AtMs != 150 {
 		t.Errorf("cut: %d calls from %v", len(c), c[0].AtMs)
 	}
-	if s := Speed(of, 2, false); s[10].AtMs != 7.5 || s[10].HoldMs != 1000 {
+	if s := Speed(calls, 2, false); s[10].AtMs != 7.5 || s[10].HoldMs != 1000 {
 		t.Errorf("speed: %v", s[10])
 	}
-	if s := Speed(of, 2, true); s[10].HoldMs != 500 || s[10].PatienceMs != 4500 {
+	if s := Speed(calls, 2, true); s[10].HoldMs != 500 || s[10].PatienceMs != 4500 {
 		t.Errorf("speed of all: %v", s[10])
 	}
 	for _, f := range []float64{0.3, 1, 2.5} {
-		s := Scale(of, f, 100, 1)
+		s := Scale(calls, f, 100, 1)
 		if n := float64(len(s)) / 1000; math.Abs(n-f) > 0.06 {
 			t.Errorf("scale by %v made %v", f, n)
 		}
-		if Fingerprint(s) != Fingerprint(Scale(of, f, 100, 1)) {
+		if Fingerprint(s) != Fingerprint(Scale(calls, f, 100, 1)) {
 			t.Error("scale by chance of its own")
 		}
 	}
-	a := Anonymise(of, "k", 5)
-	if a[0].Number[:5] != "+1418" || a[3].Number == of[3].Number || a[3].Number != a[7].Number ||
-		len(a[3].Number) != len(of[3].Number) {
-		t.Errorf("anonymise: %q of %q", a[3].Number, of[3].Number)
+	a := Anonymise(calls, "k", 5)
+	if a[0].Number[:5] != "+1418" || a[3].Number == calls[3].Number || a[3].Number != a[7].Number ||
+		len(a[3].Number) != len(calls[3].Number) {
+		t.Errorf("anonymise: %q of %q", a[3].Number, calls[3].Number)
 	}
-	if Anonymise(of, "other", 5)[3].Number == a[3].Number {
+	if Anonymise(calls, "other", 5)[3].Number == a[3].Number {
 		t.Error("the key does not matter")
 	}
-	if m := Merge(Slice(of, 0, 100), Slice(of, 0, 50)); len(m) != 101 || m[1].AtMs != 0 {
+	if m := Merge(Slice(calls, 0, 100), Slice(calls, 0, 50)); len(m) != 101 || m[1].AtMs != 0 {
 		t.Errorf("merge: %d", len(m))
 	}
 }
