--- a/internal/emulator/calltrace/stored_test.go
+++ b/internal/emulator/calltrace/stored_test.go
@@ -9,7 +9,7 @@
 	"cobaltpier/api"
 )
 
-// A trace written by an earlier release (9f5ba27) is still read.
+// TestStoredTrace checks that a trace written by an earlier release (9f5ba27) can still be read.
 func TestStoredTrace(t *testing.T) {
 	file, err := os.Open("testdata/calls.trace")
 	if err != nil {
--- a/internal/emulator/calltrace/trace.go
+++ b/internal/emulator/calltrace/trace.go
@@ -1,4 +1,4 @@
-// Package calltrace reads, writes and reworks traces of calls: api/trace.proto has the format.
+// Package calltrace reads, writes and transforms call traces. The format is described in api/trace.proto.
 package calltrace
 
 import (
@@ -28,10 +28,10 @@
 const (
 	magic         = "cobtrc1\n"
 	callsPerBlock = 4096
-	maxBlockBytes = 1 << 26 // bytes: no block is longer, whatever its length says
+	maxBlockBytes = 1 << 26 // a block with a greater length field is taken as damaged
 )
 
-// Writer writes a trace. Calls must come in the order of their times.
+// Writer writes a trace. Calls must be added in the order of their times.
 type Writer struct {
 	w             io.Writer
 	block         api.Block
@@ -39,13 +39,13 @@
 	headerWritten bool
 }
 
-// NewWriter writes to w.
+// NewWriter returns a Writer that writes to w.
 func NewWriter(w io.Writer) *Writer { return &Writer{w: w} }
 
 // Add appends a call.
 func (w *Writer) Add(c *api.Call) error {
 	if c.AtMs < w.last || math.IsNaN(c.AtMs) || c.AtMs < 0 {
-		return fmt.Errorf("trace: a call at %v ms after one at %v ms", c.AtMs, w.last)
+		return fmt.Errorf("trace: call at %v ms follows one at %v ms", c.AtMs, w.last)
 	}
 	w.last = c.AtMs
 	w.block.Calls = append(w.block.Calls, c)
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// Flush writes what waits.
+// Flush writes the buffered calls as one block, after the file header if that is not written yet.
 func (w *Writer) Flush() error {
 	var out bytes.Buffer
 	if !w.headerWritten {
@@ -86,16 +86,16 @@
 	return nil
 }
 
-// ErrDamaged says that a trace was read up to a place where it is cut short or damaged.
+// ErrDamaged reports that a trace is truncated or damaged; the blocks before that place were read.
 var ErrDamaged = errors.New("damaged")
 
-// Read calls do with each call in order. Where the file is damaged it returns an error that wraps ErrDamaged and names
-// the block and the byte; all blocks before that were handed on.
+// Read calls do with each call in order. If the file is damaged, it returns an error that wraps ErrDamaged and names
+// the block and the byte offset; the calls of all blocks before that have been passed to do.
 func Read(r io.Reader, do func(*api.Call) error) error {
 	rd := bufio.NewReaderSize(r, 1<<16)
 	head := make([]byte, len(magic))
 	if _, err := io.ReadFull(rd, head); err != nil || string(head) != magic {
-		return fmt.Errorf("trace: no trace: want it to begin with %q: %w", magic, ErrDamaged)
+		return fmt.Errorf("trace: file header is not %q: %w", magic, ErrDamaged)
 	}
 	at := int64(len(magic))
 	last := 0.0
@@ -110,15 +110,15 @@
 		if k, err := io.ReadFull(rd, h[:]); err == io.EOF && k == 0 {
 			return nil
 		} else if err != nil {
-			return damaged("cut short", nil)
+			return damaged("block header is truncated", nil)
 		}
 		size := binary.LittleEndian.Uint32(h[:])
 		if size > maxBlockBytes {
-			return damaged(fmt.Sprintf("%d bytes are too many", size), nil)
+			return damaged(fmt.Sprintf("length of %d bytes is above the limit", size), nil)
 		}
 		var z bytes.Buffer
 		if k, err := io.CopyN(&z, rd, int64(size)); err != nil {
-			return damaged(fmt.Sprintf("cut short after %d of %d bytes", k, size), nil)
+			return damaged(fmt.Sprintf("truncated after %d of %d bytes", k, size), nil)
 		}
 		if crc32.ChecksumIEEE(z.Bytes()) != binary.LittleEndian.Uint32(h[4:]) {
 			return damaged("wrong checksum", nil)
@@ -137,7 +137,7 @@
 		}
 		for _, c := range b.Calls {
 			if !(c.AtMs >= last) {
-				return damaged(fmt.Sprintf("a call at %v ms after one at %v ms", c.AtMs, last), nil)
+				return damaged(fmt.Sprintf("call at %v ms follows one at %v ms", c.AtMs, last), nil)
 			}
 			last = c.AtMs
 			if err := do(c); err != nil {
@@ -148,14 +148,14 @@
 	}
 }
 
-// All reads a whole trace; what was read stands beside the error.
+// All reads a whole trace. Along with an error it returns the calls read up to it.
 func All(r io.Reader) ([]*api.Call, error) {
 	var calls []*api.Call
 	err := Read(r, func(c *api.Call) error { calls = append(calls, c); return nil })
 	return calls, err
 }
 
-// columns of CSV and JSON lines, and where their values go.
+// columns maps the column names of CSV and JSON lines to the functions that set their values in a call.
 var columns = map[string]func(*api.Call, string) error{
 	"at_ms":       func(c *api.Call, s string) error { return setFloat(&c.AtMs, s) },
 	"gateway":     func(c *api.Call, s string) error { return setUint32(&c.Gateway, s) },
@@ -202,7 +202,7 @@
 	return strings.Join(names, ", ")
 }
 
-// FromCSV reads calls from CSV with a line of column names; at_ms and number must be among them. Errors name the line.
+// FromCSV reads calls from CSV with a header line; at_ms and number are required columns. Errors name the line.
 func FromCSV(r io.Reader) ([]*api.Call, error) {
 	rd := csv.NewReader(r)
 	head, err := rd.Read()
@@ -237,7 +237,7 @@
 	}
 }
 
-// FromJSON reads calls from lines of JSON objects with the same names as CSV's columns.
+// FromJSON reads calls from JSON objects, one a line, whose keys are the CSV column names.
 func FromJSON(r io.Reader) ([]*api.Call, error) {
 	var calls []*api.Call
 	sc := bufio.NewScanner(r)
@@ -285,7 +285,7 @@
 	return calls
 }
 
-// Slice keeps the calls from a time on and before another, and counts their times from there.
+// Slice returns copies of the calls at or after from and before to, in ms, with their times relative to from.
 func Slice(calls []*api.Call, from, to float64) []*api.Call {
 	var out []*api.Call
 	for _, c := range calls {
@@ -298,11 +298,11 @@
 	return out
 }
 
-// Merge puts traces together by their times.
+// Merge combines traces into one, ordered by time.
 func Merge(traces ...[]*api.Call) []*api.Call { return sortByTime(slices.Concat(traces...)) }
 
-// Speed plays times of coming so many times faster. Holds and timeout are people's and stay as they are, unless all is
-// set: then they shrink too, and load per circuit stays what it was.
+// Speed divides the arrival times by factor. Holding times and timeouts depend on people and stay as they are, unless
+// all is set: then they are divided too, which keeps the load per circuit.
 func Speed(calls []*api.Call, factor float64, all bool) []*api.Call {
 	out := make([]*api.Call, len(calls))
 	for i, c := range calls {
@@ -317,8 +317,8 @@
 	return out
 }
 
-// Scale makes so many times as many calls: each is kept, left out or doubled by a hash of the seed and its place, and
-// copies come within jitter ms after their call, so that they do not all come at once.
+// Scale multiplies the number of calls by factor. Whether a call is kept, left out or copied depends on a hash of the
+// seed and its index. Copies arrive up to jitter ms after their original, so that they do not all arrive at once.
 func Scale(calls []*api.Call, factor, jitter float64, seed uint64) []*api.Call {
 	var out []*api.Call
 	for i, c := range calls {
@@ -337,9 +337,9 @@
 	return sortByTime(out)
 }
 
-// Anonymise puts other digits in the place of the numbers called, the same for the same number and key, and keeps their
-// first digits, which routing goes by. Who has no key can't tell the numbers; one number can be followed through the
-// trace, since redials are known by it.
+// Anonymise replaces the digits of called numbers after the first keep, which routing needs, by digits from an HMAC of
+// the number under key. The numbers cannot be recovered without the key. Equal numbers stay equal, since redials are
+// recognized by them, so a number can be followed through the trace.
 func Anonymise(calls []*api.Call, key string, keep int) []*api.Call {
 	out := make([]*api.Call, len(calls))
 	for i, c := range calls {
@@ -364,7 +364,7 @@
 	return string(b)
 }
 
-// Summary says in a few lines what a trace holds.
+// Summary describes the contents of a trace in one line.
 func Summary(calls []*api.Call) string {
 	if len(calls) == 0 {
 		return "no calls"
@@ -394,7 +394,7 @@
 	)
 }
 
-// Fingerprint names a trace's calls.
+// Fingerprint returns a hash of a trace's calls.
 func Fingerprint(calls []*api.Call) string {
 	h := fnv.New64a()
 	for _, c := range calls {
--- a/internal/emulator/calltrace/trace_test.go
+++ b/internal/emulator/calltrace/trace_test.go
@@ -45,7 +45,7 @@
 	return b.Bytes()
 }
 
-// What is written comes back, in blocks; calls out of order are refused.
+// TestRoundTrip checks that written calls are read back over several blocks, and that calls out of order are rejected.
 func TestRoundTrip(t *testing.T) {
 	want := makeCalls(2*callsPerBlock + 7)
 	got, err := All(bytes.NewReader(encodeTrace(t, want)))
@@ -55,15 +55,15 @@
 	w := NewWriter(&bytes.Buffer{})
 	_ = w.Add(&api.Call{AtMs: 5})
 	if w.Add(&api.Call{AtMs: 4}) == nil || w.Add(&api.Call{AtMs: math.NaN()}) == nil {
-		t.Error("calls out of order taken")
+		t.Error("calls out of order accepted")
 	}
 	if calls, err := All(bytes.NewReader(encodeTrace(t, nil))); err != nil || len(calls) != 0 {
 		t.Errorf("empty trace: %d calls, %v", len(calls), err)
 	}
 }
 
-// A file that is cut anywhere, or with a byte changed anywhere, gives whole blocks up to there, and an error that says
-// where; never a wrong call.
+// TestDamage truncates a file or changes a byte at a random place. Only the whole blocks before it may be read, and the
+// error must wrap ErrDamaged; no call may be read wrong.
 func TestDamage(t *testing.T) {
 	want := makeCalls(2*callsPerBlock + 7)
 	whole := encodeTrace(t, want)
@@ -79,7 +79,7 @@
 		if err != nil && !errors.Is(err, ErrDamaged) {
 			t.Fatalf("error %v", err)
 		}
-		if err == nil && len(got)%callsPerBlock != 0 { // cut between two blocks: all that is there is whole
+		if err == nil && len(got)%callsPerBlock != 0 { // truncated between two blocks, which is a valid file
 			t.Fatalf("no error, %d calls", len(got))
 		}
 		for i, c := range got {
@@ -123,7 +123,7 @@
 func TestTransforms(t *testing.T) {
 	calls := makeCalls(1000)
 	if c := Slice(calls, 150, 300); len(c) != 100 || c[0].AtMs != 0 || calls[100].AtMs != 150 {
-		t.Errorf("cut: %d calls from %v", len(c), c[0].AtMs)
+		t.Errorf("slice: %d calls from %v", len(c), c[0].AtMs)
 	}
 	if s := Speed(calls, 2, false); s[10].AtMs != 7.5 || s[10].HoldMs != 1000 {
 		t.Errorf("speed: %v", s[10])
@@ -137,7 +137,7 @@
 			t.Errorf("scale by %v made %v", f, n)
 		}
 		if Fingerprint(s) != Fingerprint(Scale(calls, f, 100, 1)) {
-			t.Error("scale by chance of its own")
+			t.Error("scaling twice with one seed gives different calls")
 		}
 	}
 	a := Anonymise(calls, "k", 5)
@@ -146,7 +146,7 @@
 		t.Errorf("anonymise: %q of %q", a[3].Number, calls[3].Number)
 	}
 	if Anonymise(calls, "other", 5)[3].Number == a[3].Number {
-		t.Error("the key does not matter")
+		t.Error("two keys give the same number")
 	}
 	if m := Merge(Slice(calls, 0, 100), Slice(calls, 0, 50)); len(m) != 101 || m[1].AtMs != 0 {
 		t.Errorf("merge: %d", len(m))
