--- a/internal/emulator/dnsserver/names.go
+++ b/internal/emulator/dnsserver/server.go
@@ -28,35 +28,35 @@
 
 // Routing is the routing number of a number, "" where it is not ported or does not exist.
 func (z *Zone) Routing(number string) string {
-	switch u := z.of(number, 1); {
+	switch u := z.hashFraction(number, 1); {
 	case u < z.None || u >= z.None+z.Ported || len(z.Routes) == 0:
 		return ""
 	}
-	return z.Routes[int(z.of(number, 2)*float64(len(z.Routes)))]
+	return z.Routes[int(z.hashFraction(number, 2)*float64(len(z.Routes)))]
 }
 
 // Exists tells whether there is such a number.
-func (z *Zone) Exists(number string) bool { return z.of(number, 1) >= z.None }
+func (z *Zone) Exists(number string) bool { return z.hashFraction(number, 1) >= z.None }
 
-func (z *Zone) of(number string, what uint64) float64 {
+func (z *Zone) hashFraction(number string, purpose uint64) float64 {
 	h := z.Seed
 	for i := range len(number) {
 		h = h*31 + uint64(number[i])
 	}
-	return detrand.Float64(h, what)
+	return detrand.Float64(h, purpose)
 }
 
 // rules are those of a domain; false: there is no such name.
-func (z *Zone) rules(domain string) ([]enum.Rule, bool) {
+func (z *Zone) rulesFor(domain string) ([]enum.Rule, bool) {
 	if own, ok := z.Own[domain]; ok {
 		return own, len(own) > 0
 	}
-	at, led := strings.CutSuffix(domain, "led."+z.Apex)
-	if led {
-		domain = at + z.Apex
+	prefix, redirected := strings.CutSuffix(domain, "led."+z.Apex)
+	if redirected {
+		domain = prefix + z.Apex
 	}
 	number, err := enum.Number(domain, z.Apex)
-	if err != nil || z.of(number, 1) < z.None {
+	if err != nil || z.hashFraction(number, 1) < z.None {
 		return nil, false
 	}
 	rn := z.Routing(number)
@@ -65,7 +65,7 @@
 		return []enum.Rule{
 			{Order: 10, Preference: 10, Flags: "u", Service: "E2U+pstn:tel", Regexp: `!^(.*)$!tel:\1;npdi!`},
 		}, true
-	case !led && z.of(number, 3) < z.Leads:
+	case !redirected && z.hashFraction(number, 3) < z.Leads:
 		d, _ := enum.Domain(number, "led."+z.Apex)
 		return []enum.Rule{{Order: 10, Preference: 10, Replacement: d}}, true
 	}
@@ -108,7 +108,7 @@
 	draws   uint64
 }
 
-func (s *Server) draw() float64 {
+func (s *Server) randomFloat() float64 {
 	s.draws++
 	return detrand.Float64(s.Seed, s.draws)
 }
@@ -117,34 +117,34 @@
 func (s *Server) Datagram(data []byte) []Reply {
 	f := &s.Faults
 	s.Queries++
-	if f.Silent || s.draw() < f.Loss {
+	if f.Silent || s.randomFloat() < f.Loss {
 		return nil
 	}
-	after := f.Delay + f.Jitter*s.draw()
-	m := s.answer(data)
+	after := f.Delay + f.Jitter*s.randomFloat()
+	m := s.respond(data)
 	if m == nil {
 		return nil
 	}
 	var out []Reply
-	if s.draw() < f.Spoof {
-		lie := m.Copy()
-		lie.Rcode = dns.RcodeSuccess
-		lie.Answer = []dns.RR{
-			record(m.Question[0].Name, enum.Rule{Order: 1, Preference: 1, Flags: "u", Service: "E2U+pstn:tel",
+	if s.randomFloat() < f.Spoof {
+		spoofed := m.Copy()
+		spoofed.Rcode = dns.RcodeSuccess
+		spoofed.Answer = []dns.RR{
+			naptrRecord(m.Question[0].Name, enum.Rule{Order: 1, Preference: 1, Flags: "u", Service: "E2U+pstn:tel",
 				Regexp: "!^.*$!tel:+19005550666;npdi;rn=+19005550666!"}, 86400),
 		}
 		for range f.Guesses {
-			lie.Id = uint16(s.draw() * 65536)
-			if lie.Id == m.Id {
-				lie.Id++ // one guess of 65536 would be right: here none is, so that a test can ask for none
+			spoofed.Id = uint16(s.randomFloat() * 65536)
+			if spoofed.Id == m.Id {
+				spoofed.Id++ // one guess of 65536 would be right: here none is, so that a test can ask for none
 			}
-			out = append(out, Reply{after / 2, pack(lie)})
+			out = append(out, Reply{after / 2, pack(spoofed)})
 		}
 	}
-	if s.draw() < f.WrongID {
+	if s.randomFloat() < f.WrongID {
 		m.Id++
 	}
-	if s.draw() < f.Truncated {
+	if s.randomFloat() < f.Truncated {
 		m.Truncated, m.Answer = true, nil
 	}
 	return append(out, Reply{after, pack(m)})
@@ -156,11 +156,11 @@
 	if s.Faults.Silent || s.Faults.NoStream {
 		return nil
 	}
-	m := s.answer(data)
+	m := s.respond(data)
 	if m == nil {
 		return nil
 	}
-	return []Reply{{s.Faults.Delay + s.Faults.Jitter*s.draw(), pack(m)}}
+	return []Reply{{s.Faults.Delay + s.Faults.Jitter*s.randomFloat(), pack(m)}}
 }
 
 func pack(m *dns.Msg) []byte {
@@ -171,7 +171,7 @@
 	return b
 }
 
-func (s *Server) answer(data []byte) *dns.Msg {
+func (s *Server) respond(data []byte) *dns.Msg {
 	q := new(dns.Msg)
 	if q.Unpack(data) != nil || q.Response || len(q.Question) != 1 {
 		return nil
@@ -181,7 +181,7 @@
 	if s.Faults.Flat {
 		m.Question[0].Name = strings.ToLower(q.Question[0].Name)
 	}
-	if s.refuse(q, m) {
+	if s.respondWithFault(q, m) {
 		return m
 	}
 	m.Authoritative = true
@@ -196,7 +196,7 @@
 }
 
 // refuse makes the response of a server that does not answer for its zone; false: it does.
-func (s *Server) refuse(q, m *dns.Msg) bool {
+func (s *Server) respondWithFault(q, m *dns.Msg) bool {
 	switch f := &s.Faults; {
 	case f.NoEDNS && q.IsEdns0() != nil:
 		m.Rcode = dns.RcodeFormatError
@@ -205,7 +205,7 @@
 	case f.Lame:
 		m.Rcode = dns.RcodeRefused
 	case f.Refer:
-		m.Ns = []dns.RR{&dns.NS{Hdr: header(s.Zone.Apex, dns.TypeNS, 3600), Ns: "elsewhere.example."}}
+		m.Ns = []dns.RR{&dns.NS{Hdr: rrHeader(s.Zone.Apex, dns.TypeNS, 3600), Ns: "elsewhere.example."}}
 	default:
 		return false
 	}
@@ -215,7 +215,7 @@
 // addRecords puts the zone's records into a response, or its SOA record where there are none.
 func (s *Server) addRecords(q, m *dns.Msg) {
 	name := q.Question[0].Name
-	rules, exists := s.Zone.rules(strings.ToLower(name))
+	rules, exists := s.Zone.rulesFor(strings.ToLower(name))
 	switch {
 	case !exists:
 		m.Rcode, m.Ns = dns.RcodeNameError, []dns.RR{s.soa()}
@@ -223,14 +223,14 @@
 		m.Ns = []dns.RR{s.soa()}
 	default:
 		for _, r := range rules {
-			m.Answer = append(m.Answer, record(name, r, s.Zone.TTL))
+			m.Answer = append(m.Answer, naptrRecord(name, r, s.Zone.TTL))
 		}
 	}
 }
 
 func (s *Server) soa() *dns.SOA {
 	return &dns.SOA{
-		Hdr:     header(s.Zone.Apex, dns.TypeSOA, 3600),
+		Hdr:     rrHeader(s.Zone.Apex, dns.TypeSOA, 3600),
 		Ns:      "ns." + s.Zone.Apex,
 		Mbox:    "host." + s.Zone.Apex,
 		Serial:  1,
@@ -250,28 +250,28 @@
 		Service:    "E2U+pstn:tel",
 		Regexp:     "!^.*$!tel:+19005550666;npdi;rn=+19005550666!",
 	}
-	m.Answer = append(m.Answer, record("1.2.3."+s.Zone.Apex, r, 86400))
-	m.Extra = append(m.Extra, record(q.Question[0].Name, r, 86400))
+	m.Answer = append(m.Answer, naptrRecord("1.2.3."+s.Zone.Apex, r, 86400))
+	m.Extra = append(m.Extra, naptrRecord(q.Question[0].Name, r, 86400))
 }
 
-func header(name string, kind uint16, ttl uint32) dns.RR_Header {
+func rrHeader(name string, kind uint16, ttl uint32) dns.RR_Header {
 	return dns.RR_Header{Name: name, Rrtype: kind, Class: dns.ClassINET, Ttl: ttl}
 }
 
 // record is a rule as the library wants it: in the form of zone files.
-func record(name string, r enum.Rule, ttl uint32) dns.RR {
-	next := r.Replacement
-	if next == "" {
-		next = "."
+func naptrRecord(name string, r enum.Rule, ttl uint32) dns.RR {
+	replacement := r.Replacement
+	if replacement == "" {
+		replacement = "."
 	}
-	esc := strings.NewReplacer(`\`, `\\`, `"`, `\"`)
+	escaper := strings.NewReplacer(`\`, `\\`, `"`, `\"`)
 	return &dns.NAPTR{
-		Hdr:         header(name, dns.TypeNAPTR, ttl),
+		Hdr:         rrHeader(name, dns.TypeNAPTR, ttl),
 		Order:       r.Order,
 		Preference:  r.Preference,
-		Flags:       esc.Replace(r.Flags),
-		Service:     esc.Replace(r.Service),
-		Regexp:      esc.Replace(r.Regexp),
-		Replacement: next,
+		Flags:       escaper.Replace(r.Flags),
+		Service:     escaper.Replace(r.Service),
+		Regexp:      escaper.Replace(r.Regexp),
+		Replacement: replacement,
 	}
 }
--- a/internal/emulator/dnsserver/serve.go
+++ b/internal/emulator/dnsserver/sockets.go
@@ -12,11 +12,11 @@
 
 // Served is a server behind real sockets, UDP and TCP of one address.
 type Served struct {
-	mu  sync.Mutex
-	s   *Server
-	udp *net.UDPConn
-	tcp *net.TCPListener
-	wg  sync.WaitGroup
+	mu     sync.Mutex
+	server *Server
+	udp    *net.UDPConn
+	tcp    *net.TCPListener
+	wg     sync.WaitGroup
 }
 
 // Serve puts a server behind the sockets of an address; port 0: any.
@@ -31,10 +31,10 @@
 		udp.Close()
 		return nil, fmt.Errorf("names: %w", err)
 	}
-	v := &Served{s: s, udp: udp, tcp: tcp}
+	v := &Served{server: s, udp: udp, tcp: tcp}
 	v.wg.Add(2)
-	go v.datagrams()
-	go v.streams()
+	go v.serveUDP()
+	go v.serveTCP()
 	return v, nil
 }
 
@@ -45,7 +45,7 @@
 func (v *Served) Change(do func(*Server)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	do(v.s)
+	do(v.server)
 }
 
 // Close closes the sockets and waits until nothing more is sent.
@@ -55,7 +55,7 @@
 	v.wg.Wait()
 }
 
-func (v *Served) datagrams() {
+func (v *Served) serveUDP() {
 	defer v.wg.Done()
 	b := make([]byte, 1<<16)
 	for {
@@ -64,7 +64,7 @@
 			return
 		}
 		v.mu.Lock()
-		out := v.s.Datagram(b[:n])
+		out := v.server.Datagram(b[:n])
 		v.mu.Unlock()
 		for _, r := range out {
 			time.AfterFunc(time.Duration(r.After*1e6), func() { _, _ = v.udp.WriteToUDPAddrPort(r.Data, from) })
@@ -72,7 +72,7 @@
 	}
 }
 
-func (v *Served) streams() {
+func (v *Served) serveTCP() {
 	defer v.wg.Done()
 	for {
 		c, err := v.tcp.AcceptTCP()
@@ -90,7 +90,7 @@
 				return
 			}
 			v.mu.Lock()
-			out := v.s.Stream(b[:n])
+			out := v.server.Stream(b[:n])
 			v.mu.Unlock()
 			for _, r := range out {
 				time.Sleep(time.Duration(r.After * 1e6))
