--- a/internal/emulator/dnsserver/server.go
+++ b/internal/emulator/dnsserver/server.go
@@ -1,6 +1,6 @@
-// Package dnsserver is a stand-in for authoritative ENUM and portability servers, without I/O: a question comes in,
-// answers and when they leave come out. A zone is made by chance from a seed, so that a million numbers need no memory,
-// and a server can be made to fail in the ways that servers and those between do.
+// Package dnsserver is a stand-in for authoritative ENUM and portability servers. It does no I/O itself: for each query
+// it returns the responses and when to send them. The data of a zone follows from a seed, so that a million numbers
+// need no memory, and a server can be given the faults of real servers, networks and attackers.
 package dnsserver
 
 //tally:standin
@@ -14,19 +14,19 @@
 	"cobaltpier/internal/detrand"
 )
 
-// Zone is what all servers of an apex agree on.
+// Zone holds the data of a zone, which all its servers share.
 type Zone struct {
 	Apex   string
 	Seed   uint64
 	Ported float64                // share of numbers with a routing number
 	None   float64                // share of numbers that do not exist
-	Leads  float64                // share of the ported whose rules only lead to another domain, where the answer stands
+	Leads  float64                // share of the ported numbers with a non-terminal rule, which leads to another domain
 	TTL    uint32                 // s
-	Routes []string               // routing numbers, taken by chance
-	Own    map[string][]enum.Rule // rules of some domains, in place of the above
+	Routes []string               // routing numbers, picked by a hash of the number
+	Own    map[string][]enum.Rule // rules of certain domains, which replace the generated ones
 }
 
-// Routing is the routing number of a number, "" where it is not ported or does not exist.
+// Routing returns the routing number of a number, or "" if the number is not ported or does not exist.
 func (z *Zone) Routing(number string) string {
 	switch u := z.hashFraction(number, 1); {
 	case u < z.None || u >= z.None+z.Ported || len(z.Routes) == 0:
@@ -35,9 +35,10 @@
 	return z.Routes[int(z.hashFraction(number, 2)*float64(len(z.Routes)))]
 }
 
-// Exists tells whether there is such a number.
+// Exists reports whether the number exists.
 func (z *Zone) Exists(number string) bool { return z.hashFraction(number, 1) >= z.None }
 
+// hashFraction returns a fraction in [0, 1) that depends on the seed, the number and the purpose.
 func (z *Zone) hashFraction(number string, purpose uint64) float64 {
 	h := z.Seed
 	for i := range len(number) {
@@ -46,7 +47,7 @@
 	return detrand.Float64(h, purpose)
 }
 
-// rules are those of a domain; false: there is no such name.
+// rulesFor returns the rules of a domain, and false if the name does not exist.
 func (z *Zone) rulesFor(domain string) ([]enum.Rule, bool) {
 	if own, ok := z.Own[domain]; ok {
 		return own, len(own) > 0
@@ -74,32 +75,32 @@
 		{Order: 10, Preference: 30, Flags: "u", Service: "E2U+pstn:tel", Regexp: `!^(.*)$!tel:\1;npdi;rn=` + rn + "!"}}, true
 }
 
-// Faults are what a server does wrong. Shares are of its answers.
+// Faults are the faults of a server. Shares are of its responses.
 type Faults struct {
-	Silent    bool    // it never answers
+	Silent    bool    // never responds
 	Delay     float64 // ms
-	Jitter    float64 // ms, up to so much more
-	Loss      float64 // share of answers lost
-	WrongID   float64 // share with an id that was not asked for
-	Spoof     float64 // share that somebody's guesses come before, with a lie
-	Guesses   int     // so many
-	Truncated float64 // share truncated to nothing: the rest by stream
-	NoStream  bool    // streams bring nothing
-	Lame      bool    // it knows nothing of the zone
-	Refer     bool    // it points elsewhere
+	Jitter    float64 // ms, upper bound of a random additional delay
+	Loss      float64 // share of responses lost
+	WrongID   float64 // share with a message ID that differs from the query's
+	Spoof     float64 // share preceded by an attacker's spoofed responses
+	Guesses   int     // spoofed responses for each such query, with guessed IDs
+	Truncated float64 // share truncated to no records; the client has to ask again over TCP
+	NoStream  bool    // no response over TCP
+	Lame      bool    // REFUSED: the server does not serve the zone
+	Refer     bool    // referral to another server
 	ServFail  bool
-	NoEDNS    bool // it answers EDNS with FORMERR
-	Flat      bool // it answers in small letters
-	Poison    bool // it adds records of other names
+	NoEDNS    bool // FORMERR for queries with EDNS
+	Flat      bool // the question's name in lower case
+	Poison    bool // additional records that the query did not ask for
 }
 
-// Reply is a message and when it leaves, ms after the question came.
+// Reply is a message and when it is sent, in ms after the query arrived.
 type Reply struct {
 	After float64
 	Data  []byte
 }
 
-// Server answers for a zone.
+// Server is one server of a zone.
 type Server struct {
 	Zone    *Zone
 	Faults  Faults
@@ -113,7 +114,7 @@
 	return detrand.Float64(s.Seed, s.draws)
 }
 
-// Datagram answers a datagram.
+// Datagram returns the responses to a query over UDP.
 func (s *Server) Datagram(data []byte) []Reply {
 	f := &s.Faults
 	s.Queries++
@@ -136,7 +137,7 @@
 		for range f.Guesses {
 			spoofed.Id = uint16(s.randomFloat() * 65536)
 			if spoofed.Id == m.Id {
-				spoofed.Id++ // one guess of 65536 would be right: here none is, so that a test can ask for none
+				spoofed.Id++ // one in 65536 guesses would be right; none is, so that tests can require it
 			}
 			out = append(out, Reply{after / 2, pack(spoofed)})
 		}
@@ -150,7 +151,7 @@
 	return append(out, Reply{after, pack(m)})
 }
 
-// Stream answers a message that came over TCP.
+// Stream returns the responses to a query over TCP.
 func (s *Server) Stream(data []byte) []Reply {
 	s.Queries++
 	if s.Faults.Silent || s.Faults.NoStream {
@@ -195,7 +196,8 @@
 	return m
 }
 
-// refuse makes the response of a server that does not answer for its zone; false: it does.
+// respondWithFault fills in the response of a server with a fault that replaces the zone's data. It returns false if
+// the server has no such fault.
 func (s *Server) respondWithFault(q, m *dns.Msg) bool {
 	switch f := &s.Faults; {
 	case f.NoEDNS && q.IsEdns0() != nil:
@@ -212,7 +214,7 @@
 	return true
 }
 
-// addRecords puts the zone's records into a response, or its SOA record where there are none.
+// addRecords adds the zone's records to a response, or its SOA record if there are none.
 func (s *Server) addRecords(q, m *dns.Msg) {
 	name := q.Question[0].Name
 	rules, exists := s.Zone.rulesFor(strings.ToLower(name))
@@ -241,7 +243,7 @@
 	}
 }
 
-// poison adds records of other names.
+// poison adds unrequested records, as in cache poisoning.
 func (s *Server) poison(q, m *dns.Msg) {
 	r := enum.Rule{
 		Order:      1,
@@ -258,7 +260,7 @@
 	return dns.RR_Header{Name: name, Rrtype: kind, Class: dns.ClassINET, Ttl: ttl}
 }
 
-// record is a rule as the library wants it: in the form of zone files.
+// naptrRecord converts a rule to a NAPTR record. The library expects strings with the escapes of zone files.
 func naptrRecord(name string, r enum.Rule, ttl uint32) dns.RR {
 	replacement := r.Replacement
 	if replacement == "" {
--- a/internal/emulator/dnsserver/sockets.go
+++ b/internal/emulator/dnsserver/sockets.go
@@ -10,7 +10,7 @@
 	"github.com/miekg/dns"
 )
 
-// Served is a server behind real sockets, UDP and TCP of one address.
+// Served serves a Server on UDP and TCP sockets of one address.
 type Served struct {
 	mu     sync.Mutex
 	server *Server
@@ -19,17 +19,17 @@
 	wg     sync.WaitGroup
 }
 
-// Serve puts a server behind the sockets of an address; port 0: any.
+// Serve opens the sockets and serves s on them; port 0 picks a free port.
 func Serve(s *Server, at netip.AddrPort) (*Served, error) {
 	udp, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(at))
 	if err != nil {
-		return nil, fmt.Errorf("names: %w", err)
+		return nil, fmt.Errorf("dns server: %w", err)
 	}
 	at = udp.LocalAddr().(*net.UDPAddr).AddrPort()
 	tcp, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(at))
 	if err != nil {
 		udp.Close()
-		return nil, fmt.Errorf("names: %w", err)
+		return nil, fmt.Errorf("dns server: %w", err)
 	}
 	v := &Served{server: s, udp: udp, tcp: tcp}
 	v.wg.Add(2)
@@ -38,17 +38,17 @@
 	return v, nil
 }
 
-// Addr is where it is.
+// Addr returns the address of the sockets.
 func (v *Served) Addr() netip.AddrPort { return v.udp.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// Change changes the server's faults, or anything else of it.
+// Change calls do with the server, locked against queries, to change its faults or other fields.
 func (v *Served) Change(do func(*Server)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	do(v.server)
 }
 
-// Close closes the sockets and waits until nothing more is sent.
+// Close closes the sockets and waits for the serving goroutines to end.
 func (v *Served) Close() {
 	v.udp.Close()
 	v.tcp.Close()
