--- a/internal/emulator/enumclient/kiosk.go
+++ b/internal/emulator/enumclient/client.go
@@ -40,33 +40,33 @@
 // Kiosks are those of one gateway.
 type Kiosks struct {
 	Manners
-	Visits []*Visit
-	Silent int                                                         // questions that had no answer, repeats and all
-	Call   func(now float64, v *Visit, user string, to netip.AddrPort) // calls the endpoint that was named
-	send   func(data []byte)
-	stream func(data []byte)
-	now    float64
-	names  siptransaction.Generator
-	timers timerqueue.Queue
-	open   map[uint16]*ask
+	Visits  []*Visit
+	Silent  int                                                         // questions that had no answer, repeats and all
+	Call    func(now float64, v *Visit, user string, to netip.AddrPort) // calls the endpoint that was named
+	sendUDP func(data []byte)
+	sendTCP func(data []byte)
+	now     float64
+	rng     siptransaction.Generator
+	timers  timerqueue.Queue
+	pending map[uint16]*query
 }
 
-type ask struct {
-	visit *Visit
-	id    uint16
-	data  []byte
-	left  int
-	timer *timerqueue.Timer
+type query struct {
+	visit       *Visit
+	id          uint16
+	data        []byte
+	repeatsLeft int
+	timer       *timerqueue.Timer
 }
 
 // New makes kiosks that send questions by datagram, and by stream where an answer was truncated.
-func New(m Manners, seed uint64, send, stream func([]byte)) *Kiosks {
+func New(m Manners, seed uint64, sendUDP, sendTCP func([]byte)) *Kiosks {
 	return &Kiosks{
 		Manners: m,
-		send:    send,
-		stream:  stream,
-		names:   siptransaction.Generator{Seed: seed},
-		open:    map[uint16]*ask{},
+		sendUDP: sendUDP,
+		sendTCP: sendTCP,
+		rng:     siptransaction.Generator{Seed: seed},
+		pending: map[uint16]*query{},
 	}
 }
 
@@ -74,7 +74,7 @@
 func (k *Kiosks) Plan(v *Visit) {
 	v.Named = math.NaN()
 	k.Visits = append(k.Visits, v)
-	k.timers.Schedule(v.At, func() { k.ask(v) })
+	k.timers.Schedule(v.At, func() { k.startQuery(v) })
 }
 
 // Step runs what is due.
@@ -86,7 +86,7 @@
 // NextWakeup is when Wake is wanted.
 func (k *Kiosks) NextWakeup() float64 { return k.timers.Next() }
 
-func (k *Kiosks) ask(v *Visit) {
+func (k *Kiosks) startQuery(v *Visit) {
 	d, err := enum.Domain(v.Number, k.Apex)
 	if err != nil {
 		return
@@ -96,8 +96,8 @@
 	m.SetQuestion(d, dns.TypeNAPTR)
 	m.SetEdns0(1232, false)
 	for {
-		m.Id = uint16(k.names.Float64() * 65536)
-		if k.open[m.Id] == nil {
+		m.Id = uint16(k.rng.Float64() * 65536)
+		if k.pending[m.Id] == nil {
 			break
 		}
 	}
@@ -105,28 +105,28 @@
 	if err != nil {
 		return
 	}
-	a := &ask{visit: v, id: m.Id, data: data, left: k.Repeats}
-	k.open[a.id] = a
-	k.put(a)
+	q := &query{visit: v, id: m.Id, data: data, repeatsLeft: k.Repeats}
+	k.pending[q.id] = q
+	k.sendQuery(q)
 }
 
-func (k *Kiosks) put(a *ask) {
-	k.send(a.data)
-	a.timer = k.timers.Schedule(k.now+k.Wait, func() {
-		if a.left == 0 {
-			delete(k.open, a.id)
+func (k *Kiosks) sendQuery(q *query) {
+	k.sendUDP(q.data)
+	q.timer = k.timers.Schedule(k.now+k.Wait, func() {
+		if q.repeatsLeft == 0 {
+			delete(k.pending, q.id)
 			k.Silent++
-			k.again(a.visit)
+			k.retryAfterPause(q.visit)
 			return
 		}
-		a.left--
-		k.put(a)
+		q.repeatsLeft--
+		k.sendQuery(q)
 	})
 }
 
-func (k *Kiosks) again(v *Visit) {
+func (k *Kiosks) retryAfterPause(v *Visit) {
 	if v.Asks <= k.Asks {
-		k.timers.Schedule(k.now+k.Pause*(0.5+k.names.Float64()), func() { k.ask(v) })
+		k.timers.Schedule(k.now+k.Pause*(0.5+k.rng.Float64()), func() { k.startQuery(v) })
 	}
 }
 
@@ -137,45 +137,45 @@
 	if m.Unpack(data) != nil || !m.Response {
 		return
 	}
-	a := k.open[m.Id]
-	if a == nil {
+	q := k.pending[m.Id]
+	if q == nil {
 		return
 	}
 	if m.Truncated {
-		k.stream(a.data)
+		k.sendTCP(q.data)
 		return
 	}
-	a.visit.Answers++
-	delete(k.open, a.id)
-	k.timers.Cancel(a.timer)
+	q.visit.Answers++
+	delete(k.pending, q.id)
+	k.timers.Cancel(q.timer)
 	user, to, ok := Named(m)
 	switch {
 	case ok:
-		a.visit.Named = now
-		k.Call(now, a.visit, user, to)
+		q.visit.Named = now
+		k.Call(now, q.visit, user, to)
 	case m.Rcode == dns.RcodeNameError:
-		a.visit.None = true
+		q.visit.None = true
 	default:
-		k.again(a.visit)
+		k.retryAfterPause(q.visit)
 	}
 }
 
 // Named is the endpoint that an answer names: the user part of its SIP URI, and where to call.
 func Named(m *dns.Msg) (user string, to netip.AddrPort, ok bool) {
 	for _, rr := range m.Answer {
-		n, is := rr.(*dns.NAPTR)
-		if !is {
+		record, isNAPTR := rr.(*dns.NAPTR)
+		if !isNAPTR {
 			continue
 		}
-		parts := strings.Split(n.Regexp, "!")
+		parts := strings.Split(record.Regexp, "!")
 		if len(parts) != 4 {
 			continue
 		}
-		uri, found := strings.CutPrefix(parts[2], "sip:")
-		user, host, cut := strings.Cut(uri, "@")
-		a, err := netip.ParseAddrPort(host)
-		if found && cut && err == nil {
-			return user, a, true
+		uri, isSIP := strings.CutPrefix(parts[2], "sip:")
+		user, host, hasHost := strings.Cut(uri, "@")
+		addr, err := netip.ParseAddrPort(host)
+		if isSIP && hasHost && err == nil {
+			return user, addr, true
 		}
 	}
 	return "", netip.AddrPort{}, false
