--- a/internal/emulator/enumclient/client.go
+++ b/internal/emulator/enumclient/client.go
@@ -1,6 +1,6 @@
-// Package enumclient is a stand-in for the kiosks of one gateway: each call asks by ENUM which endpoint to call,
-// repeats the question while no answer comes, and calls the endpoint that is named. Calls are planned ahead. No I/O, no
-// clock.
+// Package enumclient is a stand-in for the kiosks of one gateway. For each planned call a kiosk looks up by ENUM which
+// endpoint to call, repeats the query while no response arrives, and calls the endpoint named in the response. The
+// package does no I/O and reads no clock.
 package enumclient
 
 //tally:standin
@@ -17,32 +17,32 @@
 	"cobaltpier/internal/timerqueue"
 )
 
-// Visit is one call's plan and what became of it.
+// Visit is one planned call and its outcome.
 type Visit struct {
-	At      float64
-	Number  string // digits
-	Hold    float64
-	Asks    int     // questions, repeats not counted
-	Named   float64 // when an endpoint was named, NaN: never
-	None    bool    // there is no such number
+	At      float64 // ms, planned time
+	Number  string  // digits
+	Hold    float64 // ms, planned holding time
+	Asks    int     // look-ups, repeated queries not counted
+	Named   float64 // when a response named an endpoint; NaN: never
+	None    bool    // the number does not exist
 	Answers int
 }
 
-// Manners are how kiosks behave; times are ms.
+// Manners configure the look-ups of kiosks; times are in ms.
 type Manners struct {
 	Apex    string
-	Wait    float64 // then the question is repeated
-	Repeats int
-	Asks    int // questions anew after a failure
-	Pause   float64
+	Wait    float64 // time without a response until the query is repeated
+	Repeats int     // repeated queries of one look-up
+	Asks    int     // most look-ups after the first, if look-ups fail
+	Pause   float64 // mean time before a further look-up
 }
 
-// Kiosks are those of one gateway.
+// Kiosks are the kiosks of one gateway.
 type Kiosks struct {
 	Manners
 	Visits  []*Visit
-	Silent  int                                                         // questions that had no answer, repeats and all
-	Call    func(now float64, v *Visit, user string, to netip.AddrPort) // calls the endpoint that was named
+	Silent  int                                                         // look-ups that got no response
+	Call    func(now float64, v *Visit, user string, to netip.AddrPort) // calls the endpoint that a response named
 	sendUDP func(data []byte)
 	sendTCP func(data []byte)
 	now     float64
@@ -59,7 +59,7 @@
 	timer       *timerqueue.Timer
 }
 
-// New makes kiosks that send questions by datagram, and by stream where an answer was truncated.
+// New returns kiosks that send queries over UDP, and over TCP after a truncated response.
 func New(m Manners, seed uint64, sendUDP, sendTCP func([]byte)) *Kiosks {
 	return &Kiosks{
 		Manners: m,
@@ -70,20 +70,20 @@
 	}
 }
 
-// Plan adds a visit.
+// Plan schedules a visit.
 func (k *Kiosks) Plan(v *Visit) {
 	v.Named = math.NaN()
 	k.Visits = append(k.Visits, v)
 	k.timers.Schedule(v.At, func() { k.startQuery(v) })
 }
 
-// Step runs what is due.
+// Step runs the timers that are due.
 func (k *Kiosks) Step(now float64) {
 	k.now = now
 	k.timers.Run(now)
 }
 
-// NextWakeup is when Wake is wanted.
+// NextWakeup returns when Step has to be called next.
 func (k *Kiosks) NextWakeup() float64 { return k.timers.Next() }
 
 func (k *Kiosks) startQuery(v *Visit) {
@@ -130,7 +130,7 @@
 	}
 }
 
-// Receive takes an answer.
+// Receive handles a response.
 func (k *Kiosks) Receive(now float64, _ netip.AddrPort, data []byte) {
 	k.now = now
 	m := new(dns.Msg)
@@ -160,7 +160,7 @@
 	}
 }
 
-// Named is the endpoint that an answer names: the user part of its SIP URI, and where to call.
+// Named returns the endpoint that a response names: the user part of its SIP URI and its address.
 func Named(m *dns.Msg) (user string, to netip.AddrPort, ok bool) {
 	for _, rr := range m.Answer {
 		record, isNAPTR := rr.(*dns.NAPTR)
