--- a/internal/emulator/binarystandin/conn.go
+++ b/internal/emulator/binarystandin/conn.go
@@ -21,8 +21,8 @@
 }
 
 // send sends a message to the gateway, maybe in pieces.
-func (c *conn) send(kind byte, id uint64, of ...binarymessage.Param) {
-	b := binarymessage.Append(nil, kind, id, of...)
+func (c *conn) send(kind byte, id uint64, params ...binarymessage.Param) {
+	b := binarymessage.Append(nil, kind, id, params...)
 	if c.endpoint == nil {
 		c.w.Checker.OnClientMessage(c.w.now, b)
 	} else {
@@ -74,15 +74,15 @@
 }
 
 // Write implements binarygateway.Transport.
-func (w *World) Write(l *binarygateway.Conn, b []byte) bool {
-	c := l.Socket.(*conn)
+func (w *World) Write(gatewayConn *binarygateway.Conn, b []byte) bool {
+	c := gatewayConn.Socket.(*conn)
 	if c.endpoint != nil && w.happens(w.Faults.Blocked) {
 		c.blocked = b
 		w.after(20+200*w.Chance(), func() {
 			if !c.closed {
 				c.blocked = nil
 				c.deliver(b)
-				w.Gateway.OnFlushed(w.now, l)
+				w.Gateway.OnFlushed(w.now, gatewayConn)
 			}
 		})
 		return false
@@ -120,29 +120,29 @@
 }
 
 // Dial implements binarygateway.Transport.
-func (w *World) Dial(l *binarygateway.Conn, to netip.AddrPort) {
+func (w *World) Dial(gatewayConn *binarygateway.Conn, to netip.AddrPort) {
 	w.dialed++
-	c := &conn{w: w, gatewayConn: l, number: w.dialed}
-	l.Socket = c
+	c := &conn{w: w, gatewayConn: gatewayConn, number: w.dialed}
+	gatewayConn.Socket = c
 	s := w.byAddr[to]
 	w.after(0.3+w.Chance(), func() {
 		switch {
 		case c.closed || s != nil && s.vanished && !s.dead:
 		case s == nil || s.dead:
 			c.closed = true
-			w.Gateway.OnClosed(w.now, l, binarygateway.ClosedRefused)
+			w.Gateway.OnClosed(w.now, gatewayConn, binarygateway.ClosedRefused)
 		default:
 			c.endpoint = s
 			s.conns = append(s.conns, c)
-			w.Gateway.OnConnected(w.now, l)
+			w.Gateway.OnConnected(w.now, gatewayConn)
 			c.send(binarymessage.LoadState, 0, binarymessage.TextParam(binarymessage.Report, "free:20;size:40;busy:-1;q:-1"))
 		}
 	})
 }
 
 // Close implements binarygateway.Transport.
-func (w *World) Close(l *binarygateway.Conn) {
-	if c := l.Socket.(*conn); !c.closed {
+func (w *World) Close(gatewayConn *binarygateway.Conn) {
+	if c := gatewayConn.Socket.(*conn); !c.closed {
 		c.onGone()
 	}
 }
--- a/internal/emulator/binarystandin/endpoint.go
+++ b/internal/emulator/binarystandin/endpoint.go
@@ -23,7 +23,7 @@
 }
 
 // die ends a switch's process: its lines are reset and its calls cut.
-func (s *Endpoint) die() {
+func (s *Endpoint) crash() {
 	if s.dead {
 		return
 	}
@@ -38,7 +38,7 @@
 
 // onMessage is what a switch does with a message.
 func (s *Endpoint) onMessage(c *conn, m binarymessage.Message) {
-	w, f, id := c.w, &c.w.Faults, m.Call()
+	w, faults, id := c.w, &c.w.Faults, m.Call()
 	if c.closed || s.vanished || s.dead {
 		return
 	}
@@ -49,11 +49,11 @@
 	case binarymessage.Setup:
 		s.pending[id] = c
 		wait := w.AnswerTime * (0.5 + w.Chance())
-		late := w.happens(f.Late)
+		late := w.happens(faults.Late)
 		if late {
 			wait = 1500 + 2000*w.Chance()
 		}
-		if w.happens(f.Unanswered) {
+		if w.happens(faults.Unanswered) {
 			return
 		}
 		w.after(wait, func() { s.answer(c, id, late) })
@@ -61,20 +61,20 @@
 }
 
 func (s *Endpoint) answer(c *conn, id uint64, late bool) {
-	w, f := c.w, &c.w.Faults
+	w, faults := c.w, &c.w.Faults
 	if c.closed || s.vanished || s.dead || s.pending[id] != c && !late {
 		return
 	}
 	report := binarymessage.TextParam(binarymessage.Report, "free:20;size:40;busy:0.4;q:1")
 	switch {
-	case w.happens(f.Reset):
+	case w.happens(faults.Reset):
 		c.reset()
 		return
-	case w.happens(f.Malformed):
+	case w.happens(faults.Malformed):
 		delete(s.pending, id)
 		c.sendRaw([]byte{0xff, 0xff, 'n', 'o', 'i', 's', 'e'})
 		return
-	case w.happens(f.Overloaded):
+	case w.happens(faults.Overloaded):
 		delete(s.pending, id)
 		c.send(
 			binarymessage.Release,
@@ -85,18 +85,18 @@
 			report,
 		)
 		return
-	case w.happens(f.Failed):
+	case w.happens(faults.Failed):
 		delete(s.pending, id)
 		c.send(binarymessage.Release, id, binarymessage.CauseParam(binarymessage.Fault), report)
 		return
 	}
-	if w.happens(f.Unsolicited) {
+	if w.happens(faults.Unsolicited) {
 		c.send(binarymessage.Answer, id^0xffff, binarymessage.TextParam(binarymessage.Description, "another's"), report)
 	}
 	delete(s.pending, id)
 	s.established[id] = true
 	times := 1
-	if w.happens(f.Duplicate) {
+	if w.happens(faults.Duplicate) {
 		times = 2
 	}
 	for range times {
@@ -108,16 +108,16 @@
 		}
 		delete(s.established, id)
 		cause := byte(binarymessage.Normal)
-		if w.happens(f.Cut) {
+		if w.happens(faults.Cut) {
 			cause = binarymessage.Failure
 		}
-		on := c
-		if on.closed {
+		releaseConn := c
+		if releaseConn.closed {
 			if len(s.conns) == 0 {
 				return
 			}
-			on = s.conns[0]
+			releaseConn = s.conns[0]
 		}
-		on.send(binarymessage.Release, id, binarymessage.CauseParam(cause), report)
+		releaseConn.send(binarymessage.Release, id, binarymessage.CauseParam(cause), report)
 	})
 }
--- a/internal/emulator/binarystandin/world.go
+++ b/internal/emulator/binarystandin/simulation.go
@@ -64,9 +64,10 @@
 }
 
 // New makes a world of so many switches.
-func New(seed uint64, cfg *binarygateway.Config, mk routing.PolicyFactory, n int, j *binaryconformance.Checker) *World {
+func New(seed uint64, cfg *binarygateway.Config, newPolicy routing.PolicyFactory, endpointCount int,
+	checker *binaryconformance.Checker) *World {
 	w := &World{
-		Checker:     j,
+		Checker:     checker,
 		seed:        seed,
 		now:         1e6,
 		byAddr:      map[netip.AddrPort]*Endpoint{},
@@ -76,8 +77,8 @@
 		AnswerTime:  30,
 	}
 	cfg.FromUnixMillis = func(unix float64) float64 { return unix }
-	w.Gateway = binarygateway.New(w.now, cfg, mk, w)
-	for range n {
+	w.Gateway = binarygateway.New(w.now, cfg, newPolicy, w)
+	for range endpointCount {
 		w.addEndpoint()
 	}
 	w.sendList()
@@ -97,10 +98,10 @@
 // addEndpoint puts a new switch up; it may take the address of one that has gone.
 func (w *World) addEndpoint() {
 	w.destinations++
-	cell := (w.destinations - 1) % 4
+	destination := (w.destinations - 1) % 4
 	addr := w.freeAddress()
-	s := &Endpoint{w: w, id: "s-" + strconv.Itoa(w.destinations), addr: addr, destination: cell, state: routing.Ready,
-		established: map[uint64]bool{}, pending: map[uint64]*conn{}}
+	s := &Endpoint{w: w, id: "s-" + strconv.Itoa(w.destinations), addr: addr, destination: destination,
+		state: routing.Ready, established: map[uint64]bool{}, pending: map[uint64]*conn{}}
 	w.byAddr[s.addr] = s
 	w.endpoints = append(w.endpoints, s)
 }
@@ -177,14 +178,14 @@
 			w.sendList()
 			live--
 			w.after(1500, func() {
-				s.die()
+				s.crash()
 				s.state = routing.Gone
 				w.addEndpoint()
 				w.sendList()
 			})
 		case w.happens(f.Crashes / 2):
 			live--
-			s.die()
+			s.crash()
 			w.after(1500, func() {
 				s.state = routing.Gone
 				w.addEndpoint()
@@ -195,7 +196,7 @@
 			s.vanished = true
 			w.Checker.OnEndpointDied(w.now, s.id)
 			w.after(9000, func() {
-				s.die()
+				s.crash()
 				s.state = routing.Gone
 				w.addEndpoint()
 				w.sendList()
@@ -223,12 +224,12 @@
 	c := w.conns[int(w.Chance()*float64(len(w.conns)))]
 	w.calls++
 	id := detrand.Hash(w.seed, 0xca11, w.calls)
-	patience := 1500 + 1500*w.Chance()
+	timeout := 1500 + 1500*w.Chance()
 	c.send(
 		binarymessage.Setup,
 		id,
 		binarymessage.TextParam(binarymessage.Class, "voice"),
-		binarymessage.TextParam(binarymessage.Timeout, strconv.Itoa(int(patience))),
+		binarymessage.TextParam(binarymessage.Timeout, strconv.Itoa(int(timeout))),
 		binarymessage.TextParam(binarymessage.Number, "n"+strconv.FormatUint(id%50, 10)),
 		binarymessage.TextParam(binarymessage.Figures, "dest:"+strconv.Itoa(int(id%4))+";width:1;via:-1"),
 		binarymessage.TextParam(binarymessage.Description, "offer"),
