--- a/internal/emulator/binarystandin/conn.go
+++ b/internal/emulator/binarystandin/conn.go
@@ -8,19 +8,19 @@
 	"cobaltpier/internal/protocol/binarymessage"
 )
 
-// conn is one connection's other end.
+// conn is the simulated far end of one of the gateway's connections.
 type conn struct {
 	w            *World
 	gatewayConn  *binarygateway.Conn
 	number       int
-	endpoint     *Endpoint // nil: a caller's
+	endpoint     *Endpoint // nil on a client's connection
 	reader       binarymessage.Reader
-	pendingCalls []uint64 // callers': setups without an answer
+	pendingCalls []uint64 // on a client's connection: setups without an answer
 	closed       bool
 	blocked      []byte
 }
 
-// send sends a message to the gateway, maybe in pieces.
+// send sends a message to the gateway, in pieces if Faults.Fragmented is set.
 func (c *conn) send(kind byte, id uint64, params ...binarymessage.Param) {
 	b := binarymessage.Append(nil, kind, id, params...)
 	if c.endpoint == nil {
@@ -44,7 +44,7 @@
 	}
 }
 
-// reset ends a connection from this side.
+// reset resets the connection from the simulated side.
 func (c *conn) reset() {
 	if c.closed {
 		return
@@ -53,7 +53,7 @@
 	c.w.Gateway.OnClosed(c.w.now, c.gatewayConn, binarygateway.ClosedReset)
 }
 
-// onGone notes that a connection has ended.
+// onGone updates the endpoint or client, and the checker, after a connection has ended.
 func (c *conn) onGone() {
 	c.closed = true
 	w := c.w
--- a/internal/emulator/binarystandin/endpoint.go
+++ b/internal/emulator/binarystandin/endpoint.go
@@ -8,7 +8,7 @@
 	"cobaltpier/internal/routing"
 )
 
-// Endpoint is a stand-in of a core switch.
+// Endpoint is a stand-in for a core switch.
 type Endpoint struct {
 	w           *World
 	id          string
@@ -22,7 +22,7 @@
 	pending     map[uint64]*conn
 }
 
-// die ends a switch's process: its lines are reset and its calls cut.
+// crash ends the endpoint's process: its connections are reset and its calls are lost.
 func (s *Endpoint) crash() {
 	if s.dead {
 		return
@@ -36,7 +36,7 @@
 	}
 }
 
-// onMessage is what a switch does with a message.
+// onMessage handles a message from the gateway.
 func (s *Endpoint) onMessage(c *conn, m binarymessage.Message) {
 	w, faults, id := c.w, &c.w.Faults, m.Call()
 	if c.closed || s.vanished || s.dead {
--- a/internal/emulator/binarystandin/simulation.go
+++ b/internal/emulator/binarystandin/simulation.go
@@ -1,5 +1,5 @@
-// Package binarystandin has stand-ins of what a gateway on the platform talks to, in virtual time: switches and callers
-// with seeded faults, around the machine itself. What crosses its sockets is handed to a judge.
+// Package binarystandin simulates, in virtual time, the endpoints and clients of a gateway on the platform, with seeded
+// faults. It runs the real protocol gateway and hands the messages on all connections to a conformance checker.
 package binarystandin
 
 //tally:standin
@@ -19,43 +19,43 @@
 	"cobaltpier/internal/timerqueue"
 )
 
-// Faults are the shares of what goes wrong, 0 to 1.
+// Faults are the rates of faults: shares from 0 to 1 or, where it says so, events a second for each endpoint.
 type Faults struct {
-	Malformed     float64 // answers that are noise
-	Late          float64 // answers that come after the setup was given up
-	Unanswered    float64 // answers that never come
-	Duplicate     float64 // answers that come twice
-	Unsolicited   float64 // an answer under an unknown id comes first
-	Reset         float64 // lines that are reset under a setup
-	Overloaded    float64 // setups rejected
+	Malformed     float64 // answers replaced by invalid bytes
+	Late          float64 // answers sent after the attempt has timed out
+	Unanswered    float64 // setups that get no answer
+	Duplicate     float64 // answers sent twice
+	Unsolicited   float64 // answers preceded by one with an unknown call ID
+	Reset         float64 // connections reset in place of an answer
+	Overloaded    float64 // setups rejected for overload
 	Failed        float64 // setups that fail
-	Cut           float64 // calls that are cut
-	CallerLeaves  float64 // callers that do not wait
-	CallerHangsUp float64 // callers that release what stands
-	ClientCloses  float64 // callers' connections closed under a setup
-	Blocked       float64 // writes to switches that do not leave at once
-	Fragmented    bool    // bytes come in pieces
-	Drains        float64 // switches told to drain, a second
-	Crashes       float64 // switches that die, a second
-	Vanish        float64 // switches that vanish, a second
+	Cut           float64 // calls released with a failure cause
+	CallerLeaves  float64 // callers that cancel before the answer
+	CallerHangsUp float64 // callers that release an established call
+	ClientCloses  float64 // client connections reset shortly after a setup
+	Blocked       float64 // writes to endpoints that are delayed, as by a full socket buffer
+	Fragmented    bool    // messages reach the gateway in pieces
+	Drains        float64 // endpoints set to drain, a second
+	Crashes       float64 // endpoints that crash, a second
+	Vanish        float64 // endpoints that stop responding while their connections stay open, a second
 }
 
-// World is one gateway among its stand-ins.
+// World is one gateway with its simulated endpoints and clients.
 type World struct {
 	Gateway     *binarygateway.Gateway
 	Checker     *binaryconformance.Checker
 	Faults      Faults
 	Rate        float64 // setups a second
-	HoldingTime float64 // ms that a call stands
-	AnswerTime  float64 // ms until an answer
-	StopAt      float64 // no setups after this
+	HoldingTime float64 // ms, mean duration of an established call
+	AnswerTime  float64 // ms, mean time from a setup to its answer
+	StopAt      float64 // ms from the start; no setups or new faults after it. 0: the end of the run
 
 	seed, draws  uint64
 	now          float64
 	timers       timerqueue.Queue
 	byAddr       map[netip.AddrPort]*Endpoint
 	endpoints    []*Endpoint
-	conns        []*conn // callers'
+	conns        []*conn // of clients
 	byConn       map[*binarygateway.Conn]*conn
 	dialed       int
 	calls        uint64
@@ -63,7 +63,7 @@
 	destinations int
 }
 
-// New makes a world of so many switches.
+// New returns a simulation with the given number of endpoints.
 func New(seed uint64, cfg *binarygateway.Config, newPolicy routing.PolicyFactory, endpointCount int,
 	checker *binaryconformance.Checker) *World {
 	w := &World{
@@ -85,7 +85,7 @@
 	return w
 }
 
-// Chance draws a number from 0 to 1.
+// Chance returns the next pseudo-random number in [0, 1).
 func (w *World) Chance() float64 {
 	w.draws++
 	return detrand.Float64(w.seed, w.draws)
@@ -95,7 +95,7 @@
 
 func (w *World) after(ms float64, do func()) { w.timers.Schedule(w.now+ms, do) }
 
-// addEndpoint puts a new switch up; it may take the address of one that has gone.
+// addEndpoint starts a new endpoint, which may get the address of one that is gone.
 func (w *World) addEndpoint() {
 	w.destinations++
 	destination := (w.destinations - 1) % 4
@@ -106,7 +106,7 @@
 	w.endpoints = append(w.endpoints, s)
 }
 
-// freeAddress is the first address that no switch of the list has: that of one that has gone comes again.
+// freeAddress returns the first address that no listed endpoint has. Addresses of endpoints that are gone are reused.
 func (w *World) freeAddress() netip.AddrPort {
 	for i := byte(1); ; i++ {
 		a := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 1, i}), 5070)
@@ -116,7 +116,7 @@
 	}
 }
 
-// sendList delivers the list.
+// sendList delivers the current endpoint list to the gateway and the checker.
 func (w *World) sendList() {
 	w.serial++
 	l := &dnsdiscovery.List{Serial: w.serial, Complete: true}
@@ -133,7 +133,7 @@
 	w.Gateway.OnEndpointList(w.now, l)
 }
 
-// Run plays till a time on from the start, ms.
+// Run simulates the given time in ms.
 func (w *World) Run(ms float64) {
 	end := w.now + ms
 	if w.StopAt == 0 {
@@ -152,10 +152,10 @@
 	w.Checker.Finish(w.now)
 }
 
-// Now is the time.
+// Now returns the virtual time in ms.
 func (w *World) Now() float64 { return w.now }
 
-// injectFaults has switches drain, die and vanish.
+// injectFaults makes endpoints drain, crash and stop responding. It runs every 500 ms.
 func (w *World) injectFaults() {
 	w.after(500, w.injectFaults)
 	f, now := &w.Faults, w.now
@@ -205,7 +205,7 @@
 	}
 }
 
-// sendSetup sends the next setup.
+// sendSetup sends a setup on a random client connection and schedules the next one.
 func (w *World) sendSetup() {
 	if w.now > w.StopAt {
 		return
