--- a/internal/emulator/saturation/rush.go
+++ b/internal/emulator/saturation/rig.go
@@ -37,24 +37,24 @@
 // Rig is the two ends.
 type Rig struct {
 	callers, trunk *net.UDPConn
-	edge           netip.AddrPort
+	gateway        netip.AddrPort
 	mu             sync.Mutex
-	res            *Result
+	result         *Result
 	sentAt         []atomic.Int64 // ns, by call
-	answered       []atomic.Int64
-	stood          []atomic.Bool
-	seen           []atomic.Bool
-	hold           time.Duration
+	answeredAt     []atomic.Int64
+	established    []atomic.Bool
+	received       []atomic.Bool
+	holdingTime    time.Duration
 	start          time.Time
 	done           chan struct{}
-	wait           sync.WaitGroup
+	wg             sync.WaitGroup
 }
 
-const slots = 1 << 20 // calls that are told apart at once
+const maxCalls = 1 << 20 // calls that are told apart at once
 
 // NewRig opens both ends' sockets.
-func NewRig(callers, trunk, edge netip.AddrPort) (*Rig, error) {
-	r := &Rig{edge: edge, start: time.Now(), done: make(chan struct{})}
+func NewRig(callers, trunk, gateway netip.AddrPort) (*Rig, error) {
+	r := &Rig{gateway: gateway, start: time.Now(), done: make(chan struct{})}
 	var err error
 	if r.callers, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(callers)); err != nil {
 		return nil, fmt.Errorf("rush: callers: %w", err)
@@ -65,10 +65,10 @@
 	}
 	_ = r.callers.SetReadBuffer(8 << 20)
 	_ = r.trunk.SetReadBuffer(8 << 20)
-	r.sentAt, r.answered = make([]atomic.Int64, slots), make([]atomic.Int64, slots)
-	r.stood, r.seen = make([]atomic.Bool, slots), make([]atomic.Bool, slots)
-	r.res = newResult()
-	r.wait.Add(2)
+	r.sentAt, r.answeredAt = make([]atomic.Int64, maxCalls), make([]atomic.Int64, maxCalls)
+	r.established, r.received = make([]atomic.Bool, maxCalls), make([]atomic.Bool, maxCalls)
+	r.result = newResult()
+	r.wg.Add(2)
 	go r.serveTrunk()
 	go r.serveCallers()
 	return r, nil
@@ -83,7 +83,7 @@
 	close(r.done)
 	r.callers.Close()
 	r.trunk.Close()
-	r.wait.Wait()
+	r.wg.Wait()
 }
 
 func (r *Rig) now() int64 { return int64(time.Since(r.start)) }
@@ -91,8 +91,8 @@
 // Run sends a load and waits a little for what is under way.
 func (r *Rig) Run(l Load) *Result {
 	r.mu.Lock()
-	r.res, r.hold = newResult(), l.HoldingTime
-	res := r.res
+	r.result, r.holdingTime = newResult(), l.HoldingTime
+	res := r.result
 	r.mu.Unlock()
 	begin := time.Now()
 	for n := 0; ; {
@@ -115,32 +115,32 @@
 	time.Sleep(l.HoldingTime + 500*time.Millisecond)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.res = newResult()
+	r.result = newResult()
 	return res
 }
 
-var ids atomic.Int64
+var lastID atomic.Int64
 
 func (r *Rig) invite(int) {
-	id := ids.Add(1) % slots
+	id := lastID.Add(1) % maxCalls
 	r.sentAt[id].Store(r.now())
-	r.answered[id].Store(0)
-	r.stood[id].Store(false)
-	r.seen[id].Store(false)
+	r.answeredAt[id].Store(0)
+	r.established[id].Store(false)
+	r.received[id].Store(false)
 	r.mu.Lock()
-	r.res.Sent++
+	r.result.Sent++
 	r.mu.Unlock()
-	r.write(r.callers, r.edge, r.request("INVITE", id, nil))
+	r.write(r.callers, r.gateway, r.request("INVITE", id, nil))
 }
 
 func (r *Rig) write(c *net.UDPConn, to netip.AddrPort, data []byte) {
 	_, _ = c.WriteToUDPAddrPort(data, to)
 }
 
-var run = strconv.FormatInt(time.Now().UnixNano()%1e6, 36)
+var runID = strconv.FormatInt(time.Now().UnixNano()%1e6, 36)
 
 func (r *Rig) request(method string, id int64, to []byte) []byte {
-	n := fmt.Sprintf("%s%08x", run, id)
+	n := fmt.Sprintf("%s%08x", runID, id)
 	b := make([]byte, 0, 768)
 	b = append(b, method...)
 	b = append(b, " sip:+1418"...)
@@ -183,7 +183,7 @@
 }
 
 // field is a header line's value.
-func field(data []byte, name string) []byte {
+func headerField(data []byte, name string) []byte {
 	i := bytes.Index(data, []byte("\r\n"+name+": "))
 	if i < 0 {
 		return nil
@@ -196,7 +196,7 @@
 }
 
 func (r *Rig) serveCallers() {
-	defer r.wait.Done()
+	defer r.wg.Done()
 	buf := make([]byte, 1<<16)
 	for {
 		n, _, err := r.callers.ReadFromUDPAddrPort(buf)
@@ -204,52 +204,52 @@
 			return
 		}
 		d := buf[:n]
-		if n < 16 || d[0] != 'S' || !bytes.HasSuffix(field(d, "CSeq"), []byte("INVITE")) {
+		if n < 16 || d[0] != 'S' || !bytes.HasSuffix(headerField(d, "CSeq"), []byte("INVITE")) {
 			if n > 16 && bytes.HasPrefix(d, []byte("SIP/2.0 200")) {
 				r.mu.Lock()
-				r.res.Ended++
+				r.result.Ended++
 				r.mu.Unlock()
 			}
 			continue
 		}
-		call := field(d, "Call-ID")
-		if !bytes.HasPrefix(call, []byte(run)) {
+		call := headerField(d, "Call-ID")
+		if !bytes.HasPrefix(call, []byte(runID)) {
 			continue
 		}
-		id, err := strconv.ParseInt(string(call[len(run):]), 16, 64)
-		if err != nil || id < 0 || id >= slots {
+		id, err := strconv.ParseInt(string(call[len(runID):]), 16, 64)
+		if err != nil || id < 0 || id >= maxCalls {
 			continue
 		}
 		switch code := string(d[8:11]); {
 		case code[0] == '1':
 		case code == "200":
-			to := append([]byte(nil), field(d, "To")...)
-			r.write(r.callers, r.edge, r.request("ACK", id, to))
-			if r.stood[id].Swap(true) {
+			to := append([]byte(nil), headerField(d, "To")...)
+			r.write(r.callers, r.gateway, r.request("ACK", id, to))
+			if r.established[id].Swap(true) {
 				continue
 			}
 			at := r.now()
 			r.mu.Lock()
-			r.res.Answered++
-			_ = r.res.Back.RecordValue(max(1, (at-r.answered[id].Load())/1000))
+			r.result.Answered++
+			_ = r.result.Back.RecordValue(max(1, (at-r.answeredAt[id].Load())/1000))
 			r.mu.Unlock()
-			if r.hold == 0 {
-				r.write(r.callers, r.edge, r.request("BYE", id, to))
+			if r.holdingTime == 0 {
+				r.write(r.callers, r.gateway, r.request("BYE", id, to))
 			} else {
-				time.AfterFunc(r.hold, func() { r.write(r.callers, r.edge, r.request("BYE", id, to)) })
+				time.AfterFunc(r.holdingTime, func() { r.write(r.callers, r.gateway, r.request("BYE", id, to)) })
 			}
 		default:
-			to := append([]byte(nil), field(d, "To")...)
-			r.write(r.callers, r.edge, r.request("ACK", id, to))
+			to := append([]byte(nil), headerField(d, "To")...)
+			r.write(r.callers, r.gateway, r.request("ACK", id, to))
 			r.mu.Lock()
-			r.res.Refused++
+			r.result.Refused++
 			r.mu.Unlock()
 		}
 	}
 }
 
 func (r *Rig) serveTrunk() {
-	defer r.wait.Done()
+	defer r.wg.Done()
 	buf := make([]byte, 1<<16)
 	var out []byte
 	for {
@@ -258,35 +258,35 @@
 			return
 		}
 		d := buf[:n]
-		reply := func(status, more string) {
+		reply := func(status, extraHeader string) {
 			out = append(append(append(out[:0], "SIP/2.0 "...), status...), "\r\nVia: "...)
-			out = append(append(out, field(d, "Via")...), "\r\nFrom: "...)
-			out = append(append(out, field(d, "From")...), "\r\nTo: "...)
-			out = append(out, field(d, "To")...)
-			if !bytes.Contains(field(d, "To"), []byte(";tag=")) {
+			out = append(append(out, headerField(d, "Via")...), "\r\nFrom: "...)
+			out = append(append(out, headerField(d, "From")...), "\r\nTo: "...)
+			out = append(out, headerField(d, "To")...)
+			if !bytes.Contains(headerField(d, "To"), []byte(";tag=")) {
 				out = append(out, ";tag=sw"...)
 			}
-			out = append(append(out, "\r\nCall-ID: "...), field(d, "Call-ID")...)
-			out = append(append(out, "\r\nCSeq: "...), field(d, "CSeq")...)
-			out = append(append(out, more...), "\r\nContent-Length: 0\r\n\r\n"...)
+			out = append(append(out, "\r\nCall-ID: "...), headerField(d, "Call-ID")...)
+			out = append(append(out, "\r\nCSeq: "...), headerField(d, "CSeq")...)
+			out = append(append(out, extraHeader...), "\r\nContent-Length: 0\r\n\r\n"...)
 			r.write(r.trunk, from, out)
 		}
 		switch d[0] {
 		case 'I':
 			id, _ := strconv.ParseInt(string(d[len("INVITE sip:+1418"):][:10]), 10, 64)
-			if id < 0 || id >= slots {
+			if id < 0 || id >= maxCalls {
 				continue
 			}
 			at := r.now()
 			r.mu.Lock()
-			if r.seen[id].Swap(true) {
-				r.res.Repeats++
+			if r.received[id].Swap(true) {
+				r.result.Repeats++
 			} else {
-				_ = r.res.Added.RecordValue(max(1, (at-r.sentAt[id].Load())/1000))
+				_ = r.result.Added.RecordValue(max(1, (at-r.sentAt[id].Load())/1000))
 			}
 			r.mu.Unlock()
 			reply("180 Ringing", "")
-			r.answered[id].Store(r.now())
+			r.answeredAt[id].Store(r.now())
 			reply(
 				"200 OK",
 				"\r\nContact: <sip:"+r.trunk.LocalAddr().String()+">\r\nCobalt-Load: util=0.1;queue=0;lines=1000000;free=900000",
