--- a/internal/emulator/saturation/rig.go
+++ b/internal/emulator/saturation/rig.go
@@ -1,6 +1,6 @@
-// Package saturation drives one gateway as hard as it goes: callers and a switch that do next to nothing for each
-// message, so that the gateway is what is measured. Arrivals are sent by the clock and do not wait for answers. Beside
-// it a bare echo on the same reactor tells what the machine's sockets give.
+// Package saturation measures the maximum throughput of one gateway. Its callers and its endpoint do next to nothing
+// for each message, so that the gateway is what is measured. Setups are sent by the clock and do not wait for answers.
+// For comparison, Echo measures a plain echo server on the same reactor, which shows the limit of the machine's sockets.
 package saturation
 
 //tally:standin
@@ -18,29 +18,29 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Load is what is sent.
+// Load is the load that a run sends.
 type Load struct {
-	Rate        float64 // calls a second
-	For         time.Duration
+	Rate        float64       // calls a second
+	For         time.Duration // how long setups are sent
 	HoldingTime time.Duration
 }
 
-// Result is what came of it.
+// Result holds the measurements of a run.
 type Result struct {
 	Sent, Answered, Ended, Refused int64
-	Repeats                        int64                   // setups that the gateway sent again by itself
-	Added                          *hdrhistogram.Histogram // µs from a caller's sending to the switch's receipt
-	Back                           *hdrhistogram.Histogram // µs from the switch's answer to the caller's receipt
-	Late                           time.Duration           // the most that the sender ran behind its plan
+	Repeats                        int64                   // setups that the gateway retransmitted
+	Added                          *hdrhistogram.Histogram // µs from sending a setup to its arrival at the endpoint
+	Back                           *hdrhistogram.Histogram // µs from the endpoint's answer to its arrival at the caller
+	Late                           time.Duration           // maximum lateness of the sender
 }
 
-// Rig is the two ends.
+// Rig holds the sockets and the state of both sides, callers and endpoint.
 type Rig struct {
 	callers, trunk *net.UDPConn
 	gateway        netip.AddrPort
 	mu             sync.Mutex
 	result         *Result
-	sentAt         []atomic.Int64 // ns, by call
+	sentAt         []atomic.Int64 // ns, by call ID
 	answeredAt     []atomic.Int64
 	established    []atomic.Bool
 	received       []atomic.Bool
@@ -50,18 +50,18 @@
 	wg             sync.WaitGroup
 }
 
-const maxCalls = 1 << 20 // calls that are told apart at once
+const maxCalls = 1 << 20 // call IDs are reused after this many calls
 
-// NewRig opens both ends' sockets.
+// NewRig opens the sockets of both sides and starts serving them.
 func NewRig(callers, trunk, gateway netip.AddrPort) (*Rig, error) {
 	r := &Rig{gateway: gateway, start: time.Now(), done: make(chan struct{})}
 	var err error
 	if r.callers, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(callers)); err != nil {
-		return nil, fmt.Errorf("rush: callers: %w", err)
+		return nil, fmt.Errorf("saturation: callers: %w", err)
 	}
 	if r.trunk, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(trunk)); err != nil {
 		r.callers.Close()
-		return nil, fmt.Errorf("rush: switch: %w", err)
+		return nil, fmt.Errorf("saturation: endpoint: %w", err)
 	}
 	_ = r.callers.SetReadBuffer(8 << 20)
 	_ = r.trunk.SetReadBuffer(8 << 20)
@@ -88,7 +88,7 @@
 
 func (r *Rig) now() int64 { return int64(time.Since(r.start)) }
 
-// Run sends a load and waits a little for what is under way.
+// Run sends a load, waits for the holding time and half a second more, and returns the measurements.
 func (r *Rig) Run(l Load) *Result {
 	r.mu.Lock()
 	r.result, r.holdingTime = newResult(), l.HoldingTime
@@ -182,7 +182,7 @@
 	return b
 }
 
-// field is a header line's value.
+// headerField returns the value of a header field, nil if the message has none of that name.
 func headerField(data []byte, name string) []byte {
 	i := bytes.Index(data, []byte("\r\n"+name+": "))
 	if i < 0 {
@@ -297,12 +297,13 @@
 	}
 }
 
-// Echo sends so many datagrams a second of a usual size to an echo and counts what comes back, with the times.
+// Echo sends datagrams of 600 bytes, about the size of a SIP message, to an echo server at a rate a second. It returns
+// the numbers sent and received back, and the round-trip times in µs.
 func Echo(echo netip.AddrPort, rate float64, span time.Duration) (sent, back int64, times *hdrhistogram.Histogram,
 	err error) {
 	c, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(echo))
 	if err != nil {
-		return 0, 0, nil, fmt.Errorf("rush: echo: %w", err)
+		return 0, 0, nil, fmt.Errorf("saturation: echo: %w", err)
 	}
 	defer c.Close()
 	_ = c.SetReadBuffer(8 << 20)
