--- a/internal/emulator/baseline/baseline.go
+++ b/internal/emulator/baseline/baseline.go
@@ -1,5 +1,5 @@
-// Package baseline holds other ways to choose an endpoint, kept only to measure the project's decisions against: the
-// plain design without departures, and chance. They keep the rules that their host enforces, and no others.
+// Package baseline holds simple routing policies to compare the project's own policy with: the design as specified
+// (S2-082110) and a random choice. They follow only the rules that their host enforces.
 package baseline
 
 //tally:standin
@@ -11,7 +11,8 @@
 	"cobaltpier/internal/routing"
 )
 
-// Plain attempts the destination while it shows room, or not even that, and gives up after a few attempts.
+// Plain implements both policies. With uniform it chooses a random endpoint; otherwise it attempts the destination
+// first, if its load report shows free capacity, and then draws by lottery. It rejects the call after MaxAttempts.
 type Plain struct {
 	settings  *routing.Settings
 	host      routing.Host
@@ -21,8 +22,9 @@
 	uniform   bool
 }
 
-// ByName makes "lottery" (S2-082110 as written: the destination while it shows a free processor, else a lottery with
-// tickets of total capacity times the square of relative capacity) or "random"; nil otherwise.
+// ByName returns the policy "lottery" or "random", or nil for any other name. "lottery" is S2-082110 as written: the
+// destination while its load report shows free processor capacity, else a lottery in which each endpoint's tickets are
+// its total capacity times the square of its free share.
 func ByName(name string) routing.PolicyFactory {
 	if name != "lottery" && name != "random" {
 		return nil
@@ -32,7 +34,7 @@
 	}
 }
 
-// OnEndpoints implements host.Module.
+// OnEndpoints implements routing.Policy.
 func (b *Plain) OnEndpoints(now float64, changed []*routing.Endpoint) {
 	b.now = now
 	for _, p := range changed {
@@ -46,7 +48,7 @@
 	}
 }
 
-// OnCall implements host.Module.
+// OnCall implements routing.Policy.
 func (b *Plain) OnCall(now float64, c *routing.Call) {
 	b.now = now
 	b.attempt(c)
@@ -81,6 +83,7 @@
 	return nil
 }
 
+// tickets returns the weight of an endpoint in the draw.
 func (b *Plain) tickets(p *routing.Endpoint) float64 {
 	switch {
 	case p.State != routing.Ready:
@@ -95,6 +98,7 @@
 	return size * b.freeShare(p) * b.freeShare(p)
 }
 
+// freeShare returns the free share of an endpoint's capacity by its load report, 1 if the report does not tell.
 func (b *Plain) freeShare(p *routing.Endpoint) float64 {
 	r := &p.LoadReport
 	f := 1.0
@@ -109,17 +113,17 @@
 	return math.Max(0, f)
 }
 
-// OnAnswer implements host.Module.
+// OnAnswer implements routing.Policy.
 func (b *Plain) OnAnswer(now float64, _ *routing.Attempt) { b.now = now }
 
-// OnAttemptEnd implements host.Module.
-func (b *Plain) OnAttemptEnd(now float64, r *routing.Attempt, closed bool) {
+// OnAttemptEnd implements routing.Policy.
+func (b *Plain) OnAttemptEnd(now float64, attempt *routing.Attempt, closed bool) {
 	b.now = now
-	c := r.Call
+	c := attempt.Call
 	if closed || c.Finished {
 		return
 	}
-	if r.Outcome == routing.TimedOut || r.Outcome == routing.Reset || r.Outcome == routing.Canceled {
+	if attempt.Outcome == routing.TimedOut || attempt.Outcome == routing.Reset || attempt.Outcome == routing.Canceled {
 		c.RetryNotBefore = now + b.settings.RetryHoldOff
 		b.host.ScheduleWakeup(c.RetryNotBefore, c)
 		if c.RetryNotBefore >= c.Deadline {
@@ -130,16 +134,16 @@
 	b.attempt(c)
 }
 
-// OnHangup implements host.Module.
+// OnHangup implements routing.Policy.
 func (b *Plain) OnHangup(now float64, _ *routing.Call) { b.now = now }
 
-// OnLoadReport implements host.Module.
+// OnLoadReport implements routing.Policy.
 func (b *Plain) OnLoadReport(now float64, _ *routing.Endpoint, _, _ bool) { b.now = now }
 
-// OnGossip implements host.Module.
+// OnGossip implements routing.Policy.
 func (b *Plain) OnGossip(now float64, _ int, _ []byte) { b.now = now }
 
-// OnWakeup implements host.Module.
+// OnWakeup implements routing.Policy.
 func (b *Plain) OnWakeup(now float64, c *routing.Call) {
 	b.now = now
 	if c != nil && !c.Finished && c.InFlight == nil {
