--- a/internal/emulator/prefixbaseline/prefixes.go
+++ b/internal/emulator/prefixbaseline/prefixes.go
@@ -1,5 +1,5 @@
-// Package prefixbaseline has plain ways to find the longest prefix of a number, to measure the trie beside, and draws
-// prefixes as number plans have them.
+// Package prefixbaseline has simple implementations of longest-prefix matching to compare the trie with, and draws
+// random prefixes like those of number plans.
 package prefixbaseline
 
 //tally:standin
@@ -13,10 +13,10 @@
 	"cobaltpier/internal/detrand"
 )
 
-// Map tries each length, the longest first.
+// Map looks up each possible prefix of a number, the longest first.
 type Map map[string]uint32
 
-// Find is the value of the longest prefix, and its length.
+// Find returns the value and the length of the longest prefix of a number.
 func (m Map) Find(number string) (uint32, int, bool) {
 	end := 0
 	for end < len(number) && number[end] >= '0' && number[end] <= '9' {
@@ -30,26 +30,27 @@
 	return 0, 0, false
 }
 
-// NewMap makes a map.
-func NewMap(of []prefixtrie.Prefix) Map {
+// NewMap returns a Map of the prefixes.
+func NewMap(prefixes []prefixtrie.Prefix) Map {
 	m := Map{}
-	for _, p := range of {
+	for _, p := range prefixes {
 		m[p.Digits] = p.Value
 	}
 	return m
 }
 
-// Sorted searches prefixes in their order, and goes on with what they begin with.
+// Sorted finds prefixes by binary search. After a mismatch it searches again for the digits that the number and the
+// found prefix have in common.
 type Sorted []prefixtrie.Prefix
 
-// NewSorted puts prefixes in order.
-func NewSorted(of []prefixtrie.Prefix) Sorted {
-	s := append(Sorted{}, of...)
+// NewSorted returns the prefixes in order.
+func NewSorted(prefixes []prefixtrie.Prefix) Sorted {
+	s := append(Sorted{}, prefixes...)
 	sort.Slice(s, func(i, j int) bool { return s[i].Digits < s[j].Digits })
 	return s
 }
 
-// Find is the value of the longest prefix of a number of digits, and its length.
+// Find returns the value and the length of the longest prefix of a number, which must consist of digits.
 func (s Sorted) Find(number string) (uint32, int, bool) {
 	for key := number; ; {
 		i := sort.Search(len(s), func(i int) bool { return s[i].Digits > key }) - 1
@@ -72,17 +73,17 @@
 	}
 }
 
-// Draw draws prefixes as number plans have them: areas, exchanges, and ported numbers of full length.
+// Draw returns n random prefixes like those of number plans: area codes, exchange codes and full ported numbers.
 func Draw(n int) []prefixtrie.Prefix {
 	seen := map[string]bool{}
-	var of []prefixtrie.Prefix
-	for i := uint64(0); len(of) < n; i++ {
+	var prefixes []prefixtrie.Prefix
+	for i := uint64(0); len(prefixes) < n; i++ {
 		length := []int{4, 7, 7, 10, 11, 11, 11, 11}[int(detrand.Float64(1, i)*8)]
 		d := fmt.Sprintf("1%010d", uint64(detrand.Float64(2, i)*1e10))[:length]
 		if !seen[d] {
 			seen[d] = true
-			of = append(of, prefixtrie.Prefix{Digits: d, Value: uint32(len(of))})
+			prefixes = append(prefixes, prefixtrie.Prefix{Digits: d, Value: uint32(len(prefixes))})
 		}
 	}
-	return of
+	return prefixes
 }
--- a/internal/emulator/prefixbaseline/prefixes_test.go
+++ b/internal/emulator/prefixbaseline/prefixes_test.go
@@ -7,17 +7,17 @@
 	"cobaltpier/internal/detrand"
 )
 
-// All three ways find the same.
-func TestSame(t *testing.T) {
-	of := Draw(5000)
-	m, s := NewMap(of), NewSorted(of)
-	trie, err := prefixtrie.New(of)
+// TestAllFindSamePrefix checks that the trie, the map and the sorted list find the same prefixes.
+func TestAllFindSamePrefix(t *testing.T) {
+	prefixes := Draw(5000)
+	m, s := NewMap(prefixes), NewSorted(prefixes)
+	trie, err := prefixtrie.New(prefixes)
 	if err != nil {
 		t.Fatal(err)
 	}
 	found := 0
 	for i := range uint64(20000) {
-		n := of[int(detrand.Float64(1, i)*5000)].Digits
+		n := prefixes[int(detrand.Float64(1, i)*5000)].Digits
 		n = n[:1+int(detrand.Float64(2, i)*float64(len(n)))] + "5550123"
 		v, l, ok := trie.Find(n)
 		mv, ml, mok := m.Find(n)
