--- a/internal/emulator/baseline/baseline.go
+++ b/internal/emulator/baseline/baseline.go
@@ -117,13 +117,13 @@
 func (b *Plain) OnAnswer(now float64, _ *routing.Attempt) { b.now = now }
 
 // OnAttemptEnd implements routing.Policy.
-func (b *Plain) OnAttemptEnd(now float64, attempt *routing.Attempt, closed bool) {
+func (b *Plain) OnAttemptEnd(now float64, ended *routing.Attempt, closed bool) {
 	b.now = now
-	c := attempt.Call
+	c := ended.Call
 	if closed || c.Finished {
 		return
 	}
-	if attempt.Outcome == routing.TimedOut || attempt.Outcome == routing.Reset || attempt.Outcome == routing.Canceled {
+	if ended.Outcome == routing.TimedOut || ended.Outcome == routing.Reset || ended.Outcome == routing.Canceled {
 		c.RetryNotBefore = now + b.settings.RetryHoldOff
 		b.host.ScheduleWakeup(c.RetryNotBefore, c)
 		if c.RetryNotBefore >= c.Deadline {
--- a/internal/emulator/binarystandin/simulation.go
+++ b/internal/emulator/binarystandin/simulation.go
@@ -98,9 +98,9 @@
 // addEndpoint starts a new endpoint, which may get the address of one that is gone.
 func (w *World) addEndpoint() {
 	w.destinations++
-	destination := (w.destinations - 1) % 4
+	destinationID := (w.destinations - 1) % 4
 	addr := w.freeAddress()
-	s := &Endpoint{w: w, id: "s-" + strconv.Itoa(w.destinations), addr: addr, destination: destination,
+	s := &Endpoint{w: w, id: "s-" + strconv.Itoa(w.destinations), addr: addr, destination: destinationID,
 		state: routing.Ready, established: map[uint64]bool{}, pending: map[uint64]*conn{}}
 	w.byAddr[s.addr] = s
 	w.endpoints = append(w.endpoints, s)
--- a/internal/emulator/loadgen/load.go
+++ b/internal/emulator/loadgen/load.go
@@ -1,6 +1,6 @@
-// Package loadgen sends planned calls to gateways at their planned times, regardless of earlier calls, and measures waits
-// from the planned times: a stalled gateway does not slow the load, and the calls due during a stall count with their
-// whole wait. It measures its own lateness and reports when it was itself the bottleneck.
+// Package loadgen sends planned calls to gateways at their planned times, regardless of earlier calls, and measures
+// waits from the planned times: a stalled gateway does not slow the load, and the calls due during a stall count with
+// their whole wait. It measures its own lateness and reports when it was itself the bottleneck.
 package loadgen
 
 //tally:standin
--- a/internal/emulator/saturation/rig.go
+++ b/internal/emulator/saturation/rig.go
@@ -1,6 +1,7 @@
 // Package saturation measures the maximum throughput of one gateway. Its callers and its endpoint do next to nothing
 // for each message, so that the gateway is what is measured. Setups are sent by the clock and do not wait for answers.
-// For comparison, Echo measures a plain echo server on the same reactor, which shows the limit of the machine's sockets.
+// For comparison, Echo measures a plain echo server on the same reactor, which shows the limit of the machine's
+// sockets.
 package saturation
 
 //tally:standin
