--- a/internal/emulator/calltrace/trace.go
+++ b/internal/emulator/calltrace/trace.go
@@ -67,17 +67,17 @@
 		if err != nil {
 			return fmt.Errorf("trace: %w", err)
 		}
-		var z bytes.Buffer
-		g := gzip.NewWriter(&z)
-		_, _ = g.Write(raw)
-		if err := g.Close(); err != nil {
+		var compressed bytes.Buffer
+		gzipWriter := gzip.NewWriter(&compressed)
+		_, _ = gzipWriter.Write(raw)
+		if err := gzipWriter.Close(); err != nil {
 			return fmt.Errorf("trace: %w", err)
 		}
-		var head [8]byte
-		binary.LittleEndian.PutUint32(head[:], uint32(z.Len()))
-		binary.LittleEndian.PutUint32(head[4:], crc32.ChecksumIEEE(z.Bytes()))
-		out.Write(head[:])
-		out.Write(z.Bytes())
+		var header [8]byte
+		binary.LittleEndian.PutUint32(header[:], uint32(compressed.Len()))
+		binary.LittleEndian.PutUint32(header[4:], crc32.ChecksumIEEE(compressed.Bytes()))
+		out.Write(header[:])
+		out.Write(compressed.Bytes())
 		w.block.Calls = nil
 	}
 	if _, err := w.w.Write(out.Bytes()); err != nil {
@@ -93,49 +93,49 @@
 // the block and the byte offset; the calls of all blocks before that have been passed to do.
 func Read(r io.Reader, do func(*api.Call) error) error {
 	rd := bufio.NewReaderSize(r, 1<<16)
-	head := make([]byte, len(magic))
-	if _, err := io.ReadFull(rd, head); err != nil || string(head) != magic {
+	header := make([]byte, len(magic))
+	if _, err := io.ReadFull(rd, header); err != nil || string(header) != magic {
 		return fmt.Errorf("trace: file header is not %q: %w", magic, ErrDamaged)
 	}
-	at := int64(len(magic))
+	offset := int64(len(magic))
 	last := 0.0
-	for n := 1; ; n++ {
+	for blockNumber := 1; ; blockNumber++ {
 		damaged := func(why string, err error) error {
 			if err != nil {
 				why += ": " + err.Error()
 			}
-			return fmt.Errorf("trace: block %d at byte %d: %s: %w", n, at, why, ErrDamaged)
+			return fmt.Errorf("trace: block %d at byte %d: %s: %w", blockNumber, offset, why, ErrDamaged)
 		}
-		var h [8]byte
-		if k, err := io.ReadFull(rd, h[:]); err == io.EOF && k == 0 {
+		var blockHeader [8]byte
+		if count, err := io.ReadFull(rd, blockHeader[:]); err == io.EOF && count == 0 {
 			return nil
 		} else if err != nil {
 			return damaged("block header is truncated", nil)
 		}
-		size := binary.LittleEndian.Uint32(h[:])
+		size := binary.LittleEndian.Uint32(blockHeader[:])
 		if size > maxBlockBytes {
 			return damaged(fmt.Sprintf("length of %d bytes is above the limit", size), nil)
 		}
-		var z bytes.Buffer
-		if k, err := io.CopyN(&z, rd, int64(size)); err != nil {
-			return damaged(fmt.Sprintf("truncated after %d of %d bytes", k, size), nil)
+		var compressed bytes.Buffer
+		if count, err := io.CopyN(&compressed, rd, int64(size)); err != nil {
+			return damaged(fmt.Sprintf("truncated after %d of %d bytes", count, size), nil)
 		}
-		if crc32.ChecksumIEEE(z.Bytes()) != binary.LittleEndian.Uint32(h[4:]) {
+		if crc32.ChecksumIEEE(compressed.Bytes()) != binary.LittleEndian.Uint32(blockHeader[4:]) {
 			return damaged("wrong checksum", nil)
 		}
-		g, err := gzip.NewReader(&z)
+		gzipReader, err := gzip.NewReader(&compressed)
 		if err != nil {
 			return damaged("gzip", err)
 		}
-		raw, err := io.ReadAll(io.LimitReader(g, 8*maxBlockBytes))
+		raw, err := io.ReadAll(io.LimitReader(gzipReader, 8*maxBlockBytes))
 		if err != nil {
 			return damaged("gzip", err)
 		}
-		var b api.Block
-		if err := proto.Unmarshal(raw, &b); err != nil {
+		var block api.Block
+		if err := proto.Unmarshal(raw, &block); err != nil {
 			return damaged("protobuf", err)
 		}
-		for _, c := range b.Calls {
+		for _, c := range block.Calls {
 			if !(c.AtMs >= last) {
 				return damaged(fmt.Sprintf("call at %v ms follows one at %v ms", c.AtMs, last), nil)
 			}
@@ -144,7 +144,7 @@
 				return err
 			}
 		}
-		at += 8 + int64(size)
+		offset += 8 + int64(size)
 	}
 }
 
--- a/internal/emulator/loadgen/load.go
+++ b/internal/emulator/loadgen/load.go
@@ -340,19 +340,19 @@
 // request encodes a SIP request of a call. It formats the message directly, since the generator must cost less than
 // the gateway that it measures.
 func (r *runner) request(method string, k *call, to []byte) []byte {
-	n := fmt.Sprintf("%s.%08x", r.runID, k.index)
+	callID := fmt.Sprintf("%s.%08x", r.runID, k.index)
 	b := make([]byte, 0, 900)
 	at := r.target(k).String()
 	b = fmt.Appendf(b, "%s sip:%s", method, k.Number)
 	if k.Group != "" {
 		b = fmt.Appendf(b, ";tgrp=%s;trunk-context=%s", k.Group, r.options.Context)
 	}
-	branch, seq := n, 1
+	branch, seq := callID, 1
 	switch method {
 	case "BYE":
-		branch, seq = n+"b", 2
+		branch, seq = callID+"b", 2
 	case "ACK":
-		branch = n + "a"
+		branch = callID + "a"
 	}
 	b = fmt.Appendf(
 		b,
@@ -361,7 +361,7 @@
 		r.conn.LocalAddr(),
 		branch,
 		k.Customer,
-		n,
+		callID,
 	)
 	if to == nil {
 		b = fmt.Appendf(b, "<sip:%s@%s>", k.Number, at)
@@ -371,7 +371,7 @@
 	b = fmt.Appendf(
 		b,
 		"\r\nCall-ID: %s\r\nCSeq: %d %s\r\nContact: <sip:%s>\r\nMax-Forwards: 70\r\nSession-ID: %032x;remote=%032x\r\n",
-		n,
+		callID,
 		seq,
 		method,
 		r.conn.LocalAddr(),
--- a/internal/emulator/saturation/rig.go
+++ b/internal/emulator/saturation/rig.go
@@ -141,7 +141,7 @@
 var runID = strconv.FormatInt(time.Now().UnixNano()%1e6, 36)
 
 func (r *Rig) request(method string, id int64, to []byte) []byte {
-	n := fmt.Sprintf("%s%08x", runID, id)
+	callID := fmt.Sprintf("%s%08x", runID, id)
 	b := make([]byte, 0, 768)
 	b = append(b, method...)
 	b = append(b, " sip:+1418"...)
@@ -149,19 +149,19 @@
 	b = append(b, ";tgrp=TG-0;trunk-context=rush.example@127.0.0.1 SIP/2.0\r\nVia: SIP/2.0/UDP "...)
 	b = append(b, r.callers.LocalAddr().String()...)
 	b = append(b, ";rport;branch=z9hG4bK"...)
-	b = append(b, n...)
+	b = append(b, callID...)
 	if method != "INVITE" {
 		b = append(b, method[0])
 	}
 	b = append(b, "\r\nFrom: <sip:staff@rush.example>;tag="...)
-	b = append(b, n...)
+	b = append(b, callID...)
 	b = append(b, "\r\nTo: "...)
 	if to == nil {
 		to = []byte("<sip:staff@127.0.0.1>")
 	}
 	b = append(b, to...)
 	b = append(b, "\r\nCall-ID: "...)
-	b = append(b, n...)
+	b = append(b, callID...)
 	b = append(b, "\r\nCSeq: "...)
 	if method == "BYE" {
 		b = append(b, '2')
--- a/internal/emulator/search/search.go
+++ b/internal/emulator/search/search.go
@@ -19,13 +19,13 @@
 // Find is a scenario that breaks a rule or serves callers badly.
 type Find struct {
 	Script *scenariofile.Script
-	Rule   int     // the broken rule, 0 for bad service only, or Tables for a call routed by the wrong number table
+	Rule   int     // the broken rule, 0 for bad service only, or TableFinding for a call routed by the wrong number table
 	What   string  // the first finding of the checker
 	Score  float64 // higher is worse; at least 10 for a broken rule
 }
 
-// Tables is the value of Find.Rule for findings about number tables.
-const Tables = 6
+// TableFinding is the value of Find.Rule for findings about number tables.
+const TableFinding = 6
 
 // Options configure a search.
 type Options struct {
@@ -227,7 +227,7 @@
 	if len(r.Findings) > 0 {
 		f.Rule, f.What, f.Score = r.Findings[0].Rule, r.Findings[0].String(), 10+float64(len(r.Findings))
 	} else if r.Tables != nil && len(r.Tables.Findings) > 0 {
-		f.Rule, f.What, f.Score = Tables, r.Tables.Findings[0], 10+float64(len(r.Tables.Findings))
+		f.Rule, f.What, f.Score = TableFinding, r.Tables.Findings[0], 10+float64(len(r.Tables.Findings))
 	} else if r.Service.Fell > 0 {
 		f.What = fmt.Sprintf("%d switches were pushed over", r.Service.Fell)
 	}
