--- a/internal/emulator/callers/caller.go
+++ b/internal/emulator/callers/caller.go
@@ -58,44 +58,44 @@
 // Callers are those of one gateway.
 type Callers struct {
 	Behavior
-	Stories []*CallerRecord
-	Extra   int // final answers after the final answer
-	edge    netip.AddrPort
-	now     float64
-	names   siptransaction.Generator
-	timers  timerqueue.Queue
-	sip     *siptransaction.Layer
-	open    map[string]*try // by our tag
-	bySess  map[string]*try
+	Records   []*CallerRecord
+	Extra     int // final answers after the final answer
+	gateway   netip.AddrPort
+	now       float64
+	random    siptransaction.Generator
+	timers    timerqueue.Queue
+	sip       *siptransaction.Layer
+	byTag     map[string]*attempt // by our tag
+	bySession map[string]*attempt
 }
 
-type try struct {
-	of      *Callers
-	story   *CallerRecord
-	tx      *siptransaction.Client
-	callID  string
-	tag     string
-	session string
-	answer  *sip.Response
-	ack     []byte
-	stands  bool
-	over    bool
-	timer   *timerqueue.Timer
+type attempt struct {
+	callers     *Callers
+	record      *CallerRecord
+	tx          *siptransaction.Client
+	callID      string
+	tag         string
+	session     string
+	answer      *sip.Response
+	ack         []byte
+	established bool
+	ended       bool
+	timer       *timerqueue.Timer
 }
 
 // New makes callers that dial a gateway.
 func New(
-	m Behavior,
-	self, edge netip.AddrPort,
+	behavior Behavior,
+	self, gateway netip.AddrPort,
 	times siptransaction.Timers,
 	seed uint64,
 	send func(netip.AddrPort, []byte),
 ) *Callers {
-	c := &Callers{Behavior: m, edge: edge, open: map[string]*try{}, bySess: map[string]*try{}}
-	c.names.Seed = seed
-	c.sip = siptransaction.NewLayer(self, times, &c.names, &c.timers, c, send)
-	if m.Parse != nil {
-		c.sip.Parse = m.Parse
+	c := &Callers{Behavior: behavior, gateway: gateway, byTag: map[string]*attempt{}, bySession: map[string]*attempt{}}
+	c.random.Seed = seed
+	c.sip = siptransaction.NewLayer(self, times, &c.random, &c.timers, c, send)
+	if behavior.Parse != nil {
+		c.sip.Parse = behavior.Parse
 	}
 	return c
 }
@@ -103,7 +103,7 @@
 // Plan adds an arrival.
 func (c *Callers) Plan(a *Arrival) {
 	s := &CallerRecord{Arrival: a, AnsweredAt: math.NaN()}
-	c.Stories = append(c.Stories, s)
+	c.Records = append(c.Records, s)
 	c.timers.Schedule(a.At, func() { c.dial(s) })
 }
 
@@ -126,9 +126,9 @@
 	return sip.Uri{Scheme: "sip", Host: c.sip.Address.Addr().String(), Port: int(c.sip.Address.Port())}
 }
 
-func (c *Callers) request(t *try, method sip.RequestMethod, seq uint32) *sip.Request {
-	a := t.story.Arrival
-	to := sip.Uri{Scheme: "sip", User: a.Number, Host: c.edge.Addr().String(), Port: int(c.edge.Port())}
+func (c *Callers) request(t *attempt, method sip.RequestMethod, seq uint32) *sip.Request {
+	a := t.record.Arrival
+	to := sip.Uri{Scheme: "sip", User: a.Number, Host: c.gateway.Addr().String(), Port: int(c.gateway.Port())}
 	target := to
 	if a.Group != "" {
 		target.User += ";tgrp=" + a.Group + ";trunk-context=" + c.Context
@@ -137,11 +137,11 @@
 	id := sip.CallIDHeader(t.callID)
 	r.AppendHeader(&sip.FromHeader{Address: sip.Uri{Scheme: "sip", User: "staff", Host: a.Tenant},
 		Params: sip.HeaderParams{{K: "tag", V: t.tag}}})
-	th := &sip.ToHeader{Address: to}
+	toHeader := &sip.ToHeader{Address: to}
 	if t.answer != nil {
-		th.Params = t.answer.To().Params
+		toHeader.Params = t.answer.To().Params
 	}
-	r.AppendHeader(th)
+	r.AppendHeader(toHeader)
 	r.AppendHeader(&id)
 	r.AppendHeader(&sip.CSeqHeader{SeqNo: seq, MethodName: method})
 	r.AppendHeader(sip.NewHeader("Max-Forwards", "70"))
@@ -149,7 +149,7 @@
 	return r
 }
 
-const body = "v=0\r\no=- 0 0 IN IP4 127.0.0.1\r\ns=-\r\nc=IN IP4 127.0.0.1\r\nt=0 0\r\nm=audio 49170 RTP/AVP 0\r\n"
+const sdpOffer = "v=0\r\no=- 0 0 IN IP4 127.0.0.1\r\ns=-\r\nc=IN IP4 127.0.0.1\r\nt=0 0\r\nm=audio 49170 RTP/AVP 0\r\n"
 
 func (c *Callers) dial(s *CallerRecord) {
 	left := s.At + s.Timeout - c.now
@@ -159,95 +159,95 @@
 	}
 	wait := math.Floor(math.Min(left, s.AttemptTimeout)/1000) * 1000 // Expires counts whole seconds
 	s.Attempts++
-	t := &try{
-		of:      c,
-		story:   s,
-		callID:  c.names.Next() + "@caller",
-		tag:     c.names.Next(),
-		session: siptransaction.NewSessionID(&c.names),
+	t := &attempt{
+		callers: c,
+		record:  s,
+		callID:  c.random.Next() + "@caller",
+		tag:     c.random.Next(),
+		session: siptransaction.NewSessionID(&c.random),
 	}
 	s.SessionID = t.session
-	c.open[t.tag], c.bySess[t.session] = t, t
+	c.byTag[t.tag], c.bySession[t.session] = t, t
 	r := c.request(t, sip.INVITE, 1)
 	r.AppendHeader(&sip.ContactHeader{Address: c.uri()})
 	r.AppendHeader(sip.NewHeader(siptransaction.Service, "urn:urn-7:"+s.Class))
 	r.AppendHeader(sip.NewHeader("Expires", fmt.Sprint(int(wait/1000))))
 	r.AppendHeader(sip.NewHeader("Content-Type", "application/sdp"))
-	r.SetBody([]byte(body))
-	t.timer = c.timers.Schedule(c.now+wait, t.giveUp)
-	t.tx = c.sip.Send(r, c.edge, sip.HeaderParams{{K: "rport"}}, t.heard)
+	r.SetBody([]byte(sdpOffer))
+	t.timer = c.timers.Schedule(c.now+wait, t.onTimeout)
+	t.tx = c.sip.Send(r, c.gateway, sip.HeaderParams{{K: "rport"}}, t.onResponse)
 }
 
-// giveUp: the timeout of this try is over.
-func (t *try) giveUp() {
-	if t.over || t.stands {
+// onTimeout: the timeout of this try is over.
+func (t *attempt) onTimeout() {
+	if t.ended || t.established {
 		return
 	}
 	t.tx.Cancel()
-	t.story.Answers = append(t.story.Answers, 0)
-	t.done()
-	t.of.again(t.story, 0)
+	t.record.Answers = append(t.record.Answers, 0)
+	t.finish()
+	t.callers.scheduleRedial(t.record, 0)
 }
 
-func (t *try) done() {
-	t.over = true
-	t.of.timers.Cancel(t.timer)
-	delete(t.of.bySess, t.session)
+func (t *attempt) finish() {
+	t.ended = true
+	t.callers.timers.Cancel(t.timer)
+	delete(t.callers.bySession, t.session)
 }
 
-func (t *try) heard(res *sip.Response) {
-	c := t.of
+func (t *attempt) onResponse(res *sip.Response) {
+	c := t.callers
 	c.now = c.sip.Now
 	switch {
 	case res == nil:
-		if !t.over {
-			t.story.Answers = append(t.story.Answers, 0)
-			t.done()
-			c.again(t.story, 0)
+		if !t.ended {
+			t.record.Answers = append(t.record.Answers, 0)
+			t.finish()
+			c.scheduleRedial(t.record, 0)
 		}
 	case res.StatusCode < 200:
 	case res.StatusCode < 300 && t.ack != nil:
-		c.sip.SendAck(t.acknowledgement(), c.edge)
+		c.sip.SendAck(t.acknowledgement(), c.gateway)
 	case res.StatusCode < 300:
 		t.answer = res
-		t.ack = c.sip.SendAck(t.acknowledgement(), c.edge)
-		if t.over { // it crossed our CANCEL
+		t.ack = c.sip.SendAck(t.acknowledgement(), c.gateway)
+		if t.ended { // it crossed our CANCEL
 			t.bye(`Q.850;cause=16`)
 			return
 		}
-		t.stands = true
+		t.established = true
 		c.timers.Cancel(t.timer)
-		t.story.Answers = append(t.story.Answers, res.StatusCode)
-		t.story.AnsweredAt = c.now
-		t.timer = c.timers.Schedule(c.now+t.story.HoldingTime, func() {
+		t.record.Answers = append(t.record.Answers, res.StatusCode)
+		t.record.AnsweredAt = c.now
+		t.timer = c.timers.Schedule(c.now+t.record.HoldingTime, func() {
 			t.bye(`Q.850;cause=16`)
-			c.end(t.story)
+			c.end(t.record)
 		})
-	case t.over:
+	case t.ended:
 		if res.StatusCode != 487 {
 			c.Extra++
 		}
 	default:
-		t.story.Answers = append(t.story.Answers, res.StatusCode)
-		t.done()
-		delete(c.open, t.tag)
-		c.again(t.story, siptransaction.ParseRetryAfter(siptransaction.HeaderValue(res, siptransaction.RetryAfter)))
+		t.record.Answers = append(t.record.Answers, res.StatusCode)
+		t.finish()
+		delete(c.byTag, t.tag)
+		c.scheduleRedial(t.record, siptransaction.ParseRetryAfter(siptransaction.HeaderValue(res, siptransaction.RetryAfter)))
 	}
 }
 
-func (t *try) acknowledgement() *sip.Request { return t.of.request(t, sip.ACK, 1) }
+func (t *attempt) acknowledgement() *sip.Request { return t.callers.request(t, sip.ACK, 1) }
 
-func (t *try) bye(why string) {
-	c := t.of
-	t.done()
-	delete(c.open, t.tag)
+func (t *attempt) bye(reason string) {
+	c := t.callers
+	t.finish()
+	delete(c.byTag, t.tag)
 	r := c.request(t, sip.BYE, 2)
-	r.AppendHeader(sip.NewHeader(siptransaction.Reason, why))
-	c.sip.Send(r, c.edge, sip.HeaderParams{{K: "rport"}}, func(*sip.Response) {})
+	r.AppendHeader(sip.NewHeader(siptransaction.Reason, reason))
+	c.sip.Send(r, c.gateway, sip.HeaderParams{{K: "rport"}}, func(*sip.Response) {})
 }
 
-// again dials once more after a pause, or not.
-func (c *Callers) again(s *CallerRecord, told float64) {
+// scheduleRedial dials once more after a pause, or not.
+func (c *Callers) scheduleRedial(s *CallerRecord, retryAfter float64) {
 	if s.Attempts > c.Redials {
 		c.end(s)
 		return
@@ -256,44 +256,44 @@
 	if c.Grows {
 		pause *= math.Pow(2, float64(s.Attempts-1))
 	}
-	pause *= 0.5 + c.names.Float64()
-	if told > 0 && c.names.Float64() < c.Honour {
-		pause = math.Min(told, c.MaxWait)
+	pause *= 0.5 + c.random.Float64()
+	if retryAfter > 0 && c.random.Float64() < c.Honour {
+		pause = math.Min(retryAfter, c.MaxWait)
 	}
 	c.timers.Schedule(c.now+pause, func() { c.dial(s) })
 }
 
 func (c *Callers) end(s *CallerRecord) { s.Ended = true }
 
-// Cut tells a caller that its line went dead: it hangs up after a while.
-func (c *Callers) Cut(now float64, session string) {
-	t := c.bySess[session]
-	if t == nil || !t.stands || t.over {
+// OnLineDead tells a caller that its line went dead: it hangs up after a while.
+func (c *Callers) OnLineDead(now float64, session string) {
+	t := c.bySession[session]
+	if t == nil || !t.established || t.ended {
 		return
 	}
-	t.story.Dropped = true
+	t.record.Dropped = true
 	c.timers.Schedule(now+c.Silence, func() {
-		if !t.over {
+		if !t.ended {
 			t.bye(`Q.850;cause=41;text="Temporary failure"`)
-			c.end(t.story)
+			c.end(t.record)
 		}
 	})
 }
 
 // OnRequest implements siptransaction.User: the other side hangs up.
 func (c *Callers) OnRequest(s *siptransaction.Server, req *sip.Request) {
-	t := c.open[siptransaction.Tag(req.To().Params)]
+	t := c.byTag[siptransaction.Tag(req.To().Params)]
 	if t == nil || req.Method != sip.BYE {
-		s.Respond(siptransaction.Response(req, 481, "Call/Transaction Does Not Exist", c.names.Next()))
+		s.Respond(siptransaction.Response(req, 481, "Call/Transaction Does Not Exist", c.random.Next()))
 		return
 	}
 	s.Respond(siptransaction.Response(req, 200, "OK", ""))
-	if t.stands && !t.over {
-		t.story.Dropped = true // whoever hung up, it was not the caller
-		t.done()
-		c.end(t.story)
+	if t.established && !t.ended {
+		t.record.Dropped = true // whoever hung up, it was not the caller
+		t.finish()
+		c.end(t.record)
 	}
-	delete(c.open, t.tag)
+	delete(c.byTag, t.tag)
 }
 
 // OnCancel implements siptransaction.User.
--- a/internal/emulator/coreswitch/sort.go
+++ b/internal/emulator/coreswitch/sort.go
@@ -5,6 +5,6 @@
 	"slices"
 )
 
-func sortBy(of []*call, key func(*call) string) {
-	slices.SortFunc(of, func(a, b *call) int { return cmp.Compare(key(a), key(b)) })
+func sortBy(calls []*call, key func(*call) string) {
+	slices.SortFunc(calls, func(a, b *call) int { return cmp.Compare(key(a), key(b)) })
 }
--- a/internal/emulator/scenario/arrivals.go
+++ b/internal/emulator/scenario/arrivals.go
@@ -30,12 +30,12 @@
 func (st *Scenario) drawArrivals() {
 	draw := newArrivalDraw(st)
 	for at := 0.0; ; {
-		at += -math.Log(1-st.names.Float64()) * 1000 / (st.Script.Load.Rate * draw.peak)
+		at += -math.Log(1-st.random.Float64()) * 1000 / (st.Script.Load.Rate * draw.peak)
 		if at >= st.Script.Length-lastArrivalMargin {
 			break
 		}
 		factor, gateway := draw.rateAndGateway(at)
-		if st.names.Float64()*draw.peak >= factor {
+		if st.random.Float64()*draw.peak >= factor {
 			continue
 		}
 		st.Gateways[gateway].Callers.Plan(draw.arrival(at))
@@ -46,7 +46,7 @@
 		}
 	}
 	for _, g := range st.Gateways {
-		g.callers.Due()
+		g.callersNode.ScheduleWakeup()
 	}
 }
 
@@ -61,7 +61,7 @@
 }
 
 func newArrivalDraw(st *Scenario) *arrivalDraw {
-	draw := &arrivalDraw{scenario: st, random: &st.names, peak: 1, favoured: map[int][]int{}, segment: -1}
+	draw := &arrivalDraw{scenario: st, random: &st.random, peak: 1, favoured: map[int][]int{}, segment: -1}
 	for i, t := range st.Script.Troubles {
 		switch t.Kind {
 		case "burst":
@@ -109,27 +109,27 @@
 func (draw *arrivalDraw) arrival(at float64) *callers.Arrival {
 	st, random := draw.scenario, draw.random
 	draw.updateWeights(at)
-	skills, payers := st.Script.Skills, st.Script.Payers
-	class := workload.Pick(random.Float64(), len(skills), func(i int) float64 { return skills[i].Share })
-	payer := workload.Pick(random.Float64(), len(payers), func(i int) float64 { return payers[i].Share })
-	home := workload.Pick(random.Float64(), len(draw.weights), func(i int) float64 { return draw.weights[i] })
-	skill := skills[class]
-	number, group := fmt.Sprintf("+1418%07d", int(random.Float64()*float64(st.Script.Load.Numbers))), Group(home)
+	classes, tenants := st.Script.Classes, st.Script.Tenants
+	classIndex := workload.Pick(random.Float64(), len(classes), func(i int) float64 { return classes[i].Share })
+	tenantIndex := workload.Pick(random.Float64(), len(tenants), func(i int) float64 { return tenants[i].Share })
+	destination := workload.Pick(random.Float64(), len(draw.weights), func(i int) float64 { return draw.weights[i] })
+	class := classes[classIndex]
+	number, group := fmt.Sprintf("+1418%07d", int(random.Float64()*float64(st.Script.Load.Numbers))), Group(destination)
 	if st.Names != nil {
-		number, group = st.dialled(home, random.Float64()), ""
+		number, group = st.dialledNumber(destination, random.Float64()), ""
 	}
 	return &callers.Arrival{
 		At:                 at,
 		Number:             number,
-		Class:              skill.Name,
-		Tenant:             payers[payer].Name,
+		Class:              class.Name,
+		Tenant:             tenants[tenantIndex].Name,
 		Group:              group,
-		HoldingTime:        -math.Log(1-random.Float64()) * skill.Hold,
-		LatencyObjective:   skill.Target,
-		Timeout:            skill.Patience,
-		AttemptTimeout:     skill.Try,
-		Weight:             skill.Value,
-		LateWeightFraction: skill.Late,
+		HoldingTime:        -math.Log(1-random.Float64()) * class.Hold,
+		LatencyObjective:   class.Target,
+		Timeout:            class.Patience,
+		AttemptTimeout:     class.Try,
+		Weight:             class.Value,
+		LateWeightFraction: class.Late,
 	}
 }
 
@@ -141,69 +141,69 @@
 		return
 	}
 	draw.segment, draw.weights = segment, nil
-	for _, p := range draw.scenario.places {
+	for _, p := range draw.scenario.endpoints {
 		draw.weights = append(draw.weights, (1+load.Skew*(2*draw.random.Float64()-1))/p.model.Setup)
 	}
 }
 
 // replay plans the calls of a trace in place of drawn ones.
 func (st *Scenario) replay() {
-	skills := map[string]scenariofile.Skill{}
-	for _, k := range st.Script.Skills {
-		skills[k.Name] = k
+	classes := map[string]scenariofile.Class{}
+	for _, class := range st.Script.Classes {
+		classes[class.Name] = class
 	}
 	for _, c := range st.Script.Calls {
-		k, ok := skills[c.Skill]
+		class, ok := classes[c.Skill]
 		if !ok {
-			k = st.Script.Skills[0]
+			class = st.Script.Classes[0]
 		}
-		patience, hold := c.PatienceMs, c.HoldMs
-		if patience == 0 {
-			patience = k.Patience
+		timeout, holdingTime := c.PatienceMs, c.HoldMs
+		if timeout == 0 {
+			timeout = class.Patience
 		}
-		if hold == 0 {
-			hold = k.Hold
+		if holdingTime == 0 {
+			holdingTime = class.Hold
 		}
 		g := st.Gateways[int(c.Gateway)%len(st.Gateways)]
 		g.Callers.Plan(
 			&callers.Arrival{
 				At:                 c.AtMs,
 				Number:             c.Number,
-				Class:              k.Name,
+				Class:              class.Name,
 				Tenant:             c.Customer,
 				Group:              c.Group,
-				HoldingTime:        hold,
-				LatencyObjective:   k.Target,
-				Timeout:            patience,
-				AttemptTimeout:     math.Min(k.Try, patience),
-				Weight:             k.Value,
-				LateWeightFraction: k.Late,
+				HoldingTime:        holdingTime,
+				LatencyObjective:   class.Target,
+				Timeout:            timeout,
+				AttemptTimeout:     math.Min(class.Try, timeout),
+				Weight:             class.Value,
+				LateWeightFraction: class.Late,
 			},
 		)
 	}
 	for _, g := range st.Gateways {
-		g.callers.Due()
+		g.callersNode.ScheduleWakeup()
 	}
 }
 
 // flood sends one gateway many calls of the least value.
 func (st *Scenario) flood(t scenariofile.Trouble) {
-	s, n := st.Script, &st.names
-	least := s.Skills[0]
-	for _, k := range s.Skills {
-		if k.Value < least.Value {
-			least = k
+	s, random := st.Script, &st.random
+	lowest := s.Classes[0]
+	for _, class := range s.Classes {
+		if class.Value < lowest.Value {
+			lowest = class
 		}
 	}
 	end := math.Min(t.At+t.For, s.Length-lastArrivalMargin)
-	for at := t.At; at < end; at += -math.Log(1-n.Float64()) * 1000 / (s.Load.Rate * t.Size) {
-		number, group := fmt.Sprintf("+1999%07d", int(n.Float64()*1e7)), Group(0)
+	for at := t.At; at < end; at += -math.Log(1-random.Float64()) * 1000 / (s.Load.Rate * t.Size) {
+		number, group := fmt.Sprintf("+1999%07d", int(random.Float64()*1e7)), Group(0)
 		if st.Names != nil {
-			number, group = st.dialled(int(n.Float64()*float64(len(st.places))), n.Float64()), ""
+			number, group = st.dialledNumber(int(random.Float64()*float64(len(st.endpoints))), random.Float64()), ""
 		}
-		st.Gateways[0].Callers.Plan(&callers.Arrival{At: at, Number: number, Class: least.Name,
-			Tenant: s.Payers[0].Name, Group: group, HoldingTime: least.Hold, LatencyObjective: least.Target,
-			Timeout:        least.Patience,
-			AttemptTimeout: least.Try, Weight: least.Value, LateWeightFraction: least.Late, OverQuota: true})
+		st.Gateways[0].Callers.Plan(&callers.Arrival{At: at, Number: number, Class: lowest.Name,
+			Tenant: s.Tenants[0].Name, Group: group, HoldingTime: lowest.Hold, LatencyObjective: lowest.Target,
+			Timeout:        lowest.Patience,
+			AttemptTimeout: lowest.Try, Weight: lowest.Value, LateWeightFraction: lowest.Late, OverQuota: true})
 	}
 }
--- a/internal/emulator/scenario/design.go
+++ b/internal/emulator/scenario/design.go
@@ -16,42 +16,42 @@
 // destination takes nothing, endpoints are drawn with tickets of total capacity times the square of relative capacity.
 // The latter is computed from the load reports that each gateway had received when it sent.
 type Shares struct {
-	Home, First int       // first attempts at the destination, and all whose destination was there
-	Drawn       []int     // by endpoint, of calls whose destination drains
-	Expected    []float64 // by the formula
-	Variance    []float64
-	homes       map[string]int             // by session
-	util        map[string]map[int]float64 // by gateway and endpoint
-	pools       map[string]int             // by address
-	lines       []float64
-	away        int // the endpoint that drains, -1: none
+	AtDestination, FirstAttempts int       // first attempts at the destination, and all whose destination was there
+	Drawn                        []int     // by endpoint, of calls whose destination drains
+	Expected                     []float64 // by the formula
+	Variance                     []float64
+	destinations                 map[string]int             // by session
+	util                         map[string]map[int]float64 // by gateway and endpoint
+	endpoints                    map[string]int             // by address
+	lines                        []float64
+	draining                     int // the endpoint that drains, -1: none
 }
 
-// NewShares follows a stage whose endpoint away drains from the start, -1: none.
-func NewShares(st *Scenario, away int) *Shares {
+// NewShares follows a stage whose endpoint draining drains from the start, -1: none.
+func NewShares(st *Scenario, draining int) *Shares {
 	s := &Shares{
-		homes:    map[string]int{},
-		util:     map[string]map[int]float64{},
-		pools:    map[string]int{},
-		away:     away,
-		Drawn:    make([]int, len(st.places)),
-		Expected: make([]float64, len(st.places)),
-		Variance: make([]float64, len(st.places)),
+		destinations: map[string]int{},
+		util:         map[string]map[int]float64{},
+		endpoints:    map[string]int{},
+		draining:     draining,
+		Drawn:        make([]int, len(st.endpoints)),
+		Expected:     make([]float64, len(st.endpoints)),
+		Variance:     make([]float64, len(st.endpoints)),
 	}
-	for _, p := range st.places {
-		s.pools[p.addr.String()] = p.number
+	for _, p := range st.endpoints {
+		s.endpoints[p.addr.String()] = p.number
 		s.lines = append(s.lines, float64(p.model.Lines))
 	}
 	return s
 }
 
 // Drain puts an endpoint on the list as draining, without a replacement.
-func (st *Scenario) Drain(pool int) {
-	p := st.places[pool]
+func (st *Scenario) Drain(number int) {
+	p := st.endpoints[number]
 	p.state = api.State_DRAINING
-	for i, m := range st.machines {
+	for i, m := range st.members {
 		if m.Id == p.id {
-			st.machines[i] = p.member()
+			st.members[i] = p.member()
 		}
 	}
 }
@@ -68,7 +68,7 @@
 	}
 	switch m := m.(type) {
 	case *sip.Response:
-		if endpoint, ok := s.pools[d.From]; ok {
+		if endpoint, ok := s.endpoints[d.From]; ok {
 			s.addLoad(endpoint, d.To, m)
 		}
 	case *sip.Request:
@@ -95,66 +95,66 @@
 // addInvite takes a call from a client, or its first attempt at an endpoint; later attempts don't count.
 func (s *Shares) addInvite(at float64, d *api.Datagram, m *sip.Request) {
 	session := siptransaction.SessionIDOf(m)
-	endpoint, isAttempt := s.pools[d.To]
+	endpoint, isAttempt := s.endpoints[d.To]
 	if !isAttempt {
-		if home, ok := homeOf(m); ok {
-			s.homes[session] = home
+		if destination, ok := destinationOf(m); ok {
+			s.destinations[session] = destination
 		}
 		return
 	}
-	home, isFirst := s.homes[session]
+	destination, isFirst := s.destinations[session]
 	if !isFirst || at < 1000 {
 		return
 	}
-	delete(s.homes, session)
-	if home == s.away {
+	delete(s.destinations, session)
+	if destination == s.draining {
 		s.addDraw(endpoint, d.From)
 		return
 	}
-	s.First++
-	if endpoint == home {
-		s.Home++
+	s.FirstAttempts++
+	if endpoint == destination {
+		s.AtDestination++
 	}
 }
 
-// homeOf returns the number of the trunk group that a call names.
-func homeOf(m *sip.Request) (home int, ok bool) {
+// destinationOf returns the number of the trunk group that a call names.
+func destinationOf(m *sip.Request) (destination int, ok bool) {
 	_, group, _ := strings.Cut(m.Recipient.User, "tgrp=TG-")
 	digits, _, _ := strings.Cut(group, ";")
-	home, err := strconv.Atoi(digits)
-	return home, err == nil
+	destination, err := strconv.Atoi(digits)
+	return destination, err == nil
 }
 
 // addDraw counts a draw of the lottery, and what the formula expects of it.
 func (s *Shares) addDraw(endpoint int, gateway string) {
-	total, tickets := 0.0, make([]float64, len(s.Drawn))
-	for i := range tickets {
-		if i == s.away {
+	total, weights := 0.0, make([]float64, len(s.Drawn))
+	for i := range weights {
+		if i == s.draining {
 			continue
 		}
-		free := 1.0
+		freeFraction := 1.0
 		if used, ok := s.util[gateway][i]; ok {
-			free = 1 - used
+			freeFraction = 1 - used
 		}
-		tickets[i] = (s.lines[i] - 3*math.Sqrt(s.lines[i])) * free * free
-		total += tickets[i]
+		weights[i] = (s.lines[i] - 3*math.Sqrt(s.lines[i])) * freeFraction * freeFraction
+		total += weights[i]
 	}
 	s.Drawn[endpoint]++
-	for i, t := range tickets {
-		p := t / total
+	for i, weight := range weights {
+		p := weight / total
 		s.Expected[i] += p
 		s.Variance[i] += p * (1 - p)
 	}
 }
 
 // Deviation is the largest distance of an endpoint's draws from the formula, in standard deviations.
-func (s *Shares) Deviation() (most float64) {
+func (s *Shares) Deviation() (largest float64) {
 	for i, n := range s.Drawn {
 		if s.Variance[i] > 0 {
-			most = math.Max(most, math.Abs(float64(n)-s.Expected[i])/math.Sqrt(s.Variance[i]))
+			largest = math.Max(largest, math.Abs(float64(n)-s.Expected[i])/math.Sqrt(s.Variance[i]))
 		}
 	}
-	return most
+	return largest
 }
 
 func (s *Shares) String() string {
@@ -162,9 +162,9 @@
 	fmt.Fprintf(
 		&b,
 		"first rings at the destination: %d of %d, %.3f\n",
-		s.Home,
-		s.First,
-		float64(s.Home)/math.Max(1, float64(s.First)),
+		s.AtDestination,
+		s.FirstAttempts,
+		float64(s.AtDestination)/math.Max(1, float64(s.FirstAttempts)),
 	)
 	for i, n := range s.Drawn {
 		if s.Variance[i] > 0 {
--- a/internal/emulator/scenario/endpointlist.go
+++ b/internal/emulator/scenario/endpointlist.go
@@ -6,65 +6,65 @@
 	"cobaltpier/api"
 )
 
-func (p *place) member() *api.Member {
-	return &api.Member{Id: p.id, Number: int32(p.number), State: p.state, AgeMs: p.start, Addr: p.addr.String()}
+func (p *endpoint) member() *api.Member {
+	return &api.Member{Id: p.id, Number: int32(p.number), State: p.state, AgeMs: p.startedAt, Addr: p.addr.String()}
 }
 
-// change lets the list know of a machine after a while.
-func (st *Scenario) change(m *api.Member, lo, hi float64) {
-	st.World.At(st.World.Now+lo+(hi-lo)*st.names.Float64(), func() { st.publish(m) })
+// publishLater lets the list know of a machine after a while.
+func (st *Scenario) publishLater(m *api.Member, lo, hi float64) {
+	st.World.At(st.World.Now+lo+(hi-lo)*st.random.Float64(), func() { st.publish(m) })
 }
 
 // publish puts a change on the list and sends it to every gateway that follows.
 func (st *Scenario) publish(m *api.Member) {
-	if st.listless {
+	if st.listSilent {
 		st.World.At(st.World.Now+500, func() { st.publish(m) }) // it learns of it when it is back
 		return
 	}
 	st.version++
 	known := false
-	for i, o := range st.machines {
+	for i, o := range st.members {
 		if o.Id == m.Id {
-			st.machines[i], known = m, true
+			st.members[i], known = m, true
 		}
 	}
 	if !known {
-		st.machines = append(st.machines, m)
+		st.members = append(st.members, m)
 	}
-	st.log = append(st.log, &api.Update{Version: st.version, Members: []*api.Member{m}})
+	st.updates = append(st.updates, &api.Update{Version: st.version, Members: []*api.Member{m}})
 	for _, g := range st.Gateways {
 		g := g
-		st.World.At(st.World.Now+st.Script.List.Spread*st.names.Float64(), func() { st.follow(g) })
+		st.World.At(st.World.Now+st.Script.List.Spread*st.random.Float64(), func() { st.sendUpdates(g) })
 	}
 }
 
-// follow sends a gateway all changes that it has not had.
-func (st *Scenario) follow(g *Gateway) {
-	if g.deaf {
+// sendUpdates sends a gateway all changes that it has not had.
+func (st *Scenario) sendUpdates(g *Gateway) {
+	if g.down {
 		return
 	}
-	for _, u := range st.log {
-		if u.Version > g.have {
-			g.have = u.Version
+	for _, u := range st.updates {
+		if u.Version > g.listVersion {
+			g.listVersion = u.Version
 			st.deliver(g, u)
 		}
 	}
 }
 
-// Whole is the list as its keeper has it.
-func (st *Scenario) Whole() *api.Update {
-	return &api.Update{Version: st.version, Whole: true, Members: st.machines}
+// FullList is the list as its keeper has it.
+func (st *Scenario) FullList() *api.Update {
+	return &api.Update{Version: st.version, Whole: true, Members: st.members}
 }
 
 // Welcome sends a gateway that starts the whole list; or, where it had one, what changed since.
 func (st *Scenario) Welcome(g *Gateway, have uint64) {
 	if have > 0 && have <= st.version {
-		g.have = have
-		st.follow(g)
+		g.listVersion = have
+		st.sendUpdates(g)
 		return
 	}
-	g.have = st.version
-	st.deliver(g, st.Whole())
+	g.listVersion = st.version
+	st.deliver(g, st.FullList())
 }
 
 func (st *Scenario) deliver(g *Gateway, u *api.Update) {
--- /dev/null
+++ b/internal/emulator/scenario/enumclients.go
@@ -0,0 +1,187 @@
+package scenario
+
+import (
+	"math"
+	"net/netip"
+	"strings"
+
+	"cobaltpier/api"
+	"cobaltpier/internal/emulator/callers"
+	"cobaltpier/internal/emulator/enumclient"
+	"cobaltpier/internal/emulator/simulation"
+	"cobaltpier/internal/emulator/workload"
+	"cobaltpier/internal/protocol/enumserver"
+)
+
+// ENUMApex is the domain that kiosks ask under.
+const ENUMApex = "kiosk.lab."
+
+// enumCaller is a kiosk's own calls to one switch.
+type enumCaller struct {
+	*callers.Callers
+	node *simulation.Node
+}
+
+// setupENUMClients plans the visits and puts the kiosks' nodes in.
+func (st *Scenario) setupENUMClients() {
+	s := st.Script
+	if s.Kiosks.Rate <= 0 {
+		return
+	}
+	sim, random := st.World, &st.random
+	port := int(st.Gateways[0].Addr.Port())
+	for i, g := range st.Gateways {
+		g.Front, g.enumCallers = addr(1, i, port+40), map[netip.AddrPort]*enumCaller{}
+		at := addr(9, i, port)
+		g.FrontAt = sim.Add(&simulation.Node{Addr: g.Front, Name: g.Name, Region: g.Region, Tapped: true})
+		st.recordNode(g.Front, "front", g.Name)
+		send := func(data []byte) { sim.Send(at, g.Front, data) }
+		g.Kiosks = enumclient.New(
+			enumclient.Manners{Apex: ENUMApex, Wait: s.Kiosks.Wait, Repeats: s.Kiosks.Repeats, Asks: s.Kiosks.Asks, Pause: 900},
+			s.Seed*37+uint64(i),
+			send,
+			send,
+		)
+		g.Kiosks.Call = func(now float64, v *enumclient.Visit, user string, to netip.AddrPort) {
+			st.callFromENUMClient(g, now, v, user, to)
+		}
+		g.enumClientsNode = sim.Add(&simulation.Node{Addr: at, Name: g.Name, Region: g.Region, Machine: g.Kiosks})
+		st.recordNode(at, "kiosk", g.Name)
+	}
+	for t := 0.0; ; {
+		t += -math.Log(1-random.Float64()) * 1000 / s.Kiosks.Rate
+		if t >= s.Length-1000 {
+			break
+		}
+		destination := workload.Pick(random.Float64(), len(st.endpoints),
+			func(i int) float64 { return 1 / st.endpoints[i].model.Setup })
+		number := "1418"
+		if st.Names != nil {
+			number = strings.TrimPrefix(st.dialledNumber(destination, random.Float64()), "+")
+		}
+		g := st.Gateways[int(random.Float64()*float64(len(st.Gateways)))]
+		g.Kiosks.Plan(&enumclient.Visit{At: t, Number: number, Hold: -math.Log(1-random.Float64()) * s.Kiosks.Hold})
+	}
+	for _, g := range st.Gateways {
+		g.enumClientsNode.ScheduleWakeup()
+	}
+}
+
+// callFromENUMClient lets a kiosk call the switch that was named.
+func (st *Scenario) callFromENUMClient(g *Gateway, now float64, v *enumclient.Visit, user string, to netip.AddrPort) {
+	sim := st.World
+	caller := g.enumCallers[to]
+	if caller == nil {
+		at := netip.AddrPortFrom(g.enumClientsNode.Addr.Addr(),
+			g.enumClientsNode.Addr.Port()+uint16(100+len(g.enumCallers)))
+		c := callers.New(
+			callers.Behavior{Context: Context, Parse: st.Parse, Silence: st.Script.Callers.Silence},
+			at,
+			to,
+			st.Script.Pools.Model.Times,
+			st.Script.Seed*41+uint64(at.Port())+uint64(g.Number)<<20,
+			func(dst netip.AddrPort, data []byte) {
+				st.record(&api.Record_Datagram{Datagram: &api.Datagram{From: at.String(), To: dst.String(), Data: data}})
+				sim.Send(at, dst, data)
+			},
+		)
+		caller = &enumCaller{c, sim.Add(&simulation.Node{Addr: at, Name: g.Name, Region: g.Region, Machine: c})}
+		g.enumCallers[to] = caller
+		st.recordNode(at, "kiosk-phone", g.Name)
+	}
+	number, rest, _ := strings.Cut(user, ";")
+	class := st.Script.Classes[0]
+	caller.Plan(
+		&callers.Arrival{
+			At:               now,
+			Number:           number + ";" + rest,
+			Class:            class.Name,
+			Tenant:           st.Script.Tenants[0].Name,
+			HoldingTime:      v.Hold,
+			LatencyObjective: class.Target,
+			Timeout:          class.Patience,
+			AttemptTimeout:   class.Try,
+			Weight:           1,
+		},
+	)
+	caller.node.ScheduleWakeup()
+}
+
+// FrontConfig is how the gateways answer look-ups.
+func (st *Scenario) FrontConfig() enumserver.Config {
+	return enumserver.Config{
+		Apex:       ENUMApex,
+		Class:      st.Script.Classes[0].Name,
+		Negative:   30,
+		Patience:   3000,
+		Repeat:     5000,
+		Gain:       8,
+		MaxPending: 2000,
+		Keep:       10000,
+		Context:    Context,
+		Limits: enumserver.Limits{
+			Rate:    50,
+			Burst:   100,
+			Clients: 10000,
+			Nets:    []enumserver.Net{{Prefix: netip.MustParsePrefix("127.90.0.0/16"), Rate: 5000}},
+		},
+	}
+}
+
+// KioskService is what became of the kiosks' calls.
+type KioskService struct {
+	Visits, Named, Stood, Cut, None, Silent int
+	Waits                                   []float64 // from the visit to the endpoint's name, ms
+}
+
+// KioskService adds up.
+func (st *Scenario) KioskService() KioskService {
+	var s KioskService
+	for _, g := range st.Gateways {
+		if g.Kiosks == nil {
+			continue
+		}
+		s.Silent += g.Kiosks.Silent
+		for _, v := range g.Kiosks.Visits {
+			s.Visits++
+			if v.None {
+				s.None++
+			}
+			if !math.IsNaN(v.Named) {
+				s.Named++
+				s.Waits = append(s.Waits, v.Named-v.At)
+			}
+		}
+		for _, caller := range g.enumCallers {
+			for _, record := range caller.Records {
+				if !math.IsNaN(record.AnsweredAt) {
+					s.Stood++
+				}
+				if record.Dropped {
+					s.Cut++
+				}
+			}
+		}
+	}
+	return s
+}
+
+// enumMachine is a gateway's front in virtual time.
+type enumMachine struct{ gateway *VirtualGateway }
+
+// Receive implements simulation.Machine.
+func (m *enumMachine) Receive(_ float64, from netip.AddrPort, data []byte) {
+	b := m.gateway
+	b.enqueue(func(now float64) {
+		if b.enumServer != nil {
+			b.enumServer.Receive(now, from, data, false,
+				func(out []byte) { b.fleet.Scenario.World.Send(b.gateway.Front, from, out) })
+		}
+	})
+}
+
+// Step implements simulation.Machine.
+func (*enumMachine) Step(float64) {}
+
+// NextWakeup implements simulation.Machine.
+func (*enumMachine) NextWakeup() float64 { return math.Inf(1) }
--- /dev/null
+++ b/internal/emulator/scenario/faults.go
@@ -0,0 +1,261 @@
+package scenario
+
+import (
+	"fmt"
+	"math"
+
+	"cobaltpier/api"
+	"cobaltpier/internal/emulator/scenariofile"
+)
+
+// scheduleFault plans one thing that goes wrong.
+func (st *Scenario) scheduleFault(t scenariofile.Trouble) {
+	if t.Kind == "deploy" {
+		st.planDeploy(t)
+		return
+	}
+	begin, end := st.faultEffects(t)
+	if begin == nil {
+		return
+	}
+	st.World.At(t.At, func() {
+		st.Mark("trouble", t.Kind, "begins", nil)
+		begin()
+	})
+	st.World.At(t.At+t.For, func() {
+		st.Mark("trouble", t.Kind, "ends", nil)
+		end()
+	})
+}
+
+func noEffect() {}
+
+// faultEffects returns what a trouble does when it begins and when it ends; nil: the day has nothing that it concerns. The
+// endpoints concerned are drawn at once, so that the draw doesn't depend on what happens before.
+func (st *Scenario) faultEffects(t scenariofile.Trouble) (begin, end func()) {
+	switch t.Kind {
+	case "slow":
+		return slowDown(st.drawEndpoints(t), t.Size)
+	case "slow_all":
+		return slowDown(st.endpoints, t.Size)
+	case "other":
+		endpoints := st.drawEndpoints(t)
+		return func() { st.toggleOtherLoad(endpoints, t.Size, t.At+t.For) }, noEffect
+	case "lines":
+		return func() { st.loseCircuits(t.Region, t.Size, true) }, func() { st.loseCircuits(t.Region, 1, false) }
+	case "silent":
+		endpoints := st.drawEndpoints(t)
+		return func() { st.killEndpoints(endpoints) }, func() { st.restartEndpoints(endpoints) }
+	case "region":
+		return func() { st.killEndpoints(st.endpointsIn(t.Region)) },
+			func() { st.restartEndpoints(st.endpointsIn(t.Region)) }
+	case "ageing":
+		endpoints := st.drawEndpoints(t)
+		return func() { st.age(endpoints, t, 0) }, noEffect
+	case "stall":
+		return func() { st.stall(st.drawGateways(t), t.Size*1000, t.At+t.For) }, noEffect
+	case "restart":
+		return func() { st.restartGateways(st.drawGateways(t)) }, noEffect
+	case "mute":
+		return func() { st.gossipLost = true }, func() { st.gossipLost = false }
+	case "loss":
+		return func() { st.extraLoss += t.Size }, func() { st.extraLoss = math.Max(0, st.extraLoss-t.Size) }
+	case "listless":
+		return func() { st.listSilent = true }, func() { st.listSilent = false }
+	case "names_silent", "names_slow", "names_lossy", "names_spoofed", "names_cut", "names_lame", "names_wrong":
+		return st.dnsFaultEffects(t)
+	}
+	return noEffect, noEffect // "burst", "uneven", "flood": the drawing of arrivals has it
+}
+
+func slowDown(endpoints []*endpoint, factor float64) (begin, end func()) {
+	set := func(factor float64) func() {
+		return func() {
+			for _, p := range endpoints {
+				p.coreSwitch.Slowdown = factor
+			}
+		}
+	}
+	return set(factor), set(1)
+}
+
+// loseCircuits leaves the endpoints of a region a share of their circuits; due wakes them for the calls that are cut.
+func (st *Scenario) loseCircuits(region string, share float64, due bool) {
+	for _, p := range st.endpointsIn(region) {
+		p.coreSwitch.LoseCircuits(st.World.Now, share)
+		if due {
+			p.node.ScheduleWakeup()
+		}
+	}
+}
+
+func (st *Scenario) killEndpoints(endpoints []*endpoint) {
+	for _, p := range endpoints {
+		st.kill(p)
+		st.delistLater(p)
+	}
+}
+
+func (st *Scenario) restartEndpoints(endpoints []*endpoint) {
+	for _, p := range endpoints {
+		st.restart(p)
+	}
+}
+
+// planDeploy replaces endpoints one after the other.
+func (st *Scenario) planDeploy(t scenariofile.Trouble) {
+	endpoints := st.drawEndpoints(t)
+	st.World.At(t.At, func() {
+		st.Mark("trouble", t.Kind, "begins", nil)
+		for i, p := range endpoints {
+			st.World.At(t.At+t.For*float64(i)/float64(len(endpoints)), func() { st.replace(p) })
+		}
+	})
+}
+
+// restartGateways kills gateways and starts each again after 0.3 to 1 s.
+func (st *Scenario) restartGateways(gateways []*Gateway) {
+	for _, g := range gateways {
+		if g.down { // killed already by another trouble
+			continue
+		}
+		g.down = true
+		st.Mark("edge-kill", g.Name, "", nil)
+		st.Fleet.Kill(g.Number)
+		st.World.At(st.World.Now+300+700*st.random.Float64(), func() {
+			g.down = false
+			st.Fleet.Start(g.Number)
+			st.Mark("edge-start", g.Name, "", nil)
+		})
+	}
+}
+
+// drawEndpoints draws a part of the places, at least one.
+func (st *Scenario) drawEndpoints(t scenariofile.Trouble) []*endpoint {
+	endpoints := st.endpointsIn(t.Region)
+	n := max(1, int(math.Round(t.Part*float64(len(endpoints)))))
+	endpoints = append([]*endpoint{}, endpoints...)
+	for i := len(endpoints) - 1; i > 0; i-- {
+		j := int(st.random.Float64() * float64(i+1))
+		endpoints[i], endpoints[j] = endpoints[j], endpoints[i]
+	}
+	return endpoints[:min(n, len(endpoints))]
+}
+
+func (st *Scenario) drawGateways(t scenariofile.Trouble) []*Gateway {
+	gateways := append([]*Gateway{}, st.Gateways...)
+	for i := len(gateways) - 1; i > 0; i-- {
+		j := int(st.random.Float64() * float64(i+1))
+		gateways[i], gateways[j] = gateways[j], gateways[i]
+	}
+	return gateways[:min(len(gateways), max(1, int(math.Round(t.Part*float64(len(gateways))))))]
+}
+
+// endpointsIn is the places of a region, or all.
+func (st *Scenario) endpointsIn(region string) []*endpoint {
+	var endpoints []*endpoint
+	for _, p := range st.endpoints {
+		if region == "" || p.region == region {
+			endpoints = append(endpoints, p)
+		}
+	}
+	return endpoints
+}
+
+func (st *Scenario) toggleOtherLoad(endpoints []*endpoint, load, end float64) {
+	sim := st.World
+	if sim.Now >= end {
+		for _, p := range endpoints {
+			p.coreSwitch.OtherLoad = 0
+		}
+		return
+	}
+	for _, p := range endpoints {
+		if p.coreSwitch.OtherLoad == 0 {
+			p.coreSwitch.OtherLoad = load
+		} else {
+			p.coreSwitch.OtherLoad = 0
+		}
+	}
+	sim.At(math.Min(end, sim.Now+500+2000*st.random.Float64()), func() { st.toggleOtherLoad(endpoints, load, end) })
+}
+
+// age slows a process step by step, then it dies and comes back.
+func (st *Scenario) age(endpoints []*endpoint, t scenariofile.Trouble, step int) {
+	const steps = 10
+	for _, p := range endpoints {
+		if step == steps {
+			st.kill(p)
+			st.delistLater(p)
+			p := p
+			st.World.At(st.World.Now+2000, func() { st.restart(p) })
+			continue
+		}
+		p.coreSwitch.Slowdown = 1 + (t.Size-1)*float64(step)/steps
+	}
+	if step < steps {
+		st.World.At(st.World.Now+t.For/steps, func() { st.age(endpoints, t, step+1) })
+	}
+}
+
+// delistLater lets the list learn, late, that a process is silent.
+func (st *Scenario) delistLater(p *endpoint) {
+	incarnation, list := p.incarnation, st.Script.List
+	st.World.At(st.World.Now+list.SilentLo+(list.SilentHi-list.SilentLo)*st.random.Float64(), func() {
+		if p.incarnation == incarnation { // not back meanwhile
+			p.state = api.State_GONE
+			st.publish(p.member())
+		}
+	})
+}
+
+// restart starts a process anew on the same machine: cold.
+func (st *Scenario) restart(p *endpoint) {
+	p.incarnation++
+	p.state, p.startedAt = api.State_READY, st.World.Now
+	st.boot(p, true)
+	st.publishLater(p.member(), st.Script.List.AddLo, st.Script.List.AddHi)
+}
+
+// replace drains a place's machine and puts a new one, cold, beside it.
+func (st *Scenario) replace(p *endpoint) {
+	sim, list := st.World, st.Script.List
+	old := *p
+	old.state = api.State_DRAINING
+	st.Mark("drain", p.node.Name, "", nil)
+	drained := old.member()
+	st.publishLater(drained, list.NoticeLo/4, list.NoticeLo)
+	sim.At(sim.Now+6000, func() {
+		st.Mark("stop", old.node.Name, "", nil)
+		old.coreSwitch.ReleaseAll(sim.Now)
+		old.node.ScheduleWakeup()
+		gone := old.member()
+		gone.State = api.State_GONE
+		sim.At(sim.Now+1000, func() { old.node.Kill() })
+		st.publishLater(gone, list.NoticeLo, list.NoticeHi)
+	})
+	p.incarnation++
+	p.id = fmt.Sprintf("m%d.%d", p.number, p.incarnation)
+	p.addr = st.replacementAddr(p, min(3, p.incarnation))
+	p.state, p.startedAt = api.State_READY, sim.Now
+	st.boot(p, true)
+	st.publishLater(p.member(), list.AddLo, list.AddHi)
+}
+
+// stall lets gateways stand still, again and again.
+func (st *Scenario) stall(gateways []*Gateway, pause, end float64) {
+	sim := st.World
+	if sim.Now >= end {
+		return
+	}
+	for _, g := range gateways {
+		g := g
+		st.Mark("edge-stop", g.Name, "", nil)
+		st.Fleet.Halt(g.Number)
+		sim.At(sim.Now+pause, func() {
+			st.Fleet.Go(g.Number)
+			st.Mark("edge-go", g.Name, "", nil)
+		})
+	}
+	sim.At(sim.Now+pause+2000+1600*st.random.Float64(), func() { st.stall(gateways, pause, end) })
+}
--- a/internal/emulator/scenario/days.go
+++ b/internal/emulator/scenario/load.go
@@ -13,32 +13,33 @@
 )
 
 //go:embed days/*.hcl
-var days embed.FS
+var builtIn embed.FS
 
 // Day is one of the days that come with the program, with some values changed ("endpoints.count=6").
 func Day(name string, set ...string) (*scenariofile.Script, error) {
-	src, err := days.ReadFile("days/" + name + ".hcl")
+	src, err := builtIn.ReadFile("days/" + name + ".hcl")
 	if err != nil {
-		return nil, fmt.Errorf("day %q: not among those that come with the program: %s", name, strings.Join(Days(), ", "))
+		return nil, fmt.Errorf("day %q: not among those that come with the program: %s", name,
+			strings.Join(BuiltInNames(), ", "))
 	}
 	b, err := hclconfig.Parse(name+".hcl", src)
 	if err != nil {
 		return nil, err
 	}
-	return read(b, set)
+	return readWithOverrides(b, set)
 }
 
-// Days are the names of the days that come with the program.
-func Days() []string {
-	var of []string
-	list, err := days.ReadDir("days")
+// BuiltInNames are the names of the days that come with the program.
+func BuiltInNames() []string {
+	var names []string
+	files, err := builtIn.ReadDir("days")
 	if err != nil {
 		return nil
 	}
-	for _, f := range list {
-		of = append(of, strings.TrimSuffix(f.Name(), ".hcl"))
+	for _, f := range files {
+		names = append(names, strings.TrimSuffix(f.Name(), ".hcl"))
 	}
-	return of
+	return names
 }
 
 // Load reads a day: a file of HCL, one of JSON as hunts write them, or the name of one that comes with the program.
@@ -51,7 +52,7 @@
 		}
 		var head struct{ V int }
 		if err := json.Unmarshal(src, &head); err == nil && head.V > 0 { // a day of the bench
-			s, _, err := scenariofile.FromBench(src)
+			s, _, err := scenariofile.FromSimulator(src)
 			return s, err
 		}
 		s := &scenariofile.Script{}
@@ -64,16 +65,16 @@
 		if err != nil {
 			return nil, err
 		}
-		return read(b, set)
+		return readWithOverrides(b, set)
 	}
 	return Day(name, set...)
 }
 
-func read(b *hclconfig.Block, set []string) (*scenariofile.Script, error) {
-	for _, x := range set {
-		name, value, ok := strings.Cut(x, "=")
+func readWithOverrides(b *hclconfig.Block, overrides []string) (*scenariofile.Script, error) {
+	for _, override := range overrides {
+		name, value, ok := strings.Cut(override, "=")
 		if !ok {
-			return nil, fmt.Errorf("setting %q: want NAME=VALUE", x)
+			return nil, fmt.Errorf("setting %q: want NAME=VALUE", override)
 		}
 		if err := b.Override(strings.TrimSpace(name), strings.TrimSpace(value)); err != nil {
 			return nil, err
--- a/internal/emulator/scenario/numbers.go
+++ b/internal/emulator/scenario/numbers.go
@@ -17,14 +17,14 @@
 // Apex is the domain under which a day's portability stands.
 const Apex = "e164.lab."
 
-// Names are a day's stand-ins for DNS servers and its number tables.
-type Names struct {
-	Servers []*dnsserver.Server
-	Addrs   []netip.AddrPort
-	Alter   func(i int, do func(*dnsserver.Server)) // changes a server; one behind a socket needs a lock
-	Version uint64                                  // of the table that is in force
-	tables  map[uint64]*Table
-	Dialled int // calls' numbers, drawn
+// Numbering are a day's stand-ins for DNS servers and its number tables.
+type Numbering struct {
+	Servers        []*dnsserver.Server
+	Addrs          []netip.AddrPort
+	Alter          func(i int, do func(*dnsserver.Server)) // changes a server; one behind a socket needs a lock
+	Version        uint64                                  // of the table that is in force
+	tables         map[uint64]*Table
+	DialledNumbers int // calls' numbers, drawn
 }
 
 // Table is a table in both forms.
@@ -33,8 +33,8 @@
 	Form []byte
 }
 
-// openNames makes the servers; in virtual time they are nodes of the world.
-func (st *Scenario) openNames() {
+// setupNumbering makes the servers; in virtual time they are nodes of the world.
+func (st *Scenario) setupNumbering() {
 	s := st.Script.Numbers
 	if !st.Script.Analyses() {
 		return
@@ -50,7 +50,7 @@
 	for i := range st.Script.Pools.Count {
 		zone.Routes = append(zone.Routes, fmt.Sprintf("+1999%03d0000", i))
 	}
-	st.Names = &Names{Version: 1, tables: map[uint64]*Table{}}
+	st.Names = &Numbering{Version: 1, tables: map[uint64]*Table{}}
 	n := st.Names
 	n.Alter = func(i int, do func(*dnsserver.Server)) { do(n.Servers[i]) }
 	for i := range s.Servers {
@@ -95,21 +95,21 @@
 	if t := st.Names.tables[version]; t != nil {
 		return t
 	}
-	mark := Mark4(version)
-	act := func(plan string) *api.NumberAction { return &api.NumberAction{Do: &api.NumberAction_Plan{Plan: plan}} }
-	silent := act("mark")
+	prefix := Mark4(version)
+	toPlan := func(plan string) *api.NumberAction { return &api.NumberAction{Do: &api.NumberAction_Plan{Plan: plan}} }
+	noAnswer := toPlan("mark")
 	if st.Script.Numbers.Refuse {
-		silent = &api.NumberAction{Do: &api.NumberAction_Refuse{Refuse: &api.NumberRefusal{Code: 503, Why: "no answer"}}}
+		noAnswer = &api.NumberAction{Do: &api.NumberAction_Refuse{Refuse: &api.NumberRefusal{Code: 503, Why: "no answer"}}}
 	}
-	exchange := &api.NumberPlan{Name: "exchange"}
+	destinations := &api.NumberPlan{Name: "exchange"}
 	form := &api.NumberTable{Name: "lab", Version: version, Country: "1", Entry: "start", Plans: []*api.NumberPlan{
 		{
 			Name: "start",
 			Rules: []*api.NumberRule{{Prefix: "1418", Then: &api.NumberAction{Do: &api.NumberAction_Ask{Ask: &api.NumberQuestion{
-				WithinMs: st.Script.Numbers.Within, Ported: act("mark"), Same: act("mark"), Silent: silent}}}}},
+				WithinMs: st.Script.Numbers.Within, Ported: toPlan("mark"), Same: toPlan("mark"), Silent: noAnswer}}}}},
 		},
-		{Name: "mark", Rules: []*api.NumberRule{{Add: mark, Then: act("exchange")}}},
-		exchange,
+		{Name: "mark", Rules: []*api.NumberRule{{Add: prefix, Then: toPlan("exchange")}}},
+		destinations,
 	}}
 	for i := range st.Script.Pools.Count {
 		name := Group(i)
@@ -117,8 +117,8 @@
 			form.Routes,
 			&api.NumberRoute{Name: name, Choices: []*api.NumberChoice{{Group: name, Weight: 1}}},
 		)
-		for _, prefix := range []string{"1418", "1999"} {
-			exchange.Rules = append(exchange.Rules, &api.NumberRule{Prefix: fmt.Sprintf("%s%s%03d", mark, prefix, i),
+		for _, called := range []string{"1418", "1999"} {
+			destinations.Rules = append(destinations.Rules, &api.NumberRule{Prefix: fmt.Sprintf("%s%s%03d", prefix, called, i),
 				Then: &api.NumberAction{Do: &api.NumberAction_Route{Route: name}}})
 		}
 	}
@@ -126,18 +126,19 @@
 	if err != nil {
 		panic(err) // the text above is wrong
 	}
-	b, err := numberplan.Pack(form)
+	packed, err := numberplan.Pack(form)
 	if err != nil {
 		panic(err)
 	}
-	st.Names.tables[version] = &Table{t, b}
+	st.Names.tables[version] = &Table{t, packed}
 	return st.Names.tables[version]
 }
 
-// dialled is the number that a caller of a destination dials.
-func (st *Scenario) dialled(home int, draw float64) string {
-	per := max(1, st.Script.Load.Numbers/len(st.places))
-	return fmt.Sprintf("+1418%03d%05d", home, int(math.Pow(draw, st.Script.Numbers.Popular)*float64(per)))
+// dialledNumber is the number that a caller of a destination dials.
+func (st *Scenario) dialledNumber(destination int, draw float64) string {
+	numbersPerDestination := max(1, st.Script.Load.Numbers/len(st.endpoints))
+	return fmt.Sprintf("+1418%03d%05d", destination,
+		int(math.Pow(draw, st.Script.Numbers.Popular)*float64(numbersPerDestination)))
 }
 
 // Resolve is how the gateways look up.
@@ -166,21 +167,21 @@
 	return c
 }
 
-// namesEffects returns what a trouble of the DNS servers does when it begins and when it ends.
-func (st *Scenario) namesEffects(t scenariofile.Trouble) (begin, end func()) {
+// dnsFaultEffects returns what a trouble of the DNS servers does when it begins and when it ends.
+func (st *Scenario) dnsFaultEffects(t scenariofile.Trouble) (begin, end func()) {
 	n := st.Names
 	if n == nil {
 		return nil, nil
 	}
-	some := max(1, int(math.Round(t.Part*float64(len(n.Servers)))))
+	affected := max(1, int(math.Round(t.Part*float64(len(n.Servers)))))
 	set := func(do func(*dnsserver.Faults)) {
-		for i := range min(some, len(n.Servers)) {
+		for i := range min(affected, len(n.Servers)) {
 			n.Alter(i, func(s *dnsserver.Server) { do(&s.Faults) })
 		}
 	}
-	plain := dnsserver.Faults{Delay: st.Script.Numbers.Delay, Jitter: st.Script.Numbers.Jitter}
+	normal := dnsserver.Faults{Delay: st.Script.Numbers.Delay, Jitter: st.Script.Numbers.Jitter}
 	begin = func() { set(func(f *dnsserver.Faults) { applyFault(f, t) }) }
-	end = func() { set(func(f *dnsserver.Faults) { *f = plain }) }
+	end = func() { set(func(f *dnsserver.Faults) { *f = normal }) }
 	return begin, end
 }
 
@@ -204,51 +205,51 @@
 	}
 }
 
-// lookUps are a gateway's resolver in virtual time: its ports and the servers are reached over the world's wire.
-type lookUps struct {
-	box    *Box
-	client *dnsclient.Client
+// gatewayResolver are a gateway's resolver in virtual time: its ports and the servers are reached over the world's wire.
+type gatewayResolver struct {
+	gateway *VirtualGateway
+	client  *dnsclient.Client
 	*portability.Finder
 }
 
-func (b *Box) lookUps() *lookUps {
-	st := b.v.Stage
-	l := &lookUps{box: b}
-	l.client = dnsclient.New(st.Resolve(st.Script.Seed*97+uint64(b.g.Number)+b.births<<32), l)
+func (b *VirtualGateway) newResolver() *gatewayResolver {
+	st := b.fleet.Scenario
+	l := &gatewayResolver{gateway: b}
+	l.client = dnsclient.New(st.Resolve(st.Script.Seed*97+uint64(b.gateway.Number)+b.starts<<32), l)
 	l.Finder = &portability.Finder{Resolver: l.client, Apex: Apex, Services: []string{"pstn:tel"}}
 	return l
 }
 
 // Wake implements b2bua.Lookup.
-func (l *lookUps) Wake(now float64) { l.client.Step(now) }
+func (l *gatewayResolver) Wake(now float64) { l.client.Step(now) }
 
 // NextWakeup implements b2bua.Lookup.
-func (l *lookUps) NextWakeup() float64 { return l.client.NextWakeup() }
+func (l *gatewayResolver) NextWakeup() float64 { return l.client.NextWakeup() }
 
-// way is one way between a gateway and a DNS server, ms; lost: it does not come.
-func (l *lookUps) way() (delay float64, lost bool) {
-	st := l.box.v.Stage
+// linkDelay is one way between a gateway and a DNS server, ms; lost: it does not come.
+func (l *gatewayResolver) linkDelay() (delay float64, lost bool) {
+	st := l.gateway.fleet.Scenario
 	n := st.Script.Net
-	return n.Cross * (1 + n.Jitter*(2*st.names.Float64()-1)), st.names.Float64() < n.Loss+st.loss
+	return n.Cross * (1 + n.Jitter*(2*st.random.Float64()-1)), st.random.Float64() < n.Loss+st.extraLoss
 }
 
 // Query implements dnsclient.Transport.
-func (l *lookUps) Query(port int, to netip.AddrPort, data []byte) {
-	st := l.box.v.Stage
-	there, lost := l.way()
+func (l *gatewayResolver) Query(port int, to netip.AddrPort, data []byte) {
+	st := l.gateway.fleet.Scenario
+	delay, lost := l.linkDelay()
 	if lost {
 		return
 	}
-	st.World.At(st.World.Now+there, func() {
+	st.World.At(st.World.Now+delay, func() {
 		for i, a := range st.Names.Addrs {
 			if a != to {
 				continue
 			}
 			for _, r := range st.Names.Servers[i].Datagram(data) {
-				if back, lost := l.way(); !lost {
-					st.World.At(st.World.Now+r.After+back, func() {
-						l.box.later(func(now float64) {
-							if l.box.look == l {
+				if returnDelay, lost := l.linkDelay(); !lost {
+					st.World.At(st.World.Now+r.After+returnDelay, func() {
+						l.gateway.enqueue(func(now float64) {
+							if l.gateway.resolver == l {
 								l.client.Receive(now, port, to, r.Data)
 							}
 						})
@@ -260,18 +261,18 @@
 }
 
 // Stream implements dnsclient.Transport: a way there and back to begin with, then the question's own.
-func (l *lookUps) Stream(token uint64, to netip.AddrPort, data []byte, within float64) {
-	st := l.box.v.Stage
-	way, _ := l.way()
-	st.World.At(st.World.Now+3*way, func() {
+func (l *gatewayResolver) Stream(token uint64, to netip.AddrPort, data []byte, within float64) {
+	st := l.gateway.fleet.Scenario
+	delay, _ := l.linkDelay()
+	st.World.At(st.World.Now+3*delay, func() {
 		for i, a := range st.Names.Addrs {
 			if a != to {
 				continue
 			}
 			for _, r := range st.Names.Servers[i].Stream(data) {
-				st.World.At(st.World.Now+r.After+way, func() {
-					l.box.later(func(now float64) {
-						if l.box.look == l {
+				st.World.At(st.World.Now+r.After+delay, func() {
+					l.gateway.enqueue(func(now float64) {
+						if l.gateway.resolver == l {
 							l.client.OnStreamResponse(now, token, r.Data)
 						}
 					})
@@ -281,12 +282,12 @@
 	})
 }
 
-// LookUps adds up what the gateways' resolvers have seen, those of processes that were killed left out.
-func (v *Virtual) LookUps() dnsclient.Counts {
+// LookupCounts adds up what the gateways' resolvers have seen, those of processes that were killed left out.
+func (v *Virtual) LookupCounts() dnsclient.Counts {
 	var sum dnsclient.Counts
-	for _, b := range v.Edges {
-		if b.look != nil {
-			sum.Add(&b.look.client.Counts)
+	for _, b := range v.Gateways {
+		if b.resolver != nil {
+			sum.Add(&b.resolver.client.Counts)
 		}
 	}
 	return sum
@@ -294,9 +295,9 @@
 
 // Table implements Fleet.
 func (v *Virtual) Table(i int, t *Table) {
-	b := v.Edges[i]
-	b.later(func(now float64) {
+	b := v.Gateways[i]
+	b.enqueue(func(now float64) {
 		b.SetTable(t.Table)
-		v.Stage.TableIn(i, t.Version)
+		v.Scenario.TableIn(i, t.Version)
 	})
 }
--- a/internal/emulator/scenario/stage.go
+++ b/internal/emulator/scenario/scenario.go
@@ -40,58 +40,58 @@
 
 // Gateway is one edge's place on the stage.
 type Gateway struct {
-	Number  int
-	Name    string
-	Addr    netip.AddrPort // SIP
-	Peer    netip.AddrPort // other gateways' messages
-	Region  string
-	Callers *callers.Callers
-	callers *simulation.Node
-	Kiosks  *enumclient.Kiosks // nil: none
-	Front   netip.AddrPort     // where look-ups are answered
-	FrontAt *simulation.Node   // nil: nowhere
-	kiosks  *simulation.Node
-	phones  map[netip.AddrPort]*phone
-	Node    *simulation.Node
-	have    uint64
-	deaf    bool // no list reaches it
+	Number          int
+	Name            string
+	Addr            netip.AddrPort // SIP
+	Peer            netip.AddrPort // other gateways' messages
+	Region          string
+	Callers         *callers.Callers
+	callersNode     *simulation.Node
+	Kiosks          *enumclient.Kiosks // nil: none
+	Front           netip.AddrPort     // where look-ups are answered
+	FrontAt         *simulation.Node   // nil: nowhere
+	enumClientsNode *simulation.Node
+	enumCallers     map[netip.AddrPort]*enumCaller
+	Node            *simulation.Node
+	listVersion     uint64
+	down            bool // no list reaches it
 }
 
-// place is an endpoint with the machine that it has now.
-type place struct {
-	number int
-	region string
-	model  coreswitch.Model
-	addr   netip.AddrPort
-	id     string
-	state  api.State
-	start  float64 // -1: long ago
-	sw     *coreswitch.Switch
-	node   *simulation.Node
-	birth  int
+// endpoint is an endpoint with the machine that it has now.
+type endpoint struct {
+	number      int
+	region      string
+	model       coreswitch.Model
+	addr        netip.AddrPort
+	id          string
+	state       api.State
+	startedAt   float64 // -1: long ago
+	coreSwitch  *coreswitch.Switch
+	node        *simulation.Node
+	incarnation int
 }
 
 // Scenario is a day that goes on.
 type Scenario struct {
-	Script   *scenariofile.Script
-	World    *simulation.World
-	Gateways []*Gateway
-	Fleet    Fleet
-	Record   func(*api.Record)                     // what the capture gets; may be nil
-	Say      func(at float64, what string)         // troubles as they begin and end; may be nil
-	Parse    func([]byte) (sip.Message, error)     // what all machines of the stage read with
-	Fate     func(gateway int, f b2bua.CallRecord) // gets the record of each call, in virtual time; may be nil
-	Names    *Names                                // nil: callers name their trunk groups
+	Script    *scenariofile.Script
+	World     *simulation.Simulation
+	Gateways  []*Gateway
+	Fleet     Fleet
+	Record    func(*api.Record)                     // what the capture gets; may be nil
+	Say       func(at float64, what string)         // troubles as they begin and end; may be nil
+	Parse     func([]byte) (sip.Message, error)     // what all machines of the stage read with
+	OnCallEnd func(gateway int, f b2bua.CallRecord) // gets the record of each call, in virtual time; may be nil
+	Names     *Numbering                            // nil: callers name their trunk groups
 	// DisabledGuard is the rule whose guard in the gateways is switched off, to show that the checker sees it; 0: none.
 	DisabledGuard routing.Rule
-	names         siptransaction.Generator
-	places        []*place
-	machines      []*api.Member // of the list as its keeper knows it, with start times in AgeMs
+	random        siptransaction.Generator
+	endpoints     []*endpoint
+	members       []*api.Member // of the list as its keeper knows it, with start times in AgeMs
 	version       uint64
-	log           []*api.Update
-	loss          float64
-	muted         bool
-	listless      bool
+	updates       []*api.Update
+	extraLoss     float64
+	gossipLost    bool
+	listSilent    bool
 }
 
 // New builds the stage of a script; base numbers the addresses' last but one byte so that stages don't meet. The
@@ -107,11 +107,11 @@
 }
 
 func build(s *scenariofile.Script, port int, blur float64, record func(*api.Record)) *Scenario {
-	st := &Scenario{Script: s, World: simulation.New(s.Seed), Record: record, Parse: remember()}
-	st.names.Seed = s.Seed*2654435761 + 17
-	w := st.World
-	w.Link = st.link
-	w.Tap = func(at float64, from, to netip.AddrPort, data []byte) {
+	st := &Scenario{Script: s, World: simulation.New(s.Seed), Record: record, Parse: newCachedParser()}
+	st.random.Seed = s.Seed*2654435761 + 17
+	sim := st.World
+	sim.Link = st.link
+	sim.Tap = func(at float64, from, to netip.AddrPort, data []byte) {
 		if st.Record != nil {
 			st.Record(
 				&api.Record{
@@ -129,11 +129,11 @@
 		st.addEndpoint(i, port)
 	}
 	st.version = 1
-	st.openNames()
+	st.setupNumbering()
 	st.planArrivals()
-	st.openKiosks()
+	st.setupENUMClients()
 	for _, t := range s.Troubles {
-		st.trouble(t)
+		st.scheduleFault(t)
 	}
 	return st
 }
@@ -157,7 +157,7 @@
 
 // addGateway adds gateway i with its callers.
 func (st *Scenario) addGateway(i, port int) {
-	s, w := st.Script, st.World
+	s, sim := st.Script, st.World
 	region := s.Regions[i%len(s.Regions)]
 	g := &Gateway{
 		Number: i,
@@ -166,7 +166,7 @@
 		Addr:   addr(1, i, port),
 		Peer:   addr(1, i, port+10),
 	}
-	g.Node = w.Add(&simulation.Node{Addr: g.Addr, Name: g.Name, Region: region, Tick: s.Gateways.Tick, Tapped: true})
+	g.Node = sim.Add(&simulation.Node{Addr: g.Addr, Name: g.Name, Region: region, Tick: s.Gateways.Tick, Tapped: true})
 	from := addr(2, i, port)
 	c := s.Callers
 	g.Callers = callers.New(
@@ -176,14 +176,14 @@
 		g.Addr,
 		s.Pools.Model.Times,
 		s.Seed+uint64(i)*7919+1,
-		func(to netip.AddrPort, data []byte) { w.Send(from, to, data) },
+		func(to netip.AddrPort, data []byte) { sim.Send(from, to, data) },
 	)
-	g.callers = w.Add(
+	g.callersNode = sim.Add(
 		&simulation.Node{Addr: from, Name: fmt.Sprintf("callers-%d", i), Region: region, Machine: g.Callers},
 	)
 	st.Gateways = append(st.Gateways, g)
-	st.node(g.Addr, "edge", g.Name)
-	st.node(from, "caller", g.callers.Name)
+	st.recordNode(g.Addr, "edge", g.Name)
+	st.recordNode(from, "caller", g.callersNode.Name)
 }
 
 // addEndpoint adds endpoint i, which has been ready for long when the day begins.
@@ -191,7 +191,7 @@
 	s := st.Script
 	m := s.Pools.Model
 	m.Parse = st.Parse
-	size := 1 + s.Pools.Spread*(2*st.names.Float64()-1)
+	size := 1 + s.Pools.Spread*(2*st.random.Float64()-1)
 	region := s.Regions[i%len(s.Regions)]
 	if i < len(s.Pools.Sizes) {
 		size = s.Pools.Sizes[i]
@@ -203,11 +203,11 @@
 		*v /= size
 	}
 	m.Name = fmt.Sprintf("switch-%d", i)
-	p := &place{number: i, region: region, model: m, addr: addr(3, i, port), id: fmt.Sprintf("m%d", i),
-		state: api.State_READY, start: -1}
-	st.places = append(st.places, p)
+	p := &endpoint{number: i, region: region, model: m, addr: addr(3, i, port), id: fmt.Sprintf("m%d", i),
+		state: api.State_READY, startedAt: -1}
+	st.endpoints = append(st.endpoints, p)
 	st.boot(p, false)
-	st.machines = append(st.machines, p.member())
+	st.members = append(st.members, p.member())
 }
 
 func addr(kind, i, port int) netip.AddrPort {
@@ -216,26 +216,26 @@
 
 // Addresses are those of the stand-ins and gateways, for whoever binds sockets.
 func (st *Scenario) Addresses() []netip.AddrPort {
-	var of []netip.AddrPort
+	var addrs []netip.AddrPort
 	for _, g := range st.Gateways {
-		of = append(of, g.callers.Addr)
+		addrs = append(addrs, g.callersNode.Addr)
 	}
 	for _, g := range st.Gateways {
-		if g.kiosks != nil {
-			of = append(of, g.kiosks.Addr)
+		if g.enumClientsNode != nil {
+			addrs = append(addrs, g.enumClientsNode.Addr)
 		}
 	}
-	for _, p := range st.places {
-		of = append(of, p.addr)
+	for _, p := range st.endpoints {
+		addrs = append(addrs, p.addr)
 		for n := 1; n < 4; n++ {
-			of = append(of, st.next(p, n))
+			addrs = append(addrs, st.replacementAddr(p, n))
 		}
 	}
-	return of
+	return addrs
 }
 
-// next is the address of a place's nth replacement.
-func (st *Scenario) next(p *place, n int) netip.AddrPort {
+// replacementAddr is the address of a place's nth replacement.
+func (st *Scenario) replacementAddr(p *endpoint, n int) netip.AddrPort {
 	a := addr(3, p.number, 0).Addr().As4()
 	a[1] = byte(30 + 10*n)
 	return netip.AddrPortFrom(netip.AddrFrom4(a), p.addr.Port())
@@ -261,33 +261,34 @@
 	st.Record(r)
 }
 
-func (st *Scenario) node(a netip.AddrPort, role, name string) {
+func (st *Scenario) recordNode(a netip.AddrPort, role, name string) {
 	st.record(&api.Record_Node{Node: &api.Node{Addr: a.String(), Role: role, Name: name}})
 }
 
 // Mark notes something in the capture.
-func (st *Scenario) Mark(what, who, text string, start *api.Start) {
-	st.record(&api.Record_Mark{Mark: &api.Mark{What: what, Who: who, Text: text, Start: start}})
+func (st *Scenario) Mark(what, name, text string, start *api.Start) {
+	st.record(&api.Record_Mark{Mark: &api.Mark{What: what, Who: name, Text: text, Start: start}})
 	if st.Say != nil && what != "start" {
-		st.Say(st.World.Now, fmt.Sprintf("%s %s %s", what, who, text))
+		st.Say(st.World.Now, fmt.Sprintf("%s %s %s", what, name, text))
 	}
 }
 
 // link is the wire between two nodes.
 func (st *Scenario) link(a, b *simulation.Node) simulation.Link {
-	n := st.Script.Net
-	l := simulation.Link{Delay: n.Cross, Jitter: n.Jitter, Loss: n.Loss + st.loss, Double: n.Double}
+	network := st.Script.Net
+	link := simulation.Link{Delay: network.Cross, Jitter: network.Jitter, Loss: network.Loss + st.extraLoss,
+		Duplication: network.Double}
 	if a.Region == b.Region {
-		l.Delay = n.Same
+		link.Delay = network.Same
 	}
-	if st.isKiosk(a) || st.isKiosk(b) {
-		l.Loss += st.Script.Kiosks.Loss
-		return l
+	if st.isENUMClient(a) || st.isENUMClient(b) {
+		link.Loss += st.Script.Kiosks.Loss
+		return link
 	}
 	if (st.isCaller(a) || st.isCaller(b)) && !st.isSwitch(a) && !st.isSwitch(b) {
-		return simulation.Link{Delay: n.Caller}
+		return simulation.Link{Delay: network.Caller}
 	}
-	return l
+	return link
 }
 
 func (st *Scenario) isSwitch(n *simulation.Node) bool {
@@ -295,7 +296,7 @@
 	return ok
 }
 
-func (st *Scenario) isKiosk(n *simulation.Node) bool {
+func (st *Scenario) isENUMClient(n *simulation.Node) bool {
 	_, ok := n.Machine.(*enumclient.Kiosks)
 	return ok
 }
@@ -306,23 +307,23 @@
 }
 
 // boot starts a switch process at a place.
-func (st *Scenario) boot(p *place, cold bool) {
-	w := st.World
+func (st *Scenario) boot(p *endpoint, cold bool) {
+	sim := st.World
 	self := p.addr
-	p.sw = coreswitch.New(p.model, self, st.Script.Seed+uint64(p.number)*104729+uint64(p.birth)*31+5, w.Now, cold,
-		func(to netip.AddrPort, data []byte) { w.Send(self, to, data) })
-	if n := w.Node(self); n != nil {
-		n.Live(p.sw)
+	p.coreSwitch = coreswitch.New(p.model, self, st.Script.Seed+uint64(p.number)*104729+uint64(p.incarnation)*31+5,
+		sim.Now, cold, func(to netip.AddrPort, data []byte) { sim.Send(self, to, data) })
+	if n := sim.Node(self); n != nil {
+		n.Restart(p.coreSwitch)
 		p.node = n
 	} else {
 		name := p.model.Name
-		if p.birth > 0 {
-			name = fmt.Sprintf("%s.%d", name, p.birth)
+		if p.incarnation > 0 {
+			name = fmt.Sprintf("%s.%d", name, p.incarnation)
 		}
-		p.node = w.Add(&simulation.Node{Addr: self, Name: name, Region: p.region, Machine: p.sw})
-		st.node(self, "switch", name)
+		p.node = sim.Add(&simulation.Node{Addr: self, Name: name, Region: p.region, Machine: p.coreSwitch})
+		st.recordNode(self, "switch", name)
 	}
-	p.node.Due()
+	p.node.ScheduleWakeup()
 	if cold {
 		st.Mark(
 			"start",
@@ -336,26 +337,26 @@
 var stateName = map[api.State]string{api.State_GONE: "gone", api.State_READY: "ready", api.State_DRAINING: "draining"}
 
 // kill lets a place's process die: its calls are cut without a word.
-func (st *Scenario) kill(p *place) {
+func (st *Scenario) kill(p *endpoint) {
 	st.Mark("kill", p.node.Name, "", nil)
-	st.hush(p)
-	p.node.Die()
+	st.cutCalls(p)
+	p.node.Kill()
 }
 
-// hush tells the callers of a dead process's calls that their line is dead.
-func (st *Scenario) hush(p *place) {
-	of := p.sw.EstablishedCalls()
-	sort.Strings(of)
+// cutCalls tells the callers of a dead process's calls that their line is dead.
+func (st *Scenario) cutCalls(p *endpoint) {
+	sessions := p.coreSwitch.EstablishedCalls()
+	sort.Strings(sessions)
 	for _, g := range st.Gateways {
-		for _, s := range of {
-			g.Callers.Cut(st.World.Now, s)
+		for _, session := range sessions {
+			g.Callers.OnLineDead(st.World.Now, session)
 		}
-		g.callers.Due()
+		g.callersNode.ScheduleWakeup()
 	}
 }
 
 // Group is the name of the trunk group to an endpoint.
-func Group(pool int) string { return fmt.Sprintf("TG-%d", pool) }
+func Group(number int) string { return fmt.Sprintf("TG-%d", number) }
 
 // Settings are what the decision module of a gateway is told.
 func (st *Scenario) Settings(g *Gateway) *routing.Settings {
@@ -379,14 +380,14 @@
 		OverloadWindow:     s.Rules.TipWindow,
 		RetryHoldOff:       s.Rules.Clear,
 	}
-	for _, k := range s.Skills {
+	for _, k := range s.Classes {
 		set.Classes = append(
 			set.Classes,
 			&routing.Class{Name: k.Name, LatencyObjective: k.Target, Timeout: k.Patience, Weight: k.Value,
 				LateWeightFraction: k.Late, MeanHoldingTime: k.Hold, Idempotent: true},
 		)
 	}
-	for _, c := range s.Payers {
+	for _, c := range s.Tenants {
 		set.Tenants = append(set.Tenants, &routing.Tenant{Name: c.Name})
 	}
 	return set
@@ -402,12 +403,12 @@
 		Settings:     st.Settings(g),
 		Times:        s.Pools.Model.Times,
 		Parse:        st.Parse,
-		DefaultClass: s.Skills[0].Name,
+		DefaultClass: s.Classes[0].Name,
 		AnswerMargin: s.Gateways.Margin,
 		LoadShedding: loadshed.Gate{MaxPending: s.Gateways.Held, RatePerSecond: s.Gateways.MostRate},
 	}
 	c.DisabledGuard = st.DisabledGuard
-	for _, p := range st.places {
+	for _, p := range st.endpoints {
 		c.Groups = append(c.Groups, b2bua.Group{Name: Group(p.number), DestinationID: p.number, Circuits: p.model.Lines})
 	}
 	return c
@@ -415,15 +416,15 @@
 
 // Tell carries a message between gateways.
 func (st *Scenario) Tell(to int, deliver func(now float64)) {
-	n := st.Script.Net
-	if to < 0 || to >= len(st.Gateways) || st.muted || st.names.Float64() < n.PeerLoss {
+	network := st.Script.Net
+	if to < 0 || to >= len(st.Gateways) || st.gossipLost || st.random.Float64() < network.PeerLoss {
 		return
 	}
-	st.World.At(st.World.Now+n.Peer*(1+n.Jitter*(2*st.names.Float64()-1)), func() { deliver(st.World.Now) })
+	st.World.At(st.World.Now+network.Peer*(1+network.Jitter*(2*st.random.Float64()-1)), func() { deliver(st.World.Now) })
 }
 
-// remember parses a datagram once for all who look at it: the tap, then its receiver. Messages are only read.
-func remember() func([]byte) (sip.Message, error) {
+// newCachedParser parses a datagram once for all who look at it: the tap, then its receiver. Messages are only read.
+func newCachedParser() func([]byte) (sip.Message, error) {
 	type parsed struct {
 		first *byte
 		n     int
--- a/internal/emulator/scenario/stage_test.go
+++ b/internal/emulator/scenario/scenario_test.go
@@ -12,16 +12,16 @@
 	"cobaltpier/internal/routing"
 )
 
-func mind(s *routing.Settings, h routing.Host) routing.Policy { return router.New(s, h) }
+func newRouter(s *routing.Settings, h routing.Host) routing.Policy { return router.New(s, h) }
 
-func TestDayOfTrouble(t *testing.T) {
+func TestAllFaults(t *testing.T) {
 	s, err := Day("trouble")
 	if err != nil {
 		t.Fatal(err)
 	}
 	k := conformance.New()
 	st := New(s, 5060, func(r *api.Record) { k.Add(r) })
-	v := NewVirtual(st, mind)
+	v := NewVirtual(st, newRouter)
 	st.World.Run(s.Length + 12000)
 	k.Finish()
 	sv := st.Service()
@@ -33,7 +33,7 @@
 			t.Error(f)
 		}
 	}
-	for _, b := range v.Edges {
+	for _, b := range v.Gateways {
 		t.Logf("%+v", b.Counts)
 	}
 }
@@ -53,11 +53,11 @@
 	})
 	shares = NewShares(st, 1)
 	st.Drain(1)
-	NewVirtual(st, mind)
+	NewVirtual(st, newRouter)
 	st.World.Run(s.Length + 10000)
 	t.Logf("\n%s", shares)
-	if part := float64(shares.Home) / float64(shares.First); part < 0.9 || shares.First < 3000 {
-		t.Errorf("%.3f of %d first rings at the destination", part, shares.First)
+	if part := float64(shares.AtDestination) / float64(shares.FirstAttempts); part < 0.9 || shares.FirstAttempts < 3000 {
+		t.Errorf("%.3f of %d first attempts at the destination", part, shares.FirstAttempts)
 	}
 	if d := shares.Deviation(); d > 4 {
 		t.Errorf("draws are %.1f standard deviations from the formula", d)
@@ -67,7 +67,7 @@
 // TestSameSeedSameDay: two runs of a day give the same capture to the byte.
 func TestSameSeedSameDay(t *testing.T) {
 	sum := func() (n uint64) {
-		s := short(t)
+		s := shortScenario(t)
 		st := New(s, 5060, func(r *api.Record) {
 			b, err := proto.MarshalOptions{Deterministic: true}.Marshal(r)
 			if err != nil {
@@ -77,7 +77,7 @@
 				n = (n ^ uint64(c)) * 1099511628211
 			}
 		})
-		NewVirtual(st, mind)
+		NewVirtual(st, newRouter)
 		st.World.Run(s.Length + 5000)
 		return n
 	}
@@ -89,46 +89,46 @@
 // TestFlood sends one gateway twenty times the rated load of the least valuable class: what it holds is bounded, rules
 // are kept, and the valuable class is served.
 func TestFlood(t *testing.T) {
-	s := short(t)
+	s := shortScenario(t)
 	s.Gateways.Count, s.Gateways.Held, s.Gateways.MostRate = 1, 400, 90
 	s.Load.Rate, s.Length = 40, 8000
 	s.Callers.Redials = 0
 	s.Troubles = []scenariofile.Trouble{{Kind: "flood", At: 2000, For: 4000, Size: 20}}
 	k := conformance.New()
 	st := New(s, 5060, func(r *api.Record) { k.Add(r) })
-	v := NewVirtual(st, mind)
+	v := NewVirtual(st, newRouter)
 	most := 0
 	for at := 0.0; at < s.Length+10000; at += 50 {
 		st.World.Run(at)
-		waiting, _ := v.Edges[0].InProgress()
+		waiting, _ := v.Gateways[0].InProgress()
 		most = max(most, waiting)
 	}
 	k.Finish()
 	if len(k.Findings) > 0 {
 		t.Error(k.Findings[0])
 	}
-	if c := v.Edges[0].Counts; most > 400+20 || c.Shed == 0 {
-		t.Errorf("%d held at most, %d turned away", most, c.Shed)
+	if c := v.Gateways[0].Counts; most > 400+20 || c.Shed == 0 {
+		t.Errorf("%d pending at most, %d shed", most, c.Shed)
 	}
-	stood, all := 0, 0
-	for _, x := range st.Gateways[0].Callers.Stories {
+	inTime, all := 0, 0
+	for _, x := range st.Gateways[0].Callers.Records {
 		if x.Class == "absence-report" {
 			all++
 			if x.AnsweredAt-x.At <= x.LatencyObjective {
-				stood++
+				inTime++
 			}
 		}
 	}
-	t.Logf("%d of %d of the valuable skill in time, %d held at most, %+v", stood, all, most, v.Edges[0].Counts)
-	if all < 10 || float64(stood) < 0.8*float64(all) {
-		t.Errorf("%d of %d of the valuable skill stood in time", stood, all)
+	t.Logf("%d of %d of the higher class in time, %d pending at most, %+v", inTime, all, most, v.Gateways[0].Counts)
+	if all < 10 || float64(inTime) < 0.8*float64(all) {
+		t.Errorf("%d of %d of the higher class answered in time", inTime, all)
 	}
 }
 
 // TestListSilent: the endpoint list says nothing for a minute, while an endpoint drains and is replaced and gateways
 // stand still; they go on with what they have.
 func TestListSilent(t *testing.T) {
-	s := short(t)
+	s := shortScenario(t)
 	s.Length = 70000
 	s.Load.Rate = 30
 	s.Troubles = append(
@@ -136,7 +136,7 @@
 		scenariofile.Trouble{Kind: "listless", At: 1000, For: 60000},
 		scenariofile.Trouble{Kind: "stall", At: 5000, For: 3000, Part: 0.4, Size: 2},
 	)
-	if k := judged(s, mind, 0); len(k.Findings) > 0 || k.Totals.Attempts < 300 {
-		t.Errorf("%d rings, findings %v", k.Totals.Attempts, k.Findings)
+	if k := runAndCheck(s, newRouter, 0); len(k.Findings) > 0 || k.Totals.Attempts < 300 {
+		t.Errorf("%d attempts, findings %v", k.Totals.Attempts, k.Findings)
 	}
 }
--- a/internal/emulator/scenario/service.go
+++ b/internal/emulator/scenario/service.go
@@ -22,12 +22,12 @@
 
 // Service adds a day up.
 func (st *Scenario) Service() Service {
-	sum := serviceSum{classes: weights{}, tenants: weights{}, windows: map[int]*weight{}}
+	sum := serviceSum{classes: valueByName{}, tenants: valueByName{}, windows: map[int]*serviceValue{}}
 	for _, g := range st.Gateways {
 		sum.Extra += g.Callers.Extra
-		for _, story := range g.Callers.Stories {
-			if !story.OverQuota {
-				sum.add(story)
+		for _, record := range g.Callers.Records {
+			if !record.OverQuota {
+				sum.add(record)
 			}
 		}
 	}
@@ -41,8 +41,8 @@
 			sum.Worst10s = math.Min(sum.Worst10s, w.share())
 		}
 	}
-	for _, p := range st.places {
-		if p.sw.Fell {
+	for _, p := range st.endpoints {
+		if p.coreSwitch.Overloaded {
 			sum.Fell++
 		}
 	}
@@ -52,33 +52,33 @@
 // windowSeconds is the length of the windows of which the worst is told.
 const windowSeconds = 10
 
-// weight is what calls were worth: as they were served, and at most.
-type weight struct{ got, most float64 }
+// serviceValue is what calls were worth: as they were served, and at most.
+type serviceValue struct{ achieved, offered float64 }
 
-func (w *weight) add(got, most float64) {
-	w.got += got
-	w.most += most
+func (w *serviceValue) add(achieved, offered float64) {
+	w.achieved += achieved
+	w.offered += offered
 }
 
-func (w *weight) share() float64 {
-	if w.most == 0 {
+func (w *serviceValue) share() float64 {
+	if w.offered == 0 {
 		return 1
 	}
-	return w.got / w.most
+	return w.achieved / w.offered
 }
 
-// weights are by name of a class or tenant.
-type weights map[string]*weight
+// valueByName are by name of a class or tenant.
+type valueByName map[string]*serviceValue
 
-func (m weights) add(name string, got, most float64) {
+func (m valueByName) add(name string, achieved, offered float64) {
 	if m[name] == nil {
-		m[name] = &weight{}
+		m[name] = &serviceValue{}
 	}
-	m[name].add(got, most)
+	m[name].add(achieved, offered)
 }
 
 // worst returns the least share, and whose it is; of equals the first by name.
-func (m weights) worst() (name string, least float64) {
+func (m valueByName) worst() (name string, least float64) {
 	least = 2
 	for k, w := range m {
 		if share := w.share(); share < least || share == least && k < name {
@@ -91,44 +91,44 @@
 // serviceSum is a Service that is being added up.
 type serviceSum struct {
 	Service
-	whole            weight
-	classes, tenants weights
-	windows          map[int]*weight // by the second that they begin with
+	whole            serviceValue
+	classes, tenants valueByName
+	windows          map[int]*serviceValue // by the second that they begin with
 }
 
 // add adds one call.
-func (sum *serviceSum) add(story *callers.CallerRecord) {
+func (sum *serviceSum) add(record *callers.CallerRecord) {
 	sum.Arrived++
-	got := sum.count(story)
-	sum.whole.add(got, story.Weight)
-	sum.classes.add(story.Class, got, story.Weight)
-	sum.tenants.add(story.Tenant, got, story.Weight)
-	second := int(story.At / 1000)
+	achieved := sum.count(record)
+	sum.whole.add(achieved, record.Weight)
+	sum.classes.add(record.Class, achieved, record.Weight)
+	sum.tenants.add(record.Tenant, achieved, record.Weight)
+	second := int(record.At / 1000)
 	for k := second; k > second-windowSeconds && k >= 0; k-- { // every window that holds it
 		if sum.windows[k] == nil {
-			sum.windows[k] = &weight{}
+			sum.windows[k] = &serviceValue{}
 		}
-		sum.windows[k].add(got, story.Weight)
+		sum.windows[k].add(achieved, record.Weight)
 	}
 }
 
 // count counts a call by how it ended, and returns what it was worth.
-func (sum *serviceSum) count(story *callers.CallerRecord) float64 {
-	if math.IsNaN(story.AnsweredAt) {
+func (sum *serviceSum) count(record *callers.CallerRecord) float64 {
+	if math.IsNaN(record.AnsweredAt) {
 		sum.Unserved++
 		return 0
 	}
-	wait := story.AnsweredAt - story.At
+	wait := record.AnsweredAt - record.At
 	sum.Waits = append(sum.Waits, wait)
 	switch {
-	case story.Dropped:
+	case record.Dropped:
 		sum.Dropped++
 		return 0
-	case wait <= story.LatencyObjective:
+	case wait <= record.LatencyObjective:
 		sum.Answered++
-		return story.Weight
+		return record.Weight
 	default:
 		sum.Late++
-		return story.Weight * story.LateWeightFraction
+		return record.Weight * record.LateWeightFraction
 	}
 }
--- a/internal/emulator/scenario/virtual.go
+++ b/internal/emulator/scenario/virtual.go
@@ -13,20 +13,20 @@
 
 // Virtual runs the gateways as machines in the stage's own world.
 type Virtual struct {
-	Stage *Scenario
-	Make  routing.PolicyFactory
-	Edges []*Box
+	Scenario  *Scenario
+	NewPolicy routing.PolicyFactory
+	Gateways  []*VirtualGateway
 }
 
-// Box is a gateway in virtual time; what is no datagram waits there for its next tick.
-type Box struct {
+// VirtualGateway is a gateway in virtual time; what is no datagram waits there for its next tick.
+type VirtualGateway struct {
 	*b2bua.Agent
-	v       *Virtual
-	g       *Gateway
-	pending []func(now float64)
-	births  uint64
-	front   *enumserver.Server // nil: it answers no look-ups
-	look    *lookUps           // of this process, nil: it looks nothing up
+	fleet      *Virtual
+	gateway    *Gateway
+	pending    []func(now float64)
+	starts     uint64
+	enumServer *enumserver.Server // nil: it answers no look-ups
+	resolver   *gatewayResolver   // of this process, nil: it looks nothing up
 }
 
 // epoch is when virtual days begin: a Thursday noon, for times of day.
@@ -34,105 +34,107 @@
 
 // NewVirtual puts the gateways on a stage, all with the same kind of module. They start within the first second with
 // the whole list.
-func NewVirtual(st *Scenario, mk routing.PolicyFactory) *Virtual {
-	v := &Virtual{Stage: st, Make: mk}
+func NewVirtual(st *Scenario, newPolicy routing.PolicyFactory) *Virtual {
+	v := &Virtual{Scenario: st, NewPolicy: newPolicy}
 	st.Fleet = v
 	for _, g := range st.Gateways {
-		b := &Box{v: v, g: g}
-		v.Edges = append(v.Edges, b)
-		b.fresh()
+		b := &VirtualGateway{fleet: v, gateway: g}
+		v.Gateways = append(v.Gateways, b)
+		b.startProcess()
 		g.Node.Machine = b
 		st.Welcome(g, 0)
-		g.Node.Due()
+		g.Node.ScheduleWakeup()
 	}
 	return v
 }
 
-func (b *Box) fresh() {
-	cfg := b.v.Stage.Config(b.g)
-	cfg.Settings.Seed += b.births << 32
-	b.births++
+func (b *VirtualGateway) startProcess() {
+	cfg := b.fleet.Scenario.Config(b.gateway)
+	cfg.Settings.Seed += b.starts << 32
+	b.starts++
 	b.pending = nil
-	if st := b.v.Stage; st.Names != nil {
-		b.look = b.lookUps()
-		cfg.NumberLookup, cfg.Table, cfg.LookupShare, cfg.Epoch = b.look, st.Table(st.Names.Version).Table,
+	if st := b.fleet.Scenario; st.Names != nil {
+		b.resolver = b.newResolver()
+		cfg.NumberLookup, cfg.Table, cfg.LookupShare, cfg.Epoch = b.resolver, st.Table(st.Names.Version).Table,
 			st.Script.Numbers.Share, epoch
-		st.TableIn(b.g.Number, st.Names.Version)
+		st.TableIn(b.gateway.Number, st.Names.Version)
 	}
-	b.Agent = b2bua.New(cfg, b.v.Make, b)
+	b.Agent = b2bua.New(cfg, b.fleet.NewPolicy, b)
 	b.OnCallEnd = func(f b2bua.CallRecord) {
-		if st := b.v.Stage; st.Fate != nil {
-			st.Fate(b.g.Number, f)
+		if st := b.fleet.Scenario; st.OnCallEnd != nil {
+			st.OnCallEnd(b.gateway.Number, f)
 		}
 	}
-	b.front = nil
-	if b.g.FrontAt != nil {
-		b.front = enumserver.New(b.v.Stage.FrontConfig(), b.Agent)
-		b.g.FrontAt.Machine = &door{b}
+	b.enumServer = nil
+	if b.gateway.FrontAt != nil {
+		b.enumServer = enumserver.New(b.fleet.Scenario.FrontConfig(), b.Agent)
+		b.gateway.FrontAt.Machine = &enumMachine{b}
 	}
 }
 
 // Send implements b2bua.Transport.
-func (b *Box) Send(to netip.AddrPort, data []byte) { b.v.Stage.World.Send(b.g.Addr, to, data) }
+func (b *VirtualGateway) Send(to netip.AddrPort, data []byte) {
+	b.fleet.Scenario.World.Send(b.gateway.Addr, to, data)
+}
 
 // SendGossip implements b2bua.Transport.
-func (b *Box) SendGossip(to int, data []byte) {
-	from := b.g.Number
-	b.v.Stage.Tell(to, func(float64) {
-		o := b.v.Edges[to]
-		o.later(func(now float64) { o.OnPeerMessage(now, from, data) })
+func (b *VirtualGateway) SendGossip(to int, data []byte) {
+	from := b.gateway.Number
+	b.fleet.Scenario.Tell(to, func(float64) {
+		o := b.fleet.Gateways[to]
+		o.enqueue(func(now float64) { o.OnPeerMessage(now, from, data) })
 	})
 }
 
-func (b *Box) later(do func(now float64)) {
-	if b.g.Node.Dead {
+func (b *VirtualGateway) enqueue(do func(now float64)) {
+	if b.gateway.Node.Down {
 		return
 	}
 	b.pending = append(b.pending, do)
-	b.g.Node.Due()
+	b.gateway.Node.ScheduleWakeup()
 }
 
-// Step implements world.Machine.
-func (b *Box) Step(now float64) {
-	of := b.pending
+// Step implements simulation.Machine.
+func (b *VirtualGateway) Step(now float64) {
+	pending := b.pending
 	b.pending = nil
-	for _, do := range of {
+	for _, do := range pending {
 		do(now)
 	}
 	b.Agent.Step(now)
 }
 
-// NextWakeup implements world.Machine.
-func (b *Box) NextWakeup() float64 {
+// NextWakeup implements simulation.Machine.
+func (b *VirtualGateway) NextWakeup() float64 {
 	if len(b.pending) > 0 {
-		return b.v.Stage.World.Now
+		return b.fleet.Scenario.World.Now
 	}
 	return b.Agent.NextWakeup()
 }
 
 // List implements Fleet.
 func (v *Virtual) List(i int, u *api.Update) {
-	b := v.Edges[i]
-	sent := v.Stage.World.Now
-	b.later(func(now float64) { b.OnEndpointList(now, grpcdiscovery.Entries(u, sent), u.Whole) })
+	b := v.Gateways[i]
+	sent := v.Scenario.World.Now
+	b.enqueue(func(now float64) { b.OnEndpointList(now, grpcdiscovery.Entries(u, sent), u.Whole) })
 }
 
 // Halt implements Fleet.
-func (v *Virtual) Halt(i int) { v.Stage.Gateways[i].Node.Halt() }
+func (v *Virtual) Halt(i int) { v.Scenario.Gateways[i].Node.Pause() }
 
 // Go implements Fleet.
-func (v *Virtual) Go(i int) { v.Stage.Gateways[i].Node.Go() }
+func (v *Virtual) Go(i int) { v.Scenario.Gateways[i].Node.Resume() }
 
 // Kill implements Fleet.
 func (v *Virtual) Kill(i int) {
-	g := v.Stage.Gateways[i]
-	g.Node.Die()
+	g := v.Scenario.Gateways[i]
+	g.Node.Kill()
 }
 
 // Start implements Fleet.
 func (v *Virtual) Start(i int) {
-	g, b := v.Stage.Gateways[i], v.Edges[i]
-	b.fresh()
-	g.Node.Live(b)
-	v.Stage.Welcome(g, 0)
+	g, b := v.Scenario.Gateways[i], v.Gateways[i]
+	b.startProcess()
+	g.Node.Restart(b)
+	v.Scenario.Welcome(g, 0)
 }
--- a/internal/emulator/scenariofile/script.go
+++ b/internal/emulator/scenariofile/script.go
@@ -23,15 +23,15 @@
 	Gateways Gateways
 	Rules    Rules
 	Net      Net
-	Skills   []Skill
-	Payers   []Payer
+	Classes  []Class  `json:"Skills"`
+	Tenants  []Tenant `json:"Payers"`
 	Pools    Pools
 	Load     Load
 	Callers  Callers
 	List     List
 	Numbers  Numbers
-	Kiosks   Kiosks
-	Troubles []Trouble
+	Kiosks   Kiosks      `json:"Kiosks"`
+	Troubles []Trouble   `json:"Troubles"`
 	Calls    []*api.Call `json:"-"` // of a trace, in place of Load
 }
 
@@ -48,14 +48,14 @@
 // Net is the wire.
 type Net struct{ Same, Cross, Caller, Peer, Jitter, Loss, Double, PeerLoss float64 }
 
-// Skill is a class of calls.
-type Skill struct {
+// Class is a class of calls.
+type Class struct {
 	Name                                            string
 	Share, Target, Patience, Try, Value, Late, Hold float64
 }
 
-// Payer is a tenant.
-type Payer struct {
+// Tenant is a tenant.
+type Tenant struct {
 	Name  string
 	Share float64
 }
@@ -154,14 +154,14 @@
 	"flood":         "one gateway gets size times the rated load of all, of the least valuable skill",
 }
 
-const day = 24 * 3600 * 1000.0
+const msPerDay = 24 * 3600 * 1000.0
 
 // Read takes a script from settings.
 func Read(b *hclconfig.Block) (*Script, error) {
 	s := &Script{
 		Name:    b.Text("name", "day"),
 		Seed:    uint64(b.Int("seed", 1, 0, 1<<31)),
-		Length:  b.Ms("length", 60000, 1000, day),
+		Length:  b.Ms("length", 60000, 1000, msPerDay),
 		Regions: b.Texts("regions"),
 	}
 	if len(s.Regions) == 0 {
@@ -170,14 +170,14 @@
 	s.readGateways(b)
 	s.readRules(b)
 	s.readNet(b)
-	s.readSkills(b)
+	s.readClasses(b)
 	s.readPools(b)
 	s.readLoad(b)
 	s.readCallers(b)
 	s.readList(b)
 	s.readNumbers(b)
 	s.readKiosks(b)
-	s.readTroubles(b)
+	s.readFaults(b)
 	return s, b.Err()
 }
 
@@ -189,7 +189,7 @@
 		Held:     g.Int("most_held", 20000, 1, 1<<24),
 		MostRate: g.Num("most_rate", 0, 0, 1e6),
 		MaxRings: g.Int("max_rings", 5, 1, 100),
-		MaxWait:  int(g.Ms("max_wait", 2000, 0, day)),
+		MaxWait:  int(g.Ms("max_wait", 2000, 0, msPerDay)),
 		Tick:     g.Ms("tick", 5, 0.1, 1000),
 		Margin:   g.Ms("margin", 30, 0, 10000),
 		Cancel:   g.Flag("may_cancel", true),
@@ -207,9 +207,9 @@
 		Grace:      r.Ms("grace", 250, 0, 10000),
 		Clear:      r.Ms("clear_wait", 500, 0, 10000),
 		ColdShare:  r.Num("cold_share", 0.36, 0.01, 1),
-		WarmWithin: r.Ms("warm_within", 14000, 0, day),
+		WarmWithin: r.Ms("warm_within", 14000, 0, msPerDay),
 		TipTimes:   r.Num("tip_multiple", 2.5, 0, 100),
-		TipWindow:  r.Ms("tip_time", 1000, 1, day),
+		TipWindow:  r.Ms("tip_time", 1000, 1, msPerDay),
 	}
 }
 
@@ -228,31 +228,31 @@
 	}
 }
 
-// readSkills reads the classes and tenants of calls.
-func (s *Script) readSkills(b *hclconfig.Block) {
+// readClasses reads the classes and tenants of calls.
+func (s *Script) readClasses(b *hclconfig.Block) {
 	for _, k := range b.Blocks("skill", 1) {
-		s.Skills = append(
-			s.Skills,
-			Skill{
+		s.Classes = append(
+			s.Classes,
+			Class{
 				Name:     k.Labels[0],
 				Share:    k.Num("share", 1, 0, 1),
-				Target:   k.Ms("target", 2000, 1, day),
-				Patience: k.Ms("patience", 9000, 1000, day),
-				Try:      k.Ms("try", 3000, 1000, day),
+				Target:   k.Ms("target", 2000, 1, msPerDay),
+				Patience: k.Ms("patience", 9000, 1000, msPerDay),
+				Try:      k.Ms("try", 3000, 1000, msPerDay),
 				Value:    k.Num("value", 1, 0, 1e6),
 				Late:     k.Num("late", 0.1, 0, 1),
-				Hold:     k.Ms("hold", 9000, 1, day),
+				Hold:     k.Ms("hold", 9000, 1, msPerDay),
 			},
 		)
 	}
-	if len(s.Skills) == 0 {
-		s.Skills = []Skill{{"shift-lookup", 1, 2000, 9000, 3000, 1, 0.1, 9000}}
+	if len(s.Classes) == 0 {
+		s.Classes = []Class{{"shift-lookup", 1, 2000, 9000, 3000, 1, 0.1, 9000}}
 	}
 	for _, c := range b.Blocks("customer", 1) {
-		s.Payers = append(s.Payers, Payer{c.Labels[0], c.Num("share", 1, 0, 1)})
+		s.Tenants = append(s.Tenants, Tenant{c.Labels[0], c.Num("share", 1, 0, 1)})
 	}
-	if len(s.Payers) == 0 {
-		s.Payers = []Payer{{"laurentide.example", 1}}
+	if len(s.Tenants) == 0 {
+		s.Tenants = []Tenant{{"laurentide.example", 1}}
 	}
 }
 
@@ -261,25 +261,25 @@
 	p := b.One("pools")
 	retry := p.Ms("retransmit", 400, 10, 60000)
 	s.Pools = Pools{Count: p.Int("count", 4, 1, 1000), Spread: p.Num("spread", 0.15, 0, 0.9), Model: coreswitch.Model{
-		Setup:     p.Num("setup_ms", 6.4, 0.001, 1000),
-		Answer:    p.Num("answer_ms", 2.4, 0, 1000),
-		Release:   p.Num("release_ms", 1.9, 0, 1000),
-		Repeat:    p.Num("repeat_ms", 1, 0, 1000),
-		Reject:    p.Num("reject_ms", 0.8, 0, 1000),
-		Probe:     p.Num("probe_ms", 0.3, 0, 1000),
-		Lines:     p.Int("lines", 2000, 1, 1<<20),
-		WaitLimit: p.Ms("wait_limit", 2500, 1, day),
-		NamesWait: p.Flag("names_wait", true),
-		WorksOn:   p.Flag("works_on", false),
-		ErrorRate: p.Num("error_rate", 0.0005, 0, 1),
-		ColdShare: s.Rules.ColdShare,
-		Warm:      p.Ms("warm", 12000, 0, day),
-		TipTimes:  s.Rules.TipTimes,
-		TipWindow: s.Rules.TipWindow,
-		Refresh:   p.Ms("refresh", 400, 1, day),
-		Delay:     p.Ms("report_delay", 120, 0, day),
-		Noise:     p.Num("noise", 0.08, 0, 1),
-		Times:     siptransaction.Timers{T1: retry, T2: 8 * retry, T4: 5000},
+		Setup:          p.Num("setup_ms", 6.4, 0.001, 1000),
+		Answer:         p.Num("answer_ms", 2.4, 0, 1000),
+		Release:        p.Num("release_ms", 1.9, 0, 1000),
+		Repeat:         p.Num("repeat_ms", 1, 0, 1000),
+		Reject:         p.Num("reject_ms", 0.8, 0, 1000),
+		Probe:          p.Num("probe_ms", 0.3, 0, 1000),
+		Lines:          p.Int("lines", 2000, 1, 1<<20),
+		WaitLimit:      p.Ms("wait_limit", 2500, 1, msPerDay),
+		NamesWait:      p.Flag("names_wait", true),
+		WorksOn:        p.Flag("works_on", false),
+		ErrorRate:      p.Num("error_rate", 0.0005, 0, 1),
+		ColdShare:      s.Rules.ColdShare,
+		Warm:           p.Ms("warm", 12000, 0, msPerDay),
+		OverloadFactor: s.Rules.TipTimes,
+		OverloadWindow: s.Rules.TipWindow,
+		ReportInterval: p.Ms("refresh", 400, 1, msPerDay),
+		ReportDelay:    p.Ms("report_delay", 120, 0, msPerDay),
+		ReportNoise:    p.Num("noise", 0.08, 0, 1),
+		Times:          siptransaction.Timers{T1: retry, T2: 8 * retry, T4: 5000},
 	}}
 	s.Pools.Model.Reports = p.Texts("reports")
 	if len(s.Pools.Model.Reports) == 0 {
@@ -297,7 +297,7 @@
 	l := b.One("load")
 	s.Load = Load{
 		Rate:    l.Num("rate", 300, 0, 1e6),
-		Drift:   l.Ms("drift", 15000, 100, day),
+		Drift:   l.Ms("drift", 15000, 100, msPerDay),
 		Skew:    l.Num("skew", 0.3, 0, 1),
 		Numbers: l.Int("numbers", 20000, 1, 1<<30),
 	}
@@ -308,11 +308,11 @@
 	c := b.One("callers")
 	s.Callers = Callers{
 		Redials: c.Int("redials", 2, 0, 100),
-		Pause:   c.Ms("pause", 900, 0, day),
+		Pause:   c.Ms("pause", 900, 0, msPerDay),
 		Grows:   c.Flag("grows", true),
 		Honour:  c.Num("honour", 0.6, 0, 1),
-		MaxWait: c.Ms("max_wait", 2000, 0, day),
-		Silence: c.Ms("silence", 1000, 0, day),
+		MaxWait: c.Ms("max_wait", 2000, 0, msPerDay),
+		Silence: c.Ms("silence", 1000, 0, msPerDay),
 	}
 }
 
@@ -320,13 +320,13 @@
 func (s *Script) readList(b *hclconfig.Block) {
 	d := b.One("list")
 	s.List = List{
-		NoticeLo: d.Ms("notice_least", 700, 0, day),
-		NoticeHi: d.Ms("notice_most", 5000, 0, day),
-		SilentLo: d.Ms("silent_least", 5200, 0, day),
-		SilentHi: d.Ms("silent_most", 13000, 0, day),
-		AddLo:    d.Ms("add_least", 900, 0, day),
-		AddHi:    d.Ms("add_most", 2400, 0, day),
-		Spread:   d.Ms("spread", 300, 0, day),
+		NoticeLo: d.Ms("notice_least", 700, 0, msPerDay),
+		NoticeHi: d.Ms("notice_most", 5000, 0, msPerDay),
+		SilentLo: d.Ms("silent_least", 5200, 0, msPerDay),
+		SilentHi: d.Ms("silent_most", 13000, 0, msPerDay),
+		AddLo:    d.Ms("add_least", 900, 0, msPerDay),
+		AddHi:    d.Ms("add_most", 2400, 0, msPerDay),
+		Spread:   d.Ms("spread", 300, 0, msPerDay),
 	}
 }
 
@@ -335,20 +335,20 @@
 	for _, n := range b.Blocks("numbers", 0) {
 		s.Numbers = Numbers{
 			On:      true,
-			Change:  n.Ms("change", 0, 0, day),
+			Change:  n.Ms("change", 0, 0, msPerDay),
 			Ported:  n.Num("ported", 0.3, 0, 1),
 			None:    n.Num("none", 0.05, 0, 1),
 			Leads:   n.Num("leads", 0.1, 0, 1),
-			TTL:     n.Ms("ttl", 60000, 0, day),
-			Delay:   n.Ms("delay", 3, 0, day),
-			Jitter:  n.Ms("jitter", 4, 0, day),
+			TTL:     n.Ms("ttl", 60000, 0, msPerDay),
+			Delay:   n.Ms("delay", 3, 0, msPerDay),
+			Jitter:  n.Ms("jitter", 4, 0, msPerDay),
 			Servers: n.Int("servers", 2, 1, 50),
 			Within:  n.Ms("within", 400, 1, 60000),
 			Share:   n.Num("lookup_share", 0.3, 0, 1),
 			Cache:   n.Flag("cache", true),
 			Alone:   n.Flag("alone", false),
-			Stale:   n.Ms("stale", 600e3, 0, day),
-			Fail:    n.Ms("fail", 1000, 0, day),
+			Stale:   n.Ms("stale", 600e3, 0, msPerDay),
+			Fail:    n.Ms("fail", 1000, 0, msPerDay),
 			Popular: n.Num("popular", 1, 1, 100),
 			Refuse:  n.Text("silent", "route", "route", "refuse") == "refuse",
 		}
@@ -360,22 +360,22 @@
 	for _, n := range b.Blocks("kiosks", 0) {
 		s.Kiosks = Kiosks{
 			Rate:    n.Num("rate", 100, 0, 1e6),
-			Hold:    n.Ms("hold", 5000, 1, day),
+			Hold:    n.Ms("hold", 5000, 1, msPerDay),
 			Loss:    n.Num("loss", 0, 0, 1),
-			Wait:    n.Ms("wait", 1000, 1, day),
+			Wait:    n.Ms("wait", 1000, 1, msPerDay),
 			Repeats: n.Int("repeats", 1, 0, 10),
 			Asks:    n.Int("asks", 2, 0, 10),
 		}
 	}
 }
 
-// readTroubles reads what goes wrong.
-func (s *Script) readTroubles(b *hclconfig.Block) {
+// readFaults reads what goes wrong.
+func (s *Script) readFaults(b *hclconfig.Block) {
 	for _, t := range b.Blocks("trouble", 1) {
 		x := Trouble{
 			Kind:   t.Labels[0],
-			At:     t.Ms("at", hclconfig.Required, 0, day),
-			For:    t.Ms("for", 10000, 0, day),
+			At:     t.Ms("at", hclconfig.Required, 0, msPerDay),
+			For:    t.Ms("for", 10000, 0, msPerDay),
 			Part:   t.Num("part", 0.25, 0, 1),
 			Size:   t.Num("size", 2, 0, 1000),
 			Region: t.Text("region", ""),
--- a/internal/emulator/scenariofile/script_test.go
+++ b/internal/emulator/scenariofile/script_test.go
@@ -8,13 +8,13 @@
 	"cobaltpier/internal/hclconfig"
 )
 
-// benchForm is a day as the simulator writes it.
+// simulatorJSON is a day as the simulator writes it.
 //
 //go:embed testdata/bench.json
-var benchForm string
+var simulatorJSON string
 
-func TestBenchDay(t *testing.T) {
-	s, notes, err := FromBench([]byte(benchForm))
+func TestFromSimulator(t *testing.T) {
+	s, notes, err := FromSimulator([]byte(simulatorJSON))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,15 +31,15 @@
 	if !strings.Contains(strings.Join(notes, "; "), `"odd"`) {
 		t.Errorf("notes %v", notes)
 	}
-	for _, bad := range []string{"{", `{"v":2}`, `{"v":1}`, strings.Replace(benchForm, `"capacity":60`, `"capacity":0`,
+	for _, bad := range []string{"{", `{"v":2}`, `{"v":1}`, strings.Replace(simulatorJSON, `"capacity":60`, `"capacity":0`,
 		1)} {
-		if _, _, err := FromBench([]byte(bad)); err == nil {
+		if _, _, err := FromSimulator([]byte(bad)); err == nil {
 			t.Errorf("%.30q: no error", bad)
 		}
 	}
 }
 
-func TestFaults(t *testing.T) {
+func TestInvalidFiles(t *testing.T) {
 	for in, want := range map[string]string{
 		"trouble \"earthquake\" {\n at = \"1s\"\n}": `day.hcl:1: trouble "earthquake" is not known`,
 		"trouble \"slow\" {\n}":                     `day.hcl:1: trouble: want at =`,
--- a/internal/emulator/scenariofile/bench.go
+++ b/internal/emulator/scenariofile/simulator.go
@@ -10,8 +10,8 @@
 	"cobaltpier/internal/protocol/siptransaction"
 )
 
-// benchDay is what is read of a day as the bench draws it; times are µs, sizes its own. All other keys are passed over.
-type benchDay struct {
+// simulatorScenario is what is read of a day as the bench draws it; times are µs, sizes its own. All other keys are passed over.
+type simulatorScenario struct {
 	V       int
 	Site    string
 	Noise   uint64
@@ -53,13 +53,13 @@
 		Name  string
 		Share float64
 	}
-	Tiers   []benchTier
+	Tiers   []simulatorTier
 	Servers []struct {
 		Zone  int
 		Speed float64
 	}
 	Balancers []struct{ Zone int }
-	Troubles  []benchTrouble
+	Troubles  []simulatorFault
 	Fam       struct {
 		Capacity, Drift, Queue, Reject, Release, Repeat, Resend float64
 		DriftCv                                                 float64 `json:"drift_cv"`
@@ -70,8 +70,8 @@
 	}
 }
 
-// benchTier is a group of servers.
-type benchTier struct {
+// simulatorTier is a group of servers.
+type simulatorTier struct {
 	Kinds []struct {
 		ColdFrom  float64 `json:"cold_from"`
 		Cold      float64
@@ -86,16 +86,16 @@
 	StatedCold   float64  `json:"stated_cold"`
 }
 
-// benchTrouble is one thing that goes wrong.
-type benchTrouble struct {
+// simulatorFault is one thing that goes wrong.
+type simulatorFault struct {
 	Kind        string
 	At, Len     float64
 	Size, Extra float64
 	On          []int
 }
 
-// benchKinds are the bench's troubles in our words.
-var benchKinds = map[string]string{
+// faultKinds are the bench's troubles in our words.
+var faultKinds = map[string]string{
 	"burst":          "burst",
 	"hot_caller":     "uneven",
 	"slow":           "slow",
@@ -113,17 +113,17 @@
 	"peer_down":      "mute",
 }
 
-// FromBench reads a day file that the bench prints. The bench's world and ours are two models: the second result says
+// FromSimulator reads a day file that the bench prints. The bench's world and ours are two models: the second result says
 // what was not taken over, so that nobody takes one's figures for the other's.
-func FromBench(src []byte) (*Script, []string, error) {
-	d := &benchDay{}
+func FromSimulator(src []byte) (*Script, []string, error) {
+	d := &simulatorScenario{}
 	if err := json.Unmarshal(src, d); err != nil {
 		return nil, nil, fmt.Errorf("bench day: %w", err)
 	}
 	if err := d.validate(); err != nil {
 		return nil, nil, err
 	}
-	c := &benchConverter{day: d, tier: &d.Tiers[0]}
+	c := &simulatorConverter{source: d, tier: &d.Tiers[0]}
 	s := &Script{
 		Name:     d.Site,
 		Seed:     d.Noise % (1 << 31),
@@ -136,14 +136,14 @@
 		Callers:  c.callers(),
 		List:     c.list(),
 		Pools:    c.pools(),
-		Skills:   c.skills(),
-		Payers:   c.payers(),
-		Troubles: c.troubles(),
+		Classes:  c.classes(),
+		Tenants:  c.tenants(),
+		Troubles: c.faults(),
 	}
 	return s, c.notes, nil
 }
 
-func (d *benchDay) validate() error {
+func (d *simulatorScenario) validate() error {
 	switch {
 	case d.V != 1:
 		return fmt.Errorf("bench day: want \"v\": 1, got %d", d.V)
@@ -159,19 +159,19 @@
 // ms converts from the bench's µs.
 func ms(us float64) float64 { return us / 1000 }
 
-// benchConverter turns a day of the bench into a script.
-type benchConverter struct {
-	day   *benchDay
-	tier  *benchTier
-	notes []string // what was not taken over
+// simulatorConverter turns a day of the bench into a script.
+type simulatorConverter struct {
+	source *simulatorScenario
+	tier   *simulatorTier
+	notes  []string // what was not taken over
 }
 
-func (c *benchConverter) note(format string, args ...any) {
+func (c *simulatorConverter) note(format string, args ...any) {
 	c.notes = append(c.notes, fmt.Sprintf(format, args...))
 }
 
-func (c *benchConverter) gateways() Gateways {
-	d := c.day
+func (c *simulatorConverter) gateways() Gateways {
+	d := c.source
 	return Gateways{
 		Count:    len(d.Balancers),
 		Held:     max(1, d.Allow.MaxOpen),
@@ -186,8 +186,8 @@
 	}
 }
 
-func (c *benchConverter) rules() Rules {
-	d := c.day
+func (c *simulatorConverter) rules() Rules {
+	d := c.source
 	return Rules{
 		Slack:      20,
 		Grace:      ms(d.DrainGrace),
@@ -199,8 +199,8 @@
 	}
 }
 
-func (c *benchConverter) net() Net {
-	d := c.day
+func (c *simulatorConverter) net() Net {
+	d := c.source
 	return Net{
 		Same:     ms(d.Net.Same),
 		Cross:    ms(d.Net.Cross),
@@ -211,8 +211,8 @@
 	}
 }
 
-func (c *benchConverter) load() Load {
-	d := c.day
+func (c *simulatorConverter) load() Load {
+	d := c.source
 	return Load{
 		Rate:    d.Traffic.Load * d.Fam.Capacity,
 		Drift:   math.Max(100, ms(d.Fam.Drift)),
@@ -221,8 +221,8 @@
 	}
 }
 
-func (c *benchConverter) callers() Callers {
-	d := c.day
+func (c *simulatorConverter) callers() Callers {
+	d := c.source
 	return Callers{
 		Redials: d.Clients.Retries,
 		Pause:   ms(d.Clients.BackoffUs),
@@ -233,8 +233,8 @@
 	}
 }
 
-func (c *benchConverter) list() List {
-	d := c.day
+func (c *simulatorConverter) list() List {
+	d := c.source
 	return List{
 		NoticeLo: ms(d.Discovery.Notice) / 2,
 		NoticeHi: ms(d.Discovery.Notice),
@@ -246,8 +246,8 @@
 	}
 }
 
-func (c *benchConverter) pools() Pools {
-	d := c.day
+func (c *simulatorConverter) pools() Pools {
+	d := c.source
 	total := 0.0
 	for _, server := range d.Servers {
 		total += server.Speed
@@ -261,8 +261,8 @@
 	return p
 }
 
-// benchReports are the fields of the bench's load reports in our words.
-var benchReports = map[string]string{
+// reportNames are the fields of the bench's load reports in our words.
+var reportNames = map[string]string{
 	"util":       "util",
 	"queue":      "queue",
 	"latency_ms": "wait",
@@ -271,8 +271,8 @@
 }
 
 // model is that of the mean switch.
-func (c *benchConverter) model() coreswitch.Model {
-	d, tier, kind := c.day, c.tier, c.tier.Kinds[0]
+func (c *simulatorConverter) model() coreswitch.Model {
+	d, tier, kind := c.source, c.tier, c.tier.Kinds[0]
 	// ms of a call at a mean switch that is wholly busy at the capacity
 	work := float64(len(d.Servers)) * 1000 / d.Fam.Capacity
 	lines := 2000
@@ -286,43 +286,43 @@
 	}
 	var reports []string
 	for _, field := range tier.ReportFields {
-		if name := benchReports[field]; name != "" {
+		if name := reportNames[field]; name != "" {
 			reports = append(reports, name)
 		}
 	}
 	return coreswitch.Model{
-		Setup:     0.6 * work,
-		Answer:    0.22 * work,
-		Release:   0.18 * work,
-		Repeat:    d.Fam.Repeat * 0.6 * work,
-		Reject:    d.Fam.Reject * 0.6 * work,
-		Probe:     ms(tier.ProbeWork),
-		Lines:     lines,
-		WaitLimit: ms(d.Fam.Queue),
-		NamesWait: d.Fam.TellsWait,
-		WorksOn:   !d.Fam.CancelDrops,
-		ErrorRate: kind.ErrorRate,
-		ColdShare: kind.ColdFrom,
-		Warm:      ms(kind.Cold),
-		TipTimes:  d.FallMultiple,
-		TipWindow: ms(d.FallFor),
-		Refresh:   math.Max(1, ms(tier.ReportPeriod)),
-		Delay:     ms(tier.ReportDelay),
-		Noise:     tier.ReportNoise,
-		Times:     siptransaction.Timers{T1: retry, T2: 8 * retry, T4: 5000},
-		Reports:   reports,
+		Setup:          0.6 * work,
+		Answer:         0.22 * work,
+		Release:        0.18 * work,
+		Repeat:         d.Fam.Repeat * 0.6 * work,
+		Reject:         d.Fam.Reject * 0.6 * work,
+		Probe:          ms(tier.ProbeWork),
+		Lines:          lines,
+		WaitLimit:      ms(d.Fam.Queue),
+		NamesWait:      d.Fam.TellsWait,
+		WorksOn:        !d.Fam.CancelDrops,
+		ErrorRate:      kind.ErrorRate,
+		ColdShare:      kind.ColdFrom,
+		Warm:           ms(kind.Cold),
+		OverloadFactor: d.FallMultiple,
+		OverloadWindow: ms(d.FallFor),
+		ReportInterval: math.Max(1, ms(tier.ReportPeriod)),
+		ReportDelay:    ms(tier.ReportDelay),
+		ReportNoise:    tier.ReportNoise,
+		Times:          siptransaction.Timers{T1: retry, T2: 8 * retry, T4: 5000},
+		Reports:        reports,
 	}
 }
 
-func (c *benchConverter) skills() []Skill {
-	d := c.day
-	var skills []Skill
+func (c *simulatorConverter) classes() []Class {
+	d := c.source
+	var classes []Class
 	for i, class := range d.Classes {
 		hold := 9000.0
 		if i < len(d.Fam.Hold) {
 			hold = ms(d.Fam.Hold[i])
 		}
-		skills = append(skills, Skill{
+		classes = append(classes, Class{
 			Name:     class.Name,
 			Share:    class.Share,
 			Target:   ms(class.Aim),
@@ -335,54 +335,54 @@
 	}
 	c.note("a set-up, its answer and its release are 60, 22 and 18 %% of a call's work, and patience of a try is in " +
 		"whole seconds")
-	return skills
+	return classes
 }
 
-func (c *benchConverter) payers() []Payer {
-	var payers []Payer
-	for _, tenant := range c.day.Tenants {
-		payers = append(payers, Payer{tenant.Name, tenant.Share})
+func (c *simulatorConverter) tenants() []Tenant {
+	var tenants []Tenant
+	for _, tenant := range c.source.Tenants {
+		tenants = append(tenants, Tenant{tenant.Name, tenant.Share})
 	}
-	if len(payers) == 0 {
-		return []Payer{{"laurentide.example", 1}}
+	if len(tenants) == 0 {
+		return []Tenant{{"laurentide.example", 1}}
 	}
-	return payers
+	return tenants
 }
 
-func (c *benchConverter) troubles() []Trouble {
-	var troubles []Trouble
-	for _, t := range c.day.Troubles {
-		kind := benchKinds[t.Kind]
+func (c *simulatorConverter) faults() []Trouble {
+	var faults []Trouble
+	for _, t := range c.source.Troubles {
+		kind := faultKinds[t.Kind]
 		if kind == "" {
 			c.note("trouble %q is not known here and was left out", t.Kind)
 			continue
 		}
-		troubles = append(troubles, c.trouble(kind, &t))
+		faults = append(faults, c.fault(kind, &t))
 	}
 	c.note("which switches and gateways a trouble meets is drawn anew")
-	return troubles
+	return faults
 }
 
-func (c *benchConverter) trouble(kind string, t *benchTrouble) Trouble {
-	d := c.day
-	x := Trouble{Kind: kind, At: ms(t.At), For: ms(t.Len), Size: t.Size}
-	concerned := len(d.Servers)
+func (c *simulatorConverter) fault(kind string, t *simulatorFault) Trouble {
+	d := c.source
+	fault := Trouble{Kind: kind, At: ms(t.At), For: ms(t.Len), Size: t.Size}
+	count := len(d.Servers)
 	switch kind {
 	case "uneven", "stall", "restart":
-		concerned = len(d.Balancers)
+		count = len(d.Balancers)
 	}
-	x.Part = math.Min(1, float64(len(t.On))/float64(concerned))
-	if x.Part == 0 {
-		x.Part = 0.25
+	fault.Part = math.Min(1, float64(len(t.On))/float64(count))
+	if fault.Part == 0 {
+		fault.Part = 0.25
 	}
 	switch kind {
 	case "stall":
-		x.Size = t.Size / 1000
+		fault.Size = t.Size / 1000
 	case "lines":
-		x.Size = 1 / math.Sqrt(math.Max(1, t.Size))
+		fault.Size = 1 / math.Sqrt(math.Max(1, t.Size))
 	}
 	if (kind == "region" || kind == "lines") && len(t.On) > 0 && t.On[0] < len(d.Servers) {
-		x.Region = d.Zones[d.Servers[t.On[0]].Zone%len(d.Zones)]
+		fault.Region = d.Zones[d.Servers[t.On[0]].Zone%len(d.Zones)]
 	}
-	return x
+	return fault
 }
--- a/internal/emulator/virtualrun/quantile.go
+++ b/internal/emulator/virtualrun/quantile.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// quantile sorts what it gets; NaN of nothing.
-func quantile(of []float64, q float64) float64 {
-	if len(of) == 0 {
+// quantile sorts what it gets; NaN values nothing.
+func quantile(values []float64, q float64) float64 {
+	if len(values) == 0 {
 		return math.NaN()
 	}
-	slices.Sort(of)
-	return of[min(len(of)-1, int(q*float64(len(of))))]
+	slices.Sort(values)
+	return values[min(len(values)-1, int(q*float64(len(values))))]
 }
--- a/internal/emulator/virtualrun/fleet.go
+++ b/internal/emulator/virtualrun/virtualrun.go
@@ -26,8 +26,8 @@
 	"cobaltpier/internal/routing"
 )
 
-// After is how long a day goes on after its last arrival could come, ms: all timeout is over by then.
-const After = 12000.0
+// SettleTime is how long a day goes on after its last arrival could come, ms: all timeout is over by then.
+const SettleTime = 12000.0
 
 // Module is the maker of a decision module by its name: brain, or a baseline; nil for any other.
 func Module(name string) routing.PolicyFactory {
@@ -70,28 +70,28 @@
 }
 
 // Play plays a day.
-func Play(s *scenariofile.Script, mk routing.PolicyFactory, o Options) *Result {
+func Play(s *scenariofile.Script, newPolicy routing.PolicyFactory, options Options) *Result {
 	begin := time.Now()
-	k := conformance.New()
-	k.Keep = o.Series
+	checker := conformance.New()
+	checker.Keep = options.Series
 	var tables *conformance.Tables
 	if s.Analyses() {
 		tables = conformance.NewTables(scenario.Mark4)
 	}
 	res := &Result{}
-	var ser *seriesTap
-	if o.Series {
-		ser = newTap(s)
+	var series *seriesTap
+	if options.Series {
+		series = newSeriesTap(s)
 	}
 	st := scenario.New(s, 5060, func(r *api.Record) {
-		k.Add(r)
+		checker.Add(r)
 		if tables != nil {
 			tables.Add(r)
 		}
-		if ser != nil {
-			ser.add(r)
+		if series != nil {
+			series.add(r)
 		}
-		if o.Sum {
+		if options.Sum {
 			b, err := proto.MarshalOptions{Deterministic: true}.Marshal(r)
 			if err == nil {
 				for _, c := range b {
@@ -99,24 +99,26 @@
 				}
 			}
 		}
-		if o.Record != nil {
-			o.Record(r)
+		if options.Record != nil {
+			options.Record(r)
 		}
 	})
-	k.Parse = st.Parse
+	checker.Parse = st.Parse
 	if tables != nil {
 		tables.Parse = st.Parse
 	}
 	if tables != nil {
-		st.Fate = func(gateway int, f b2bua.CallRecord) { tables.Record(st.Gateways[gateway].Name, f.SessionID, f.Table) }
+		st.OnCallEnd = func(gateway int, f b2bua.CallRecord) {
+			tables.Record(st.Gateways[gateway].Name, f.SessionID, f.Table)
+		}
 	}
-	v := scenario.NewVirtual(st, mk)
-	st.World.Run(s.Length + After)
-	k.Finish()
-	res.Service, res.Findings, res.Totals, res.Tables, res.NumberLookups, res.Kiosks = st.Service(), k.Findings, k.Totals,
-		tables, v.LookUps(), st.KioskService()
-	if ser != nil {
-		res.Series = ser.done(st, k.Cold)
+	v := scenario.NewVirtual(st, newPolicy)
+	st.World.Run(s.Length + SettleTime)
+	checker.Finish()
+	res.Service, res.Findings, res.Totals, res.Tables, res.NumberLookups, res.Kiosks = st.Service(), checker.Findings,
+		checker.Totals, tables, v.LookupCounts(), st.KioskService()
+	if series != nil {
+		res.Series = series.finish(st, checker.Cold)
 	}
 	res.Elapsed = time.Since(begin)
 	return res
@@ -151,31 +153,31 @@
 }
 
 type seriesTap struct {
-	s     *Series
-	names map[string]*api.Node
+	series *Series
+	nodes  map[string]*api.Node
 }
 
-func newTap(s *scenariofile.Script) *seriesTap {
+func newSeriesTap(s *scenariofile.Script) *seriesTap {
 	n := int(math.Ceil(s.Length / 1000))
 	return &seriesTap{
-		s:     &Series{Seconds: n, Attempts: map[string][]float64{}, Outcomes: map[string][]float64{}, Faults: s.Troubles},
-		names: map[string]*api.Node{},
+		series: &Series{Seconds: n, Attempts: map[string][]float64{}, Outcomes: map[string][]float64{}, Faults: s.Troubles},
+		nodes:  map[string]*api.Node{},
 	}
 }
 
 func (t *seriesTap) count(m map[string][]float64, key string, at float64) {
 	i := int(at / 1000)
-	if i < 0 || i >= t.s.Seconds {
+	if i < 0 || i >= t.series.Seconds {
 		return
 	}
 	if m[key] == nil {
-		m[key] = make([]float64, t.s.Seconds)
+		m[key] = make([]float64, t.series.Seconds)
 	}
 	m[key][i]++
 }
 
-// ends names what a switch's answer makes of an attempt.
-var ends = map[string]string{
+// outcomeNames names what a switch's answer makes of an attempt.
+var outcomeNames = map[string]string{
 	"200": "stood",
 	"486": "no line",
 	"487": "called off",
@@ -187,54 +189,54 @@
 func (t *seriesTap) add(r *api.Record) {
 	switch v := r.What.(type) {
 	case *api.Record_Node:
-		t.names[v.Node.Addr] = v.Node
+		t.nodes[v.Node.Addr] = v.Node
 	case *api.Record_Datagram:
-		from, to := t.names[v.Datagram.From], t.names[v.Datagram.To]
+		from, to := t.nodes[v.Datagram.From], t.nodes[v.Datagram.To]
 		if from == nil || to == nil {
 			return
 		}
 		text := string(v.Datagram.Data)
 		switch {
 		case to.Role == "switch" && strings.HasPrefix(text, "INVITE "):
-			t.count(t.s.Attempts, to.Name, r.At)
+			t.count(t.series.Attempts, to.Name, r.At)
 		case from.Role == "switch" && strings.HasPrefix(text, "SIP/2.0 ") && len(text) > 11 && text[8] >= '2':
 			if m, err := siptransaction.Parse(v.Datagram.Data); err == nil && m.CSeq().MethodName == "INVITE" {
-				if name := ends[text[8:11]]; name != "" {
-					t.count(t.s.Outcomes, name, r.At)
+				if name := outcomeNames[text[8:11]]; name != "" {
+					t.count(t.series.Outcomes, name, r.At)
 				}
 			}
 		}
 	}
 }
 
-func (t *seriesTap) done(st *scenario.Scenario, cold []conformance.Cold) *Series {
-	s := t.s
+func (t *seriesTap) finish(st *scenario.Scenario, cold []conformance.Cold) *Series {
+	s := t.series
 	s.SlowStart = cold
-	got, of := make([]float64, s.Seconds), make([]float64, s.Seconds)
+	achieved, offered := make([]float64, s.Seconds), make([]float64, s.Seconds)
 	waits := make([][]float64, s.Seconds)
 	s.Arrivals = make([]float64, s.Seconds)
 	for _, g := range st.Gateways {
-		for _, x := range g.Callers.Stories {
-			i := int(x.At / 1000)
-			if x.OverQuota || i >= s.Seconds {
+		for _, record := range g.Callers.Records {
+			i := int(record.At / 1000)
+			if record.OverQuota || i >= s.Seconds {
 				continue
 			}
 			s.Arrivals[i]++
-			of[i] += x.Weight
-			if math.IsNaN(x.AnsweredAt) {
+			offered[i] += record.Weight
+			if math.IsNaN(record.AnsweredAt) {
 				continue
 			}
-			wait := x.AnsweredAt - x.At
+			wait := record.AnsweredAt - record.At
 			waits[i] = append(waits[i], wait)
-			if !x.Dropped && wait <= x.LatencyObjective {
-				got[i] += x.Weight
+			if !record.Dropped && wait <= record.LatencyObjective {
+				achieved[i] += record.Weight
 			}
 		}
 	}
 	for i := range s.Seconds {
 		share := math.NaN()
-		if of[i] > 0 {
-			share = got[i] / of[i]
+		if offered[i] > 0 {
+			share = achieved[i] / offered[i]
 		}
 		s.Service = append(s.Service, share)
 		s.P50 = append(s.P50, quantile(waits[i], 0.5))
