--- a/internal/emulator/callers/caller.go
+++ b/internal/emulator/callers/caller.go
@@ -1,6 +1,6 @@
-// Package callers is a stand-in for the callers of one gateway: SIP user agents that come at planned times, wait as
-// long as their timeout lasts, hang up when they are done, and dial again by themselves. Arrivals are planned ahead and
-// do not wait for answers. No I/O, no clock.
+// Package callers is a stand-in for the callers of one gateway: SIP user agents that call at planned times, give up
+// after a timeout, hang up after the holding time and redial after a failure. Arrivals are planned ahead and don't
+// depend on how earlier calls are answered. The package does no I/O and reads no clock.
 package callers
 
 //tally:standin
@@ -16,7 +16,7 @@
 	"cobaltpier/internal/timerqueue"
 )
 
-// Arrival is a caller's plan; times are milliseconds.
+// Arrival is a planned call with its redials. Times are in milliseconds.
 type Arrival struct {
 	At                 float64
 	Number             string
@@ -25,47 +25,47 @@
 	Group              string // trunk group of the destination (RFC 4904)
 	HoldingTime        float64
 	LatencyObjective   float64
-	Timeout            float64 // over all tries
-	AttemptTimeout     float64 // of one try
+	Timeout            float64 // of all attempts together
+	AttemptTimeout     float64 // of one attempt
 	Weight             float64
-	LateWeightFraction float64 // share of the value after the target
-	OverQuota          bool    // beyond its tenant's share
+	LateWeightFraction float64 // share of the weight if answered after the latency objective
+	OverQuota          bool    // beyond the tenant's share; not counted in the service
 }
 
-// CallerRecord is what became of a caller, over all its tries.
+// CallerRecord is the outcome of an arrival over all its attempts.
 type CallerRecord struct {
 	*Arrival
 	Attempts   int
 	AnsweredAt float64 // NaN: never
 	Dropped    bool
-	Answers    []int // the final answers, 0: none came
+	Answers    []int // final status codes by attempt; 0: no final response
 	Ended      bool
-	SessionID  string // of the latest try
+	SessionID  string // of the latest attempt
 }
 
-// Behavior are how callers behave.
+// Behavior holds the parameters of the callers.
 type Behavior struct {
-	Redials int                               // at most
-	Pause   float64                           // before a redial, ms
-	Grows   bool                              // each pause twice as long
-	Honour  float64                           // share that heeds Retry-After
-	MaxWait float64                           // but no longer than this
+	Redials int                               // most redials of an arrival
+	Pause   float64                           // before a redial, in ms
+	Grows   bool                              // each pause is twice the previous one
+	Honour  float64                           // share of the callers that follow Retry-After
+	MaxWait float64                           // upper limit of the pause taken from Retry-After
 	Context string                            // trunk-context
 	Parse   func([]byte) (sip.Message, error) // nil: siptransaction.Parse
-	Silence float64                           // a caller hears for so long that the line is dead, then hangs up
+	Silence float64                           // how long a caller stays on a dead line before hanging up
 }
 
-// Callers are those of one gateway.
+// Callers is the set of callers of one gateway.
 type Callers struct {
 	Behavior
 	Records   []*CallerRecord
-	Extra     int // final answers after the final answer
+	Extra     int // final responses after the final response
 	gateway   netip.AddrPort
 	now       float64
 	random    siptransaction.Generator
 	timers    timerqueue.Queue
 	sip       *siptransaction.Layer
-	byTag     map[string]*attempt // by our tag
+	byTag     map[string]*attempt // by local tag
 	bySession map[string]*attempt
 }
 
@@ -83,7 +83,7 @@
 	timer       *timerqueue.Timer
 }
 
-// New makes callers that dial a gateway.
+// New returns callers of a gateway.
 func New(
 	behavior Behavior,
 	self, gateway netip.AddrPort,
@@ -100,26 +100,26 @@
 	return c
 }
 
-// Plan adds an arrival.
+// Plan schedules an arrival.
 func (c *Callers) Plan(a *Arrival) {
 	s := &CallerRecord{Arrival: a, AnsweredAt: math.NaN()}
 	c.Records = append(c.Records, s)
 	c.timers.Schedule(a.At, func() { c.dial(s) })
 }
 
-// Receive takes a datagram.
+// Receive handles a datagram.
 func (c *Callers) Receive(now float64, from netip.AddrPort, data []byte) {
 	c.now = now
 	c.sip.Receive(now, from, data)
 }
 
-// Step runs what is due.
+// Step runs the timers that are due.
 func (c *Callers) Step(now float64) {
 	c.now, c.sip.Now = now, now
 	c.timers.Run(now)
 }
 
-// NextWakeup is when Wake is wanted.
+// NextWakeup returns when Step must be called next.
 func (c *Callers) NextWakeup() float64 { return c.timers.Next() }
 
 func (c *Callers) uri() sip.Uri {
@@ -157,7 +157,7 @@
 		c.end(s)
 		return
 	}
-	wait := math.Floor(math.Min(left, s.AttemptTimeout)/1000) * 1000 // Expires counts whole seconds
+	wait := math.Floor(math.Min(left, s.AttemptTimeout)/1000) * 1000 // Expires is in whole seconds
 	s.Attempts++
 	t := &attempt{
 		callers: c,
@@ -178,7 +178,7 @@
 	t.tx = c.sip.Send(r, c.gateway, sip.HeaderParams{{K: "rport"}}, t.onResponse)
 }
 
-// onTimeout: the timeout of this try is over.
+// onTimeout cancels the attempt when its timeout is over.
 func (t *attempt) onTimeout() {
 	if t.ended || t.established {
 		return
@@ -211,7 +211,7 @@
 	case res.StatusCode < 300:
 		t.answer = res
 		t.ack = c.sip.SendAck(t.acknowledgement(), c.gateway)
-		if t.ended { // it crossed our CANCEL
+		if t.ended { // the response crossed our CANCEL
 			t.bye(`Q.850;cause=16`)
 			return
 		}
@@ -246,7 +246,7 @@
 	c.sip.Send(r, c.gateway, sip.HeaderParams{{K: "rport"}}, func(*sip.Response) {})
 }
 
-// scheduleRedial dials once more after a pause, or not.
+// scheduleRedial redials after a pause, or ends the arrival if its redials are used up.
 func (c *Callers) scheduleRedial(s *CallerRecord, retryAfter float64) {
 	if s.Attempts > c.Redials {
 		c.end(s)
@@ -265,7 +265,7 @@
 
 func (c *Callers) end(s *CallerRecord) { s.Ended = true }
 
-// OnLineDead tells a caller that its line went dead: it hangs up after a while.
+// OnLineDead tells the caller of a session that its line has gone dead; it hangs up after Behavior.Silence.
 func (c *Callers) OnLineDead(now float64, session string) {
 	t := c.bySession[session]
 	if t == nil || !t.established || t.ended {
@@ -280,7 +280,7 @@
 	})
 }
 
-// OnRequest implements siptransaction.User: the other side hangs up.
+// OnRequest implements siptransaction.User. A BYE means that the other side has hung up.
 func (c *Callers) OnRequest(s *siptransaction.Server, req *sip.Request) {
 	t := c.byTag[siptransaction.Tag(req.To().Params)]
 	if t == nil || req.Method != sip.BYE {
@@ -289,7 +289,7 @@
 	}
 	s.Respond(siptransaction.Response(req, 200, "OK", ""))
 	if t.established && !t.ended {
-		t.record.Dropped = true // whoever hung up, it was not the caller
+		t.record.Dropped = true // the caller would have stayed on the line
 		t.finish()
 		c.end(t.record)
 	}
--- a/internal/emulator/coreswitch/switch.go
+++ b/internal/emulator/coreswitch/switch.go
@@ -1,5 +1,6 @@
-// Package coreswitch is a stand-in for a core switch: SIP over UDP in front of a processor with one line that is
-// modelled in time. It has no I/O and no clock. Its figures are of a model, not of a real switch.
+// Package coreswitch is a stand-in for a core switch: a SIP-over-UDP user agent in front of a simulated processor
+// that serves one job at a time. It does no I/O and reads no clock. Its figures come from a model, not from a real
+// switch.
 package coreswitch
 
 //tally:standin
@@ -16,64 +17,65 @@
 	"cobaltpier/internal/timerqueue"
 )
 
-// Model is how a switch behaves; works and times are milliseconds, works at full speed.
+// Model holds the parameters of a switch. Times are in milliseconds; processor times are those at full speed. Models
+// are stored as JSON under the Go names of their fields; a renamed field keeps its old name in a tag.
 type Model struct {
 	Name           string
-	Setup          float64 // work of a setup
-	Answer         float64 // work of its answer
+	Setup          float64 // processor time of a setup
+	Answer         float64 // processor time of its answer
 	Release        float64
-	Repeat         float64 // work of a repeat of a setup that waits
-	Reject         float64 // work of turning one away
+	Repeat         float64 // processor time of a retransmitted INVITE whose setup is queued
+	Reject         float64 // processor time of a rejection
 	Probe          float64
 	Lines          int
-	WaitLimit      float64 // a longer wait turns setups away
-	NamesWait      bool    // it says for how long
-	WorksOn        bool    // a setup that was canceled is still worked on
+	WaitLimit      float64 // setups are rejected when the queueing delay is longer
+	NamesWait      bool    // rejections carry Retry-After
+	WorksOn        bool    // a canceled setup still takes its processor time
 	ErrorRate      float64
-	ColdShare      float64  // of its full speed at the start
-	Warm           float64  // till full speed
-	OverloadFactor float64  `json:"TipTimes"`  // rule 4: more than this many times what it can do
-	OverloadWindow float64  `json:"TipWindow"` // within this: it falls over
-	Reports        []string // util, queue, wait, rate, loss
+	ColdShare      float64  // fraction of the full speed at the start
+	Warm           float64  // time from the start to full speed
+	OverloadFactor float64  `json:"TipTimes"`  // rule 4: a cold switch fails when work above this multiple of its capacity
+	OverloadWindow float64  `json:"TipWindow"` // arrives within this window
+	Reports        []string // reported values: util, queue, wait, rate, loss
 	ReportInterval float64  `json:"Refresh"`
-	ReportDelay    float64  `json:"Delay"` // reports are so old
+	ReportDelay    float64  `json:"Delay"` // age at which a report becomes visible
 	ReportNoise    float64  `json:"Noise"`
 	Times          siptransaction.Timers
 	// Parse reads datagrams; nil: siptransaction.Parse.
 	Parse func([]byte) (sip.Message, error) `json:"-"`
 }
 
-// Switch is one switch process with its processor. After Kill or Stop another one takes its address.
+// Switch is a switch process with its processor. After it is killed or stopped, a new one may take over its address.
 type Switch struct {
 	Model
-	Overloaded     bool // pushed over: it stays down
+	Overloaded     bool // it failed by overload in slow start and stays down
 	OverloadedAt   float64
-	Slowdown       float64 // times slower
-	OtherLoad      float64 // share of the processor that other work takes
-	SetupsReceived int     // setups that came
+	Slowdown       float64 // factor by which it is slower
+	OtherLoad      float64 // share of the processor taken by other work
+	SetupsReceived int
 	SetupsDone     int
 	now            float64
-	startedAt      float64 // its start; -Inf: long ago
+	startedAt      float64 // -Inf: long ago
 	random         siptransaction.Generator
 	timers         timerqueue.Queue
 	sip            *siptransaction.Layer
-	calls          map[string]*call // by our tag
-	linesInUse     int              // in use
-	linesLost      int              // lines that are gone
-	setupQueue     []*job           // setups go before
-	otherQueue     []*job           // answers and releases
+	calls          map[string]*call // by local tag
+	linesInUse     int
+	linesLost      int    // lines out of service
+	setupQueue     []*job // setups and probes, served first
+	otherQueue     []*job // answers, releases and rejections
 	busy           bool
 	busySince      float64
-	busyTime       float64 // busy time since the last refresh
+	busyTime       float64 // since the last report
 	lastReport     float64
-	arrivals       []arrival // rule 4's window
+	arrivals       []arrival // work received within OverloadWindow
 	loadReports    []loadReport
 	lastHeard      map[netip.AddrPort]float64
 }
 
 type arrival struct{ at, work float64 }
 
-// loadReport is a report with the time at which it may be seen.
+// loadReport is a load report with the time from which it is visible.
 type loadReport struct {
 	visibleAt  float64
 	util       float64
@@ -100,7 +102,7 @@
 	ended       bool
 }
 
-// New makes a switch that starts at a time; cold: with a processor that has just started.
+// New returns a switch that starts at now. If cold, its processor has just started and is in slow start.
 func New(m Model, self netip.AddrPort, seed uint64, now float64, cold bool, send func(netip.AddrPort, []byte)) *Switch {
 	s := &Switch{Model: m, Slowdown: 1, startedAt: math.Inf(-1), now: now, lastReport: now, calls: map[string]*call{},
 		lastHeard: map[netip.AddrPort]float64{}}
@@ -122,7 +124,8 @@
 	return s
 }
 
-// CapacityFraction is what the processor can do now, as a share of its full speed without slowing: cold share to 1.
+// CapacityFraction returns the speed of the processor as a fraction of full speed, from ColdShare to 1 during slow
+// start. Slowdown and OtherLoad are not included.
 func (s *Switch) CapacityFraction(now float64) float64 {
 	if now-s.startedAt >= s.Warm {
 		return 1
@@ -132,7 +135,7 @@
 
 func (s *Switch) speed() float64 { return s.CapacityFraction(s.now) / s.Slowdown * (1 - s.OtherLoad) }
 
-// Receive takes a datagram.
+// Receive handles a datagram.
 func (s *Switch) Receive(now float64, from netip.AddrPort, data []byte) {
 	s.now = now
 	if !s.Overloaded {
@@ -140,7 +143,7 @@
 	}
 }
 
-// Step runs what is due.
+// Step runs the timers that are due.
 func (s *Switch) Step(now float64) {
 	s.now, s.sip.Now = now, now
 	if !s.Overloaded {
@@ -148,7 +151,7 @@
 	}
 }
 
-// NextWakeup is when Wake is wanted.
+// NextWakeup returns when Step must be called next.
 func (s *Switch) NextWakeup() float64 {
 	if s.Overloaded {
 		return math.Inf(1)
@@ -156,7 +159,7 @@
 	return s.timers.Next()
 }
 
-// EstablishedCalls are the established calls here, by their sessions.
+// EstablishedCalls returns the session IDs of the established calls, in no particular order.
 func (s *Switch) EstablishedCalls() []string {
 	var sessions []string
 	for _, c := range s.calls {
@@ -167,7 +170,7 @@
 	return sessions
 }
 
-// ReleaseAll releases all calls with a BYE that says that they were cut, in order of their coming.
+// ReleaseAll releases all established calls with a BYE whose Reason is a temporary failure, in order of their tags.
 func (s *Switch) ReleaseAll(now float64) {
 	s.now, s.sip.Now = now, now
 	for _, c := range s.sortedCalls() {
@@ -175,7 +178,8 @@
 	}
 }
 
-// LoseCircuits takes lines away, so that a share of them is left; calls on lost ones are cut.
+// LoseCircuits takes lines out of service so that the fraction left of them remains, and releases calls until the
+// remaining lines suffice.
 func (s *Switch) LoseCircuits(now, fraction float64) {
 	s.now, s.sip.Now = now, now
 	s.linesLost = int(float64(s.Lines) * (1 - fraction))
@@ -225,7 +229,8 @@
 	}
 }
 
-// queueingDelay is how long a setup that comes now will wait: those before it, without the answers and releases behind them.
+// queueingDelay returns how long a setup that arrives now will wait. Setups are served before answers and releases,
+// so only queued setups and probes count.
 func (s *Switch) queueingDelay() float64 {
 	w := 0.0
 	for _, j := range s.setupQueue {
@@ -251,7 +256,7 @@
 		}
 		sv.Respond(s.withLoadReport(siptransaction.Response(req, 200, "OK", "")))
 		c.ended = true
-		c.server.Acknowledge() // a BYE may overtake the ACK
+		c.server.Acknowledge() // the BYE may overtake the ACK
 		delete(s.calls, c.tag)
 		s.enqueue(&s.otherQueue, &job{work: s.Release, do: c.freeLine})
 	case sip.OPTIONS:
@@ -285,13 +290,13 @@
 	s.enqueue(&s.setupQueue, c.job)
 }
 
-// setUp is the end of a setup's work.
+// setUp runs when the processor has finished the setup.
 func (c *call) setUp() {
 	s, sv, req := c.sw, c.server, c.req
 	c.job = nil
 	s.SetupsDone++
 	switch {
-	case sv.Final() != 0: // canceled, and still worked on
+	case sv.Final() != 0: // canceled, but WorksOn had it processed
 	case s.ErrorRate > 0 && s.random.Float64() < s.ErrorRate:
 		sv.Respond(s.withLoadReport(siptransaction.Response(req, 500, "Server Internal Error", c.tag)))
 	case s.linesInUse >= s.Lines-s.linesLost:
@@ -356,7 +361,8 @@
 	}
 }
 
-// overloads counts work that reaches a cold processor; it tells whether that pushed it over.
+// overloads records work that arrives at a processor in slow start and reports whether that has overloaded the
+// switch, which then stays down.
 func (s *Switch) overloads(work float64) bool {
 	if s.now-s.startedAt >= s.Warm || s.OverloadFactor <= 0 {
 		return false
@@ -371,7 +377,7 @@
 	}
 	s.arrivals = keep
 	limit := s.OverloadFactor * s.CapacityFraction(s.now) * s.OverloadWindow
-	if sum > limit+math.Sqrt(limit*s.Setup)+s.Setup { // some slack for chance
+	if sum > limit+math.Sqrt(limit*s.Setup)+s.Setup { // allows for random variation of arrivals
 		s.Overloaded, s.OverloadedAt = true, s.now
 	}
 	return s.Overloaded
@@ -409,7 +415,7 @@
 	})
 }
 
-// makeReport makes a report that will be seen when it has aged.
+// makeReport makes a load report, which becomes visible after ReportDelay.
 func (s *Switch) makeReport() {
 	interval := math.Max(1, s.now-s.lastReport)
 	busyTime := s.busyTime
@@ -431,7 +437,7 @@
 	s.timers.Schedule(s.now+s.ReportInterval, s.makeReport)
 }
 
-// withLoadReport puts the report into an answer.
+// withLoadReport adds the visible load report to a response.
 func (s *Switch) withLoadReport(res *sip.Response) *sip.Response {
 	for len(s.loadReports) > 1 && s.loadReports[1].visibleAt <= s.now {
 		s.loadReports = s.loadReports[1:]
@@ -469,7 +475,7 @@
 	return res
 }
 
-// activeSenders is the number of senders heard within ten seconds, at least one.
+// activeSenders returns the number of senders heard from within the last ten seconds, at least 1.
 func (s *Switch) activeSenders() int {
 	n := 0
 	for a, at := range s.lastHeard {
--- a/internal/emulator/scenario/arrivals.go
+++ b/internal/emulator/scenario/arrivals.go
@@ -13,10 +13,10 @@
 
 //tally:standin
 
-// lastArrivalMargin is how long before the day's end the last call arrives, in ms.
+// lastArrivalMargin is how long before the scenario's end the last call arrives, in ms.
 const lastArrivalMargin = 1000
 
-// planArrivals plans the calls of the whole day: those of the script's trace, else drawn ones.
+// planArrivals plans all calls: those of the script's trace if it has one, otherwise random ones.
 func (st *Scenario) planArrivals() {
 	switch {
 	case len(st.Script.Calls) > 0:
@@ -26,7 +26,7 @@
 	}
 }
 
-// drawArrivals draws a Poisson process at the day's highest rate and thins it to the rate of each moment.
+// drawArrivals draws a Poisson process at the highest rate of the scenario and thins it to the rate at each time.
 func (st *Scenario) drawArrivals() {
 	draw := newArrivalDraw(st)
 	for at := 0.0; ; {
@@ -50,14 +50,14 @@
 	}
 }
 
-// arrivalDraw is the state of drawing a day's arrivals.
+// arrivalDraw is the state of drawing arrivals.
 type arrivalDraw struct {
 	scenario *Scenario
 	random   *siptransaction.Generator
-	peak     float64       // the highest rate of the day over the script's rate
-	favoured map[int][]int // by number of an "uneven" trouble: the gateways that get more than their share
-	segment  int           // of the day, between changes of the groups' weights
-	weights  []float64     // of the trunk groups in this segment
+	peak     float64       // highest rate divided by the script's rate
+	favoured map[int][]int // gateways that get more than their share, by index of the "uneven" fault
+	segment  int           // index of the current segment; weights are redrawn between segments
+	weights  []float64     // of the trunk groups in the current segment
 }
 
 func newArrivalDraw(st *Scenario) *arrivalDraw {
@@ -73,7 +73,7 @@
 	return draw
 }
 
-// someGateways draws a share of the gateways, one at least, with replacement.
+// someGateways draws a share of the gateways, at least one, with replacement.
 func (draw *arrivalDraw) someGateways(share float64) []int {
 	count := float64(len(draw.scenario.Gateways))
 	var gateways []int
@@ -84,7 +84,8 @@
 	return slices.Compact(gateways)
 }
 
-// rateAndGateway returns the rate at a time, over the script's rate, and the gateway that a call of then goes to.
+// rateAndGateway returns the rate at a time, divided by the script's rate, and the gateway of a call that arrives
+// then.
 func (draw *arrivalDraw) rateAndGateway(at float64) (factor float64, gateway int) {
 	factor = 1
 	gateway = int(draw.random.Float64() * float64(len(draw.scenario.Gateways)))
@@ -105,7 +106,7 @@
 	return factor, gateway
 }
 
-// arrival draws the call that arrives at a time.
+// arrival draws a call that arrives at a time.
 func (draw *arrivalDraw) arrival(at float64) *callers.Arrival {
 	st, random := draw.scenario, draw.random
 	draw.updateWeights(at)
@@ -133,7 +134,7 @@
 	}
 }
 
-// updateWeights draws the trunk groups' weights anew when a segment of the day begins.
+// updateWeights redraws the trunk groups' weights when a segment begins.
 func (draw *arrivalDraw) updateWeights(at float64) {
 	load := draw.scenario.Script.Load
 	segment := int(at / load.Drift)
@@ -146,7 +147,7 @@
 	}
 }
 
-// replay plans the calls of a trace in place of drawn ones.
+// replay plans the calls of a trace.
 func (st *Scenario) replay() {
 	classes := map[string]scenariofile.Class{}
 	for _, class := range st.Script.Classes {
@@ -186,7 +187,7 @@
 	}
 }
 
-// flood sends one gateway many calls of the least value.
+// flood plans many calls of the class of the lowest value, all to one gateway.
 func (st *Scenario) flood(t scenariofile.Trouble) {
 	s, random := st.Script, &st.random
 	lowest := s.Classes[0]
--- a/internal/emulator/scenario/days/kiosks.hcl
+++ b/internal/emulator/scenario/days/kiosks.hcl
@@ -1,4 +1,4 @@
-# Kiosks ask by ENUM which switch to call: 700 look-ups a second beside calls, tables that change, faults.
+# ENUM clients look up which switch to call: 700 look-ups per second beside calls, changing number tables, faults.
 name    = "kiosks"
 length  = "60s"
 regions = ["montreal", "saguenay"]
--- a/internal/emulator/scenario/days/large.hcl
+++ b/internal/emulator/scenario/days/large.hcl
@@ -1,4 +1,4 @@
-# A day at full size: 273 gateways, 12 switches, 840 contacts a second, a region's switches restarting together.
+# Full size: 273 gateways, 12 switches, 840 calls per second; the switches of a region restart together.
 name    = "large"
 length  = "60s"
 regions = ["saguenay", "rimouski", "trois-rivieres", "gatineau"]
--- a/internal/emulator/scenario/days/numbers.hcl
+++ b/internal/emulator/scenario/days/numbers.hcl
@@ -1,4 +1,4 @@
-# Numbers are analysed and looked up, tables change every second: 8 gateways, 700 contacts a second, five minutes.
+# Numbers are analysed and looked up; tables change every second. 8 gateways, 700 calls per second, five minutes.
 name    = "numbers"
 length  = "300s"
 regions = ["montreal", "saguenay"]
--- a/internal/emulator/scenario/days/plain.hcl
+++ b/internal/emulator/scenario/days/plain.hcl
@@ -1,4 +1,4 @@
-# The plain small day that hunts draw from: slow switches, so that few contacts are a load.
+# Small base scenario for hunts: the switches are slow, so that few calls suffice to load them.
 name    = "plain"
 length  = "10s"
 regions = ["montreal", "saguenay"]
--- a/internal/emulator/scenario/days/quiet.hcl
+++ b/internal/emulator/scenario/days/quiet.hcl
@@ -1,4 +1,4 @@
-# A quiet day without trouble: what the design does when nothing presses.
+# No faults and low load: shows the routing design by itself.
 name    = "quiet"
 length  = "40s"
 regions = ["montreal", "saguenay"]
--- a/internal/emulator/scenario/days/trouble.hcl
+++ b/internal/emulator/scenario/days/trouble.hcl
@@ -1,4 +1,4 @@
-# A day of trouble: every kind of the users' brief at least once. 8 gateways, 4 switches, 300 contacts a second.
+# Every kind of fault that the requirements name, at least once. 8 gateways, 4 switches, 300 calls per second.
 name    = "trouble"
 length  = "70s"
 regions = ["montreal", "saguenay"]
--- a/internal/emulator/scenario/days/try.hcl
+++ b/internal/emulator/scenario/days/try.hcl
@@ -1,4 +1,4 @@
-# A short day for a first look: 4 gateways, 3 switches, 120 contacts a second, a few troubles, half a minute.
+# Short scenario for a first try: 4 gateways, 3 switches, 120 calls per second, a few faults, half a minute.
 name    = "try"
 length  = "24s"
 regions = ["montreal", "saguenay"]
--- a/internal/emulator/scenario/design.go
+++ b/internal/emulator/scenario/design.go
@@ -12,22 +12,22 @@
 	"cobaltpier/internal/protocol/siptransaction"
 )
 
-// Shares compares what the wire shows with the design (S2-082110): first attempts go to the destination; of calls whose
-// destination takes nothing, endpoints are drawn with tickets of total capacity times the square of relative capacity.
-// The latter is computed from the load reports that each gateway had received when it sent.
+// Shares compares the captured traffic with the design (S2-082110): first attempts go to the destination; if the
+// destination takes no calls, an endpoint is drawn with a weight of its total capacity times the square of its
+// unused fraction, computed from the load reports that the gateway had received when it sent the attempt.
 type Shares struct {
-	AtDestination, FirstAttempts int       // first attempts at the destination, and all whose destination was there
-	Drawn                        []int     // by endpoint, of calls whose destination drains
-	Expected                     []float64 // by the formula
+	AtDestination, FirstAttempts int       // of calls whose destination is not draining: sent to it, and in all
+	Drawn                        []int     // first attempts of calls whose destination drains, by endpoint
+	Expected                     []float64 // expected value of Drawn by the formula
 	Variance                     []float64
-	destinations                 map[string]int             // by session
-	util                         map[string]map[int]float64 // by gateway and endpoint
+	destinations                 map[string]int             // by session ID
+	util                         map[string]map[int]float64 // reported utilization, by gateway and endpoint
 	endpoints                    map[string]int             // by address
 	lines                        []float64
-	draining                     int // the endpoint that drains, -1: none
+	draining                     int // number of the draining endpoint, -1: none
 }
 
-// NewShares follows a stage whose endpoint draining drains from the start, -1: none.
+// NewShares returns the Shares of a scenario in which one endpoint drains from the start, -1: none.
 func NewShares(st *Scenario, draining int) *Shares {
 	s := &Shares{
 		destinations: map[string]int{},
@@ -56,7 +56,7 @@
 	}
 }
 
-// Add takes the next record of the capture; the first second does not count.
+// Add processes the next record of the capture. Attempts of the first second are not counted.
 func (s *Shares) Add(r *api.Record) {
 	d := r.GetDatagram()
 	if d == nil {
@@ -78,7 +78,7 @@
 	}
 }
 
-// addLoad takes the utilization that an endpoint reports to a gateway.
+// addLoad stores the utilization that an endpoint reports to a gateway.
 func (s *Shares) addLoad(endpoint int, gateway string, m *sip.Response) {
 	for field := range strings.SplitSeq(siptransaction.HeaderValue(m, siptransaction.Load), ";") {
 		value, ok := strings.CutPrefix(field, "util=")
@@ -92,7 +92,8 @@
 	}
 }
 
-// addInvite takes a call from a client, or its first attempt at an endpoint; later attempts don't count.
+// addInvite processes a call from a client or an attempt at an endpoint; only the first attempt of a call is
+// counted.
 func (s *Shares) addInvite(at float64, d *api.Datagram, m *sip.Request) {
 	session := siptransaction.SessionIDOf(m)
 	endpoint, isAttempt := s.endpoints[d.To]
@@ -117,7 +118,7 @@
 	}
 }
 
-// destinationOf returns the number of the trunk group that a call names.
+// destinationOf returns the number of the trunk group named in a call.
 func destinationOf(m *sip.Request) (destination int, ok bool) {
 	_, group, _ := strings.Cut(m.Recipient.User, "tgrp=TG-")
 	digits, _, _ := strings.Cut(group, ";")
@@ -125,7 +126,7 @@
 	return destination, err == nil
 }
 
-// addDraw counts a draw of the lottery, and what the formula expects of it.
+// addDraw counts a randomly chosen endpoint and adds the probabilities that the formula gives.
 func (s *Shares) addDraw(endpoint int, gateway string) {
 	total, weights := 0.0, make([]float64, len(s.Drawn))
 	for i := range weights {
@@ -147,7 +148,7 @@
 	}
 }
 
-// Deviation is the largest distance of an endpoint's draws from the formula, in standard deviations.
+// Deviation returns the largest deviation of an endpoint's draws from the formula, in standard deviations.
 func (s *Shares) Deviation() (largest float64) {
 	for i, n := range s.Drawn {
 		if s.Variance[i] > 0 {
--- a/internal/emulator/scenario/endpointlist.go
+++ b/internal/emulator/scenario/endpointlist.go
@@ -10,15 +10,15 @@
 	return &api.Member{Id: p.id, Number: int32(p.number), State: p.state, AgeMs: p.startedAt, Addr: p.addr.String()}
 }
 
-// publishLater lets the list know of a machine after a while.
+// publishLater puts a change on the list after a random delay between lo and hi ms.
 func (st *Scenario) publishLater(m *api.Member, lo, hi float64) {
 	st.World.At(st.World.Now+lo+(hi-lo)*st.random.Float64(), func() { st.publish(m) })
 }
 
-// publish puts a change on the list and sends it to every gateway that follows.
+// publish puts a change on the list and sends it to the gateways.
 func (st *Scenario) publish(m *api.Member) {
 	if st.listSilent {
-		st.World.At(st.World.Now+500, func() { st.publish(m) }) // it learns of it when it is back
+		st.World.At(st.World.Now+500, func() { st.publish(m) }) // retried until the list is back
 		return
 	}
 	st.version++
@@ -38,7 +38,7 @@
 	}
 }
 
-// sendUpdates sends a gateway all changes that it has not had.
+// sendUpdates sends a gateway all changes that it has not received yet.
 func (st *Scenario) sendUpdates(g *Gateway) {
 	if g.down {
 		return
@@ -51,12 +51,12 @@
 	}
 }
 
-// FullList is the list as its keeper has it.
+// FullList returns the complete list.
 func (st *Scenario) FullList() *api.Update {
 	return &api.Update{Version: st.version, Whole: true, Members: st.members}
 }
 
-// Welcome sends a gateway that starts the whole list; or, where it had one, what changed since.
+// Welcome sends a starting gateway the complete list or, if it has version have already, the changes since then.
 func (st *Scenario) Welcome(g *Gateway, have uint64) {
 	if have > 0 && have <= st.version {
 		g.listVersion = have
--- a/internal/emulator/scenario/enumclients.go
+++ b/internal/emulator/scenario/enumclients.go
@@ -13,16 +13,16 @@
 	"cobaltpier/internal/protocol/enumserver"
 )
 
-// ENUMApex is the domain that kiosks ask under.
+// ENUMApex is the domain under which ENUM clients look up numbers.
 const ENUMApex = "kiosk.lab."
 
-// enumCaller is a kiosk's own calls to one switch.
+// enumCaller makes the calls of ENUM clients to one switch.
 type enumCaller struct {
 	*callers.Callers
 	node *simulation.Node
 }
 
-// setupENUMClients plans the visits and puts the kiosks' nodes in.
+// setupENUMClients adds the nodes of the ENUM clients and plans their look-ups.
 func (st *Scenario) setupENUMClients() {
 	s := st.Script
 	if s.Kiosks.Rate <= 0 {
@@ -67,7 +67,7 @@
 	}
 }
 
-// callFromENUMClient lets a kiosk call the switch that was named.
+// callFromENUMClient plans the call to the switch that a look-up has named.
 func (st *Scenario) callFromENUMClient(g *Gateway, now float64, v *enumclient.Visit, user string, to netip.AddrPort) {
 	sim := st.World
 	caller := g.enumCallers[to]
@@ -107,7 +107,7 @@
 	caller.node.ScheduleWakeup()
 }
 
-// FrontConfig is how the gateways answer look-ups.
+// FrontConfig returns the configuration of the gateways' ENUM servers.
 func (st *Scenario) FrontConfig() enumserver.Config {
 	return enumserver.Config{
 		Apex:       ENUMApex,
@@ -128,13 +128,13 @@
 	}
 }
 
-// KioskService is what became of the kiosks' calls.
+// KioskService is the result of the look-ups and calls of the ENUM clients.
 type KioskService struct {
 	Visits, Named, Stood, Cut, None, Silent int
-	Waits                                   []float64 // from the visit to the endpoint's name, ms
+	Waits                                   []float64 // time to a look-up's answer, in ms
 }
 
-// KioskService adds up.
+// KioskService sums up the results of all ENUM clients.
 func (st *Scenario) KioskService() KioskService {
 	var s KioskService
 	for _, g := range st.Gateways {
@@ -166,7 +166,7 @@
 	return s
 }
 
-// enumMachine is a gateway's front in virtual time.
+// enumMachine passes datagrams to the ENUM server of a gateway in virtual time.
 type enumMachine struct{ gateway *VirtualGateway }
 
 // Receive implements simulation.Machine.
--- a/internal/emulator/scenario/faults.go
+++ b/internal/emulator/scenario/faults.go
@@ -8,7 +8,7 @@
 	"cobaltpier/internal/emulator/scenariofile"
 )
 
-// scheduleFault plans one thing that goes wrong.
+// scheduleFault schedules a fault.
 func (st *Scenario) scheduleFault(t scenariofile.Trouble) {
 	if t.Kind == "deploy" {
 		st.planDeploy(t)
@@ -30,8 +30,8 @@
 
 func noEffect() {}
 
-// faultEffects returns what a trouble does when it begins and when it ends; nil: the day has nothing that it concerns. The
-// endpoints concerned are drawn at once, so that the draw doesn't depend on what happens before.
+// faultEffects returns what a fault does when it begins and when it ends; nil: the scenario has nothing that it
+// affects. The affected endpoints are drawn now, so that the draw doesn't depend on what happens before the fault.
 func (st *Scenario) faultEffects(t scenariofile.Trouble) (begin, end func()) {
 	switch t.Kind {
 	case "slow":
@@ -65,7 +65,7 @@
 	case "names_silent", "names_slow", "names_lossy", "names_spoofed", "names_cut", "names_lame", "names_wrong":
 		return st.dnsFaultEffects(t)
 	}
-	return noEffect, noEffect // "burst", "uneven", "flood": the drawing of arrivals has it
+	return noEffect, noEffect // "burst", "uneven" and "flood" act on the arrivals
 }
 
 func slowDown(endpoints []*endpoint, factor float64) (begin, end func()) {
@@ -79,7 +79,7 @@
 	return set(factor), set(1)
 }
 
-// loseCircuits leaves the endpoints of a region a share of their circuits; due wakes them for the calls that are cut.
+// loseCircuits leaves the endpoints of a region a share of their circuits; due lets them release calls at once.
 func (st *Scenario) loseCircuits(region string, share float64, due bool) {
 	for _, p := range st.endpointsIn(region) {
 		p.coreSwitch.LoseCircuits(st.World.Now, share)
@@ -102,7 +102,7 @@
 	}
 }
 
-// planDeploy replaces endpoints one after the other.
+// planDeploy schedules the replacement of endpoints, one after the other.
 func (st *Scenario) planDeploy(t scenariofile.Trouble) {
 	endpoints := st.drawEndpoints(t)
 	st.World.At(t.At, func() {
@@ -116,7 +116,7 @@
 // restartGateways kills gateways and starts each again after 0.3 to 1 s.
 func (st *Scenario) restartGateways(gateways []*Gateway) {
 	for _, g := range gateways {
-		if g.down { // killed already by another trouble
+		if g.down { // already killed by another fault
 			continue
 		}
 		g.down = true
@@ -130,7 +130,7 @@
 	}
 }
 
-// drawEndpoints draws a part of the places, at least one.
+// drawEndpoints draws the endpoints that a fault affects, at least one.
 func (st *Scenario) drawEndpoints(t scenariofile.Trouble) []*endpoint {
 	endpoints := st.endpointsIn(t.Region)
 	n := max(1, int(math.Round(t.Part*float64(len(endpoints)))))
@@ -151,7 +151,7 @@
 	return gateways[:min(len(gateways), max(1, int(math.Round(t.Part*float64(len(gateways))))))]
 }
 
-// endpointsIn is the places of a region, or all.
+// endpointsIn returns the endpoints of a region; "" is all regions.
 func (st *Scenario) endpointsIn(region string) []*endpoint {
 	var endpoints []*endpoint
 	for _, p := range st.endpoints {
@@ -180,7 +180,7 @@
 	sim.At(math.Min(end, sim.Now+500+2000*st.random.Float64()), func() { st.toggleOtherLoad(endpoints, load, end) })
 }
 
-// age slows a process step by step, then it dies and comes back.
+// age slows switches down step by step, then kills and restarts them.
 func (st *Scenario) age(endpoints []*endpoint, t scenariofile.Trouble, step int) {
 	const steps = 10
 	for _, p := range endpoints {
@@ -198,18 +198,18 @@
 	}
 }
 
-// delistLater lets the list learn, late, that a process is silent.
+// delistLater puts a silent switch on the list as gone, after a delay.
 func (st *Scenario) delistLater(p *endpoint) {
 	incarnation, list := p.incarnation, st.Script.List
 	st.World.At(st.World.Now+list.SilentLo+(list.SilentHi-list.SilentLo)*st.random.Float64(), func() {
-		if p.incarnation == incarnation { // not back meanwhile
+		if p.incarnation == incarnation { // not restarted meanwhile
 			p.state = api.State_GONE
 			st.publish(p.member())
 		}
 	})
 }
 
-// restart starts a process anew on the same machine: cold.
+// restart starts a new switch process, cold, at the same address.
 func (st *Scenario) restart(p *endpoint) {
 	p.incarnation++
 	p.state, p.startedAt = api.State_READY, st.World.Now
@@ -217,7 +217,7 @@
 	st.publishLater(p.member(), st.Script.List.AddLo, st.Script.List.AddHi)
 }
 
-// replace drains a place's machine and puts a new one, cold, beside it.
+// replace drains an endpoint's switch and starts a new one, cold, at another address.
 func (st *Scenario) replace(p *endpoint) {
 	sim, list := st.World, st.Script.List
 	old := *p
@@ -242,7 +242,7 @@
 	st.publishLater(p.member(), list.AddLo, list.AddHi)
 }
 
-// stall lets gateways stand still, again and again.
+// stall pauses gateways repeatedly, each time for pause ms.
 func (st *Scenario) stall(gateways []*Gateway, pause, end float64) {
 	sim := st.World
 	if sim.Now >= end {
--- a/internal/emulator/scenario/guards_test.go
+++ b/internal/emulator/scenario/guards_test.go
@@ -10,7 +10,7 @@
 	"cobaltpier/internal/routing"
 )
 
-// faultyPolicy is a module that breaks one rule and leaves the rest to the real one.
+// faultyPolicy violates one rule and leaves other decisions to the real policy.
 type faultyPolicy struct {
 	routing.Policy
 	host      routing.Host
@@ -36,16 +36,16 @@
 func (r *faultyPolicy) OnCall(now float64, c *routing.Call) {
 	r.calls++
 	switch {
-	case r.rule == 1 && r.calls%10 == 0: // an attempt after the answer
+	case r.rule == 1 && r.calls%10 == 0: // an attempt after the final answer
 		r.host.Reject(c, 0)
 		r.host.StartAttempt(c, r.endpoints[0], 1000)
-	case r.rule == 1 && r.calls%10 == 5: // forgotten
-	case r.rule == 2 && r.calls%10 == 0: // two at once
+	case r.rule == 1 && r.calls%10 == 5: // never answered
+	case r.rule == 2 && r.calls%10 == 0: // two attempts at once
 		r.host.StartAttempt(c, r.endpoints[0], 1000)
 		r.host.StartAttempt(c, r.endpoints[1], 1000)
-	case r.rule == 3: // to endpoints that drain as to any
+	case r.rule == 3: // to any endpoint, draining or not
 		r.host.StartAttempt(c, r.endpoints[r.calls%len(r.endpoints)], c.Deadline-now)
-	case r.rule == 5 && r.calls%3 == 0: // canceled at once, and sent again as soon as that is over
+	case r.rule == 5 && r.calls%3 == 0: // canceled after 8 ms and sent again as soon as the attempt has ended
 		r.host.StartAttempt(c, r.endpoints[0], c.Deadline-now)
 		r.host.ScheduleWakeup(now+8, c)
 	default:
@@ -95,7 +95,8 @@
 	return s
 }
 
-// runAndCheck plays a day and returns what the checker finds; build makes the module, change may alter each gateway.
+// runAndCheck runs a scenario and returns the checker. build creates the policies; disabledGuard is the rule whose
+// guard is off, 0 for none.
 func runAndCheck(s *scenariofile.Script, build routing.PolicyFactory, disabledGuard int) *conformance.Checker {
 	k := conformance.New()
 	st := New(s, 5060, func(r *api.Record) { k.Add(r) })
@@ -106,8 +107,8 @@
 	return k
 }
 
-// TestGuardsAndChecker shows for each rule that a module which breaks it is held by the agent, and that with that guard
-// switched off the checker sees the rule broken in the traffic.
+// TestGuardsAndChecker checks for each rule that the agent stops a policy that violates it, and that with this guard
+// switched off the checker finds the violation in the traffic.
 func TestGuardsAndChecker(t *testing.T) {
 	for _, rule := range []int{1, 2, 3, 5} {
 		newPolicy := func(settings *routing.Settings, h routing.Host) routing.Policy {
@@ -123,7 +124,8 @@
 	}
 }
 
-// TestSlowStartGuardAndChecker is rule 4's: the guard is the module's budget, and without its figures there is none.
+// TestSlowStartGuardAndChecker is the same for rule 4, whose guard is the budget in the policy: without an overload
+// factor in its settings there is no budget.
 func TestSlowStartGuardAndChecker(t *testing.T) {
 	for _, guarded := range []bool{true, false} {
 		s := shortScenario(t)
@@ -143,7 +145,7 @@
 	}
 }
 
-// overloadingPolicy sends all it has to an endpoint that starts.
+// overloadingPolicy sends all calls to an endpoint in slow start.
 type overloadingPolicy struct{ faultyPolicy }
 
 func (p *overloadingPolicy) OnCall(now float64, c *routing.Call) {
--- a/internal/emulator/scenario/load.go
+++ b/internal/emulator/scenario/load.go
@@ -15,11 +15,11 @@
 //go:embed days/*.hcl
 var builtIn embed.FS
 
-// Day is one of the days that come with the program, with some values changed ("endpoints.count=6").
+// Day returns one of the built-in scenarios, with some values overridden, e.g. "pools.count=6".
 func Day(name string, set ...string) (*scenariofile.Script, error) {
 	src, err := builtIn.ReadFile("days/" + name + ".hcl")
 	if err != nil {
-		return nil, fmt.Errorf("day %q: not among those that come with the program: %s", name,
+		return nil, fmt.Errorf("scenario %q: not among the built-in ones: %s", name,
 			strings.Join(BuiltInNames(), ", "))
 	}
 	b, err := hclconfig.Parse(name+".hcl", src)
@@ -29,7 +29,7 @@
 	return readWithOverrides(b, set)
 }
 
-// BuiltInNames are the names of the days that come with the program.
+// BuiltInNames returns the names of the built-in scenarios.
 func BuiltInNames() []string {
 	var names []string
 	files, err := builtIn.ReadDir("days")
@@ -42,22 +42,23 @@
 	return names
 }
 
-// Load reads a day: a file of HCL, one of JSON as hunts write them, or the name of one that comes with the program.
+// Load reads a scenario: an HCL file, a JSON file as written by hunts or by the external simulator, or a built-in
+// one by its name. Overrides are not applied to JSON files.
 func Load(name string, set ...string) (*scenariofile.Script, error) {
 	switch {
 	case strings.HasSuffix(name, ".json"):
 		src, err := os.ReadFile(name)
 		if err != nil {
-			return nil, fmt.Errorf("day: %w", err)
+			return nil, fmt.Errorf("scenario: %w", err)
 		}
 		var head struct{ V int }
-		if err := json.Unmarshal(src, &head); err == nil && head.V > 0 { // a day of the bench
+		if err := json.Unmarshal(src, &head); err == nil && head.V > 0 { // written by the external simulator
 			s, _, err := scenariofile.FromSimulator(src)
 			return s, err
 		}
 		s := &scenariofile.Script{}
 		if err := json.Unmarshal(src, s); err != nil {
-			return nil, fmt.Errorf("day %s: %w", name, err)
+			return nil, fmt.Errorf("scenario %s: %w", name, err)
 		}
 		return s, nil
 	case strings.HasSuffix(name, ".hcl"):
--- a/internal/emulator/scenario/numbers.go
+++ b/internal/emulator/scenario/numbers.go
@@ -14,26 +14,26 @@
 	"cobaltpier/internal/protocol/portability"
 )
 
-// Apex is the domain under which a day's portability stands.
+// Apex is the domain under which ported numbers are looked up.
 const Apex = "e164.lab."
 
-// Numbering are a day's stand-ins for DNS servers and its number tables.
+// Numbering holds the DNS server stand-ins and the number tables of a scenario.
 type Numbering struct {
 	Servers        []*dnsserver.Server
 	Addrs          []netip.AddrPort
-	Alter          func(i int, do func(*dnsserver.Server)) // changes a server; one behind a socket needs a lock
-	Version        uint64                                  // of the table that is in force
+	Alter          func(i int, do func(*dnsserver.Server)) // changes server i; a real one must be locked
+	Version        uint64                                  // of the latest table
 	tables         map[uint64]*Table
-	DialledNumbers int // calls' numbers, drawn
+	DialledNumbers int // numbers drawn for calls
 }
 
-// Table is a table in both forms.
+// Table is a number table, compiled and in packed form.
 type Table struct {
 	*numberplan.Table
 	Form []byte
 }
 
-// setupNumbering makes the servers; in virtual time they are nodes of the world.
+// setupNumbering creates the DNS servers and schedules the changes of the number table.
 func (st *Scenario) setupNumbering() {
 	s := st.Script.Numbers
 	if !st.Script.Analyses() {
@@ -81,16 +81,17 @@
 	}
 }
 
-// TableIn notes that a gateway has a table in force.
+// TableIn records that a gateway uses a table.
 func (st *Scenario) TableIn(gateway int, version uint64) {
 	st.Mark("table-in", st.Gateways[gateway].Name, strconv.FormatUint(version, 10), nil)
 }
 
-// Mark4 is what a table of a version puts before every number, so that the wire shows which table it was.
+// Mark4 returns the prefix that a table of a version adds to every number, so that the traffic shows which table was
+// used.
 func Mark4(version uint64) string { return strconv.FormatUint(1000+version%9000, 10) }
 
-// Table makes the table of a version: all say the same, but in every step they use a mark of their own, so that a
-// call that was analysed by parts of two would go nowhere.
+// Table returns the table of a version. All versions route alike, but each uses its own prefix in every step: a call
+// analysed partly by one table and partly by another would have no route.
 func (st *Scenario) Table(version uint64) *Table {
 	if t := st.Names.tables[version]; t != nil {
 		return t
@@ -124,7 +125,7 @@
 	}
 	t, err := numberplan.Compile(form)
 	if err != nil {
-		panic(err) // the text above is wrong
+		panic(err) // the table above is invalid
 	}
 	packed, err := numberplan.Pack(form)
 	if err != nil {
@@ -134,14 +135,14 @@
 	return st.Names.tables[version]
 }
 
-// dialledNumber is the number that a caller of a destination dials.
+// dialledNumber returns a number of a destination; draw is a random number in [0, 1).
 func (st *Scenario) dialledNumber(destination int, draw float64) string {
 	numbersPerDestination := max(1, st.Script.Load.Numbers/len(st.endpoints))
 	return fmt.Sprintf("+1418%03d%05d", destination,
 		int(math.Pow(draw, st.Script.Numbers.Popular)*float64(numbersPerDestination)))
 }
 
-// Resolve is how the gateways look up.
+// Resolve returns the configuration of the gateways' resolvers.
 func (st *Scenario) Resolve(seed uint64) dnsclient.Config {
 	s := st.Script.Numbers
 	c := dnsclient.Config{
@@ -167,7 +168,7 @@
 	return c
 }
 
-// dnsFaultEffects returns what a trouble of the DNS servers does when it begins and when it ends.
+// dnsFaultEffects returns what a fault of the DNS servers does when it begins and when it ends.
 func (st *Scenario) dnsFaultEffects(t scenariofile.Trouble) (begin, end func()) {
 	n := st.Names
 	if n == nil {
@@ -185,7 +186,7 @@
 	return begin, end
 }
 
-// applyFault gives a DNS server the fault of a trouble.
+// applyFault sets the fault at a DNS server.
 func applyFault(f *dnsserver.Faults, t scenariofile.Trouble) {
 	switch t.Kind {
 	case "names_silent":
@@ -205,7 +206,7 @@
 	}
 }
 
-// gatewayResolver are a gateway's resolver in virtual time: its ports and the servers are reached over the world's wire.
+// gatewayResolver is the resolver of a gateway in virtual time, with simulated paths to the DNS servers.
 type gatewayResolver struct {
 	gateway *VirtualGateway
 	client  *dnsclient.Client
@@ -226,7 +227,7 @@
 // NextWakeup implements b2bua.Lookup.
 func (l *gatewayResolver) NextWakeup() float64 { return l.client.NextWakeup() }
 
-// linkDelay is one way between a gateway and a DNS server, ms; lost: it does not come.
+// linkDelay draws the one-way delay in ms between a gateway and a DNS server, and whether the datagram is lost.
 func (l *gatewayResolver) linkDelay() (delay float64, lost bool) {
 	st := l.gateway.fleet.Scenario
 	n := st.Script.Net
@@ -260,7 +261,7 @@
 	})
 }
 
-// Stream implements dnsclient.Transport: a way there and back to begin with, then the question's own.
+// Stream implements dnsclient.Transport. Opening the connection takes a round trip before the query is sent.
 func (l *gatewayResolver) Stream(token uint64, to netip.AddrPort, data []byte, within float64) {
 	st := l.gateway.fleet.Scenario
 	delay, _ := l.linkDelay()
@@ -282,7 +283,7 @@
 	})
 }
 
-// LookupCounts adds up what the gateways' resolvers have seen, those of processes that were killed left out.
+// LookupCounts returns the sum of the resolvers' counts, without those of processes that were killed.
 func (v *Virtual) LookupCounts() dnsclient.Counts {
 	var sum dnsclient.Counts
 	for _, b := range v.Gateways {
--- a/internal/emulator/scenario/numbers_test.go
+++ b/internal/emulator/scenario/numbers_test.go
@@ -9,7 +9,7 @@
 	"cobaltpier/internal/protocol/b2bua"
 )
 
-// runNumbers plays a short day on which numbers are analysed and tables change every second.
+// runNumbers runs a short scenario in which numbers are analysed and tables change every second.
 func runNumbers(t *testing.T, change func(*scenariofile.Script)) (*Scenario, *Virtual, *conformance.Checker,
 	*conformance.Tables) {
 	t.Helper()
@@ -35,8 +35,9 @@
 	return st, v, k, tables
 }
 
-// Tables change every second, gateways are killed and stand still, DNS servers fail: each call is analysed wholly by a
-// table that was in force when it came, all rules are kept, and nobody keeps an old table when the day is over.
+// While tables change every second, gateways are killed and paused and DNS servers fail, each call must be analysed
+// by a single table that was in force when it arrived, all rules must be kept, and no call may hold an old table at
+// the end.
 func TestTableChangesUnderFaults(t *testing.T) {
 	st, v, _, tables := runNumbers(t, func(s *scenariofile.Script) {
 		s.Troubles = []scenariofile.Trouble{
@@ -64,8 +65,7 @@
 	}
 }
 
-// Each trouble of the DNS servers, all of them at once: callers are served, the rules kept, and what the resolver holds
-// is bounded and let go.
+// Under each fault at all DNS servers, callers must be served, the rules kept, and no look-up may be left open.
 func TestDNSFaults(t *testing.T) {
 	for _, c := range []scenariofile.Trouble{{Kind: "names_silent"}, {Kind: "names_slow", Size: 2}, {Kind: "names_lossy",
 		Size: 0.6}, {Kind: "names_spoofed", Size: 20},
@@ -97,9 +97,10 @@
 	}
 }
 
-// Kiosks ask which switch to call while switches drain and are replaced, one dies, gateways are killed and stand still
-// and datagrams are lost: one answer a look-up, none that names a switch known to drain, no call to one that was not
-// just named, and cold switches are not pushed over by callers and kiosks together.
+// ENUM clients look up which switch to call while switches drain and are replaced, one is killed, gateways are
+// killed and paused and datagrams are lost. Each look-up must get one answer, none may name a switch known to drain,
+// clients may only call a switch that was just named, and callers and ENUM clients together must not overload cold
+// switches.
 func TestENUMClientsUnderFaults(t *testing.T) {
 	st, v, k, _ := runNumbers(t, func(s *scenariofile.Script) {
 		s.Kiosks = scenariofile.Kiosks{Rate: 120, Hold: 4000, Loss: 0.05, Wait: 800, Repeats: 2, Asks: 2}
--- a/internal/emulator/scenario/scenario.go
+++ b/internal/emulator/scenario/scenario.go
@@ -1,5 +1,5 @@
-// Package scenario puts a script's day on: switches, callers, the endpoint list and the wire between them and the
-// gateways. The gateways themselves are the very edge machines in virtual time, or processes of their own behind real
+// Package scenario runs a script: it simulates the switches, the callers, the endpoint list and the network between
+// them and the gateways. The gateways are the real agents in virtual time, or separate processes behind real
 // sockets.
 package scenario
 
@@ -25,39 +25,39 @@
 	"cobaltpier/internal/routing"
 )
 
-// Context is the trunk-context of a day's groups.
+// Context is the trunk-context of the trunk groups.
 const Context = "laurentide.example"
 
-// Fleet is what a stage asks of whatever runs the gateways. Gateways are named by their number.
+// Fleet is implemented by whatever runs the gateways. Gateways are identified by their number.
 type Fleet interface {
-	List(gateway int, u *api.Update) // deliver a list
-	Halt(gateway int)                // stand still
-	Go(gateway int)
+	List(gateway int, u *api.Update) // sends an endpoint list or a change to it
+	Halt(gateway int)                // pauses it
+	Go(gateway int)                  // resumes it
 	Kill(gateway int)
 	Start(gateway int)
-	Table(gateway int, t *Table) // put a number table in service; TableIn is called when it is
+	Table(gateway int, t *Table) // installs a number table and calls TableIn when that is done
 }
 
-// Gateway is one edge's place on the stage.
+// Gateway holds a gateway's addresses and the clients that use it.
 type Gateway struct {
 	Number          int
 	Name            string
 	Addr            netip.AddrPort // SIP
-	Peer            netip.AddrPort // other gateways' messages
+	Peer            netip.AddrPort // for messages from other gateways
 	Region          string
 	Callers         *callers.Callers
 	callersNode     *simulation.Node
-	Kiosks          *enumclient.Kiosks // nil: none
-	Front           netip.AddrPort     // where look-ups are answered
-	FrontAt         *simulation.Node   // nil: nowhere
+	Kiosks          *enumclient.Kiosks // nil: no ENUM clients
+	Front           netip.AddrPort     // address of the ENUM server
+	FrontAt         *simulation.Node   // node of the ENUM server; nil: none
 	enumClientsNode *simulation.Node
 	enumCallers     map[netip.AddrPort]*enumCaller
 	Node            *simulation.Node
 	listVersion     uint64
-	down            bool // no list reaches it
+	down            bool // killed; the endpoint list is not sent
 }
 
-// endpoint is an endpoint with the machine that it has now.
+// endpoint is an endpoint with the switch process that serves it at present.
 type endpoint struct {
 	number      int
 	region      string
@@ -71,22 +71,23 @@
 	incarnation int
 }
 
-// Scenario is a day that goes on.
+// Scenario is a script that is being run.
 type Scenario struct {
 	Script    *scenariofile.Script
 	World     *simulation.Simulation
 	Gateways  []*Gateway
 	Fleet     Fleet
-	Record    func(*api.Record)                     // what the capture gets; may be nil
-	Say       func(at float64, what string)         // troubles as they begin and end; may be nil
-	Parse     func([]byte) (sip.Message, error)     // what all machines of the stage read with
-	OnCallEnd func(gateway int, f b2bua.CallRecord) // gets the record of each call, in virtual time; may be nil
-	Names     *Numbering                            // nil: callers name their trunk groups
-	// DisabledGuard is the rule whose guard in the gateways is switched off, to show that the checker sees it; 0: none.
+	Record    func(*api.Record)                     // gets the records of the capture; may be nil
+	Say       func(at float64, what string)         // gets a text for each mark but starts; may be nil
+	Parse     func([]byte) (sip.Message, error)     // parser used by all simulated machines
+	OnCallEnd func(gateway int, f b2bua.CallRecord) // gets the record of each call, in virtual time only; may be nil
+	Names     *Numbering                            // nil: numbers are not analysed; callers name their trunk groups
+	// DisabledGuard is the rule whose guard in the gateways is switched off, to test that the checker reports it; 0:
+	// none.
 	DisabledGuard routing.Rule
 	random        siptransaction.Generator
 	endpoints     []*endpoint
-	members       []*api.Member // of the list as its keeper knows it, with start times in AgeMs
+	members       []*api.Member // the complete endpoint list; AgeMs holds start times
 	version       uint64
 	updates       []*api.Update
 	extraLoss     float64
@@ -94,14 +95,14 @@
 	listSilent    bool
 }
 
-// New builds the stage of a script; base numbers the addresses' last but one byte so that stages don't meet. The
-// gateways are added by whoever runs them.
+// New returns the scenario of a script with all its nodes; port is the SIP port of the addresses. The caller
+// provides what runs the gateways, e.g. by NewVirtual.
 func New(s *scenariofile.Script, port int, record func(*api.Record)) *Scenario {
 	return build(s, port, 0, record)
 }
 
-// NewReal builds a stage whose gateways are behind sockets; records of different sockets may stand out of order by blur
-// ms.
+// NewReal is like New for gateways behind real sockets. Records of different sockets may be out of order by up to
+// blur ms.
 func NewReal(s *scenariofile.Script, port int, blur float64, record func(*api.Record)) *Scenario {
 	return build(s, port, blur, record)
 }
@@ -138,7 +139,7 @@
 	return st
 }
 
-// recordRules records what a checker must know of the day: blur is the records' disorder, in ms.
+// recordRules records the parameters of the rules for the checker. Records may be out of order by up to blur ms.
 func (st *Scenario) recordRules(blur float64) {
 	r := st.Script.Rules
 	st.record(
@@ -155,7 +156,7 @@
 	)
 }
 
-// addGateway adds gateway i with its callers.
+// addGateway adds gateway i and its callers.
 func (st *Scenario) addGateway(i, port int) {
 	s, sim := st.Script, st.World
 	region := s.Regions[i%len(s.Regions)]
@@ -186,7 +187,7 @@
 	st.recordNode(from, "caller", g.callersNode.Name)
 }
 
-// addEndpoint adds endpoint i, which has been ready for long when the day begins.
+// addEndpoint adds endpoint i, which is past slow start when the scenario begins.
 func (st *Scenario) addEndpoint(i, port int) {
 	s := st.Script
 	m := s.Pools.Model
@@ -214,7 +215,8 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(10*kind + i/250), 0, byte(1 + i%250)}), uint16(port))
 }
 
-// Addresses are those of the stand-ins and gateways, for whoever binds sockets.
+// Addresses returns the addresses of the stand-ins, those of replacement switches included, for binding real
+// sockets.
 func (st *Scenario) Addresses() []netip.AddrPort {
 	var addrs []netip.AddrPort
 	for _, g := range st.Gateways {
@@ -234,7 +236,7 @@
 	return addrs
 }
 
-// replacementAddr is the address of a place's nth replacement.
+// replacementAddr returns the address of an endpoint's nth replacement.
 func (st *Scenario) replacementAddr(p *endpoint, n int) netip.AddrPort {
 	a := addr(3, p.number, 0).Addr().As4()
 	a[1] = byte(30 + 10*n)
@@ -265,7 +267,7 @@
 	st.record(&api.Record_Node{Node: &api.Node{Addr: a.String(), Role: role, Name: name}})
 }
 
-// Mark notes something in the capture.
+// Mark records an event of the scenario in the capture.
 func (st *Scenario) Mark(what, name, text string, start *api.Start) {
 	st.record(&api.Record_Mark{Mark: &api.Mark{What: what, Who: name, Text: text, Start: start}})
 	if st.Say != nil && what != "start" {
@@ -273,7 +275,7 @@
 	}
 }
 
-// link is the wire between two nodes.
+// link returns the link between two nodes.
 func (st *Scenario) link(a, b *simulation.Node) simulation.Link {
 	network := st.Script.Net
 	link := simulation.Link{Delay: network.Cross, Jitter: network.Jitter, Loss: network.Loss + st.extraLoss,
@@ -306,7 +308,7 @@
 	return ok
 }
 
-// boot starts a switch process at a place.
+// boot starts a switch process for an endpoint.
 func (st *Scenario) boot(p *endpoint, cold bool) {
 	sim := st.World
 	self := p.addr
@@ -336,14 +338,14 @@
 
 var stateName = map[api.State]string{api.State_GONE: "gone", api.State_READY: "ready", api.State_DRAINING: "draining"}
 
-// kill lets a place's process die: its calls are cut without a word.
+// kill ends an endpoint's switch process; its calls are lost without a BYE.
 func (st *Scenario) kill(p *endpoint) {
 	st.Mark("kill", p.node.Name, "", nil)
 	st.cutCalls(p)
 	p.node.Kill()
 }
 
-// cutCalls tells the callers of a dead process's calls that their line is dead.
+// cutCalls tells the callers of a killed switch's calls that their lines have gone dead.
 func (st *Scenario) cutCalls(p *endpoint) {
 	sessions := p.coreSwitch.EstablishedCalls()
 	sort.Strings(sessions)
@@ -355,10 +357,10 @@
 	}
 }
 
-// Group is the name of the trunk group to an endpoint.
+// Group returns the name of the trunk group to an endpoint.
 func Group(number int) string { return fmt.Sprintf("TG-%d", number) }
 
-// Settings are what the decision module of a gateway is told.
+// Settings returns the settings of a gateway's routing policy.
 func (st *Scenario) Settings(g *Gateway) *routing.Settings {
 	s := st.Script
 	set := &routing.Settings{
@@ -393,7 +395,7 @@
 	return set
 }
 
-// Config is what a gateway's edge is told.
+// Config returns the configuration of a gateway.
 func (st *Scenario) Config(g *Gateway) *b2bua.Config {
 	s := st.Script
 	c := &b2bua.Config{
@@ -414,7 +416,7 @@
 	return c
 }
 
-// Tell carries a message between gateways.
+// Tell calls deliver after the delay of a message between gateways, unless the message is lost.
 func (st *Scenario) Tell(to int, deliver func(now float64)) {
 	network := st.Script.Net
 	if to < 0 || to >= len(st.Gateways) || st.gossipLost || st.random.Float64() < network.PeerLoss {
@@ -423,7 +425,8 @@
 	st.World.At(st.World.Now+network.Peer*(1+network.Jitter*(2*st.random.Float64()-1)), func() { deliver(st.World.Now) })
 }
 
-// newCachedParser parses a datagram once for all who look at it: the tap, then its receiver. Messages are only read.
+// newCachedParser returns a parser that parses a datagram once for all who read it: the tap, then the receiver. They
+// must not change the message.
 func newCachedParser() func([]byte) (sip.Message, error) {
 	type parsed struct {
 		first *byte
@@ -439,7 +442,7 @@
 		p := &slots[(uintptr(unsafe.Pointer(&data[0]))>>4)%uintptr(len(slots))]
 		if p.first != &data[0] || p.n != len(data) {
 			p.m, p.err = siptransaction.Parse(data)
-			p.first, p.n = &data[0], len(data) // held, so that nothing else comes to lie there
+			p.first, p.n = &data[0], len(data) // keeps the buffer alive, so that its address is not reused
 		}
 		return p.m, p.err
 	}
--- a/internal/emulator/scenario/scenario_test.go
+++ b/internal/emulator/scenario/scenario_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestDesignShares is the product test of the design: on a quiet day calls attempt at their destination, and those
-// whose destination drains are drawn by the formula.
+// TestDesignShares checks the design: without faults, first attempts go to the destination, and the endpoints of
+// calls whose destination drains are drawn by the formula.
 func TestDesignShares(t *testing.T) {
 	s, err := Day("quiet")
 	if err != nil {
@@ -64,7 +64,7 @@
 	}
 }
 
-// TestSameSeedSameDay: two runs of a day give the same capture to the byte.
+// TestSameSeedSameDay checks that two runs of a scenario give byte-identical captures.
 func TestSameSeedSameDay(t *testing.T) {
 	sum := func() (n uint64) {
 		s := shortScenario(t)
@@ -86,8 +86,8 @@
 	}
 }
 
-// TestFlood sends one gateway twenty times the rated load of the least valuable class: what it holds is bounded, rules
-// are kept, and the valuable class is served.
+// TestFlood sends one gateway twenty times the total load in the class of the lowest value: the number of pending
+// calls must be bounded, the rules kept, and the class of the higher value served.
 func TestFlood(t *testing.T) {
 	s := shortScenario(t)
 	s.Gateways.Count, s.Gateways.Held, s.Gateways.MostRate = 1, 400, 90
@@ -125,8 +125,8 @@
 	}
 }
 
-// TestListSilent: the endpoint list says nothing for a minute, while an endpoint drains and is replaced and gateways
-// stand still; they go on with what they have.
+// TestListSilent checks that gateways continue with the list that they have when the endpoint list sends nothing for
+// a minute, while an endpoint drains and is replaced and gateways are paused.
 func TestListSilent(t *testing.T) {
 	s := shortScenario(t)
 	s.Length = 70000
--- a/internal/emulator/scenario/service.go
+++ b/internal/emulator/scenario/service.go
@@ -7,20 +7,21 @@
 	"cobaltpier/internal/emulator/callers"
 )
 
-// Service is how a day went by the users' account: the value of calls that were established in time and were not cut,
-// over the value offered, a caller's further tries counted with its first. Of simulated switches.
+// Service is the quality of service as seen by the callers: the weight of calls that were established in time and
+// not dropped, divided by the offered weight. Redials count as one call with the first attempt. The switches are
+// simulated.
 type Service struct {
 	Total, Worst10s                   float64
-	WorstClass, WorstTenant           string // the worst served
+	WorstClass, WorstTenant           string // with the lowest share
 	ClassShare, TenantShare           float64
 	Arrived                           int
 	Answered, Late, Dropped, Unserved int
-	Extra                             int       // final answers after a final answer, as callers saw them
-	Waits                             []float64 // of those that stood, ms, sorted
+	Extra                             int       // final responses after a final response, as seen by callers
+	Waits                             []float64 // time to answer of the answered calls in ms, sorted
 	Fell                              int
 }
 
-// Service adds a day up.
+// Service computes the service up to now.
 func (st *Scenario) Service() Service {
 	sum := serviceSum{classes: valueByName{}, tenants: valueByName{}, windows: map[int]*serviceValue{}}
 	for _, g := range st.Gateways {
@@ -49,10 +50,10 @@
 	return sum.Service
 }
 
-// windowSeconds is the length of the windows of which the worst is told.
+// windowSeconds is the length of the windows behind Worst10s.
 const windowSeconds = 10
 
-// serviceValue is what calls were worth: as they were served, and at most.
+// serviceValue is the weight that calls have achieved and the weight offered.
 type serviceValue struct{ achieved, offered float64 }
 
 func (w *serviceValue) add(achieved, offered float64) {
@@ -67,7 +68,7 @@
 	return w.achieved / w.offered
 }
 
-// valueByName are by name of a class or tenant.
+// valueByName holds values by name of a class or tenant.
 type valueByName map[string]*serviceValue
 
 func (m valueByName) add(name string, achieved, offered float64) {
@@ -77,7 +78,7 @@
 	m[name].add(achieved, offered)
 }
 
-// worst returns the least share, and whose it is; of equals the first by name.
+// worst returns the lowest share and its name; of equal shares the first by name.
 func (m valueByName) worst() (name string, least float64) {
 	least = 2
 	for k, w := range m {
@@ -88,12 +89,12 @@
 	return name, least
 }
 
-// serviceSum is a Service that is being added up.
+// serviceSum accumulates a Service.
 type serviceSum struct {
 	Service
 	whole            serviceValue
 	classes, tenants valueByName
-	windows          map[int]*serviceValue // by the second that they begin with
+	windows          map[int]*serviceValue // by the second in which they begin
 }
 
 // add adds one call.
@@ -104,7 +105,7 @@
 	sum.classes.add(record.Class, achieved, record.Weight)
 	sum.tenants.add(record.Tenant, achieved, record.Weight)
 	second := int(record.At / 1000)
-	for k := second; k > second-windowSeconds && k >= 0; k-- { // every window that holds it
+	for k := second; k > second-windowSeconds && k >= 0; k-- { // every window that contains the call
 		if sum.windows[k] == nil {
 			sum.windows[k] = &serviceValue{}
 		}
@@ -112,7 +113,7 @@
 	}
 }
 
-// count counts a call by how it ended, and returns what it was worth.
+// count counts a call by its outcome and returns the weight that it achieved.
 func (sum *serviceSum) count(record *callers.CallerRecord) float64 {
 	if math.IsNaN(record.AnsweredAt) {
 		sum.Unserved++
--- a/internal/emulator/scenario/virtual.go
+++ b/internal/emulator/scenario/virtual.go
@@ -11,29 +11,29 @@
 	"cobaltpier/internal/routing"
 )
 
-// Virtual runs the gateways as machines in the stage's own world.
+// Virtual runs the gateways inside the simulation, in virtual time.
 type Virtual struct {
 	Scenario  *Scenario
 	NewPolicy routing.PolicyFactory
 	Gateways  []*VirtualGateway
 }
 
-// VirtualGateway is a gateway in virtual time; what is no datagram waits there for its next tick.
+// VirtualGateway is a gateway in virtual time. Events other than datagrams are queued until its next tick.
 type VirtualGateway struct {
 	*b2bua.Agent
 	fleet      *Virtual
 	gateway    *Gateway
 	pending    []func(now float64)
 	starts     uint64
-	enumServer *enumserver.Server // nil: it answers no look-ups
-	resolver   *gatewayResolver   // of this process, nil: it looks nothing up
+	enumServer *enumserver.Server // nil: no ENUM server
+	resolver   *gatewayResolver   // of the current process; nil: no number look-ups
 }
 
-// epoch is when virtual days begin: a Thursday noon, for times of day.
+// epoch is the time of day at which scenarios begin in virtual time, a Thursday noon in Montreal.
 var epoch = time.Date(2026, 12, 3, 17, 0, 0, 0, time.UTC)
 
-// NewVirtual puts the gateways on a stage, all with the same kind of module. They start within the first second with
-// the whole list.
+// NewVirtual adds the gateways to a scenario, all with the same routing policy, and sends each the complete endpoint
+// list.
 func NewVirtual(st *Scenario, newPolicy routing.PolicyFactory) *Virtual {
 	v := &Virtual{Scenario: st, NewPolicy: newPolicy}
 	st.Fleet = v
--- a/internal/emulator/scenariofile/script.go
+++ b/internal/emulator/scenariofile/script.go
@@ -1,4 +1,5 @@
-// Package scenariofile reads a day: how many gateways and switches, what calls come, and what goes wrong when.
+// Package scenariofile reads scenarios: how many gateways and switches there are, which calls arrive, and which
+// faults occur when.
 package scenariofile
 
 //tally:standin
@@ -14,7 +15,9 @@
 	"cobaltpier/internal/protocol/siptransaction"
 )
 
-// Script is a day. Times are milliseconds.
+// Script is a scenario. Times are in milliseconds.
+//
+// Scripts are stored as JSON under the Go names of their fields; a renamed field keeps its old name in a tag.
 type Script struct {
 	Name     string
 	Seed     uint64
@@ -32,20 +35,22 @@
 	Numbers  Numbers
 	Kiosks   Kiosks      `json:"Kiosks"`
 	Troubles []Trouble   `json:"Troubles"`
-	Calls    []*api.Call `json:"-"` // of a trace, in place of Load
+	Calls    []*api.Call `json:"-"` // calls of a trace, in place of Load
 }
 
-// Gateways are the gateways.
+// Gateways holds the number and the settings of the gateways. Held is the most calls that may be pending at one of
+// them.
 type Gateways struct {
 	Count, Held, MaxRings, MaxWait int
 	Tick, Margin, MostRate         float64
 	Cancel, Tell, Probe, NameWait  bool
 }
 
-// Rules are the five rules' figures.
+// Rules holds the parameters of the five rules.
 type Rules struct{ Slack, Grace, Clear, ColdShare, WarmWithin, TipTimes, TipWindow float64 }
 
-// Net is the wire.
+// Net describes the network: one-way delays within a region, between regions, between callers and gateways and
+// between gateways, and the shares of datagrams that are lost or duplicated.
 type Net struct{ Same, Cross, Caller, Peer, Jitter, Loss, Double, PeerLoss float64 }
 
 // Class is a class of calls.
@@ -63,22 +68,22 @@
 // Pools are the endpoints.
 type Pools struct {
 	Count  int
-	Spread float64 // their sizes differ by this part, up or down
-	// Sizes, if set, are theirs in place of Spread; Regions the numbers of their regions.
+	Spread float64 // capacities differ from the mean by up to this fraction
+	// Sizes, if set, are the relative capacities, in place of Spread; Regions holds the index of each one's region.
 	Sizes   []float64
 	Regions []int
 	Model   coreswitch.Model
 }
 
-// Load is what comes.
+// Load is the offered load.
 type Load struct {
-	Rate    float64 // calls a second at all gateways
-	Drift   float64 // destinations change after so long
-	Skew    float64 // 0: all destinations alike
-	Numbers int     // numbers that are called
+	Rate    float64 // calls per second at all gateways together
+	Drift   float64 // the popularity of destinations is redrawn at this interval
+	Skew    float64 // 0: all destinations are equally popular
+	Numbers int     // distinct called numbers
 }
 
-// Callers are how they behave.
+// Callers is the behavior of the callers.
 type Callers struct {
 	Redials int
 	Pause   float64
@@ -88,38 +93,40 @@
 	Silence float64
 }
 
-// List is the endpoint list's lateness.
+// List holds the delays after which the endpoint list shows a change.
 type List struct{ NoticeLo, NoticeHi, SilentLo, SilentHi, AddLo, AddHi, Spread float64 }
 
-// Numbers says whether the gateways analyse numbers, and how the look-ups that their tables ask for are answered.
+// Numbers says whether the gateways analyse numbers, and how the look-ups requested by their number tables are
+// answered.
 type Numbers struct {
 	On                  bool
-	Change              float64 // a new table so often; 0: never
+	Change              float64 // interval between new tables; 0: never
 	Ported, None, Leads float64 // shares of the numbers
 	TTL, Delay, Jitter  float64
 	Servers             int
-	Within, Share       float64 // of a look-up: its time, and the most of a call's timeout
-	Cache, Alone        bool    // answers are kept; questions for one name are not shared
-	Popular             float64 // 1: all numbers are called alike; more: the first of them more often
-	Refuse              bool    // a number without an answer is rejected, not sent on as it was dialled
-	Fail                float64 // a number without an answer is not asked for again so long
-	Stale               float64 // answers that ran out are served so long
+	Within, Share       float64 // of a look-up: its timeout, and its largest share of the call's timeout
+	Cache, Alone        bool    // Cache: answers are cached; Alone: concurrent look-ups of one name are not shared
+	Popular             float64 // 1: all numbers are equally popular; above 1: lower numbers are called more often
+	Refuse              bool    // a call whose look-up gets no answer is rejected, not routed by the dialled number
+	Fail                float64 // how long a failed look-up is not repeated
+	Stale               float64 // how long stale answers are served
 }
 
-// Kiosks ask by ENUM which switch to call, and call it themselves.
+// Kiosks are ENUM clients: they look up which switch to call and call it themselves.
 type Kiosks struct {
-	Rate    float64 // calls a second at all gateways; 0: there are none
+	Rate    float64 // calls per second at all gateways together; 0: no ENUM clients
 	Hold    float64
-	Loss    float64 // of datagrams between them and the gateways
-	Wait    float64 // then a question is repeated
+	Loss    float64 // share of datagrams lost between them and the gateways
+	Wait    float64 // retransmission interval of a query
 	Repeats int
-	Asks    int // questions anew after a failure
+	Asks    int // new queries after a failed one
 }
 
-// Analyses tells whether the gateways analyse numbers. Calls of a trace name their trunk groups themselves.
+// Analyses reports whether the gateways analyse numbers. They don't for the calls of a trace, which name their trunk
+// groups themselves.
 func (s *Script) Analyses() bool { return s.Numbers.On && len(s.Calls) == 0 }
 
-// Trouble is one thing that goes wrong.
+// Trouble is a fault. Part is the share of the components that it affects; what Size means depends on the kind.
 type Trouble struct {
 	Kind       string
 	At, For    float64
@@ -127,36 +134,36 @@
 	Region     string
 }
 
-// Kinds of trouble, and what their part and size mean.
+// Kinds describes each kind of fault with the meaning of its part and size.
 var Kinds = map[string]string{
-	"burst":         "contacts come size times as often",
-	"uneven":        "a part of the gateways gets the share size of all contacts",
+	"burst":         "calls arrive size times as often",
+	"uneven":        "a part of the gateways gets the share size of all calls",
 	"slow":          "a part of the switches runs size times slower",
 	"slow_all":      "all switches run size times slower",
 	"other":         "on a part of the switches other work takes the share size of the processor, on and off",
 	"lines":         "the switches of a region keep the share size of their lines",
-	"silent":        "a part of the switches goes silent and comes back cold",
-	"ageing":        "a part of the switches gets slower up to size times, then dies and comes back cold",
+	"silent":        "a part of the switches stops responding and restarts cold",
+	"ageing":        "a part of the switches gets slower, up to size times, then crashes and restarts cold",
 	"deploy":        "a part of the switches drains and is replaced by cold ones, one after the other",
 	"region":        "all switches of a region restart together",
-	"stall":         "a part of the gateways stands still for size seconds, again and again",
-	"restart":       "a part of the gateways is killed and comes back with its last list",
+	"stall":         "a part of the gateways is paused for size seconds, repeatedly",
+	"restart":       "a part of the gateways is killed and restarted with its last list",
 	"mute":          "messages between gateways are lost",
 	"loss":          "a share size of all datagrams between gateways and switches is lost",
-	"listless":      "the pool list says nothing",
+	"listless":      "the endpoint list sends no updates",
 	"names_silent":  "a part of the DNS servers never answers",
 	"names_slow":    "a part of the DNS servers answers after size seconds",
 	"names_lossy":   "a part of the DNS servers loses the share size of its answers",
-	"names_spoofed": "before each answer of a part of the DNS servers come size guesses with a lie",
+	"names_spoofed": "each answer of a part of the DNS servers is preceded by size spoofed answers",
 	"names_cut":     "a part of the DNS servers truncates the share size of its answers",
-	"names_lame":    "a part of the DNS servers refuses",
+	"names_lame":    "a part of the DNS servers refuses queries",
 	"names_wrong":   "the share size of the answers of a part of the DNS servers has a wrong id",
-	"flood":         "one gateway gets size times the rated load of all, of the least valuable skill",
+	"flood":         "one gateway gets size times the total load, in the class of the lowest value",
 }
 
 const msPerDay = 24 * 3600 * 1000.0
 
-// Read takes a script from settings.
+// Read reads a script from a parsed scenario file.
 func Read(b *hclconfig.Block) (*Script, error) {
 	s := &Script{
 		Name:    b.Text("name", "day"),
@@ -181,7 +188,7 @@
 	return s, b.Err()
 }
 
-// readGateways reads the gateways.
+// readGateways reads the settings of the gateways.
 func (s *Script) readGateways(b *hclconfig.Block) {
 	g := b.One("gateways")
 	s.Gateways = Gateways{
@@ -199,7 +206,7 @@
 	}
 }
 
-// readRules reads the rules that the gateways keep.
+// readRules reads the parameters of the rules.
 func (s *Script) readRules(b *hclconfig.Block) {
 	r := b.One("rules")
 	s.Rules = Rules{
@@ -213,7 +220,7 @@
 	}
 }
 
-// readNet reads the network.
+// readNet reads the delays and losses of the network.
 func (s *Script) readNet(b *hclconfig.Block) {
 	n := b.One("net")
 	s.Net = Net{
@@ -256,7 +263,7 @@
 	}
 }
 
-// readPools reads the core switches; the rules come first.
+// readPools reads the core switches. It uses s.Rules, which must have been read before.
 func (s *Script) readPools(b *hclconfig.Block) {
 	p := b.One("pools")
 	retry := p.Ms("retransmit", 400, 10, 60000)
@@ -292,7 +299,7 @@
 	}
 }
 
-// readLoad reads the load.
+// readLoad reads the offered load.
 func (s *Script) readLoad(b *hclconfig.Block) {
 	l := b.One("load")
 	s.Load = Load{
@@ -303,7 +310,7 @@
 	}
 }
 
-// readCallers reads the callers.
+// readCallers reads the behavior of the callers.
 func (s *Script) readCallers(b *hclconfig.Block) {
 	c := b.One("callers")
 	s.Callers = Callers{
@@ -316,7 +323,7 @@
 	}
 }
 
-// readList reads how the endpoint list follows the switches.
+// readList reads the delays of the endpoint list.
 func (s *Script) readList(b *hclconfig.Block) {
 	d := b.One("list")
 	s.List = List{
@@ -330,7 +337,7 @@
 	}
 }
 
-// readNumbers reads the number analysis.
+// readNumbers reads the settings of number analysis.
 func (s *Script) readNumbers(b *hclconfig.Block) {
 	for _, n := range b.Blocks("numbers", 0) {
 		s.Numbers = Numbers{
@@ -355,7 +362,7 @@
 	}
 }
 
-// readKiosks reads the kiosks, which ask by ENUM.
+// readKiosks reads the settings of the ENUM clients.
 func (s *Script) readKiosks(b *hclconfig.Block) {
 	for _, n := range b.Blocks("kiosks", 0) {
 		s.Kiosks = Kiosks{
@@ -369,7 +376,7 @@
 	}
 }
 
-// readFaults reads what goes wrong.
+// readFaults reads the faults.
 func (s *Script) readFaults(b *hclconfig.Block) {
 	for _, t := range b.Blocks("trouble", 1) {
 		x := Trouble{
@@ -387,5 +394,5 @@
 	}
 }
 
-// KindNames are the kinds of trouble in order.
+// KindNames returns the names of the kinds of fault, sorted.
 func KindNames() []string { return slices.Sorted(maps.Keys(Kinds)) }
--- a/internal/emulator/scenariofile/script_test.go
+++ b/internal/emulator/scenariofile/script_test.go
@@ -8,7 +8,7 @@
 	"cobaltpier/internal/hclconfig"
 )
 
-// simulatorJSON is a day as the simulator writes it.
+// simulatorJSON is a scenario as the simulator writes it.
 //
 //go:embed testdata/bench.json
 var simulatorJSON string
@@ -25,7 +25,7 @@
 		strings.Join(m.Reports, " ") != "util queue" {
 		t.Errorf("%+v", s)
 	}
-	if w := m.Setup + m.Answer + m.Release; w < 33.3 || w > 33.4 { // 30 calls a second at a mean switch
+	if w := m.Setup + m.Answer + m.Release; w < 33.3 || w > 33.4 { // 30 calls per second at a switch of mean speed
 		t.Errorf("work of a call %v ms", w)
 	}
 	if !strings.Contains(strings.Join(notes, "; "), `"odd"`) {
@@ -57,7 +57,7 @@
 	}
 }
 
-// An override puts a value in place, in a block that is there or not; what it names wrongly is refused like any key.
+// An override sets a value, whether or not the file has the block; unknown keys are errors as in the file itself.
 func TestOverride(t *testing.T) {
 	b, err := hclconfig.Parse("day.hcl", []byte("gateways {\n count = 3\n}\n"))
 	if err != nil {
--- a/internal/emulator/scenariofile/simulator.go
+++ b/internal/emulator/scenariofile/simulator.go
@@ -10,7 +10,8 @@
 	"cobaltpier/internal/protocol/siptransaction"
 )
 
-// simulatorScenario is what is read of a day as the bench draws it; times are µs, sizes its own. All other keys are passed over.
+// simulatorScenario is the part of a scenario of the external simulator that is read. Times are in µs; sizes are in
+// the simulator's units. Other keys are ignored.
 type simulatorScenario struct {
 	V       int
 	Site    string
@@ -86,7 +87,7 @@
 	StatedCold   float64  `json:"stated_cold"`
 }
 
-// simulatorFault is one thing that goes wrong.
+// simulatorFault is a fault; times are in µs.
 type simulatorFault struct {
 	Kind        string
 	At, Len     float64
@@ -94,7 +95,7 @@
 	On          []int
 }
 
-// faultKinds are the bench's troubles in our words.
+// faultKinds maps the simulator's kinds of fault to those of a Script.
 var faultKinds = map[string]string{
 	"burst":          "burst",
 	"hot_caller":     "uneven",
@@ -113,12 +114,12 @@
 	"peer_down":      "mute",
 }
 
-// FromSimulator reads a day file that the bench prints. The bench's world and ours are two models: the second result says
-// what was not taken over, so that nobody takes one's figures for the other's.
+// FromSimulator reads a scenario file written by the external simulator. Its model differs from the emulator's, so
+// their results can't be compared directly; the second result lists what was not converted.
 func FromSimulator(src []byte) (*Script, []string, error) {
 	d := &simulatorScenario{}
 	if err := json.Unmarshal(src, d); err != nil {
-		return nil, nil, fmt.Errorf("bench day: %w", err)
+		return nil, nil, fmt.Errorf("simulator scenario: %w", err)
 	}
 	if err := d.validate(); err != nil {
 		return nil, nil, err
@@ -146,24 +147,24 @@
 func (d *simulatorScenario) validate() error {
 	switch {
 	case d.V != 1:
-		return fmt.Errorf("bench day: want \"v\": 1, got %d", d.V)
+		return fmt.Errorf("simulator scenario: want \"v\": 1, got %d", d.V)
 	case len(d.Servers) == 0 || len(d.Balancers) == 0 || len(d.Classes) == 0 || len(d.Tiers) == 0 ||
 		len(d.Tiers[0].Kinds) == 0 || len(d.Zones) == 0:
-		return errors.New("bench day: want servers, balancers, classes, zones and a tier with a kind")
+		return errors.New("simulator scenario: want servers, balancers, classes, zones and a tier with a kind")
 	case !(d.Fam.Capacity > 0) || !(d.Length > 0):
-		return errors.New("bench day: want a capacity and a length above 0")
+		return errors.New("simulator scenario: want a capacity and a length above 0")
 	}
 	return nil
 }
 
-// ms converts from the bench's µs.
+// ms converts the simulator's µs.
 func ms(us float64) float64 { return us / 1000 }
 
-// simulatorConverter turns a day of the bench into a script.
+// simulatorConverter converts a scenario of the simulator into a Script.
 type simulatorConverter struct {
 	source *simulatorScenario
 	tier   *simulatorTier
-	notes  []string // what was not taken over
+	notes  []string // what was not converted
 }
 
 func (c *simulatorConverter) note(format string, args ...any) {
@@ -261,7 +262,7 @@
 	return p
 }
 
-// reportNames are the fields of the bench's load reports in our words.
+// reportNames maps the simulator's load report fields to those of coreswitch.Model.Reports.
 var reportNames = map[string]string{
 	"util":       "util",
 	"queue":      "queue",
@@ -270,15 +271,15 @@
 	"eps":        "loss",
 }
 
-// model is that of the mean switch.
+// model returns the model of a switch of mean speed.
 func (c *simulatorConverter) model() coreswitch.Model {
 	d, tier, kind := c.source, c.tier, c.tier.Kinds[0]
-	// ms of a call at a mean switch that is wholly busy at the capacity
+	// processor time of a call in ms at which switches of mean speed are fully busy when the load equals the capacity
 	work := float64(len(d.Servers)) * 1000 / d.Fam.Capacity
 	lines := 2000
 	if len(d.Fam.Size) > 0 {
 		lines = d.Fam.Size[0]
-		c.note("all switches have the first one's %d lines", lines)
+		c.note("all switches have the %d lines of the first one", lines)
 	}
 	retry := math.Max(10, ms(d.Fam.Resend))
 	if d.Fam.Resend <= 0 {
@@ -333,8 +334,8 @@
 			Hold:     hold,
 		})
 	}
-	c.note("a set-up, its answer and its release are 60, 22 and 18 %% of a call's work, and patience of a try is in " +
-		"whole seconds")
+	c.note("a set-up, its answer and its release are 60, 22 and 18 %% of a call's work, and the timeout of an attempt " +
+		"is in whole seconds")
 	return classes
 }
 
@@ -354,12 +355,12 @@
 	for _, t := range c.source.Troubles {
 		kind := faultKinds[t.Kind]
 		if kind == "" {
-			c.note("trouble %q is not known here and was left out", t.Kind)
+			c.note("fault %q is unknown here and was left out", t.Kind)
 			continue
 		}
 		faults = append(faults, c.fault(kind, &t))
 	}
-	c.note("which switches and gateways a trouble meets is drawn anew")
+	c.note("the switches and gateways affected by a fault are drawn again")
 	return faults
 }
 
--- a/internal/emulator/simulation/simulation.go
+++ b/internal/emulator/simulation/simulation.go
@@ -1,6 +1,6 @@
-// Package simulation brings machines without I/O together: a scheduler, a lossy and delaying wire between them, and a
-// tap at the gateways' sockets. It runs in virtual time, where a day takes as long as its work and the same seed gives
-// the same run, or by the wall clock with some of the nodes behind real sockets.
+// Package simulation connects state machines that do no I/O: it has an event scheduler, links that delay and lose
+// datagrams, and a tap at the sockets of the gateways. It runs in virtual time, as fast as the processor allows and
+// with the same result for the same seed, or in real time with some of the nodes behind real sockets.
 package simulation
 
 //tally:standin
@@ -14,27 +14,27 @@
 	"cobaltpier/internal/detrand"
 )
 
-// Machine is a node: it takes datagrams and wants to be woken.
+// Machine is the state machine of a node. Step is to be called at the time that NextWakeup returns.
 type Machine interface {
 	Receive(now float64, from netip.AddrPort, data []byte)
 	Step(now float64)
 	NextWakeup() float64
 }
 
-// Link is a wire's quality from one node to another, in milliseconds one way.
+// Link describes the path from one node to another. Times are in milliseconds, one way.
 type Link struct {
 	Delay       float64
-	Jitter      float64 // a part of the delay, up or down
-	Loss        float64 // chance that a datagram is lost
-	Duplication float64 // chance that it comes twice
+	Jitter      float64 // largest deviation as a fraction of the delay
+	Loss        float64 // probability that a datagram is lost
+	Duplication float64 // probability that it arrives twice
 }
 
-// Simulation holds the nodes.
+// Simulation holds the nodes and the queue of events.
 type Simulation struct {
 	Now   float64 // ms since the start
 	Seed  uint64
 	Link  func(from, to *Node) Link
-	Tap   func(at float64, from, to netip.AddrPort, data []byte) // sees what crosses a tapped node's socket
+	Tap   func(at float64, from, to netip.AddrPort, data []byte) // gets the datagrams of tapped nodes
 	draws uint64
 	seq   uint64
 	queue events
@@ -43,19 +43,19 @@
 	start time.Time
 }
 
-// Node is one address.
+// Node is an address with the machine behind it.
 type Node struct {
 	Addr       netip.AddrPort
 	Name       string
 	Region     string
 	Machine    Machine
-	Tick       float64                                    // it handles what came at multiples of this; 0: at once
-	Tapped     bool                                       // the tap sees it
-	Real       func(to, from netip.AddrPort, data []byte) // set: it is behind a socket, and this writes there
-	Paused     bool                                       // it stalls: what comes waits
-	Down       bool                                       // what comes is lost
+	Tick       float64                                    // it runs at multiples of this interval; 0: immediately
+	Tapped     bool                                       // its datagrams go to the tap
+	Real       func(to, from netip.AddrPort, data []byte) // set: the node is behind a real socket; sends there
+	Paused     bool                                       // it doesn't run; arriving datagrams are queued
+	Down       bool                                       // arriving datagrams are lost
 	inbox      []datagram
-	wakeupAt   float64 // when it will be woken, +Inf: not
+	wakeupAt   float64 // +Inf: no wake-up is scheduled
 	simulation *Simulation
 }
 
@@ -70,35 +70,35 @@
 	do       func()
 }
 
-// New makes an empty world.
+// New returns a simulation without nodes.
 func New(seed uint64) *Simulation {
 	return &Simulation{Seed: seed, nodes: map[netip.AddrPort]*Node{}, Link: func(_, _ *Node) Link { return Link{} },
 		inbox: make(chan externalEvent, 1<<16)}
 }
 
-// Add puts a node in.
+// Add adds a node.
 func (sim *Simulation) Add(n *Node) *Node {
 	n.simulation, n.wakeupAt = sim, math.Inf(1)
 	sim.nodes[n.Addr] = n
 	return n
 }
 
-// Node is the node of an address, nil where there is none.
+// Node returns the node of an address, or nil.
 func (sim *Simulation) Node(a netip.AddrPort) *Node { return sim.nodes[a] }
 
-// At does something at a time.
+// At schedules do for a time. Events of the same time run in the order in which they were scheduled.
 func (sim *Simulation) At(at float64, do func()) {
 	sim.seq++
 	heap.Push(&sim.queue, &event{at: math.Max(at, sim.Now), seq: sim.seq, do: do})
 }
 
-// Float64 draws a number from 0 to 1.
+// Float64 draws a random number in [0, 1).
 func (sim *Simulation) Float64() float64 {
 	sim.draws++
 	return detrand.Float64(sim.Seed, sim.draws)
 }
 
-// Send carries a datagram from a node of ours, or from one behind a socket, over the link.
+// Send sends a datagram over the link between two nodes, whether or not the sender is behind a socket.
 func (sim *Simulation) Send(from, to netip.AddrPort, data []byte) {
 	source, destination := sim.nodes[from], sim.nodes[to]
 	if source != nil && source.Tapped && sim.Tap != nil {
@@ -137,7 +137,7 @@
 	n.ScheduleWakeup()
 }
 
-// ScheduleWakeup sees to it that a node is woken when it wants.
+// ScheduleWakeup schedules the next run of the node. It must be called when the machine was changed from outside.
 func (n *Node) ScheduleWakeup() {
 	if n.Machine == nil || n.Real != nil || n.Paused || n.Down {
 		return
@@ -172,7 +172,7 @@
 		n.Machine.Receive(n.simulation.Now, d.from, d.data)
 	}
 	n.Machine.Step(n.simulation.Now)
-	if n.Tick > 0 { // what it wants now it gets with the next tick
+	if n.Tick > 0 { // a wake-up that is due now waits for the next tick
 		at := math.Max(n.Machine.NextWakeup(), n.simulation.Now+n.Tick/2)
 		if !math.IsInf(at, 1) {
 			at = math.Ceil(at/n.Tick) * n.Tick
@@ -188,20 +188,20 @@
 	n.ScheduleWakeup()
 }
 
-// Pause lets a node stand still; Go lets it go on and find what came meanwhile.
+// Pause stops the node from running until Resume; datagrams that arrive in between are handled then.
 func (n *Node) Pause() { n.Paused = true }
 
-// Resume ends a Halt.
+// Resume ends a Pause.
 func (n *Node) Resume() {
 	n.Paused = false
 	n.wakeupAt = math.Inf(1)
 	n.ScheduleWakeup()
 }
 
-// Kill loses what waits and all that comes, until Live.
+// Kill drops queued datagrams, and those that arrive until Restart.
 func (n *Node) Kill() { n.Down, n.inbox = true, nil }
 
-// Restart ends a Die, with another machine where one is given.
+// Restart ends a Kill. If m is not nil, it replaces the machine.
 func (n *Node) Restart(m Machine) {
 	n.Down, n.wakeupAt = false, math.Inf(1)
 	if m != nil {
@@ -210,7 +210,7 @@
 	n.ScheduleWakeup()
 }
 
-// Run plays virtual time up to a time.
+// Run runs the simulation in virtual time until a time.
 func (sim *Simulation) Run(until float64) {
 	for len(sim.queue) > 0 && sim.queue[0].at <= until {
 		e := heap.Pop(&sim.queue).(*event)
@@ -220,8 +220,8 @@
 	sim.Now = until
 }
 
-// Arrived hands in a datagram that a socket of ours received from a node behind a socket. Safe for any goroutine; a
-// flood that the world can't take is lost, as a socket's queue would lose it.
+// Arrived passes in a datagram that a real socket has received from a node behind a socket. It is safe for
+// concurrent use. If the queue is full, the datagram is dropped, as a socket's receive buffer would drop it.
 func (sim *Simulation) Arrived(from, to netip.AddrPort, data []byte) {
 	select {
 	case sim.inbox <- externalEvent{from: from, to: to, data: data}:
@@ -229,11 +229,12 @@
 	}
 }
 
-// Do runs something in the world's own loop. Safe for any goroutine.
+// Do queues f to run in the loop of RunReal, and blocks while that queue is full. It is safe for concurrent use.
 func (sim *Simulation) Do(f func()) { sim.inbox <- externalEvent{do: f} }
 
-// RunReal plays by the wall clock up to a time, with what Arrived and Do bring; it ends early when stop is closed. The
-// time of each event is its own where it runs late, so that the stand-ins' models don't drift.
+// RunReal runs in real time until a time, handling also what Arrived and Do pass in; it returns early when stop is
+// closed. An event that runs late still sees the time for which it was scheduled, so that the models of the
+// stand-ins don't drift.
 func (sim *Simulation) RunReal(until float64, stop <-chan struct{}) {
 	if sim.start.IsZero() {
 		sim.start = time.Now().Add(-time.Duration(sim.Now * float64(time.Millisecond)))
@@ -279,12 +280,12 @@
 	}
 }
 
-// Wall is the wall clock's time in ms since the start.
+// Wall returns the real time since the start, in ms.
 func (sim *Simulation) Wall() float64 {
 	return float64(time.Since(sim.start)) / float64(time.Millisecond)
 }
 
-// Begin sets the wall clock's start to now.
+// Begin sets the start of real time so that Now is the present moment.
 func (sim *Simulation) Begin() {
 	sim.start = time.Now().Add(-time.Duration(sim.Now * float64(time.Millisecond)))
 }
--- a/internal/emulator/simulation/simulation_test.go
+++ b/internal/emulator/simulation/simulation_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// recorder notes what it gets and when it is woken.
+// recorder records the datagrams that it receives and when it is woken.
 type recorder struct {
 	events []string
 	next   float64
@@ -35,7 +35,8 @@
 	return sim, a, b, e
 }
 
-// Events of one instant happen in the order of their making; a node with a tick handles them together.
+// Events of the same time run in the order in which they were scheduled; a node with a tick handles all datagrams at
+// its next tick.
 func TestOrder(t *testing.T) {
 	sim, a, b, e := newPair(1, Link{Delay: 7})
 	for _, s := range []string{"x", "y", "z"} {
@@ -51,7 +52,7 @@
 	}
 }
 
-// What comes to a node that stalls waits; what comes to a dead one is lost.
+// Datagrams to a paused node are queued; those to a killed node are lost.
 func TestPauseAndKill(t *testing.T) {
 	sim, a, b, e := newPair(1, Link{Delay: 1})
 	b.Pause()
@@ -67,7 +68,7 @@
 	}
 }
 
-// The same seed loses, doubles and delays the same; another does not.
+// The same seed loses, duplicates and delays the same datagrams; another seed does not.
 func TestSeed(t *testing.T) {
 	run := func(seed uint64) []string {
 		sim, a, b, e := newPair(seed, Link{Delay: 20, Jitter: 0.9, Loss: 0.3, Duplication: 0.2})
@@ -84,7 +85,7 @@
 	}
 }
 
-// By the wall clock: what comes from outside is carried over the link, and Do runs in the loop.
+// In real time: datagrams passed to Arrived go over the link, and functions passed to Do run in the loop.
 func TestRealTime(t *testing.T) {
 	sim, a, b, e := newPair(1, Link{Delay: 5})
 	b.Tick = 0
--- a/internal/emulator/virtualrun/quantile.go
+++ b/internal/emulator/virtualrun/quantile.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// quantile sorts what it gets; NaN values nothing.
+// quantile returns the q-quantile of the values, NaN if there are none. It sorts them in place.
 func quantile(values []float64, q float64) float64 {
 	if len(values) == 0 {
 		return math.NaN()
--- a/internal/emulator/virtualrun/virtualrun.go
+++ b/internal/emulator/virtualrun/virtualrun.go
@@ -1,5 +1,6 @@
-// Package virtualrun plays days in virtual time and measures them: the same gateways and switches as on sockets, any
-// number of gateways, the same seed the same day. Days that do not touch run side by side, one a core.
+// Package virtualrun runs scenarios in virtual time and measures them: the same gateways and switches as behind
+// sockets, any number of gateways, and the same run for the same seed. Independent runs execute in parallel, one per
+// core.
 package virtualrun
 
 //tally:standin
@@ -26,10 +27,10 @@
 	"cobaltpier/internal/routing"
 )
 
-// SettleTime is how long a day goes on after its last arrival could come, ms: all timeout is over by then.
+// SettleTime is how long a run goes on after the scenario's length, in ms; all calls have timed out by then.
 const SettleTime = 12000.0
 
-// Module is the maker of a decision module by its name: brain, or a baseline; nil for any other.
+// Module returns the factory of a routing policy by its name: brain (also if empty) or a baseline; nil if unknown.
 func Module(name string) routing.PolicyFactory {
 	if name == "" || name == "brain" {
 		return func(s *routing.Settings, h routing.Host) routing.Policy { return router.New(s, h) }
@@ -37,14 +38,14 @@
 	return baseline.ByName(name)
 }
 
-// Options say what is measured.
+// Options selects what is measured.
 type Options struct {
-	Series bool              // second by second, for plots
-	Sum    bool              // a hash of the whole capture
-	Record func(*api.Record) // gets the capture too; may be nil
+	Series bool              // values per second, for plots
+	Sum    bool              // hash of the whole capture
+	Record func(*api.Record) // gets each record of the capture; may be nil
 }
 
-// Result is what a day came to.
+// Result is the result of a run.
 type Result struct {
 	Service       scenario.Service
 	Findings      []conformance.Finding
@@ -57,19 +58,19 @@
 	Elapsed       time.Duration
 }
 
-// Series is a day second by second.
+// Series holds the values of a run by second.
 type Series struct {
 	Seconds   int
-	Service   []float64            // share of the value that came in that second and stood in time
-	Arrivals  []float64            // calls that came
-	P50, P95  []float64            // waits of those that came then and stood, ms; NaN: none
-	Attempts  map[string][]float64 // by switch, sent in that second
-	Outcomes  map[string][]float64 // of attempts, by what the switch answered
+	Service   []float64            // share of the weight arriving then that was answered in time; NaN: none arrived
+	Arrivals  []float64            // calls that arrived
+	P50, P95  []float64            // time to answer of those that were answered, in ms; NaN: none
+	Attempts  map[string][]float64 // sent in that second, by switch
+	Outcomes  map[string][]float64 // final responses of the switches, by outcome
 	SlowStart []conformance.Cold
 	Faults    []scenariofile.Trouble
 }
 
-// Play plays a day.
+// Play runs a scenario and measures it.
 func Play(s *scenariofile.Script, newPolicy routing.PolicyFactory, options Options) *Result {
 	begin := time.Now()
 	checker := conformance.New()
@@ -124,7 +125,8 @@
 	return res
 }
 
-// Each calls do for 0 to n-1, as many at once as there are cores, until ctx ends; it tells whether all were done.
+// Each calls do for 0 to n-1, with as many calls in parallel as there are cores, until ctx ends. It reports whether
+// all were done.
 func Each(ctx context.Context, n int, do func(i int)) bool {
 	next := make(chan int)
 	var wait sync.WaitGroup
@@ -176,7 +178,7 @@
 	m[key][i]++
 }
 
-// outcomeNames names what a switch's answer makes of an attempt.
+// outcomeNames are the names of an attempt's outcome by the status code of the switch's response.
 var outcomeNames = map[string]string{
 	"200": "stood",
 	"486": "no line",
