--- a/internal/emulator/callers/caller.go
+++ b/internal/emulator/callers/caller.go
@@ -45,28 +45,28 @@
 
 // Behavior holds the parameters of the callers.
 type Behavior struct {
-	Redials int                               // most redials of an arrival
-	Pause   float64                           // before a redial, in ms
-	Grows   bool                              // each pause is twice the previous one
-	Honour  float64                           // share of the callers that follow Retry-After
-	MaxWait float64                           // upper limit of the pause taken from Retry-After
-	Context string                            // trunk-context
-	Parse   func([]byte) (sip.Message, error) // nil: siptransaction.Parse
-	Silence float64                           // how long a caller stays on a dead line before hanging up
+	Redials            int                               // most redials of an arrival
+	Pause              float64                           // before a redial, in ms
+	ExponentialBackoff bool                              // each pause is twice the previous one
+	RetryAfterShare    float64                           // share of the callers that follow Retry-After
+	MaxRetryAfter      float64                           // upper limit of the pause taken from Retry-After
+	Context            string                            // trunk-context
+	Parse              func([]byte) (sip.Message, error) // nil: siptransaction.Parse
+	HangUpDelay        float64                           // how long a caller stays on a dead line before hanging up
 }
 
 // Callers is the set of callers of one gateway.
 type Callers struct {
 	Behavior
-	Records   []*CallerRecord
-	Extra     int // final responses after the final response
-	gateway   netip.AddrPort
-	now       float64
-	random    siptransaction.Generator
-	timers    timerqueue.Queue
-	sip       *siptransaction.Layer
-	byTag     map[string]*attempt // by local tag
-	bySession map[string]*attempt
+	Records        []*CallerRecord
+	ExtraResponses int // final responses after the final response
+	gateway        netip.AddrPort
+	now            float64
+	random         siptransaction.Generator
+	timers         timerqueue.Queue
+	sip            *siptransaction.Layer
+	byTag          map[string]*attempt // by local tag
+	bySession      map[string]*attempt
 }
 
 type attempt struct {
@@ -225,7 +225,7 @@
 		})
 	case t.ended:
 		if res.StatusCode != 487 {
-			c.Extra++
+			c.ExtraResponses++
 		}
 	default:
 		t.record.Answers = append(t.record.Answers, res.StatusCode)
@@ -253,26 +253,26 @@
 		return
 	}
 	pause := c.Pause
-	if c.Grows {
+	if c.ExponentialBackoff {
 		pause *= math.Pow(2, float64(s.Attempts-1))
 	}
 	pause *= 0.5 + c.random.Float64()
-	if retryAfter > 0 && c.random.Float64() < c.Honour {
-		pause = math.Min(retryAfter, c.MaxWait)
+	if retryAfter > 0 && c.random.Float64() < c.RetryAfterShare {
+		pause = math.Min(retryAfter, c.MaxRetryAfter)
 	}
 	c.timers.Schedule(c.now+pause, func() { c.dial(s) })
 }
 
 func (c *Callers) end(s *CallerRecord) { s.Ended = true }
 
-// OnLineDead tells the caller of a session that its line has gone dead; it hangs up after Behavior.Silence.
+// OnLineDead tells the caller of a session that its line has gone dead; it hangs up after HangUpDelay.
 func (c *Callers) OnLineDead(now float64, session string) {
 	t := c.bySession[session]
 	if t == nil || !t.established || t.ended {
 		return
 	}
 	t.record.Dropped = true
-	c.timers.Schedule(now+c.Silence, func() {
+	c.timers.Schedule(now+c.HangUpDelay, func() {
 		if !t.ended {
 			t.bye(`Q.850;cause=41;text="Temporary failure"`)
 			c.end(t.record)
--- a/internal/emulator/scenario/enumclients.go
+++ b/internal/emulator/scenario/enumclients.go
@@ -75,7 +75,7 @@
 		at := netip.AddrPortFrom(g.enumClientsNode.Addr.Addr(),
 			g.enumClientsNode.Addr.Port()+uint16(100+len(g.enumCallers)))
 		c := callers.New(
-			callers.Behavior{Context: Context, Parse: st.Parse, Silence: st.Script.Callers.Silence},
+			callers.Behavior{Context: Context, Parse: st.Parse, HangUpDelay: st.Script.Callers.Silence},
 			at,
 			to,
 			st.Script.Pools.Model.Times,
--- a/internal/emulator/scenario/scenario.go
+++ b/internal/emulator/scenario/scenario.go
@@ -171,8 +171,8 @@
 	from := addr(2, i, port)
 	c := s.Callers
 	g.Callers = callers.New(
-		callers.Behavior{Redials: c.Redials, Pause: c.Pause, Grows: c.Grows, Honour: c.Honour, MaxWait: c.MaxWait,
-			Context: Context, Silence: c.Silence, Parse: st.Parse},
+		callers.Behavior{Redials: c.Redials, Pause: c.Pause, ExponentialBackoff: c.Grows, RetryAfterShare: c.Honour,
+			MaxRetryAfter: c.MaxWait, Context: Context, HangUpDelay: c.Silence, Parse: st.Parse},
 		from,
 		g.Addr,
 		s.Pools.Model.Times,
--- a/internal/emulator/scenario/service.go
+++ b/internal/emulator/scenario/service.go
@@ -16,7 +16,7 @@
 	ClassShare, TenantShare           float64
 	Arrived                           int
 	Answered, Late, Dropped, Unserved int
-	Extra                             int       // final responses after a final response, as seen by callers
+	ExtraResponses                    int       // final responses after a final response, as seen by callers
 	Waits                             []float64 // time to answer of the answered calls in ms, sorted
 	Fell                              int
 }
@@ -25,7 +25,7 @@
 func (st *Scenario) Service() Service {
 	sum := serviceSum{classes: valueByName{}, tenants: valueByName{}, windows: map[int]*serviceValue{}}
 	for _, g := range st.Gateways {
-		sum.Extra += g.Callers.Extra
+		sum.ExtraResponses += g.Callers.ExtraResponses
 		for _, record := range g.Callers.Records {
 			if !record.OverQuota {
 				sum.add(record)
--- a/internal/emulator/scenario/virtual.go
+++ b/internal/emulator/scenario/virtual.go
@@ -29,7 +29,8 @@
 	resolver   *gatewayResolver   // of the current process; nil: no number look-ups
 }
 
-// epoch is the time of day at which scenarios begin in virtual time, a Thursday noon in Montreal.
+// epoch is the date and time at which runs in virtual time begin, a Thursday noon in Montreal. Number rules that apply
+// at certain times of day depend on it.
 var epoch = time.Date(2026, 12, 3, 17, 0, 0, 0, time.UTC)
 
 // NewVirtual adds the gateways to a scenario, all with the same routing policy, and sends each the complete endpoint
--- a/internal/emulator/scenariofile/script.go
+++ b/internal/emulator/scenariofile/script.go
@@ -379,7 +379,7 @@
 // readFaults reads the faults.
 func (s *Script) readFaults(b *hclconfig.Block) {
 	for _, t := range b.Blocks("trouble", 1) {
-		x := Trouble{
+		fault := Trouble{
 			Kind:   t.Labels[0],
 			At:     t.Ms("at", hclconfig.Required, 0, msPerDay),
 			For:    t.Ms("for", 10000, 0, msPerDay),
@@ -387,10 +387,10 @@
 			Size:   t.Num("size", 2, 0, 1000),
 			Region: t.Text("region", ""),
 		}
-		if Kinds[x.Kind] == "" {
-			t.Fault("", "trouble %q is not known", x.Kind)
+		if Kinds[fault.Kind] == "" {
+			t.Fault("", "trouble %q is not known", fault.Kind)
 		}
-		s.Troubles = append(s.Troubles, x)
+		s.Troubles = append(s.Troubles, fault)
 	}
 }
 
