--- a/internal/emulator/scenario/arrivals.go
+++ b/internal/emulator/scenario/arrivals.go
@@ -13,10 +13,10 @@
 
 //tally:standin
 
-// lastArrivalMargin is how long before the day's end the last call arrives, in ms.
+// lastArrivalMargin is how long before the scenario's end the last call arrives, in ms.
 const lastArrivalMargin = 1000
 
-// planArrivals plans the calls of the whole day: those of the script's trace, else drawn ones.
+// planArrivals plans all calls: those of the script's trace if it has one, otherwise random ones.
 func (st *Scenario) planArrivals() {
 	switch {
 	case len(st.Script.Calls) > 0:
@@ -26,16 +26,16 @@
 	}
 }
 
-// drawArrivals draws a Poisson process at the day's highest rate and thins it to the rate of each moment.
+// drawArrivals draws a Poisson process at the highest rate of the scenario and thins it to the rate at each time.
 func (st *Scenario) drawArrivals() {
 	draw := newArrivalDraw(st)
 	for at := 0.0; ; {
-		at += -math.Log(1-st.names.Float64()) * 1000 / (st.Script.Load.Rate * draw.peak)
+		at += -math.Log(1-st.random.Float64()) * 1000 / (st.Script.Load.Rate * draw.peak)
 		if at >= st.Script.Length-lastArrivalMargin {
 			break
 		}
 		factor, gateway := draw.rateAndGateway(at)
-		if st.names.Float64()*draw.peak >= factor {
+		if st.random.Float64()*draw.peak >= factor {
 			continue
 		}
 		st.Gateways[gateway].Callers.Plan(draw.arrival(at))
@@ -46,22 +46,22 @@
 		}
 	}
 	for _, g := range st.Gateways {
-		g.callers.Due()
+		g.callersNode.ScheduleWakeup()
 	}
 }
 
-// arrivalDraw is the state of drawing a day's arrivals.
+// arrivalDraw is the state of drawing arrivals.
 type arrivalDraw struct {
 	scenario *Scenario
 	random   *siptransaction.Generator
-	peak     float64       // the highest rate of the day over the script's rate
-	favoured map[int][]int // by number of an "uneven" trouble: the gateways that get more than their share
-	segment  int           // of the day, between changes of the groups' weights
-	weights  []float64     // of the trunk groups in this segment
+	peak     float64       // highest rate divided by the script's rate
+	favoured map[int][]int // gateways that get more than their share, by index of the "uneven" fault
+	segment  int           // index of the current segment; weights are redrawn between segments
+	weights  []float64     // of the trunk groups in the current segment
 }
 
 func newArrivalDraw(st *Scenario) *arrivalDraw {
-	draw := &arrivalDraw{scenario: st, random: &st.names, peak: 1, favoured: map[int][]int{}, segment: -1}
+	draw := &arrivalDraw{scenario: st, random: &st.random, peak: 1, favoured: map[int][]int{}, segment: -1}
 	for i, t := range st.Script.Troubles {
 		switch t.Kind {
 		case "burst":
@@ -73,7 +73,7 @@
 	return draw
 }
 
-// someGateways draws a share of the gateways, one at least, with replacement.
+// someGateways draws a share of the gateways, at least one, with replacement.
 func (draw *arrivalDraw) someGateways(share float64) []int {
 	count := float64(len(draw.scenario.Gateways))
 	var gateways []int
@@ -84,7 +84,8 @@
 	return slices.Compact(gateways)
 }
 
-// rateAndGateway returns the rate at a time, over the script's rate, and the gateway that a call of then goes to.
+// rateAndGateway returns the rate at a time, divided by the script's rate, and the gateway of a call that arrives
+// then.
 func (draw *arrivalDraw) rateAndGateway(at float64) (factor float64, gateway int) {
 	factor = 1
 	gateway = int(draw.random.Float64() * float64(len(draw.scenario.Gateways)))
@@ -105,35 +106,35 @@
 	return factor, gateway
 }
 
-// arrival draws the call that arrives at a time.
+// arrival draws a call that arrives at a time.
 func (draw *arrivalDraw) arrival(at float64) *callers.Arrival {
 	st, random := draw.scenario, draw.random
 	draw.updateWeights(at)
-	skills, payers := st.Script.Skills, st.Script.Payers
-	class := workload.Pick(random.Float64(), len(skills), func(i int) float64 { return skills[i].Share })
-	payer := workload.Pick(random.Float64(), len(payers), func(i int) float64 { return payers[i].Share })
-	home := workload.Pick(random.Float64(), len(draw.weights), func(i int) float64 { return draw.weights[i] })
-	skill := skills[class]
-	number, group := fmt.Sprintf("+1418%07d", int(random.Float64()*float64(st.Script.Load.Numbers))), Group(home)
+	classes, tenants := st.Script.Classes, st.Script.Tenants
+	classIndex := workload.Pick(random.Float64(), len(classes), func(i int) float64 { return classes[i].Share })
+	tenantIndex := workload.Pick(random.Float64(), len(tenants), func(i int) float64 { return tenants[i].Share })
+	destination := workload.Pick(random.Float64(), len(draw.weights), func(i int) float64 { return draw.weights[i] })
+	class := classes[classIndex]
+	number, group := fmt.Sprintf("+1418%07d", int(random.Float64()*float64(st.Script.Load.Numbers))), Group(destination)
 	if st.Names != nil {
-		number, group = st.dialled(home, random.Float64()), ""
+		number, group = st.dialledNumber(destination, random.Float64()), ""
 	}
 	return &callers.Arrival{
 		At:                 at,
 		Number:             number,
-		Class:              skill.Name,
-		Tenant:             payers[payer].Name,
+		Class:              class.Name,
+		Tenant:             tenants[tenantIndex].Name,
 		Group:              group,
-		HoldingTime:        -math.Log(1-random.Float64()) * skill.Hold,
-		LatencyObjective:   skill.Target,
-		Timeout:            skill.Patience,
-		AttemptTimeout:     skill.Try,
-		Weight:             skill.Value,
-		LateWeightFraction: skill.Late,
+		HoldingTime:        -math.Log(1-random.Float64()) * class.Hold,
+		LatencyObjective:   class.Target,
+		Timeout:            class.Patience,
+		AttemptTimeout:     class.Try,
+		Weight:             class.Value,
+		LateWeightFraction: class.Late,
 	}
 }
 
-// updateWeights draws the trunk groups' weights anew when a segment of the day begins.
+// updateWeights redraws the trunk groups' weights when a segment begins.
 func (draw *arrivalDraw) updateWeights(at float64) {
 	load := draw.scenario.Script.Load
 	segment := int(at / load.Drift)
@@ -141,69 +142,69 @@
 		return
 	}
 	draw.segment, draw.weights = segment, nil
-	for _, p := range draw.scenario.places {
+	for _, p := range draw.scenario.endpoints {
 		draw.weights = append(draw.weights, (1+load.Skew*(2*draw.random.Float64()-1))/p.model.Setup)
 	}
 }
 
-// replay plans the calls of a trace in place of drawn ones.
+// replay plans the calls of a trace.
 func (st *Scenario) replay() {
-	skills := map[string]scenariofile.Skill{}
-	for _, k := range st.Script.Skills {
-		skills[k.Name] = k
+	classes := map[string]scenariofile.Class{}
+	for _, class := range st.Script.Classes {
+		classes[class.Name] = class
 	}
 	for _, c := range st.Script.Calls {
-		k, ok := skills[c.Skill]
+		class, ok := classes[c.Skill]
 		if !ok {
-			k = st.Script.Skills[0]
+			class = st.Script.Classes[0]
 		}
-		patience, hold := c.PatienceMs, c.HoldMs
-		if patience == 0 {
-			patience = k.Patience
+		timeout, holdingTime := c.PatienceMs, c.HoldMs
+		if timeout == 0 {
+			timeout = class.Patience
 		}
-		if hold == 0 {
-			hold = k.Hold
+		if holdingTime == 0 {
+			holdingTime = class.Hold
 		}
 		g := st.Gateways[int(c.Gateway)%len(st.Gateways)]
 		g.Callers.Plan(
 			&callers.Arrival{
 				At:                 c.AtMs,
 				Number:             c.Number,
-				Class:              k.Name,
+				Class:              class.Name,
 				Tenant:             c.Customer,
 				Group:              c.Group,
-				HoldingTime:        hold,
-				LatencyObjective:   k.Target,
-				Timeout:            patience,
-				AttemptTimeout:     math.Min(k.Try, patience),
-				Weight:             k.Value,
-				LateWeightFraction: k.Late,
+				HoldingTime:        holdingTime,
+				LatencyObjective:   class.Target,
+				Timeout:            timeout,
+				AttemptTimeout:     math.Min(class.Try, timeout),
+				Weight:             class.Value,
+				LateWeightFraction: class.Late,
 			},
 		)
 	}
 	for _, g := range st.Gateways {
-		g.callers.Due()
+		g.callersNode.ScheduleWakeup()
 	}
 }
 
-// flood sends one gateway many calls of the least value.
+// flood plans many calls of the class of the lowest value, all to one gateway.
 func (st *Scenario) flood(t scenariofile.Trouble) {
-	s, n := st.Script, &st.names
-	least := s.Skills[0]
-	for _, k := range s.Skills {
-		if k.Value < least.Value {
-			least = k
+	s, random := st.Script, &st.random
+	lowest := s.Classes[0]
+	for _, class := range s.Classes {
+		if class.Value < lowest.Value {
+			lowest = class
 		}
 	}
 	end := math.Min(t.At+t.For, s.Length-lastArrivalMargin)
-	for at := t.At; at < end; at += -math.Log(1-n.Float64()) * 1000 / (s.Load.Rate * t.Size) {
-		number, group := fmt.Sprintf("+1999%07d", int(n.Float64()*1e7)), Group(0)
+	for at := t.At; at < end; at += -math.Log(1-random.Float64()) * 1000 / (s.Load.Rate * t.Size) {
+		number, group := fmt.Sprintf("+1999%07d", int(random.Float64()*1e7)), Group(0)
 		if st.Names != nil {
-			number, group = st.dialled(int(n.Float64()*float64(len(st.places))), n.Float64()), ""
+			number, group = st.dialledNumber(int(random.Float64()*float64(len(st.endpoints))), random.Float64()), ""
 		}
-		st.Gateways[0].Callers.Plan(&callers.Arrival{At: at, Number: number, Class: least.Name,
-			Tenant: s.Payers[0].Name, Group: group, HoldingTime: least.Hold, LatencyObjective: least.Target,
-			Timeout:        least.Patience,
-			AttemptTimeout: least.Try, Weight: least.Value, LateWeightFraction: least.Late, OverQuota: true})
+		st.Gateways[0].Callers.Plan(&callers.Arrival{At: at, Number: number, Class: lowest.Name,
+			Tenant: s.Tenants[0].Name, Group: group, HoldingTime: lowest.Hold, LatencyObjective: lowest.Target,
+			Timeout:        lowest.Patience,
+			AttemptTimeout: lowest.Try, Weight: lowest.Value, LateWeightFraction: lowest.Late, OverQuota: true})
 	}
 }
--- a/internal/emulator/scenariofile/script.go
+++ b/internal/emulator/scenariofile/script.go
@@ -1,4 +1,5 @@
-// Package scenariofile reads a day: how many gateways and switches, what calls come, and what goes wrong when.
+// Package scenariofile reads scenarios: how many gateways and switches there are, which calls arrive, and which
+// faults occur when.
 package scenariofile
 
 //tally:standin
@@ -14,7 +15,9 @@
 	"cobaltpier/internal/protocol/siptransaction"
 )
 
-// Script is a day. Times are milliseconds.
+// Script is a scenario. Times are in milliseconds.
+//
+// Scripts are stored as JSON under the Go names of their fields; a renamed field keeps its old name in a tag.
 type Script struct {
 	Name     string
 	Seed     uint64
@@ -23,39 +26,41 @@
 	Gateways Gateways
 	Rules    Rules
 	Net      Net
-	Skills   []Skill
-	Payers   []Payer
+	Classes  []Class  `json:"Skills"`
+	Tenants  []Tenant `json:"Payers"`
 	Pools    Pools
 	Load     Load
 	Callers  Callers
 	List     List
 	Numbers  Numbers
-	Kiosks   Kiosks
-	Troubles []Trouble
-	Calls    []*api.Call `json:"-"` // of a trace, in place of Load
+	Kiosks   Kiosks      `json:"Kiosks"`
+	Troubles []Trouble   `json:"Troubles"`
+	Calls    []*api.Call `json:"-"` // calls of a trace, in place of Load
 }
 
-// Gateways are the gateways.
+// Gateways holds the number and the settings of the gateways. Held is the most calls that may be pending at one of
+// them.
 type Gateways struct {
 	Count, Held, MaxRings, MaxWait int
 	Tick, Margin, MostRate         float64
 	Cancel, Tell, Probe, NameWait  bool
 }
 
-// Rules are the five rules' figures.
+// Rules holds the parameters of the five rules.
 type Rules struct{ Slack, Grace, Clear, ColdShare, WarmWithin, TipTimes, TipWindow float64 }
 
-// Net is the wire.
+// Net describes the network: one-way delays within a region, between regions, between callers and gateways and
+// between gateways, and the shares of datagrams that are lost or duplicated.
 type Net struct{ Same, Cross, Caller, Peer, Jitter, Loss, Double, PeerLoss float64 }
 
-// Skill is a class of calls.
-type Skill struct {
+// Class is a class of calls.
+type Class struct {
 	Name                                            string
 	Share, Target, Patience, Try, Value, Late, Hold float64
 }
 
-// Payer is a tenant.
-type Payer struct {
+// Tenant is a tenant.
+type Tenant struct {
 	Name  string
 	Share float64
 }
@@ -63,22 +68,22 @@
 // Pools are the endpoints.
 type Pools struct {
 	Count  int
-	Spread float64 // their sizes differ by this part, up or down
-	// Sizes, if set, are theirs in place of Spread; Regions the numbers of their regions.
+	Spread float64 // capacities differ from the mean by up to this fraction
+	// Sizes, if set, are the relative capacities, in place of Spread; Regions holds the index of each one's region.
 	Sizes   []float64
 	Regions []int
 	Model   coreswitch.Model
 }
 
-// Load is what comes.
+// Load is the offered load.
 type Load struct {
-	Rate    float64 // calls a second at all gateways
-	Drift   float64 // destinations change after so long
-	Skew    float64 // 0: all destinations alike
-	Numbers int     // numbers that are called
+	Rate    float64 // calls per second at all gateways together
+	Drift   float64 // the popularity of destinations is redrawn at this interval
+	Skew    float64 // 0: all destinations are equally popular
+	Numbers int     // distinct called numbers
 }
 
-// Callers are how they behave.
+// Callers is the behavior of the callers.
 type Callers struct {
 	Redials int
 	Pause   float64
@@ -88,38 +93,40 @@
 	Silence float64
 }
 
-// List is the endpoint list's lateness.
+// List holds the delays after which the endpoint list shows a change.
 type List struct{ NoticeLo, NoticeHi, SilentLo, SilentHi, AddLo, AddHi, Spread float64 }
 
-// Numbers says whether the gateways analyse numbers, and how the look-ups that their tables ask for are answered.
+// Numbers says whether the gateways analyse numbers, and how the look-ups requested by their number tables are
+// answered.
 type Numbers struct {
 	On                  bool
-	Change              float64 // a new table so often; 0: never
+	Change              float64 // interval between new tables; 0: never
 	Ported, None, Leads float64 // shares of the numbers
 	TTL, Delay, Jitter  float64
 	Servers             int
-	Within, Share       float64 // of a look-up: its time, and the most of a call's timeout
-	Cache, Alone        bool    // answers are kept; questions for one name are not shared
-	Popular             float64 // 1: all numbers are called alike; more: the first of them more often
-	Refuse              bool    // a number without an answer is rejected, not sent on as it was dialled
-	Fail                float64 // a number without an answer is not asked for again so long
-	Stale               float64 // answers that ran out are served so long
+	Within, Share       float64 // of a look-up: its timeout, and its largest share of the call's timeout
+	Cache, Alone        bool    // Cache: answers are cached; Alone: concurrent look-ups of one name are not shared
+	Popular             float64 // 1: all numbers are equally popular; above 1: lower numbers are called more often
+	Refuse              bool    // a call whose look-up gets no answer is rejected, not routed by the dialled number
+	Fail                float64 // how long a failed look-up is not repeated
+	Stale               float64 // how long stale answers are served
 }
 
-// Kiosks ask by ENUM which switch to call, and call it themselves.
+// Kiosks are ENUM clients: they look up which switch to call and call it themselves.
 type Kiosks struct {
-	Rate    float64 // calls a second at all gateways; 0: there are none
+	Rate    float64 // calls per second at all gateways together; 0: no ENUM clients
 	Hold    float64
-	Loss    float64 // of datagrams between them and the gateways
-	Wait    float64 // then a question is repeated
+	Loss    float64 // share of datagrams lost between them and the gateways
+	Wait    float64 // retransmission interval of a query
 	Repeats int
-	Asks    int // questions anew after a failure
+	Asks    int // new queries after a failed one
 }
 
-// Analyses tells whether the gateways analyse numbers. Calls of a trace name their trunk groups themselves.
+// Analyses reports whether the gateways analyse numbers. They don't for the calls of a trace, which name their trunk
+// groups themselves.
 func (s *Script) Analyses() bool { return s.Numbers.On && len(s.Calls) == 0 }
 
-// Trouble is one thing that goes wrong.
+// Trouble is a fault. Part is the share of the components that it affects; what Size means depends on the kind.
 type Trouble struct {
 	Kind       string
 	At, For    float64
@@ -127,41 +134,41 @@
 	Region     string
 }
 
-// Kinds of trouble, and what their part and size mean.
+// Kinds describes each kind of fault with the meaning of its part and size.
 var Kinds = map[string]string{
-	"burst":         "contacts come size times as often",
-	"uneven":        "a part of the gateways gets the share size of all contacts",
+	"burst":         "calls arrive size times as often",
+	"uneven":        "a part of the gateways gets the share size of all calls",
 	"slow":          "a part of the switches runs size times slower",
 	"slow_all":      "all switches run size times slower",
 	"other":         "on a part of the switches other work takes the share size of the processor, on and off",
 	"lines":         "the switches of a region keep the share size of their lines",
-	"silent":        "a part of the switches goes silent and comes back cold",
-	"ageing":        "a part of the switches gets slower up to size times, then dies and comes back cold",
+	"silent":        "a part of the switches stops responding and restarts cold",
+	"ageing":        "a part of the switches gets slower, up to size times, then crashes and restarts cold",
 	"deploy":        "a part of the switches drains and is replaced by cold ones, one after the other",
 	"region":        "all switches of a region restart together",
-	"stall":         "a part of the gateways stands still for size seconds, again and again",
-	"restart":       "a part of the gateways is killed and comes back with its last list",
+	"stall":         "a part of the gateways is paused for size seconds, repeatedly",
+	"restart":       "a part of the gateways is killed and restarted with its last list",
 	"mute":          "messages between gateways are lost",
 	"loss":          "a share size of all datagrams between gateways and switches is lost",
-	"listless":      "the pool list says nothing",
+	"listless":      "the endpoint list sends no updates",
 	"names_silent":  "a part of the DNS servers never answers",
 	"names_slow":    "a part of the DNS servers answers after size seconds",
 	"names_lossy":   "a part of the DNS servers loses the share size of its answers",
-	"names_spoofed": "before each answer of a part of the DNS servers come size guesses with a lie",
+	"names_spoofed": "each answer of a part of the DNS servers is preceded by size spoofed answers",
 	"names_cut":     "a part of the DNS servers truncates the share size of its answers",
-	"names_lame":    "a part of the DNS servers refuses",
+	"names_lame":    "a part of the DNS servers refuses queries",
 	"names_wrong":   "the share size of the answers of a part of the DNS servers has a wrong id",
-	"flood":         "one gateway gets size times the rated load of all, of the least valuable skill",
+	"flood":         "one gateway gets size times the total load, in the class of the lowest value",
 }
 
-const day = 24 * 3600 * 1000.0
+const msPerDay = 24 * 3600 * 1000.0
 
-// Read takes a script from settings.
+// Read reads a script from a parsed scenario file.
 func Read(b *hclconfig.Block) (*Script, error) {
 	s := &Script{
 		Name:    b.Text("name", "day"),
 		Seed:    uint64(b.Int("seed", 1, 0, 1<<31)),
-		Length:  b.Ms("length", 60000, 1000, day),
+		Length:  b.Ms("length", 60000, 1000, msPerDay),
 		Regions: b.Texts("regions"),
 	}
 	if len(s.Regions) == 0 {
@@ -170,18 +177,18 @@
 	s.readGateways(b)
 	s.readRules(b)
 	s.readNet(b)
-	s.readSkills(b)
+	s.readClasses(b)
 	s.readPools(b)
 	s.readLoad(b)
 	s.readCallers(b)
 	s.readList(b)
 	s.readNumbers(b)
 	s.readKiosks(b)
-	s.readTroubles(b)
+	s.readFaults(b)
 	return s, b.Err()
 }
 
-// readGateways reads the gateways.
+// readGateways reads the settings of the gateways.
 func (s *Script) readGateways(b *hclconfig.Block) {
 	g := b.One("gateways")
 	s.Gateways = Gateways{
@@ -189,7 +196,7 @@
 		Held:     g.Int("most_held", 20000, 1, 1<<24),
 		MostRate: g.Num("most_rate", 0, 0, 1e6),
 		MaxRings: g.Int("max_rings", 5, 1, 100),
-		MaxWait:  int(g.Ms("max_wait", 2000, 0, day)),
+		MaxWait:  int(g.Ms("max_wait", 2000, 0, msPerDay)),
 		Tick:     g.Ms("tick", 5, 0.1, 1000),
 		Margin:   g.Ms("margin", 30, 0, 10000),
 		Cancel:   g.Flag("may_cancel", true),
@@ -199,7 +206,7 @@
 	}
 }
 
-// readRules reads the rules that the gateways keep.
+// readRules reads the parameters of the rules.
 func (s *Script) readRules(b *hclconfig.Block) {
 	r := b.One("rules")
 	s.Rules = Rules{
@@ -207,13 +214,13 @@
 		Grace:      r.Ms("grace", 250, 0, 10000),
 		Clear:      r.Ms("clear_wait", 500, 0, 10000),
 		ColdShare:  r.Num("cold_share", 0.36, 0.01, 1),
-		WarmWithin: r.Ms("warm_within", 14000, 0, day),
+		WarmWithin: r.Ms("warm_within", 14000, 0, msPerDay),
 		TipTimes:   r.Num("tip_multiple", 2.5, 0, 100),
-		TipWindow:  r.Ms("tip_time", 1000, 1, day),
+		TipWindow:  r.Ms("tip_time", 1000, 1, msPerDay),
 	}
 }
 
-// readNet reads the network.
+// readNet reads the delays and losses of the network.
 func (s *Script) readNet(b *hclconfig.Block) {
 	n := b.One("net")
 	s.Net = Net{
@@ -228,58 +235,58 @@
 	}
 }
 
-// readSkills reads the classes and tenants of calls.
-func (s *Script) readSkills(b *hclconfig.Block) {
+// readClasses reads the classes and tenants of calls.
+func (s *Script) readClasses(b *hclconfig.Block) {
 	for _, k := range b.Blocks("skill", 1) {
-		s.Skills = append(
-			s.Skills,
-			Skill{
+		s.Classes = append(
+			s.Classes,
+			Class{
 				Name:     k.Labels[0],
 				Share:    k.Num("share", 1, 0, 1),
-				Target:   k.Ms("target", 2000, 1, day),
-				Patience: k.Ms("patience", 9000, 1000, day),
-				Try:      k.Ms("try", 3000, 1000, day),
+				Target:   k.Ms("target", 2000, 1, msPerDay),
+				Patience: k.Ms("patience", 9000, 1000, msPerDay),
+				Try:      k.Ms("try", 3000, 1000, msPerDay),
 				Value:    k.Num("value", 1, 0, 1e6),
 				Late:     k.Num("late", 0.1, 0, 1),
-				Hold:     k.Ms("hold", 9000, 1, day),
+				Hold:     k.Ms("hold", 9000, 1, msPerDay),
 			},
 		)
 	}
-	if len(s.Skills) == 0 {
-		s.Skills = []Skill{{"shift-lookup", 1, 2000, 9000, 3000, 1, 0.1, 9000}}
+	if len(s.Classes) == 0 {
+		s.Classes = []Class{{"shift-lookup", 1, 2000, 9000, 3000, 1, 0.1, 9000}}
 	}
 	for _, c := range b.Blocks("customer", 1) {
-		s.Payers = append(s.Payers, Payer{c.Labels[0], c.Num("share", 1, 0, 1)})
+		s.Tenants = append(s.Tenants, Tenant{c.Labels[0], c.Num("share", 1, 0, 1)})
 	}
-	if len(s.Payers) == 0 {
-		s.Payers = []Payer{{"laurentide.example", 1}}
+	if len(s.Tenants) == 0 {
+		s.Tenants = []Tenant{{"laurentide.example", 1}}
 	}
 }
 
-// readPools reads the core switches; the rules come first.
+// readPools reads the core switches. It uses s.Rules, which must have been read before.
 func (s *Script) readPools(b *hclconfig.Block) {
 	p := b.One("pools")
 	retry := p.Ms("retransmit", 400, 10, 60000)
 	s.Pools = Pools{Count: p.Int("count", 4, 1, 1000), Spread: p.Num("spread", 0.15, 0, 0.9), Model: coreswitch.Model{
-		Setup:     p.Num("setup_ms", 6.4, 0.001, 1000),
-		Answer:    p.Num("answer_ms", 2.4, 0, 1000),
-		Release:   p.Num("release_ms", 1.9, 0, 1000),
-		Repeat:    p.Num("repeat_ms", 1, 0, 1000),
-		Reject:    p.Num("reject_ms", 0.8, 0, 1000),
-		Probe:     p.Num("probe_ms", 0.3, 0, 1000),
-		Lines:     p.Int("lines", 2000, 1, 1<<20),
-		WaitLimit: p.Ms("wait_limit", 2500, 1, day),
-		NamesWait: p.Flag("names_wait", true),
-		WorksOn:   p.Flag("works_on", false),
-		ErrorRate: p.Num("error_rate", 0.0005, 0, 1),
-		ColdShare: s.Rules.ColdShare,
-		Warm:      p.Ms("warm", 12000, 0, day),
-		TipTimes:  s.Rules.TipTimes,
-		TipWindow: s.Rules.TipWindow,
-		Refresh:   p.Ms("refresh", 400, 1, day),
-		Delay:     p.Ms("report_delay", 120, 0, day),
-		Noise:     p.Num("noise", 0.08, 0, 1),
-		Times:     siptransaction.Timers{T1: retry, T2: 8 * retry, T4: 5000},
+		Setup:          p.Num("setup_ms", 6.4, 0.001, 1000),
+		Answer:         p.Num("answer_ms", 2.4, 0, 1000),
+		Release:        p.Num("release_ms", 1.9, 0, 1000),
+		Repeat:         p.Num("repeat_ms", 1, 0, 1000),
+		Reject:         p.Num("reject_ms", 0.8, 0, 1000),
+		Probe:          p.Num("probe_ms", 0.3, 0, 1000),
+		Lines:          p.Int("lines", 2000, 1, 1<<20),
+		WaitLimit:      p.Ms("wait_limit", 2500, 1, msPerDay),
+		NamesWait:      p.Flag("names_wait", true),
+		WorksOn:        p.Flag("works_on", false),
+		ErrorRate:      p.Num("error_rate", 0.0005, 0, 1),
+		ColdShare:      s.Rules.ColdShare,
+		Warm:           p.Ms("warm", 12000, 0, msPerDay),
+		OverloadFactor: s.Rules.TipTimes,
+		OverloadWindow: s.Rules.TipWindow,
+		ReportInterval: p.Ms("refresh", 400, 1, msPerDay),
+		ReportDelay:    p.Ms("report_delay", 120, 0, msPerDay),
+		ReportNoise:    p.Num("noise", 0.08, 0, 1),
+		Times:          siptransaction.Timers{T1: retry, T2: 8 * retry, T4: 5000},
 	}}
 	s.Pools.Model.Reports = p.Texts("reports")
 	if len(s.Pools.Model.Reports) == 0 {
@@ -292,100 +299,100 @@
 	}
 }
 
-// readLoad reads the load.
+// readLoad reads the offered load.
 func (s *Script) readLoad(b *hclconfig.Block) {
 	l := b.One("load")
 	s.Load = Load{
 		Rate:    l.Num("rate", 300, 0, 1e6),
-		Drift:   l.Ms("drift", 15000, 100, day),
+		Drift:   l.Ms("drift", 15000, 100, msPerDay),
 		Skew:    l.Num("skew", 0.3, 0, 1),
 		Numbers: l.Int("numbers", 20000, 1, 1<<30),
 	}
 }
 
-// readCallers reads the callers.
+// readCallers reads the behavior of the callers.
 func (s *Script) readCallers(b *hclconfig.Block) {
 	c := b.One("callers")
 	s.Callers = Callers{
 		Redials: c.Int("redials", 2, 0, 100),
-		Pause:   c.Ms("pause", 900, 0, day),
+		Pause:   c.Ms("pause", 900, 0, msPerDay),
 		Grows:   c.Flag("grows", true),
 		Honour:  c.Num("honour", 0.6, 0, 1),
-		MaxWait: c.Ms("max_wait", 2000, 0, day),
-		Silence: c.Ms("silence", 1000, 0, day),
+		MaxWait: c.Ms("max_wait", 2000, 0, msPerDay),
+		Silence: c.Ms("silence", 1000, 0, msPerDay),
 	}
 }
 
-// readList reads how the endpoint list follows the switches.
+// readList reads the delays of the endpoint list.
 func (s *Script) readList(b *hclconfig.Block) {
 	d := b.One("list")
 	s.List = List{
-		NoticeLo: d.Ms("notice_least", 700, 0, day),
-		NoticeHi: d.Ms("notice_most", 5000, 0, day),
-		SilentLo: d.Ms("silent_least", 5200, 0, day),
-		SilentHi: d.Ms("silent_most", 13000, 0, day),
-		AddLo:    d.Ms("add_least", 900, 0, day),
-		AddHi:    d.Ms("add_most", 2400, 0, day),
-		Spread:   d.Ms("spread", 300, 0, day),
+		NoticeLo: d.Ms("notice_least", 700, 0, msPerDay),
+		NoticeHi: d.Ms("notice_most", 5000, 0, msPerDay),
+		SilentLo: d.Ms("silent_least", 5200, 0, msPerDay),
+		SilentHi: d.Ms("silent_most", 13000, 0, msPerDay),
+		AddLo:    d.Ms("add_least", 900, 0, msPerDay),
+		AddHi:    d.Ms("add_most", 2400, 0, msPerDay),
+		Spread:   d.Ms("spread", 300, 0, msPerDay),
 	}
 }
 
-// readNumbers reads the number analysis.
+// readNumbers reads the settings of number analysis.
 func (s *Script) readNumbers(b *hclconfig.Block) {
 	for _, n := range b.Blocks("numbers", 0) {
 		s.Numbers = Numbers{
 			On:      true,
-			Change:  n.Ms("change", 0, 0, day),
+			Change:  n.Ms("change", 0, 0, msPerDay),
 			Ported:  n.Num("ported", 0.3, 0, 1),
 			None:    n.Num("none", 0.05, 0, 1),
 			Leads:   n.Num("leads", 0.1, 0, 1),
-			TTL:     n.Ms("ttl", 60000, 0, day),
-			Delay:   n.Ms("delay", 3, 0, day),
-			Jitter:  n.Ms("jitter", 4, 0, day),
+			TTL:     n.Ms("ttl", 60000, 0, msPerDay),
+			Delay:   n.Ms("delay", 3, 0, msPerDay),
+			Jitter:  n.Ms("jitter", 4, 0, msPerDay),
 			Servers: n.Int("servers", 2, 1, 50),
 			Within:  n.Ms("within", 400, 1, 60000),
 			Share:   n.Num("lookup_share", 0.3, 0, 1),
 			Cache:   n.Flag("cache", true),
 			Alone:   n.Flag("alone", false),
-			Stale:   n.Ms("stale", 600e3, 0, day),
-			Fail:    n.Ms("fail", 1000, 0, day),
+			Stale:   n.Ms("stale", 600e3, 0, msPerDay),
+			Fail:    n.Ms("fail", 1000, 0, msPerDay),
 			Popular: n.Num("popular", 1, 1, 100),
 			Refuse:  n.Text("silent", "route", "route", "refuse") == "refuse",
 		}
 	}
 }
 
-// readKiosks reads the kiosks, which ask by ENUM.
+// readKiosks reads the settings of the ENUM clients.
 func (s *Script) readKiosks(b *hclconfig.Block) {
 	for _, n := range b.Blocks("kiosks", 0) {
 		s.Kiosks = Kiosks{
 			Rate:    n.Num("rate", 100, 0, 1e6),
-			Hold:    n.Ms("hold", 5000, 1, day),
+			Hold:    n.Ms("hold", 5000, 1, msPerDay),
 			Loss:    n.Num("loss", 0, 0, 1),
-			Wait:    n.Ms("wait", 1000, 1, day),
+			Wait:    n.Ms("wait", 1000, 1, msPerDay),
 			Repeats: n.Int("repeats", 1, 0, 10),
 			Asks:    n.Int("asks", 2, 0, 10),
 		}
 	}
 }
 
-// readTroubles reads what goes wrong.
-func (s *Script) readTroubles(b *hclconfig.Block) {
+// readFaults reads the faults.
+func (s *Script) readFaults(b *hclconfig.Block) {
 	for _, t := range b.Blocks("trouble", 1) {
-		x := Trouble{
+		fault := Trouble{
 			Kind:   t.Labels[0],
-			At:     t.Ms("at", hclconfig.Required, 0, day),
-			For:    t.Ms("for", 10000, 0, day),
+			At:     t.Ms("at", hclconfig.Required, 0, msPerDay),
+			For:    t.Ms("for", 10000, 0, msPerDay),
 			Part:   t.Num("part", 0.25, 0, 1),
 			Size:   t.Num("size", 2, 0, 1000),
 			Region: t.Text("region", ""),
 		}
-		if Kinds[x.Kind] == "" {
-			t.Fault("", "trouble %q is not known", x.Kind)
+		if Kinds[fault.Kind] == "" {
+			t.Fault("", "trouble %q is not known", fault.Kind)
 		}
-		s.Troubles = append(s.Troubles, x)
+		s.Troubles = append(s.Troubles, fault)
 	}
 }
 
-// KindNames are the kinds of trouble in order.
+// KindNames returns the names of the kinds of fault, sorted.
 func KindNames() []string { return slices.Sorted(maps.Keys(Kinds)) }
--- a/internal/emulator/scenariofile/script_test.go
+++ b/internal/emulator/scenariofile/script_test.go
@@ -8,13 +8,13 @@
 	"cobaltpier/internal/hclconfig"
 )
 
-// benchForm is a day as the simulator writes it.
+// simulatorJSON is a scenario as the simulator writes it.
 //
 //go:embed testdata/bench.json
-var benchForm string
+var simulatorJSON string
 
-func TestBenchDay(t *testing.T) {
-	s, notes, err := FromBench([]byte(benchForm))
+func TestFromSimulator(t *testing.T) {
+	s, notes, err := FromSimulator([]byte(simulatorJSON))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -25,21 +25,21 @@
 		strings.Join(m.Reports, " ") != "util queue" {
 		t.Errorf("%+v", s)
 	}
-	if w := m.Setup + m.Answer + m.Release; w < 33.3 || w > 33.4 { // 30 calls a second at a mean switch
+	if w := m.Setup + m.Answer + m.Release; w < 33.3 || w > 33.4 { // 30 calls per second at a switch of mean speed
 		t.Errorf("work of a call %v ms", w)
 	}
 	if !strings.Contains(strings.Join(notes, "; "), `"odd"`) {
 		t.Errorf("notes %v", notes)
 	}
-	for _, bad := range []string{"{", `{"v":2}`, `{"v":1}`, strings.Replace(benchForm, `"capacity":60`, `"capacity":0`,
+	for _, bad := range []string{"{", `{"v":2}`, `{"v":1}`, strings.Replace(simulatorJSON, `"capacity":60`, `"capacity":0`,
 		1)} {
-		if _, _, err := FromBench([]byte(bad)); err == nil {
+		if _, _, err := FromSimulator([]byte(bad)); err == nil {
 			t.Errorf("%.30q: no error", bad)
 		}
 	}
 }
 
-func TestFaults(t *testing.T) {
+func TestInvalidFiles(t *testing.T) {
 	for in, want := range map[string]string{
 		"trouble \"earthquake\" {\n at = \"1s\"\n}": `day.hcl:1: trouble "earthquake" is not known`,
 		"trouble \"slow\" {\n}":                     `day.hcl:1: trouble: want at =`,
@@ -57,7 +57,7 @@
 	}
 }
 
-// An override puts a value in place, in a block that is there or not; what it names wrongly is refused like any key.
+// An override sets a value, whether or not the file has the block; unknown keys are errors as in the file itself.
 func TestOverride(t *testing.T) {
 	b, err := hclconfig.Parse("day.hcl", []byte("gateways {\n count = 3\n}\n"))
 	if err != nil {
--- a/internal/emulator/scenariofile/bench.go
+++ b/internal/emulator/scenariofile/simulator.go
@@ -10,8 +10,9 @@
 	"cobaltpier/internal/protocol/siptransaction"
 )
 
-// benchDay is what is read of a day as the bench draws it; times are µs, sizes its own. All other keys are passed over.
-type benchDay struct {
+// simulatorScenario is the part of a scenario of the external simulator that is read. Times are in µs; sizes are in
+// the simulator's units. Other keys are ignored.
+type simulatorScenario struct {
 	V       int
 	Site    string
 	Noise   uint64
@@ -53,13 +54,13 @@
 		Name  string
 		Share float64
 	}
-	Tiers   []benchTier
+	Tiers   []simulatorTier
 	Servers []struct {
 		Zone  int
 		Speed float64
 	}
 	Balancers []struct{ Zone int }
-	Troubles  []benchTrouble
+	Troubles  []simulatorFault
 	Fam       struct {
 		Capacity, Drift, Queue, Reject, Release, Repeat, Resend float64
 		DriftCv                                                 float64 `json:"drift_cv"`
@@ -70,8 +71,8 @@
 	}
 }
 
-// benchTier is a group of servers.
-type benchTier struct {
+// simulatorTier is a group of servers.
+type simulatorTier struct {
 	Kinds []struct {
 		ColdFrom  float64 `json:"cold_from"`
 		Cold      float64
@@ -86,16 +87,16 @@
 	StatedCold   float64  `json:"stated_cold"`
 }
 
-// benchTrouble is one thing that goes wrong.
-type benchTrouble struct {
+// simulatorFault is a fault; times are in µs.
+type simulatorFault struct {
 	Kind        string
 	At, Len     float64
 	Size, Extra float64
 	On          []int
 }
 
-// benchKinds are the bench's troubles in our words.
-var benchKinds = map[string]string{
+// faultKinds maps the simulator's kinds of fault to those of a Script.
+var faultKinds = map[string]string{
 	"burst":          "burst",
 	"hot_caller":     "uneven",
 	"slow":           "slow",
@@ -113,17 +114,17 @@
 	"peer_down":      "mute",
 }
 
-// FromBench reads a day file that the bench prints. The bench's world and ours are two models: the second result says
-// what was not taken over, so that nobody takes one's figures for the other's.
-func FromBench(src []byte) (*Script, []string, error) {
-	d := &benchDay{}
+// FromSimulator reads a scenario file written by the external simulator. Its model differs from the emulator's, so
+// their results can't be compared directly; the second result lists what was not converted.
+func FromSimulator(src []byte) (*Script, []string, error) {
+	d := &simulatorScenario{}
 	if err := json.Unmarshal(src, d); err != nil {
-		return nil, nil, fmt.Errorf("bench day: %w", err)
+		return nil, nil, fmt.Errorf("simulator scenario: %w", err)
 	}
 	if err := d.validate(); err != nil {
 		return nil, nil, err
 	}
-	c := &benchConverter{day: d, tier: &d.Tiers[0]}
+	c := &simulatorConverter{source: d, tier: &d.Tiers[0]}
 	s := &Script{
 		Name:     d.Site,
 		Seed:     d.Noise % (1 << 31),
@@ -136,42 +137,42 @@
 		Callers:  c.callers(),
 		List:     c.list(),
 		Pools:    c.pools(),
-		Skills:   c.skills(),
-		Payers:   c.payers(),
-		Troubles: c.troubles(),
+		Classes:  c.classes(),
+		Tenants:  c.tenants(),
+		Troubles: c.faults(),
 	}
 	return s, c.notes, nil
 }
 
-func (d *benchDay) validate() error {
+func (d *simulatorScenario) validate() error {
 	switch {
 	case d.V != 1:
-		return fmt.Errorf("bench day: want \"v\": 1, got %d", d.V)
+		return fmt.Errorf("simulator scenario: want \"v\": 1, got %d", d.V)
 	case len(d.Servers) == 0 || len(d.Balancers) == 0 || len(d.Classes) == 0 || len(d.Tiers) == 0 ||
 		len(d.Tiers[0].Kinds) == 0 || len(d.Zones) == 0:
-		return errors.New("bench day: want servers, balancers, classes, zones and a tier with a kind")
+		return errors.New("simulator scenario: want servers, balancers, classes, zones and a tier with a kind")
 	case !(d.Fam.Capacity > 0) || !(d.Length > 0):
-		return errors.New("bench day: want a capacity and a length above 0")
+		return errors.New("simulator scenario: want a capacity and a length above 0")
 	}
 	return nil
 }
 
-// ms converts from the bench's µs.
+// ms converts the simulator's µs.
 func ms(us float64) float64 { return us / 1000 }
 
-// benchConverter turns a day of the bench into a script.
-type benchConverter struct {
-	day   *benchDay
-	tier  *benchTier
-	notes []string // what was not taken over
+// simulatorConverter converts a scenario of the simulator into a Script.
+type simulatorConverter struct {
+	source *simulatorScenario
+	tier   *simulatorTier
+	notes  []string // what was not converted
 }
 
-func (c *benchConverter) note(format string, args ...any) {
+func (c *simulatorConverter) note(format string, args ...any) {
 	c.notes = append(c.notes, fmt.Sprintf(format, args...))
 }
 
-func (c *benchConverter) gateways() Gateways {
-	d := c.day
+func (c *simulatorConverter) gateways() Gateways {
+	d := c.source
 	return Gateways{
 		Count:    len(d.Balancers),
 		Held:     max(1, d.Allow.MaxOpen),
@@ -186,8 +187,8 @@
 	}
 }
 
-func (c *benchConverter) rules() Rules {
-	d := c.day
+func (c *simulatorConverter) rules() Rules {
+	d := c.source
 	return Rules{
 		Slack:      20,
 		Grace:      ms(d.DrainGrace),
@@ -199,8 +200,8 @@
 	}
 }
 
-func (c *benchConverter) net() Net {
-	d := c.day
+func (c *simulatorConverter) net() Net {
+	d := c.source
 	return Net{
 		Same:     ms(d.Net.Same),
 		Cross:    ms(d.Net.Cross),
@@ -211,8 +212,8 @@
 	}
 }
 
-func (c *benchConverter) load() Load {
-	d := c.day
+func (c *simulatorConverter) load() Load {
+	d := c.source
 	return Load{
 		Rate:    d.Traffic.Load * d.Fam.Capacity,
 		Drift:   math.Max(100, ms(d.Fam.Drift)),
@@ -221,8 +222,8 @@
 	}
 }
 
-func (c *benchConverter) callers() Callers {
-	d := c.day
+func (c *simulatorConverter) callers() Callers {
+	d := c.source
 	return Callers{
 		Redials: d.Clients.Retries,
 		Pause:   ms(d.Clients.BackoffUs),
@@ -233,8 +234,8 @@
 	}
 }
 
-func (c *benchConverter) list() List {
-	d := c.day
+func (c *simulatorConverter) list() List {
+	d := c.source
 	return List{
 		NoticeLo: ms(d.Discovery.Notice) / 2,
 		NoticeHi: ms(d.Discovery.Notice),
@@ -246,8 +247,8 @@
 	}
 }
 
-func (c *benchConverter) pools() Pools {
-	d := c.day
+func (c *simulatorConverter) pools() Pools {
+	d := c.source
 	total := 0.0
 	for _, server := range d.Servers {
 		total += server.Speed
@@ -261,8 +262,8 @@
 	return p
 }
 
-// benchReports are the fields of the bench's load reports in our words.
-var benchReports = map[string]string{
+// reportNames maps the simulator's load report fields to those of coreswitch.Model.Reports.
+var reportNames = map[string]string{
 	"util":       "util",
 	"queue":      "queue",
 	"latency_ms": "wait",
@@ -270,15 +271,15 @@
 	"eps":        "loss",
 }
 
-// model is that of the mean switch.
-func (c *benchConverter) model() coreswitch.Model {
-	d, tier, kind := c.day, c.tier, c.tier.Kinds[0]
-	// ms of a call at a mean switch that is wholly busy at the capacity
+// model returns the model of a switch of mean speed.
+func (c *simulatorConverter) model() coreswitch.Model {
+	d, tier, kind := c.source, c.tier, c.tier.Kinds[0]
+	// processor time of a call in ms at which switches of mean speed are fully busy when the load equals the capacity
 	work := float64(len(d.Servers)) * 1000 / d.Fam.Capacity
 	lines := 2000
 	if len(d.Fam.Size) > 0 {
 		lines = d.Fam.Size[0]
-		c.note("all switches have the first one's %d lines", lines)
+		c.note("all switches have the %d lines of the first one", lines)
 	}
 	retry := math.Max(10, ms(d.Fam.Resend))
 	if d.Fam.Resend <= 0 {
@@ -286,43 +287,43 @@
 	}
 	var reports []string
 	for _, field := range tier.ReportFields {
-		if name := benchReports[field]; name != "" {
+		if name := reportNames[field]; name != "" {
 			reports = append(reports, name)
 		}
 	}
 	return coreswitch.Model{
-		Setup:     0.6 * work,
-		Answer:    0.22 * work,
-		Release:   0.18 * work,
-		Repeat:    d.Fam.Repeat * 0.6 * work,
-		Reject:    d.Fam.Reject * 0.6 * work,
-		Probe:     ms(tier.ProbeWork),
-		Lines:     lines,
-		WaitLimit: ms(d.Fam.Queue),
-		NamesWait: d.Fam.TellsWait,
-		WorksOn:   !d.Fam.CancelDrops,
-		ErrorRate: kind.ErrorRate,
-		ColdShare: kind.ColdFrom,
-		Warm:      ms(kind.Cold),
-		TipTimes:  d.FallMultiple,
-		TipWindow: ms(d.FallFor),
-		Refresh:   math.Max(1, ms(tier.ReportPeriod)),
-		Delay:     ms(tier.ReportDelay),
-		Noise:     tier.ReportNoise,
-		Times:     siptransaction.Timers{T1: retry, T2: 8 * retry, T4: 5000},
-		Reports:   reports,
+		Setup:          0.6 * work,
+		Answer:         0.22 * work,
+		Release:        0.18 * work,
+		Repeat:         d.Fam.Repeat * 0.6 * work,
+		Reject:         d.Fam.Reject * 0.6 * work,
+		Probe:          ms(tier.ProbeWork),
+		Lines:          lines,
+		WaitLimit:      ms(d.Fam.Queue),
+		NamesWait:      d.Fam.TellsWait,
+		WorksOn:        !d.Fam.CancelDrops,
+		ErrorRate:      kind.ErrorRate,
+		ColdShare:      kind.ColdFrom,
+		Warm:           ms(kind.Cold),
+		OverloadFactor: d.FallMultiple,
+		OverloadWindow: ms(d.FallFor),
+		ReportInterval: math.Max(1, ms(tier.ReportPeriod)),
+		ReportDelay:    ms(tier.ReportDelay),
+		ReportNoise:    tier.ReportNoise,
+		Times:          siptransaction.Timers{T1: retry, T2: 8 * retry, T4: 5000},
+		Reports:        reports,
 	}
 }
 
-func (c *benchConverter) skills() []Skill {
-	d := c.day
-	var skills []Skill
+func (c *simulatorConverter) classes() []Class {
+	d := c.source
+	var classes []Class
 	for i, class := range d.Classes {
 		hold := 9000.0
 		if i < len(d.Fam.Hold) {
 			hold = ms(d.Fam.Hold[i])
 		}
-		skills = append(skills, Skill{
+		classes = append(classes, Class{
 			Name:     class.Name,
 			Share:    class.Share,
 			Target:   ms(class.Aim),
@@ -333,56 +334,56 @@
 			Hold:     hold,
 		})
 	}
-	c.note("a set-up, its answer and its release are 60, 22 and 18 %% of a call's work, and patience of a try is in " +
-		"whole seconds")
-	return skills
+	c.note("a set-up, its answer and its release are 60, 22 and 18 %% of a call's work, and the timeout of an attempt " +
+		"is in whole seconds")
+	return classes
 }
 
-func (c *benchConverter) payers() []Payer {
-	var payers []Payer
-	for _, tenant := range c.day.Tenants {
-		payers = append(payers, Payer{tenant.Name, tenant.Share})
+func (c *simulatorConverter) tenants() []Tenant {
+	var tenants []Tenant
+	for _, tenant := range c.source.Tenants {
+		tenants = append(tenants, Tenant{tenant.Name, tenant.Share})
 	}
-	if len(payers) == 0 {
-		return []Payer{{"laurentide.example", 1}}
+	if len(tenants) == 0 {
+		return []Tenant{{"laurentide.example", 1}}
 	}
-	return payers
+	return tenants
 }
 
-func (c *benchConverter) troubles() []Trouble {
-	var troubles []Trouble
-	for _, t := range c.day.Troubles {
-		kind := benchKinds[t.Kind]
+func (c *simulatorConverter) faults() []Trouble {
+	var faults []Trouble
+	for _, t := range c.source.Troubles {
+		kind := faultKinds[t.Kind]
 		if kind == "" {
-			c.note("trouble %q is not known here and was left out", t.Kind)
+			c.note("fault %q is unknown here and was left out", t.Kind)
 			continue
 		}
-		troubles = append(troubles, c.trouble(kind, &t))
+		faults = append(faults, c.fault(kind, &t))
 	}
-	c.note("which switches and gateways a trouble meets is drawn anew")
-	return troubles
+	c.note("the switches and gateways affected by a fault are drawn again")
+	return faults
 }
 
-func (c *benchConverter) trouble(kind string, t *benchTrouble) Trouble {
-	d := c.day
-	x := Trouble{Kind: kind, At: ms(t.At), For: ms(t.Len), Size: t.Size}
-	concerned := len(d.Servers)
+func (c *simulatorConverter) fault(kind string, t *simulatorFault) Trouble {
+	d := c.source
+	fault := Trouble{Kind: kind, At: ms(t.At), For: ms(t.Len), Size: t.Size}
+	count := len(d.Servers)
 	switch kind {
 	case "uneven", "stall", "restart":
-		concerned = len(d.Balancers)
+		count = len(d.Balancers)
 	}
-	x.Part = math.Min(1, float64(len(t.On))/float64(concerned))
-	if x.Part == 0 {
-		x.Part = 0.25
+	fault.Part = math.Min(1, float64(len(t.On))/float64(count))
+	if fault.Part == 0 {
+		fault.Part = 0.25
 	}
 	switch kind {
 	case "stall":
-		x.Size = t.Size / 1000
+		fault.Size = t.Size / 1000
 	case "lines":
-		x.Size = 1 / math.Sqrt(math.Max(1, t.Size))
+		fault.Size = 1 / math.Sqrt(math.Max(1, t.Size))
 	}
 	if (kind == "region" || kind == "lines") && len(t.On) > 0 && t.On[0] < len(d.Servers) {
-		x.Region = d.Zones[d.Servers[t.On[0]].Zone%len(d.Zones)]
+		fault.Region = d.Zones[d.Servers[t.On[0]].Zone%len(d.Zones)]
 	}
-	return x
+	return fault
 }
