--- a/internal/gateway/binaryserver/deployments_test.go
+++ b/internal/gateway/binaryserver/deployments_test.go
@@ -12,7 +12,7 @@
 	"cobaltpier/internal/routing"
 )
 
-// testDeployment is a made-up deployment.
+// testDeployment holds the settings of a deployment in a test.
 type testDeployment struct {
 	name        string
 	classes     []string
@@ -21,25 +21,25 @@
 	rules       string
 	loadReports string
 	descriptors int
-	timeout     string // a caller's timeout
+	timeout     string // Timeout parameter of the setups, ms
 }
 
-func (c *testDeployment) apply(doc map[string]any) {
+func (d *testDeployment) apply(doc map[string]any) {
 	var lanes []string
-	for _, name := range c.classes {
+	for _, name := range d.classes {
 		b, _ := json.Marshal(name)
-		lanes = append(lanes, fmt.Sprintf(`{"name":%s,%s}`, b, c.classFields))
+		lanes = append(lanes, fmt.Sprintf(`{"name":%s,%s}`, b, d.classFields))
 	}
 	doc["settings"] = json.RawMessage(
 		fmt.Sprintf(
 			`{"allowed":{%s},"balancers":1,"me":0,"familyInfo":{"clearWait":50},"lanes":[%s],"rules":{%s},"stats":{%s}}`,
-			c.allowed,
+			d.allowed,
 			strings.Join(lanes, ","),
-			c.rules,
-			c.loadReports,
+			d.rules,
+			d.loadReports,
 		),
 	)
-	doc["limits"] = map[string]any{"cores": 0.1, "memory_mb": 32, "sockets": c.descriptors}
+	doc["limits"] = map[string]any{"cores": 0.1, "memory_mb": 32, "sockets": d.descriptors}
 }
 
 func manyClasses() (names []string) {
@@ -49,10 +49,11 @@
 	return
 }
 
-// The server works with any deployment's settings: any names and number of classes, very small limits, and all optional
-// features off. Calls of every class are established and released; a call of an unknown class is refused.
+// TestOtherDeployments checks that the server works with the settings of any deployment: any names and number of
+// classes, very small limits, and all optional features off. Calls of every class are established and released; a
+// call of an unknown class is rejected.
 func TestOtherDeployments(t *testing.T) {
-	for _, c := range []testDeployment{
+	for _, deployment := range []testDeployment{
 		{"one class with special characters in its name", []string{"Ångström 1;dest:0 \"x\""},
 			`"aim":700,"hardLimit":1500,"lateWorth":0.5,"worth":0.01,"semantics":"pure"`,
 			`"cancel":true,"maxAttempts":7,"connectTimeout":250`, `"answerSlack":5`, `"fields":["size","free"],"how":"inline"`,
@@ -66,51 +67,51 @@
 			"400"},
 		{"all off", []string{"only"}, `"aim":1000,"hardLimit":2000`, ``, ``, ``, 64, "2000"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(deployment.name, func(t *testing.T) {
 			a, b := newTestEndpoint(t, "s-0"), newTestEndpoint(t, "s-1")
 			s := startTestServer(
 				t,
 				newTestNameServer(t, 1, a, b),
-				func(set *routing.Settings, h routing.Host) routing.Policy { return router.New(set, h) },
-				c.apply,
+				func(settings *routing.Settings, h routing.Host) routing.Policy { return router.New(settings, h) },
+				deployment.apply,
 				a,
 				b,
 			)
-			p := s.dial()
-			p.waitUntilReady()
-			for i, class := range c.classes {
+			client := s.dial()
+			client.waitUntilReady()
+			for i, class := range deployment.classes {
 				id := uint64(2000 + i)
-				_, _ = p.conn.Write(
+				_, _ = client.conn.Write(
 					binarymessage.Append(
 						nil,
 						binarymessage.Setup,
 						id,
 						binarymessage.TextParam(binarymessage.Class, class),
-						binarymessage.TextParam(binarymessage.Timeout, c.timeout),
+						binarymessage.TextParam(binarymessage.Timeout, deployment.timeout),
 						binarymessage.TextParam(binarymessage.Number, fmt.Sprint(i)),
 						binarymessage.TextParam(binarymessage.Figures, "dest:1;width:1;via:-1"),
 						binarymessage.TextParam(binarymessage.Description, "offer"),
 					),
 				)
-				released := func() bool { _, _, n := countFinals(p.received[id]); return n > 0 }
-				if !p.waitFor(2*time.Second, released) {
-					t.Errorf("class %q: %x", class, p.received[id])
+				released := func() bool { _, _, n := countFinals(client.received[id]); return n > 0 }
+				if !client.waitFor(2*time.Second, released) {
+					t.Errorf("call of class %q got %x, want an answer and a release", class, client.received[id])
 				}
 			}
-			_, _ = p.conn.Write(
+			_, _ = client.conn.Write(
 				binarymessage.Append(
 					nil,
 					binarymessage.Setup,
 					9000,
 					binarymessage.TextParam(binarymessage.Class, "voice"),
-					binarymessage.TextParam(binarymessage.Timeout, c.timeout),
+					binarymessage.TextParam(binarymessage.Timeout, deployment.timeout),
 					binarymessage.TextParam(binarymessage.Number, "1"),
 					binarymessage.TextParam(binarymessage.Description, "offer"),
 				),
 			)
-			if !p.waitFor(time.Second, func() bool { return len(p.received[9000]) > 0 }) ||
-				p.received[9000][0].Type() != binarymessage.Release {
-				t.Errorf("a class that this deployment does not have: %x", p.received[9000])
+			if !client.waitFor(time.Second, func() bool { return len(client.received[9000]) > 0 }) ||
+				client.received[9000][0].Type() != binarymessage.Release {
+				t.Errorf("call of an unknown class got %x, want a release", client.received[9000])
 			}
 		})
 	}
--- a/internal/gateway/binaryserver/events.go
+++ b/internal/gateway/binaryserver/events.go
@@ -40,6 +40,7 @@
 	}
 }
 
+// closeReason returns the reason that the gateway gets for the error that closed a connection.
 func closeReason(err error) binarygateway.CloseReason {
 	switch {
 	case reactor.IsRefused(err):
@@ -63,6 +64,7 @@
 	}
 }
 
+// handleDiscoveryResponse passes an endpoint list that is new to the gateway.
 func (s *Server) handleDiscoveryResponse(now float64, e event) {
 	list, err := s.discovery.HandleResponse(e.from, e.data)
 	if err != nil && !errors.Is(err, dnsdiscovery.ErrOutdated) {
--- a/internal/gateway/binaryserver/nameserver_test.go
+++ b/internal/gateway/binaryserver/nameserver_test.go
@@ -9,7 +9,7 @@
 	"github.com/miekg/dns"
 )
 
-// testNameServer is a stand-in for a name server.
+// testNameServer is a stand-in for the name server of an endpoint list.
 type testNameServer struct {
 	conn       *net.UDPConn
 	mu         sync.Mutex
@@ -22,17 +22,17 @@
 
 func newTestNameServer(t *testing.T, serial uint32, endpoints ...*testEndpoint) *testNameServer {
 	t.Helper()
-	c, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
+	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := &testNameServer{conn: c, serial: serial, priorities: map[*testEndpoint]uint16{}, done: make(chan struct{})}
-	for _, s := range endpoints {
-		n.priorities[s] = 0
+	n := &testNameServer{conn: conn, serial: serial, priorities: map[*testEndpoint]uint16{}, done: make(chan struct{})}
+	for _, endpoint := range endpoints {
+		n.priorities[endpoint] = 0
 	}
 	go n.serve()
 	t.Cleanup(func() {
-		c.Close()
+		conn.Close()
 		<-n.done
 	})
 	return n
@@ -42,41 +42,41 @@
 
 func (n *testNameServer) serve() {
 	defer close(n.done)
-	b := make([]byte, 1500)
+	buffer := make([]byte, 1500)
 	for {
-		k, from, err := n.conn.ReadFromUDPAddrPort(b)
+		length, from, err := n.conn.ReadFromUDPAddrPort(buffer)
 		if err != nil {
 			return
 		}
-		m := &dns.Msg{}
-		if m.Unpack(b[:k]) != nil || len(m.Question) != 1 {
+		message := &dns.Msg{}
+		if message.Unpack(buffer[:length]) != nil || len(message.Question) != 1 {
 			continue
 		}
 		n.mu.Lock()
 		n.queries++
-		m.Response, m.Compress = true, true
-		q := m.Question[0].Name
-		for s, priority := range n.priorities {
-			h := s.id + ".east.hosts."
-			m.Answer = append(
-				m.Answer,
+		message.Response, message.Compress = true, true
+		queryName := message.Question[0].Name
+		for endpoint, priority := range n.priorities {
+			hostName := endpoint.id + ".east.hosts."
+			message.Answer = append(
+				message.Answer,
 				&dns.SRV{
-					Hdr:      dns.RR_Header{Name: q, Rrtype: dns.TypeSRV, Class: 1},
+					Hdr:      dns.RR_Header{Name: queryName, Rrtype: dns.TypeSRV, Class: 1},
 					Priority: priority,
-					Port:     s.addr().Port(),
-					Target:   h,
+					Port:     endpoint.addr().Port(),
+					Target:   hostName,
 				},
 			)
-			m.Extra = append(
-				m.Extra,
-				&dns.A{Hdr: dns.RR_Header{Name: h, Rrtype: dns.TypeA, Class: 1}, A: net.IPv4(127, 0, 0, 1)},
+			message.Extra = append(
+				message.Extra,
+				&dns.A{Hdr: dns.RR_Header{Name: hostName, Rrtype: dns.TypeA, Class: 1}, A: net.IPv4(127, 0, 0, 1)},
 				&dns.TXT{
-					Hdr: dns.RR_Header{Name: h, Rrtype: dns.TypeTXT, Class: 1},
-					Txt: []string{"kind=std", "cell=" + s.id[len(s.id)-1:], "started=0"},
+					Hdr: dns.RR_Header{Name: hostName, Rrtype: dns.TypeTXT, Class: 1},
+					Txt: []string{"kind=std", "cell=" + endpoint.id[len(endpoint.id)-1:], "started=0"},
 				},
 			)
 		}
-		m.Ns = []dns.RR{
+		message.Ns = []dns.RR{
 			&dns.SOA{
 				Hdr:    dns.RR_Header{Name: "farm.lan.", Rrtype: dns.TypeSOA, Class: 1},
 				Ns:     "a.",
@@ -86,7 +86,7 @@
 		}
 		silent := n.silent
 		n.mu.Unlock()
-		if out, err := m.Pack(); err == nil && !silent {
+		if out, err := message.Pack(); err == nil && !silent {
 			_, _ = n.conn.WriteToUDPAddrPort(out, from)
 		}
 	}
--- a/internal/gateway/binaryserver/server.go
+++ b/internal/gateway/binaryserver/server.go
@@ -36,7 +36,7 @@
 	// clockOrigin is the gateway's time at the start of the process, ms: endpoints that started earlier have positive
 	// times too.
 	clockOrigin       = 1e9
-	answerMargin      = 5.0     // final answers are sent this many ms before the caller's timeout ends
+	answerMargin      = 5.0     // final answers are sent this many ms before the timeout of the client's setup ends
 	metricsInterval   = 10000.0 // ms between two lines of metrics in the log
 	defaultMaxPending = 2000    // upper limit of pending calls, even if the settings allow more
 	// spareConns connections may be accepted above the limit until the gateway has chosen which one to close
@@ -61,9 +61,9 @@
 	metricsLoggedAt float64
 	lastBatchAt     float64 // 0: no batch yet, or a stall has just been detected
 
-	stage      shutdown.Stage
-	shutdownAt float64 // when the shutdown was requested
-	stageSince float64
+	stage               shutdown.Stage
+	shutdownRequestedAt float64
+	stageEnteredAt      float64
 
 	reloadAttemptsLeft int // attempts that are left to read an invalid configuration again
 	nextReloadAt       float64
@@ -227,7 +227,7 @@
 )
 
 // stalled reports, once after each stall, that events from the time of the stall may not be queued yet. No timer may
-// run before they are handled, because a caller may have closed its connection.
+// run before they are handled, because a client may have closed its connection.
 func (s *Server) stalled(now float64) bool {
 	stalled := s.lastBatchAt > 0 && now-s.lastBatchAt > stallThreshold
 	s.lastBatchAt = 0
--- a/internal/gateway/binaryserver/shutdown.go
+++ b/internal/gateway/binaryserver/shutdown.go
@@ -6,6 +6,7 @@
 	"cobaltpier/internal/decision/shutdown"
 )
 
+// handleSignal reloads the configuration or begins a graceful shutdown. Further shutdown signals have no effect.
 func (s *Server) handleSignal(signal Signal) {
 	switch {
 	case signal == Reload:
@@ -14,7 +15,7 @@
 	case s.stage == shutdown.Serving:
 		s.log.Info().Msg("graceful shutdown begins")
 		s.gateway.BeginDrain()
-		s.stage, s.shutdownAt, s.stageSince = shutdown.Accepting, s.now(), s.now()
+		s.stage, s.shutdownRequestedAt, s.stageEnteredAt = shutdown.Accepting, s.now(), s.now()
 	}
 }
 
@@ -29,7 +30,7 @@
 		return
 	}
 	s.log.Debug().Int("stage", int(next)).Interface("status", status).Msg("shutdown stage")
-	s.stage, s.stageSince = next, now
+	s.stage, s.stageEnteredAt = next, now
 	switch next {
 	case shutdown.Rejecting:
 		s.gateway.StopAdmitting()
@@ -45,8 +46,8 @@
 	pending, _ := s.gateway.InProgress()
 	unsent, open := s.gateway.ClientConns()
 	status := shutdown.Status{
-		SinceSignal:      now - s.shutdownAt,
-		InStage:          now - s.stageSince,
+		SinceSignal:      now - s.shutdownRequestedAt,
+		InStage:          now - s.stageEnteredAt,
 		PendingCalls:     pending,
 		EstablishedCalls: s.gateway.EstablishedCalls(),
 		Listening:        s.streams.Accepting(),
--- a/internal/gateway/binaryserver/shutdown_test.go
+++ b/internal/gateway/binaryserver/shutdown_test.go
@@ -31,19 +31,19 @@
 			s.Error(err)
 		}
 	case <-time.After(within):
-		s.Error("the gateway does not stop")
+		s.Error("the gateway has not stopped in time")
 	}
 }
 
 // readToEOF reads until the gateway closes the connection. It returns an error if the connection is reset or stays
 // open.
-func (p *testClient) readToEOF(within time.Duration) error {
-	_ = p.conn.SetReadDeadline(time.Now().Add(within))
+func (c *testClient) readToEOF(within time.Duration) error {
+	_ = c.conn.SetReadDeadline(time.Now().Add(within))
 	b := make([]byte, 4096)
 	for {
-		n, err := p.conn.Read(b)
-		_ = p.reader.Feed(b[:n], func(m binarymessage.Message) bool {
-			p.received[m.Call()] = append(p.received[m.Call()], append(binarymessage.Message(nil), m...))
+		n, err := c.conn.Read(b)
+		_ = c.reader.Feed(b[:n], func(m binarymessage.Message) bool {
+			c.received[m.Call()] = append(c.received[m.Call()], append(binarymessage.Message(nil), m...))
 			return true
 		})
 		if errors.Is(err, io.EOF) {
@@ -55,60 +55,63 @@
 	}
 }
 
-// A setup that is received in part when the shutdown begins is answered once it is complete: it is served while calls
-// are accepted and rejected after that. All connections are closed without a reset.
+// TestShutdownWithPartialSetups checks that a setup that has been received in part when the shutdown begins is
+// answered once it is complete: it is served while calls are admitted and rejected after that. All connections are
+// closed without a reset.
 func TestShutdownWithPartialSetups(t *testing.T) {
 	runWithLeakCheck(t, func(t *testing.T) {
 		a := newTestEndpoint(t, "s-0")
 		s := newTestServer(t, newTestNameServer(t, 1, a), a)
-		soon, late, idle := s.dial(), s.dial(), s.dial()
-		soon.waitUntilReady()
-		one, two := setupMessage(600), setupMessage(602)
-		_, _ = soon.conn.Write(one[:11])
-		_, _ = late.conn.Write(two[:len(two)-1])
+		earlyClient, lateClient, idleClient := s.dial(), s.dial(), s.dial()
+		earlyClient.waitUntilReady()
+		earlySetup, lateSetup := setupMessage(600), setupMessage(602)
+		_, _ = earlyClient.conn.Write(earlySetup[:11])
+		_, _ = lateClient.conn.Write(lateSetup[:len(lateSetup)-1])
 		s.signals <- Shutdown
-		_, _ = soon.conn.Write(one[11:])
-		if !soon.waitFor(time.Second, func() bool { return len(soon.received[600]) > 0 }) ||
-			soon.received[600][0].Type() != binarymessage.Answer {
-			t.Errorf("complete soon after the shutdown began: %x", soon.received[600])
+		_, _ = earlyClient.conn.Write(earlySetup[11:])
+		if !earlyClient.waitFor(time.Second, func() bool { return len(earlyClient.received[600]) > 0 }) ||
+			earlyClient.received[600][0].Type() != binarymessage.Answer {
+			t.Errorf("setup completed soon after the shutdown began got %x, want an answer", earlyClient.received[600])
 		}
 		time.Sleep(800 * time.Millisecond)
-		_, _ = late.conn.Write(two[len(two)-1:])
-		if !late.waitFor(time.Second, func() bool { return len(late.received[602]) > 0 }) ||
-			late.received[602][0].Cause() != binarymessage.Congested {
-			t.Errorf("complete after calls are no longer accepted: %x", late.received[602])
+		_, _ = lateClient.conn.Write(lateSetup[len(lateSetup)-1:])
+		if !lateClient.waitFor(time.Second, func() bool { return len(lateClient.received[602]) > 0 }) ||
+			lateClient.received[602][0].Cause() != binarymessage.Congested {
+			t.Errorf("setup completed when calls are no longer admitted got %x, want cause Congested",
+				lateClient.received[602])
 		}
-		var end sync.WaitGroup
-		for _, p := range []*testClient{soon, late, idle} {
-			end.Go(func() {
-				if err := p.readToEOF(4 * time.Second); err != nil {
-					t.Errorf("a connection was not closed cleanly: %v", err)
+		var readers sync.WaitGroup
+		for _, client := range []*testClient{earlyClient, lateClient, idleClient} {
+			readers.Go(func() {
+				if err := client.readToEOF(4 * time.Second); err != nil {
+					t.Errorf("the connection was not closed cleanly: %v", err)
 				}
-				p.conn.Close()
+				client.conn.Close()
 			})
 		}
 		s.waitUntilStopped(5 * time.Second)
-		end.Wait()
+		readers.Wait()
 	})
 }
 
-// Further shutdown signals and a reload do not prolong a shutdown; a shutdown signal during the start is obeyed too.
+// TestRepeatedShutdown checks that further shutdown signals and a reload do not prolong a shutdown, and that a shutdown
+// signal during the start is obeyed too.
 func TestRepeatedShutdown(t *testing.T) {
 	runWithLeakCheck(t, func(t *testing.T) {
 		a, b := newTestEndpoint(t, "s-0"), newTestEndpoint(t, "s-1")
 		ns, other := newTestNameServer(t, 1, a, b), newTestNameServer(t, 10, b)
 		s := newTestServer(t, ns, a, b)
-		p := s.dial()
-		p.waitUntilReady()
+		client := s.dial()
+		client.waitUntilReady()
 		s.signals <- Shutdown
 		s.configDoc["nameserver"] = other.addr()
 		s.writeConfig()
 		s.signals <- Reload
 		time.Sleep(350 * time.Millisecond)
-		_, _ = p.conn.Write(setupMessage(700)) // its destination is s-0, which the new name server does not name
-		if !p.waitFor(time.Second, func() bool { return len(p.received[700]) > 0 }) ||
-			p.received[700][0].Text(binarymessage.Description) != "answer of s-1" {
-			t.Errorf("%q", p.received[700])
+		_, _ = client.conn.Write(setupMessage(700)) // its destination is s-0, which the new name server does not list
+		if !client.waitFor(time.Second, func() bool { return len(client.received[700]) > 0 }) ||
+			client.received[700][0].Text(binarymessage.Description) != "answer of s-1" {
+			t.Errorf("call after the reload got %q, want \"answer of s-1\"", client.received[700])
 		}
 		for range 15 { // further signals do not prolong the shutdown
 			time.Sleep(200 * time.Millisecond)
@@ -127,15 +130,15 @@
 	})
 }
 
-// A client that keeps writing during the shutdown still reads its last answer: its connection is closed without a
-// reset, which would discard the answer.
+// TestLastAnswerIsNotReset checks that a client that keeps writing during the shutdown still reads its last message:
+// its connection is closed without a reset, which would discard the message.
 func TestLastAnswerIsNotReset(t *testing.T) {
 	runWithLeakCheck(t, func(t *testing.T) {
 		a := newTestEndpoint(t, "s-0")
 		a.faultOf = func(int) fault { return faultSilent }
 		s := newTestServer(t, newTestNameServer(t, 1, a), a)
-		p := s.dial()
-		p.waitUntilReady()
+		client := s.dial()
+		client.waitUntilReady()
 		stop, writerDone := make(chan struct{}), make(chan struct{})
 		go func() { // keeps writing messages that the gateway ignores
 			defer close(writerDone)
@@ -144,14 +147,14 @@
 				case <-stop:
 					return
 				default:
-					if _, err := p.conn.Write(binarymessage.Append(nil, binarymessage.Progress, 1)); err != nil {
+					if _, err := client.conn.Write(binarymessage.Append(nil, binarymessage.Progress, 1)); err != nil {
 						return
 					}
 					time.Sleep(time.Millisecond)
 				}
 			}
 		}()
-		_, _ = p.conn.Write(
+		_, _ = client.conn.Write(
 			binarymessage.Append(
 				nil,
 				binarymessage.Setup,
@@ -162,18 +165,19 @@
 			),
 		) // its timeout is longer than the gateway's shutdown may take
 		s.signals <- Shutdown
-		err := p.readToEOF(6 * time.Second)
+		err := client.readToEOF(6 * time.Second)
 		close(stop)
 		<-writerDone
-		p.conn.Close()
-		if messages := p.received[800]; err != nil || len(messages) != 1 || messages[0].Type() != binarymessage.Release {
-			t.Errorf("%x, %v", messages, err)
+		client.conn.Close()
+		if messages := client.received[800]; err != nil || len(messages) != 1 ||
+			messages[0].Type() != binarymessage.Release {
+			t.Errorf("got messages %x, error %v; want one release and no error", messages, err)
 		}
 		s.waitUntilStopped(5 * time.Second)
 	})
 }
 
-// A configuration file that is incomplete when it is read is read again.
+// TestReloadIncompleteFile checks that a configuration file that is incomplete when it is read is read again.
 func TestReloadIncompleteFile(t *testing.T) {
 	runWithLeakCheck(t, func(t *testing.T) {
 		a, b := newTestEndpoint(t, "s-0"), newTestEndpoint(t, "s-1")
@@ -196,12 +200,12 @@
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
-		t.Error("the new name server gets no query")
+		t.Error("the new name server got no query, want at least one")
 	})
 }
 
-// Idle clients use up all connections while the name server does not answer: new clients are still accepted and served,
-// and a gateway that has just started passes its health check.
+// TestIdleClientsWithoutEndpointList checks that new clients are still accepted and served when idle clients use up all
+// connections while the name server does not answer, and that a gateway that has just started passes its health check.
 func TestIdleClientsWithoutEndpointList(t *testing.T) {
 	runWithLeakCheck(t, func(t *testing.T) {
 		a := newTestEndpoint(t, "s-0")
@@ -223,17 +227,18 @@
 				t.Fatalf("client %d was not served: %v", i, err)
 			}
 		}
-		p := s.dial()
-		p.waitUntilReady()
-		_, _ = p.conn.Write(setupMessage(900))
-		if !p.waitFor(2*time.Second, func() bool { return len(p.received[900]) > 0 }) ||
-			p.received[900][0].Type() != binarymessage.Answer {
-			t.Errorf("a normal caller got %x, connection open %v", p.received[900], p.open)
+		client := s.dial()
+		client.waitUntilReady()
+		_, _ = client.conn.Write(setupMessage(900))
+		if !client.waitFor(2*time.Second, func() bool { return len(client.received[900]) > 0 }) ||
+			client.received[900][0].Type() != binarymessage.Answer {
+			t.Errorf("a normal client got %x, want an answer; connection open %v", client.received[900], client.open)
 		}
 	})
 }
 
-// A client closes its connection during an attempt: the attempt is canceled, and no other one is made.
+// TestClientClosesDuringAttempt checks that when a client closes its connection during an attempt, the attempt is
+// canceled and no other one is made.
 func TestClientClosesDuringAttempt(t *testing.T) {
 	runWithLeakCheck(t, func(t *testing.T) {
 		a, b := newTestEndpoint(t, "s-0"), newTestEndpoint(t, "s-1")
@@ -244,11 +249,11 @@
 		}
 		a.faultOf, b.faultOf = silent, silent
 		s := newTestServer(t, newTestNameServer(t, 1, a, b), a, b)
-		p, other := s.dial(), s.dial()
-		p.waitUntilReady()
-		_, _ = p.conn.Write(setupMessage(1000))
+		client, other := s.dial(), s.dial()
+		client.waitUntilReady()
+		_, _ = client.conn.Write(setupMessage(1000))
 		<-setups
-		p.conn.Close()
+		client.conn.Close()
 		canceled := func() bool {
 			a.mu.Lock()
 			defer a.mu.Unlock()
@@ -260,11 +265,11 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		if !canceled() {
-			t.Error("the attempt was not canceled")
+			t.Error("the attempt was not canceled within 1 s")
 		}
 		other.waitFor(1200*time.Millisecond, func() bool { return false }) // well past the retry hold-off
 		if n := len(setups); n != 0 {
-			t.Errorf("%d further attempts", n)
+			t.Errorf("%d further attempts after the cancel, want none", n)
 		}
 	})
 }
--- a/internal/gateway/binaryserver/standins_test.go
+++ b/internal/gateway/binaryserver/standins_test.go
@@ -43,7 +43,7 @@
 	pendingReleases []uint64 // releases to send on the next connection
 	established     map[uint64]bool
 	setups          int
-	faultOf         func(n int) fault // of the n-th setup; nil: none
+	faultOf         func(n int) fault // returns the fault for the n-th setup; nil if there are no faults
 	holdingTime     time.Duration     // how long a call stays established
 	goroutines      sync.WaitGroup
 }
@@ -247,12 +247,12 @@
 	return startTestServer(
 		t,
 		ns,
-		func(set *routing.Settings, h routing.Host) routing.Policy { return router.New(set, h) },
+		func(settings *routing.Settings, h routing.Host) routing.Policy { return router.New(settings, h) },
 		func(map[string]any) {},
 		endpoints...)
 }
 
-// startTestServer starts a gateway with a configuration that change has modified.
+// startTestServer starts a gateway with a configuration that the function change has modified.
 func startTestServer(t *testing.T, ns *testNameServer, newPolicy routing.PolicyFactory, change func(map[string]any),
 	endpoints ...*testEndpoint) *testServer {
 	t.Helper()
@@ -281,13 +281,13 @@
 				t.Error(err)
 			}
 		case <-time.After(5 * time.Second):
-			t.Error("the gateway does not stop")
+			t.Error("the gateway has not stopped 5 s after its context was canceled")
 		}
 	})
 	return s
 }
 
-// testConfig is a configuration as the platform writes it.
+// testConfig returns a configuration as the platform writes it.
 func testConfig(listen, nameserver string, endpoints []*testEndpoint) map[string]any {
 	var targets []map[string]any
 	for _, e := range endpoints {
@@ -350,7 +350,7 @@
 	return nil
 }
 
-// setupMessage is a caller's setup.
+// setupMessage returns a client's setup with the parameters of a valid call and further ones.
 func setupMessage(id uint64, params ...binarymessage.Param) []byte {
 	return binarymessage.Append(
 		nil,
@@ -365,37 +365,36 @@
 		}, params...)...)
 }
 
-// waitFor reads until enough returns true, the connection is closed or the time is over. It returns the result of
-// enough.
-func (p *testClient) waitFor(within time.Duration, enough func() bool) bool {
+// waitFor reads until done returns true, the connection is closed or the time is over. It returns the result of done.
+func (c *testClient) waitFor(within time.Duration, done func() bool) bool {
 	b := make([]byte, 4096)
-	for end := time.Now().Add(within); p.open && !enough() && time.Now().Before(end); {
-		_ = p.conn.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
-		n, err := p.conn.Read(b)
-		if ferr := p.reader.Feed(b[:n], func(m binarymessage.Message) bool {
-			p.received[m.Call()] = append(p.received[m.Call()], append(binarymessage.Message(nil), m...))
+	for end := time.Now().Add(within); c.open && !done() && time.Now().Before(end); {
+		_ = c.conn.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
+		n, err := c.conn.Read(b)
+		if ferr := c.reader.Feed(b[:n], func(m binarymessage.Message) bool {
+			c.received[m.Call()] = append(c.received[m.Call()], append(binarymessage.Message(nil), m...))
 			return true
 		}); ferr != nil {
-			p.t.Errorf("the client received an invalid message: %v", ferr)
+			c.t.Errorf("the client received an invalid message: %v", ferr)
 		}
 		var netErr net.Error
 		if err != nil && (!errors.As(err, &netErr) || !netErr.Timeout()) {
-			p.open = false
+			c.open = false
 		}
 	}
-	return enough()
+	return done()
 }
 
 // waitUntilReady sends a health check and fails the test unless the gateway passes it.
-func (p *testClient) waitUntilReady() {
-	p.t.Helper()
-	_, _ = p.conn.Write(binarymessage.Append(nil, binarymessage.HealthCheck, 9, binarymessage.CauseParam(0)))
-	if !p.waitFor(3*time.Second, func() bool { return len(p.received[9]) > 0 }) ||
-		p.received[9][0].Type() != binarymessage.HealthResult ||
-		p.received[9][0].Cause() != 1 {
-		p.t.Fatalf("the health check was answered with %x", p.received[9])
+func (c *testClient) waitUntilReady() {
+	c.t.Helper()
+	_, _ = c.conn.Write(binarymessage.Append(nil, binarymessage.HealthCheck, 9, binarymessage.CauseParam(0)))
+	if !c.waitFor(3*time.Second, func() bool { return len(c.received[9]) > 0 }) ||
+		c.received[9][0].Type() != binarymessage.HealthResult ||
+		c.received[9][0].Cause() != 1 {
+		c.t.Fatalf("the health check was answered with %x, want a passed one", c.received[9])
 	}
-	delete(p.received, 9)
+	delete(c.received, 9)
 }
 
 // countFinals counts the answers, refusals and releases of a call; a release counts as a refusal before an answer.
