--- a/internal/protocol/dnsdiscovery/client.go
+++ b/internal/protocol/dnsdiscovery/client.go
@@ -1,5 +1,6 @@
-// Package dnsdiscovery tracks the platform's list of endpoints. It reads the events in the configuration, then
-// polls the complete list by DNS (RFC 1035, RFC 2782). It has no I/O and no clock.
+// Package dnsdiscovery tracks the platform's list of endpoints. The list starts from the endpoint events in the
+// platform's configuration (ParseEvent) and is then polled as a whole by DNS (RFC 1035, RFC 2782). The package does no
+// I/O and reads no clock: callers send and receive the datagrams and pass in the time in milliseconds.
 //
 // Responses may be lost, truncated or report a failure, and may have a wrong ID, a wrong source or an older list.
 // So the client sends a query at each interval whether or not the previous one was answered, accepts a response to
@@ -21,18 +22,18 @@
 const queryName = "_data._tcp.farm.lan."
 
 const (
-	queryInterval   = 200.0 // ms; a change counts as announced at the latest 1.5 s after it happened
-	maxOutstanding  = 16    // latest queries whose responses are accepted
-	maxResponseSize = 8192  // bytes
+	queryInterval    = 200.0 // ms; a gateway has to know a change 1.5 s after it happened, so some queries may be lost
+	maxRecentQueries = 16    // latest queries whose responses are accepted
+	maxResponseSize  = 8192  // bytes
 )
 
-// Target is an endpoint in a list.
+// Target is an entry of an endpoint list.
 type Target struct {
 	ID            string
 	Addr          netip.AddrPort
-	DestinationID int // -1: not given
+	DestinationID int // -1 if it isn't given
 	State         routing.State
-	StartedAt     float64 // Unix time of a recent start, ms; 0: not recent
+	StartedAt     float64 // Unix time at which the endpoint started, ms; 0 if it didn't start recently
 }
 
 // List is a complete endpoint list, or the changes since the previous one.
@@ -42,7 +43,7 @@
 	Targets  []Target
 }
 
-// Counts are counters since the start.
+// Counts holds the counters of a Client since it was created.
 type Counts struct {
 	Queries     uint64 `json:"queries"`
 	Responses   uint64 `json:"responses"`   // valid responses
@@ -56,28 +57,28 @@
 	Server netip.AddrPort
 	Counts Counts
 
-	serial      uint32 // of the latest list
+	serial      uint32 // serial number of the latest list
 	seed        uint64
-	randomDraws uint64
-	outstanding []uint16 // IDs of the latest queries
+	randomDraws uint64   // random numbers drawn so far
+	recentIDs   []uint16 // message IDs of the latest queries, whether or not they have been answered
 	nextQueryAt float64
 }
 
-// New returns a client of a name server; serial is that of the list already known.
+// New returns a client of a name server. serial is the serial number of the latest known list.
 func New(server netip.AddrPort, serial uint32, seed uint64) *Client {
 	return &Client{Server: server, serial: serial, seed: seed}
 }
 
-// SetServer switches to another name server and makes a query due at once. Responses of the previous server are no
-// longer accepted; the serial of the latest list stays in force.
+// SetServer switches to another name server; the next query is due immediately. Responses from the previous server are
+// no longer accepted, and lists older than the latest one are still ignored.
 func (c *Client) SetServer(server netip.AddrPort) {
-	c.Server, c.outstanding, c.nextQueryAt = server, nil, 0
+	c.Server, c.recentIDs, c.nextQueryAt = server, nil, 0
 }
 
-// NextQuery returns the time at which Query is due next, ms.
+// NextQuery returns the time at which the next query is due, in ms.
 func (c *Client) NextQuery() float64 { return c.nextQueryAt }
 
-// Query returns the next query to send; nil: none is due.
+// Query returns the next query to send. It returns nil if none is due.
 func (c *Client) Query(now float64) []byte {
 	if now < c.nextQueryAt {
 		return nil
@@ -89,23 +90,24 @@
 	message.Question = []dns.Question{{Name: queryName, Qtype: dns.TypeSRV, Qclass: dns.ClassINET}}
 	query, err := message.Pack()
 	if err != nil {
-		return nil // impossible: only the ID varies
+		return nil // Pack can't fail: all queries are the same except for the ID
 	}
-	c.outstanding = append(c.outstanding, message.Id)
-	if len(c.outstanding) > maxOutstanding {
-		c.outstanding = c.outstanding[1:]
+	c.recentIDs = append(c.recentIDs, message.Id)
+	if len(c.recentIDs) > maxRecentQueries {
+		c.recentIDs = c.recentIDs[1:]
 	}
 	c.Counts.Queries++
 	return query
 }
 
-// Errors of responses that are ignored.
+// Errors that HandleResponse returns for responses that it ignores.
 var (
-	ErrUnsolicited = errors.New("response matches no outstanding query")
-	ErrOutdated    = errors.New("response has an older list")
+	ErrUnsolicited = errors.New("response matches no recent query")
+	ErrOutdated    = errors.New("response has an older list than the latest one")
 )
 
-// HandleResponse handles a received datagram. The returned list is nil if its serial is already known.
+// HandleResponse handles a received datagram. The returned list is nil if its serial is that of
+// the latest list.
 func (c *Client) HandleResponse(from netip.AddrPort, data []byte) (*List, error) {
 	list, err := c.parseResponse(from, data)
 	switch {
--- a/internal/protocol/dnsdiscovery/event.go
+++ b/internal/protocol/dnsdiscovery/event.go
@@ -8,7 +8,7 @@
 	"cobaltpier/internal/routing"
 )
 
-// eventJSON is the JSON form of an event in the platform's configuration.
+// eventJSON is the JSON form of an endpoint event in the platform's configuration.
 type eventJSON struct {
 	Serial uint32 `json:"no"`
 	List   struct {
@@ -31,7 +31,7 @@
 	"gone":     routing.Gone,
 }
 
-// ParseEvent parses an event from the configuration.
+// ParseEvent parses an event from the platform's configuration: a complete list, or the changes since the last one.
 func ParseEvent(raw []byte) (List, error) {
 	var event eventJSON
 	if err := json.Unmarshal(raw, &event); err != nil {
@@ -48,6 +48,7 @@
 	return list, nil
 }
 
+// target checks the entry and converts it.
 func (t *targetJSON) target() (Target, error) {
 	state, ok := statesByName[t.State]
 	if !ok || t.ID == "" {
--- a/internal/protocol/dnsdiscovery/response.go
+++ b/internal/protocol/dnsdiscovery/response.go
@@ -13,7 +13,8 @@
 	"cobaltpier/internal/routing"
 )
 
-// parseResponse parses a response. It returns nil without an error if the list is already known.
+// parseResponse parses a response. It returns nil without an error if the list has the serial of the
+// latest list.
 func (c *Client) parseResponse(from netip.AddrPort, data []byte) (*List, error) {
 	if from != c.Server || len(data) > maxResponseSize {
 		return nil, ErrUnsolicited
@@ -46,7 +47,7 @@
 
 // matches reports whether a message is a response to one of the latest queries.
 func (c *Client) matches(message *dns.Msg) bool {
-	if !message.Response || !slices.Contains(c.outstanding, message.Id) || len(message.Question) != 1 {
+	if !message.Response || !slices.Contains(c.recentIDs, message.Id) || len(message.Question) != 1 {
 		return false
 	}
 	question := message.Question[0]
@@ -111,7 +112,7 @@
 	return addresses, texts
 }
 
-// applyText applies the fields `name=value` of a TXT record. Unknown fields are ignored.
+// applyText sets the target's properties from the fields `name=value` of a TXT record. Unknown fields are ignored.
 func (t *Target) applyText(fields []string) error {
 	for _, field := range fields {
 		name, value, _ := strings.Cut(field, "=")
