--- a/internal/decision/prefixtrie/digits.go
+++ b/internal/decision/prefixtrie/digits.go
@@ -13,7 +13,7 @@
 
 //tally:decisions
 
-// Prefix is the leading digits of numbers, with a value.
+// Prefix is a prefix of telephone numbers and its value.
 type Prefix struct {
 	Digits string
 	Value  uint32
@@ -167,8 +167,9 @@
 	return
 }
 
-// sharedRun returns how many digits, from a depth on, make a chain of all the prefixes; 0 if a chain is not worth it.
-// A chain is one digit shorter than the digits they share, because a prefix may end at the last of these.
+// sharedRun returns the number of digits, from a depth on, that make a chain for all the prefixes. It returns 0 if the
+// chain would be too short. A chain is one digit shorter than the digits they share, because a prefix may end at the
+// last of these.
 func sharedRun(prefixes []Prefix, depth int) int {
 	a, b := prefixes[0].Digits, prefixes[len(prefixes)-1].Digits // sorted: digits that these two share are shared by all
 	n := 0
@@ -188,38 +189,38 @@
 	if len(t.nodes) == 0 {
 		return
 	}
-	at := uint32(0)
+	index := uint32(0)
 	for i := 0; i < len(number); {
-		n := &t.nodes[at]
-		if n.children >= leaf {
-			run := int(n.ends)
+		current := &t.nodes[index]
+		if current.children >= leaf {
+			run := int(current.ends)
 			if len(number)-i < run {
 				return
 			}
-			for k := range run {
-				if uint32(number[i+k]-'0') != n.values>>(4*k)&15 {
+			for offset := range run {
+				if uint32(number[i+offset]-'0') != current.values>>(4*offset)&15 {
 					return
 				}
 			}
 			i += run
-			if n.children == leaf {
-				return n.first, i, true
+			if current.children == leaf {
+				return current.first, i, true
 			}
-			at = n.first
+			index = current.first
 			continue
 		}
-		d := number[i] - '0'
-		if d > 9 {
+		digit := number[i] - '0'
+		if digit > 9 {
 			return
 		}
-		bit := uint16(1) << d
-		if n.ends&bit != 0 {
-			value, length, ok = t.values[n.values+uint32(bits.OnesCount16(n.ends&(bit-1)))], i+1, true
+		bit := uint16(1) << digit
+		if current.ends&bit != 0 {
+			value, length, ok = t.values[current.values+uint32(bits.OnesCount16(current.ends&(bit-1)))], i+1, true
 		}
-		if n.children&bit == 0 {
+		if current.children&bit == 0 {
 			return
 		}
-		at = n.first + uint32(bits.OnesCount16(n.children&(bit-1)))
+		index = current.first + uint32(bits.OnesCount16(current.children&(bit-1)))
 		i++
 	}
 	return
@@ -231,7 +232,8 @@
 // Bytes returns the memory size of the trie.
 func (t *Trie) Bytes() int { return 12*cap(t.nodes) + 4*cap(t.values) }
 
-// Cover returns the smallest set of prefixes for all numbers from one to another of the same length, both included.
+// Cover returns the smallest set of prefixes that match all numbers from one to another of the same length, both
+// included, and no others of that length.
 func Cover(from, to string) ([]string, error) {
 	if len(from) != len(to) || from > to || from == "" {
 		return nil, fmt.Errorf("range %q to %q: want two numbers of one length, the lower first", from, to)
