--- a/internal/protocol/binarygateway/anymessages_test.go
+++ b/internal/protocol/binarygateway/anymessages_test.go
@@ -16,20 +16,20 @@
 // endpoints are gone.
 func TestAnyMessages(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		s := &anyMessages{rt: rt, r: newTestGateway(t)}
-		s.r.policy.retries = true
+		s := &anyMessages{rt: rt, gateway: newTestGateway(t)}
+		s.gateway.policy.retryAfterFailure = true
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			s.step()
-			s.r.advance(rapid.SampledFrom([]float64{0, 1, 100, 700, 3000}).Draw(rt, "time"))
+			s.gateway.advance(rapid.SampledFrom([]float64{0, 1, 100, 700, 3000}).Draw(rt, "time"))
 		}
 		for _, client := range s.clients {
-			s.r.gateway.OnClosed(s.r.now, client.gatewayConn, ClosedNormally)
+			s.gateway.gateway.OnClosed(s.gateway.now, client.gatewayConn, ClosedNormally)
 		}
-		s.r.advance(200)
-		s.r.setEndpoints(3)
-		s.r.advance(50000)
-		if open := s.r.gateway.OpenCounts(); open.Calls+open.Upstreams+open.Clients+open.ClientConns > 0 {
-			rt.Errorf("left open: %+v", open)
+		s.gateway.advance(200)
+		s.gateway.setEndpoints(3)
+		s.gateway.advance(50000)
+		if open := s.gateway.gateway.OpenCounts(); open.Calls+open.Upstreams+open.Clients+open.ClientConns > 0 {
+			rt.Errorf("left open: %+v, want nothing", open)
 		}
 	})
 }
@@ -59,28 +59,29 @@
 // anyMessages is a generated stream of events.
 type anyMessages struct {
 	rt      *rapid.T
-	r       *testGateway
+	gateway *testGateway
 	clients []*testConn
 }
 
+// step makes one event of the stream happen.
 func (s *anyMessages) step() {
-	rt, r := s.rt, s.r
-	r.policy.targets = []int{rapid.IntRange(0, 1).Draw(rt, "target")}
-	clients, dialed := openConns(s.clients), openConns(r.dialed)
+	rt, g := s.rt, s.gateway
+	g.policy.attemptOrder = []int{rapid.IntRange(0, 1).Draw(rt, "target")}
+	clients, dialed := openConns(s.clients), openConns(g.dialed)
 	switch event := rapid.IntRange(0, 9).Draw(rt, "event"); {
 	case event == 0 || len(clients) == 0:
-		s.clients = append(s.clients, r.newClient())
+		s.clients = append(s.clients, g.acceptClient())
 	case event <= 3:
-		r.receiveSetup(rapid.SampledFrom(clients).Draw(rt, "caller"), anyID.Draw(rt, "id"))
+		g.deliverSetup(rapid.SampledFrom(clients).Draw(rt, "caller"), anyID.Draw(rt, "id"))
 	case event == 4:
 		s.receiveAny(clients)
 	case event == 5:
-		r.gateway.OnClosed(r.now, rapid.SampledFrom(clients).Draw(rt, "caller").gatewayConn, ClosedNormally)
+		g.gateway.OnClosed(g.now, rapid.SampledFrom(clients).Draw(rt, "caller").gatewayConn, ClosedNormally)
 	case event <= 7 && len(dialed) > 0:
 		s.receiveAny(dialed)
 	case event == 8 && len(dialed) > 0:
 		conn := rapid.SampledFrom(dialed).Draw(rt, "conn").gatewayConn
-		r.gateway.OnClosed(r.now, conn, anyCloseReason.Draw(rt, "close reason"))
+		g.gateway.OnClosed(g.now, conn, anyCloseReason.Draw(rt, "close reason"))
 	default:
 		s.changeList()
 	}
@@ -102,7 +103,7 @@
 		}
 		params = append(params, binarymessage.TextParam(code, anyText.Draw(s.rt, "text")))
 	}
-	s.r.receive(conn, kind, id, params...)
+	s.gateway.deliver(conn, kind, id, params...)
 }
 
 // changeList makes one endpoint drain or become ready, and adds or removes the other.
@@ -113,31 +114,31 @@
 	if rapid.Bool().Draw(s.rt, "a is listed") {
 		list = append(list, readyTarget("a", addrA, 0))
 	}
-	s.r.setEndpoints(2, list...)
+	s.gateway.setEndpoints(2, list...)
 }
 
 // TestLongestSetup: the timeout 9e5 takes more digits when it is rewritten for the endpoint, so a setup of the
 // maximum length would no longer fit into a message. It is refused as invalid.
 func TestLongestSetup(t *testing.T) {
-	r := newTestGateway(t)
-	r.policy.targets = []int{0}
-	c := r.newClient()
+	g := newTestGateway(t)
+	g.policy.attemptOrder = []int{0}
+	c := g.acceptClient()
 	params := []binarymessage.Param{
 		binarymessage.TextParam(binarymessage.Class, "voice"),
 		binarymessage.TextParam(binarymessage.Timeout, "9e5"),
 		binarymessage.TextParam(binarymessage.Number, "1"),
 	}
 	descriptionLength := binarymessage.MaxLength - 9 - 3 - 3*3 - len("voice9e51")
-	r.receive(
+	g.deliver(
 		c,
 		binarymessage.Setup,
 		7,
 		append(params, binarymessage.Param{Code: binarymessage.Description, Value: make([]byte, descriptionLength)})...)
-	r.expect(c.lastMessage(7), binarymessage.Release, binarymessage.Invalid)
-	r.receive(
+	g.expectMessage(c.lastMessage(7), binarymessage.Release, binarymessage.Invalid)
+	g.deliver(
 		c,
 		binarymessage.Setup,
 		8,
 		append(params, binarymessage.Param{Code: binarymessage.Description, Value: make([]byte, descriptionLength-64)})...)
-	r.connOf(8)
+	g.setupConn(8)
 }
--- a/internal/protocol/binarygateway/client_test.go
+++ b/internal/protocol/binarygateway/client_test.go
@@ -12,72 +12,72 @@
 // TestPendingReleases: a release whose connection has closed is sent on another connection of the client, or on its
 // next.
 func TestPendingReleases(t *testing.T) {
-	r := newTestGateway(t)
-	caller, otherCaller := r.newClient(), r.newClient()
-	conn := r.establish(caller, 7)
-	r.gateway.OnClosed(r.now, caller.gatewayConn, ClosedNormally)
-	r.receive(conn, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal))
-	r.expect(otherCaller.lastMessage(7), binarymessage.Release, binarymessage.Normal)
-	conn = r.establish(otherCaller, 8)
-	r.gateway.OnClosed(r.now, otherCaller.gatewayConn, ClosedNormally)
-	r.receive(conn, binarymessage.Release, 8, binarymessage.CauseParam(binarymessage.Normal))
-	r.advance(500)
-	laterCaller := r.newClient()
-	r.step()
-	r.expect(laterCaller.lastMessage(8), binarymessage.Release, binarymessage.Normal)
+	g := newTestGateway(t)
+	caller, otherCaller := g.acceptClient(), g.acceptClient()
+	conn := g.establish(caller, 7)
+	g.gateway.OnClosed(g.now, caller.gatewayConn, ClosedNormally)
+	g.deliver(conn, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal))
+	g.expectMessage(otherCaller.lastMessage(7), binarymessage.Release, binarymessage.Normal)
+	conn = g.establish(otherCaller, 8)
+	g.gateway.OnClosed(g.now, otherCaller.gatewayConn, ClosedNormally)
+	g.deliver(conn, binarymessage.Release, 8, binarymessage.CauseParam(binarymessage.Normal))
+	g.advance(500)
+	laterCaller := g.acceptClient()
+	g.step()
+	g.expectMessage(laterCaller.lastMessage(8), binarymessage.Release, binarymessage.Normal)
 }
 
 // TestCallerReleases: a caller may release a call on any of its connections. The release goes to the endpoint on the
 // connection of the setup, or on another if that has closed.
 func TestCallerReleases(t *testing.T) {
-	r := newTestGateway(t)
-	caller, otherCaller := r.newClient(), r.newClient()
-	conn := r.establish(caller, 7)
-	r.receive(otherCaller, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal))
-	r.expect(conn.lastMessage(7), binarymessage.Release, binarymessage.Normal)
-	conn = r.establish(caller, 8)
-	r.gateway.OnClosed(r.now, conn.gatewayConn, ClosedNormally)
-	r.receive(caller, binarymessage.Release, 8, binarymessage.CauseParam(binarymessage.Normal))
+	g := newTestGateway(t)
+	caller, otherCaller := g.acceptClient(), g.acceptClient()
+	conn := g.establish(caller, 7)
+	g.deliver(otherCaller, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal))
+	g.expectMessage(conn.lastMessage(7), binarymessage.Release, binarymessage.Normal)
+	conn = g.establish(caller, 8)
+	g.gateway.OnClosed(g.now, conn.gatewayConn, ClosedNormally)
+	g.deliver(caller, binarymessage.Release, 8, binarymessage.CauseParam(binarymessage.Normal))
 	n := 0
-	for _, other := range r.dialed {
+	for _, other := range g.dialed {
 		if other.address == addrA {
-			n += other.count(8, binarymessage.Release)
+			n += other.countMessages(8, binarymessage.Release)
 		}
 	}
 	if n != 1 {
-		t.Errorf("the endpoint got %d releases", n)
+		t.Errorf("the endpoint got %d releases, want 1", n)
 	}
 }
 
 // TestCanceled: a caller that cancels gets no answer. Its attempt is canceled, and an answer that crosses the cancel is
 // released.
 func TestCanceled(t *testing.T) {
-	r := newTestGateway(t)
-	r.policy.targets = []int{0}
-	caller := r.newClient()
-	r.receiveSetup(caller, 7)
-	conn := r.connOf(7)
-	r.receive(caller, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal))
-	r.expect(conn.lastMessage(7), binarymessage.Release, binarymessage.Normal)
-	r.receive(conn, binarymessage.Answer, 7, testDescription)
-	if n := conn.count(7, binarymessage.Release); n != 2 {
-		t.Errorf("%d releases were sent to the endpoint", n)
+	g := newTestGateway(t)
+	g.policy.attemptOrder = []int{0}
+	caller := g.acceptClient()
+	g.deliverSetup(caller, 7)
+	conn := g.setupConn(7)
+	g.deliver(caller, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal))
+	g.expectMessage(conn.lastMessage(7), binarymessage.Release, binarymessage.Normal)
+	g.deliver(conn, binarymessage.Answer, 7, answerDescription)
+	if n := conn.countMessages(7, binarymessage.Release); n != 2 {
+		t.Errorf("the endpoint got %d releases, want 2", n)
 	}
 	if caller.lastMessage(7) != nil {
-		t.Errorf("the caller got %x", caller.lastMessage(7))
+		t.Errorf("the caller got %x, want nothing", caller.lastMessage(7))
 	}
-	if !slices.Contains(r.policy.events, "hung up") {
-		t.Errorf("the policy got %q", r.policy.events)
+	if !slices.Contains(g.policy.events, "hung up") {
+		t.Errorf("the policy got %q, want \"hung up\" among them", g.policy.events)
 	}
 }
 
 // TestResumedCalls: after a restart of the gateway, callers resume their established calls. These can be released
 // from both sides; a call that has already ended is released to the caller at once.
 func TestResumedCalls(t *testing.T) {
-	r := newTestGateway(t)
-	caller := r.newClient()
+	g := newTestGateway(t)
+	caller := g.acceptClient()
 	resume := func(id uint64, endpointID string) {
-		r.receive(
+		g.deliver(
 			caller,
 			binarymessage.Setup,
 			id,
@@ -86,7 +86,7 @@
 		)
 	}
 	var connA *testConn
-	for _, conn := range r.dialed {
+	for _, conn := range g.dialed {
 		if conn.address == addrA {
 			connA = conn
 		}
@@ -94,66 +94,67 @@
 	resume(7, "a")
 	resume(7, "a") // a repeated resume is ignored
 	if caller.lastMessage(7) != nil {
-		t.Errorf("answered with %x", caller.lastMessage(7))
+		t.Errorf("the caller got %x after resuming a call, want nothing", caller.lastMessage(7))
 	}
-	r.receive(connA, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal))
-	r.expect(caller.lastMessage(7), binarymessage.Release, binarymessage.Normal)
+	g.deliver(connA, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal))
+	g.expectMessage(caller.lastMessage(7), binarymessage.Release, binarymessage.Normal)
 	resume(8, "a")
-	r.receive(caller, binarymessage.Release, 8, binarymessage.CauseParam(binarymessage.Normal))
+	g.deliver(caller, binarymessage.Release, 8, binarymessage.CauseParam(binarymessage.Normal))
 	n := 0
-	for _, conn := range r.dialed {
-		n += conn.count(8, binarymessage.Release)
+	for _, conn := range g.dialed {
+		n += conn.countMessages(8, binarymessage.Release)
 	}
 	if n != 1 || caller.lastMessage(8) != nil {
-		t.Errorf("the endpoint got %d releases, the caller %x", n, caller.lastMessage(8))
+		t.Errorf("the endpoint got %d releases, want 1; the caller got %x, want nothing", n, caller.lastMessage(8))
 	}
-	r.receive(
+	g.deliver(
 		connA,
 		binarymessage.Release,
 		9,
 		binarymessage.CauseParam(binarymessage.Failure),
 	) // the call ended before its caller resumed it
 	resume(9, "a")
-	r.expect(caller.lastMessage(9), binarymessage.Release, binarymessage.Failure)
+	g.expectMessage(caller.lastMessage(9), binarymessage.Release, binarymessage.Failure)
 	resume(10, "nobody")
-	r.expect(caller.lastMessage(10), binarymessage.Release, binarymessage.Failure)
-	if len(r.policy.events) > 0 && slices.Contains(r.policy.events, "offered") {
-		t.Errorf("the policy was offered an established call: %q", r.policy.events)
+	g.expectMessage(caller.lastMessage(10), binarymessage.Release, binarymessage.Failure)
+	if len(g.policy.events) > 0 && slices.Contains(g.policy.events, "offered") {
+		t.Errorf("the policy was offered an established call: %q", g.policy.events)
 	}
-	if calls := r.gateway.OpenCounts().Calls; calls != 0 {
-		t.Errorf("%d calls remain", calls)
+	if calls := g.gateway.OpenCounts().Calls; calls != 0 {
+		t.Errorf("%d calls remain, want none", calls)
 	}
 }
 
 // TestDuplicateCallID: a setup with the ID of an open call closes its connection. The earlier call continues unless
 // it was set up on that connection.
 func TestDuplicateCallID(t *testing.T) {
-	r := newTestGateway(t)
-	r.policy.targets = []int{0, 0}
-	caller, otherCaller := r.newClient(), r.newClient()
-	r.receiveSetup(caller, 7)
-	conn := r.connOf(7)
-	r.receiveSetup(otherCaller, 7)
+	g := newTestGateway(t)
+	g.policy.attemptOrder = []int{0, 0}
+	caller, otherCaller := g.acceptClient(), g.acceptClient()
+	g.deliverSetup(caller, 7)
+	conn := g.setupConn(7)
+	g.deliverSetup(otherCaller, 7)
 	if !otherCaller.closed || caller.closed {
-		t.Errorf("closed: the second connection %v, the first %v", otherCaller.closed, caller.closed)
-	}
-	r.receive(conn, binarymessage.Answer, 7, testDescription)
-	r.expect(caller.lastMessage(7), binarymessage.Answer, 0)
-	r.receiveSetup(caller, 8)
-	conn = r.connOf(8)
-	r.receiveSetup(caller, 8)
+		t.Errorf("second connection closed %v, want true; first connection closed %v, want false",
+			otherCaller.closed, caller.closed)
+	}
+	g.deliver(conn, binarymessage.Answer, 7, answerDescription)
+	g.expectMessage(caller.lastMessage(7), binarymessage.Answer, 0)
+	g.deliverSetup(caller, 8)
+	conn = g.setupConn(8)
+	g.deliverSetup(caller, 8)
 	if !caller.closed {
 		t.Error("the connection with two setups of one ID is still open")
 	}
-	r.expect(conn.lastMessage(8), binarymessage.Release, binarymessage.Normal)
+	g.expectMessage(conn.lastMessage(8), binarymessage.Release, binarymessage.Normal)
 }
 
 // TestRejected: a rejected call is answered at once, with a Retry-After value.
 func TestRejected(t *testing.T) {
-	r := newTestGateway(t)
-	caller := r.newClient()
-	r.receiveSetup(caller, 7)
-	r.expect(caller.lastMessage(7), binarymessage.Release, binarymessage.Congested)
+	g := newTestGateway(t)
+	caller := g.acceptClient()
+	g.deliverSetup(caller, 7)
+	g.expectMessage(caller.lastMessage(7), binarymessage.Release, binarymessage.Congested)
 	if retryAfter := caller.lastMessage(7).Text(binarymessage.RetryAfter); retryAfter != "300" {
 		t.Errorf("got Retry-After %q ms, want 300", retryAfter)
 	}
@@ -162,76 +163,78 @@
 // TestMalformedMessages: malformed data closes the endpoint connection. Setups on it may have been executed; those
 // on other connections continue.
 func TestMalformedMessages(t *testing.T) {
-	r := newTestGateway(t)
-	r.openSecondConn()
-	r.policy.targets = []int{0, 0}
-	caller := r.newClient()
-	r.receiveSetup(caller, 7)
-	r.receiveSetup(caller, 8)
-	one, other := r.connOf(7), r.connOf(8)
-	if one == other {
+	g := newTestGateway(t)
+	g.openSecondConn()
+	g.policy.attemptOrder = []int{0, 0}
+	caller := g.acceptClient()
+	g.deliverSetup(caller, 7)
+	g.deliverSetup(caller, 8)
+	conn, other := g.setupConn(7), g.setupConn(8)
+	if conn == other {
 		t.Fatal("both setups were sent on one connection")
 	}
-	r.gateway.OnData(r.now, one.gatewayConn, []byte{0xff, 0xff, 1})
-	r.step()
-	if !one.closed || other.closed {
-		t.Errorf("closed: %v, the other %v", one.closed, other.closed)
+	g.gateway.OnData(g.now, conn.gatewayConn, []byte{0xff, 0xff, 1})
+	g.step()
+	if !conn.closed || other.closed {
+		t.Errorf("connection with malformed data closed %v, want true; the other %v, want false", conn.closed, other.closed)
 	}
-	if got := r.policy.events[len(r.policy.events)-1]; got != "ended 5 finished false capacity false busy false retry 0" {
-		t.Errorf("the policy got %q", r.policy.events)
+	if got := g.policy.events[len(g.policy.events)-1]; got !=
+		"ended outcome=5 finished=false atCapacity=false numberBusy=false retryAfter=0" {
+		t.Errorf("the policy got %q", g.policy.events)
 	}
-	r.receive(other, binarymessage.Answer, 8, testDescription)
-	r.expect(caller.lastMessage(8), binarymessage.Answer, 0)
+	g.deliver(other, binarymessage.Answer, 8, answerDescription)
+	g.expectMessage(caller.lastMessage(8), binarymessage.Answer, 0)
 }
 
 // TestUnsolicitedAndDuplicateAnswers: of an answer with an unknown call ID and two answers to the call, the caller
 // gets one answer, and nothing is released.
 func TestUnsolicitedAndDuplicateAnswers(t *testing.T) {
-	r := newTestGateway(t)
-	r.policy.targets = []int{0}
-	caller := r.newClient()
-	r.receiveSetup(caller, 7)
-	conn := r.connOf(7)
-	r.receive(conn, binarymessage.Answer, 99, testDescription)
-	r.receive(conn, binarymessage.Answer, 7, testDescription)
-	r.receive(conn, binarymessage.Answer, 7, testDescription)
-	if caller.count(7, binarymessage.Answer) != 1 || conn.count(7, binarymessage.Release) != 0 ||
+	g := newTestGateway(t)
+	g.policy.attemptOrder = []int{0}
+	caller := g.acceptClient()
+	g.deliverSetup(caller, 7)
+	conn := g.setupConn(7)
+	g.deliver(conn, binarymessage.Answer, 99, answerDescription)
+	g.deliver(conn, binarymessage.Answer, 7, answerDescription)
+	g.deliver(conn, binarymessage.Answer, 7, answerDescription)
+	if caller.countMessages(7, binarymessage.Answer) != 1 || conn.countMessages(7, binarymessage.Release) != 0 ||
 		caller.lastMessage(99) != nil {
-		t.Errorf("the caller got %x, the endpoint %x", caller.messages, conn.messages)
+		t.Errorf("the caller got %x, want one answer to call 7; the endpoint got %x, want no release",
+			caller.messages, conn.messages)
 	}
 }
 
 // TestStalledReader: a caller that does not read is disconnected when its queue is too long, and does not block others.
 func TestStalledReader(t *testing.T) {
-	r := newTestGateway(t)
-	caller, otherCaller := r.newClient(), r.newClient()
+	g := newTestGateway(t)
+	caller, otherCaller := g.acceptClient(), g.acceptClient()
 	caller.blocked = true
 	for i := range uint64(20000) {
-		r.gateway.OnData(
-			r.now,
+		g.gateway.OnData(
+			g.now,
 			caller.gatewayConn,
 			binarymessage.Append(nil, binarymessage.HealthCheck, i+1, binarymessage.CauseParam(0)),
 		)
-		if r.gateway.Step(r.now); caller.closed {
+		if g.gateway.Step(g.now); caller.closed {
 			break
 		}
 	}
 	if !caller.closed {
-		t.Errorf("still open with %d bytes queued", caller.gatewayConn.outgoingBytes)
+		t.Errorf("the connection is still open with %d bytes queued, want it closed", caller.gatewayConn.outgoingBytes)
 	}
-	r.policy.targets = []int{0}
-	r.receiveSetup(otherCaller, 7)
-	r.receive(r.connOf(7), binarymessage.Answer, 7, testDescription)
-	r.expect(otherCaller.lastMessage(7), binarymessage.Answer, 0)
+	g.policy.attemptOrder = []int{0}
+	g.deliverSetup(otherCaller, 7)
+	g.deliver(g.setupConn(7), binarymessage.Answer, 7, answerDescription)
+	g.expectMessage(otherCaller.lastMessage(7), binarymessage.Answer, 0)
 }
 
 // TestPartialMessagesOnIdleConn: a connection that was idle for long is not closed while a setup arrives in fragments.
 func TestPartialMessagesOnIdleConn(t *testing.T) {
-	r := newTestGateway(t)
-	r.policy.targets = []int{0}
-	caller := r.newClient()
-	r.receive(caller, binarymessage.HealthCheck, 5, binarymessage.CauseParam(0))
-	r.advance(6000)
+	g := newTestGateway(t)
+	g.policy.attemptOrder = []int{0}
+	caller := g.acceptClient()
+	g.deliver(caller, binarymessage.HealthCheck, 5, binarymessage.CauseParam(0))
+	g.advance(6000)
 	b := binarymessage.Append(
 		nil,
 		binarymessage.Setup,
@@ -241,98 +244,98 @@
 		binarymessage.TextParam(binarymessage.Number, "1"),
 		binarymessage.TextParam(binarymessage.Description, "v=0"),
 	)
-	r.gateway.OnData(r.now, caller.gatewayConn, b[:10])
-	r.advance(900)
-	r.gateway.OnData(r.now, caller.gatewayConn, b[10:20])
-	r.advance(900)
+	g.gateway.OnData(g.now, caller.gatewayConn, b[:10])
+	g.advance(900)
+	g.gateway.OnData(g.now, caller.gatewayConn, b[10:20])
+	g.advance(900)
 	if caller.closed {
-		t.Fatal("closed between two fragments")
+		t.Fatal("the connection was closed between two fragments of a setup")
 	}
-	r.gateway.OnData(r.now, caller.gatewayConn, b[20:])
-	r.step()
-	r.receive(r.connOf(7), binarymessage.Answer, 7, testDescription)
-	r.expect(caller.lastMessage(7), binarymessage.Answer, 0)
+	g.gateway.OnData(g.now, caller.gatewayConn, b[20:])
+	g.step()
+	g.deliver(g.setupConn(7), binarymessage.Answer, 7, answerDescription)
+	g.expectMessage(caller.lastMessage(7), binarymessage.Answer, 0)
 }
 
 // fillClientConns opens client connections up to the limit and sends one health check on each.
-func (r *testGateway) fillClientConns() {
+func (g *testGateway) fillClientConns() {
 	for i := range uint64(connlimit.MaxClientConns(256)) {
-		r.receive(r.newClient(), binarymessage.HealthCheck, 1000+i, binarymessage.CauseParam(0))
+		g.deliver(g.acceptClient(), binarymessage.HealthCheck, 1000+i, binarymessage.CauseParam(0))
 	}
 }
 
 // TestEvictionKeepsUnsentAnswers: a connection with an unsent answer for a slow reader is neither evicted nor closed as
 // idle.
 func TestEvictionKeepsUnsentAnswers(t *testing.T) {
-	r := newTestGateway(t)
-	r.policy.targets = []int{0}
-	caller := r.newClient()
-	r.receiveSetup(caller, 7)
+	g := newTestGateway(t)
+	g.policy.attemptOrder = []int{0}
+	caller := g.acceptClient()
+	g.deliverSetup(caller, 7)
 	caller.blocked = true
-	r.receive(caller, binarymessage.HealthCheck, 5, binarymessage.CauseParam(0)) // this message blocks the socket
-	r.receive(r.connOf(7), binarymessage.Answer, 7, testDescription)
-	r.receive(r.connOf(7), binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal))
-	r.fillClientConns()
-	r.advance(3000)
+	g.deliver(caller, binarymessage.HealthCheck, 5, binarymessage.CauseParam(0)) // this message blocks the socket
+	g.deliver(g.setupConn(7), binarymessage.Answer, 7, answerDescription)
+	g.deliver(g.setupConn(7), binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal))
+	g.fillClientConns()
+	g.advance(3000)
 	if caller.closed {
-		t.Fatal("closed with an answer in its queue")
+		t.Fatal("the connection was closed with an answer in its queue")
 	}
 	caller.blocked = false
-	r.gateway.OnFlushed(r.now, caller.gatewayConn)
-	r.step()
-	if caller.count(7, binarymessage.Answer) != 1 || caller.count(7, binarymessage.Release) != 1 {
-		t.Errorf("the caller got %x", caller.messages)
+	g.gateway.OnFlushed(g.now, caller.gatewayConn)
+	g.step()
+	if caller.countMessages(7, binarymessage.Answer) != 1 || caller.countMessages(7, binarymessage.Release) != 1 {
+		t.Errorf("the caller got %x, want one answer and one release", caller.messages)
 	}
 }
 
 // TestUnsentAnswersAtClose: when a client connection closes with unsent messages, releases are sent on another
 // connection or the next one, and a call whose answer was not sent is released at its endpoint.
 func TestUnsentAnswersAtClose(t *testing.T) {
-	r := newTestGateway(t)
-	caller := r.newClient()
-	conn := r.establish(caller, 7)
+	g := newTestGateway(t)
+	caller := g.acceptClient()
+	conn := g.establish(caller, 7)
 	caller.blocked = true
-	r.receive(caller, binarymessage.HealthCheck, 5, binarymessage.CauseParam(0))
-	r.receive(
+	g.deliver(caller, binarymessage.HealthCheck, 5, binarymessage.CauseParam(0))
+	g.deliver(
 		conn,
 		binarymessage.Release,
 		7,
 		binarymessage.CauseParam(binarymessage.Normal),
 	) // the release stays in the caller's queue
-	r.policy.targets = []int{0}
-	r.receiveSetup(caller, 8)
-	conn = r.connOf(8)
-	r.receive(conn, binarymessage.Answer, 8, testDescription) // the answer stays there, too
-	otherCaller := r.newClient()
-	r.gateway.OnClosed(r.now, caller.gatewayConn, ClosedReset)
-	r.step()
-	r.expect(otherCaller.lastMessage(7), binarymessage.Release, binarymessage.Normal)
-	r.expect(conn.lastMessage(8), binarymessage.Release, binarymessage.Normal)
+	g.policy.attemptOrder = []int{0}
+	g.deliverSetup(caller, 8)
+	conn = g.setupConn(8)
+	g.deliver(conn, binarymessage.Answer, 8, answerDescription) // the answer stays there, too
+	otherCaller := g.acceptClient()
+	g.gateway.OnClosed(g.now, caller.gatewayConn, ClosedReset)
+	g.step()
+	g.expectMessage(otherCaller.lastMessage(7), binarymessage.Release, binarymessage.Normal)
+	g.expectMessage(conn.lastMessage(8), binarymessage.Release, binarymessage.Normal)
 	if otherCaller.lastMessage(8) != nil {
-		t.Errorf("a message about a call that ended with its connection: %x", otherCaller.lastMessage(8))
+		t.Errorf("the client got %x about a call that ended with its connection, want nothing", otherCaller.lastMessage(8))
 	}
 	otherCaller.blocked = true
-	r.receive(otherCaller, binarymessage.HealthCheck, 6, binarymessage.CauseParam(0))
-	conn = r.receiveSetupAndAnswer(otherCaller, 9)
-	r.receive(conn, binarymessage.Release, 9, binarymessage.CauseParam(binarymessage.Normal))
-	r.gateway.OnClosed(r.now, otherCaller.gatewayConn, ClosedReset)
-	r.advance(300)
-	laterCaller := r.newClient()
-	r.step()
-	if laterCaller.count(9, binarymessage.Answer) != 0 {
-		t.Errorf("the caller got %x", laterCaller.messages)
-	}
-	if calls := r.gateway.OpenCounts().Calls; calls != 0 {
-		t.Errorf("%d calls remain", calls)
+	g.deliver(otherCaller, binarymessage.HealthCheck, 6, binarymessage.CauseParam(0))
+	conn = g.receiveSetupAndAnswer(otherCaller, 9)
+	g.deliver(conn, binarymessage.Release, 9, binarymessage.CauseParam(binarymessage.Normal))
+	g.gateway.OnClosed(g.now, otherCaller.gatewayConn, ClosedReset)
+	g.advance(300)
+	laterCaller := g.acceptClient()
+	g.step()
+	if laterCaller.countMessages(9, binarymessage.Answer) != 0 {
+		t.Errorf("the caller got %x, want no answer", laterCaller.messages)
+	}
+	if calls := g.gateway.OpenCounts().Calls; calls != 0 {
+		t.Errorf("%d calls remain, want none", calls)
 	}
 }
 
 // receiveSetupAndAnswer sets up a call and answers it, without checking that the caller gets the answer.
-func (r *testGateway) receiveSetupAndAnswer(caller *testConn, id uint64) *testConn {
-	r.policy.targets = []int{0}
-	r.receiveSetup(caller, id)
-	conn := r.connOf(id)
-	r.receive(conn, binarymessage.Answer, id, testDescription)
+func (g *testGateway) receiveSetupAndAnswer(caller *testConn, id uint64) *testConn {
+	g.policy.attemptOrder = []int{0}
+	g.deliverSetup(caller, id)
+	conn := g.setupConn(id)
+	g.deliver(conn, binarymessage.Answer, id, answerDescription)
 	return conn
 }
 
@@ -343,68 +346,68 @@
 		"waits for a connection":   waitForConn,
 		"waits in a connection":    waitInConn,
 		"waits after an attempt":   waitAfterAttempt,
-		"has an attempt in flight": func(r *testGateway) { r.receiveSetup(r.client, 7) },
+		"has an attempt in flight": func(g *testGateway) { g.deliverSetup(g.client, 7) },
 	} {
 		for _, closes := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, closes %v", name, closes), func(t *testing.T) {
-				r := newTestGateway(t)
-				r.policy.targets, r.policy.retries = []int{0, 1, 0, 1}, true
-				r.client = r.newClient()
-				wait(r)
-				before := r.countSetups(7)
-				r.callerGoes(closes)
-				r.holdDials = false
-				for _, conn := range r.dialed {
+				g := newTestGateway(t)
+				g.policy.attemptOrder, g.policy.retryAfterFailure = []int{0, 1, 0, 1}, true
+				g.client = g.acceptClient()
+				wait(g)
+				before := g.countSetups(7)
+				g.callerLeaves(closes)
+				g.holdDials = false
+				for _, conn := range g.dialed {
 					conn.gatewayConn.writePending = false
 				}
-				r.advance(3000)
-				if after := r.countSetups(7); after != before {
-					t.Errorf("%d attempts before, %d after", before, after)
+				g.advance(3000)
+				if after := g.countSetups(7); after != before {
+					t.Errorf("%d attempts before the caller left, %d after; want no further ones", before, after)
 				}
-				if calls := r.gateway.OpenCounts().Calls; calls != 0 || r.client.lastMessage(7) != nil {
-					t.Errorf("%d calls remain, the caller got %x", calls, r.client.lastMessage(7))
+				if calls := g.gateway.OpenCounts().Calls; calls != 0 || g.client.lastMessage(7) != nil {
+					t.Errorf("%d calls remain, want none; the caller got %x, want nothing", calls, g.client.lastMessage(7))
 				}
 			})
 		}
 	}
 }
 
-func waitForConn(r *testGateway) {
-	r.holdDials = true
-	for _, conn := range r.connsTo(addrA) {
-		r.gateway.OnClosed(r.now, conn.gatewayConn, ClosedNormally)
+func waitForConn(g *testGateway) {
+	g.holdDials = true
+	for _, conn := range g.connsTo(addrA) {
+		g.gateway.OnClosed(g.now, conn.gatewayConn, ClosedNormally)
 	}
-	r.receiveSetup(r.client, 7)
+	g.deliverSetup(g.client, 7)
 }
 
-func waitInConn(r *testGateway) {
-	for _, conn := range r.connsTo(addrA) {
-		r.gateway.OnData(r.now, conn.gatewayConn, binarymessage.Append(nil, binarymessage.LoadState, 0))
+func waitInConn(g *testGateway) {
+	for _, conn := range g.connsTo(addrA) {
+		g.gateway.OnData(g.now, conn.gatewayConn, binarymessage.Append(nil, binarymessage.LoadState, 0))
 		conn.gatewayConn.writePending = true // an earlier write has not been sent
 	}
-	r.holdDials = true
-	r.receiveSetup(r.client, 7)
+	g.holdDials = true
+	g.deliverSetup(g.client, 7)
 }
 
-func waitAfterAttempt(r *testGateway) {
-	r.receiveSetup(r.client, 7)
-	r.receive(r.connOf(7), binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Failure))
-	r.advance(100)
+func waitAfterAttempt(g *testGateway) {
+	g.deliverSetup(g.client, 7)
+	g.deliver(g.setupConn(7), binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Failure))
+	g.advance(100)
 }
 
-// callerGoes makes the caller of call 7 disconnect or cancel.
-func (r *testGateway) callerGoes(closes bool) {
+// callerLeaves makes the caller of call 7 disconnect or cancel.
+func (g *testGateway) callerLeaves(closes bool) {
 	if closes {
-		r.gateway.OnClosed(r.now, r.client.gatewayConn, ClosedNormally)
+		g.gateway.OnClosed(g.now, g.client.gatewayConn, ClosedNormally)
 		return
 	}
-	r.gateway.OnData(r.now, r.client.gatewayConn, releaseMessage(7, binarymessage.Normal))
+	g.gateway.OnData(g.now, g.client.gatewayConn, releaseMessage(7, binarymessage.Normal))
 }
 
 // countSetups returns how many setups of a call were sent to endpoints.
-func (r *testGateway) countSetups(call uint64) (n int) {
-	for _, conn := range r.dialed {
-		n += conn.count(call, binarymessage.Setup)
+func (g *testGateway) countSetups(call uint64) (n int) {
+	for _, conn := range g.dialed {
+		n += conn.countMessages(call, binarymessage.Setup)
 	}
 	return n
 }
@@ -412,77 +415,78 @@
 // TestCancelBeforeSetupIsSent: an attempt that is canceled before its setup is sent ends as not sent, and nothing
 // is sent for it.
 func TestCancelBeforeSetupIsSent(t *testing.T) {
-	r := newTestGateway(t)
-	r.policy.targets = []int{0}
-	caller := r.newClient()
-	r.gateway.OnData(
-		r.now,
+	g := newTestGateway(t)
+	g.policy.attemptOrder = []int{0}
+	caller := g.acceptClient()
+	g.gateway.OnData(
+		g.now,
 		caller.gatewayConn,
 		binarymessage.Append(nil, binarymessage.Setup, 7, binarymessage.TextParam(binarymessage.Class, "voice"),
 			binarymessage.TextParam(binarymessage.Timeout, "3000"), binarymessage.TextParam(binarymessage.Number, "1")),
 	)
-	r.gateway.ProcessBatch(r.now, nil) // starts the attempt; its setup is queued on the connection
-	r.gateway.OnData(
-		r.now,
+	g.gateway.ProcessBatch(g.now, nil) // starts the attempt; its setup is queued on the connection
+	g.gateway.OnData(
+		g.now,
 		caller.gatewayConn,
 		binarymessage.Append(nil, binarymessage.Release, 7, binarymessage.CauseParam(binarymessage.Normal)),
 	)
-	r.advance(100)
-	for _, conn := range r.dialed {
+	g.advance(100)
+	for _, conn := range g.dialed {
 		if conn.lastMessage(7) != nil {
-			t.Errorf("an endpoint got %x", conn.lastMessage(7))
+			t.Errorf("an endpoint got %x, want nothing", conn.lastMessage(7))
 		}
 	}
-	if got := r.policy.events[len(r.policy.events)-1]; got != "ended 7 finished true capacity false busy false retry 0" {
-		t.Errorf("the policy got %q", r.policy.events)
+	if got := g.policy.events[len(g.policy.events)-1]; got !=
+		"ended outcome=7 finished=true atCapacity=false numberBusy=false retryAfter=0" {
+		t.Errorf("the policy got %q", g.policy.events)
 	}
 }
 
 // TestEvictionAdmitsNewcomers: when idle connections reach the limit, a new connection is accepted and its call is
 // set up.
 func TestEvictionAdmitsNewcomers(t *testing.T) {
-	r := newTestGateway(t)
-	r.fillClientConns()
-	r.advance(1000)
+	g := newTestGateway(t)
+	g.fillClientConns()
+	g.advance(1000)
 	for i := range uint64(5) {
-		caller := r.newClient()
+		caller := g.acceptClient()
 		if caller.gatewayConn == nil || caller.closed {
-			t.Fatal("the new connection was closed")
+			t.Fatal("the new connection was closed, want it open")
 		}
-		r.policy.targets = []int{0}
-		r.receiveSetup(caller, 7+i)
-		r.receive(r.connOf(7+i), binarymessage.Answer, 7+i, testDescription)
-		r.expect(caller.lastMessage(7+i), binarymessage.Answer, 0)
+		g.policy.attemptOrder = []int{0}
+		g.deliverSetup(caller, 7+i)
+		g.deliver(g.setupConn(7+i), binarymessage.Answer, 7+i, answerDescription)
+		g.expectMessage(caller.lastMessage(7+i), binarymessage.Answer, 0)
 	}
 }
 
 // TestCloseWrite: before the process exits, pending calls are rejected and the sending sides of client connections are
 // closed. After that no setup is accepted and nothing is written.
 func TestCloseWrite(t *testing.T) {
-	r := newTestGateway(t)
-	r.policy.targets = []int{0, 0}
-	caller, slow := r.newClient(), r.newClient()
-	r.receiveSetup(caller, 7)
+	g := newTestGateway(t)
+	g.policy.attemptOrder = []int{0, 0}
+	caller, slow := g.acceptClient(), g.acceptClient()
+	g.deliverSetup(caller, 7)
 	slow.blocked = true
-	r.receive(slow, binarymessage.HealthCheck, 5, binarymessage.CauseParam(0))
-	r.receiveSetup(slow, 8)
-	r.gateway.RejectAll(r.now)
-	r.expect(caller.lastMessage(7), binarymessage.Release, binarymessage.Congested)
-	if unsent, open := r.gateway.ClientConns(); unsent != 1 || open != 2 {
-		t.Errorf("%d of %d connections have unsent data", unsent, open)
+	g.deliver(slow, binarymessage.HealthCheck, 5, binarymessage.CauseParam(0))
+	g.deliverSetup(slow, 8)
+	g.gateway.RejectAll(g.now)
+	g.expectMessage(caller.lastMessage(7), binarymessage.Release, binarymessage.Congested)
+	if unsent, open := g.gateway.ClientConns(); unsent != 1 || open != 2 {
+		t.Errorf("%d of %d connections have unsent data, want 1 of 2", unsent, open)
 	}
 	slow.blocked = false
-	r.gateway.OnFlushed(r.now, slow.gatewayConn)
-	r.gateway.Step(r.now)
-	r.expect(slow.lastMessage(8), binarymessage.Release, binarymessage.Congested)
-	if unsent, _ := r.gateway.ClientConns(); unsent != 0 {
-		t.Errorf("%d connections have unsent data", unsent)
-	}
-	r.gateway.CloseClientWrites()
-	before, eventsBefore := len(caller.messages), len(r.policy.events)
-	r.receiveSetup(caller, 9)
-	if len(r.policy.events) != eventsBefore {
-		t.Errorf("the policy got %q", r.policy.events[eventsBefore:])
+	g.gateway.OnFlushed(g.now, slow.gatewayConn)
+	g.gateway.Step(g.now)
+	g.expectMessage(slow.lastMessage(8), binarymessage.Release, binarymessage.Congested)
+	if unsent, _ := g.gateway.ClientConns(); unsent != 0 {
+		t.Errorf("%d connections have unsent data, want none", unsent)
+	}
+	g.gateway.CloseClientWrites()
+	before, eventsBefore := len(caller.messages), len(g.policy.events)
+	g.deliverSetup(caller, 9)
+	if len(g.policy.events) != eventsBefore {
+		t.Errorf("the policy got %q, want no event", g.policy.events[eventsBefore:])
 	}
 	if !caller.writeClosed || !slow.writeClosed || caller.closed || len(caller.messages) != before {
 		t.Errorf("write closed %v and %v, closed %v, got %x", caller.writeClosed, slow.writeClosed,
--- a/internal/protocol/binarygateway/simulation_test.go
+++ b/internal/protocol/binarygateway/simulation_test.go
@@ -24,6 +24,7 @@
 	return router.New(settings, host)
 }
 
+// newSimulation returns a simulated deployment of one gateway and three endpoints with a checker of the rules.
 func newSimulation(seed uint64, newPolicy routing.PolicyFactory, disabledGuard routing.Rule) *binarystandin.World {
 	settings := &routing.Settings{
 		Gateways:           1,
@@ -63,8 +64,8 @@
 	)
 }
 
-// share draws the probability of a fault: 0 in half of the cases.
-func share(t *rapid.T, fault string, limit float64) float64 {
+// faultProbability draws the probability of a fault, up to a limit. It is 0 in half of the cases.
+func faultProbability(t *rapid.T, fault string, limit float64) float64 {
 	if rapid.Bool().Draw(t, fault+" none") {
 		return 0
 	}
@@ -76,23 +77,23 @@
 	rapid.Check(t, func(t *rapid.T) {
 		world := newSimulation(rapid.Uint64().Draw(t, "seed"), newRouter, 0)
 		world.Faults = binarystandin.Faults{
-			Malformed:     share(t, "malformed", 0.1),
-			Late:          share(t, "late", 0.2),
-			Unanswered:    share(t, "unanswered", 0.2),
-			Duplicate:     share(t, "duplicate", 0.3),
-			Unsolicited:   share(t, "unsolicited", 0.3),
-			Reset:         share(t, "reset", 0.1),
-			Overloaded:    share(t, "overloaded", 0.3),
-			Failed:        share(t, "failed", 0.2),
-			Cut:           share(t, "cut", 0.5),
-			CallerLeaves:  share(t, "caller leaves", 0.5),
-			CallerHangsUp: share(t, "caller hangs up", 0.5),
-			ClientCloses:  share(t, "client closes", 0.1),
-			Blocked:       share(t, "blocked", 0.2),
+			Malformed:     faultProbability(t, "malformed", 0.1),
+			Late:          faultProbability(t, "late", 0.2),
+			Unanswered:    faultProbability(t, "unanswered", 0.2),
+			Duplicate:     faultProbability(t, "duplicate", 0.3),
+			Unsolicited:   faultProbability(t, "unsolicited", 0.3),
+			Reset:         faultProbability(t, "reset", 0.1),
+			Overloaded:    faultProbability(t, "overloaded", 0.3),
+			Failed:        faultProbability(t, "failed", 0.2),
+			Cut:           faultProbability(t, "cut", 0.5),
+			CallerLeaves:  faultProbability(t, "caller leaves", 0.5),
+			CallerHangsUp: faultProbability(t, "caller hangs up", 0.5),
+			ClientCloses:  faultProbability(t, "client closes", 0.1),
+			Blocked:       faultProbability(t, "blocked", 0.2),
 			Fragmented:    rapid.Bool().Draw(t, "fragmented"),
-			Drains:        share(t, "drains", 0.3),
-			Crashes:       share(t, "crashes", 0.2),
-			Vanish:        share(t, "vanish", 0.2),
+			Drains:        faultProbability(t, "drains", 0.3),
+			Crashes:       faultProbability(t, "crashes", 0.2),
+			Vanish:        faultProbability(t, "vanish", 0.2),
 		}
 		world.StopAt = 8000
 		world.Run(22000)
@@ -102,7 +103,7 @@
 			}
 		}
 		if world.Checker.Totals.SetUps < 20 {
-			t.Errorf("only %d setups were sent", world.Checker.Totals.SetUps)
+			t.Errorf("%d setups were sent, want 20 at least", world.Checker.Totals.SetUps)
 		}
 	})
 }
@@ -116,40 +117,40 @@
 	draws     uint64
 }
 
-func (m *ruleBreakingPolicy) chance() float64 {
-	m.draws++
-	return detrand.Float64(m.seed, m.draws)
+func (p *ruleBreakingPolicy) chance() float64 {
+	p.draws++
+	return detrand.Float64(p.seed, p.draws)
 }
 
-func (m *ruleBreakingPolicy) act(now float64, c *routing.Call) {
-	if m.chance() < 0.3 && c.InFlight != nil {
-		m.host.CancelAttempt(c.InFlight)
+func (p *ruleBreakingPolicy) act(now float64, call *routing.Call) {
+	if p.chance() < 0.3 && call.InFlight != nil {
+		p.host.CancelAttempt(call.InFlight)
 	}
-	if len(m.endpoints) > 0 && m.chance() < 0.8 {
-		m.host.StartAttempt(c, m.endpoints[int(m.chance()*float64(len(m.endpoints)))], 200*m.chance())
+	if len(p.endpoints) > 0 && p.chance() < 0.8 {
+		p.host.StartAttempt(call, p.endpoints[int(p.chance()*float64(len(p.endpoints)))], 200*p.chance())
 	}
-	if m.chance() < 0.1 {
-		m.host.Fail(c)
-		m.host.Reject(c, 100)
+	if p.chance() < 0.1 {
+		p.host.Fail(call)
+		p.host.Reject(call, 100)
 	}
-	if m.draws < 40000 {
-		m.host.ScheduleWakeup(now+400*m.chance(), c)
+	if p.draws < 40000 {
+		p.host.ScheduleWakeup(now+400*p.chance(), call)
 	}
 }
-func (m *ruleBreakingPolicy) OnEndpoints(_ float64, changed []*routing.Endpoint) {
-	m.endpoints = append(m.endpoints, changed...)
+func (p *ruleBreakingPolicy) OnEndpoints(_ float64, changed []*routing.Endpoint) {
+	p.endpoints = append(p.endpoints, changed...)
 }
-func (m *ruleBreakingPolicy) OnCall(now float64, c *routing.Call) { m.act(now, c) }
-func (m *ruleBreakingPolicy) OnAnswer(now float64, attempt *routing.Attempt) {
-	m.act(now, attempt.Call)
+func (p *ruleBreakingPolicy) OnCall(now float64, call *routing.Call) { p.act(now, call) }
+func (p *ruleBreakingPolicy) OnAnswer(now float64, attempt *routing.Attempt) {
+	p.act(now, attempt.Call)
 }
-func (m *ruleBreakingPolicy) OnAttemptEnd(now float64, attempt *routing.Attempt, _ bool) {
-	m.act(now, attempt.Call)
+func (p *ruleBreakingPolicy) OnAttemptEnd(now float64, attempt *routing.Attempt, _ bool) {
+	p.act(now, attempt.Call)
 }
-func (m *ruleBreakingPolicy) OnHangup(now float64, c *routing.Call)               { m.act(now, c) }
-func (m *ruleBreakingPolicy) OnLoadReport(float64, *routing.Endpoint, bool, bool) {}
-func (m *ruleBreakingPolicy) OnGossip(float64, int, []byte)                       {}
-func (m *ruleBreakingPolicy) OnWakeup(now float64, c *routing.Call)               { m.act(now, c) }
+func (p *ruleBreakingPolicy) OnHangup(now float64, call *routing.Call)            { p.act(now, call) }
+func (p *ruleBreakingPolicy) OnLoadReport(float64, *routing.Endpoint, bool, bool) {}
+func (p *ruleBreakingPolicy) OnGossip(float64, int, []byte)                       {}
+func (p *ruleBreakingPolicy) OnWakeup(now float64, call *routing.Call)            { p.act(now, call) }
 
 // TestGuards: with all guards, traffic conforms to the rules even under a policy that breaks them. With a guard
 // disabled, the checker finds violations of its rule.
@@ -178,7 +179,7 @@
 			// The guard of rule 1 can't be disabled here: a call that has its final answer no longer refers to a
 			// connection.
 			if disabledGuard > 1 && disabledGuard != 4 && found[disabledGuard] == 0 {
-				t.Errorf("guard of rule %d is disabled, but the checker found %v", disabledGuard, found)
+				t.Errorf("guard of rule %d is disabled: findings by rule %v, want some of that rule", disabledGuard, found)
 			}
 		})
 	}
@@ -205,10 +206,10 @@
 	world.Run(100000)
 	open := world.Gateway.OpenCounts()
 	if open.Calls > 0 || open.Upstreams > 4 || open.Clients > 1 || open.ClientConns > 4 || open.Timers > 40 {
-		t.Errorf("left open: %+v", open)
+		t.Errorf("left open: %+v, want at most 4 upstreams, 1 client, 4 client connections, 40 timers and no calls", open)
 	}
 	if canceled, unmatchedReleases := world.Gateway.RememberedCounts(); canceled+unmatchedReleases > 0 {
-		t.Errorf("%d canceled calls and %d unmatched releases are remembered", canceled, unmatchedReleases)
+		t.Errorf("%d canceled calls and %d unmatched releases are remembered, want none", canceled, unmatchedReleases)
 	}
 	for _, f := range world.Checker.Findings {
 		t.Error(f)
@@ -226,7 +227,7 @@
 			t.Errorf("seed %d: checksums %016x and %016x differ", seed, first, second)
 		}
 		if messages < 1000 {
-			t.Errorf("seed %d: only %d messages were exchanged", seed, messages)
+			t.Errorf("seed %d: %d messages were exchanged, want 1000 at least", seed, messages)
 		}
 	}
 }
--- a/internal/protocol/binarygateway/testgateway_test.go
+++ b/internal/protocol/binarygateway/testgateway_test.go
@@ -18,44 +18,44 @@
 	clientAddr = netip.MustParseAddr("127.0.0.9")
 )
 
-// scriptedPolicy is a routing policy controlled by a test: it attempts the endpoints in targets in turn and rejects the
-// call when none is left.
+// scriptedPolicy is a routing policy controlled by a test: it attempts the destinations in attemptOrder in turn and
+// rejects the call when none is left.
 type scriptedPolicy struct {
-	host      routing.Host
-	endpoints map[int]*routing.Endpoint
-	targets   []int
-	events    []string
-	retries   bool // it attempts the next endpoint after a failed attempt, once the retry hold-off is over
-	lastCall  *routing.Call
+	host              routing.Host
+	endpoints         map[int]*routing.Endpoint
+	attemptOrder      []int // destination IDs
+	events            []string
+	retryAfterFailure bool // attempt the next endpoint 500 ms (the hold-off) after a failed attempt
+	lastCall          *routing.Call
 }
 
-func (m *scriptedPolicy) OnEndpoints(_ float64, changed []*routing.Endpoint) {
+func (p *scriptedPolicy) OnEndpoints(_ float64, changed []*routing.Endpoint) {
 	for _, endpoint := range changed {
-		if endpoint.State != routing.Gone || m.endpoints[endpoint.DestinationID] == endpoint {
-			m.endpoints[endpoint.DestinationID] = endpoint
+		if endpoint.State != routing.Gone || p.endpoints[endpoint.DestinationID] == endpoint {
+			p.endpoints[endpoint.DestinationID] = endpoint
 		}
 	}
 }
-func (m *scriptedPolicy) OnCall(now float64, c *routing.Call) {
-	m.events = append(m.events, "offered")
-	m.lastCall = c
-	m.attemptNext(c)
+func (p *scriptedPolicy) OnCall(now float64, c *routing.Call) {
+	p.events = append(p.events, "offered")
+	p.lastCall = c
+	p.attemptNext(c)
 }
-func (m *scriptedPolicy) attemptNext(c *routing.Call) {
-	if len(m.targets) == 0 {
-		m.host.Reject(c, 300)
+func (p *scriptedPolicy) attemptNext(c *routing.Call) {
+	if len(p.attemptOrder) == 0 {
+		p.host.Reject(c, 300)
 		return
 	}
-	endpoint := m.endpoints[m.targets[0]]
-	m.targets = m.targets[1:]
-	m.host.StartAttempt(c, endpoint, 1e9)
+	endpoint := p.endpoints[p.attemptOrder[0]]
+	p.attemptOrder = p.attemptOrder[1:]
+	p.host.StartAttempt(c, endpoint, 1e9)
 }
-func (m *scriptedPolicy) OnAnswer(float64, *routing.Attempt) { m.events = append(m.events, "answered") }
-func (m *scriptedPolicy) OnAttemptEnd(now float64, attempt *routing.Attempt, finished bool) {
-	m.events = append(
-		m.events,
+func (p *scriptedPolicy) OnAnswer(float64, *routing.Attempt) { p.events = append(p.events, "answered") }
+func (p *scriptedPolicy) OnAttemptEnd(now float64, attempt *routing.Attempt, finished bool) {
+	p.events = append(
+		p.events,
 		fmt.Sprintf(
-			"ended %d finished %v capacity %v busy %v retry %v",
+			"ended outcome=%d finished=%v atCapacity=%v numberBusy=%v retryAfter=%v",
 			attempt.Outcome,
 			finished,
 			attempt.AtCapacity,
@@ -63,38 +63,38 @@
 			attempt.RetryAfter,
 		),
 	)
-	if m.retries && !finished && !attempt.Call.Finished {
-		m.host.ScheduleWakeup(now+500, attempt.Call)
+	if p.retryAfterFailure && !finished && !attempt.Call.Finished {
+		p.host.ScheduleWakeup(now+500, attempt.Call)
 	}
 }
-func (m *scriptedPolicy) OnHangup(float64, *routing.Call) { m.events = append(m.events, "hung up") }
-func (m *scriptedPolicy) OnLoadReport(_ float64, endpoint *routing.Endpoint, ok, complete bool) {
-	m.events = append(
-		m.events,
+func (p *scriptedPolicy) OnHangup(float64, *routing.Call) { p.events = append(p.events, "hung up") }
+func (p *scriptedPolicy) OnLoadReport(_ float64, endpoint *routing.Endpoint, ok, complete bool) {
+	p.events = append(
+		p.events,
 		fmt.Sprintf(
-			"report %d free %v of %v",
+			"load report from %d: %v of %v free",
 			endpoint.DestinationID,
 			endpoint.LoadReport.Free,
 			endpoint.LoadReport.Capacity,
 		),
 	)
 }
-func (m *scriptedPolicy) OnGossip(_ float64, gateway int, message []byte) {
-	m.events = append(m.events, fmt.Sprintf("gossip of %d: %s", gateway, message))
+func (p *scriptedPolicy) OnGossip(_ float64, gateway int, message []byte) {
+	p.events = append(p.events, fmt.Sprintf("gossip from %d: %s", gateway, message))
 }
-func (m *scriptedPolicy) OnWakeup(_ float64, c *routing.Call) {
+func (p *scriptedPolicy) OnWakeup(_ float64, c *routing.Call) {
 	if c != nil && !c.Finished {
-		m.attemptNext(c)
+		p.attemptNext(c)
 	}
 }
 
-// testConn is the driver's side of a connection.
+// testConn is the remote side of a simulated connection.
 type testConn struct {
 	gatewayConn *Conn
-	address     netip.AddrPort // of the endpoint
+	address     netip.AddrPort // address of the endpoint, if the gateway dialed
 	messages    []binarymessage.Message
 	reader      binarymessage.Reader
-	blocked     bool // writes stay pending
+	blocked     bool // Write reports that nothing was written
 	closed      bool
 	writeClosed bool
 }
@@ -105,12 +105,12 @@
 	gateway   *Gateway
 	policy    *scriptedPolicy
 	now       float64
-	dialed    []*testConn // connections to endpoints, in the order of their dials
-	client    *testConn   // in tests with a single client
-	holdDials bool        // dials do not complete by themselves
+	dialed    []*testConn // connections to endpoints, in the order in which they were dialed
+	client    *testConn   // the client connection, in tests that have only one
+	holdDials bool        // step doesn't complete dials
 }
 
-func (r *testGateway) Write(conn *Conn, b []byte) bool {
+func (g *testGateway) Write(conn *Conn, b []byte) bool {
 	tc := conn.Socket.(*testConn)
 	if tc.blocked {
 		return false
@@ -119,26 +119,26 @@
 		tc.messages = append(tc.messages, append(binarymessage.Message(nil), m...))
 		return true
 	}); err != nil {
-		r.Errorf("malformed message written: %v", err)
+		g.Errorf("malformed message written: %v", err)
 	}
 	return true
 }
 
-func (r *testGateway) Dial(conn *Conn, to netip.AddrPort) {
+func (g *testGateway) Dial(conn *Conn, to netip.AddrPort) {
 	tc := &testConn{gatewayConn: conn, address: to}
 	conn.Socket = tc
-	r.dialed = append(r.dialed, tc)
+	g.dialed = append(g.dialed, tc)
 }
 
-func (r *testGateway) Close(conn *Conn) { conn.Socket.(*testConn).closed = true }
+func (g *testGateway) Close(conn *Conn) { conn.Socket.(*testConn).closed = true }
 
-func (r *testGateway) CloseWrite(conn *Conn) { conn.Socket.(*testConn).writeClosed = true }
+func (g *testGateway) CloseWrite(conn *Conn) { conn.Socket.(*testConn).writeClosed = true }
 
-func (r *testGateway) SendGossip(int, []byte) {}
+func (g *testGateway) SendGossip(int, []byte) {}
 
 func newTestGateway(t *testing.T) *testGateway {
-	r := &testGateway{T: t, policy: &scriptedPolicy{endpoints: map[int]*routing.Endpoint{}}, now: 1e6}
-	set := &routing.Settings{
+	g := &testGateway{T: t, policy: &scriptedPolicy{endpoints: map[int]*routing.Endpoint{}}, now: 1e6}
+	settings := &routing.Settings{
 		Gateways:          2,
 		GatewayIndex:      0,
 		Seed:              3,
@@ -152,10 +152,10 @@
 			{Name: "voice", LatencyObjective: 2000, Timeout: 9000, Weight: 1, Idempotent: true},
 		},
 	}
-	r.gateway = New(
-		r.now,
+	g.gateway = New(
+		g.now,
 		&Config{
-			Settings:       set,
+			Settings:       settings,
 			Connections:    deployment.Connections{ConnectTimeout: 500},
 			MaxDescriptors: 256,
 			AnswerMargin:   5,
@@ -163,62 +163,64 @@
 			FromUnixMillis: func(unix float64) float64 { return unix },
 		},
 		func(_ *routing.Settings, h routing.Host) routing.Policy {
-			r.policy.host = h
-			return r.policy
+			g.policy.host = h
+			return g.policy
 		},
-		r,
+		g,
 	)
-	r.setEndpoints(1, readyTarget("a", addrA, 0), readyTarget("b", addrB, 1))
-	r.step()
-	return r
+	g.setEndpoints(1, readyTarget("a", addrA, 0), readyTarget("b", addrB, 1))
+	g.step()
+	return g
 }
 
 func readyTarget(id string, address netip.AddrPort, destinationID int) dnsdiscovery.Target {
 	return dnsdiscovery.Target{ID: id, Addr: address, DestinationID: destinationID, State: routing.Ready}
 }
 
-func (r *testGateway) setEndpoints(serial uint32, targets ...dnsdiscovery.Target) {
-	r.gateway.OnEndpointList(r.now, &dnsdiscovery.List{Serial: serial, Complete: true, Targets: targets})
+func (g *testGateway) setEndpoints(serial uint32, targets ...dnsdiscovery.Target) {
+	g.gateway.OnEndpointList(g.now, &dnsdiscovery.List{Serial: serial, Complete: true, Targets: targets})
 }
 
-// step ends a batch. Unless holdDials is set, dials complete first, and their endpoints send a LoadState message.
-func (r *testGateway) step() {
+// step processes three batches. Before each, unless holdDials is set, pending dials complete, and the endpoints send a
+// LoadState message on the new connections.
+func (g *testGateway) step() {
 	for range 3 {
-		if !r.holdDials {
-			for _, tc := range r.dialed {
+		if !g.holdDials {
+			for _, tc := range g.dialed {
 				if !tc.gatewayConn.connected && !tc.gatewayConn.closed {
-					r.gateway.OnConnected(r.now, tc.gatewayConn)
-					r.gateway.OnData(r.now, tc.gatewayConn, binarymessage.Append(nil, binarymessage.LoadState, 0))
+					g.gateway.OnConnected(g.now, tc.gatewayConn)
+					g.gateway.OnData(g.now, tc.gatewayConn, binarymessage.Append(nil, binarymessage.LoadState, 0))
 				}
 			}
 		}
-		r.gateway.Step(r.now)
-		r.now += 0.01
+		g.gateway.Step(g.now)
+		g.now += 0.01
 	}
 }
 
-// advance runs steps for the given time, in ms.
-func (r *testGateway) advance(ms float64) {
-	for end := r.now + ms; r.now < end; r.now += 10 {
-		r.step()
+// advance calls step every 10 ms for the given time, in ms.
+func (g *testGateway) advance(ms float64) {
+	for end := g.now + ms; g.now < end; g.now += 10 {
+		g.step()
 	}
 }
 
-func (r *testGateway) newClient() *testConn {
+// acceptClient accepts a connection of a client.
+func (g *testGateway) acceptClient() *testConn {
 	tc := &testConn{}
-	tc.gatewayConn = r.gateway.OnAccepted(r.now, tc, clientAddr)
+	tc.gatewayConn = g.gateway.OnAccepted(g.now, tc, clientAddr)
 	return tc
 }
 
-// receive delivers a message from the peer of a connection.
-func (r *testGateway) receive(tc *testConn, kind byte, call uint64, params ...binarymessage.Param) {
-	r.gateway.OnData(r.now, tc.gatewayConn, binarymessage.Append(nil, kind, call, params...))
-	r.step()
+// deliver passes a message from the remote side of a connection to the gateway, and then calls step.
+func (g *testGateway) deliver(tc *testConn, kind byte, call uint64, params ...binarymessage.Param) {
+	g.gateway.OnData(g.now, tc.gatewayConn, binarymessage.Append(nil, kind, call, params...))
+	g.step()
 }
 
-// receiveSetup delivers a setup from a caller.
-func (r *testGateway) receiveSetup(tc *testConn, call uint64) {
-	r.receive(tc, binarymessage.Setup, call,
+// deliverSetup passes a setup from a client to the gateway, and then calls step.
+func (g *testGateway) deliverSetup(tc *testConn, call uint64) {
+	g.deliver(tc, binarymessage.Setup, call,
 		binarymessage.TextParam(binarymessage.Class, "voice"),
 		binarymessage.TextParam(binarymessage.Timeout, "3000"),
 		binarymessage.TextParam(binarymessage.Number, "7f3a9c21e0b4d655"),
@@ -226,7 +228,7 @@
 		binarymessage.TextParam(binarymessage.Description, "v=0"))
 }
 
-// lastMessage returns the latest message for a call that was written to the connection; nil: none.
+// lastMessage returns the latest message for a call that was written to the connection, or nil if there is none.
 func (tc *testConn) lastMessage(call uint64) binarymessage.Message {
 	for i := len(tc.messages) - 1; i >= 0; i-- {
 		if tc.messages[i].Call() == call {
@@ -236,8 +238,8 @@
 	return nil
 }
 
-// count returns how many messages of a type were written to the connection for a call.
-func (tc *testConn) count(call uint64, kind byte) (n int) {
+// countMessages returns how many messages of a type were written to the connection for a call.
+func (tc *testConn) countMessages(call uint64, kind byte) (n int) {
 	for _, m := range tc.messages {
 		if m.Call() == call && m.Type() == kind {
 			n++
@@ -246,23 +248,24 @@
 	return
 }
 
-// connOf returns the connection on which the latest setup of a call was sent.
-func (r *testGateway) connOf(call uint64) *testConn {
-	r.Helper()
-	for i := len(r.dialed) - 1; i >= 0; i-- {
-		if m := r.dialed[i].lastMessage(call); m != nil && m.Type() == binarymessage.Setup {
-			return r.dialed[i]
+// setupConn returns the latest dialed connection whose last message for a call is a setup.
+func (g *testGateway) setupConn(call uint64) *testConn {
+	g.Helper()
+	for i := len(g.dialed) - 1; i >= 0; i-- {
+		if m := g.dialed[i].lastMessage(call); m != nil && m.Type() == binarymessage.Setup {
+			return g.dialed[i]
 		}
 	}
-	r.Fatalf("no setup of call %x was sent", call)
+	g.Fatalf("no connection has a setup as its last message for call %x", call)
 	return nil
 }
 
-func (r *testGateway) expect(m binarymessage.Message, kind, cause byte) {
-	r.Helper()
+// expectMessage reports an error unless a message has the given type and cause.
+func (g *testGateway) expectMessage(m binarymessage.Message, kind, cause byte) {
+	g.Helper()
 	if m == nil || m.Type() != kind || m.Cause() != cause {
-		r.Errorf("got %x, want type %d cause %d", []byte(m), kind, cause)
+		g.Errorf("got %x, want type %d cause %d", []byte(m), kind, cause)
 	}
 }
 
-var testDescription = binarymessage.TextParam(binarymessage.Description, "v=0 answer")
+var answerDescription = binarymessage.TextParam(binarymessage.Description, "v=0 answer")
