--- a/internal/conformance/enum.go
+++ b/internal/conformance/enum.go
@@ -53,7 +53,7 @@
 		query = &enumQuery{call: &call{gateway: gateway, id: id, arrivedAt: at}, askedAt: at, deadline: at + lookupTimeout}
 		k.queries[id] = query
 		if m.Response {
-			k.report(1, query.call, "response to a query that was not asked")
+			k.report(1, query.call, "response without a query")
 		}
 	}
 	if !m.Response {
@@ -106,7 +106,7 @@
 	}
 }
 
-// isReady tells whether a gateway's list has an endpoint as ready.
+// isReady reports whether a gateway's list has an endpoint as ready.
 func (k *Checker) isReady(gateway, addr string) bool {
 	entry := k.endpointLists[gateway][addr]
 	return entry != nil && entry.state == "ready"
@@ -147,7 +147,7 @@
 		k.report(
 			3,
 			&call{gateway: gateway, id: siptransaction.SessionIDOf(r)},
-			"%v calls %s %.0f ms after it was named",
+			"%v called %s %.0f ms after the response that named it",
 			addr,
 			k.name(d.To),
 			at-latest,
