--- a/internal/gateway/gatewayconfig/settings.go
+++ b/internal/gateway/gatewayconfig/settings.go
@@ -16,209 +16,217 @@
 	"cobaltpier/internal/routing"
 )
 
-// Config is the settings of cobalt-edge. Times are in milliseconds.
+// Config holds the settings of a gateway (the program cobalt-edge). Times are in milliseconds.
 type Config struct {
 	b2bua.Config
-	PeerListen   netip.AddrPort   // for gossip of other gateways
-	Peers        []netip.AddrPort // of all gateways, by index
+	PeerListen   netip.AddrPort   // address on which gossip from other gateways is received
+	Peers        []netip.AddrPort // gossip addresses of all gateways, by gateway index
 	EndpointList string           // address of the server of the endpoint list
-	Tick         float64
+	Tick         float64          // minimum time between two batches of events
 	LogLevel     string
 	LogConsole   bool // log in console format, not JSON
 	DrainTimeout float64
 	Numbers      Numbers
 	ENUMServer   ENUMServer
-	QueueSize    int // datagrams that may wait for the event loop
+	QueueSize    int // received datagrams that may wait for the event loop
 }
 
-// Numbers is the settings of the number tables and of ENUM look-ups.
+// Numbers holds the settings of number analysis: the number tables and ENUM look-ups.
 type Numbers struct {
-	Table    string // file of the table used while the store has none; without both, callers name class and group
-	Store    string // file that keeps the tables put in service; "": they are lost when the process ends
-	Admin    string // address of the gRPC service that puts tables in service; "": none
+	// Table is the file of the number table that is used until the store has one. Without Table and Store numbers aren't
+	// analysed: callers state the class and the trunk group.
+	Table    string
+	Store    string // file that stores the activated tables; if empty, they are lost when the process ends
+	Admin    string // address of the gRPC service that activates tables; if empty, there is none
 	DNS      dnsclient.Config
-	Apex     string // domain of the look-ups; "": no look-ups
+	Apex     string // domain of the ENUM look-ups; if empty, there are none
 	Services []string
 }
 
 // Names returns the classes, tenants and trunk groups that number tables may refer to.
-func (s *Config) Names() (n numberplan.Names) {
-	for _, class := range s.Settings.Classes {
+func (c *Config) Names() (n numberplan.Names) {
+	for _, class := range c.Settings.Classes {
 		n.Classes = append(n.Classes, class.Name)
 	}
-	for _, tenant := range s.Settings.Tenants {
+	for _, tenant := range c.Settings.Tenants {
 		n.Tenants = append(n.Tenants, tenant.Name)
 	}
-	for _, group := range s.Groups {
+	for _, group := range c.Groups {
 		n.Groups = append(n.Groups, group.Name)
 	}
 	return n
 }
 
-// ENUMServer is the settings of the gateway's ENUM server.
+// ENUMServer holds the settings of the gateway's ENUM server.
 type ENUMServer struct {
 	enumserver.Config
-	Listen      netip.AddrPort // UDP and TCP; not valid: no ENUM server
+	Listen      netip.AddrPort // UDP and TCP address; if not valid, there is no ENUM server
 	MaxConns    int            // open TCP connections; further ones are closed
 	IdleTimeout float64        // ms after which a connection without queries is closed (RFC 7766 6.2.3)
 }
 
-// Enabled tells whether the gateway analyses numbers.
+// Enabled reports whether the gateway analyses numbers.
 func (n *Numbers) Enabled() bool { return n.Table != "" || n.Store != "" }
 
 const dayMillis = 24 * 3600 * 1000.0
 
 // Load reads the settings from a file.
 func Load(name string) (*Config, error) {
-	b, err := hclfile.Load(name)
+	root, err := hclfile.Load(name)
 	if err != nil {
 		return nil, err
 	}
-	return read(b)
+	return read(root)
 }
 
 // Parse reads the settings from memory. Errors name the file as name.
 func Parse(name string, src []byte) (*Config, error) {
-	b, err := hclconfig.Parse(name, src)
+	root, err := hclconfig.Parse(name, src)
 	if err != nil {
 		return nil, err
 	}
-	return read(b)
+	return read(root)
 }
 
-func read(b *hclconfig.Block) (*Config, error) {
-	s := &Config{}
-	s.Settings = &routing.Settings{}
-	gateway := b.One("gateway")
-	s.readGateway(gateway)
-	s.readEndpointListAndLog(b)
-	s.readAllowed(b, gateway)
-	s.readTimers(b)
-	s.readRules(b)
-	s.readClasses(b, gateway)
-	s.readTrunkGroups(b)
-	s.readNumbers(b)
-	return s, b.Err()
+func read(root *hclconfig.Block) (*Config, error) {
+	c := &Config{}
+	c.Settings = &routing.Settings{}
+	gateway := root.One("gateway")
+	c.readGateway(gateway)
+	c.readEndpointListAndLog(root)
+	c.readAllow(root, gateway)
+	c.readTimers(root)
+	c.readRules(root)
+	c.readClasses(root, gateway)
+	c.readTrunkGroups(root)
+	c.readNumbers(root)
+	return c, root.Err()
 }
 
-func (s *Config) readGateway(gateway *hclconfig.Block) {
-	set := s.Settings
-	s.Name = gateway.Must("name")
-	s.Address, s.PeerListen = gateway.Addr("sip"), gateway.Addr("peer")
-	s.TrunkContext = gateway.Must("trunk_context")
-	set.Gateways = gateway.Int("gateways", 1, 1, 100000)
-	set.GatewayIndex = gateway.Int("number", 0, 0, 99999)
-	set.Seed = uint64(gateway.Num("seed", 1, 0, 1<<53))
-	s.Tick = gateway.Ms("tick", 0, 0, 1000)
-	set.TickInterval = s.Tick
-	s.AnswerMargin = gateway.Ms("margin", 30, 0, 60000)
-	s.LoadShedding = loadshed.Gate{
-		MaxPending:    gateway.Int("most_held", 20000, 1, 1<<24),
-		RatePerSecond: gateway.Num("most_rate", 0, 0, 1e6),
+// readGateway reads the block gateway.
+func (c *Config) readGateway(block *hclconfig.Block) {
+	settings := c.Settings
+	c.Name = block.Must("name")
+	c.Address, c.PeerListen = block.Addr("sip"), block.Addr("peer")
+	c.TrunkContext = block.Must("trunk_context")
+	settings.Gateways = block.Int("gateways", 1, 1, 100000)
+	settings.GatewayIndex = block.Int("number", 0, 0, 99999)
+	settings.Seed = uint64(block.Num("seed", 1, 0, 1<<53))
+	c.Tick = block.Ms("tick", 0, 0, 1000)
+	settings.TickInterval = c.Tick
+	c.AnswerMargin = block.Ms("margin", 30, 0, 60000)
+	c.LoadShedding = loadshed.Gate{
+		MaxPending:    block.Int("most_held", 20000, 1, 1<<24),
+		RatePerSecond: block.Num("most_rate", 0, 0, 1e6),
 	}
-	s.QueueSize = gateway.Int("queue", 8192, 16, 1<<20)
-	s.DrainTimeout = gateway.Ms("drain_within", 30000, 0, dayMillis)
-	s.DefaultClass = gateway.Text("default_skill", "")
-	if set.GatewayIndex >= set.Gateways {
-		gateway.Fault("number", "number: want one below gateways = %d, got %d", set.Gateways, set.GatewayIndex)
+	c.QueueSize = block.Int("queue", 8192, 16, 1<<20)
+	c.DrainTimeout = block.Ms("drain_within", 30000, 0, dayMillis)
+	c.DefaultClass = block.Text("default_skill", "")
+	if settings.GatewayIndex >= settings.Gateways {
+		block.Fault("number", "number: want less than gateways (%d), got %d", settings.Gateways, settings.GatewayIndex)
 	}
-	for _, p := range gateway.Texts("peers") {
-		addr, err := netip.ParseAddrPort(p)
+	for _, peer := range block.Texts("peers") {
+		addr, err := netip.ParseAddrPort(peer)
 		if err != nil {
-			gateway.Fault("peers", "peers: want addresses such as \"127.0.0.1:5070\", got %q", p)
+			block.Fault("peers", "peers: want addresses such as \"127.0.0.1:5070\", got %q", peer)
 		}
-		s.Peers = append(s.Peers, addr)
+		c.Peers = append(c.Peers, addr)
 	}
 }
 
-func (s *Config) readEndpointListAndLog(b *hclconfig.Block) {
-	list := b.One("list")
-	s.EndpointList = list.Must("addr")
-	log := b.One("log")
-	s.LogLevel = log.Text("level", "info", "debug", "info", "warn", "error")
-	s.LogConsole = log.Text("form", "json", "json", "console") == "console"
+// readEndpointListAndLog reads the blocks list and log.
+func (c *Config) readEndpointListAndLog(root *hclconfig.Block) {
+	list := root.One("list")
+	c.EndpointList = list.Must("addr")
+	log := root.One("log")
+	c.LogLevel = log.Text("level", "info", "debug", "info", "warn", "error")
+	c.LogConsole = log.Text("form", "json", "json", "console") == "console"
 }
 
-func (s *Config) readAllowed(b, gateway *hclconfig.Block) {
-	set := s.Settings
-	allow := b.One("allow")
-	set.MaxAttempts = allow.Int("max_rings", 5, 1, 1000)
-	set.ProbeEnabled, set.GossipEnabled = allow.Flag("probe", false), allow.Flag("tell", len(s.Peers) > 0)
-	set.CancelEnabled, set.RetryAfterEnabled = allow.Flag("cancel", true), allow.Flag("name_wait", true)
-	set.MaxRetryAfter = allow.Ms("max_wait", 2000, 0, dayMillis)
-	set.LoadReportsByProbe = allow.Flag("reports_by_probe", false)
-	if set.GossipEnabled && len(s.Peers) != set.Gateways {
+// readAllow reads the block allow. It checks the number of peers too, which depends on allow.tell.
+func (c *Config) readAllow(root, gateway *hclconfig.Block) {
+	settings := c.Settings
+	allow := root.One("allow")
+	settings.MaxAttempts = allow.Int("max_rings", 5, 1, 1000)
+	settings.ProbeEnabled, settings.GossipEnabled = allow.Flag("probe", false), allow.Flag("tell", len(c.Peers) > 0)
+	settings.CancelEnabled, settings.RetryAfterEnabled = allow.Flag("cancel", true), allow.Flag("name_wait", true)
+	settings.MaxRetryAfter = allow.Ms("max_wait", 2000, 0, dayMillis)
+	settings.LoadReportsByProbe = allow.Flag("reports_by_probe", false)
+	if settings.GossipEnabled && len(c.Peers) != settings.Gateways {
 		gateway.Fault(
 			"peers",
-			"peers: want the addresses of all %d gateways where allow.tell is set, got %d",
-			set.Gateways,
-			len(s.Peers),
+			"peers: want %d addresses, one for each gateway, because allow.tell is set; got %d",
+			settings.Gateways,
+			len(c.Peers),
 		)
 	}
 }
 
-func (s *Config) readTimers(b *hclconfig.Block) {
-	set := s.Settings
-	timers := b.One("timers")
+// readTimers reads the block timers, the SIP timers T1, T2 and T4 (RFC 3261).
+func (c *Config) readTimers(root *hclconfig.Block) {
+	settings := c.Settings
+	timers := root.One("timers")
 	t1 := timers.Ms("t1", 500, 10, 60000)
-	s.Times = siptransaction.Timers{T1: t1, T2: timers.Ms("t2", 8*t1, 10, 600000), T4: timers.Ms("t4", 5000, 10, 600000)}
-	set.RetransmitInterval = t1
+	c.Times = siptransaction.Timers{T1: t1, T2: timers.Ms("t2", 8*t1, 10, 600000), T4: timers.Ms("t4", 5000, 10, 600000)}
+	settings.RetransmitInterval = t1
 }
 
-func (s *Config) readRules(b *hclconfig.Block) {
-	set := s.Settings
-	rules := b.One("rules")
-	set.AnswerGrace = rules.Ms("slack", 20, 0, 10000)
-	set.RetryHoldOff = rules.Ms("clear_wait", hclconfig.Required, 0, 60000)
-	set.SlowStartFraction = rules.Num("cold_share", hclconfig.Required, 0.001, 1)
-	set.SlowStartDuration = rules.Ms("warm_within", hclconfig.Required, 0, dayMillis)
-	set.OverloadFactor = rules.Num("tip_multiple", hclconfig.Required, 0, 1000)
-	set.OverloadWindow = rules.Ms("tip_time", hclconfig.Required, 1, dayMillis)
+// readRules reads the block rules, the parameters of the five rules.
+func (c *Config) readRules(root *hclconfig.Block) {
+	settings := c.Settings
+	rules := root.One("rules")
+	settings.AnswerGrace = rules.Ms("slack", 20, 0, 10000)
+	settings.RetryHoldOff = rules.Ms("clear_wait", hclconfig.Required, 0, 60000)
+	settings.SlowStartFraction = rules.Num("cold_share", hclconfig.Required, 0.001, 1)
+	settings.SlowStartDuration = rules.Ms("warm_within", hclconfig.Required, 0, dayMillis)
+	settings.OverloadFactor = rules.Num("tip_multiple", hclconfig.Required, 0, 1000)
+	settings.OverloadWindow = rules.Ms("tip_time", hclconfig.Required, 1, dayMillis)
 }
 
-// readClasses reads the classes and the tenants.
-func (s *Config) readClasses(b, gateway *hclconfig.Block) {
-	set := s.Settings
-	for _, skill := range b.Blocks("skill", 1) {
+// readClasses reads the skill blocks, the classes, and the customer blocks, the tenants.
+func (c *Config) readClasses(root, gateway *hclconfig.Block) {
+	settings := c.Settings
+	for _, block := range root.Blocks("skill", 1) {
 		class := &routing.Class{
-			Name:             skill.Labels[0],
-			LatencyObjective: skill.Ms("target", hclconfig.Required, 1, dayMillis),
-			Timeout:          skill.Ms("patience", hclconfig.Required, 1, dayMillis),
-			Weight: skill.Num(
+			Name:             block.Labels[0],
+			LatencyObjective: block.Ms("target", hclconfig.Required, 1, dayMillis),
+			Timeout:          block.Ms("patience", hclconfig.Required, 1, dayMillis),
+			Weight: block.Num(
 				"value",
 				1,
 				0,
 				1e9,
 			),
-			LateWeightFraction: skill.Num("late_value", 0, 0, 1),
-			MeanHoldingTime:    skill.Ms("hold", 0, 0, dayMillis),
-			Idempotent:         skill.Flag("repeat", true),
+			LateWeightFraction: block.Num("late_value", 0, 0, 1),
+			MeanHoldingTime:    block.Ms("hold", 0, 0, dayMillis),
+			Idempotent:         block.Flag("repeat", true),
 		}
 		if class.LatencyObjective > class.Timeout {
-			skill.Fault("target", "target: want no more than patience")
+			block.Fault("target", "target: want at most patience")
 		}
-		set.Classes = append(set.Classes, class)
+		settings.Classes = append(settings.Classes, class)
 	}
-	if len(set.Classes) == 0 {
-		b.Fault("", "want at least one skill \"NAME\" { ... }")
-	} else if s.DefaultClass == "" {
-		s.DefaultClass = set.Classes[0].Name
+	if len(settings.Classes) == 0 {
+		root.Fault("", "want at least one skill \"NAME\" { ... }")
+	} else if c.DefaultClass == "" {
+		c.DefaultClass = settings.Classes[0].Name
 	}
 	names := map[string]bool{}
-	for _, class := range set.Classes {
+	for _, class := range settings.Classes {
 		names[class.Name] = true
 	}
-	if len(set.Classes) > 0 && !names[s.DefaultClass] {
-		gateway.Fault("default_skill", "default_skill: want one of the skills, got %q", s.DefaultClass)
+	if len(settings.Classes) > 0 && !names[c.DefaultClass] {
+		gateway.Fault("default_skill", "default_skill: want one of the skills, got %q", c.DefaultClass)
 	}
-	for _, customer := range b.Blocks("customer", 1) {
-		set.Tenants = append(set.Tenants, &routing.Tenant{Name: customer.Labels[0]})
+	for _, block := range root.Blocks("customer", 1) {
+		settings.Tenants = append(settings.Tenants, &routing.Tenant{Name: block.Labels[0]})
 	}
 }
 
-func (s *Config) readTrunkGroups(b *hclconfig.Block) {
-	nameByDestination := map[int]string{}
-	for _, block := range b.Blocks("group", 1) {
+// readTrunkGroups reads the group blocks.
+func (c *Config) readTrunkGroups(root *hclconfig.Block) {
+	groupByDestination := map[int]string{}
+	for _, block := range root.Blocks("group", 1) {
 		group := b2bua.Group{
 			Name:          block.Labels[0],
 			DestinationID: block.Int("pool", -1, 0, 1<<30),
@@ -227,30 +235,30 @@
 		if !block.Has("pool") || !block.Has("size") {
 			block.Fault("", "group %q: want pool and size", group.Name)
 		}
-		if other := nameByDestination[group.DestinationID]; other != "" {
-			block.Fault("pool", "pool %d already belongs to group %q", group.DestinationID, other)
+		if other := groupByDestination[group.DestinationID]; other != "" {
+			block.Fault("pool", "pool: %d is already the pool of group %q", group.DestinationID, other)
 		}
-		nameByDestination[group.DestinationID] = group.Name
-		s.Groups = append(s.Groups, group)
+		groupByDestination[group.DestinationID] = group.Name
+		c.Groups = append(c.Groups, group)
 	}
-	if len(s.Groups) == 0 {
-		b.Fault("", "want at least one group \"NAME\" { pool = ..., size = ... }")
+	if len(c.Groups) == 0 {
+		root.Fault("", "want at least one group \"NAME\" { pool = ..., size = ... }")
 	}
 }
 
 // readNumbers reads the blocks numbers, enum and front.
-func (s *Config) readNumbers(b *hclconfig.Block) {
-	numbers, enum := b.One("numbers"), b.One("enum")
-	s.Numbers = Numbers{
+func (c *Config) readNumbers(root *hclconfig.Block) {
+	numbers, enum := root.One("numbers"), root.One("enum")
+	c.Numbers = Numbers{
 		Table:    numbers.Text("table", ""),
 		Store:    numbers.Text("store", ""),
 		Admin:    numbers.Text("admin", ""),
 		Apex:     enum.Text("apex", ""),
 		Services: enum.Texts("services"),
 	}
-	s.LookupShare = numbers.Num("lookup_share", 0.3, 0, 1)
-	if len(s.Numbers.Services) == 0 {
-		s.Numbers.Services = []string{"pstn:tel"}
+	c.LookupShare = numbers.Num("lookup_share", 0.3, 0, 1)
+	if len(c.Numbers.Services) == 0 {
+		c.Numbers.Services = []string{"pstn:tel"}
 	}
 	dns := dnsclient.Config{
 		Ports:      enum.Int("ports", 8, 1, 64),
@@ -278,52 +286,52 @@
 		}
 		dns.Servers = append(dns.Servers, addr)
 	}
-	if (s.Numbers.Apex == "") != (len(dns.Servers) == 0) {
-		enum.Fault("servers", "enum: want apex and servers, or neither")
+	if (c.Numbers.Apex == "") != (len(dns.Servers) == 0) {
+		enum.Fault("servers", "enum: want both apex and servers, or neither")
 	}
-	if s.Numbers.Apex != "" && !s.Numbers.Enabled() {
-		numbers.Fault("", "enum: want numbers { table = ... } or a store too: only number tables look numbers up")
+	if c.Numbers.Apex != "" && !c.Numbers.Enabled() {
+		numbers.Fault("", "numbers: want table or store if enum.apex is set, because only number tables use ENUM look-ups")
 	}
-	s.Numbers.DNS = dns
-	for _, front := range b.Blocks("front", 0) {
-		s.readENUMServer(front)
+	c.Numbers.DNS = dns
+	for _, block := range root.Blocks("front", 0) {
+		c.readENUMServer(block)
 	}
 }
 
 // readENUMServer reads a front block, the settings of the ENUM server.
-func (s *Config) readENUMServer(front *hclconfig.Block) {
-	server := &s.ENUMServer
+func (c *Config) readENUMServer(block *hclconfig.Block) {
+	server := &c.ENUMServer
 	if server.Listen.IsValid() {
-		front.Fault("", "front: want one such block, this is a second one")
+		block.Fault("", "front: want at most one block")
 	}
-	server.Listen, server.Apex, server.Context = front.Addr("listen"), front.Must("apex"), s.TrunkContext
-	server.Class = front.Text("skill", s.DefaultClass)
-	server.TTL, server.Negative = uint32(front.Int("ttl", 0, 0, 86400)), uint32(front.Int("negative", 30, 0, 86400))
-	server.Patience, server.Repeat = front.Ms("patience", 3000, 100, 60000), front.Ms("repeat", 5000, 0, 60000)
-	server.MaxConns, server.IdleTimeout = front.Int("streams", 256, 1, 1<<16), front.Ms("stream_idle", 10000, 100, 600000)
-	server.Gain = front.Num("gain", 6, 1, 1000)
-	server.MaxPending, server.Keep = front.Int("most", 2000, 1, 1<<20), front.Int("keep", 10000, 1, 1<<20)
+	server.Listen, server.Apex, server.Context = block.Addr("listen"), block.Must("apex"), c.TrunkContext
+	server.Class = block.Text("skill", c.DefaultClass)
+	server.TTL, server.Negative = uint32(block.Int("ttl", 0, 0, 86400)), uint32(block.Int("negative", 30, 0, 86400))
+	server.Patience, server.Repeat = block.Ms("patience", 3000, 100, 60000), block.Ms("repeat", 5000, 0, 60000)
+	server.MaxConns, server.IdleTimeout = block.Int("streams", 256, 1, 1<<16), block.Ms("stream_idle", 10000, 100, 600000)
+	server.Gain = block.Num("gain", 6, 1, 1000)
+	server.MaxPending, server.Keep = block.Int("most", 2000, 1, 1<<20), block.Int("keep", 10000, 1, 1<<20)
 	server.Limits = enumserver.Limits{
-		Rate:    front.Num("rate", 50, 0, 1e6),
-		Burst:   front.Num("burst", 100, 1, 1e6),
-		Total:   front.Num("total_rate", 0, 0, 1e7),
-		Clients: front.Int("clients", 100000, 2, 1<<24),
+		Rate:    block.Num("rate", 50, 0, 1e6),
+		Burst:   block.Num("burst", 100, 1, 1e6),
+		Total:   block.Num("total_rate", 0, 0, 1e7),
+		Clients: block.Int("clients", 100000, 2, 1<<24),
 	}
-	for _, client := range front.Blocks("client", 1) {
-		prefix, err := netip.ParsePrefix(client.Labels[0])
+	for _, clientBlock := range block.Blocks("client", 1) {
+		prefix, err := netip.ParsePrefix(clientBlock.Labels[0])
 		if err != nil {
-			client.Fault("", "client %q: want a network such as \"10.1.0.0/16\"", client.Labels[0])
+			clientBlock.Fault("", "client %q: want a network such as \"10.1.0.0/16\"", clientBlock.Labels[0])
 		}
 		server.Limits.Nets = append(
 			server.Limits.Nets,
-			enumserver.Net{Prefix: prefix, Rate: client.Num("rate", hclconfig.Required, 0, 1e6)},
+			enumserver.Net{Prefix: prefix, Rate: clientBlock.Num("rate", hclconfig.Required, 0, 1e6)},
 		)
 	}
 	known := false
-	for _, class := range s.Settings.Classes {
+	for _, class := range c.Settings.Classes {
 		known = known || class.Name == server.Class
 	}
 	if !known {
-		front.Fault("skill", "skill: want one of the skills, got %q", server.Class)
+		block.Fault("skill", "skill: want one of the skills, got %q", server.Class)
 	}
 }
--- a/internal/gateway/gatewayconfig/settings_test.go
+++ b/internal/gateway/gatewayconfig/settings_test.go
@@ -34,17 +34,18 @@
 }
 `
 
+// TestValidConfig checks the settings, and the defaults, read from a short valid file.
 func TestValidConfig(t *testing.T) {
-	s, err := Parse("edge.hcl", []byte(validConfig))
+	config, err := Parse("edge.hcl", []byte(validConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Settings.Gateways != 2 || s.Settings.GatewayIndex != 1 || s.Settings.RetryHoldOff != 500 ||
-		s.Settings.SlowStartDuration != 14000 || s.DefaultClass != "shift-lookup" ||
-		s.Settings.Classes[0].Timeout != 9000 || s.Groups[0].Circuits != 100 ||
-		!s.Settings.GossipEnabled ||
-		s.Settings.RetransmitInterval != 500 {
-		t.Errorf("settings %+v of %+v", s, s.Settings)
+	if config.Settings.Gateways != 2 || config.Settings.GatewayIndex != 1 || config.Settings.RetryHoldOff != 500 ||
+		config.Settings.SlowStartDuration != 14000 || config.DefaultClass != "shift-lookup" ||
+		config.Settings.Classes[0].Timeout != 9000 || config.Groups[0].Circuits != 100 ||
+		!config.Settings.GossipEnabled ||
+		config.Settings.RetransmitInterval != 500 {
+		t.Errorf("got %+v with settings %+v, want the values of the file and the defaults", config, config.Settings)
 	}
 }
 
@@ -64,23 +65,26 @@
 }
 `
 
+// TestNumbers checks the settings of number analysis and of the ENUM server, and the errors about them.
 func TestNumbers(t *testing.T) {
-	s, err := Parse("edge.hcl", []byte(validConfig+numbersConfig))
+	config, err := Parse("edge.hcl", []byte(validConfig+numbersConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := s.ENUMServer
-	if !s.Numbers.Enabled() || s.LookupShare != 0.3 || len(s.Numbers.DNS.Servers) != 1 ||
-		s.Numbers.DNS.Cache.FailureTTL != 1000 || s.Numbers.Services[0] != "pstn:tel" ||
-		f.Class != "shift-lookup" || f.TTL != 0 || f.Patience != 3000 || f.Context != "x.example" ||
-		len(f.Limits.Nets) != 1 ||
-		f.Limits.Nets[0].Rate != 0 {
-		t.Errorf("%+v, %+v", s.Numbers, f)
+	server := config.ENUMServer
+	if !config.Numbers.Enabled() || config.LookupShare != 0.3 || len(config.Numbers.DNS.Servers) != 1 ||
+		config.Numbers.DNS.Cache.FailureTTL != 1000 || config.Numbers.Services[0] != "pstn:tel" ||
+		server.Class != "shift-lookup" || server.TTL != 0 || server.Patience != 3000 || server.Context != "x.example" ||
+		len(server.Limits.Nets) != 1 ||
+		server.Limits.Nets[0].Rate != 0 {
+		t.Errorf("got numbers %+v and ENUM server %+v, want the values of the file and the defaults",
+			config.Numbers, server)
 	}
-	for _, x := range []struct{ from, to, want string }{
-		{`servers = ["127.0.0.1:5353"]`, ``, `edge.hcl:31: enum: want apex and servers, or neither`},
+	for _, test := range []struct{ from, to, want string }{
+		{`servers = ["127.0.0.1:5353"]`, ``, `edge.hcl:31: enum: want both apex and servers, or neither`},
 		{`["127.0.0.1:5353"]`, `["ns.test"]`, `edge.hcl:33: servers: want addresses such as "127.0.0.1:5353", got "ns.test"`},
-		{`table = "t.hcl"`, ``, `enum: want numbers { table = ... }`},
+		{`table = "t.hcl"`, ``,
+			`edge.hcl:28: numbers: want table or store if enum.apex is set, because only number tables use ENUM look-ups`},
 		{`apex = "kiosk.test"`, `apex = "kiosk.test"
   skill = "nothing"`, `edge.hcl:38: skill: want one of the skills, got "nothing"`},
 		{`"10.1.0.0/16"`, `"10.1.0.0/40"`, `client "10.1.0.0/40": want a network such as "10.1.0.0/16"`},
@@ -91,25 +95,25 @@
 		{`numbers {`, `numbers {
   lookup_share = 2`, `edge.hcl:29: lookup_share: want a number from 0 to 1`},
 	} {
-		text := strings.Replace(validConfig+numbersConfig, x.from, x.to, 1)
+		text := strings.Replace(validConfig+numbersConfig, test.from, test.to, 1)
 		if text == validConfig+numbersConfig {
-			t.Fatalf("the settings do not contain %q", x.from)
+			t.Fatalf("the settings do not contain %q", test.from)
 		}
-		if _, err := Parse("edge.hcl", []byte(text)); err == nil || !strings.Contains(err.Error(), x.want) {
-			t.Errorf("%q: error\n%v\nwant\n%s", x.to, err, x.want)
+		if _, err := Parse("edge.hcl", []byte(text)); err == nil || !strings.Contains(err.Error(), test.want) {
+			t.Errorf("%q: error\n%v\nwant\n%s", test.to, err, test.want)
 		}
 	}
 }
 
 // TestErrors checks that each error names the file, the line and what was expected.
 func TestErrors(t *testing.T) {
-	for _, x := range []struct{ from, to, want string }{
+	for _, test := range []struct{ from, to, want string }{
 		{`clear_wait = "500ms"`, `clear_wait = 500`, `edge.hcl:14: clear_wait: want a duration from "0s" to "1m0s"`},
 		{`clear_wait = "500ms"`, `clear_wait = "soon"`,
 			`edge.hcl:14: clear_wait: want a duration from "0s" to "1m0s", got "soon"`},
 		{`cold_share = 0.36`, `cold_share = 1.36`, `edge.hcl:15: cold_share: want a number from 0.001 to 1, got 1.36`},
 		{`cold_share = 0.36`, ``, `edge.hcl:13: rules: want cold_share = a number from 0.001 to 1`},
-		{`number = 1`, `number = 2`, `edge.hcl:7: number: want one below gateways = 2, got 2`},
+		{`number = 1`, `number = 2`, `edge.hcl:7: number: want less than gateways (2), got 2`},
 		{`number = 1`, `number = 0.5`, `edge.hcl:7: number: want a whole number, got 0.5`},
 		{`tip_time = "1s"`, `tip_tyme = "1s"`,
 			`edge.hcl:18: unknown key "tip_tyme"; known here: ` +
@@ -117,8 +121,8 @@
 		{`list {`, `lists {`, `edge.hcl:10: unknown block "lists"`},
 		{`"127.0.0.2:5070"]`, `"nowhere"]`, `edge.hcl:8: peers: want addresses such as "127.0.0.1:5070", got "nowhere"`},
 		{`, "127.0.0.2:5070"]`, `]`,
-			`edge.hcl:8: peers: want the addresses of all 2 gateways where allow.tell is set, got 1`},
-		{`target = "2s"`, `target = "20s"`, `edge.hcl:21: target: want no more than patience`},
+			`edge.hcl:8: peers: want 2 addresses, one for each gateway, because allow.tell is set; got 1`},
+		{`target = "2s"`, `target = "20s"`, `edge.hcl:21: target: want at most patience`},
 		{`skill "shift-lookup"`, `skill`, `edge.hcl:20: skill: want 1 labels, got 0`},
 		{`name = "e"`, `name = ""`, `edge.hcl:2: name: want a string that is not empty`},
 		{`sip = "127.0.0.1:5060"`, `sip = "localhost"`,
@@ -130,15 +134,15 @@
 group "TG-1" {
   pool = 0
   size = 1
-}`, `edge.hcl:29: pool 0 already belongs to group "TG-0"`},
+}`, `edge.hcl:29: pool: 0 is already the pool of group "TG-0"`},
 	} {
-		text := strings.Replace(validConfig, x.from, x.to, 1)
-		if _, err := Parse("edge.hcl", []byte(text)); err == nil || !strings.Contains(err.Error(), x.want) {
-			t.Errorf("%q: error\n%v\nwant\n%s", x.to, err, x.want)
+		text := strings.Replace(validConfig, test.from, test.to, 1)
+		if _, err := Parse("edge.hcl", []byte(text)); err == nil || !strings.Contains(err.Error(), test.want) {
+			t.Errorf("%q: error\n%v\nwant\n%s", test.to, err, test.want)
 		}
 	}
 	if _, err := Load("/nonexistent/edge.hcl"); err == nil {
-		t.Error("a missing file: no error")
+		t.Error("Load of a missing file: no error, want one")
 	}
 }
 
