--- a/internal/decision/numberplan/compile.go
+++ b/internal/decision/numberplan/compile.go
@@ -174,7 +174,7 @@
 	if p.Zone = c.zones[source.Zone]; p.Zone == nil {
 		z, err := time.LoadLocation(source.Zone)
 		if err != nil {
-			c.fault(source, "zone", "zone: no time zone %q", source.Zone)
+			c.fault(source, "zone", "zone: unknown time zone %q", source.Zone)
 			z = time.UTC
 		}
 		p.Zone, c.zones[source.Zone] = z, z
@@ -381,7 +381,7 @@
 
 // expandPrefixes returns the prefixes that a rule covers, and its range if it has one.
 func expandPrefixes(r *api.NumberRule) ([]string, numberRange, error) {
-	switch m := rangePattern.FindStringSubmatch(r.Prefix); {
+	switch m := prefixRangePattern.FindStringSubmatch(r.Prefix); {
 	case len(r.Packed) > 0:
 		prefixes, err := unpackPrefixes(r.Packed)
 		return prefixes, numberRange{}, err
--- a/internal/decision/numberplan/form_test.go
+++ b/internal/decision/numberplan/form_test.go
@@ -82,7 +82,7 @@
 		"bad weekday": {func(f *api.NumberTable) { f.Periods[0].Weekdays[0] = 7 },
 			`period "thursday": days: want 0 to 6`},
 		"bad minute": {func(f *api.NumberTable) { f.Periods[0].To = 1440 }, "want minutes of a day"},
-		"bad zone":   {func(f *api.NumberTable) { f.Periods[0].Zone = "Mars" }, `no time zone "Mars"`},
+		"bad zone":   {func(f *api.NumberTable) { f.Periods[0].Zone = "Mars" }, `unknown time zone "Mars"`},
 		"bad weight": {func(f *api.NumberTable) { f.Routes[0].Choices[0].Weight = -1 }, `group "TG-0": want a weight`},
 		"no groups":  {func(f *api.NumberTable) { f.Routes[0].Choices = nil }, `want at least one group`},
 		"bad code": {func(f *api.NumberTable) { f.Plans[0].Rules[2].Then.GetRefuse().Code = 200 },
--- a/internal/decision/numberplan/number_test.go
+++ b/internal/decision/numberplan/number_test.go
@@ -206,14 +206,14 @@
 		{`when  = "thursday"`, ``, `is never reached: the rule t.hcl:42 of the same prefix 1418 always holds`},
 		{`"14185550000-14185550199"`, `"14185550200-14185550199"`, `want two numbers of one length, the lower first`},
 		{`"1514"`, `"15l4"`, `want a prefix of digits`},
-		{`days   = ["thu"]`, `days   = ["thursday"]`, `t.hcl:11: days: want some of sun, mon`},
+		{`days   = ["thu"]`, `days   = ["thursday"]`, `t.hcl:11: days: want weekdays (sun, mon`},
 		{`except = ["holidays"]`, `except = ["feasts"]`, `no days "feasts"`},
-		{`zone    = "America/Toronto"`, `zone    = "America/Quebec City"`, `t.hcl:5: zone: no time zone`},
+		{`zone    = "America/Toronto"`, `zone    = "America/Quebec City"`, `t.hcl:5: zone: unknown time zone`},
 		{`      silent {
         refuse = "no answer"
         code   = 503
       }
-`, ``, `portability: want one silent`},
+`, ``, `portability: want exactly one block silent`},
 		{`strip = 1`, `strip = 3`, `strip: 3 digits are more than the prefix "1" has`},
 		{`strip = 1`, `strips = 1`, `unknown key "strips"`},
 		{`from = "22:00"`, `from = "25:00"`, `from: want a time such as "13:30"`},
@@ -231,7 +231,7 @@
     route = "night"
     refuse = "no"
   }
-}`, `want one of plan, route, refuse, portability { ... }, got 2`},
+}`, `want exactly one of plan, route, refuse, portability { ... }, got 2 of them`},
 	} {
 		text := strings.Replace(table, c.from, c.to, 1)
 		if text == table {
--- a/internal/decision/numberplan/read.go
+++ b/internal/decision/numberplan/read.go
@@ -12,65 +12,68 @@
 	"cobaltpier/internal/hclconfig"
 )
 
-// reader converts HCL to the compact form.
-type reader struct {
-	blocks map[proto.Message]*hclconfig.Block // the HCL block of each part, for error positions
+// hclReader converts an HCL number table to an api.NumberTable.
+type hclReader struct {
+	// blocks holds the HCL block from which each message was read, for the positions of errors.
+	blocks map[proto.Message]*hclconfig.Block
 }
 
-// Parse reads and compiles a table in HCL. name is the file name in errors, and the name of a table without one.
+// Parse reads and compiles a number table in HCL. It returns both the compiled table and its source message. Errors
+// name the file as name. A table without a name attribute is given that name too.
 func Parse(name string, src []byte) (*Table, *api.NumberTable, error) {
-	b, err := hclconfig.Parse(name, src)
+	root, err := hclconfig.Parse(name, src)
 	if err != nil {
 		return nil, nil, err
 	}
-	r := &reader{blocks: map[proto.Message]*hclconfig.Block{}}
-	form := &api.NumberTable{
-		Name:    b.Text("name", name),
-		Version: uint64(b.Int("version", 0, 0, 1<<40)),
-		Country: b.Text("country", ""),
-		Entry:   b.Text("entry", "start"),
+	r := &hclReader{blocks: map[proto.Message]*hclconfig.Block{}}
+	table := &api.NumberTable{
+		Name:    root.Text("name", name),
+		Version: uint64(root.Int("version", 0, 0, 1<<40)),
+		Country: root.Text("country", ""),
+		Entry:   root.Text("entry", "start"),
 	}
-	r.blocks[form] = b
-	zone := b.Text("zone", "")
-	for _, block := range b.Blocks("days", 1) {
+	r.blocks[table] = root
+	zone := root.Text("zone", "")
+	for _, block := range root.Blocks("days", 1) {
 		days := &api.NumberDays{Name: block.Labels[0], Dates: block.Texts("dates")}
 		r.blocks[days] = block
-		form.Days = append(form.Days, days)
+		table.Days = append(table.Days, days)
 	}
-	for _, block := range b.Blocks("period", 1) {
-		form.Periods = append(form.Periods, r.period(block, zone))
+	for _, block := range root.Blocks("period", 1) {
+		table.Periods = append(table.Periods, r.readPeriod(block, zone))
 	}
 	if _, err := time.LoadLocation(zone); err != nil {
-		b.Fault("zone", "zone: no time zone %q", zone)
+		root.Fault("zone", "zone: unknown time zone %q", zone)
 	}
-	for _, block := range b.Blocks("route", 1) {
-		form.Routes = append(form.Routes, r.route(block))
+	for _, block := range root.Blocks("route", 1) {
+		table.Routes = append(table.Routes, r.readRoute(block))
 	}
-	for _, block := range b.Blocks("plan", 1) {
-		form.Plans = append(form.Plans, r.plan(block))
+	for _, block := range root.Blocks("plan", 1) {
+		table.Plans = append(table.Plans, r.readPlan(block))
 	}
-	t := compile(form, func(part proto.Message, key, format string, args ...any) {
-		r.blocks[part].Fault(key, format, args...)
+	compiled := compile(table, func(message proto.Message, key, format string, args ...any) {
+		r.blocks[message].Fault(key, format, args...)
 	})
-	if err := b.Err(); err != nil {
+	if err := root.Err(); err != nil {
 		return nil, nil, err
 	}
-	return t, form, nil
+	return compiled, table, nil
 }
 
-func (r *reader) period(block *hclconfig.Block, zone string) *api.NumberPeriod {
+// readPeriod reads a period block. The default of its time zone is that of the table.
+func (r *hclReader) readPeriod(block *hclconfig.Block, zone string) *api.NumberPeriod {
 	period := &api.NumberPeriod{
 		Name:   block.Labels[0],
 		Zone:   block.Text("zone", zone),
-		From:   minute(block, "from"),
-		To:     minute(block, "to"),
+		From:   minuteOfDay(block, "from"),
+		To:     minuteOfDay(block, "to"),
 		Except: block.Texts("except"),
 		Only:   block.Texts("only"),
 	}
 	for _, day := range block.Texts("days") {
 		i := slices.Index(weekdays, day)
 		if i < 0 {
-			block.Fault("days", "days: want some of %s, got %q", strings.Join(weekdays, ", "), day)
+			block.Fault("days", "days: want weekdays (%s), got %q", strings.Join(weekdays, ", "), day)
 			continue
 		}
 		period.Weekdays = append(period.Weekdays, int32(i))
@@ -79,21 +82,23 @@
 	return period
 }
 
-func (r *reader) route(block *hclconfig.Block) *api.NumberRoute {
+// readRoute reads a route block with its trunk groups.
+func (r *hclReader) readRoute(block *hclconfig.Block) *api.NumberRoute {
 	route := &api.NumberRoute{
 		Name:     block.Labels[0],
 		Skill:    block.Text("skill", ""),
 		Customer: block.Text("customer", ""),
 	}
 	for _, group := range block.Blocks("group", 1) {
-		choice := &api.NumberChoice{Group: group.Labels[0], Weight: group.Num("weight", 1, 0, 1e9)}
-		route.Choices = append(route.Choices, choice)
+		weightedGroup := &api.NumberChoice{Group: group.Labels[0], Weight: group.Num("weight", 1, 0, 1e9)}
+		route.Choices = append(route.Choices, weightedGroup)
 	}
 	r.blocks[route] = block
 	return route
 }
 
-func (r *reader) plan(block *hclconfig.Block) *api.NumberPlan {
+// readPlan reads a plan block with its rules.
+func (r *hclReader) readPlan(block *hclconfig.Block) *api.NumberPlan {
 	plan := &api.NumberPlan{Name: block.Labels[0]}
 	r.blocks[plan] = block
 	for _, ruleBlock := range block.Blocks("rule", 1) {
@@ -104,16 +109,18 @@
 			Add:    ruleBlock.Text("add", ""),
 			Where:  ruleBlock.Where(),
 		}
-		rule.Then = r.action(ruleBlock, true)
+		rule.Then = r.readAction(ruleBlock, true)
 		r.blocks[rule] = ruleBlock
 		plan.Rules = append(plan.Rules, rule)
 	}
 	return plan
 }
 
+// weekdays are in the order of time.Weekday.
 var weekdays = []string{"sun", "mon", "tue", "wed", "thu", "fri", "sat"}
 
-func minute(block *hclconfig.Block, key string) int32 {
+// minuteOfDay reads a time of day as minutes after midnight. 24:00 is 0, which at the end of a period means midnight.
+func minuteOfDay(block *hclconfig.Block, key string) int32 {
 	text := block.Text(key, "00:00")
 	if text == "24:00" {
 		return 0
@@ -125,51 +132,54 @@
 	return int32(t.Hour()*60 + t.Minute())
 }
 
-// action reads the action of a rule, or of one result of a portability look-up.
-func (r *reader) action(b *hclconfig.Block, allowLookup bool) *api.NumberAction {
-	a := &api.NumberAction{}
-	r.blocks[a] = b
+// readAction reads the action of a rule, or of one result of a portability look-up.
+func (r *hclReader) readAction(block *hclconfig.Block, allowLookup bool) *api.NumberAction {
+	action := &api.NumberAction{}
+	r.blocks[action] = block
 	actions := 0
-	if name := b.Text("plan", ""); name != "" {
+	if name := block.Text("plan", ""); name != "" {
 		actions++
-		a.Do = &api.NumberAction_Plan{Plan: name}
+		action.Do = &api.NumberAction_Plan{Plan: name}
 	}
-	if name := b.Text("route", ""); name != "" {
+	if name := block.Text("route", ""); name != "" {
 		actions++
-		a.Do = &api.NumberAction_Route{Route: name}
+		action.Do = &api.NumberAction_Route{Route: name}
 	}
-	if why := b.Text("refuse", ""); why != "" {
+	if reason := block.Text("refuse", ""); reason != "" {
 		actions++
-		a.Do = &api.NumberAction_Refuse{Refuse: &api.NumberRefusal{Code: int32(b.Int("code", 404, 400, 699)), Why: why}}
-	} else if b.Has("code") {
-		b.Fault("code", "code: allowed only with refuse")
+		action.Do = &api.NumberAction_Refuse{
+			Refuse: &api.NumberRefusal{Code: int32(block.Int("code", 404, 400, 699)), Why: reason},
+		}
+	} else if block.Has("code") {
+		block.Fault("code", "code: allowed only with refuse")
 	}
 	if allowLookup {
-		for _, lookupBlock := range b.Blocks("portability", 0) {
+		for _, lookupBlock := range block.Blocks("portability", 0) {
 			actions++
-			question := &api.NumberQuestion{WithinMs: lookupBlock.Ms("within", 500, 1, 60000)}
-			for _, e := range []struct {
-				kind string
-				to   **api.NumberAction
-			}{{"ported", &question.Ported}, {"same", &question.Same}, {"silent", &question.Silent}} {
-				if ends := lookupBlock.Blocks(e.kind, 0); len(ends) == 1 {
-					*e.to = r.action(ends[0], false)
+			lookup := &api.NumberQuestion{WithinMs: lookupBlock.Ms("within", 500, 1, 60000)}
+			for _, result := range []struct {
+				key    string
+				action **api.NumberAction
+			}{{"ported", &lookup.Ported}, {"same", &lookup.Same}, {"silent", &lookup.Silent}} {
+				if resultBlocks := lookupBlock.Blocks(result.key, 0); len(resultBlocks) == 1 {
+					*result.action = r.readAction(resultBlocks[0], false)
 				} else {
-					lookupBlock.Fault("", "portability: want one %s { ... } with the action for this result", e.kind)
+					lookupBlock.Fault("", "portability: want exactly one block %s { ... }, the action for that result", result.key)
 				}
 			}
-			a.Do = &api.NumberAction_Ask{Ask: question}
+			action.Do = &api.NumberAction_Ask{Ask: lookup}
 		}
 	}
 	if actions != 1 {
-		b.Fault(
+		block.Fault(
 			"",
-			"want one of plan, route, refuse%s, got %d",
+			"want exactly one of plan, route, refuse%s, got %d of them",
 			map[bool]string{true: ", portability { ... }", false: ""}[allowLookup],
 			actions,
 		)
 	}
-	return a
+	return action
 }
 
-var rangePattern = regexp.MustCompile(`^([0-9]+)-([0-9]+)$`)
+// prefixRangePattern matches a range of prefixes such as 100-199.
+var prefixRangePattern = regexp.MustCompile(`^([0-9]+)-([0-9]+)$`)
