--- a/internal/router/parameters.go
+++ b/internal/router/parameters.go
@@ -2,12 +2,12 @@
 
 // Tuned values for which there is no setting; none is taken from a deployment. Times are milliseconds.
 const (
-	// Free share of an endpoint (docs/design.md). A report of no free share that is older than staleZeroAge
-	// counts as staleZeroFreeShare.
-	fullQueueDelay     = 3000.0 // queueing delay that counts as no free share
-	staleZeroAge       = 2000.0
-	staleZeroFreeShare = 0.1
-	probeInterval      = 1000.0 // between probes, where load reports are sent only in response to probes
+	// Free fraction of an endpoint's capacity (docs/design.md). A reported fraction of 0 is replaced by
+	// staleZeroFreeFraction if the report is older than staleZeroAge.
+	fullQueueDelay        = 3000.0 // queueing delay at which the free fraction is 0
+	staleZeroAge          = 2000.0
+	staleZeroFreeFraction = 0.1
+	probeInterval         = 1000.0 // between probes, where load reports are sent only in response to probes
 
 	// Time constants of exponential decay.
 	rateWindow  = 5000.0 // for counts of calls and attempts
@@ -32,7 +32,7 @@
 
 	immediateCorrection = 0.5   // weight of the current headroom in the tokens earned
 	minHeadroom         = -2.0  // lower bound: a delay counts as at most this many objectives too long
-	minSendRate         = 0.001 // lower bound for all gateways together, attempts a millisecond to an endpoint
+	minSendRate         = 0.001 // lower bound for all gateways together, attempts per ms to an endpoint
 	maxOverRecentRate   = 3.0   // the rate is at most this multiple of the recent rate
 	maxEvenShares       = 1.2   // or of this gateway's even share of the endpoint's capacity, if that is more
 	minEvenShares       = 0.03  // the rate is at least this fraction of the even share
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -7,8 +7,8 @@
 	"cobaltpier/internal/routing"
 )
 
-// TestLotteryProportions checks that the lottery draws endpoints in proportion to total capacity times the
-// square of the free share, within 2 percentage points.
+// TestLotteryProportions checks that the lottery draws endpoints in proportion to their capacity times the
+// square of their free fraction, within 2 percentage points.
 func TestLotteryProportions(t *testing.T) {
 	h, endpoints := newTestHost(3)
 	want := []float64{20 * 0.5 * 0.5, 10 * 0.8 * 0.8, 30 * 0.2 * 0.2}
@@ -30,32 +30,32 @@
 	}
 }
 
-// TestDestinationPreferenceAndStaleZeroReport checks that a call goes to its destination while that has
-// capacity, and that a report of no free share counts as a tenth free after 2 s.
+// TestDestinationPreferenceAndStaleZeroReport checks that a call goes to its destination while that has free
+// capacity, and that a reported free fraction of 0 counts as a tenth after 2 s.
 func TestDestinationPreferenceAndStaleZeroReport(t *testing.T) {
 	h, endpoints := newTestHost(2)
 	for i := 0; i < 50; i++ {
 		h.advance(1000)
 		if attempt := h.establish(h.offerCall(endpoints[1]), 20); attempt.Endpoint != endpoints[1] {
-			t.Fatal("the destination had capacity and was not selected")
+			t.Fatal("the destination had free capacity and was not selected")
 		}
 	}
 	endpoints[0].LoadReport.Utilization = 1
 	h.router.OnLoadReport(h.now, endpoints[0], true, true)
-	if f := h.router.freeShare(endpoints[0]); f != 0 {
-		t.Errorf("zero report: free share %v, want 0", f)
+	if f := h.router.freeFraction(endpoints[0]); f != 0 {
+		t.Errorf("after a report of 0: free fraction %v, want 0", f)
 	}
 	endpoints[1].State = routing.Draining
 	h.advance(1000)
 	if call := h.offerCall(endpoints[1]); !call.Finished {
-		t.Error("the only endpoint reports no free share: want the call rejected")
+		t.Error("the call was not rejected, although the only endpoint reports a free fraction of 0")
 	}
 	h.advance(1100)
 	if call := h.offerCall(endpoints[1]); call.InFlight == nil || call.InFlight.Endpoint != endpoints[0] {
 		t.Error("a call to a draining destination must go to another endpoint")
 	}
-	if f := h.router.freeShare(endpoints[0]); f != staleZeroFreeShare {
-		t.Errorf("zero report of 2 s ago: free share %v, want %v", f, staleZeroFreeShare)
+	if f := h.router.freeFraction(endpoints[0]); f != staleZeroFreeFraction {
+		t.Errorf("2 s after a report of 0: free fraction %v, want %v", f, staleZeroFreeFraction)
 	}
 }
 
@@ -81,20 +81,20 @@
 		play := func(n int, fails [2]float64) (home int) {
 			for i := 0; i < n; i++ {
 				h.advance(20)
-				k := h.offerCall(endpoints[0])
-				for first := true; k.InFlight != nil && !k.Finished; first = false {
-					attempt, at := k.InFlight, 0
+				call := h.offerCall(endpoints[0])
+				for first := true; call.InFlight != nil && !call.Finished; first = false {
+					attempt, index := call.InFlight, 0
 					if attempt.Endpoint == endpoints[1] {
-						at = 1
+						index = 1
 					} else if first {
 						home++
 					}
-					if h.router.random() >= fails[at] {
-						h.establish(k, 20)
+					if h.router.random() >= fails[index] {
+						h.establish(call, 20)
 						break
 					}
 					attempt.NumberBusy = c.engaged
-					h.endAttempt(k, routing.Failed)
+					h.endAttempt(call, routing.Failed)
 				}
 			}
 			return
@@ -105,7 +105,7 @@
 		}
 		play(1000, [2]float64{})
 		if got := play(400, [2]float64{}); got < 390 {
-			t.Errorf("%s, after recovery: %d of 400 went to the destination", c.what, got)
+			t.Errorf("%s, after recovery: %d of 400 went to the destination first, want 390 at least", c.what, got)
 		}
 	}
 }
@@ -138,7 +138,8 @@
 	}
 	undelayed, delayed, after := count(20), count(3000), count(20)
 	if delayed*3 > undelayed || after*2 < undelayed || delayed == 0 {
-		t.Errorf("setups sent: without delay %d, with delay %d, afterwards %d", undelayed, delayed, after)
+		t.Errorf("setups sent: without delay %d, with delay %d, afterwards %d; want some but a third at most "+
+			"with delay, and half at least afterwards", undelayed, delayed, after)
 	}
 }
 
@@ -159,17 +160,17 @@
 		h.offerCall(endpoints[0])
 	}
 	for _, call := range h.calls {
-		k := 0
+		index := 0
 		if call.Class == &big {
-			k = 1
+			index = 1
 		}
-		all[k]++
+		all[index]++
 		if call.Attempts > 0 {
-			got[k]++
+			got[index]++
 		}
 	}
-	if a, b := float64(got[0])/float64(all[0]), float64(got[1])/float64(all[1]); b < 2*a || b == 0 {
-		t.Errorf("served: %.2f of low weight, %.2f of high weight", a, b)
+	if low, high := float64(got[0])/float64(all[0]), float64(got[1])/float64(all[1]); high < 2*low || high == 0 {
+		t.Errorf("served: %.2f of low weight, %.2f of high weight; want high at least twice low", low, high)
 	}
 }
 
@@ -185,7 +186,7 @@
 		t.Fatalf("retry has FirstSeenAt %v, want %v", again.FirstSeenAt, first.ArrivedAt)
 	}
 	if w := h.router.currentWeight(again); w != h.class.Weight*h.class.LateWeightFraction {
-		t.Errorf("late retry has weight %v", w)
+		t.Errorf("late retry has weight %v, want %v", w, h.class.Weight*h.class.LateWeightFraction)
 	}
 }
 
@@ -202,7 +203,7 @@
 		t.Fatalf("%d attempts canceled, want the lost one", len(h.canceled))
 	}
 	if w := stateOf(endpoints[0]).expectedDelay(h.now, 0); w > h.router.delayObjective {
-		t.Errorf("a lost attempt counts as a delay of %v", w)
+		t.Errorf("a lost attempt counts as a delay of %v, want %v at most", w, h.router.delayObjective)
 	}
 }
 
@@ -253,7 +254,7 @@
 	call := h.offerCall(endpoints[0])
 	h.endAttempt(call, routing.TimedOut)
 	if len(h.failed) != 1 || call.Attempts != 1 {
-		t.Errorf("failed %d, attempts %d", len(h.failed), call.Attempts)
+		t.Errorf("%d calls failed after %d attempts, want 1 after 1", len(h.failed), call.Attempts)
 	}
 	call = h.offerCall(endpoints[0])
 	h.endAttempt(call, routing.ConnectionRefused)
@@ -270,7 +271,7 @@
 	h.router.OnEndpoints(h.now, endpoints)
 	h.advance(10100)
 	if h.probes < 20 || h.probes > 22 {
-		t.Errorf("%d probes of two endpoints in 10 s", h.probes)
+		t.Errorf("%d probes of two endpoints in 10 s, want 20 to 22", h.probes)
 	}
 }
 
@@ -288,7 +289,8 @@
 	}
 	h.advance(busyNumberPause + 100)
 	if one, two := h.offerCall(endpoints[0]), h.offerCall(endpoints[0]); one.Attempts != 1 || two.Attempts != 0 {
-		t.Errorf("%d and %d attempts, want one attempt", one.Attempts, two.Attempts)
+		t.Errorf("%d and %d attempts of two calls to the number after the pause, want 1 and 0",
+			one.Attempts, two.Attempts)
 	}
 	h.number = "other"
 	if call := h.offerCall(endpoints[0]); call.Attempts != 1 {
@@ -306,34 +308,34 @@
 	h.endAttempt(h.offerCall(endpoints[0]), routing.Overloaded)
 	sent := len(h.attempts)
 	if h.offerCall(endpoints[0]); len(h.attempts) > sent {
-		t.Error("attempted again at once")
+		t.Error("the overloaded endpoint got an attempt at once, want none during the pause")
 	}
 	if h.advance(overloadPause + 300); len(h.attempts) == sent {
-		t.Error("no attempt after the pause")
+		t.Error("the overloaded endpoint got no attempt after the pause, want one")
 	}
 }
 
 // TestIncompleteSettings checks that calls are attempted, or rejected if there is no endpoint, without most
 // settings.
 func TestIncompleteSettings(t *testing.T) {
-	for _, set := range []routing.Settings{{}, {Classes: []*routing.Class{{}}}, {LoadReportsByProbe: true,
+	for _, settings := range []routing.Settings{{}, {Classes: []*routing.Class{{}}}, {LoadReportsByProbe: true,
 		RetryAfterEnabled: true}} {
 		h, endpoints := newTestHost(1)
-		h.router = New(&set, h)
+		h.router = New(&settings, h)
 		endpoints[0].PolicyState = nil
 		h.router.OnEndpoints(h.now, endpoints)
 		for i := 0; i < 20; i++ {
 			h.now += 1000
 			call := h.offerCall(endpoints[0])
 			if call.InFlight == nil {
-				t.Fatalf("call %d under %+v: not attempted", i, set)
+				t.Fatalf("call %d with settings %+v: not attempted", i, settings)
 			}
 			h.establish(call, 20)
 		}
 		endpoints[0].State = routing.Gone
 		h.router.OnEndpoints(h.now, endpoints)
 		if call := h.offerCall(endpoints[0]); !call.Finished {
-			t.Errorf("no endpoint left under %+v: want an answer at once", set)
+			t.Errorf("no endpoint left with settings %+v: want the call answered at once", settings)
 		}
 	}
 }
@@ -348,7 +350,7 @@
 	call := h.offerCall(endpoints[0])
 	h.now, h.timeLeft = h.now+1800, h.timeLeft-1500
 	if late := h.offerCall(endpoints[0]); late.ArrivedAt != h.now-1500 {
-		t.Errorf("arrived %v ms ago, want 1500", h.now-late.ArrivedAt)
+		t.Errorf("the call arrived %v ms ago, want 1500", h.now-late.ArrivedAt)
 	}
 	h.establish(call, 1800)
 	if w := stateOf(endpoints[0]).expectedDelay(h.now, 0); w != 0 {
@@ -373,7 +375,7 @@
 	}
 	h.establish(h.offerCall(endpoints[1]), 2000)
 	if len(h.gossip) == 0 || len(h.gossip) > gossipFanout {
-		t.Fatalf("%d messages, want up to %d", len(h.gossip), gossipFanout)
+		t.Fatalf("%d gossip messages, want 1 to %d", len(h.gossip), gossipFanout)
 	}
 	other, others := newTestHost(2)
 	for _, malformed := range [][]byte{nil, {1}, {99, 200}, {99}} {
@@ -381,7 +383,7 @@
 	}
 	other.router.OnGossip(other.now+2000, 1<<30, append(h.gossip[0], 1))
 	if a, b := stateOf(others[0]).delay, stateOf(others[1]).delay; a != 0 || b < other.router.delayObjective {
-		t.Errorf("delay estimates %v and %v, want none and a long one", a, b)
+		t.Errorf("delay estimates %v and %v, want 0 and the delay objective at least", a, b)
 	}
 }
 
@@ -399,7 +401,7 @@
 			}
 		}
 		if len(h.attempts) < 30 {
-			t.Errorf("%d gateways: %d of 60 calls attempted", count, len(h.attempts))
+			t.Errorf("%d gateways: %d of 60 calls attempted, want 30 at least", count, len(h.attempts))
 		}
 		for i := 0; i < 100; i++ { // a long period of congestion
 			h.advance(100)
@@ -408,8 +410,9 @@
 			h.router.updateSendRate(endpoints[0])
 		}
 		if all := stateOf(endpoints[0]).sendRate * float64(max(1, count)); !(all > 0) ||
-			all > 0.05*h.router.capacityOf(endpoints[0])/1000 {
-			t.Errorf("%d gateways: minimum send rate of %v setups a ms for all", count, all)
+			all > 0.05*h.router.callCapacity(endpoints[0])/1000 {
+			t.Errorf("%d gateways: minimum send rate of all is %v setups per ms, want more than 0 and "+
+				"5%% of the capacity at most", count, all)
 		}
 	}
 }
@@ -429,7 +432,7 @@
 	h.endAttempt(a, routing.TimedOut)
 	h.endAttempt(b, routing.TimedOut)
 	if state := stateOf(endpoints[0]); state.unanswered > 0 || state.expectedDelay(h.now, 0) > 0 {
-		t.Errorf("%d unanswered, expected delay %v after a restart",
+		t.Errorf("%d unanswered attempts and expected delay %v after a restart, want 0 and 0",
 			state.unanswered, state.expectedDelay(h.now, 0))
 	}
 }
--- a/internal/router/rules_test.go
+++ b/internal/router/rules_test.go
@@ -40,115 +40,119 @@
 }
 
 func newRuleWorkload(t *testing.T, seed int64) *ruleWorkload {
-	s := &ruleWorkload{rnd: rand.New(rand.NewSource(seed)), open: map[*routing.Attempt]float64{}}
-	s.h, s.endpoints = newTestHost(1 + s.rnd.Intn(4))
-	s.h.onViolation = func(rule int, what string) {
-		s.violated = true
-		t.Logf("seed %d: rule %d at %v: %s", seed, rule, s.h.now, what)
+	w := &ruleWorkload{rnd: rand.New(rand.NewSource(seed)), open: map[*routing.Attempt]float64{}}
+	w.h, w.endpoints = newTestHost(1 + w.rnd.Intn(4))
+	w.h.onViolation = func(rule int, what string) {
+		w.violated = true
+		t.Logf("seed %d: rule %d at %v: %s", seed, rule, w.h.now, what)
 	}
-	for _, endpoint := range s.endpoints {
+	for _, endpoint := range w.endpoints {
 		endpoint.LoadReport.Capacity, endpoint.LoadReport.Free = 200, 100
 	}
-	return s
+	return w
 }
 
-func (s *ruleWorkload) step() {
-	s.h.advance(5 * float64(1+s.rnd.Intn(4)))
-	endpoint := s.endpoints[s.rnd.Intn(len(s.endpoints))]
-	switch s.rnd.Intn(60) {
+// step advances the time and makes one event happen.
+func (w *ruleWorkload) step() {
+	w.h.advance(5 * float64(1+w.rnd.Intn(4)))
+	endpoint := w.endpoints[w.rnd.Intn(len(w.endpoints))]
+	switch w.rnd.Intn(60) {
 	case 0:
-		s.changeState(endpoint)
+		w.changeState(endpoint)
 	case 1:
-		endpoint.LoadReport.Utilization, endpoint.LoadReport.QueueDelay = 2*s.rnd.Float64(), s.rnd.ExpFloat64()*1000
-		endpoint.LoadReport.Free = float64(s.rnd.Intn(100))
-		s.h.router.OnLoadReport(s.h.now, endpoint, true, true)
+		endpoint.LoadReport.Utilization, endpoint.LoadReport.QueueDelay = 2*w.rnd.Float64(), w.rnd.ExpFloat64()*1000
+		endpoint.LoadReport.Free = float64(w.rnd.Intn(100))
+		w.h.router.OnLoadReport(w.h.now, endpoint, true, true)
 	case 2:
-		s.hangUp()
+		w.hangUp()
 	default:
-		s.h.timeLeft = 200 + s.rnd.Float64()*3000
-		s.h.number = fmt.Sprint(s.rnd.Intn(400))
-		s.h.offerCall(endpoint)
+		w.h.timeLeft = 200 + w.rnd.Float64()*3000
+		w.h.number = fmt.Sprint(w.rnd.Intn(400))
+		w.h.offerCall(endpoint)
 	}
-	s.planOutcomes()
-	s.endCanceled()
-	for _, attempt := range s.h.attempts {
-		s.progress(attempt)
+	w.planOutcomes()
+	w.endCanceled()
+	for _, attempt := range w.h.attempts {
+		w.progress(attempt)
 	}
 }
 
 // changeState changes the state of an endpoint; one that becomes ready again is in slow start.
-func (s *ruleWorkload) changeState(endpoint *routing.Endpoint) {
-	endpoint.State = routing.State(s.rnd.Intn(3))
-	if s.h.drained[endpoint] && endpoint.State == routing.Ready {
-		endpoint.StartedAt, s.h.startedAt[endpoint], s.h.sentAt[endpoint] = s.h.now, s.h.now, nil
+func (w *ruleWorkload) changeState(endpoint *routing.Endpoint) {
+	endpoint.State = routing.State(w.rnd.Intn(3))
+	if w.h.drained[endpoint] && endpoint.State == routing.Ready {
+		endpoint.StartedAt, w.h.startedAt[endpoint], w.h.sentAt[endpoint] = w.h.now, w.h.now, nil
 	}
-	s.h.drained[endpoint] = endpoint.State != routing.Ready
-	s.h.router.OnEndpoints(s.h.now, []*routing.Endpoint{endpoint})
+	w.h.drained[endpoint] = endpoint.State != routing.Ready
+	w.h.router.OnEndpoints(w.h.now, []*routing.Endpoint{endpoint})
 }
 
 // hangUp has a caller hang up before its answer.
-func (s *ruleWorkload) hangUp() {
-	call := randomCall(s.rnd, s.h.calls)
-	if call == nil || call.Finished || call.Established || s.h.inFlight[call] > 0 {
+func (w *ruleWorkload) hangUp() {
+	call := randomCall(w.rnd, w.h.calls)
+	if call == nil || call.Finished || call.Established || w.h.inFlight[call] > 0 {
 		return
 	}
-	call.Finished, s.h.finished[call] = true, true
-	s.h.router.OnHangup(s.h.now, call)
+	call.Finished, w.h.finished[call] = true, true
+	w.h.router.OnHangup(w.h.now, call)
 }
 
-func (s *ruleWorkload) planOutcomes() {
-	for _, attempt := range s.h.attempts[max(0, len(s.h.attempts)-400):] {
-		if _, known := s.open[attempt]; !known && attempt.Call.InFlight == attempt {
-			s.open[attempt] = s.h.now + s.rnd.ExpFloat64()*[]float64{50, 50, 400, 9000}[s.rnd.Intn(4)]
+// planOutcomes draws the time at which each new attempt is answered or ends.
+func (w *ruleWorkload) planOutcomes() {
+	for _, attempt := range w.h.attempts[max(0, len(w.h.attempts)-400):] {
+		if _, known := w.open[attempt]; !known && attempt.Call.InFlight == attempt {
+			w.open[attempt] = w.h.now + w.rnd.ExpFloat64()*[]float64{50, 50, 400, 9000}[w.rnd.Intn(4)]
 		}
 	}
 }
 
-func (s *ruleWorkload) endCanceled() {
-	for _, attempt := range s.h.canceled {
+// endCanceled ends the attempts that the router has canceled.
+func (w *ruleWorkload) endCanceled() {
+	for _, attempt := range w.h.canceled {
 		if attempt.Call.InFlight == attempt && !attempt.Call.Established {
-			s.h.finish(s.open, attempt, routing.Canceled)
+			w.h.finish(w.open, attempt, routing.Canceled)
 		}
 	}
-	s.h.canceled = nil
+	w.h.canceled = nil
 }
 
 // progress answers or ends an attempt when it is due.
-func (s *ruleWorkload) progress(attempt *routing.Attempt) {
-	due, known := s.open[attempt]
+func (w *ruleWorkload) progress(attempt *routing.Attempt) {
+	due, known := w.open[attempt]
 	switch call := attempt.Call; {
 	case !known:
-	case !call.Established && s.h.now >= call.Deadline:
-		s.h.finish(s.open, attempt, routing.TimedOut)
-	case s.h.now < due:
+	case !call.Established && w.h.now >= call.Deadline:
+		w.h.finish(w.open, attempt, routing.TimedOut)
+	case w.h.now < due:
 	case call.Established:
-		s.h.finish(s.open, attempt, []routing.Outcome{routing.Completed, routing.Reset}[s.rnd.Intn(2)])
-	case s.rnd.Intn(3) == 0:
-		s.h.finish(s.open, attempt, routing.Outcome(1+s.rnd.Intn(7)))
+		w.h.finish(w.open, attempt, []routing.Outcome{routing.Completed, routing.Reset}[w.rnd.Intn(2)])
+	case w.rnd.Intn(3) == 0:
+		w.h.finish(w.open, attempt, routing.Outcome(1+w.rnd.Intn(7)))
 	default:
-		s.h.establish(call, s.h.now-attempt.SentAt)
-		s.open[attempt] = s.h.now + s.rnd.ExpFloat64()*5000
+		w.h.establish(call, w.h.now-attempt.SentAt)
+		w.open[attempt] = w.h.now + w.rnd.ExpFloat64()*5000
 	}
 }
 
-func (s *ruleWorkload) checkAnswered() {
-	for _, call := range s.h.calls {
-		if call.InFlight == nil && !s.h.finished[call] {
-			s.h.reportViolation(1, "never answered")
+// checkAnswered checks that no call is left without a final answer (rule 1).
+func (w *ruleWorkload) checkAnswered() {
+	for _, call := range w.h.calls {
+		if call.InFlight == nil && !w.h.finished[call] {
+			w.h.reportViolation(1, "never answered")
 		}
 	}
 }
 
 // checkSlowStart checks every window of an endpoint in slow start against rule 4, allowing one setup for
 // chance.
-func (s *ruleWorkload) checkSlowStart() {
-	// setups a second to an endpoint at full capacity
-	rate := float64(len(s.h.calls)) / (s.h.now - 1e6) * 1000 / float64(len(s.endpoints))
-	for endpoint, startedAt := range s.h.startedAt {
-		for i, from := range s.h.sentAt[endpoint] {
+func (w *ruleWorkload) checkSlowStart() {
+	// setups per second to an endpoint at full capacity
+	rate := float64(len(w.h.calls)) / (w.h.now - 1e6) * 1000 / float64(len(w.endpoints))
+	for endpoint, startedAt := range w.h.startedAt {
+		for i, from := range w.h.sentAt[endpoint] {
 			part := 0.3 + 0.7*(from+1000-startedAt)/14000
-			if n := countBefore(s.h.sentAt[endpoint][i:], from+1000); part < 1 && float64(n) > 1+2.5*part*rate {
-				s.h.reportViolation(4, fmt.Sprintf("%d setups in a second to an endpoint in slow start", n))
+			if n := countBefore(w.h.sentAt[endpoint][i:], from+1000); part < 1 && float64(n) > 1+2.5*part*rate {
+				w.h.reportViolation(4, fmt.Sprintf("%d setups in a second to an endpoint in slow start", n))
 			}
 		}
 	}
@@ -164,7 +168,7 @@
 )
 
 // budget returns how many setups an endpoint may be sent in the window that begins at a time; fullRate is the
-// endpoint's normal load in setups a second.
+// endpoint's normal load in setups per second.
 func budget(from, fullRate float64) float64 {
 	part := math.Min(1, initialFraction+(1-initialFraction)*(from+window/2-fleetStart)/slowStartLength)
 	return overloadFactor * part * fullRate
--- a/internal/router/selection.go
+++ b/internal/router/selection.go
@@ -6,8 +6,8 @@
 	"cobaltpier/internal/routing"
 )
 
-// selectEndpoint selects the call's destination while that has capacity and is no outlier, and otherwise
-// draws an endpoint by lottery (docs/design.md).
+// selectEndpoint selects the call's destination if that has free capacity and its success rate isn't far
+// below the best one. Otherwise it chooses an endpoint at random, by lottery (docs/design.md).
 func (r *Router) selectEndpoint(call *routing.Call, selected **routing.Endpoint) stageResult {
 	destination := call.Destination
 	if destination != nil && r.hasCapacity(call, destination) &&
@@ -22,45 +22,46 @@
 	return proceed
 }
 
-// drawEndpoint draws an endpoint with a probability proportional to its tickets; nil: no endpoint has
-// tickets.
+// drawEndpoint chooses an endpoint at random, with a probability proportional to its tickets. It returns nil
+// if no endpoint has tickets.
 func (r *Router) drawEndpoint(call *routing.Call) *routing.Endpoint {
 	total := 0.0
 	for _, endpoint := range r.endpoints {
 		total += r.tickets(call, endpoint)
 	}
-	draw := r.random() * total
-	var drawn *routing.Endpoint
+	remaining := r.random() * total
+	var chosen *routing.Endpoint
 	for _, endpoint := range r.endpoints {
 		if tickets := r.tickets(call, endpoint); tickets > 0 {
-			drawn = endpoint
-			if draw -= tickets; draw < 0 {
+			chosen = endpoint
+			if remaining -= tickets; remaining < 0 {
 				break
 			}
 		}
 	}
-	return drawn
+	return chosen
 }
 
-// tickets returns an endpoint's number of lottery tickets: its total capacity times the square of its free
-// share, where the free share is scaled by the success rate.
+// tickets returns an endpoint's number of lottery tickets: its capacity times the square of its free
+// fraction, where the free fraction is scaled by the success rate.
 func (r *Router) tickets(call *routing.Call, endpoint *routing.Endpoint) float64 {
 	if !r.hasCapacity(call, endpoint) {
 		return 0
 	}
-	share := r.freeShare(endpoint) * r.successRate(endpoint)
-	return r.capacityOf(endpoint) * share * share
+	fraction := r.freeFraction(endpoint) * r.successRate(endpoint)
+	return r.callCapacity(endpoint) * fraction * fraction
 }
 
-// successRate returns the share of recently concluded attempts that did not fail. It guards against outliers
-// that answer fast and fail most calls: having no queueing delay, they would attract all calls.
+// successRate estimates the fraction of recently concluded attempts that did not fail. failureAllowance keeps
+// a few failures, which may be chance, from lowering it much. Without the success rate, an endpoint that
+// quickly fails most calls would have no queueing delay and would be sent all calls.
 func (r *Router) successRate(endpoint *routing.Endpoint) float64 {
 	state := stateOf(endpoint)
 	return 1 - state.failed.Read(r.now)/(failureAllowance+state.concluded.Read(r.now))
 }
 
-// bestSuccessRate returns the best success rate of the endpoints with capacity. If all endpoints fail at the
-// same rate, none is an outlier.
+// bestSuccessRate returns the best success rate of the endpoints with free capacity. If all endpoints fail at
+// the same rate, none is an outlier.
 func (r *Router) bestSuccessRate(call *routing.Call) float64 {
 	best := 0.0
 	for _, endpoint := range r.endpoints {
@@ -71,10 +72,9 @@
 	return best
 }
 
-// capacityOf returns the total capacity of an endpoint in calls a second: the reported rate limit, but no
-// more than its agents can sustain; without a rate limit, what its agents can sustain; if neither is known,
-// 1.
-func (r *Router) capacityOf(endpoint *routing.Endpoint) float64 {
+// callCapacity returns the capacity of an endpoint in calls per second: the lower of the reported rate limit
+// and of what its agents can sustain, as far as these are known. It returns 1 if neither is known.
+func (r *Router) callCapacity(endpoint *routing.Endpoint) float64 {
 	sustainable := r.sustainableRate(endpoint.LoadReport.Capacity)
 	switch {
 	case endpoint.LoadReport.RateLimit >= 0:
@@ -85,8 +85,9 @@
 	return 1
 }
 
-// sustainableRate returns how many calls a second a number of agents can sustain by Little's law; +Inf: not
-// known. Some agents are set aside for random variation of the load: otherwise small endpoints are overrated.
+// sustainableRate returns how many calls per second a number of agents can sustain by Little's law. It
+// returns +Inf if the rate isn't known. loadDeviations standard deviations of the load are subtracted from
+// the agents first: without that margin for random variation, small endpoints would be overrated.
 func (r *Router) sustainableRate(agents float64) float64 {
 	if !(agents > 0) || r.maxHoldingTime <= 0 {
 		return math.Inf(1)
@@ -95,31 +96,33 @@
 }
 
 // capacityShare returns an endpoint's part of the total capacity of all destinations. Destinations that are
-// down are included, because the load is dimensioned for all of them.
+// down are included, because the offered load is sized for all destinations together.
 func (r *Router) capacityShare(endpoint *routing.Endpoint) float64 {
 	if r.totalCapacityAt != r.now {
 		r.totalCapacity, r.totalCapacityAt = 0, r.now
 		for _, other := range r.destinations {
-			r.totalCapacity += r.capacityOf(other)
+			r.totalCapacity += r.callCapacity(other)
 		}
 	}
-	capacity := r.capacityOf(endpoint)
+	capacity := r.callCapacity(endpoint)
 	return capacity / math.Max(r.totalCapacity, capacity)
 }
 
-// freeShare returns the free share of an endpoint's processor according to its latest load report, 0 to 1. A
-// report of no free share counts as staleZeroFreeShare once it is older than staleZeroAge.
-func (r *Router) freeShare(endpoint *routing.Endpoint) float64 {
+// freeFraction returns the free fraction of an endpoint's capacity, 0 to 1, according to its latest load
+// report. A reported fraction of 0 is replaced by staleZeroFreeFraction if the report is older than
+// staleZeroAge.
+func (r *Router) freeFraction(endpoint *routing.Endpoint) float64 {
 	state := stateOf(endpoint)
-	share := reportedFreeShare(&endpoint.LoadReport, state.maxQueueLength)
-	if share <= 0 && r.now-state.reportedAt > staleZeroAge {
-		return staleZeroFreeShare
+	fraction := reportedFreeFraction(&endpoint.LoadReport, state.maxQueueLength)
+	if fraction <= 0 && r.now-state.reportedAt > staleZeroAge {
+		return staleZeroFreeFraction
 	}
-	return math.Max(0, share)
+	return math.Max(0, fraction)
 }
 
-// reportedFreeShare derives the free share from the first known value of a load report; 1 if none is known.
-func reportedFreeShare(report *routing.LoadReport, maxQueueLength float64) float64 {
+// reportedFreeFraction derives the free fraction from the first known value of a load report. It returns 1 if
+// none is known.
+func reportedFreeFraction(report *routing.LoadReport, maxQueueLength float64) float64 {
 	switch {
 	case !math.IsNaN(report.Utilization):
 		return 1 - report.Utilization
