--- a/internal/decision/loadshed/loadshed.go
+++ b/internal/decision/loadshed/loadshed.go
@@ -23,7 +23,7 @@
 // Gate limits the calls that one gateway admits.
 type Gate struct {
 	MaxPending    int     // limit of calls without a final answer
-	RatePerSecond float64 // limit of calls admitted a second; 0: no limit
+	RatePerSecond float64 // limit of calls admitted per second; no limit if 0
 
 	weightSum float64 // decaying sum of the weights of recent arrivals
 	count     float64 // decaying count of recent arrivals
@@ -63,6 +63,7 @@
 	return admitted
 }
 
+// refill adds the tokens earned since the latest batch. The first batch starts with a full burst.
 func (g *Gate) refill(now, depth float64) {
 	if g.updatedAt == 0 {
 		g.tokens = depth
@@ -71,7 +72,7 @@
 	g.tokens = math.Min(depth, g.tokens+g.RatePerSecond/1000*math.Max(0, now-g.updatedAt))
 }
 
-// updateMean adds the weights of a batch to the mean; uniform: all recent weights are equal.
+// updateMean adds the weights of a batch to the mean. uniform reports whether all recent weights are equal.
 func (g *Gate) updateMean(now float64, weights []float64) (mean float64, uniform bool) {
 	decay := math.Exp(math.Min(0, g.updatedAt-now) / weightWindow)
 	g.weightSum *= decay
@@ -128,6 +129,7 @@
 // Len returns the number of remembered refusals.
 func (r *Refusals) Len() int { return len(r.recent) + len(r.previous) }
 
+// rotate discards the older generation and starts a new one if the current one is older than Retention.
 func (r *Refusals) rotate(now float64) {
 	if now-r.rotatedAt > r.Retention {
 		r.previous, r.recent, r.rotatedAt = r.recent, nil, now
--- a/internal/decision/loadshed/loadshed_test.go
+++ b/internal/decision/loadshed/loadshed_test.go
@@ -16,28 +16,30 @@
 		}
 		pending, now, total := 0, 1.0, 0
 		for range 20 {
-			now += rapid.Float64Range(0, 5000).Draw(t, "gap")
+			now += rapid.Float64Range(0, 5000).Draw(t, "interval")
 			weights := rapid.SliceOfN(rapid.SampledFrom([]float64{1, 1, 1, 5, 8}), 0, 40).Draw(t, "weights")
-			admitted, n, least := g.Admit(now, weights, pending), 0, 1e9
+			admitted, admittedCount, minAdmittedWeight := g.Admit(now, weights, pending), 0, 1e9
 			for i, ok := range admitted {
 				if ok {
-					n++
-					least = min(least, weights[i])
+					admittedCount++
+					minAdmittedWeight = min(minAdmittedWeight, weights[i])
 				}
 			}
 			for i, ok := range admitted {
-				if !ok && weights[i] > least {
-					t.Fatalf("call of weight %v shed, one of %v admitted", weights[i], least)
+				if !ok && weights[i] > minAdmittedWeight {
+					t.Fatalf("shed a call of weight %v but admitted one of weight %v", weights[i], minAdmittedWeight)
 				}
 			}
-			if pending+n > g.MaxPending {
-				t.Fatalf("%d admitted with %d pending of %d", n, pending, g.MaxPending)
+			if pending+admittedCount > g.MaxPending {
+				t.Fatalf("admitted %d calls with %d already pending, want at most %d in all",
+					admittedCount, pending, g.MaxPending)
 			}
-			if total += n; g.RatePerSecond > 0 &&
+			// Above the mean rate: the initial burst, one burst in advance for calls of high weight, and 1 for rounding.
+			if total += admittedCount; g.RatePerSecond > 0 &&
 				float64(total) > g.RatePerSecond*now/1000+2*max(2, g.RatePerSecond*burstWindow/1000)+1 {
-				t.Fatalf("%d admitted in %.0f ms at %v a second", total, now, g.RatePerSecond)
+				t.Fatalf("admitted %d calls in %.0f ms, above the limit of %v per second", total, now, g.RatePerSecond)
 			}
-			pending = max(0, pending+n-rapid.IntRange(0, 30).Draw(t, "ended"))
+			pending = max(0, pending+admittedCount-rapid.IntRange(0, 30).Draw(t, "ended"))
 		}
 	})
 }
@@ -55,7 +57,7 @@
 	}
 	uniform := &Gate{MaxPending: 100}
 	if n := count(uniform.Admit(0, make([]float64, 200), 0)); n != 100 {
-		t.Errorf("%d calls of equal weight admitted, want 100", n)
+		t.Errorf("admitted %d of 200 calls of equal weight, want 100", n)
 	}
 	g := &Gate{MaxPending: 100}
 	weights := make([]float64, 200)
@@ -64,14 +66,15 @@
 	}
 	weights[3] = 8
 	if n := count(g.Admit(0, weights, 0)); n != 90 {
-		t.Errorf("%d admitted of a flood, want 90", n)
+		t.Errorf("admitted %d of 200 calls, want 90", n)
 	}
 	if n := count(g.Admit(1, []float64{8, 1}, 95)); n != 1 {
-		t.Errorf("%d admitted into the reserve, want only the call of high weight", n)
+		t.Errorf("admitted %d calls from the reserve, want 1 (the call of high weight)", n)
 	}
 }
 
-// TestRefusals checks that refusals are remembered for as long as a retransmission may arrive, in bounded memory.
+// TestRefusals checks that a refusal is known for at least Retention and is later forgotten (it may still be known
+// after 1500 ms, since two generations are kept), and that the number of remembered refusals is bounded.
 func TestRefusals(t *testing.T) {
 	r := &Refusals{Retention: 1000}
 	r.Add(0, 7)
@@ -80,13 +83,13 @@
 		want bool
 	}{{500, true}, {999, true}, {1500, true}, {3000, false}} {
 		if got := r.Known(c.now, 7); got != c.want {
-			t.Errorf("at %v ms: known %v", c.now, got)
+			t.Errorf("at %v ms: Known(7) = %v, want %v", c.now, got, c.want)
 		}
 	}
 	for i := range uint64(3 * maxRemembered) {
 		r.Add(3000, i)
 	}
 	if r.Len() > 2*maxRemembered {
-		t.Errorf("%d refusals remembered, above the bound", r.Len())
+		t.Errorf("%d refusals remembered, want at most %d", r.Len(), 2*maxRemembered)
 	}
 }
