--- a/internal/decision/numberplan/form_test.go
+++ b/internal/decision/numberplan/form_test.go
@@ -14,7 +14,8 @@
 	"cobaltpier/internal/decision/enum"
 )
 
-func form(t *testing.T) *api.NumberTable {
+// sourceTable returns the source message of the test table.
+func sourceTable(t *testing.T) *api.NumberTable {
 	t.Helper()
 	_, f, err := Parse("t.hcl", []byte(table))
 	if err != nil {
@@ -23,23 +24,24 @@
 	return f
 }
 
-// A table decoded from its compact form decides as before and has the same checksum.
+// TestCompactForm checks that a table decoded from its compact form decides as before and has the same checksum.
 func TestCompactForm(t *testing.T) {
-	x, f, err := Parse("t.hcl", []byte(table))
+	original, source, err := Parse("t.hcl", []byte(table))
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := Pack(f)
+	data, err := Pack(source)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g, err := Unpack(b)
-	if err != nil || !proto.Equal(f, g) {
-		t.Fatalf("%v\n%v", err, g)
+	unpacked, err := Unpack(data)
+	if err != nil || !proto.Equal(source, unpacked) {
+		t.Fatalf("Unpack: error %v, got\n%v\nwant\n%v", err, unpacked, source)
 	}
-	y, err := Compile(g)
-	if err != nil || x.Sum != y.Sum || len(x.Sum) != 64 || x.Size() != y.Size() {
-		t.Fatalf("%v, %s %s", err, x.Sum, y.Sum)
+	decoded, err := Compile(unpacked)
+	if err != nil || original.Sum != decoded.Sum || len(original.Sum) != 64 || original.Size() != decoded.Size() {
+		t.Fatalf("error %v, checksums %s and %s; want two tables of equal checksum and size",
+			err, original.Sum, decoded.Sum)
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		c := Call{
@@ -50,16 +52,17 @@
 			Draw:    rapid.Float64Range(0, 0.999).Draw(t, "draw"),
 			Explain: true,
 		}
-		a, o := x.Begin(c)
-		b, p := y.Begin(c)
-		if result(o) != result(p) || !slices.Equal(a.Steps, b.Steps) {
-			t.Fatalf("%v: %s, %s", c, result(o), result(p))
+		a, want := original.Begin(c)
+		b, got := decoded.Begin(c)
+		if result(want) != result(got) || !slices.Equal(a.Steps, b.Steps) {
+			t.Fatalf("%v: got %s, want %s, by the same steps", c, result(got), result(want))
 		}
 	})
 }
 
-// Faults in the compact form are reported with their position, and damaged input is an error.
-func TestCompactFaults(t *testing.T) {
+// TestCompactErrors checks that errors in a compact table are reported with their position, that damaged input is
+// rejected, and that Fits names what isn't configured.
+func TestCompactErrors(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*api.NumberTable)
 		want   string
@@ -114,29 +117,31 @@
 			f.Plans[0].Rules[4].Then.Do = &api.NumberAction_Plan{Plan: "p0"}
 		}, "plans is too long"},
 	} {
-		f := form(t)
+		f := sourceTable(t)
 		c.change(f)
 		if _, err := Compile(f); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v\nwant %s", name, err, c.want)
+			t.Errorf("%s: error %v\nwant %s", name, err, c.want)
 		}
 	}
-	b, _ := Pack(form(t))
-	for _, bad := range [][]byte{nil, []byte("plan {}"), b[:len(b)-3], append([]byte(magicHeader), 0xff, 0xff)} {
+	data, _ := Pack(sourceTable(t))
+	for _, bad := range [][]byte{nil, []byte("plan {}"), data[:len(data)-3], append([]byte(magicHeader), 0xff, 0xff)} {
 		if _, err := Unpack(bad); err == nil {
-			t.Errorf("%.20q was accepted", bad)
+			t.Errorf("Unpack(%.20q): no error, want one", bad)
 		}
 	}
-	x, err := Compile(form(t))
-	if err != nil || x.Fits(Names{Groups: []string{"TG-0", "TG-1", "TG-2"}, Classes: []string{"shift-lookup"}}).Error() !=
+	compiled, err := Compile(sourceTable(t))
+	if err != nil || compiled.Fits(
+		Names{Groups: []string{"TG-0", "TG-1", "TG-2"}, Classes: []string{"shift-lookup"}},
+	).Error() !=
 		`number table staff: not configured on this gateway: trunk group "TG-3"` {
-		t.Errorf("%v, %v", err, x.Fits(Names{}))
+		t.Errorf("error %v, or Fits does not name TG-3; without any names: %v", err, compiled.Fits(Names{}))
 	}
-	if err := x.Fits(x.Names()); err != nil {
+	if err := compiled.Fits(compiled.Names()); err != nil {
 		t.Error(err)
 	}
 }
 
-// Any set of prefixes is the same after packing and unpacking, but sorted.
+// TestPacked checks that any set of prefixes is the same after packing and unpacking, but sorted.
 func TestPacked(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		prefixes := rapid.SliceOfDistinct(rapid.StringMatching(`[0-4]{1,6}|[0-9]{1,40}`), rapid.ID[string]).
@@ -148,33 +153,34 @@
 		got, err := unpackPrefixes(b)
 		slices.Sort(prefixes)
 		if err != nil || !slices.Equal(got, prefixes) {
-			t.Fatalf("%v: %v", err, got)
+			t.Fatalf("error %v, got %v, want %v", err, got, prefixes)
 		}
 	})
 	for _, bad := range [][]string{{"1", "1"}, {""}, {"a"}, {strings.Repeat("1", 41)}} {
 		if _, err := PackPrefixes(bad); err == nil {
-			t.Errorf("%q: no error", bad)
+			t.Errorf("PackPrefixes(%q): no error, want one", bad)
 		}
 	}
 }
 
+// TestDiff checks the changes reported for each part of a table.
 func TestDiff(t *testing.T) {
-	a, b := form(t), form(t)
-	if d := Diff(a, b); len(d) != 0 {
-		t.Fatalf("changes between equal tables: %v", d)
+	oldTable, newTable := sourceTable(t), sourceTable(t)
+	if changes := Diff(oldTable, newTable); len(changes) != 0 {
+		t.Fatalf("changes between equal tables: %v, want none", changes)
 	}
-	b.Version, b.Plans[0].Rules[0].Where = 9, "elsewhere"
-	b.Plans[0].Rules[2].Prefix = "14185550000-14185550099" // the range loses its second hundred
-	b.Plans[0].Rules[4].Then.Do = &api.NumberAction_Route{Route: "ported"}
-	b.Routes[1].Choices[0].Weight = 2
-	b.Periods = b.Periods[:2]
-	b.Days[0].Dates = append(b.Days[0].Dates, "2026-12-26")
-	b.Plans[0].Rules = append(
-		b.Plans[0].Rules,
+	newTable.Version, newTable.Plans[0].Rules[0].Where = 9, "elsewhere"
+	newTable.Plans[0].Rules[2].Prefix = "14185550000-14185550099" // the range loses its second hundred
+	newTable.Plans[0].Rules[4].Then.Do = &api.NumberAction_Route{Route: "ported"}
+	newTable.Routes[1].Choices[0].Weight = 2
+	newTable.Periods = newTable.Periods[:2]
+	newTable.Days[0].Dates = append(newTable.Days[0].Dates, "2026-12-26")
+	newTable.Plans[0].Rules = append(
+		newTable.Plans[0].Rules,
 		&api.NumberRule{Prefix: "33", Then: &api.NumberAction{Do: &api.NumberAction_Route{Route: "night"}}},
 	)
 	var got []string
-	for _, c := range Diff(a, b) {
+	for _, c := range Diff(oldTable, newTable) {
 		got = append(got, c.String())
 	}
 	want := []string{
@@ -189,7 +195,8 @@
 	}
 }
 
-// Damage to a compact form is detected, or the table still leads any number to a route or a refusal.
+// FuzzUnpack checks that damage to a compact form is detected, or that the table still leads any number to a route or
+// a refusal.
 func FuzzUnpack(f *testing.F) {
 	_, x, err := Parse("t.hcl", []byte(table))
 	if err != nil {
@@ -214,14 +221,14 @@
 			o = a.Answered(Found{Answer: Ported, Routing: "+1514"})
 		}
 		if (o.Route == nil) == (o.Refusal == nil) {
-			t.Errorf("%q: %+v", dialled, o)
+			t.Errorf("%q: got %+v, want either a route or a refusal", dialled, o)
 		}
 		Diff(x, x)
 	})
 }
 
-// Normalize returns an error, or digits that make an ENUM domain; normalizing these digits again, or decoding the
-// domain, gives the same digits.
+// FuzzNumber checks that Normalize returns an error, or digits that make an ENUM domain. Normalizing these digits
+// again, or decoding the domain, gives the same digits.
 func FuzzNumber(f *testing.F) {
 	f.Add("+1 (418) 555-1234", "1", "npdi;rn=+1514")
 	f.Add("0041", "41", "rn=5;rn-context=+1")
@@ -236,29 +243,31 @@
 			return
 		}
 		if strings.Trim(n, "0123456789") != "" || n == "" || len(n) > maxDigits+len(country) {
-			t.Errorf("%q: %q", dialled, n)
+			t.Errorf("Normalize(%q) = %q, want digits within the limit", dialled, n)
 		}
 		if again, err := Normalize("+"+n, country); len(n) <= maxDigits && (err != nil || again != n) {
-			t.Errorf("%q: %q, then %q, %v", dialled, n, again, err)
+			t.Errorf("Normalize(%q) = %q, then %q, %v; want the same again", dialled, n, again, err)
 		}
 		if len(n) <= maxDigits {
 			d, err := enum.Domain(n, "e164.test")
 			if back, err2 := enum.Number(d, "e164.test"); err != nil || err2 != nil || back != n {
-				t.Errorf("%q: %q, %v, %v", n, d, err, err2)
+				t.Errorf("number %q: domain %q, errors %v and %v; want the same number back", n, d, err, err2)
 			}
 		}
 		if p, err := enum.Params(params); err == nil && p.Routing != "" {
 			if strings.ContainsAny(p.Routing, ";@<> \r\n") {
-				t.Errorf("%q: routing number %q", params, p.Routing)
+				t.Errorf("parameters %q: routing number %q has a character that must not be in a URI parameter",
+					params, p.Routing)
 			}
 		}
 	})
 }
 
-// Ranges are rejected exactly if two of them overlap and neither contains the other.
+// TestPartialRangeOverlap checks that ranges are rejected exactly if two of them overlap and neither contains the
+// other.
 func TestPartialRangeOverlap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		form := &api.NumberTable{Name: "t", Entry: "start", Plans: []*api.NumberPlan{{Name: "start"}},
+		source := &api.NumberTable{Name: "t", Entry: "start", Plans: []*api.NumberPlan{{Name: "start"}},
 			Routes: []*api.NumberRoute{{Name: "r", Choices: []*api.NumberChoice{{Group: "g", Weight: 1}}}}}
 		type span struct{ lo, hi int }
 		var ranges []span
@@ -266,23 +275,25 @@
 		for range rapid.IntRange(1, 8).Draw(t, "ranges") {
 			length := rapid.SampledFrom([]int{1000, 10900}).Draw(t, "length") // 1000 to 1099 or 10900 to 10999
 			a, b := rapid.IntRange(0, 99).Draw(t, "from")+length, rapid.IntRange(0, 99).Draw(t, "to")+length
-			x := span{min(a, b), max(a, b)}
+			added := span{min(a, b), max(a, b)}
 			same := false
 			for _, other := range ranges {
-				in := func(a, b span) bool { return a.lo >= b.lo && a.hi <= b.hi }
-				overlapping = overlapping || x.lo <= other.hi && other.lo <= x.hi && !in(x, other) && !in(other, x)
-				same = same || x == other
+				within := func(a, b span) bool { return a.lo >= b.lo && a.hi <= b.hi }
+				overlapping = overlapping || added.lo <= other.hi && other.lo <= added.hi &&
+					!within(added, other) && !within(other, added)
+				same = same || added == other
 			}
 			if same {
 				continue // rejected as never reached
 			}
-			ranges = append(ranges, x)
-			form.Plans[0].Rules = append(form.Plans[0].Rules, &api.NumberRule{Prefix: fmt.Sprintf("%d-%d", x.lo, x.hi),
-				Then: &api.NumberAction{Do: &api.NumberAction_Route{Route: "r"}}})
+			ranges = append(ranges, added)
+			source.Plans[0].Rules = append(source.Plans[0].Rules, &api.NumberRule{
+				Prefix: fmt.Sprintf("%d-%d", added.lo, added.hi),
+				Then:   &api.NumberAction{Do: &api.NumberAction_Route{Route: "r"}}})
 		}
-		_, err := Compile(form)
+		_, err := Compile(source)
 		if got := err != nil && strings.Contains(err.Error(), "in part"); got != overlapping {
-			t.Fatalf("%v: %v", ranges, err)
+			t.Fatalf("ranges %v: error %v, want an overlap reported: %v", ranges, err, overlapping)
 		}
 	})
 }
--- a/internal/decision/numberplan/number.go
+++ b/internal/decision/numberplan/number.go
@@ -94,9 +94,9 @@
 	Tenant   string // "": that of the caller
 	Group    string // trunk group of the destination (RFC 4904)
 	Number   string // the called number, as it is sent on
-	Routing  string // the routing number; "": portability was not looked up, or the number is not ported
+	Routing  string // the routing number; empty if portability was not looked up or the number is not ported
 	LookedUp bool   // portability was looked up (RFC 4694 npdi)
-	Carrier  string // the carrier that serves the number (RFC 4694 cic); "": unknown
+	Carrier  string // the carrier that serves the number (RFC 4694 cic); empty if unknown
 }
 
 // Outcome is the result of an analysis, or the look-up that it waits for. One of Route, Refusal and
@@ -122,7 +122,7 @@
 type Found struct {
 	Answer  Answer
 	Routing string // if Ported: the routing number (RFC 4694 rn)
-	Carrier string // the carrier (RFC 4694 cic); "": unknown
+	Carrier string // the carrier (RFC 4694 cic); empty if unknown
 }
 
 // Analysis is the state of one call's number analysis.
@@ -181,7 +181,7 @@
 type Call struct {
 	Dialled  string
 	LookedUp bool   // an earlier hop looked up portability (RFC 4694 npdi)
-	Routing  string // the routing number that this look-up found; "": none
+	Routing  string // the routing number that this look-up found; empty if none
 	Carrier  string // the carrier that came with it
 	At       time.Time
 	Draw     float64 // random, from 0 to 1, for the choice by weight
@@ -343,7 +343,7 @@
 	Zone    *time.Location
 	Days    [7]bool         // by time.Weekday; none set: every day
 	From    int             // minutes since midnight, local wall-clock time
-	To      int             // first minute after the period; From = To: the whole day; To < From: ends the next day
+	To      int             // first minute after the period; the whole day if From = To; ends the next day if To < From
 	Except  map[string]bool // dates such as "2026-12-25" on which it does not begin
 	Only    map[string]bool // if not empty, the only dates on which it begins
 	anyDays bool
--- a/internal/decision/numberplan/number_test.go
+++ b/internal/decision/numberplan/number_test.go
@@ -96,13 +96,14 @@
 }
 `
 
+// parse returns the compiled test table.
 func parse(t *testing.T) *Table {
 	t.Helper()
-	x, _, err := Parse("t.hcl", []byte(table))
+	compiled, _, err := Parse("t.hcl", []byte(table))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return x
+	return compiled
 }
 
 func parseTime(s string) time.Time {
@@ -128,8 +129,9 @@
 	return "ask " + o.LookupNumber
 }
 
+// TestAnalysis checks the outcome for numbers at different times, with and without a portability look-up.
 func TestAnalysis(t *testing.T) {
-	x := parse(t)
+	compiled := parse(t)
 	thursday, sunday, holiday := parseTime("2026-12-03T14:00:00-05:00"), parseTime("2026-12-06T23:30:00-05:00"),
 		parseTime("2026-12-25T14:00:00-05:00")
 	for _, c := range []struct {
@@ -159,46 +161,48 @@
 		{strings.Repeat("1", 41), thursday, 0, 0, "", "number: 41 digits are too many"},
 		{strings.Repeat("1", 40), thursday, 0, 0, "", "TG-2 +" + strings.Repeat("1", 40)},
 	} {
-		a, o := x.Begin(Call{Dialled: c.number, At: c.at, Draw: c.draw, Explain: true})
+		a, o := compiled.Begin(Call{Dialled: c.number, At: c.at, Draw: c.draw, Explain: true})
 		if o.LookupNumber != "" {
 			o = a.Answered(Found{Answer: c.answer, Routing: c.rn})
 		}
 		if got := result(o); got != c.want {
-			t.Errorf("%q at %v: %s, want %s\n  %s", c.number, c.at, got, c.want, strings.Join(a.Steps, "\n  "))
+			t.Errorf("%q at %v: got %s, want %s\n  %s", c.number, c.at, got, c.want, strings.Join(a.Steps, "\n  "))
 		}
 		if again := a.Answered(Found{Answer: Silent}); again.Refusal == nil {
-			t.Errorf("%q: an answer without a look-up led to %v", c.number, result(again))
+			t.Errorf("%q: an answer without a look-up led to %v, want a refusal", c.number, result(again))
 		}
 	}
-	if _, o := x.Begin(Call{Dialled: "+15145551234", LookedUp: true, Routing: "+1 613 555 0000",
+	if _, o := compiled.Begin(Call{Dialled: "+15145551234", LookedUp: true, Routing: "+1 613 555 0000",
 		At: sunday}); result(o) != "TG-2 +15145551234;rn=+16135550000" {
-		t.Errorf("routing number of an earlier look-up: %s", result(o))
+		t.Errorf("routing number of an earlier look-up: got %s, want TG-2 with that routing number", result(o))
 	}
-	if _, o := x.Begin(Call{Dialled: "+15145551234", LookedUp: true, Routing: "x", At: sunday}); o.Refusal == nil {
-		t.Errorf("invalid routing number was accepted: %s", result(o))
+	if _, o := compiled.Begin(Call{Dialled: "+15145551234", LookedUp: true, Routing: "x", At: sunday}); o.Refusal == nil {
+		t.Errorf("invalid routing number: got %s, want a refusal", result(o))
 	}
-	if a, o := x.Begin(Call{Dialled: "+14185551234", At: sunday, LookedUp: true}); o.Route == nil || a.Steps != nil {
-		t.Errorf("portability was looked up before: %s", result(o))
+	if a, o := compiled.Begin(Call{Dialled: "+14185551234", At: sunday, LookedUp: true}); o.Route == nil ||
+		a.Steps != nil {
+		t.Errorf("portability was looked up before: got %s, want a route without another look-up", result(o))
 	}
 }
 
-// The period is 01:30 to 02:30. When clocks go back, 01:30 to 02:00 occurs twice and is in the period both times;
-// when they go forward, 02:00 to 02:30 does not occur.
+// TestDaylightSavingChange checks a period from 01:30 to 02:30. When clocks go back, 01:30 to 02:00 occurs twice and is
+// in the period both times; when they go forward, 02:00 to 02:30 does not occur.
 func TestDaylightSavingChange(t *testing.T) {
-	x := parse(t)
+	compiled := parse(t)
 	for at, want := range map[string]string{
 		// 01:29, 01:31, again 01:05
 		"2026-11-01T05:29:00Z": "TG-2", "2026-11-01T05:31:00Z": "TG-0", "2026-11-01T06:05:00Z": "TG-2",
 		"2026-11-01T06:31:00Z": "TG-0", "2026-11-01T07:29:00Z": "TG-0", "2026-11-01T07:30:00Z": "TG-2",
 		"2026-03-08T06:31:00Z": "TG-0", "2026-03-08T06:59:00Z": "TG-0", "2026-03-08T07:00:00Z": "TG-2", // 01:59, then 03:00
 	} {
-		if _, o := x.Begin(Call{Dialled: "+15145551234", At: parseTime(at)}); o.Route == nil || o.Route.Group != want {
-			t.Errorf("%s: %s, want %s", at, result(o), want)
+		if _, o := compiled.Begin(Call{Dialled: "+15145551234", At: parseTime(at)}); o.Route == nil || o.Route.Group != want {
+			t.Errorf("%s: got %s, want %s", at, result(o), want)
 		}
 	}
 }
 
-func TestTableFaults(t *testing.T) {
+// TestTableErrors checks the errors about invalid tables in HCL.
+func TestTableErrors(t *testing.T) {
 	for _, c := range []struct{ from, to, want string }{
 		{`plan = "local"`, `plan = "start"`, `t.hcl:69: loop: start to quebec leads back to start`},
 		{`plan = "local"`, `plan = "nowhere"`, `plan: no plan "nowhere"`},
@@ -238,12 +242,12 @@
 			t.Fatalf("%q is not in the table", c.from)
 		}
 		if _, _, err := Parse("t.hcl", []byte(text)); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%.40q: %v\nwant %s", c.to, err, c.want)
+			t.Errorf("%.40q: error %v\nwant %s", c.to, err, c.want)
 		}
 	}
 }
 
-// No table text and no number makes compiling or analyzing panic or run forever.
+// FuzzTable checks that no table text and no number makes compiling or analyzing panic or run forever.
 func FuzzTable(f *testing.F) {
 	f.Add(table, "+14185551234")
 	f.Add("plan \"start\" {\n rule \"\" {\n add = \"1\"\n plan = \"start\"\n }\n}", "1")
