--- a/internal/conformance/binaryconformance/checker.go
+++ b/internal/conformance/binaryconformance/checker.go
@@ -51,7 +51,7 @@
 type call struct {
 	id           uint64
 	deadline     float64
-	finalAnswer  byte // message type, 0: none yet
+	finalAnswer  byte // message type; 0 if there is none yet
 	callerGone   bool // the caller gave up, or its connection was closed
 	inFlight     *attempt
 	attempts     []*attempt
@@ -75,7 +75,7 @@
 	k.Findings = append(k.Findings, Finding{rule, k.now, callID, fmt.Sprintf(format, args...)})
 }
 
-// SetClientConnected reports whether the callers have a connection to the gateway.
+// SetClientConnected tells the checker whether the callers have a connection to the gateway.
 func (k *Checker) SetClientConnected(at float64, connected bool) {
 	if k.now = at; connected && !k.clientConnected {
 		k.connectedSince = at
@@ -83,7 +83,7 @@
 	k.clientConnected = connected
 }
 
-// OnEndpointState reports that the gateway was told whether a switch is ready.
+// OnEndpointState tells the checker that the gateway was told whether a switch is ready.
 func (k *Checker) OnEndpointState(at float64, endpoint string, ready bool) {
 	if _, known := k.drainingSince[endpoint]; ready {
 		delete(k.drainingSince, endpoint)
@@ -92,7 +92,7 @@
 	}
 }
 
-// OnClientMessage reports a message that a caller wrote completely. The checker expects callers that keep to the
+// OnClientMessage tells the checker of a message that a caller wrote completely. The checker expects callers that keep to the
 // protocol.
 func (k *Checker) OnClientMessage(at float64, m binarymessage.Message) {
 	k.now = at
--- a/internal/hclconfig/conf.go
+++ b/internal/hclconfig/conf.go
@@ -115,7 +115,7 @@
 	b.addErrorAt(at, format, args...)
 }
 
-// Has tells whether a key is present.
+// Has reports whether a key is present.
 func (b *Block) Has(name string) bool {
 	b.requested[name] = true
 	return b.body.Attributes[name] != nil
@@ -335,7 +335,7 @@
 func (b *Block) One(kind string) *Block {
 	blocks := b.Blocks(kind, 0)
 	if len(blocks) > 1 {
-		b.addErrorAt(blocks[1].location, "%s: want one such block, this is a second one", kind)
+		b.addErrorAt(blocks[1].location, "%s: want at most one such block", kind)
 	}
 	if len(blocks) == 0 {
 		return &Block{file: b.file, body: &hclsyntax.Body{}, name: kind, location: b.location, requested: map[string]bool{}}
--- a/internal/protocol/binarygateway/call.go
+++ b/internal/protocol/binarygateway/call.go
@@ -15,7 +15,7 @@
 	gateway   *Gateway
 	id        uint64
 	client    *client
-	conn      *Conn        // the client's connection for the answer, later for the release; nil: closed
+	conn      *Conn        // the client's connection for the answer, later for the release; nil if closed
 	setup     []byte       // the client's message, until the call is established
 	leg       *outboundLeg // of the attempt in flight
 	startedAt float64
--- a/internal/protocol/binarygateway/conn.go
+++ b/internal/protocol/binarygateway/conn.go
@@ -60,7 +60,7 @@
 // outgoingMessage is a message that is queued on a connection or handed to its driver.
 type outgoingMessage struct {
 	data   []byte
-	leg    *outboundLeg // the leg whose setup this is; nil: not a setup
+	leg    *outboundLeg // the leg whose setup this is; nil if it isn't a setup
 	onSent func()       // called once the message has been sent; may be nil
 	// onLost is called instead of onSent if the connection ends first. If it is nil, onSent is called: for the
 	// release of a canceled setup, the end of the connection has the same effect as the release.
--- a/internal/protocol/binarygateway/gateway.go
+++ b/internal/protocol/binarygateway/gateway.go
@@ -47,7 +47,7 @@
 	MaxDescriptors int     // file descriptors of the process
 	AnswerMargin   float64 // ms before the end of the caller's timeout by which the final answer is sent
 	LoadShedding   loadshed.Gate
-	// DisabledGuard disables the guard of one rule, for tests of the conformance checker; 0: none.
+	// DisabledGuard disables the guard of one rule, for tests of the conformance checker. 0 disables none.
 	DisabledGuard routing.Rule
 	// FromUnixMillis converts Unix time, in ms, to the gateway's clock.
 	FromUnixMillis func(unix float64) float64
--- a/internal/protocol/binarygateway/outboundleg.go
+++ b/internal/protocol/binarygateway/outboundleg.go
@@ -124,7 +124,7 @@
 	c.legs = slices.DeleteFunc(c.legs, func(other *outboundLeg) bool { return other == leg })
 }
 
-// legOf returns the leg of a call on this connection; nil: none.
+// legOf returns the leg of a call on this connection, or nil if there is none.
 func (c *Conn) legOf(id uint64) *outboundLeg {
 	for _, leg := range c.legs {
 		if leg.call.id == id {
@@ -134,7 +134,8 @@
 	return nil
 }
 
-// activeLeg returns the leg of a call that is in flight on any connection to this endpoint and not canceled; nil: none.
+// activeLeg returns the leg of a call that is in flight on any connection to this endpoint and not canceled. It
+// returns nil if there is none.
 func (u *upstream) activeLeg(id uint64) *outboundLeg {
 	for _, conn := range u.conns {
 		if leg := conn.legOf(id); leg != nil && !leg.ended {
--- a/internal/protocol/binarygateway/setup.go
+++ b/internal/protocol/binarygateway/setup.go
@@ -28,9 +28,9 @@
 	class         string
 	calledNumber  string
 	timeout       float64 // ms; NaN: missing or invalid
-	destinationID int     // -1: none
+	destinationID int     // -1 if there is none
 	repeated      bool    // the call was cut, and its client sets it up again
-	resumeAt      string  // ID of the endpoint where the call is already established; "": a new call
+	resumeAt      string  // ID of the endpoint where the call is already established; empty for a new call
 }
 
 // parseSetup reads a setup. It fails if the call ID or a routing parameter is out of range.
--- a/internal/protocol/binarygateway/upstream.go
+++ b/internal/protocol/binarygateway/upstream.go
@@ -157,7 +157,7 @@
 }
 
 // leastUsedConn returns the connection with the fewest setups in flight among those that can take one, choosing among
-// equals in rotation; nil: none can.
+// equals in rotation. It returns nil if none can.
 func (u *upstream) leastUsedConn() *Conn {
 	var best *Conn
 	u.nextConn++
@@ -194,7 +194,7 @@
 	conn.send(releaseMessage(id, cause))
 }
 
-// anyConn returns a connection that is not closed, preferring an established one; nil: there is none.
+// anyConn returns a connection that is not closed, preferring an established one. It returns nil if there is none.
 func (u *upstream) anyConn() *Conn {
 	var found *Conn
 	for _, conn := range u.conns {
