--- a/internal/conformance/binaryconformance/checker.go
+++ b/internal/conformance/binaryconformance/checker.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// OnClientMessage tells the checker of a message that a caller wrote completely. The checker expects callers that keep to the
-// protocol.
+// OnClientMessage tells the checker of a message that a caller wrote completely. The checker expects callers that keep
+// to the protocol.
 func (k *Checker) OnClientMessage(at float64, m binarymessage.Message) {
 	k.now = at
 	c := k.calls[m.Call()]
--- a/internal/decision/numberplan/read.go
+++ b/internal/decision/numberplan/read.go
@@ -159,10 +159,10 @@
 			lookup := &api.NumberQuestion{WithinMs: lookupBlock.Ms("within", 500, 1, 60000)}
 			for _, result := range []struct {
 				key    string
-				action **api.NumberAction
+				target **api.NumberAction
 			}{{"ported", &lookup.Ported}, {"same", &lookup.Same}, {"silent", &lookup.Silent}} {
 				if resultBlocks := lookupBlock.Blocks(result.key, 0); len(resultBlocks) == 1 {
-					*result.action = r.readAction(resultBlocks[0], false)
+					*result.target = r.readAction(resultBlocks[0], false)
 				} else {
 					lookupBlock.Fault("", "portability: want exactly one block %s { ... }, the action for that result", result.key)
 				}
