--- a/internal/conformance/checker.go
+++ b/internal/conformance/checker.go
@@ -38,12 +38,12 @@
 	return fmt.Sprintf("rule %d at %.1f ms, %s, call %.12s: %s", f.Rule, f.At, f.Gateway, f.SessionID, f.Description)
 }
 
-// Totals count what the capture contains.
+// Totals holds counts of what the capture contains.
 type Totals struct {
 	Calls, Answers, Attempts, Retransmissions, Datagrams int
 	// ENUM queries, the ones answered with an endpoint, and the calls that the kiosks made after them
 	Queries, Answered, KioskCalls int
-	// the largest part of a slow-start budget that was used by gateways that had been told of the start
+	// the largest used fraction of a slow-start budget, by gateways that had been told of the start
 	SlowStartUse float64
 }
 
@@ -118,6 +118,7 @@
 	}
 }
 
+// report adds a finding about a call, at the time of the latest record.
 func (k *Checker) report(rule int, c *call, format string, args ...any) {
 	k.Findings = append(k.Findings, Finding{rule, k.latestAt, c.gateway, c.id, fmt.Sprintf(format, args...)})
 }
@@ -186,6 +187,7 @@
 	}
 }
 
+// onEndpointStart handles the start of a switch: its slow start begins.
 func (k *Checker) onEndpointStart(at float64, m *api.Mark) {
 	for address, node := range k.nodes {
 		if node.Name != m.Who {
@@ -199,6 +201,7 @@
 	}
 }
 
+// onEndpointStop handles the end of a switch's process, which also ends its slow start.
 func (k *Checker) onEndpointStop(at float64, m *api.Mark) {
 	for address, node := range k.nodes {
 		if node.Name != m.Who {
@@ -246,6 +249,7 @@
 	}
 }
 
+// onDatagram passes a datagram to the handler for the roles of its sender and receiver.
 func (k *Checker) onDatagram(at float64, d *api.Datagram) {
 	from, to := k.nodes[d.From], k.nodes[d.To]
 	switch {
@@ -284,6 +288,7 @@
 	}
 }
 
+// onCallerRequest handles a request from a caller: the setup of a call or its cancel.
 func (k *Checker) onCallerRequest(at float64, gateway string, r *sip.Request, branch string) {
 	switch r.Method {
 	case sip.INVITE:
@@ -308,6 +313,7 @@
 	}
 }
 
+// onResponseToCaller checks a final answer against rule 1.
 func (k *Checker) onResponseToCaller(at float64, gateway string, r *sip.Response, branch string) {
 	c := k.callsByTransaction[gateway+branch]
 	if c == nil || r.CSeq().MethodName != sip.INVITE || r.StatusCode < 200 {
@@ -333,6 +339,8 @@
 	}
 }
 
+// onSetupRequest handles a request to a switch. It checks a setup against the rules, and records its work for rule 4. A
+// cancel or a release changes the state of the attempt.
 func (k *Checker) onSetupRequest(at float64, gateway, to string, r *sip.Request, branch, id string) {
 	switch r.Method {
 	case sip.INVITE:
@@ -382,6 +390,8 @@
 	}
 }
 
+// onSwitchMessage handles an answer, a rejection or a release from a switch. A time-out, a cancel or a reset starts
+// the hold-off of the call (rule 5).
 func (k *Checker) onSwitchMessage(at float64, gateway string, m sip.Message, branch, id string) {
 	switch m := m.(type) {
 	case *sip.Response:
@@ -414,7 +424,7 @@
 	}
 }
 
-// name is the name of the node at an address, or the address.
+// name returns the name of the node at an address, or the address if there is none.
 func (k *Checker) name(addr string) string {
 	if n := k.nodes[addr]; n != nil {
 		return n.Name
--- a/internal/conformance/checker_test.go
+++ b/internal/conformance/checker_test.go
@@ -11,7 +11,7 @@
 // captureBuilder builds a capture.
 type captureBuilder struct{ records []*api.Record }
 
-func (t *captureBuilder) add(at float64, what any) *captureBuilder {
+func (b *captureBuilder) add(at float64, what any) *captureBuilder {
 	r := &api.Record{At: at}
 	switch v := what.(type) {
 	case *api.Node:
@@ -25,84 +25,93 @@
 	case *api.Datagram:
 		r.What = &api.Record_Datagram{Datagram: v}
 	}
-	t.records = append(t.records, r)
-	return t
+	b.records = append(b.records, r)
+	return b
 }
 
 const (
 	gatewayAddr, callerAddr, firstAddr, secondAddr = "127.0.0.1:1", "127.0.0.2:1", "127.0.0.3:1", "127.0.0.4:1"
 )
 
-// newCapture starts a capture of a gateway with two switches that are ready.
+// newCapture starts a capture of one gateway and two switches that are ready.
 func newCapture() *captureBuilder {
-	t := &captureBuilder{}
-	t.add(0, &api.Rules{SlackMs: 20, GraceMs: 250, ClearMs: 500, TipMultiple: 2, TipMs: 1000})
-	for a, n := range map[string]*api.Node{gatewayAddr: {Role: "edge", Name: "edge"}, callerAddr: {Role: "caller",
+	b := &captureBuilder{}
+	b.add(0, &api.Rules{SlackMs: 20, GraceMs: 250, ClearMs: 500, TipMultiple: 2, TipMs: 1000})
+	for addr, node := range map[string]*api.Node{gatewayAddr: {Role: "edge", Name: "edge"}, callerAddr: {Role: "caller",
 		Name: "caller"},
 		firstAddr: {Role: "switch", Name: "one"}, secondAddr: {Role: "switch", Name: "two"}} {
-		n.Addr = a
-		t.add(0, n)
+		node.Addr = addr
+		b.add(0, node)
 	}
-	return t.list(0, firstAddr, "ready", 0).list(0, secondAddr, "ready", 0)
+	return b.list(0, firstAddr, "ready", 0).list(0, secondAddr, "ready", 0)
 }
 
-func (t *captureBuilder) list(at float64, addr, state string, since float64) *captureBuilder {
-	return t.add(at, &api.Listing{Edge: "edge", Entries: []*api.Entry{{Id: addr, Addr: addr, State: state, Since: since}}})
+// list adds a change of one endpoint in the gateway's list.
+func (b *captureBuilder) list(at float64, addr, state string, since float64) *captureBuilder {
+	return b.add(at, &api.Listing{Edge: "edge", Entries: []*api.Entry{{Id: addr, Addr: addr, State: state, Since: since}}})
 }
 
-// message adds a request, or a response if code is set, of call c on leg b, which is the branch and the Call-ID.
-func (t *captureBuilder) message(at float64, from, to, method string, code int, c, b string) *captureBuilder {
+// message adds a request, or a response if code is set, of a call on a leg. The leg is used as branch and Call-ID, the
+// call as session ID.
+func (b *captureBuilder) message(at float64, from, to, method string, code int, call, leg string) *captureBuilder {
 	start := method + " sip:1@x SIP/2.0"
 	tag := ""
 	if code > 0 {
 		start, tag = fmt.Sprintf("SIP/2.0 %d X", code), fmt.Sprintf(";tag=t%d", code)
 	}
-	m := start + "\r\nVia: SIP/2.0/UDP 127.0.0.9:1;branch=z9hG4bK" + b + "\r\nFrom: <sip:a@b>;tag=f" + b +
+	text := start + "\r\nVia: SIP/2.0/UDP 127.0.0.9:1;branch=z9hG4bK" + leg + "\r\nFrom: <sip:a@b>;tag=f" + leg +
 		"\r\nTo: <sip:1@x>" + tag +
-		"\r\nCall-ID: " + b + "\r\nCSeq: 1 " + method + "\r\nSession-ID: " + strings.Repeat(c, 32) +
+		"\r\nCall-ID: " + leg + "\r\nCSeq: 1 " + method + "\r\nSession-ID: " + strings.Repeat(call, 32) +
 		"\r\nExpires: 9\r\nContent-Length: 0\r\n\r\n"
-	return t.add(at, &api.Datagram{From: from, To: to, Data: []byte(m)})
+	return b.add(at, &api.Datagram{From: from, To: to, Data: []byte(text)})
 }
 
-func (t *captureBuilder) call(at float64, c string) *captureBuilder {
-	return t.message(at, callerAddr, gatewayAddr, "INVITE", 0, c, "in"+c)
+// call adds the caller's INVITE.
+func (b *captureBuilder) call(at float64, call string) *captureBuilder {
+	return b.message(at, callerAddr, gatewayAddr, "INVITE", 0, call, "in"+call)
 }
-func (t *captureBuilder) final(at float64, code int, c string) *captureBuilder {
-	return t.message(at, gatewayAddr, callerAddr, "INVITE", code, c, "in"+c)
+
+// final adds a response of the gateway to the caller.
+func (b *captureBuilder) final(at float64, code int, call string) *captureBuilder {
+	return b.message(at, gatewayAddr, callerAddr, "INVITE", code, call, "in"+call)
 }
-func (t *captureBuilder) setup(at float64, to, c, b string) *captureBuilder {
-	return t.message(at, gatewayAddr, to, "INVITE", 0, c, b)
+
+// setup adds the gateway's INVITE to a switch.
+func (b *captureBuilder) setup(at float64, to, call, leg string) *captureBuilder {
+	return b.message(at, gatewayAddr, to, "INVITE", 0, call, leg)
 }
-func (t *captureBuilder) reply(at float64, code int, c, b string) *captureBuilder {
-	return t.message(at, firstAddr, gatewayAddr, "INVITE", code, c, b)
+
+// reply adds a response of the first switch to the gateway.
+func (b *captureBuilder) reply(at float64, code int, call, leg string) *captureBuilder {
+	return b.message(at, firstAddr, gatewayAddr, "INVITE", code, call, leg)
 }
 
 // slowStartLoad starts the first switch and sends it 30 setups, the first one at a time from and each a gap after
 // the one before. The gateway is told of the start at informedAt.
-func (t *captureBuilder) slowStartLoad(informedAt float64, from, gap float64) *captureBuilder {
-	t.add(
+func (b *captureBuilder) slowStartLoad(informedAt float64, from, gap float64) *captureBuilder {
+	b.add(
 		1000,
 		&api.Mark{What: "start", Who: "one", Start: &api.Start{ColdShare: 0.5, WarmMs: 10000, SetupMs: 50, RepeatMs: 10}},
 	)
 	if informedAt < from {
-		t.list(informedAt, firstAddr, "ready", 1000)
+		b.list(informedAt, firstAddr, "ready", 1000)
 	}
 	for i := 0; i < 30; i++ {
-		c, at := string(rune('a'+i%26))+fmt.Sprint(i/26), from+float64(i)*gap
-		t.call(at, c).setup(at, firstAddr, c, "r"+c).reply(at+1, 486, c, "r"+c).final(at+2, 503, c)
+		call, at := string(rune('a'+i%26))+fmt.Sprint(i/26), from+float64(i)*gap
+		b.call(at, call).setup(at, firstAddr, call, "r"+call).reply(at+1, 486, call, "r"+call).final(at+2, 503, call)
 	}
 	if informedAt >= from {
-		t.list(informedAt, firstAddr, "ready", 1000)
+		b.list(informedAt, firstAddr, "ready", 1000)
 	}
-	return t
+	return b
 }
 
 // TestHandMadeCaptures checks captures that break a rule, and captures that only just keep it.
 func TestHandMadeCaptures(t *testing.T) {
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name    string
 		capture *captureBuilder
-		rule    int // 0: all rules are kept
+		rule    int // that is broken; 0 if all rules are kept
 	}{
 		{"an established call", newCapture().call(1, "a").setup(2, firstAddr, "a", "r").reply(9, 200, "a", "r").
 			final(10, 200, "a").final(400, 200, "a"), 0},
@@ -151,18 +160,18 @@
 			message(5, gatewayAddr, firstAddr, "BYE", 0, "a", "r").setup(400, secondAddr, "a", "s").final(900, 503, "a"),
 			5},
 	} {
-		k := New()
-		for _, r := range x.capture.records {
-			k.Add(r)
+		checker := New()
+		for _, record := range test.capture.records {
+			checker.Add(record)
 		}
-		k.Finish()
-		switch v := k.Verdicts(); {
-		case x.rule == 0 && len(k.Findings) > 0:
-			t.Errorf("%s: %v", x.name, k.Findings[0])
-		case x.rule > 0 && v[x.rule] == 0:
-			t.Errorf("%s: no finding for rule %d", x.name, x.rule)
-		case x.rule > 0 && v[x.rule] != len(k.Findings):
-			t.Errorf("%s: %v", x.name, k.Findings)
+		checker.Finish()
+		switch verdicts := checker.Verdicts(); {
+		case test.rule == 0 && len(checker.Findings) > 0:
+			t.Errorf("%s: finding %v, want none", test.name, checker.Findings[0])
+		case test.rule > 0 && verdicts[test.rule] == 0:
+			t.Errorf("%s: no finding for rule %d, want one", test.name, test.rule)
+		case test.rule > 0 && verdicts[test.rule] != len(checker.Findings):
+			t.Errorf("%s: findings %v, want only some for rule %d", test.name, checker.Findings, test.rule)
 		}
 	}
 }
--- a/internal/conformance/slowstart.go
+++ b/internal/conformance/slowstart.go
@@ -6,11 +6,11 @@
 	"cobaltpier/api"
 )
 
-// Cold is the part of a slow-starting switch's budget that was used in the window that ended at At.
+// Cold is the fraction of a slow-starting switch's budget that was used in the window that ended at At.
 type Cold struct {
 	At     float64
 	Switch string
-	Used   float64 // 1: the limit
+	Used   float64 // 1 is the limit
 }
 
 // endpointStart is one start of a switch and the work sent to it since.
@@ -22,10 +22,10 @@
 	end      float64 // when it stopped or started again
 }
 
-// send is the work of a setup or a retransmission; gatewayKnew: its gateway had been told of the start.
+// send is the work of a setup or a retransmission.
 type send struct {
 	at, work    float64
-	gatewayKnew bool
+	gatewayKnew bool // the gateway had been told of the start
 }
 
 // recordSlowStartWork records the work of a setup, or of its retransmission, that is sent to a switch in slow start.
@@ -46,7 +46,7 @@
 	s.sends = append(s.sends, send{at, work, entry != nil && entry.startedAt > 0 && entry.startedAt >= s.at-1000})
 }
 
-// orInf is a time, or infinity if the time is not set.
+// orInf returns a time, or infinity if the time is 0, that is not set.
 func orInf(at float64) float64 {
 	if at == 0 {
 		return math.Inf(1)
--- a/internal/conformance/tables.go
+++ b/internal/conformance/tables.go
@@ -41,7 +41,7 @@
 	current    uint64             // the latest one that it confirmed
 	knownSince map[uint64]float64 // when a table was first sent to it, or was in force at its start
 	stalled    bool
-	unread     []string        // calls that arrived during the stall
+	unread     []string        // IDs of the calls that arrived during the stall
 	pending    []uint64        // sent and not confirmed
 	replaced   []replacedTable // tables that were, or may have been, in force
 }
@@ -80,6 +80,7 @@
 	}
 }
 
+// tablesOf returns the tables of a gateway, which it adds when the gateway is first mentioned.
 func (k *Tables) tablesOf(gateway string) *gatewayTables {
 	if k.gateways[gateway] == nil {
 		k.gateways[gateway] = &gatewayTables{knownSince: map[uint64]float64{}}
@@ -87,11 +88,12 @@
 	return k.gateways[gateway]
 }
 
+// onMark handles the delivery or confirmation of a table, and the stalls and kills of gateways.
 func (k *Tables) onMark(at float64, m *api.Mark) {
-	f := k.tablesOf(m.Who)
+	tables := k.tablesOf(m.Who)
 	version, err := strconv.ParseUint(m.Text, 10, 64)
-	if _, known := f.knownSince[version]; !known && err == nil {
-		f.knownSince[version] = at
+	if _, known := tables.knownSince[version]; !known && err == nil {
+		tables.knownSince[version] = at
 	}
 	switch {
 	case m.What == "edge-kill": // its calls are lost; a retransmission is a new call to the next process
@@ -102,32 +104,32 @@
 			}
 		}
 	case m.What == "edge-stop":
-		f.stalled = true
+		tables.stalled = true
 	case m.What == "edge-go":
-		for _, id := range f.unread {
+		for _, id := range tables.unread {
 			if a, known := k.arrivals[id]; known { // false if the process was killed while it stalled
 				a.readBy = at + readLag
 				k.arrivals[id] = a
 			}
 		}
-		f.stalled, f.unread = false, nil
+		tables.stalled, tables.unread = false, nil
 	case m.What == "table-sent" && err == nil:
-		f.pending = append(f.pending, version)
+		tables.pending = append(tables.pending, version)
 		k.versionByMark[k.Mark(version)] = version
 	case m.What == "table-in" && err == nil:
 		k.versionByMark[k.Mark(version)] = version
-		if f.current != 0 {
-			f.replaced = append(f.replaced, replacedTable{f.current, at})
+		if tables.current != 0 {
+			tables.replaced = append(tables.replaced, replacedTable{tables.current, at})
 		}
-		for len(f.pending) > 0 && f.pending[0] <= version {
-			if f.pending[0] != version { // it may have been in force in between
-				f.replaced = append(f.replaced, replacedTable{f.pending[0], at})
+		for len(tables.pending) > 0 && tables.pending[0] <= version {
+			if tables.pending[0] != version { // it may have been in force in between
+				tables.replaced = append(tables.replaced, replacedTable{tables.pending[0], at})
 			}
-			f.pending = f.pending[1:]
+			tables.pending = tables.pending[1:]
 		}
-		f.current = version
-		if n := len(f.replaced); n > 64 {
-			f.replaced = f.replaced[n-64:]
+		tables.current = version
+		if n := len(tables.replaced); n > 64 {
+			tables.replaced = tables.replaced[n-64:]
 		}
 	}
 }
@@ -135,21 +137,21 @@
 // readLag is the time, ms, that a gateway may need after a stall to read what arrived during it.
 const readLag = 250
 
-// mayBeInForce tells whether a table may have been in force at a gateway when a call arrived or was read.
-func (k *Tables) mayBeInForce(f *gatewayTables, version uint64, arrived arrival) bool {
-	if arrived.readBy+k.Blur < f.knownSince[version] {
+// mayBeInForce reports whether a table may have been in force at a gateway when a call arrived or was read.
+func (k *Tables) mayBeInForce(tables *gatewayTables, version uint64, arrived arrival) bool {
+	if arrived.readBy+k.Blur < tables.knownSince[version] {
 		return false
 	}
-	if version == f.current {
+	if version == tables.current {
 		return true
 	}
-	for _, sent := range f.pending {
+	for _, sent := range tables.pending {
 		if sent == version {
 			return true
 		}
 	}
-	for _, p := range f.replaced {
-		if p.version == version && arrived.at <= p.until+k.Blur {
+	for _, previous := range tables.replaced {
+		if previous.version == version && arrived.at <= previous.until+k.Blur {
 			return true
 		}
 	}
@@ -178,6 +180,7 @@
 	}
 }
 
+// onInvite records the arrival of a call, or checks the mark of its setup at a switch.
 func (k *Tables) onInvite(at float64, d *api.Datagram) {
 	from, to := k.nodes[d.From], k.nodes[d.To]
 	if from == nil || to == nil {
@@ -237,7 +240,7 @@
 	}
 }
 
-// markOf is the mark of a number in a request URI's user part: the first digits of the routing number if there is
+// markOf returns the mark of a number in a request URI's user part: the first digits of the routing number if there is
 // one, else of the number.
 func markOf(user string) string {
 	number, params, _ := strings.Cut(user, ";")
--- a/internal/conformance/tables_test.go
+++ b/internal/conformance/tables_test.go
@@ -32,9 +32,9 @@
 	}
 	caller := func(at float64, session string) *api.Record { return invite(at, "c:1", "e:1", "+1418", session) }
 	setup := func(at float64, user, session string) *api.Record { return invite(at, "e:1", "s:1", user, session) }
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		records []*api.Record
-		want    string
+		want    string // part of the findings; empty if there are none
 	}{
 		"the table in force": {[]*api.Record{event(0, "table-in", 1), caller(1, "a"),
 			setup(2, "+10011418;npdi", "a")}, ""},
@@ -59,27 +59,27 @@
 		"no mark": {[]*api.Record{event(0, "table-in", 1), caller(1, "a"), setup(2, "+1418", "a")},
 			"no table has mark"},
 	} {
-		k := NewTables(mark)
-		for _, r := range append([]*api.Record{node("c:1", "caller", "c"), node("e:1", "edge", "e"), node("s:1", "switch",
-			"s")}, c.records...) {
-			k.Add(r)
+		checker := NewTables(mark)
+		for _, record := range append([]*api.Record{node("c:1", "caller", "c"), node("e:1", "edge", "e"),
+			node("s:1", "switch", "s")}, test.records...) {
+			checker.Add(record)
 		}
-		got := strings.Join(k.Findings, "; ")
-		if c.want == "" {
-			if k.Record(
+		got := strings.Join(checker.Findings, "; ")
+		if test.want == "" {
+			if checker.Record(
 				"e",
 				strings.Repeat("a", 32),
-				k.versionByMark[k.markByCall["e "+strings.Repeat("a", 32)]],
-			); len(k.Findings) != 0 ||
-				k.Records != 1 {
-				t.Errorf("%s: %v, %d records", name, k.Findings, k.Records)
+				checker.versionByMark[checker.markByCall["e "+strings.Repeat("a", 32)]],
+			); len(checker.Findings) != 0 ||
+				checker.Records != 1 {
+				t.Errorf("%s: findings %v, want none; %d call records compared, want 1", name, checker.Findings, checker.Records)
 			}
-			if k.Record("e", strings.Repeat("a", 32), 99); len(k.Findings) != 1 {
-				t.Errorf("%s: no finding for a call record that names another table", name)
+			if checker.Record("e", strings.Repeat("a", 32), 99); len(checker.Findings) != 1 {
+				t.Errorf("%s: no finding for a call record that names another table, want one", name)
 			}
 		}
-		if (got == "") != (c.want == "") || !strings.Contains(got, c.want) || k.Calls != 1 {
-			t.Errorf("%s: %q, want %q; %d calls", name, got, c.want, k.Calls)
+		if (got == "") != (test.want == "") || !strings.Contains(got, test.want) || checker.Calls != 1 {
+			t.Errorf("%s: findings %q, want one containing %q; %d calls, want 1", name, got, test.want, checker.Calls)
 		}
 	}
 }
