--- a/internal/gateway/binaryserver/server.go
+++ b/internal/gateway/binaryserver/server.go
@@ -178,7 +178,7 @@
 
 // runBatch runs all work that is due: discovery queries, reloads, the shutdown, timers and metrics.
 func (s *Server) runBatch(now float64) {
-	if query := s.discovery.Query(now); query != nil {
+	if query := s.discovery.MakeQuery(now); query != nil {
 		s.datagrams.Send(s.queryAddr, s.discovery.Server, query)
 	}
 	if s.reloadAttemptsLeft > 0 && now >= s.nextReloadAt {
@@ -195,7 +195,7 @@
 
 // waitForEvents waits for an event, a signal or the next timer. It returns false when ctx is done.
 func (s *Server) waitForEvents(ctx context.Context, signals <-chan Signal, timer *time.Timer) bool {
-	wait := math.Min(math.Min(s.gateway.NextWakeup(), s.discovery.NextQuery())-s.now(), maxWait)
+	wait := math.Min(math.Min(s.gateway.NextWakeup(), s.discovery.NextQueryAt())-s.now(), maxWait)
 	if s.stage != shutdown.Serving {
 		wait = math.Min(wait, maxShutdownWait)
 	}
--- a/internal/protocol/dnsdiscovery/client.go
+++ b/internal/protocol/dnsdiscovery/client.go
@@ -45,11 +45,11 @@
 
 // Counts holds the counters of a Client since it was created.
 type Counts struct {
-	Queries     uint64 `json:"queries"`
-	Responses   uint64 `json:"responses"`   // valid responses
-	Unsolicited uint64 `json:"unsolicited"` // responses that match no query of this client
-	Invalid     uint64 `json:"invalid"`     // responses that could not be decoded or used
-	Outdated    uint64 `json:"outdated"`    // responses with an older list
+	Queries        uint64 `json:"queries"`
+	ValidResponses uint64 `json:"responses"`
+	Unsolicited    uint64 `json:"unsolicited"` // responses that match no query of this client
+	Invalid        uint64 `json:"invalid"`     // responses that could not be decoded or used
+	Outdated       uint64 `json:"outdated"`    // responses with an older list
 }
 
 // Client polls one name server.
@@ -75,11 +75,11 @@
 	c.Server, c.recentIDs, c.nextQueryAt = server, nil, 0
 }
 
-// NextQuery returns the time at which the next query is due, in ms.
-func (c *Client) NextQuery() float64 { return c.nextQueryAt }
+// NextQueryAt returns the time at which the next query is due, in ms.
+func (c *Client) NextQueryAt() float64 { return c.nextQueryAt }
 
-// Query returns the next query to send. It returns nil if none is due.
-func (c *Client) Query(now float64) []byte {
+// MakeQuery returns the next query to send. It returns nil if none is due.
+func (c *Client) MakeQuery(now float64) []byte {
 	if now < c.nextQueryAt {
 		return nil
 	}
@@ -118,7 +118,7 @@
 	case err != nil:
 		c.Counts.Invalid++
 	default:
-		c.Counts.Responses++
+		c.Counts.ValidResponses++
 		if list != nil {
 			c.serial = list.Serial
 		}
--- a/internal/protocol/dnsdiscovery/client_test.go
+++ b/internal/protocol/dnsdiscovery/client_test.go
@@ -51,7 +51,7 @@
 // TestList checks the list read from a valid response, and that the same list again is not reported.
 func TestList(t *testing.T) {
 	c := New(server, 4, 1)
-	list, err := c.HandleResponse(server, packResponse(t, c.Query(0), 5, nil))
+	list, err := c.HandleResponse(server, packResponse(t, c.MakeQuery(0), 5, nil))
 	if err != nil || list == nil || list.Serial != 5 || !list.Complete || len(list.Targets) != 2 {
 		t.Fatalf("got list %+v, error %v; want a complete list of 2 endpoints with serial 5", list, err)
 	}
@@ -63,7 +63,7 @@
 	if b.State != routing.Draining {
 		t.Errorf("second endpoint %+v, want it draining", b)
 	}
-	if list, err = c.HandleResponse(server, packResponse(t, c.Query(300), 5, nil)); list != nil || err != nil {
+	if list, err = c.HandleResponse(server, packResponse(t, c.MakeQuery(300), 5, nil)); list != nil || err != nil {
 		t.Errorf("the same list again: got %v, error %v; want neither", list, err)
 	}
 }
@@ -74,7 +74,7 @@
 	now := 0.0
 	nextQuery := func() []byte {
 		now += queryInterval
-		return c.Query(now)
+		return c.MakeQuery(now)
 	}
 	response := packResponse(t, nextQuery(), 5, nil)
 	for name, data := range map[string][]byte{
@@ -107,10 +107,10 @@
 // query is not.
 func TestLateResponses(t *testing.T) {
 	c := New(server, 4, 1)
-	oldQuery := c.Query(0)
-	lateQuery := c.Query(queryInterval)
+	oldQuery := c.MakeQuery(0)
+	lateQuery := c.MakeQuery(queryInterval)
 	for i := range maxRecentQueries - 1 {
-		if c.Query(queryInterval*float64(2+i)) == nil {
+		if c.MakeQuery(queryInterval*float64(2+i)) == nil {
 			t.Fatal("no query is due")
 		}
 	}
@@ -120,7 +120,7 @@
 	if list, err := c.HandleResponse(server, packResponse(t, lateQuery, 5, nil)); list == nil {
 		t.Errorf("response to the oldest of the recent queries: error %v, want a list", err)
 	}
-	if c.Query(c.NextQuery()-1) != nil {
+	if c.MakeQuery(c.NextQueryAt()-1) != nil {
 		t.Error("got a query before it is due")
 	}
 }
@@ -129,7 +129,7 @@
 // that a list older than the latest one is still ignored.
 func TestSetServer(t *testing.T) {
 	c := New(server, 4, 1)
-	query := c.Query(0)
+	query := c.MakeQuery(0)
 	newServer := netip.MustParseAddrPort("127.0.2.2:5353")
 	c.SetServer(newServer)
 	if list, _ := c.HandleResponse(server, packResponse(t, query, 9, nil)); list != nil {
@@ -138,7 +138,7 @@
 	if list, _ := c.HandleResponse(newServer, packResponse(t, query, 9, nil)); list != nil {
 		t.Error("a response of the new server to a query to the previous one was used")
 	}
-	query = c.Query(1)
+	query = c.MakeQuery(1)
 	if query == nil {
 		t.Fatal("the new server is not queried at once")
 	}
@@ -155,13 +155,13 @@
 func FuzzAnswer(f *testing.F) {
 	c := New(server, 0, 1)
 	m := &dns.Msg{}
-	_ = m.Unpack(c.Query(0))
+	_ = m.Unpack(c.MakeQuery(0))
 	m.Response = true
 	b, _ := m.Pack()
 	f.Add(b)
 	f.Fuzz(func(t *testing.T, b []byte) {
 		c := New(server, 0, 1)
-		c.Query(0)
+		c.MakeQuery(0)
 		if list, err := c.HandleResponse(server, b); list != nil && err != nil {
 			t.Error("got a list and an error")
 		}
