--- a/internal/decision/numberplan/compile.go
+++ b/internal/decision/numberplan/compile.go
@@ -15,42 +15,42 @@
 	"cobaltpier/internal/decision/prefixtrie"
 )
 
-// maxFaults is how many faults of a table are reported; any more are only counted.
-const maxFaults = 50
+// maxErrors is how many errors of a table are listed; further ones are only counted.
+const maxErrors = 50
 
-// Compile compiles a table from its compact form. The error lists all faults of the table.
-func Compile(form *api.NumberTable) (*Table, error) {
-	var faults []string
+// Compile compiles a table from its source message. The error lists what is wrong anywhere in the table.
+func Compile(source *api.NumberTable) (*Table, error) {
+	var messages []string
 	count := 0
-	t := compile(form, func(part proto.Message, key, format string, args ...any) {
-		if count++; count <= maxFaults {
-			faults = append(faults, positionOf(form, part)+fmt.Sprintf(format, args...))
+	t := compile(source, func(message proto.Message, key, format string, args ...any) {
+		if count++; count <= maxErrors {
+			messages = append(messages, positionOf(source, message)+fmt.Sprintf(format, args...))
 		}
 	})
-	if count > maxFaults {
-		faults = append(faults, fmt.Sprintf("and %d more", count-maxFaults))
+	if count > maxErrors {
+		messages = append(messages, fmt.Sprintf("and %d more", count-maxErrors))
 	}
 	if count > 0 {
-		return nil, fmt.Errorf("number table: %s", strings.Join(faults, "\n  "))
+		return nil, fmt.Errorf("number table: %s", strings.Join(messages, "\n  "))
 	}
 	return t, nil
 }
 
-// positionOf returns the position of a part in its table, as a prefix for messages.
-func positionOf(form *api.NumberTable, part proto.Message) string {
-	switch part := part.(type) {
+// positionOf returns the position of a message in its table, as a prefix for error texts.
+func positionOf(source *api.NumberTable, message proto.Message) string {
+	switch message := message.(type) {
 	case *api.NumberDays:
-		return fmt.Sprintf("days %q: ", part.Name)
+		return fmt.Sprintf("days %q: ", message.Name)
 	case *api.NumberPeriod:
-		return fmt.Sprintf("period %q: ", part.Name)
+		return fmt.Sprintf("period %q: ", message.Name)
 	case *api.NumberRoute:
-		return fmt.Sprintf("route %q: ", part.Name)
+		return fmt.Sprintf("route %q: ", message.Name)
 	case *api.NumberPlan:
-		return fmt.Sprintf("plan %q: ", part.Name)
+		return fmt.Sprintf("plan %q: ", message.Name)
 	}
-	for _, p := range form.Plans {
+	for _, p := range source.Plans {
 		for i, r := range p.Rules {
-			if proto.Message(r) == part || r.Then != nil && containsPart(r.Then, part) {
+			if proto.Message(r) == message || r.Then != nil && containsMessage(r.Then, message) {
 				if r.Where != "" {
 					return r.Where + ": "
 				}
@@ -61,21 +61,22 @@
 	return ""
 }
 
-func containsPart(a *api.NumberAction, part proto.Message) bool {
+// containsMessage reports whether a message is an action or one of the actions of its look-up.
+func containsMessage(a *api.NumberAction, message proto.Message) bool {
 	if q := a.GetAsk(); q != nil {
 		for _, e := range []*api.NumberAction{q.Ported, q.Same, q.Silent} {
-			if e != nil && containsPart(e, part) {
+			if e != nil && containsMessage(e, message) {
 				return true
 			}
 		}
 	}
-	return proto.Message(a) == part
+	return proto.Message(a) == message
 }
 
-// compiler builds a table and reports faults.
+// compiler builds a table and reports errors in its source.
 type compiler struct {
 	table          *Table
-	fault          func(part proto.Message, key, format string, args ...any)
+	addError       func(message proto.Message, key, format string, args ...any)
 	periods        map[string]*Period
 	days           map[string]map[string]bool
 	zones          map[string]*time.Location
@@ -83,22 +84,24 @@
 	used           map[string]bool
 }
 
+// reference is a plan that an action continues with.
 type reference struct {
 	to     string
 	action proto.Message
 }
 
-func compile(form *api.NumberTable, fault func(part proto.Message, key, format string, args ...any)) *Table {
+// compile compiles a table and passes the errors in its source to addError, with the message and the key in question.
+func compile(source *api.NumberTable, addError func(message proto.Message, key, format string, args ...any)) *Table {
 	t := &Table{
-		Name:    form.Name,
-		Version: form.Version,
-		Country: form.Country,
+		Name:    source.Name,
+		Version: source.Version,
+		Country: source.Country,
 		plans:   map[string]*plan{},
 		routes:  map[string]*route{},
 	}
 	c := &compiler{
 		table:          t,
-		fault:          fault,
+		addError:       addError,
 		periods:        map[string]*Period{},
 		days:           map[string]map[string]bool{},
 		zones:          map[string]*time.Location{"": time.UTC},
@@ -106,41 +109,41 @@
 		used:           map[string]bool{},
 	}
 	var err error
-	if t.Sum, err = Sum(form); err != nil { // text that is not valid UTF-8
-		fault(form, "", "%v", err)
+	if t.Sum, err = Sum(source); err != nil { // text that is not valid UTF-8
+		addError(source, "", "%v", err)
 	}
 	if strings.Trim(t.Country, "0123456789") != "" {
-		fault(form, "country", "country: want digits, got %q", t.Country)
+		addError(source, "country", "country: want digits, got %q", t.Country)
 	}
-	for _, d := range form.Days {
-		c.dates(d)
+	for _, d := range source.Days {
+		c.compileDays(d)
 	}
-	for _, p := range form.Periods {
-		c.period(p)
+	for _, p := range source.Periods {
+		c.compilePeriod(p)
 	}
-	for _, r := range form.Routes {
-		c.route(r)
+	for _, r := range source.Routes {
+		c.compileRoute(r)
 	}
-	for _, p := range form.Plans {
+	for _, p := range source.Plans {
 		if t.plans[p.Name] != nil {
-			fault(p, "", "duplicate plan %q", p.Name)
+			addError(p, "", "duplicate plan %q", p.Name)
 		}
 		t.plans[p.Name] = &plan{name: p.Name}
 	}
-	for _, p := range form.Plans {
-		c.plan(p)
+	for _, p := range source.Plans {
+		c.compilePlan(p)
 	}
-	if t.entry = t.plans[form.Entry]; t.entry == nil {
-		fault(form, "entry", "entry: no plan %q", form.Entry)
+	if t.entry = t.plans[source.Entry]; t.entry == nil {
+		addError(source, "entry", "entry: no plan %q", source.Entry)
 	} else {
-		c.checkReachable(form.Plans, form.Entry)
+		c.checkReachable(source.Plans, source.Entry)
 	}
-	for _, r := range form.Routes {
+	for _, r := range source.Routes {
 		if !c.used["route "+r.Name] {
 			t.Warnings = append(t.Warnings, fmt.Sprintf("route %q is never used", r.Name))
 		}
 	}
-	for _, p := range form.Periods {
+	for _, p := range source.Periods {
 		if !c.used["period "+p.Name] {
 			t.Warnings = append(t.Warnings, fmt.Sprintf("period %q is never used", p.Name))
 		}
@@ -148,21 +151,23 @@
 	return t
 }
 
-func (c *compiler) dates(d *api.NumberDays) {
+// compileDays adds a set of dates.
+func (c *compiler) compileDays(d *api.NumberDays) {
 	if c.days[d.Name] != nil {
-		c.fault(d, "", "duplicate days %q", d.Name)
+		c.addError(d, "", "duplicate days %q", d.Name)
 	}
 	set := map[string]bool{}
 	for _, date := range d.Dates {
 		if _, err := time.Parse(time.DateOnly, date); err != nil {
-			c.fault(d, "dates", "dates: want dates such as \"2026-12-25\", got %q", date)
+			c.addError(d, "dates", "dates: want dates such as \"2026-12-25\", got %q", date)
 		}
 		set[date] = true
 	}
 	c.days[d.Name] = set
 }
 
-func (c *compiler) period(source *api.NumberPeriod) {
+// compilePeriod adds a period. Its days and zone are resolved.
+func (c *compiler) compilePeriod(source *api.NumberPeriod) {
 	p := &Period{
 		Name:    source.Name,
 		Except:  map[string]bool{},
@@ -174,20 +179,20 @@
 	if p.Zone = c.zones[source.Zone]; p.Zone == nil {
 		z, err := time.LoadLocation(source.Zone)
 		if err != nil {
-			c.fault(source, "zone", "zone: unknown time zone %q", source.Zone)
+			c.addError(source, "zone", "zone: unknown time zone %q", source.Zone)
 			z = time.UTC
 		}
 		p.Zone, c.zones[source.Zone] = z, z
 	}
 	for _, d := range source.Weekdays {
 		if d < 0 || d > 6 {
-			c.fault(source, "days", "days: want 0 to 6, got %d", d)
+			c.addError(source, "days", "days: want 0 to 6, got %d", d)
 			continue
 		}
 		p.Days[d] = true
 	}
 	if min(source.From, source.To) < 0 || max(source.From, source.To) >= 24*60 {
-		c.fault(source, "from", "from, to: want minutes of a day, got %d, %d", source.From, source.To)
+		c.addError(source, "from", "from, to: want minutes of a day, got %d, %d", source.From, source.To)
 	}
 	for _, list := range []struct {
 		key   string
@@ -196,7 +201,7 @@
 	}{{"except", source.Except, p.Except}, {"only", source.Only, p.Only}} {
 		for _, name := range list.names {
 			if c.days[name] == nil {
-				c.fault(source, list.key, "%s: no days %q", list.key, name)
+				c.addError(source, list.key, "%s: no days %q", list.key, name)
 			}
 			for d := range c.days[name] {
 				list.dates[d] = true
@@ -204,26 +209,27 @@
 		}
 	}
 	if c.periods[p.Name] != nil {
-		c.fault(source, "", "duplicate period %q", p.Name)
+		c.addError(source, "", "duplicate period %q", p.Name)
 	}
 	c.periods[p.Name] = p
 }
 
-func (c *compiler) route(source *api.NumberRoute) {
+// compileRoute adds a route with its weighted trunk groups.
+func (c *compiler) compileRoute(source *api.NumberRoute) {
 	r := &route{name: source.Name, skill: source.Skill, customer: source.Customer}
 	for _, g := range source.Choices {
 		if !(g.Weight >= 0 && g.Weight <= 1e9) {
-			c.fault(source, "", "group %q: want a weight from 0 to 1e9, got %v", g.Group, g.Weight)
+			c.addError(source, "", "group %q: want a weight from 0 to 1e9, got %v", g.Group, g.Weight)
 			continue
 		}
 		r.choices = append(r.choices, choice{g.Group, g.Weight})
 		r.total += g.Weight
 	}
 	if len(r.choices) == 0 || r.total <= 0 {
-		c.fault(source, "", "route %q: want at least one group \"NAME\" { weight = ... } with a weight above 0", source.Name)
+		c.addError(source, "", "route %q: want at least one group \"NAME\" { weight = ... } with a weight above 0", source.Name)
 	}
 	if c.table.routes[source.Name] != nil {
-		c.fault(source, "", "duplicate route %q", source.Name)
+		c.addError(source, "", "duplicate route %q", source.Name)
 	}
 	c.table.routes[source.Name] = r
 }
@@ -241,13 +247,14 @@
 	ruleIndex int
 }
 
-func (c *compiler) plan(source *api.NumberPlan) {
+// compilePlan compiles the rules of a plan and builds its trie of prefixes.
+func (c *compiler) compilePlan(source *api.NumberPlan) {
 	p := c.table.plans[source.Name]
 	var compiled []compiledRule
 	var ranges []numberRange
 	total := 0
 	for _, ruleSource := range source.Rules {
-		r, span, ok := c.rule(source.Name, ruleSource)
+		r, span, ok := c.compileRule(source.Name, ruleSource)
 		if !ok {
 			continue
 		}
@@ -262,40 +269,40 @@
 	c.table.size += total
 	trie, err := prefixtrie.New(c.assignRuleSets(p, compiled, sortedEntries(compiled, total)))
 	if err != nil {
-		c.fault(source, "", "plan %q: %v", p.name, err)
+		c.addError(source, "", "plan %q: %v", p.name, err)
 		return
 	}
 	p.trie = trie
 }
 
 // rule compiles one rule of a plan. It returns false if the rule can't be used.
-func (c *compiler) rule(plan string, source *api.NumberRule) (compiledRule, numberRange, bool) {
+func (c *compiler) compileRule(plan string, source *api.NumberRule) (compiledRule, numberRange, bool) {
 	if source.Then == nil {
-		c.fault(source, "", "a rule without an action")
+		c.addError(source, "", "a rule without an action")
 		return compiledRule{}, numberRange{}, false
 	}
 	r := &rule{strip: int(source.Strip), add: source.Add, position: source.Where}
 	if strings.Trim(source.Add, "0123456789") != "" || len(source.Add) > maxDigits {
-		c.fault(source, "add", "add: want %d digits at most, got %q", maxDigits, source.Add)
+		c.addError(source, "add", "add: want %d digits at most, got %q", maxDigits, source.Add)
 	}
 	if source.Strip < 0 || source.Strip > maxDigits {
-		c.fault(source, "strip", "strip: want 0 to %d, got %d", maxDigits, source.Strip)
+		c.addError(source, "strip", "strip: want 0 to %d, got %d", maxDigits, source.Strip)
 		r.strip = 0
 	}
 	if source.When != "" {
 		c.used["period "+source.When] = true
 		if r.when = c.periods[source.When]; r.when == nil {
-			c.fault(source, "when", "when: no period %q", source.When)
+			c.addError(source, "when", "when: no period %q", source.When)
 		}
 	}
 	r.then = c.action(plan, source.Then, 0)
 	prefixes, span, err := expandPrefixes(source)
 	if err != nil {
-		c.fault(source, "", "%v", err)
+		c.addError(source, "", "%v", err)
 		return compiledRule{}, numberRange{}, false
 	}
 	if prefix := prefixes[0]; r.strip > len(prefix) && len(prefixes) == 1 && prefix != "" {
-		c.fault(source, "strip", "strip: %d digits are more than the prefix %q has", r.strip, prefix)
+		c.addError(source, "strip", "strip: %d digits are more than the prefix %q has", r.strip, prefix)
 	}
 	return compiledRule{source, r, prefixes}, span, true
 }
@@ -324,7 +331,7 @@
 		for j < len(entries) && entries[j].prefix == entries[i].prefix {
 			before, unreachable := compiled[entries[j-1].ruleIndex], compiled[entries[j].ruleIndex].source
 			if before.rule.when == nil {
-				c.fault(unreachable, "", "rule %q is never reached: the rule%s of the same prefix %s always holds",
+				c.addError(unreachable, "", "rule %q is never reached: the rule%s of the same prefix %s always holds",
 					unreachable.Prefix, positionSuffix(before.source), entries[j].prefix)
 			}
 			j++
@@ -347,6 +354,7 @@
 	return prefixes
 }
 
+// positionSuffix returns the position of a rule, if it is known, for the end of a phrase.
 func positionSuffix(r *api.NumberRule) string {
 	if r.Where == "" {
 		return ""
@@ -373,7 +381,7 @@
 		}
 		if n := len(enclosing); n > 0 && enclosing[n-1].to < b.to {
 			a := enclosing[n-1]
-			c.fault(b.rule, "", "range %s-%s overlaps %s-%s%s in part", b.from, b.to, a.from, a.to, positionSuffix(a.rule))
+			c.addError(b.rule, "", "range %s-%s overlaps %s-%s%s in part", b.from, b.to, a.from, a.to, positionSuffix(a.rule))
 		}
 		enclosing = append(enclosing, b)
 	}
@@ -406,28 +414,28 @@
 	switch do := source.Do.(type) {
 	case *api.NumberAction_Plan:
 		if a.plan = c.table.plans[do.Plan]; a.plan == nil {
-			c.fault(source, "plan", "plan: no plan %q", do.Plan)
+			c.addError(source, "plan", "plan: no plan %q", do.Plan)
 		}
 		c.planReferences[planName] = append(c.planReferences[planName], reference{do.Plan, source})
 	case *api.NumberAction_Route:
 		c.used["route "+do.Route] = true
 		if a.route = c.table.routes[do.Route]; a.route == nil {
-			c.fault(source, "route", "route: no route %q", do.Route)
+			c.addError(source, "route", "route: no route %q", do.Route)
 		}
 	case *api.NumberAction_Refuse:
 		a.refuse = &Refusal{int(do.Refuse.GetCode()), do.Refuse.GetWhy()}
 		if a.refuse.Code < 400 || a.refuse.Code > 699 {
-			c.fault(source, "code", "code: want 400 to 699, got %d", a.refuse.Code)
+			c.addError(source, "code", "code: want 400 to 699, got %d", a.refuse.Code)
 		}
 	case *api.NumberAction_Ask:
 		q := do.Ask
 		switch {
 		case depth > 0:
-			c.fault(source, "", "portability: not allowed in the result of another portability look-up")
+			c.addError(source, "", "portability: not allowed in the result of another portability look-up")
 		case !(q.GetWithinMs() >= 1 && q.GetWithinMs() <= 60000):
-			c.fault(source, "", "portability: within: want 1 to 60000 ms, got %v", q.GetWithinMs())
+			c.addError(source, "", "portability: within: want 1 to 60000 ms, got %v", q.GetWithinMs())
 		case q.Ported == nil || q.Same == nil || q.Silent == nil:
-			c.fault(source, "", "portability: want ported, same and silent")
+			c.addError(source, "", "portability: want ported, same and silent")
 		default:
 			a.lookup = &lookup{
 				timeout:   time.Duration(math.Round(q.WithinMs * 1e6)),
@@ -437,7 +445,7 @@
 			}
 		}
 	default:
-		c.fault(source, "", "a rule without an action")
+		c.addError(source, "", "a rule without an action")
 	}
 	return a
 }
@@ -453,13 +461,13 @@
 	visit = func(name string, path []string) {
 		state[name] = open
 		if len(path) == maxSteps/2 {
-			c.fault(c.planReferences[path[len(path)-1]][0].action, "plan", "plan: a chain of %d plans is too long", len(path)+1)
+			c.addError(c.planReferences[path[len(path)-1]][0].action, "plan", "plan: a chain of %d plans is too long", len(path)+1)
 			return
 		}
 		for _, ref := range c.planReferences[name] {
 			switch {
 			case state[ref.to] == open:
-				c.fault(ref.action, "plan", "loop: %s leads back to %s", strings.Join(append(path, name), " to "), ref.to)
+				c.addError(ref.action, "plan", "loop: %s leads back to %s", strings.Join(append(path, name), " to "), ref.to)
 			case state[ref.to] == 0 && c.table.plans[ref.to] != nil:
 				visit(ref.to, append(path, name))
 			}
@@ -469,7 +477,7 @@
 	visit(entry, nil)
 	for _, p := range plans {
 		if state[p.Name] == 0 {
-			c.fault(p, "", "plan %q is never reached from %q", p.Name, entry)
+			c.addError(p, "", "plan %q is never reached from %q", p.Name, entry)
 		}
 	}
 }
