--- a/internal/protocol/binarygateway/call.go
+++ b/internal/protocol/binarygateway/call.go
@@ -23,7 +23,7 @@
 	// of an established call
 	upstream     *upstream
 	attempt      *routing.Attempt
-	upstreamConn *Conn // nil: closed
+	upstreamConn *Conn // nil if closed
 }
 
 // HasAttempt implements callcontrol.SignalingLeg.
--- a/internal/protocol/binarygateway/outboundleg.go
+++ b/internal/protocol/binarygateway/outboundleg.go
@@ -13,9 +13,9 @@
 // outboundLeg is the setup of one attempt, waiting to be sent to an endpoint or in flight there.
 type outboundLeg struct {
 	call     *call
-	attempt  *routing.Attempt // nil: its end has been reported
+	attempt  *routing.Attempt // nil once its end has been reported
 	upstream *upstream
-	conn     *Conn // nil: it waits for a connection
+	conn     *Conn // nil while it waits for a connection
 	timeout  *timerqueue.Timer
 	sent     bool // its setup was handed to the driver
 	ended    bool // its end has been reported, or is about to be
--- a/internal/protocol/binarygateway/setup.go
+++ b/internal/protocol/binarygateway/setup.go
@@ -27,7 +27,7 @@
 type setupRequest struct {
 	class         string
 	calledNumber  string
-	timeout       float64 // ms; NaN: missing or invalid
+	timeout       float64 // ms; NaN if missing or invalid
 	destinationID int     // -1 if there is none
 	repeated      bool    // the call was cut, and its client sets it up again
 	resumeAt      string  // ID of the endpoint where the call is already established; empty for a new call
