--- a/internal/decision/numberplan/compile.go
+++ b/internal/decision/numberplan/compile.go
@@ -226,7 +226,12 @@
 		r.total += g.Weight
 	}
 	if len(r.choices) == 0 || r.total <= 0 {
-		c.addError(source, "", "route %q: want at least one group \"NAME\" { weight = ... } with a weight above 0", source.Name)
+		c.addError(
+			source,
+			"",
+			"route %q: want at least one group \"NAME\" { weight = ... } with a weight above 0",
+			source.Name,
+		)
 	}
 	if c.table.routes[source.Name] != nil {
 		c.addError(source, "", "duplicate route %q", source.Name)
@@ -461,7 +466,12 @@
 	visit = func(name string, path []string) {
 		state[name] = open
 		if len(path) == maxSteps/2 {
-			c.addError(c.planReferences[path[len(path)-1]][0].action, "plan", "plan: a chain of %d plans is too long", len(path)+1)
+			c.addError(
+				c.planReferences[path[len(path)-1]][0].action,
+				"plan",
+				"plan: a chain of %d plans is too long",
+				len(path)+1,
+			)
 			return
 		}
 		for _, ref := range c.planReferences[name] {
