--- a/internal/protocol/binarygateway/outboundleg.go
+++ b/internal/protocol/binarygateway/outboundleg.go
@@ -13,9 +13,9 @@
 // outboundLeg is the setup of one attempt, waiting to be sent to an endpoint or in flight there.
 type outboundLeg struct {
 	call     *call
-	attempt  *routing.Attempt // nil: its end has been reported
+	attempt  *routing.Attempt // nil once its end has been reported
 	upstream *upstream
-	conn     *Conn // nil: it waits for a connection
+	conn     *Conn // nil while it waits for a connection
 	timeout  *timerqueue.Timer
 	sent     bool // its setup was handed to the driver
 	ended    bool // its end has been reported, or is about to be
@@ -124,7 +124,7 @@
 	c.legs = slices.DeleteFunc(c.legs, func(other *outboundLeg) bool { return other == leg })
 }
 
-// legOf returns the leg of a call on this connection; nil: none.
+// legOf returns the leg of a call on this connection, or nil if there is none.
 func (c *Conn) legOf(id uint64) *outboundLeg {
 	for _, leg := range c.legs {
 		if leg.call.id == id {
@@ -134,7 +134,8 @@
 	return nil
 }
 
-// activeLeg returns the leg of a call that is in flight on any connection to this endpoint and not canceled; nil: none.
+// activeLeg returns the leg of a call that is in flight on any connection to this endpoint and not canceled. It
+// returns nil if there is none.
 func (u *upstream) activeLeg(id uint64) *outboundLeg {
 	for _, conn := range u.conns {
 		if leg := conn.legOf(id); leg != nil && !leg.ended {
