--- a/internal/protocol/dnsclient/client.go
+++ b/internal/protocol/dnsclient/client.go
@@ -36,7 +36,7 @@
 	Ports      int     // number of source ports
 	Seed       uint64  // of ids, ports and letter case; must be kept secret
 	MaxLookups int     // concurrent look-ups; further ones fail immediately
-	Tries      int     // queries sent for one look-up at most
+	Tries      int     // queries sent for one look-up at most, without repeats over TCP of truncated responses
 	StaleAfter float64 // time without a response until a stale answer is served (RFC 8767 5: client response timer)
 	Cache      CacheTimes
 	Alone      bool // look-ups of one name do not share queries; only to measure what sharing saves
--- a/internal/protocol/dnsclient/response.go
+++ b/internal/protocol/dnsclient/response.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// OnStreamResponse processes a response over TCP; nil: none arrived.
+// OnStreamResponse processes a response over TCP; data is nil if none arrived in time.
 func (c *Client) OnStreamResponse(now float64, token uint64, data []byte) {
 	c.now = now
 	q := c.streams[token]
@@ -65,7 +65,7 @@
 	c.onResponse(q, m)
 }
 
-// matches reports whether a message answers the query that was sent, including the case of the name's letters.
+// matches reports whether a message answers the query that was sent; the case of the name's letters must match too.
 func matches(m *dns.Msg, name string) bool {
 	return m.Response && len(m.Question) == 1 && m.Question[0].Name == name && m.Question[0].Qtype == dns.TypeNAPTR &&
 		m.Question[0].Qclass == dns.ClassINET
@@ -94,7 +94,9 @@
 		c.health.OnValid(q.server)
 		c.cache.put(c.now, l.name, nil, max(0, negativeTTL))
 		c.finish(l, func(*waiter) Answer { return Answer{Status: None} })
-	default: // an error, a refusal, or a referral from a server that does not serve the zone
+	default:
+		// An error, a refusal, a referral, or a response without rules that has no SOA and comes from a server that
+		// is neither authoritative nor a resolver.
 		c.Counts.Lame++
 		c.health.OnLame(q.server, c.now)
 		c.retry(l)
--- a/internal/protocol/portability/finder.go
+++ b/internal/protocol/portability/finder.go
@@ -31,15 +31,16 @@
 
 // Counts are the counters of a finder.
 type Counts struct {
-	Ported uint64 `json:"ported"`
-	Same   uint64 `json:"same"`   // numbers that were not ported
-	Silent uint64 `json:"silent"` // look-ups without an answer
-	Bad    uint64 `json:"bad"`    // look-ups ended by an invalid number, invalid rules, a loop or too many steps
-	Stale  uint64 `json:"stale"`  // stale answers used
+	Ported     uint64 `json:"ported"`
+	NotPorted  uint64 `json:"same"`   // look-ups without a routing number: not ported, unknown, or no usable rule
+	Unanswered uint64 `json:"silent"` // look-ups for which no server gave a usable answer
+	Invalid    uint64 `json:"bad"`    // look-ups ended by an invalid number, invalid rules, a loop or too many steps
+	Stale      uint64 `json:"stale"`  // expired answers used, at any step of a look-up
 }
 
 // Resolve looks up a number, given as digits only. done is called once within timeout ms, possibly before Resolve
-// returns; stop cancels the look-up. Invalid rules count as no answer; the number table says what happens then.
+// returns. stop cancels the look-up; done is not called after that. Invalid rules give the answer Silent, as no answer
+// does; the caller passes it to the number table, whose silent action applies.
 func (f *Finder) Resolve(
 	now float64,
 	digits string,
@@ -48,7 +49,7 @@
 ) (stop func()) {
 	name, err := enum.Domain(digits, f.Apex)
 	if err != nil {
-		f.Counts.Bad++
+		f.Counts.Invalid++
 		done(now, numberplan.Found{Answer: numberplan.Silent})
 		return func() {}
 	}
@@ -57,7 +58,7 @@
 	var step func(now float64, name string)
 	step = func(now float64, name string) {
 		if seen[name] || len(seen) == maxSteps {
-			f.Counts.Bad++
+			f.Counts.Invalid++
 			done(now, numberplan.Found{Answer: numberplan.Silent})
 			return
 		}
@@ -85,34 +86,34 @@
 	}
 }
 
-// interpret returns the next domain of a non-terminal rule, or the final result.
+// interpret returns the next domain of a non-terminal rule, or the final result, and counts the latter.
 func (f *Finder) interpret(number string, a dnsclient.Answer) (next string, found numberplan.Found) {
 	switch a.Status {
 	case dnsclient.Failed:
-		f.Counts.Silent++
+		f.Counts.Unanswered++
 		return "", numberplan.Found{Answer: numberplan.Silent}
 	case dnsclient.None:
-		f.Counts.Same++
+		f.Counts.NotPorted++
 		return "", numberplan.Found{Answer: numberplan.NotPorted}
 	}
-	res, err := enum.Apply(number, a.Rules, f.Services...)
+	applied, err := enum.Apply(number, a.Rules, f.Services...)
 	switch {
 	case errors.Is(err, enum.ErrNoRule): // rules for other services only
-		f.Counts.Same++
+		f.Counts.NotPorted++
 		return "", numberplan.Found{Answer: numberplan.NotPorted}
-	case err == nil && res.Next != "":
-		return res.Next, numberplan.Found{}
+	case err == nil && applied.Next != "":
+		return applied.Next, numberplan.Found{}
 	}
 	var ported enum.Ported
 	if err == nil {
-		_, ported, err = enum.Tel(res.URI)
+		_, ported, err = enum.Tel(applied.URI)
 	}
 	switch {
 	case err != nil:
-		f.Counts.Bad++
+		f.Counts.Invalid++
 		return "", numberplan.Found{Answer: numberplan.Silent}
 	case ported.Routing == "":
-		f.Counts.Same++
+		f.Counts.NotPorted++
 		return "", numberplan.Found{Answer: numberplan.NotPorted, Carrier: ported.Carrier}
 	}
 	f.Counts.Ported++
