--- a/internal/protocol/b2bua/enquiry.go
+++ b/internal/protocol/b2bua/enquiry.go
@@ -10,12 +10,13 @@
 type EnquiryResult struct {
 	Code       int // 200: an endpoint is named; otherwise a SIP status code
 	Reason     string
-	RetryAfter float64 // ms to wait before the next enquiry; 0: not given
+	RetryAfter float64 // ms to wait before the next enquiry; 0 if not given
 	Addr       netip.AddrPort
 	Group      string
 	Number     string // the number to call there
 	Params     string // portability parameters of the number (RFC 4694)
-	// Valid reports whether the endpoint may still be called: it is neither draining nor gone.
+	// Valid reports whether the endpoint may still be called: it is neither draining nor gone. It is nil unless Code
+	// is 200.
 	Valid func() bool
 }
 
--- a/internal/protocol/b2bua/enquiry_test.go
+++ b/internal/protocol/b2bua/enquiry_test.go
@@ -9,7 +9,8 @@
 	"cobaltpier/internal/routing"
 )
 
-// An enquiry is answered once, with the endpoint that the policy attempts; the attempt's end is reported to the policy.
+// An enquiry is answered once, with the endpoint for which the policy starts an attempt; the attempt's end is
+// reported to the policy.
 func TestEnquiry(t *testing.T) {
 	host, lookup := newNumberTestHost(t)
 	host.policy.onCall = func(now float64, routed *routing.Call) {
@@ -48,7 +49,8 @@
 	}
 }
 
-// Rules 2 and 3 are enforced for enquiries as for calls, and rule 1 whatever the policy does.
+// An enquiry gets one answer by its deadline (rule 1), one attempt (rule 2) and no draining endpoint (rule 3), whatever
+// the policy does. A canceled enquiry gets no answer. An unknown class gets 404, and a draining gateway answers 503.
 func TestEnquiryRules(t *testing.T) {
 	host := newTestHost(t)
 	var results []EnquiryResult
@@ -61,7 +63,8 @@
 	host.agent.StartEnquiry(host.now, "1", "shift-lookup", 2000, done)
 	host.advance(2)
 	if len(results) != 1 || results[0].Code != 200 || host.agent.Counts.Blocked != 1 {
-		t.Errorf("two attempts and a deferral: %+v, blocked %d", results, host.agent.Counts.Blocked)
+		t.Errorf("two attempts and a rejection: want one result 200 and 1 blocked attempt, got %+v, %d blocked",
+			results, host.agent.Counts.Blocked)
 	}
 	results = nil
 	host.sendList(routing.Draining)
@@ -71,11 +74,11 @@
 	host.agent.StartEnquiry(host.now, "1", "shift-lookup", 2000, done)
 	host.advance(1990)
 	if len(results) != 0 {
-		t.Errorf("draining endpoint: %+v", results)
+		t.Errorf("answered before the deadline, though the attempted endpoint drains: %+v", results)
 	}
-	host.advance(30) // the policy never decides
+	host.advance(30) // the blocked attempt is not replaced: the deadline passes
 	if len(results) != 1 || results[0].Code != 500 || host.agent.Counts.Overdue != 1 {
-		t.Errorf("after the deadline: %+v", results)
+		t.Errorf("after the deadline: want one result 500 and 1 overdue, got %+v", results)
 	}
 	results = nil
 	host.policy.onCall = func(now float64, routed *routing.Call) {}
@@ -85,21 +88,22 @@
 	stop()
 	host.advance(3000)
 	if len(results) != 0 || host.policy.events[len(host.policy.events)-1] != "hung up" {
-		t.Errorf("canceled: %+v, events %v", results, host.policy.events)
+		t.Errorf("a canceled enquiry: want no result and a last event \"hung up\", got %+v, events %v",
+			results, host.policy.events)
 	}
 	host.agent.StopAdmitting()
 	host.agent.StartEnquiry(host.now, "1", "shift-lookup", 2000, done)
-	host.agent.StartEnquiry(host.now, "1", "nothing", 2000, done)
+	host.agent.StartEnquiry(host.now, "1", "unknown-class", 2000, done)
 	host.advance(1)
 	if len(results) != 2 || results[0].Code != 404 || results[1].Code != 503 {
-		t.Errorf("while the agent drains: %+v", results)
+		t.Errorf("unknown class, and a known class after StopAdmitting: want 404 and 503, got %+v", results)
 	}
 	if pending, _ := host.agent.InProgress(); pending != 0 {
 		t.Errorf("%d pending", pending)
 	}
 }
 
-// A flood of enquiries passes the same load shedding as calls.
+// Enquiries beyond MaxPending are shed, as calls are.
 func TestEnquiryFlood(t *testing.T) {
 	host := newTestHost(t)
 	host.agent.LoadShedder.MaxPending = 10
@@ -116,6 +120,6 @@
 	}
 	host.advance(1)
 	if reasons["busy"] != 90 || host.agent.Counts.Shed != 90 {
-		t.Errorf("%v, %d shed", reasons, host.agent.Counts.Shed)
+		t.Errorf("100 enquiries with MaxPending 10: want 90 shed, got %v, %d shed", reasons, host.agent.Counts.Shed)
 	}
 }
--- a/internal/protocol/b2bua/loadreport.go
+++ b/internal/protocol/b2bua/loadreport.go
@@ -24,7 +24,7 @@
 // 7339 4, RFC 7415 3) and the Cobalt-Load header field. It reports whether any value other than lines and free was
 // present. Invalid values are ignored.
 func (a *Agent) applyLoadReport(endpoint *routing.Endpoint, res *sip.Response) bool {
-	full := false
+	hasLoadReport := false
 	if via := res.Via(); via != nil {
 		v, _ := via.Params.Get("oc")
 		algo, _ := via.Params.Get("oc-algo")
@@ -32,9 +32,9 @@
 		if n, ok := parseNumber(v); ok && (!stated || validity != "0") { // 0: control has ended (RFC 7339 4.3)
 			switch strings.Trim(algo, `"`) {
 			case "loss":
-				endpoint.LoadReport.LossFraction, full = min(1, n/100), true
+				endpoint.LoadReport.LossFraction, hasLoadReport = min(1, n/100), true
 			case "rate": // the limit of this client; the policy uses the limit of all gateways together
-				endpoint.LoadReport.RateLimit, full = n*float64(max(1, a.config.Settings.Gateways)), true
+				endpoint.LoadReport.RateLimit, hasLoadReport = n*float64(max(1, a.config.Settings.Gateways)), true
 			}
 		}
 	}
@@ -43,10 +43,10 @@
 		n, ok := parseNumber(v)
 		if set := loadReportFields[k]; set != nil && ok {
 			set(&endpoint.LoadReport, n)
-			full = full || k != "lines" && k != "free"
+			hasLoadReport = hasLoadReport || k != "lines" && k != "free"
 		}
 	}
-	return full
+	return hasLoadReport
 }
 
 // parseNumber parses a finite number that is not negative.
--- a/internal/protocol/b2bua/outboundleg.go
+++ b/internal/protocol/b2bua/outboundleg.go
@@ -14,7 +14,8 @@
 // RFC 7415).
 var overloadControlParams = sip.HeaderParams{{K: "oc"}, {K: "oc-algo", V: `"loss,rate"`}}
 
-// outboundLeg is the SIP side of one attempt. It outlives the attempt while the endpoint may still have the call.
+// outboundLeg is the SIP side of one attempt. It is kept after the attempt's end was reported, until the endpoint has
+// answered, rejected or released the call or its transaction has timed out.
 type outboundLeg struct {
 	call            *call
 	attempt         *routing.Attempt
@@ -26,14 +27,14 @@
 	invite          *sip.Request
 	answer          *sip.Response // the 2xx that established the dialog
 	ack             []byte
-	active          bool // false: canceled or timed out
+	active          bool // until cancel is called: by the policy, with the caller's final response or on a timeout
 	reported        bool // the attempt's end was reported to the policy
 	releasedByPeer  bool // the endpoint sent BYE
 	circuitReleased bool // its circuit was freed
 }
 
 // SendSetup implements callcontrol.SignalingLeg: it sends a setup over the endpoint's trunk group, with a timeout in
-// ms; false: the group has no free circuit.
+// ms. It returns false if the destination has no trunk group or the group has no free circuit.
 func (c *call) SendSetup(attempt *routing.Attempt, timeout float64) bool {
 	a := c.agent
 	g := a.groupsByDestination[attempt.Endpoint.DestinationID]
@@ -68,8 +69,9 @@
 	return true
 }
 
-// onTimeout handles the attempt's timeout. It is reported to the policy at once, since the caller's answer is due; the
-// CANCEL is sent as soon as SIP allows it.
+// onTimeout handles the attempt's timeout. The timeout is reported to the policy at once, without waiting for the
+// endpoint, so that the policy can try another endpoint or reject the call. The CANCEL is sent as soon as SIP allows
+// it.
 func (l *outboundLeg) onTimeout() {
 	l.cancel()
 	if !l.tx.HasResponse() {
@@ -78,9 +80,9 @@
 	l.reportEnd(routing.TimedOut)
 }
 
-// cancel cancels the setup. RFC 3261 9.1 forbids a CANCEL before the first provisional response: it is sent after that
-// response, and until then the attempt counts as in flight. Rule 1: once the call has its final answer, the setup is no
-// longer retransmitted either.
+// cancel cancels the setup. RFC 3261 9.1 forbids a CANCEL before the first provisional response; it is then sent when
+// that response arrives (onProvisional). For the policy, the attempt stays in flight until reportEnd is called. If the
+// call already has its final answer (rule 1) and no response has arrived, the setup is no longer retransmitted either.
 func (l *outboundLeg) cancel() {
 	l.active = false
 	if !l.tx.Cancel() && l.call.Finished && !l.tx.HasResponse() {
@@ -88,7 +90,7 @@
 	}
 }
 
-// onResponse handles a response of the endpoint; nil: the transaction timed out.
+// onResponse handles a response of the endpoint, or the timeout of the transaction if res is nil.
 func (l *outboundLeg) onResponse(res *sip.Response) {
 	a := l.call.agent
 	a.Now = a.sip.Now
@@ -96,16 +98,16 @@
 		l.onTransactionTimeout()
 		return
 	}
-	fullReport := a.applyLoadReport(l.attempt.Endpoint, res)
+	hasLoadReport := a.applyLoadReport(l.attempt.Endpoint, res)
 	switch code := res.StatusCode; {
 	case code < 200:
-		l.onProvisional(code, fullReport)
+		l.onProvisional(code, hasLoadReport)
 	case code < 300 && l.answer != nil:
 		l.onFurtherAnswer(res)
 	case code < 300:
-		l.onAnswer(res, fullReport)
+		l.onAnswer(res, hasLoadReport)
 	default:
-		l.onFailure(res, fullReport)
+		l.onFailure(res, hasLoadReport)
 	}
 }
 
@@ -118,9 +120,9 @@
 	l.discard()
 }
 
-func (l *outboundLeg) onProvisional(code int, fullReport bool) {
+func (l *outboundLeg) onProvisional(code int, hasLoadReport bool) {
 	a := l.call.agent
-	if fullReport {
+	if hasLoadReport {
 		a.Router.OnLoadReport(a.Now, l.attempt.Endpoint, true, true)
 	}
 	if !l.active {
@@ -139,15 +141,16 @@
 	l.releaseForked(res)
 }
 
-func (l *outboundLeg) onAnswer(res *sip.Response, fullReport bool) {
+func (l *outboundLeg) onAnswer(res *sip.Response, hasLoadReport bool) {
 	c := l.call
 	a := c.agent
 	l.answer = res
 	l.ack = l.sendAck(res)
-	if fullReport {
+	if hasLoadReport {
 		a.Router.OnLoadReport(a.Now, l.attempt.Endpoint, true, true)
 	}
-	if !l.active || l.reported || c.Finished || c.Established { // it crossed a cancel: no caller waits for it
+	if !l.active || l.reported || c.Finished || c.Established {
+		// The attempt was canceled or its end reported, or the call is finished or established: release this answer.
 		l.sendBye(normalClearing)
 		l.reportEnd(routing.Canceled)
 		l.discard()
@@ -161,7 +164,7 @@
 }
 
 // onFailure handles a final response other than 2xx; docs/gateway.md lists what each code means.
-func (l *outboundLeg) onFailure(res *sip.Response, fullReport bool) {
+func (l *outboundLeg) onFailure(res *sip.Response, hasLoadReport bool) {
 	outcome := routing.Failed
 	l.attempt.RetryAfter = 0
 	switch res.StatusCode {
@@ -179,7 +182,7 @@
 	case sip.StatusRequestTimeout:
 		outcome = routing.TimedOut
 	}
-	l.attempt.HasLoadReport = fullReport
+	l.attempt.HasLoadReport = hasLoadReport
 	l.reportEnd(outcome)
 	l.discard()
 }
@@ -248,14 +251,14 @@
 
 // OnStrayResponse implements siptransaction.User: an endpoint answers a setup that is unknown here, because an earlier
 // process sent it or its dialog was released since. The answer is acknowledged and released, so that no circuit stays
-// in use, but only if it comes from the address of a listed endpoint.
+// in use, but only if it comes from the address of a listed endpoint and has a Contact.
 func (a *Agent) OnStrayResponse(res *sip.Response, from netip.AddrPort) {
 	a.Now = a.sip.Now
-	known := false
+	fromListedEndpoint := false
 	for _, address := range a.addresses {
-		known = known || address == from
+		fromListedEndpoint = fromListedEndpoint || address == from
 	}
-	if !known || res.Contact() == nil {
+	if !fromListedEndpoint || res.Contact() == nil {
 		return
 	}
 	for i, method := range []sip.RequestMethod{sip.ACK, sip.BYE} {
