--- a/internal/emulator/loadgen/load.go
+++ b/internal/emulator/loadgen/load.go
@@ -41,12 +41,12 @@
 	Context string           // trunk-context
 	T1      time.Duration    // time until the first retransmission of a setup
 	Late    time.Duration    // allowed lateness of the generator at the 99.9th percentile
-	Start   time.Time        // time 0 of the plan; if zero, shortly after Run is called
+	Start   time.Time        // the time from which the times of calls count; if zero, shortly after Run is called
 }
 
 // Result holds the measurements of a run. Its histograms are in µs and can be merged.
 type Result struct {
-	// waits until the call was established, from its planned time
+	// waits until the call was established, from its planned time; of an unanswered call, its timeout
 	Intended *hdrhistogram.Histogram
 	// the same waits, from the time the setup was sent
 	Sent *hdrhistogram.Histogram
@@ -120,8 +120,8 @@
 	runID   string
 }
 
-// Run sends the calls and waits until each has ended. A call that is not answered within its timeout is canceled and
-// counts with the timeout as its wait, rather than being left out.
+// Run sends the calls and waits until each has ended. A call that is not answered within its timeout counts with the
+// timeout as its wait, rather than being left out, and is canceled if a provisional response has arrived.
 func Run(ctx context.Context, calls []*api.Call, o Options) (*Result, error) {
 	if len(o.Targets) == 0 {
 		return nil, fmt.Errorf("load: no gateway to send to")
--- a/internal/emulator/loadgen/load_test.go
+++ b/internal/emulator/loadgen/load_test.go
@@ -22,14 +22,14 @@
 	return calls
 }
 
-// TestStallCountsWholeWait guards against coordinated omission: the server stalls for half of the run, and the calls
-// planned during the stall must count with their whole wait while the load does not slow down. The bounds are wide
-// because the machine may be busy.
+// TestStallCountsWholeWait guards against coordinated omission, in which waits are measured from sends that were
+// delayed themselves: the server stalls for half of the run, and the calls planned during the stall must be sent at
+// their planned times and count with their whole wait. The bounds are wide because the machine may be busy.
 func TestStallCountsWholeWait(t *testing.T) {
-	at := netip.MustParseAddrPort("127.73.0.2:19063")
+	serverAddr := netip.MustParseAddrPort("127.73.0.2:19063")
 	s := &Still{Delay: 10 * time.Millisecond, Pauses: []Pause{{300 * time.Millisecond, 600 * time.Millisecond}}}
 	start := time.Now().Add(100 * time.Millisecond)
-	if err := s.Serve(at, start); err != nil {
+	if err := s.Serve(serverAddr, start); err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
@@ -37,13 +37,14 @@
 	r, err := Run(
 		context.Background(),
 		calls,
-		Options{Self: netip.MustParseAddrPort("127.73.0.1:19063"), Targets: []netip.AddrPort{at}, Start: start},
+		Options{Self: netip.MustParseAddrPort("127.73.0.1:19063"), Targets: []netip.AddrPort{serverAddr}, Start: start},
 	)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if r.Planned != 600 || r.Answered != 600 || r.Intended.TotalCount() != 600 {
-		t.Errorf("%d of %d calls answered, %d counted", r.Answered, r.Planned, r.Intended.TotalCount())
+		t.Errorf("want 600 calls planned, answered and recorded, got %d answered of %d, %d recorded",
+			r.Answered, r.Planned, r.Intended.TotalCount())
 	}
 	var want []time.Duration
 	for _, c := range calls {
@@ -51,14 +52,15 @@
 	}
 	slices.Sort(want)
 	for _, q := range []float64{75, 90, 99} {
-		got, w := time.Duration(r.Intended.ValueAtQuantile(q))*time.Microsecond, want[int(q/100*600)]
-		if got < w-20*time.Millisecond || got > w+200*time.Millisecond {
-			t.Errorf("p%v %v, want %v", q, got, w)
+		got, wantWait := time.Duration(r.Intended.ValueAtQuantile(q))*time.Microsecond, want[int(q/100*600)]
+		if got < wantWait-20*time.Millisecond || got > wantWait+200*time.Millisecond {
+			t.Errorf("p%v %v, want %v (20 ms less to 200 ms more)", q, got, wantWait)
 		}
 	}
 }
 
-// TestNobodyAnswers checks that calls without an answer count with their timeout and none is left out.
+// TestNobodyAnswers checks that every call without an answer is counted as unanswered, that the shortest recorded
+// wait is about the timeout, and that setups are retransmitted.
 func TestNobodyAnswers(t *testing.T) {
 	calls := evenlySpacedCalls(20, 5)
 	for _, c := range calls {
@@ -77,12 +79,13 @@
 		t.Fatal(err)
 	}
 	if r.Unanswered != 20 || r.Repeats < 20 || r.Intended.Min() < 290_000 {
-		t.Errorf("%d unanswered, %d repeats, least wait %d µs", r.Unanswered, r.Repeats, r.Intended.Min())
+		t.Errorf("want 20 unanswered, 20 retransmissions or more, shortest wait 290000 µs or more, got %d, %d, %d",
+			r.Unanswered, r.Repeats, r.Intended.Min())
 	}
 }
 
-// TestMergeAndJudge checks that merged results equal the whole, that a wait above the range is counted at its end and
-// in Past, and that a late generator is reported.
+// TestMergeAndJudge checks that merged results equal the result recorded directly, that a wait above the histogram's
+// range is recorded in it and counted in Past, and that Judge reports a generator that sends too late.
 func TestMergeAndJudge(t *testing.T) {
 	whole, merged := NewResult(), NewResult()
 	for p := range 64 {
@@ -96,11 +99,12 @@
 		merged.Merge(part)
 	}
 	if !merged.Intended.Equals(whole.Intended) || merged.Planned != 6400 {
-		t.Error("the merged result differs from the whole")
+		t.Error("the merged result differs from the result recorded directly")
 	}
 	merged.record(merged.Intended, time.Hour)
 	if merged.Past != 1 || merged.Intended.TotalCount() != 6401 {
-		t.Errorf("%d above the range, %d counted", merged.Past, merged.Intended.TotalCount())
+		t.Errorf("want 1 wait above the range and 6401 recorded, got %d and %d",
+			merged.Past, merged.Intended.TotalCount())
 	}
 	merged.record(merged.Late, time.Millisecond)
 	if err := merged.Judge(5 * time.Millisecond); err != nil {
@@ -110,7 +114,7 @@
 		merged.record(merged.Late, 50*time.Millisecond)
 	}
 	if err := merged.Judge(5 * time.Millisecond); !errors.Is(err, ErrBottleneck) {
-		t.Errorf("a late generator: %v", err)
+		t.Errorf("Judge of a generator 50 ms late: got %v, want ErrBottleneck", err)
 	}
 	if _, err := Run(context.Background(), nil, Options{}); err == nil {
 		t.Error("no gateway: no error")
--- a/internal/emulator/loadgen/stalling_server.go
+++ b/internal/emulator/loadgen/stalling_server.go
@@ -11,8 +11,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Still is a stand-in for a gateway that answers each setup after a fixed delay and stalls at planned times. Answers
-// due during a stall are sent at its end, in order, so the true wait of every call is known beforehand.
+// Still is a stand-in for a gateway that answers each setup with 200 after Delay and stalls at planned times. Answers
+// due during a stall are sent at its end, in order, so the wait of every call is known beforehand. A BYE is answered
+// at once.
 type Still struct {
 	Delay  time.Duration
 	Pauses []Pause // in order, not overlapping
@@ -42,11 +43,11 @@
 	return end - at
 }
 
-// Serve answers at an address until Close is called; start is time 0 of the plan.
-func (s *Still) Serve(at netip.AddrPort, start time.Time) error {
-	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(at))
+// Serve answers at an address until Close is called. start is the time from which Pauses and the times of calls count.
+func (s *Still) Serve(addr netip.AddrPort, start time.Time) error {
+	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
-		return fmt.Errorf("load: stand-in: %w", err)
+		return fmt.Errorf("load: stalling server: listen: %w", err)
 	}
 	_ = conn.SetReadBuffer(8 << 20)
 	s.conn, s.start, s.queue = conn, start, make(chan delayedResponse, 1<<20)
@@ -58,12 +59,12 @@
 	}()
 	go func() {
 		defer s.wg.Done()
-		for l := range s.queue {
-			for wait := time.Until(l.sendAt); wait > 0; wait = time.Until(l.sendAt) {
+		for response := range s.queue {
+			for wait := time.Until(response.sendAt); wait > 0; wait = time.Until(response.sendAt) {
 				ts := unix.NsecToTimespec(int64(min(wait, 50*time.Millisecond)))
 				_ = unix.Nanosleep(&ts, nil)
 			}
-			_, _ = conn.WriteToUDPAddrPort(l.data, l.to)
+			_, _ = conn.WriteToUDPAddrPort(response.data, response.to)
 		}
 	}()
 	return nil
@@ -83,29 +84,29 @@
 		if err != nil {
 			return
 		}
-		d := buf[:n]
-		answer := func(status string) []byte {
+		request := buf[:n]
+		newResponse := func(status string) []byte {
 			var b []byte
 			b = append(append(b, "SIP/2.0 "...), status...)
 			for _, name := range []string{"Via", "From", "To", "Call-ID", "CSeq"} {
-				b = append(append(append(append(b, "\r\n"...), name...), ": "...), headerField(d, name)...)
-				if name == "To" && !bytes.Contains(headerField(d, "To"), []byte(";tag=")) {
+				b = append(append(append(append(b, "\r\n"...), name...), ": "...), headerField(request, name)...)
+				if name == "To" && !bytes.Contains(headerField(request, "To"), []byte(";tag=")) {
 					b = append(b, ";tag=still"...)
 				}
 			}
 			return append(b, "\r\nContent-Length: 0\r\n\r\n"...)
 		}
 		switch {
-		case bytes.HasPrefix(d, []byte("INVITE ")):
-			id := string(headerField(d, "Call-ID"))
+		case bytes.HasPrefix(request, []byte("INVITE ")):
+			id := string(headerField(request, "Call-ID"))
 			if seenCalls[id] {
 				continue // a retransmission
 			}
 			seenCalls[id] = true
 			now := time.Since(s.start)
-			s.queue <- delayedResponse{s.start.Add(now + s.True(now)), from, answer("200 OK")}
-		case bytes.HasPrefix(d, []byte("BYE ")):
-			_, _ = s.conn.WriteToUDPAddrPort(answer("200 OK"), from)
+			s.queue <- delayedResponse{s.start.Add(now + s.True(now)), from, newResponse("200 OK")}
+		case bytes.HasPrefix(request, []byte("BYE ")):
+			_, _ = s.conn.WriteToUDPAddrPort(newResponse("200 OK"), from)
 		}
 	}
 }
