--- a/internal/gateway/sipserver/enumlistener.go
+++ b/internal/gateway/sipserver/enumlistener.go
@@ -14,41 +14,42 @@
 	"cobaltpier/internal/protocol/enumserver"
 )
 
-// enumListener connects the ENUM server to its sockets: the reactor reads datagrams, and one goroutine reads each TCP
-// connection (RFC 7766). Only the event loop may use the ENUM server itself.
+// enumListener connects the ENUM server to its sockets: the reactor reads datagrams, and each TCP connection (RFC 7766)
+// has one goroutine that reads and one that writes. Only the event loop may use the ENUM server itself.
 type enumListener struct {
-	server     *Server
+	sipServer  *Server
 	enum       *enumserver.Server
-	sockets    *reactor.UDPSockets
+	udp        *reactor.UDPSockets
 	tcp        *net.TCPListener
 	mu         sync.Mutex
 	conns      map[*net.TCPConn]struct{}
 	goroutines sync.WaitGroup
 }
 
-// maxPendingWrites is the maximum number of answers waiting to be written to a slow TCP client. With more, the
-// connection is closed.
+// maxPendingWrites is the maximum number of answers waiting to be written to a slow TCP client. If another answer is
+// due while so many wait, the connection is closed.
 const maxPendingWrites = 64
 
 // listenENUM opens the ENUM server's UDP and TCP sockets.
 func (s *Server) listenENUM() (*enumListener, error) {
 	settings := &s.config.ENUMServer
-	l := &enumListener{server: s, enum: enumserver.New(settings.Config, s.agent), conns: map[*net.TCPConn]struct{}{}}
+	l := &enumListener{sipServer: s, enum: enumserver.New(settings.Config, s.agent), conns: map[*net.TCPConn]struct{}{}}
 	var err error
-	l.sockets, err = reactor.Listen([]netip.AddrPort{settings.Listen}, 1, func(local, from netip.AddrPort, data []byte) {
+	l.udp, err = reactor.Listen([]netip.AddrPort{settings.Listen}, 1, func(local, from netip.AddrPort, data []byte) {
 		select {
 		case s.events <- event{kind: callback, do: func(now float64) {
-			l.enum.Receive(now, from, data, false, func(b []byte) { l.sockets.Send(local, from, b) })
+			l.enum.Receive(now, from, data, false, func(b []byte) { l.udp.Send(local, from, b) })
 		}}:
-		default: // queue full: dropped, as the network may drop it
+		// The event queue is full: drop the datagram. The client repeats the query, as after a loss in the network.
+		default:
 		}
 	})
 	if err != nil {
-		return nil, fmt.Errorf("front: %w", err)
+		return nil, fmt.Errorf("ENUM server: listen on UDP: %w", err)
 	}
 	if l.tcp, err = net.ListenTCP("tcp", net.TCPAddrFromAddrPort(settings.Listen)); err != nil {
-		l.sockets.Close()
-		return nil, fmt.Errorf("front: %w", err)
+		l.udp.Close()
+		return nil, fmt.Errorf("ENUM server: listen on TCP: %w", err)
 	}
 	l.goroutines.Add(1)
 	go l.accept()
@@ -57,7 +58,7 @@
 }
 
 func (l *enumListener) close() {
-	l.sockets.Close()
+	l.udp.Close()
 	l.tcp.Close()
 	l.mu.Lock()
 	for c := range l.conns {
@@ -75,7 +76,7 @@
 			return
 		}
 		l.mu.Lock()
-		full := len(l.conns) >= l.server.config.ENUMServer.MaxConns
+		full := len(l.conns) >= l.sipServer.config.ENUMServer.MaxConns
 		if !full {
 			l.conns[c] = struct{}{}
 			l.goroutines.Add(1)
@@ -100,7 +101,7 @@
 		delete(l.conns, c)
 		l.mu.Unlock()
 	}()
-	idle, conn := time.Duration(l.server.config.ENUMServer.IdleTimeout*1e6), &dns.Conn{Conn: c}
+	idle, conn := time.Duration(l.sipServer.config.ENUMServer.IdleTimeout*1e6), &dns.Conn{Conn: c}
 	l.goroutines.Add(1)
 	go func() {
 		defer l.goroutines.Done()
@@ -126,7 +127,7 @@
 			return
 		}
 		data := bytes.Clone(b[:n])
-		l.server.enqueue(event{kind: callback, do: func(now float64) {
+		l.sipServer.enqueue(event{kind: callback, do: func(now float64) {
 			l.enum.Receive(now, from, data, true, func(b []byte) {
 				select {
 				case out <- b:
--- a/internal/gateway/sipserver/server.go
+++ b/internal/gateway/sipserver/server.go
@@ -204,7 +204,8 @@
 		Uint64("send_dropped", s.datagrams.Lost.Load()).Bool("drained", outcome == Drained).Msg("gateway stopped")
 }
 
-// onDatagram runs in the poller. A datagram that finds the queue full is dropped, as the network may drop it.
+// onDatagram runs in the poller. A datagram that finds the event queue full is dropped; SIP retransmits its messages,
+// as after a loss in the network.
 func (s *Server) onDatagram(local, from netip.AddrPort, data []byte) {
 	e := event{kind: sipDatagram, from: from, data: data}
 	if local == s.config.PeerListen {
