--- a/internal/emulator/binarystandin/conn.go
+++ b/internal/emulator/binarystandin/conn.go
@@ -10,36 +10,36 @@
 
 // conn is the simulated far end of one of the gateway's connections.
 type conn struct {
-	w            *World
+	sim          *World
 	gatewayConn  *binarygateway.Conn
-	number       int
+	connNumber   int       // counted from 1 over all connections that the gateway opened; 0 on a client's connection
 	endpoint     *Endpoint // nil on a client's connection
 	reader       binarymessage.Reader
-	pendingCalls []uint64 // on a client's connection: setups without an answer
+	pendingCalls []uint64 // on a client's connection: ids of calls for which no message from the gateway has arrived yet
 	closed       bool
-	blocked      []byte
+	delayedWrite []byte // the latest write that was delayed, until it is delivered; not read so far
 }
 
 // send sends a message to the gateway, in pieces if Faults.Fragmented is set.
 func (c *conn) send(kind byte, id uint64, params ...binarymessage.Param) {
 	b := binarymessage.Append(nil, kind, id, params...)
 	if c.endpoint == nil {
-		c.w.Checker.OnClientMessage(c.w.now, b)
+		c.sim.Checker.OnClientMessage(c.sim.now, b)
 	} else {
-		c.w.Checker.OnEndpointMessage(c.w.now, c.endpoint.id, c.number, b)
+		c.sim.Checker.OnEndpointMessage(c.sim.now, c.endpoint.id, c.connNumber, b)
 	}
 	c.sendRaw(b)
 }
 
 func (c *conn) sendRaw(b []byte) {
-	w := c.w
+	sim := c.sim
 	for len(b) > 0 && !c.closed {
 		n := len(b)
-		if w.Faults.Fragmented {
-			n = 1 + int(w.Chance()*float64(len(b)))
+		if sim.Faults.Fragmented {
+			n = 1 + int(sim.Chance()*float64(len(b)))
 		}
 		n = min(n, len(b))
-		w.Gateway.OnData(w.now, c.gatewayConn, slices.Clone(b[:n]))
+		sim.Gateway.OnData(sim.now, c.gatewayConn, slices.Clone(b[:n]))
 		b = b[n:]
 	}
 }
@@ -49,43 +49,47 @@
 	if c.closed {
 		return
 	}
-	c.onGone()
-	c.w.Gateway.OnClosed(c.w.now, c.gatewayConn, binarygateway.ClosedReset)
+	c.onEnded()
+	c.sim.Gateway.OnClosed(c.sim.now, c.gatewayConn, binarygateway.ClosedReset)
 }
 
-// onGone updates the endpoint or client, and the checker, after a connection has ended.
-func (c *conn) onGone() {
+// onEnded marks a connection as ended. It removes it from its endpoint, with the endpoint's pending calls on it, and
+// tells the checker; for a client's connection, it reports the pending calls as abandoned.
+func (c *conn) onEnded() {
 	c.closed = true
-	w := c.w
+	sim := c.sim
 	if c.endpoint != nil {
-		c.endpoint.conns = slices.DeleteFunc(c.endpoint.conns, func(o *conn) bool { return o == c })
-		w.Checker.OnConnClosed(w.now, c.endpoint.id, c.number)
-		for id, o := range c.endpoint.pending {
-			if o == c {
+		c.endpoint.conns = slices.DeleteFunc(c.endpoint.conns, func(other *conn) bool { return other == c })
+		sim.Checker.OnConnClosed(sim.now, c.endpoint.id, c.connNumber)
+		for id, pendingConn := range c.endpoint.pending {
+			if pendingConn == c {
 				delete(c.endpoint.pending, id)
 			}
 		}
 		return
 	}
 	for _, id := range c.pendingCalls {
-		w.Checker.OnClientGone(id)
+		sim.Checker.OnClientGone(id)
 	}
-	w.Checker.SetClientConnected(w.now, slices.ContainsFunc(w.conns, func(o *conn) bool { return !o.closed }))
+	sim.Checker.SetClientConnected(
+		sim.now,
+		slices.ContainsFunc(sim.conns, func(client *conn) bool { return !client.closed }),
+	)
 }
 
 // Write implements binarygateway.Transport.
-func (w *World) Write(gatewayConn *binarygateway.Conn, b []byte) bool {
+func (sim *World) Write(gatewayConn *binarygateway.Conn, b []byte) bool {
 	c := gatewayConn.Socket.(*conn)
-	if c.endpoint != nil && w.happens(w.Faults.Blocked) {
-		c.blocked = b
-		w.after(20+200*w.Chance(), func() {
+	if c.endpoint != nil && sim.happens(sim.Faults.Blocked) {
+		c.delayedWrite = b
+		sim.after(20+200*sim.Chance(), func() {
 			if !c.closed {
-				c.blocked = nil
+				c.delayedWrite = nil
 				c.deliver(b)
-				w.Gateway.OnFlushed(w.now, gatewayConn)
+				sim.Gateway.OnFlushed(sim.now, gatewayConn)
 			}
 		})
-		return false
+		return false // the write is blocked: OnFlushed follows when the data is delivered
 	}
 	c.deliver(b)
 	return true
@@ -95,11 +99,11 @@
 	if err := c.reader.Feed(b, func(m binarymessage.Message) bool {
 		m = slices.Clone(m)
 		if c.endpoint != nil {
-			c.w.Checker.OnMessageToEndpoint(c.w.now, c.endpoint.id, c.number, m)
-			c.w.after(0.2, func() { c.endpoint.onMessage(c, m) })
+			c.sim.Checker.OnMessageToEndpoint(c.sim.now, c.endpoint.id, c.connNumber, m)
+			c.sim.after(0.2, func() { c.endpoint.onMessage(c, m) })
 		} else {
-			c.w.Checker.OnMessageToClient(c.w.now, m)
-			c.w.after(0.2, func() { c.onClientMessage(m) })
+			c.sim.Checker.OnMessageToClient(c.sim.now, m)
+			c.sim.after(0.2, func() { c.onClientMessage(m) })
 		}
 		return true
 	}); err != nil {
@@ -109,9 +113,9 @@
 
 func (c *conn) onClientMessage(m binarymessage.Message) {
 	id := m.Call()
-	c.pendingCalls = slices.DeleteFunc(c.pendingCalls, func(o uint64) bool { return o == id })
-	if m.Type() == binarymessage.Answer && c.w.happens(c.w.Faults.CallerHangsUp) {
-		c.w.after(c.w.Chance()*c.w.HoldingTime, func() {
+	c.pendingCalls = slices.DeleteFunc(c.pendingCalls, func(pendingID uint64) bool { return pendingID == id })
+	if m.Type() == binarymessage.Answer && c.sim.happens(c.sim.Faults.CallerHangsUp) {
+		c.sim.after(c.sim.Chance()*c.sim.HoldingTime, func() {
 			if !c.closed {
 				c.send(binarymessage.Release, id, binarymessage.CauseParam(binarymessage.Normal))
 			}
@@ -120,35 +124,36 @@
 }
 
 // Dial implements binarygateway.Transport.
-func (w *World) Dial(gatewayConn *binarygateway.Conn, to netip.AddrPort) {
-	w.dialed++
-	c := &conn{w: w, gatewayConn: gatewayConn, number: w.dialed}
+func (sim *World) Dial(gatewayConn *binarygateway.Conn, to netip.AddrPort) {
+	sim.dialed++
+	c := &conn{sim: sim, gatewayConn: gatewayConn, connNumber: sim.dialed}
 	gatewayConn.Socket = c
-	s := w.byAddr[to]
-	w.after(0.3+w.Chance(), func() {
+	endpoint := sim.byAddr[to]
+	sim.after(0.3+sim.Chance(), func() {
 		switch {
-		case c.closed || s != nil && s.vanished && !s.dead:
-		case s == nil || s.dead:
+		case c.closed || endpoint != nil && endpoint.unreachable && !endpoint.crashed:
+			// The connection was closed, or the endpoint does not respond: the connection attempt gets no reply.
+		case endpoint == nil || endpoint.crashed:
 			c.closed = true
-			w.Gateway.OnClosed(w.now, gatewayConn, binarygateway.ClosedRefused)
+			sim.Gateway.OnClosed(sim.now, gatewayConn, binarygateway.ClosedRefused)
 		default:
-			c.endpoint = s
-			s.conns = append(s.conns, c)
-			w.Gateway.OnConnected(w.now, gatewayConn)
+			c.endpoint = endpoint
+			endpoint.conns = append(endpoint.conns, c)
+			sim.Gateway.OnConnected(sim.now, gatewayConn)
 			c.send(binarymessage.LoadState, 0, binarymessage.TextParam(binarymessage.Report, "free:20;size:40;busy:-1;q:-1"))
 		}
 	})
 }
 
 // Close implements binarygateway.Transport.
-func (w *World) Close(gatewayConn *binarygateway.Conn) {
+func (sim *World) Close(gatewayConn *binarygateway.Conn) {
 	if c := gatewayConn.Socket.(*conn); !c.closed {
-		c.onGone()
+		c.onEnded()
 	}
 }
 
 // CloseWrite implements binarygateway.Transport.
-func (w *World) CloseWrite(*binarygateway.Conn) {}
+func (sim *World) CloseWrite(*binarygateway.Conn) {}
 
 // SendGossip implements binarygateway.Transport.
-func (w *World) SendGossip(int, []byte) {}
+func (sim *World) SendGossip(int, []byte) {}
--- a/internal/emulator/binarystandin/endpoint.go
+++ b/internal/emulator/binarystandin/endpoint.go
@@ -10,72 +10,72 @@
 
 // Endpoint is a stand-in for a core switch.
 type Endpoint struct {
-	w           *World
+	sim         *World
 	id          string
 	addr        netip.AddrPort
 	destination int
 	state       routing.State
-	vanished    bool
-	dead        bool
+	unreachable bool // it does not respond, while its connections stay open
+	crashed     bool // its process has ended
 	conns       []*conn
-	established map[uint64]bool
-	pending     map[uint64]*conn
+	established map[uint64]bool  // by call id
+	pending     map[uint64]*conn // connection of each setup without an answer, by call id
 }
 
 // crash ends the endpoint's process: its connections are reset and its calls are lost.
-func (s *Endpoint) crash() {
-	if s.dead {
+func (e *Endpoint) crash() {
+	if e.crashed {
 		return
 	}
-	s.dead = true
-	if !s.vanished {
-		s.w.Checker.OnEndpointDied(s.w.now, s.id)
+	e.crashed = true
+	if !e.unreachable {
+		e.sim.Checker.OnEndpointDied(e.sim.now, e.id)
 	}
-	for _, c := range slices.Clone(s.conns) {
+	for _, c := range slices.Clone(e.conns) {
 		c.reset()
 	}
 }
 
 // onMessage handles a message from the gateway.
-func (s *Endpoint) onMessage(c *conn, m binarymessage.Message) {
-	w, faults, id := c.w, &c.w.Faults, m.Call()
-	if c.closed || s.vanished || s.dead {
+func (e *Endpoint) onMessage(c *conn, m binarymessage.Message) {
+	sim, faults, id := c.sim, &c.sim.Faults, m.Call()
+	if c.closed || e.unreachable || e.crashed {
 		return
 	}
 	switch m.Type() {
 	case binarymessage.Release:
-		delete(s.pending, id)
-		delete(s.established, id)
+		delete(e.pending, id)
+		delete(e.established, id)
 	case binarymessage.Setup:
-		s.pending[id] = c
-		wait := w.AnswerTime * (0.5 + w.Chance())
-		late := w.happens(faults.Late)
+		e.pending[id] = c
+		wait := sim.AnswerTime * (0.5 + sim.Chance())
+		late := sim.happens(faults.Late)
 		if late {
-			wait = 1500 + 2000*w.Chance()
+			wait = 1500 + 2000*sim.Chance()
 		}
-		if w.happens(faults.Unanswered) {
+		if sim.happens(faults.Unanswered) {
 			return
 		}
-		w.after(wait, func() { s.answer(c, id, late) })
+		sim.after(wait, func() { e.answer(c, id, late) })
 	}
 }
 
-func (s *Endpoint) answer(c *conn, id uint64, late bool) {
-	w, faults := c.w, &c.w.Faults
-	if c.closed || s.vanished || s.dead || s.pending[id] != c && !late {
+func (e *Endpoint) answer(c *conn, id uint64, late bool) {
+	sim, faults := c.sim, &c.sim.Faults
+	if c.closed || e.unreachable || e.crashed || e.pending[id] != c && !late {
 		return
 	}
 	report := binarymessage.TextParam(binarymessage.Report, "free:20;size:40;busy:0.4;q:1")
 	switch {
-	case w.happens(faults.Reset):
+	case sim.happens(faults.Reset):
 		c.reset()
 		return
-	case w.happens(faults.Malformed):
-		delete(s.pending, id)
+	case sim.happens(faults.Malformed):
+		delete(e.pending, id)
 		c.sendRaw([]byte{0xff, 0xff, 'n', 'o', 'i', 's', 'e'})
 		return
-	case w.happens(faults.Overloaded):
-		delete(s.pending, id)
+	case sim.happens(faults.Overloaded):
+		delete(e.pending, id)
 		c.send(
 			binarymessage.Release,
 			id,
@@ -85,38 +85,38 @@
 			report,
 		)
 		return
-	case w.happens(faults.Failed):
-		delete(s.pending, id)
+	case sim.happens(faults.Failed):
+		delete(e.pending, id)
 		c.send(binarymessage.Release, id, binarymessage.CauseParam(binarymessage.Fault), report)
 		return
 	}
-	if w.happens(faults.Unsolicited) {
+	if sim.happens(faults.Unsolicited) {
 		c.send(binarymessage.Answer, id^0xffff, binarymessage.TextParam(binarymessage.Description, "another's"), report)
 	}
-	delete(s.pending, id)
-	s.established[id] = true
+	delete(e.pending, id)
+	e.established[id] = true
 	times := 1
-	if w.happens(faults.Duplicate) {
+	if sim.happens(faults.Duplicate) {
 		times = 2
 	}
 	for range times {
 		c.send(binarymessage.Answer, id, binarymessage.TextParam(binarymessage.Description, "answer"), report)
 	}
-	w.after(w.HoldingTime*(0.5+w.Chance()), func() {
-		if !s.established[id] || s.dead || s.vanished {
+	sim.after(sim.HoldingTime*(0.5+sim.Chance()), func() {
+		if !e.established[id] || e.crashed || e.unreachable {
 			return
 		}
-		delete(s.established, id)
+		delete(e.established, id)
 		cause := byte(binarymessage.Normal)
-		if w.happens(faults.Cut) {
+		if sim.happens(faults.Cut) {
 			cause = binarymessage.Failure
 		}
 		releaseConn := c
 		if releaseConn.closed {
-			if len(s.conns) == 0 {
+			if len(e.conns) == 0 {
 				return
 			}
-			releaseConn = s.conns[0]
+			releaseConn = e.conns[0]
 		}
 		releaseConn.send(binarymessage.Release, id, binarymessage.CauseParam(cause), report)
 	})
--- a/internal/emulator/binarystandin/simulation.go
+++ b/internal/emulator/binarystandin/simulation.go
@@ -66,7 +66,7 @@
 // New returns a simulation with the given number of endpoints.
 func New(seed uint64, cfg *binarygateway.Config, newPolicy routing.PolicyFactory, endpointCount int,
 	checker *binaryconformance.Checker) *World {
-	w := &World{
+	sim := &World{
 		Checker:     checker,
 		seed:        seed,
 		now:         1e6,
@@ -77,154 +77,163 @@
 		AnswerTime:  30,
 	}
 	cfg.FromUnixMillis = func(unix float64) float64 { return unix }
-	w.Gateway = binarygateway.New(w.now, cfg, newPolicy, w)
+	sim.Gateway = binarygateway.New(sim.now, cfg, newPolicy, sim)
 	for range endpointCount {
-		w.addEndpoint()
+		sim.addEndpoint()
 	}
-	w.sendList()
-	return w
+	sim.sendList()
+	return sim
 }
 
 // Chance returns the next pseudo-random number in [0, 1).
-func (w *World) Chance() float64 {
-	w.draws++
-	return detrand.Float64(w.seed, w.draws)
+func (sim *World) Chance() float64 {
+	sim.draws++
+	return detrand.Float64(sim.seed, sim.draws)
 }
 
-func (w *World) happens(share float64) bool { return share > 0 && w.Chance() < share }
+func (sim *World) happens(share float64) bool { return share > 0 && sim.Chance() < share }
 
-func (w *World) after(ms float64, do func()) { w.timers.Schedule(w.now+ms, do) }
+func (sim *World) after(ms float64, do func()) { sim.timers.Schedule(sim.now+ms, do) }
 
 // addEndpoint starts a new endpoint, which may get the address of one that is gone.
-func (w *World) addEndpoint() {
-	w.destinations++
-	destinationID := (w.destinations - 1) % 4
-	addr := w.freeAddress()
-	s := &Endpoint{w: w, id: "s-" + strconv.Itoa(w.destinations), addr: addr, destination: destinationID,
+func (sim *World) addEndpoint() {
+	sim.destinations++
+	destinationID := (sim.destinations - 1) % 4
+	addr := sim.freeAddress()
+	endpoint := &Endpoint{sim: sim, id: "s-" + strconv.Itoa(sim.destinations), addr: addr, destination: destinationID,
 		state: routing.Ready, established: map[uint64]bool{}, pending: map[uint64]*conn{}}
-	w.byAddr[s.addr] = s
-	w.endpoints = append(w.endpoints, s)
+	sim.byAddr[endpoint.addr] = endpoint
+	sim.endpoints = append(sim.endpoints, endpoint)
 }
 
 // freeAddress returns the first address that no listed endpoint has. Addresses of endpoints that are gone are reused.
-func (w *World) freeAddress() netip.AddrPort {
+func (sim *World) freeAddress() netip.AddrPort {
 	for i := byte(1); ; i++ {
 		a := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 1, i}), 5070)
-		if !slices.ContainsFunc(w.endpoints, func(s *Endpoint) bool { return s.addr == a && s.state != routing.Gone }) {
+		if !slices.ContainsFunc(sim.endpoints, func(endpoint *Endpoint) bool {
+			return endpoint.addr == a && endpoint.state != routing.Gone
+		}) {
 			return a
 		}
 	}
 }
 
 // sendList delivers the current endpoint list to the gateway and the checker.
-func (w *World) sendList() {
-	w.serial++
-	l := &dnsdiscovery.List{Serial: w.serial, Complete: true}
-	for _, s := range w.endpoints {
-		if s.state != routing.Gone {
+func (sim *World) sendList() {
+	sim.serial++
+	l := &dnsdiscovery.List{Serial: sim.serial, Complete: true}
+	for _, endpoint := range sim.endpoints {
+		if endpoint.state != routing.Gone {
 			l.Targets = append(
 				l.Targets,
-				dnsdiscovery.Target{ID: s.id, Addr: s.addr, DestinationID: s.destination, State: s.state},
+				dnsdiscovery.Target{
+					ID:            endpoint.id,
+					Addr:          endpoint.addr,
+					DestinationID: endpoint.destination,
+					State:         endpoint.state,
+				},
 			)
 		}
-		w.Checker.OnEndpointState(w.now, s.id, s.state == routing.Ready)
+		sim.Checker.OnEndpointState(sim.now, endpoint.id, endpoint.state == routing.Ready)
 	}
-	w.endpoints = slices.DeleteFunc(w.endpoints, func(s *Endpoint) bool { return s.state == routing.Gone })
-	w.Gateway.OnEndpointList(w.now, l)
+	sim.endpoints = slices.DeleteFunc(sim.endpoints, func(endpoint *Endpoint) bool {
+		return endpoint.state == routing.Gone
+	})
+	sim.Gateway.OnEndpointList(sim.now, l)
 }
 
 // Run simulates the given time in ms.
-func (w *World) Run(ms float64) {
-	end := w.now + ms
-	if w.StopAt == 0 {
-		w.StopAt = end
+func (sim *World) Run(ms float64) {
+	end := sim.now + ms
+	if sim.StopAt == 0 {
+		sim.StopAt = end
 	} else {
-		w.StopAt += w.now
+		sim.StopAt += sim.now
 	}
-	w.after(50, w.sendSetup)
-	w.after(500, w.injectFaults)
-	for w.now < end {
-		w.Gateway.Step(w.now)
-		next := math.Min(math.Min(w.timers.Next(), w.Gateway.NextWakeup()), end)
-		w.now = math.Max(w.now+0.01, next)
-		w.timers.Run(w.now)
+	sim.after(50, sim.sendSetup)
+	sim.after(500, sim.injectFaults)
+	for sim.now < end {
+		sim.Gateway.Step(sim.now)
+		next := math.Min(math.Min(sim.timers.Next(), sim.Gateway.NextWakeup()), end)
+		sim.now = math.Max(sim.now+0.01, next)
+		sim.timers.Run(sim.now)
 	}
-	w.Checker.Finish(w.now)
+	sim.Checker.Finish(sim.now)
 }
 
 // Now returns the virtual time in ms.
-func (w *World) Now() float64 { return w.now }
+func (sim *World) Now() float64 { return sim.now }
 
 // injectFaults makes endpoints drain, crash and stop responding. It runs every 500 ms.
-func (w *World) injectFaults() {
-	w.after(500, w.injectFaults)
-	f, now := &w.Faults, w.now
-	if now > w.StopAt {
+func (sim *World) injectFaults() {
+	sim.after(500, sim.injectFaults)
+	f, now := &sim.Faults, sim.now
+	if now > sim.StopAt {
 		return
 	}
 	live := 0
-	for _, s := range w.endpoints {
-		if s.state == routing.Ready && !s.dead && !s.vanished {
+	for _, endpoint := range sim.endpoints {
+		if endpoint.state == routing.Ready && !endpoint.crashed && !endpoint.unreachable {
 			live++
 		}
 	}
-	for _, s := range slices.Clone(w.endpoints) {
-		if s.state != routing.Ready || s.dead || s.vanished || live < 2 {
+	for _, endpoint := range slices.Clone(sim.endpoints) {
+		if endpoint.state != routing.Ready || endpoint.crashed || endpoint.unreachable || live < 2 {
 			continue
 		}
 		switch {
-		case w.happens(f.Drains / 2):
-			s.state = routing.Draining
-			w.sendList()
+		case sim.happens(f.Drains / 2):
+			endpoint.state = routing.Draining
+			sim.sendList()
 			live--
-			w.after(1500, func() {
-				s.crash()
-				s.state = routing.Gone
-				w.addEndpoint()
-				w.sendList()
+			sim.after(1500, func() {
+				endpoint.crash()
+				endpoint.state = routing.Gone
+				sim.addEndpoint()
+				sim.sendList()
 			})
-		case w.happens(f.Crashes / 2):
+		case sim.happens(f.Crashes / 2):
 			live--
-			s.crash()
-			w.after(1500, func() {
-				s.state = routing.Gone
-				w.addEndpoint()
-				w.sendList()
+			endpoint.crash()
+			sim.after(1500, func() {
+				endpoint.state = routing.Gone
+				sim.addEndpoint()
+				sim.sendList()
 			})
-		case w.happens(f.Vanish / 2):
+		case sim.happens(f.Vanish / 2):
 			live--
-			s.vanished = true
-			w.Checker.OnEndpointDied(w.now, s.id)
-			w.after(9000, func() {
-				s.crash()
-				s.state = routing.Gone
-				w.addEndpoint()
-				w.sendList()
+			endpoint.unreachable = true
+			sim.Checker.OnEndpointDied(sim.now, endpoint.id)
+			sim.after(9000, func() {
+				endpoint.crash()
+				endpoint.state = routing.Gone
+				sim.addEndpoint()
+				sim.sendList()
 			})
 		}
 	}
 }
 
 // sendSetup sends a setup on a random client connection and schedules the next one.
-func (w *World) sendSetup() {
-	if w.now > w.StopAt {
+func (sim *World) sendSetup() {
+	if sim.now > sim.StopAt {
 		return
 	}
-	w.after(-math.Log(1-w.Chance())*1000/w.Rate, w.sendSetup)
-	w.conns = slices.DeleteFunc(w.conns, func(c *conn) bool { return c.closed })
-	if len(w.conns) < 3 {
-		c := &conn{w: w}
-		c.gatewayConn = w.Gateway.OnAccepted(w.now, c, netip.MustParseAddr("127.0.0.9"))
+	sim.after(-math.Log(1-sim.Chance())*1000/sim.Rate, sim.sendSetup)
+	sim.conns = slices.DeleteFunc(sim.conns, func(c *conn) bool { return c.closed })
+	if len(sim.conns) < 3 {
+		c := &conn{sim: sim}
+		c.gatewayConn = sim.Gateway.OnAccepted(sim.now, c, netip.MustParseAddr("127.0.0.9"))
 		if c.gatewayConn == nil {
 			return
 		}
-		w.conns = append(w.conns, c)
-		w.Checker.SetClientConnected(w.now, true)
+		sim.conns = append(sim.conns, c)
+		sim.Checker.SetClientConnected(sim.now, true)
 	}
-	c := w.conns[int(w.Chance()*float64(len(w.conns)))]
-	w.calls++
-	id := detrand.Hash(w.seed, 0xca11, w.calls)
-	timeout := 1500 + 1500*w.Chance()
+	c := sim.conns[int(sim.Chance()*float64(len(sim.conns)))]
+	sim.calls++
+	id := detrand.Hash(sim.seed, 0xca11, sim.calls)
+	timeout := 1500 + 1500*sim.Chance()
 	c.send(
 		binarymessage.Setup,
 		id,
@@ -235,15 +244,15 @@
 		binarymessage.TextParam(binarymessage.Description, "offer"),
 	)
 	c.pendingCalls = append(c.pendingCalls, id)
-	if w.happens(w.Faults.CallerLeaves) {
-		w.after(w.Chance()*3*w.AnswerTime, func() {
+	if sim.happens(sim.Faults.CallerLeaves) {
+		sim.after(sim.Chance()*3*sim.AnswerTime, func() {
 			if !c.closed && slices.Contains(c.pendingCalls, id) {
-				c.pendingCalls = slices.DeleteFunc(c.pendingCalls, func(o uint64) bool { return o == id })
+				c.pendingCalls = slices.DeleteFunc(c.pendingCalls, func(pendingID uint64) bool { return pendingID == id })
 				c.send(binarymessage.Release, id, binarymessage.CauseParam(binarymessage.Normal))
 			}
 		})
 	}
-	if w.happens(w.Faults.ClientCloses) {
-		w.after(w.Chance()*2*w.AnswerTime, c.reset)
+	if sim.happens(sim.Faults.ClientCloses) {
+		sim.after(sim.Chance()*2*sim.AnswerTime, c.reset)
 	}
 }
