--- a/internal/protocol/siptransaction/client.go
+++ b/internal/protocol/siptransaction/client.go
@@ -19,7 +19,7 @@
 	dueAt       float64 // the next retransmission
 	timer       *timerqueue.Timer
 	expiry      *timerqueue.Timer
-	onResponse  func(*sip.Response) // called with nil if no response came in time
+	onResponse  func(*sip.Response) // called with nil if no final response came in time
 	provisional bool                // a provisional response was received
 	final       int
 	ack         []byte
@@ -27,9 +27,10 @@
 	cancelSent  bool
 }
 
-// Send adds a Via to a request, sends it and retransmits it until a response comes. onResponse is called for every
-// response that is not a retransmission and, since each needs an ACK, for every 2xx to an INVITE (RFC 6026 8). It is
-// called with nil if there was no final response within 64 T1.
+// Send adds a Via to a request, sends it and retransmits it: an INVITE until any response comes, another request until
+// its final response. onResponse is called for every provisional response before the final one, for the final response
+// and, since each needs an ACK, for every further 2xx to an INVITE (RFC 6026 8). It is called with nil if there was no
+// final response within 64 T1, counted from the request or from its CANCEL.
 func (l *Layer) Send(req *sip.Request, to netip.AddrPort, via sip.HeaderParams,
 	onResponse func(*sip.Response)) *Client {
 	branch := "z9hG4bK" + l.Generator.Next()
--- a/internal/protocol/siptransaction/layer.go
+++ b/internal/protocol/siptransaction/layer.go
@@ -19,7 +19,7 @@
 	OnRequest(s *Server, req *sip.Request)
 	// OnCancel reports a CANCEL for a request without a final response. The layer has answered the CANCEL itself.
 	OnCancel(s *Server, req *sip.Request)
-	// OnAck reports the ACK of a 2xx.
+	// OnAck reports an ACK that matches no INVITE rejected here, such as the ACK of a 2xx.
 	OnAck(req *sip.Request)
 	// OnStrayResponse reports a 2xx to an INVITE that matches no transaction: the peer has a call that is unknown here.
 	OnStrayResponse(res *sip.Response, from netip.AddrPort)
@@ -42,7 +42,8 @@
 	Malformed int     // datagrams that could not be parsed
 	// Parse parses datagrams. The emulator sets a caching parser; it may, since parsed messages are never changed.
 	Parse func([]byte) (sip.Message, error)
-	// OnRepeat, if set, is called for each retransmitted request. The layer answers these itself.
+	// OnRepeat, if set, is called for each retransmission of a request whose transaction is open. The layer
+	// handles these itself.
 	OnRepeat func(*Server)
 
 	user    User
@@ -104,7 +105,7 @@
 	return bytes.Clone(l.buffer.Bytes())
 }
 
-// NewLayer returns a layer for a local address that sends datagrams through out.
+// NewLayer returns a layer for a local address that sends datagrams through send.
 func NewLayer(address netip.AddrPort, times Timers, generator *Generator, timers *timerqueue.Queue, user User,
 	send func(netip.AddrPort, []byte)) *Layer {
 	return &Layer{Parse: Parse, Address: address, Generator: generator, Timers: timers, Times: times, user: user,
@@ -205,19 +206,19 @@
 	mergeKey         string
 	request          *sip.Request
 	to               netip.AddrPort
-	final            int    // code of the final response; 0: none yet
+	final            int    // code of the final response, or 0 before it
 	lastResponse     []byte // the latest response
 	interval         float64
 	timer            *timerqueue.Timer // of the next retransmission
 	expiry           *timerqueue.Timer
 	archived         bool
-	onUnacknowledged func() // called when a 2xx to an INVITE was never acknowledged
+	onUnacknowledged func() // called if a 2xx to an INVITE is not acknowledged within 64 T1
 }
 
 // Request returns the request.
 func (s *Server) Request() *sip.Request { return s.request }
 
-// Final returns the code of the final response; 0: none yet.
+// Final returns the code of the final response, or 0 before it.
 func (s *Server) Final() int { return s.final }
 
 // ResponseAddress returns the address to which responses are sent.
@@ -263,7 +264,7 @@
 // OnUnacknowledged sets a function to call if a 2xx is not acknowledged within 64 T1.
 func (s *Server) OnUnacknowledged(do func()) { s.onUnacknowledged = do }
 
-// Acknowledge stops the retransmission of a 2xx after its ACK was received.
+// Acknowledge stops the retransmission of a 2xx, after its ACK or once the call is released.
 func (s *Server) Acknowledge() {
 	s.onUnacknowledged = nil
 	s.archive(0)
@@ -296,11 +297,11 @@
 	s.timer = l.Timers.Schedule(l.Now+s.interval, s.retransmit)
 }
 
-// onRetransmission answers a retransmission of the request with the latest response; a 2xx has its own timer (RFC 6026
-// 7.1).
+// onRetransmission answers a retransmission of the request with the latest response, except a 2xx to an INVITE, which
+// has its own timer (RFC 6026 7.1).
 func (s *Server) onRetransmission() {
-	acknowledged := s.request.Method == sip.INVITE && s.final >= 200 && s.final < 300
-	if s.lastResponse != nil && !acknowledged {
+	hasOwnTimer := s.request.Method == sip.INVITE && s.final >= 200 && s.final < 300
+	if s.lastResponse != nil && !hasOwnTimer {
 		s.layer.send(s.to, s.lastResponse)
 	}
 }
