--- a/internal/protocol/b2bua/agent.go
+++ b/internal/protocol/b2bua/agent.go
@@ -47,6 +47,7 @@
 	// Resolve looks a number up. It calls done exactly once, within timeout ms and possibly before it returns; stop
 	// cancels the look-up.
 	Resolve(now float64, digits string, timeout float64, done func(now float64, found numberplan.Found)) (stop func())
+	// Wake runs the timers that are due.
 	Wake(now float64)
 	NextWakeup() float64
 }
@@ -62,13 +63,14 @@
 	DefaultClass string  // the class of a call that names none
 	AnswerMargin float64 // ms before the caller's timeout by which the final answer is sent
 	LoadShedding loadshed.Gate
-	Parse        func([]byte) (sip.Message, error) // nil: siptransaction.Parse
-	// Table routes called numbers; nil: callers name class and trunk group themselves.
+	Parse        func([]byte) (sip.Message, error) // if nil, siptransaction.Parse is used
+	// Table routes called numbers. If it is nil, callers name class and trunk group themselves.
 	Table        *numberplan.Table
-	NumberLookup Lookup    // nil: look-ups are not available
+	NumberLookup Lookup    // nil if look-ups are not available
 	LookupShare  float64   // share of a call's remaining timeout that a look-up may use
 	Epoch        time.Time // the wall-clock time at which this agent's clock is 0, for times of day
-	// DisabledGuard turns off the enforcement of one rule, for tests of the conformance checker; 0: none.
+	// DisabledGuard turns off the enforcement of one rule, for tests of the conformance checker. If it is 0, all are
+	// enforced.
 	DisabledGuard routing.Rule
 }
 
@@ -77,7 +79,7 @@
 	ID            string
 	DestinationID int
 	State         routing.State
-	StartedAt     float64 // ms on this agent's clock; 0: long ago
+	StartedAt     float64 // ms on this agent's clock; 0 stands for long ago
 	Addr          netip.AddrPort
 }
 
@@ -91,8 +93,8 @@
 	Answer     int // the final answer's code
 	Attempts   int
 	DurationMs float64 // ms from its arrival to its final answer
-	Table      uint64  // version of the number table that was used; 0: none
-	Route      string  // name of the route; "": none
+	Table      uint64  // version of the number table that was used; 0 if none was
+	Route      string  // name of the route; empty if there is none
 }
 
 // Agent is one gateway. It is not safe for concurrent use: one event loop owns it.
@@ -253,8 +255,8 @@
 		1,
 	)
 	a.sip.Send(req, to, overloadControlParams, func(res *sip.Response) {
-		full := res != nil && a.applyLoadReport(endpoint, res)
-		a.Router.OnLoadReport(a.Now, endpoint, res != nil && res.StatusCode < 300, full)
+		hasLoadReport := res != nil && a.applyLoadReport(endpoint, res)
+		a.Router.OnLoadReport(a.Now, endpoint, res != nil && res.StatusCode < 300, hasLoadReport)
 	})
 }
 
--- a/internal/protocol/b2bua/call.go
+++ b/internal/protocol/b2bua/call.go
@@ -22,8 +22,8 @@
 // dialog is our side of a SIP dialog, with a caller or with an endpoint.
 type dialog struct {
 	agent  *Agent
-	call   *call        // nil: abandoned
-	leg    *outboundLeg // nil: this is the caller's dialog
+	call   *call
+	leg    *outboundLeg // nil in the caller's dialog
 	callID string
 	tag    string
 }
@@ -39,7 +39,8 @@
 	ringingSent bool         // 180 Ringing was sent to the caller
 }
 
-// onInvite handles a new INVITE. The call is handed to the policy at the end of the batch.
+// onInvite handles a new INVITE. Unless it is rejected here, the call goes to load shedding and, if it is admitted, to
+// the policy at the end of the batch.
 func (a *Agent) onInvite(s *siptransaction.Server, req *sip.Request) {
 	className, ok := strings.CutPrefix(siptransaction.HeaderValue(req, siptransaction.Service), servicePrefix)
 	if !ok {
@@ -165,7 +166,7 @@
 	}
 }
 
-// sendFinal sends the final response. A second one is never sent (rule 1).
+// sendFinal sends the final response, never a second one (rule 1). If the call is finished, it cancels the setup.
 func (c *call) sendFinal(res *sip.Response) {
 	if !c.finishWithCode(res.StatusCode) {
 		return
@@ -278,7 +279,7 @@
 	req.AppendHeader(sip.NewHeader(siptransaction.Reason, reason))
 }
 
-// newSessionID makes a session ID for a call without one.
+// newSessionID makes a session ID for an enquiry, or for a call without one.
 func (a *Agent) newSessionID() string { return siptransaction.NewSessionID(&a.ids) }
 
 func copyBody(from, to interface {
--- a/internal/protocol/b2bua/numberanalysis.go
+++ b/internal/protocol/b2bua/numberanalysis.go
@@ -15,13 +15,13 @@
 	analysis      *numberplan.Analysis
 	lookupNumber  string // the number to be looked up
 	lookupTimeout float64
-	cancelLookup  func() // nil: no look-up is pending
+	cancelLookup  func() // nil if no look-up is pending
 	tableVersion  uint64
 	routeName     string
 	params        string // portability parameters of the number (RFC 4694)
 }
 
-// SetTable sets the number table of new calls; nil: none. Pending calls keep theirs.
+// SetTable sets the number table of new calls, or none if t is nil. Pending calls keep theirs.
 func (a *Agent) SetTable(t *numberplan.Table) { a.table = t }
 
 // Tables returns the number of older tables in use, and of calls without a final answer that use them.
@@ -35,9 +35,9 @@
 	return
 }
 
-// startAnalysis begins the analysis of a call's number; false: the call was answered. A number that the table refuses
-// is answered here without keeping state. A look-up starts only after admission, so that a flood of shed calls causes
-// no DNS queries.
+// startAnalysis begins the analysis of a call's number. It returns false if it has answered the call. A number that
+// the table refuses is answered here without keeping state. A look-up starts only after admission, so that a flood of
+// shed calls causes no DNS queries.
 func (s *session) startAnalysis(user, params string) bool {
 	a := s.agent
 	p, err := enum.Params(params)
@@ -117,7 +117,8 @@
 	}
 }
 
-// applyRoute copies a route into the call; false: this agent lacks the route's trunk group, class or tenant.
+// applyRoute copies a route into the call. It returns false if this agent lacks the route's trunk group, class or
+// tenant.
 func (s *session) applyRoute(r *numberplan.Route) bool {
 	a := s.agent
 	g := a.groupsByName[r.Group]
--- a/internal/protocol/b2bua/session.go
+++ b/internal/protocol/b2bua/session.go
@@ -17,7 +17,8 @@
 	respond(code int, reason string)
 }
 
-// finishWithCode records the final answer's code and releases the number table; false: there was a final answer before.
+// finishWithCode records the final answer's code and releases the number table. It returns false, and does nothing, if
+// there was a final answer before.
 func (s *session) finishWithCode(code int) bool {
 	if !s.Finish(code >= 300) {
 		return false
