--- a/internal/protocol/enumserver/limit.go
+++ b/internal/protocol/enumserver/limit.go
@@ -25,9 +25,9 @@
 // Limits bounds the queries over UDP, where the source address may be forged. The limits protect third parties against
 // reflected responses, and this gateway against floods.
 type Limits struct {
-	Rate    float64 // queries per second of one client network; 0: unlimited
-	Burst   float64 // queries at once
-	Total   float64 // responses per second in total; 0: unlimited
+	Rate    float64 // queries per second of one client network; 0 sets no limit
+	Burst   float64 // queries of one client network at once
+	Total   float64 // responses per second in total; 0 sets no limit
 	Clients int     // client networks tracked
 	Nets    []Net   // networks with their own rates
 }
@@ -35,7 +35,7 @@
 // Net is a network of clients.
 type Net struct {
 	Prefix netip.Prefix
-	Rate   float64 // queries per second of each client network in it; 0: refused
+	Rate   float64 // queries per second of each client network in it; with 0 they are refused
 }
 
 // limiter is a rate limiter by client network, a /24 of IPv4 or a /56 of IPv6, which usually belongs to one holder.
--- a/internal/protocol/enumserver/server.go
+++ b/internal/protocol/enumserver/server.go
@@ -22,7 +22,7 @@
 type Enquirer interface {
 	StartEnquiry(
 		now float64,
-		number, skill string,
+		number, class string,
 		timeout float64,
 		done func(now float64, result b2bua.EnquiryResult),
 	) (stop func())
@@ -48,9 +48,9 @@
 	Queries   uint64 `json:"queries"`   // all messages received
 	Named     uint64 `json:"named"`     // responses that name an endpoint
 	None      uint64 `json:"none"`      // negative responses: no such name, or no record of the queried type
-	Failed    uint64 `json:"failed"`    // queries that failed, answered with SERVFAIL
-	Repeats   uint64 `json:"repeats"`   // queries that repeat an earlier one
-	Refused   uint64 `json:"refused"`   // queries refused by a limit, or for another zone or class
+	Failed    uint64 `json:"failed"`    // queries answered with SERVFAIL, except while the server closes
+	Repeats   uint64 `json:"repeats"`   // queries that repeat a pending one or one whose answer is kept
+	Refused   uint64 `json:"refused"`   // queries from refused networks, or for another zone or class
 	Slipped   uint64 `json:"slipped"`   // queries over a limit that were answered as truncated
 	Dropped   uint64 `json:"dropped"`   // queries over a limit that were not answered
 	Truncated uint64 `json:"truncated"` // responses truncated because of their size
@@ -91,7 +91,7 @@
 
 type replyTo struct {
 	msg     *dns.Msg // the query
-	maxSize int      // maximum response size in octets; 0: unlimited, over TCP
+	maxSize int      // maximum response size in octets; 0 over TCP, where it is not limited
 	send    func([]byte)
 }
 
@@ -113,7 +113,7 @@
 	s.remembered = s.remembered[dropped:]
 }
 
-// OpenCount returns the number of queries held, pending or kept for repeats.
+// OpenCount returns the number of queries that are pending or whose answers are kept for repeats.
 func (s *Server) OpenCount() int { return len(s.open) }
 
 const (
@@ -123,7 +123,8 @@
 	maxReplies = 4
 )
 
-// Receive processes a message; send is called at most once, with the response. stream: it arrived over TCP.
+// Receive processes a message; send is called at most once, with the response. stream reports
+// whether the message arrived over TCP.
 func (s *Server) Receive(now float64, from netip.AddrPort, data []byte, stream bool, send func([]byte)) {
 	s.now = now
 	s.Counts.Queries++
