--- a/internal/gateway/sipserver/numbers.go
+++ b/internal/gateway/sipserver/numbers.go
@@ -146,7 +146,7 @@
 		<-ready
 		select {
 		case n.server.events <- event{kind: dnsResponse, from: from, local: local, data: data}:
-		default: // dropped, as the network may drop it
+		default: // the event queue is full: drop the response; the DNS client tries again after its timeout
 		}
 	})
 	if err != nil {
@@ -291,7 +291,7 @@
 	}
 }
 
-// Put implements the service.
+// Put implements api.NumbersServer.
 func (a *admin) Put(ctx context.Context, req *api.PutTable) (*api.TableState, error) {
 	if err := a.runInLoop(ctx, func(done func(error)) {
 		a.numbers.keeper.Put(req.Table, req.Note, done)
@@ -301,7 +301,7 @@
 	return a.state(ctx)
 }
 
-// Back implements the service.
+// Back implements api.NumbersServer.
 func (a *admin) Back(ctx context.Context, _ *api.BackRequest) (*api.TableState, error) {
 	if a.numbers.store == nil {
 		return nil, status.Error(codes.FailedPrecondition, "numbers: no table store is configured to hold earlier tables")
@@ -319,7 +319,7 @@
 	return status.Error(codes.FailedPrecondition, err.Error())
 }
 
-// Show implements the service.
+// Show implements api.NumbersServer.
 func (a *admin) Show(ctx context.Context, _ *api.ShowRequest) (*api.TableState, error) {
 	return a.state(ctx)
 }
@@ -351,7 +351,7 @@
 	return s, nil
 }
 
-// Explain implements the service.
+// Explain implements api.NumbersServer.
 func (a *admin) Explain(ctx context.Context, req *api.ExplainRequest) (*api.Explained, error) {
 	var t *numberplan.Table
 	if err := a.runInLoop(ctx, func(done func(error)) { t = a.numbers.keeper.Running; done(nil) }); err != nil {
--- a/internal/gateway/sipserver/server.go
+++ b/internal/gateway/sipserver/server.go
@@ -76,7 +76,7 @@
 	done          <-chan struct{}
 
 	lastBatchAt   float64
-	drainingSince float64 // 0: not draining
+	drainingSince float64 // 0 if not draining
 }
 
 // Run runs a gateway. The first value received from stop starts a drain; the second ends the gateway at once.
@@ -290,8 +290,8 @@
 	s.log.Info().Msg("draining")
 }
 
-// waitForBatch waits for an event or a due timer, and at least until the tick of the previous batch is over. stopped
-// reports a value on stop.
+// waitForBatch waits for an event, which it handles, a due timer or a value on stop, which sets stopped. After an
+// event, or if a timer is already due, it also waits until the tick of the previous batch is over.
 func (s *Server) waitForBatch(timer *time.Timer, stop <-chan struct{}) (now float64, stopped bool) {
 	now = s.now()
 	wait := math.Min(s.agent.NextWakeup()-now, maxWait)
@@ -325,8 +325,9 @@
 	return s.now()
 }
 
-// isDrained reports whether a draining gateway may exit: no call is pending, all established calls have ended or were
-// released after the drain timeout, and late answers to abandoned setups had finalReleaseTimeout to be released.
+// isDrained reports whether a draining gateway may exit: no call is pending, all established calls have ended
+// (isDrained releases them after the drain timeout), and late answers to abandoned setups had finalReleaseTimeout to
+// be released.
 func (s *Server) isDrained(now float64) bool {
 	drainingFor := now - s.drainingSince
 	pending, established := s.agent.InProgress()
