--- a/internal/cli/labcli/compare.go
+++ b/internal/cli/labcli/compare.go
@@ -93,7 +93,7 @@
 						label += " (" + other.set[len(other.set)-1] + ")"
 					}
 					if i < 4 {
-						page.Pairs = append(page.Pairs, report.Pair{Name: label, Result: paired})
+						page.Pairs = append(page.Pairs, report.MetricComparison{Name: label, Result: paired})
 					}
 				}
 				page.Notes = append(page.Notes, "B: "+other.String())
--- a/internal/emulator/report/report.go
+++ b/internal/emulator/report/report.go
@@ -29,7 +29,7 @@
 	Title string
 	Notes []string
 	Days  []Day
-	Pairs []Pair
+	Pairs []MetricComparison
 }
 
 // Day is one day with its plots.
@@ -39,8 +39,8 @@
 	Plots []Plot
 }
 
-// Pair is the comparison of one metric.
-type Pair struct {
+// MetricComparison is the comparison of one metric.
+type MetricComparison struct {
 	Name   string
 	Result stats.Paired
 }
@@ -51,15 +51,15 @@
 	drawing *plot.Plot
 }
 
-// Size of a plot.
+// The size of a plot.
 const (
-	pictureWidth  = 24 * vg.Centimeter
-	pictureHeight = 7 * vg.Centimeter
+	plotWidth  = 24 * vg.Centimeter
+	plotHeight = 7 * vg.Centimeter
 )
 
 // SVG returns the plot as an svg element for an HTML page.
 func (p Plot) SVG() (template.HTML, error) {
-	c := vgsvg.New(pictureWidth, pictureHeight)
+	c := vgsvg.New(plotWidth, plotHeight)
 	p.drawing.Draw(draw.New(c))
 	var b bytes.Buffer
 	if _, err := c.WriteTo(&b); err != nil {
@@ -74,7 +74,7 @@
 
 // PNG writes the plot as a PNG file.
 func (p Plot) PNG(w io.Writer) error {
-	c := vgimg.New(pictureWidth, pictureHeight)
+	c := vgimg.New(plotWidth, plotHeight)
 	p.drawing.Draw(draw.New(c))
 	if _, err := (vgimg.PngCanvas{Canvas: c}).WriteTo(w); err != nil {
 		return fmt.Errorf("report: %s: %w", p.Title, err)
@@ -100,19 +100,19 @@
 	{0x17, 0xbe, 0xcf, 255},
 }
 
-func newTimePlot(title, yLabel string, series *virtualrun.Series, top float64) *plot.Plot {
+func newTimePlot(title, yLabel string, series *virtualrun.Series, yMax float64) *plot.Plot {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", yLabel
 	p.Legend.Top, p.Legend.Left = true, false
 	p.X.Min, p.X.Max = 0, float64(series.Seconds)*1.16 // room for the legend
-	p.Y.Min, p.Y.Max = 0, top
+	p.Y.Min, p.Y.Max = 0, yMax
 	p.Add(plotter.NewGrid())
-	for i, fault := range series.Faults { // faults are marked on the time axis
+	for i, fault := range series.Faults { // each fault is a shaded band over its duration, labelled with its kind
 		from, to := fault.At/1000, math.Min(float64(series.Seconds), (fault.At+fault.For)/1000)
 		if from >= float64(series.Seconds) {
 			continue
 		}
-		box, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: 0}, {X: to, Y: 0}, {X: to, Y: top}, {X: from, Y: top}})
+		box, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: 0}, {X: to, Y: 0}, {X: to, Y: yMax}, {X: from, Y: yMax}})
 		if err != nil {
 			continue
 		}
@@ -121,7 +121,7 @@
 		p.Add(box)
 		label, err := plotter.NewLabels(
 			plotter.XYLabels{
-				XYs:    plotter.XYs{{X: from + 0.2, Y: top * (0.02 + 0.07*float64(i%4))}},
+				XYs:    plotter.XYs{{X: from + 0.2, Y: yMax * (0.02 + 0.07*float64(i%4))}},
 				Labels: []string{fault.Kind},
 			},
 		)
@@ -133,20 +133,20 @@
 }
 
 // addSeries adds a curve with one sample a second; NaN and infinite samples are gaps.
-func addSeries(p *plot.Plot, name string, samples []float64, colour int) {
+func addSeries(p *plot.Plot, name string, samples []float64, colourIndex int) {
 	var points plotter.XYs
-	first := true
+	needsLegend := true
 	flush := func() {
 		if len(points) == 0 {
 			return
 		}
 		curve, err := plotter.NewLine(points)
 		if err == nil {
-			curve.Color, curve.Width = colours[colour%len(colours)], vg.Points(1.3)
+			curve.Color, curve.Width = colours[colourIndex%len(colours)], vg.Points(1.3)
 			p.Add(curve)
-			if first {
+			if needsLegend {
 				p.Legend.Add(name, curve)
-				first = false
+				needsLegend = false
 			}
 		}
 		points = nil
@@ -161,16 +161,17 @@
 	flush()
 }
 
+// axisMax returns the upper end of the y axis: the largest finite sample, at least 1, plus 10 %.
 func axisMax(series ...[]float64) float64 {
-	top := 1.0
+	yMax := 1.0
 	for _, samples := range series {
 		for _, sample := range samples {
 			if !math.IsNaN(sample) && !math.IsInf(sample, 0) {
-				top = math.Max(top, sample)
+				yMax = math.Max(yMax, sample)
 			}
 		}
 	}
-	return top * 1.1
+	return yMax * 1.1
 }
 
 // Plots returns the plots of a run.
@@ -179,8 +180,8 @@
 		return nil
 	}
 	var plots []Plot
-	add := func(title, yLabel string, top float64) *plot.Plot {
-		p := newTimePlot(title, yLabel, series, top)
+	add := func(title, yLabel string, yMax float64) *plot.Plot {
+		p := newTimePlot(title, yLabel, series, yMax)
 		plots = append(plots, Plot{title, p})
 		return p
 	}
@@ -205,12 +206,12 @@
 		addSeries(p, name, series.Outcomes[name], i)
 	}
 	if len(series.SlowStart) > 0 {
-		bySwitch, top := map[string]plotter.XYs{}, 1.1
+		bySwitch, yMax := map[string]plotter.XYs{}, 1.1
 		for _, budget := range series.SlowStart {
 			bySwitch[budget.Switch] = append(bySwitch[budget.Switch], plotter.XY{X: budget.At / 1000, Y: budget.Used})
-			top = math.Max(top, budget.Used*1.1)
+			yMax = math.Max(yMax, budget.Used*1.1)
 		}
-		p = add("Cold budgets: work of the window that ends here over what is allowed", "1 is the limit", top)
+		p = add("Cold budgets: work of the window that ends here over what is allowed", "1 is the limit", yMax)
 		limit, err := plotter.NewLine(plotter.XYs{{X: 0, Y: 1}, {X: float64(series.Seconds), Y: 1}})
 		if err == nil {
 			limit.Color, limit.Dashes = colours[1], []vg.Length{vg.Points(4), vg.Points(3)}
@@ -256,8 +257,8 @@
 	return sum
 }
 
-// Intervals returns a plot of comparisons: each mean difference with its confidence interval.
-func Intervals(pairs []Pair) (Plot, error) {
+// Intervals returns a plot of comparisons: each mean difference with its confidence interval, if that is finite.
+func Intervals(pairs []MetricComparison) (Plot, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text = "B less A, with intervals", "difference"
 	p.Y.Tick.Marker = plot.ConstantTicks(nil)
@@ -274,17 +275,17 @@
 		if math.IsInf(pair.Result.Low, 0) {
 			continue
 		}
-		bar, err := plotter.NewLine(plotter.XYs{{X: pair.Result.Low, Y: y}, {X: pair.Result.High, Y: y}})
+		interval, err := plotter.NewLine(plotter.XYs{{X: pair.Result.Low, Y: y}, {X: pair.Result.High, Y: y}})
 		if err != nil {
 			return Plot{}, fmt.Errorf("report: intervals: %w", err)
 		}
-		bar.Width, bar.Color = vg.Points(2), colours[0]
+		interval.Width, interval.Color = vg.Points(2), colours[0]
 		dot, err := plotter.NewScatter(plotter.XYs{{X: pair.Result.Mean, Y: y}})
 		if err != nil {
 			return Plot{}, fmt.Errorf("report: intervals: %w", err)
 		}
 		dot.Color, dot.Radius, dot.Shape = colours[1], vg.Points(3), draw.CircleGlyph{}
-		p.Add(bar, dot)
+		p.Add(interval, dot)
 	}
 	p.Y.Tick.Marker = plot.ConstantTicks(ticks)
 	p.Y.Min, p.Y.Max = -0.5, float64(len(pairs))-0.5
@@ -302,7 +303,7 @@
 		Title     string
 		Notes     []string
 		Days      []dayContent
-		Pairs     []Pair
+		Pairs     []MetricComparison
 		Intervals template.HTML
 		Empty     bool
 	}{Title: page.Title, Notes: page.Notes, Pairs: page.Pairs, Empty: len(page.Days)+len(page.Pairs) == 0}
--- a/internal/emulator/report/report_test.go
+++ b/internal/emulator/report/report_test.go
@@ -35,13 +35,14 @@
 	sumsOneCore, _ := runDays(1)
 	sumsFourCores, res := runDays(4)
 	if sumsOneCore != sumsFourCores || sumsOneCore[0] == sumsOneCore[1] {
-		t.Errorf("capture sums: %x on one core, %x on four; want the same, one for each seed", sumsOneCore, sumsFourCores)
+		t.Errorf("capture sums: %x on one core, %x on four; want the same, one for each seed",
+			sumsOneCore, sumsFourCores)
 	}
 	var html bytes.Buffer
 	page := Page{
 		Title: "t",
 		Days:  []Day{{Name: "d", Lines: []string{"<x>"}, Plots: Plots(res.Series)}},
-		Pairs: []Pair{{"service", stats.Compare([]float64{1, 2, 3}, []float64{2, 3, 5}, 0.95)}},
+		Pairs: []MetricComparison{{"service", stats.Compare([]float64{1, 2, 3}, []float64{2, 3, 5}, 0.95)}},
 	}
 	if err := Write(&html, page); err != nil {
 		t.Fatal(err)
