--- a/internal/cli/labcli/labcmd.go
+++ b/internal/cli/labcli/labcmd.go
@@ -37,7 +37,7 @@
 the traffic alone. The switches are models, so all results are for simulated servers.
 
 Start with "cobalt-lab try". Exit status: 0 success; 1 an error; 3 a rule was broken or a gateway
-failed.`,
+failed in a run of the policy brain, or a check had findings.`,
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
@@ -65,7 +65,7 @@
 	return root
 }
 
-// Status returns the exit code for an error.
+// Status returns the exit code of the program for an error.
 func Status(err error) int {
 	switch {
 	case err == nil:
@@ -77,39 +77,54 @@
 }
 
 type dayFlags struct {
-	virtual bool
-	seeds   int
-	seed    uint64
-	module  string
-	capture string
-	dir     string
-	port    int
-	level   string
-	set     []string
-	trace   string
+	virtual   bool
+	seeds     int
+	seed      uint64
+	policies  string // names separated by commas
+	capture   string
+	dir       string
+	port      int
+	logLevel  string
+	overrides []string // NAME=VALUE
+	trace     string
 }
 
 func (f *dayFlags) add(c *cobra.Command) {
-	c.Flags().BoolVar(&f.virtual, "virtual", false, "run in virtual time, without sockets; a seed repeats the same day")
-	c.Flags().IntVar(&f.seeds, "seeds", 1, "number of days to run, with consecutive seeds")
+	c.Flags().BoolVar(
+		&f.virtual,
+		"virtual",
+		false,
+		"run in virtual time, without sockets; the same seed gives the same run",
+	)
+	c.Flags().IntVar(&f.seeds, "seeds", 1, "number of runs of the day for each policy, with consecutive seeds")
 	c.Flags().Uint64Var(&f.seed, "seed", 0, "first seed, instead of the script's")
 	c.Flags().StringVar(
-		&f.module,
+		&f.policies,
 		"module",
 		"brain",
 		"routing policy: brain, or the baselines lottery and random; several separated by commas",
 	)
 	c.Flags().StringVar(&f.capture, "capture", "", "write the traffic to this file (see cobalt-lab show)")
 	c.Flags().StringVar(&f.dir, "dir", "", "keep the gateways' configuration files and logs in this directory")
-	c.Flags().IntVar(&f.port, "port", 15060, "SIP port of the addresses in 127.0.0.0/8; port+10 and port+20 are used too")
+	c.Flags().IntVar(
+		&f.port,
+		"port",
+		15060,
+		"SIP port of gateways and stand-ins; port+10 and port+20 carry gossip, port+30 number tables",
+	)
 	c.Flags().StringVar(
 		&f.trace,
 		"trace",
 		"",
 		"replay the calls of this trace instead of the script's load; callers do not redial",
 	)
-	c.Flags().StringArrayVar(&f.set, "set", nil, "override a value of the script, such as pools.count=6 or net.loss=0.01")
-	c.Flags().StringVar(&f.level, "log", "info", "log level of the gateways")
+	c.Flags().StringArrayVar(
+		&f.overrides,
+		"set",
+		nil,
+		"override a value of the script, such as pools.count=6 or net.loss=0.01",
+	)
+	c.Flags().StringVar(&f.logLevel, "log", "info", "log level of the gateways")
 }
 
 func tryCmd() *cobra.Command {
@@ -119,7 +134,7 @@
 		Short: "Run a short built-in day, with real sockets and processes",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			s, err := scenario.Day("try", f.set...)
+			s, err := scenario.Day("try", f.overrides...)
 			if err != nil {
 				return err
 			}
@@ -140,7 +155,7 @@
 		Long: "Runs a day from a script and prints how callers were served and whether the five rules were kept.\n\n" +
 			"Faults that a script may name:\n" + faultKinds(),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			s, err := scenario.Load(args[0], f.set...)
+			s, err := scenario.Load(args[0], f.overrides...)
 			if err != nil {
 				return err
 			}
@@ -170,21 +185,21 @@
 		return err
 	}
 	firstSeed, broken := script.Seed, false
-	if f.seeds > 1 || strings.Contains(f.module, ",") {
+	if f.seeds > 1 || strings.Contains(f.policies, ",") {
 		fmt.Fprintf(out, "%-8s %5s  %s\n", "module", "seed", serviceHeader)
 	}
 	for i := 0; i < f.seeds; i++ {
-		for _, module := range strings.Split(f.module, ",") {
+		for _, policyName := range strings.Split(f.policies, ",") {
 			day := *script
 			day.Seed = firstSeed + uint64(i)
-			res, err := f.runModule(ctx, out, &day, module)
+			res, err := f.runPolicy(ctx, out, &day, policyName)
 			if err != nil {
 				return err
 			}
-			if f.seeds > 1 || strings.Contains(f.module, ",") {
-				fmt.Fprintf(out, "%-8s %5d  %s\n", module, day.Seed, serviceRow(res))
+			if f.seeds > 1 || strings.Contains(f.policies, ",") {
+				fmt.Fprintf(out, "%-8s %5d  %s\n", policyName, day.Seed, serviceRow(res))
 				for j, finding := range res.Findings {
-					if j < 3 && module == "brain" {
+					if j < 3 && policyName == "brain" {
 						fmt.Fprintln(out, "  ", finding)
 					}
 				}
@@ -194,7 +209,7 @@
 			} else {
 				printDay(out, res)
 			}
-			broken = broken || module == "brain" && res.Broken()
+			broken = broken || policyName == "brain" && res.Broken()
 		}
 	}
 	if broken {
@@ -203,15 +218,15 @@
 	return nil
 }
 
-func (f *dayFlags) runModule(
+func (f *dayFlags) runPolicy(
 	ctx context.Context,
 	out io.Writer,
 	script *scenariofile.Script,
-	module string,
+	policyName string,
 ) (*processrun.Result, error) {
-	newPolicy := virtualrun.Module(module)
+	newPolicy := virtualrun.Module(policyName)
 	if newPolicy == nil {
-		return nil, fmt.Errorf("module %q: want brain, lottery or random", module)
+		return nil, fmt.Errorf("module %q: want brain, lottery or random", policyName)
 	}
 	if f.virtual {
 		return RunVirtual(script, newPolicy, f.capture)
@@ -225,8 +240,8 @@
 		Capture:        f.capture,
 		Dir:            f.dir,
 		GatewayCommand: []string{executable, "edge", "run"},
-		Module:         module,
-		Level:          f.level,
+		Module:         policyName,
+		Level:          f.logLevel,
 	}
 	if f.seeds == 1 {
 		options.Progress = func(text string) { fmt.Fprintln(out, text) }
