--- a/internal/protocol/dnsclient/client.go
+++ b/internal/protocol/dnsclient/client.go
@@ -35,7 +35,7 @@
 	Servers    []netip.AddrPort
 	Ports      int     // number of source ports
 	Seed       uint64  // of ids, ports and letter case; must be kept secret
-	MaxLookups int     // concurrent look-ups; further ones fail immediately
+	MaxLookups int     // concurrent look-ups; further ones get a stale answer or fail immediately
 	Tries      int     // queries sent for one look-up at most, without repeats over TCP of truncated responses
 	StaleAfter float64 // time without a response until a stale answer is served (RFC 8767 5: client response timer)
 	Cache      CacheTimes
