--- a/internal/protocol/b2bua/agent_test.go
+++ b/internal/protocol/b2bua/agent_test.go
@@ -27,7 +27,7 @@
 	host.advance(151)
 	host.expectSent(caller, "SIP/2.0 100")
 	if s := siptransaction.SessionIDOf(invite.(*sip.Request)); s != strings.Repeat("1", 32) {
-		t.Errorf("Session-ID %q on the trunk", s)
+		t.Errorf("Session-ID %q on the trunk, want that of the caller", s)
 	}
 	host.respond(switchA, invite, 180, "s1", "Cobalt-Load: util=0.5;queue=3;lines=90;free=80")
 	host.expectSent(caller, "SIP/2.0 180")
@@ -38,7 +38,7 @@
 	tag := ";tag=" + siptransaction.Tag(ok.To().Params)
 	if report := host.policy.endpoints[0].LoadReport; report.Utilization != 0.5 || report.QueueLength != 3 ||
 		report.Capacity != 90 || report.Free != 80 {
-		t.Errorf("report %+v", report)
+		t.Errorf("want utilization 0.5, queue 3, capacity 90 and 80 free, got %+v", report)
 	}
 	host.advance(900)
 	if n := host.count(caller, "SIP/2.0 200"); n != 2 {
@@ -57,7 +57,7 @@
 	host.expectSent(switchA, "BYE ")
 	host.expectEvents("report true true", "answered", "ended 0 closed true wait 0")
 	if pending, established := host.agent.InProgress(); pending != 0 || established != 0 {
-		t.Errorf("%d pending, %d established calls", pending, established)
+		t.Errorf("want no call, got %d pending, %d established", pending, established)
 	}
 	host.advance(100000)
 	if dialogs, transactions, timers := host.agent.OpenCounts(); dialogs+transactions+timers != 0 {
@@ -106,7 +106,7 @@
 	host.expectSent(switchA, "ACK")
 	bye := host.expectSent(switchA, "BYE")
 	if tag := siptransaction.Tag(bye.To().Params); tag != "s" {
-		t.Errorf("BYE to tag %q", tag)
+		t.Errorf("BYE to tag %q, want \"s\"", tag)
 	}
 	host.advance(480)
 	if host.count(switchB, "INVITE") != 0 {
@@ -181,7 +181,7 @@
 	host.advance(100)
 	host.receive(caller, callerRequest("CANCEL", "5a", ""))
 	host.expectSent(caller, "SIP/2.0 487")
-	host.advance(2000) // the policy starts an attempt all the same: blocked
+	host.advance(2000) // the policy still starts an attempt, which is blocked
 	if host.count(switchB, "INVITE") != 0 {
 		t.Error("attempt after the final answer")
 	}
@@ -212,7 +212,8 @@
 		res := host.expectSent(caller, "SIP/2.0 503").(*sip.Response)
 		retryAfter := siptransaction.HeaderValue(res, siptransaction.RetryAfter)
 		if siptransaction.ParseRetryAfter(retryAfter) != 300 {
-			t.Errorf("Retry-After %q to the caller", siptransaction.HeaderValue(res, siptransaction.RetryAfter))
+			t.Errorf("Retry-After %q to the caller, want 300 ms",
+				siptransaction.HeaderValue(res, siptransaction.RetryAfter))
 		}
 	}
 }
@@ -259,7 +260,7 @@
 	)
 	bye := host.expectSent(caller, "BYE").(*sip.Request)
 	if !strings.Contains(siptransaction.HeaderValue(bye, siptransaction.Reason), "cause=41") {
-		t.Errorf("Reason %q to the caller", siptransaction.HeaderValue(bye, siptransaction.Reason))
+		t.Errorf("Reason %q to the caller, want cause 41", siptransaction.HeaderValue(bye, siptransaction.Reason))
 	}
 	host.expectEvents("answered", "ended 0 closed true wait 0", "answered", "ended 5 closed true wait 0")
 	host.receive(caller, callerRequest("BYE", "8a", ";tag=nobody"))
@@ -277,7 +278,7 @@
 	}
 }
 
-// A gateway that stalls past a retransmission and the timeout sends the answer without a retransmission.
+// A gateway that stalls past a retransmission and the timeout sends the final answer and retransmits nothing.
 func TestStallPastTimeout(t *testing.T) {
 	host := newTestHost(t)
 	host.policy.onAttemptEnd = func(_ float64, attempt *routing.Attempt) { host.policy.routingHost.Fail(attempt.Call) }
@@ -333,7 +334,7 @@
 	host.receive(caller, callerRequest("INVITE", "2a", ""))
 	host.expectSent(caller, "SIP/2.0 503")
 	if host.agent.Counts.Accepted != 1 {
-		t.Errorf("%d accepted", host.agent.Counts.Accepted)
+		t.Errorf("%d accepted, want 1", host.agent.Counts.Accepted)
 	}
 }
 
@@ -351,7 +352,7 @@
 	host.receive(caller, callerRequest("INVITE", "2b", ""))
 	host.expectSent(caller, "SIP/2.0 503")
 	if n := host.count(caller, "SIP/2.0 500"); n < 1 || host.agent.Counts.Overdue != 1 {
-		t.Errorf("%d responses 500, %d overdue", n, host.agent.Counts.Overdue)
+		t.Errorf("want a response 500 and 1 overdue, got %d and %d", n, host.agent.Counts.Overdue)
 	}
 }
 
--- a/internal/protocol/b2bua/numberanalysis_test.go
+++ b/internal/protocol/b2bua/numberanalysis_test.go
@@ -108,7 +108,8 @@
 	}
 	host.receive(caller, callerRequest("INVITE", "a1", ""))
 	if len(lookup.numbers) != 1 || lookup.numbers[0] != "14185550123" || lookup.timeouts[0] != 400 || passed != nil {
-		t.Fatalf("looked up %v with timeouts %v, passed to the policy %v", lookup.numbers, lookup.timeouts, passed)
+		t.Fatalf("want 14185550123 looked up within 400 ms first, got %v, timeouts %v, passed to the policy %v",
+			lookup.numbers, lookup.timeouts, passed)
 	}
 	host.advance(200)
 	host.expectSent(caller, "SIP/2.0 100")
@@ -118,14 +119,14 @@
 	)
 	if passed == nil || passed.Class.Name != "claim" || passed.DestinationID != 1 ||
 		passed.Destination != host.policy.endpoints[1] || passed.Deadline != passed.ArrivedAt+6000 {
-		t.Fatalf("passed to the policy %+v", passed)
+		t.Fatalf("want class claim, destination 1 and a deadline 6 s after arrival, got %+v", passed)
 	}
 	req := host.expectSent(switchB, "INVITE sip:+14185550123;npdi;rn=+70115145550000;cic=+1-6789;tgrp=TG-1;")
 	if siptransaction.HeaderValue(req.(*sip.Request), siptransaction.Service) != "urn:urn-7:claim" {
-		t.Error("wrong class in the setup")
+		t.Error("class in the setup: want claim")
 	}
 	if n, _ := host.agent.Tables(); n != 0 {
-		t.Errorf("%d old tables", n)
+		t.Errorf("%d old tables in use, want 0", n)
 	}
 }
 
@@ -146,7 +147,7 @@
 	host.policy.onCall = func(_ float64, routed *routing.Call) { destination = routed.DestinationID }
 	host.receive(caller, callerRequest("INVITE", "a1", ""))
 	if len(lookup.numbers) != 0 || destination != 0 {
-		t.Errorf("looked up %v, passed to the policy with destination %d", lookup.numbers, destination)
+		t.Errorf("want no look-up and destination 0, got look-ups %v and destination %d", lookup.numbers, destination)
 	}
 }
 
@@ -159,17 +160,19 @@
 	host.expectSent(caller, "SIP/2.0 487")
 	lookup.callbacks[0](host.now, numberplan.Found{Answer: numberplan.NotPorted})
 	if lookup.canceled != 1 || len(host.policy.events) != 0 {
-		t.Errorf("%d look-ups canceled, the policy recorded %v", lookup.canceled, host.policy.events)
+		t.Errorf("want 1 look-up canceled and no event, got %d, the policy recorded %v",
+			lookup.canceled, host.policy.events)
 	}
 	host.receive(caller, callerRequest("INVITE", "b1", ""))
 	host.advance(9500) // the look-up never returns
 	host.expectSent(caller, "SIP/2.0 500")
 	lookup.callbacks[1](host.now, numberplan.Found{Answer: numberplan.NotPorted})
 	if lookup.canceled != 2 || host.agent.Counts.Overdue != 1 {
-		t.Errorf("%d look-ups canceled, %d calls overdue", lookup.canceled, host.agent.Counts.Overdue)
+		t.Errorf("want 2 look-ups canceled and 1 call overdue, got %d and %d",
+			lookup.canceled, host.agent.Counts.Overdue)
 	}
 	if old, n := host.agent.Tables(); old != 0 || n != 0 {
-		t.Errorf("%d calls use %d old tables", n, old)
+		t.Errorf("%d calls use %d old tables, want none", n, old)
 	}
 }
 
@@ -191,7 +194,7 @@
 	}
 	old, n := host.agent.Tables()
 	if old != 3 || n != 750 {
-		t.Fatalf("%d calls use %d old tables", n, old)
+		t.Fatalf("%d calls use %d old tables, want 750 and 3", n, old)
 	}
 	host.agent.SetTable(newTable(t, 5))
 	for i := range 1000 {
@@ -203,7 +206,7 @@
 		}
 	}
 	if old, n := host.agent.Tables(); len(sent) != 1000 || old != 0 || n != 0 {
-		t.Errorf("%d passed to the policy; %d calls use %d old tables", len(sent), n, old)
+		t.Errorf("%d passed to the policy, want 1000; %d calls use %d old tables, want none", len(sent), n, old)
 	}
 }
 
@@ -235,7 +238,7 @@
 		t.Error("old table not freed")
 	}
 	if _, established := host.agent.InProgress(); established != 1 {
-		t.Errorf("%d established calls", established)
+		t.Errorf("%d established calls, want 1", established)
 	}
 }
 
@@ -251,7 +254,8 @@
 		host.nextPacket = 0
 	}
 	if pending, _ := host.agent.InProgress(); pending != 0 || len(lookup.numbers) != 0 || len(host.agent.tables) != 0 {
-		t.Errorf("%d pending, looked up %v, %d tables", pending, lookup.numbers, len(host.agent.tables))
+		t.Errorf("want no pending call, look-up or table in use, got %d pending, look-ups %v, %d tables",
+			pending, lookup.numbers, len(host.agent.tables))
 	}
 }
 
@@ -263,7 +267,8 @@
 		host.receive(caller, callerRequest("INVITE", fmt.Sprintf("f%d", i), ""))
 	}
 	if len(lookup.numbers) > 10 || host.agent.Counts.Shed < 190 {
-		t.Errorf("%d looked up, %d shed", len(lookup.numbers), host.agent.Counts.Shed)
+		t.Errorf("want 10 looked up at most and 190 shed at least, got %d and %d",
+			len(lookup.numbers), host.agent.Counts.Shed)
 	}
 }
 
@@ -282,7 +287,8 @@
 	if len(host.policy.events) != 1 ||
 		!strings.HasPrefix(host.policy.events[0], fmt.Sprintf("ended %d", routing.NotSent)) ||
 		host.agent.Counts.Blocked != 1 {
-		t.Errorf("rule 3: events %v, blocked %d", host.policy.events, host.agent.Counts.Blocked)
+		t.Errorf("rule 3: want one attempt that was not sent and 1 blocked, got events %v, %d blocked",
+			host.policy.events, host.agent.Counts.Blocked)
 	}
 	for _, p := range host.packets {
 		if p.to == switchA && strings.HasPrefix(p.data, "INVITE") {
--- a/internal/protocol/b2bua/testhost_test.go
+++ b/internal/protocol/b2bua/testhost_test.go
@@ -44,8 +44,8 @@
 
 func (p *scriptedPolicy) OnHangup(float64, *routing.Call) { p.events = append(p.events, "hung up") }
 
-func (p *scriptedPolicy) OnLoadReport(_ float64, endpoint *routing.Endpoint, ok, full bool) {
-	p.events = append(p.events, fmt.Sprintf("report %v %v", ok, full))
+func (p *scriptedPolicy) OnLoadReport(_ float64, endpoint *routing.Endpoint, ok, hasLoadReport bool) {
+	p.events = append(p.events, fmt.Sprintf("report %v %v", ok, hasLoadReport))
 }
 
 func (p *scriptedPolicy) OnGossip(float64, int, []byte) {}
--- a/internal/protocol/dnsclient/cache_test.go
+++ b/internal/protocol/dnsclient/cache_test.go
@@ -23,11 +23,11 @@
 		)
 		host.now = c.kept - 1
 		if result := host.lookUp("1", 500); !result.Cached || result.Stale {
-			t.Errorf("TTL %v s, %v ms later: %+v", c.ttl, host.now, result)
+			t.Errorf("TTL %v s, %v ms later: want the cached answer, got %+v", c.ttl, host.now, result)
 		}
 		host.now = c.kept + 1
 		if result := host.lookUp("1", 500); result.count != 0 {
-			t.Errorf("TTL %v s, %v ms later: %+v", c.ttl, host.now, result)
+			t.Errorf("TTL %v s, %v ms later: want no answer yet, got %+v", c.ttl, host.now, result)
 		}
 	}
 	host := newTestHost(t, 2, nil)
@@ -38,14 +38,15 @@
 	result := host.lookUp("1", 5000)
 	host.run(1000)
 	if sent := host.sent[0] + host.sent[1]; result.count != 1 || result.Status != Failed || sent != 2 {
-		t.Fatalf("%+v, %d sent", result, sent)
+		t.Fatalf("want one failure after 2 queries, got %+v, %d sent", result, sent)
 	}
 	if result := host.lookUp("1", 500); result.count != 1 || host.sent[0]+host.sent[1] != 2 {
-		t.Errorf("look-up before FailureTTL has passed: %+v, sent %v", result, host.sent)
+		t.Errorf("look-up before FailureTTL has passed: want one answer and no query, got %+v, sent %v",
+			result, host.sent)
 	}
 	host.run(2000)
 	if result := host.lookUp("1", 500); result.count != 0 {
-		t.Errorf("look-up after FailureTTL: %+v", result)
+		t.Errorf("look-up after FailureTTL: want no answer yet, got %+v", result)
 	}
 }
 
@@ -61,9 +62,9 @@
 	result := host.lookUp(number, 1000)
 	host.run(started + 900)
 	if result.count != 1 || !result.Stale || result.at != started+100 {
-		t.Errorf("%+v, looked up at %v", result, started)
+		t.Errorf("want one stale answer after 100 ms, got %+v, looked up at %v", result, started)
 	}
 	if result := host.lookUp(number, 1000); !result.Cached || result.Stale {
-		t.Errorf("after the late response: %+v", result)
+		t.Errorf("after the late response: want the cached answer, got %+v", result)
 	}
 }
--- a/internal/protocol/dnsclient/client_test.go
+++ b/internal/protocol/dnsclient/client_test.go
@@ -16,7 +16,7 @@
 	host.run(100)
 	if first.count != 1 || second.count != 1 || first.Status != Found || len(first.Rules) != 2 ||
 		host.sent[0]+host.sent[1] != 1 || host.client.Counts.Shared != 1 {
-		t.Fatalf("%+v %+v, sent %v", first, second, host.sent)
+		t.Fatalf("want both look-ups answered by one query, got %+v, %+v, sent %v", first, second, host.sent)
 	}
 	res, err := enum.Apply("+"+number, first.Rules, "pstn:tel")
 	_, ported, err2 := enum.Tel(res.URI)
@@ -24,13 +24,13 @@
 		t.Errorf("%v, %v, %+v: want %s", res, err, ported, host.servers[0].Zone.Routing(number))
 	}
 	if c := host.lookUp(number, 500); c.count != 1 || !c.Cached || c.at != 100 {
-		t.Errorf("cached: %+v", c)
+		t.Errorf("want one cached answer at once, got %+v", c)
 	}
 	host.run(61000)
 	host.lookUp(number, 500)
 	host.run(62000)
 	if host.sent[0]+host.sent[1] != 2 {
-		t.Errorf("after the TTL: sent %v", host.sent)
+		t.Errorf("after the TTL: want 2 queries sent, got %v", host.sent)
 	}
 	none := host.findNumber(func(z *dnsserver.Zone, n string) bool {
 		_, ok := (&dnsserver.Server{Zone: z}), z.Routing(n) == ""
@@ -40,15 +40,15 @@
 	})
 	before := host.sent[0] + host.sent[1]
 	if result := host.lookUp(none, 500); result.count != 1 || result.Status != None || !result.Cached {
-		t.Errorf("negative answer: %+v", result)
+		t.Errorf("want one cached negative answer, got %+v", result)
 	}
 	host.run(host.now + 29000)
 	if result := host.lookUp(none, 500); result.count != 1 || host.sent[0]+host.sent[1] != before {
-		t.Errorf("negative answer, 29 s later: %+v", result)
+		t.Errorf("29 s later: want the cached negative answer and no query, got %+v", result)
 	}
 	host.run(host.now + 2000)
 	if result := host.lookUp(none, 500); result.count != 0 {
-		t.Errorf("negative answer, after its TTL: %+v", result)
+		t.Errorf("after the TTL of the negative answer: want no answer yet, got %+v", result)
 	}
 }
 
@@ -87,7 +87,7 @@
 			late, failed := 0, 0
 			for i, result := range results {
 				if result.count != 1 {
-					t.Fatalf("%s: %d answers", numbers[i], result.count)
+					t.Fatalf("%s: %d answers, want 1", numbers[i], result.count)
 				}
 				if result.at > float64(i)*5+1500 {
 					late++
@@ -111,11 +111,11 @@
 				t.Errorf("%d TCP queries, want 100 at least", host.streams)
 			}
 			if late > 0 || failed > 4 {
-				t.Errorf("of 2000 look-ups, %d late, %d failed", late, failed)
+				t.Errorf("of 2000 look-ups, %d late, %d failed; want 0 and 4 at most", late, failed)
 			}
 			if lookups, cached := host.client.OpenCounts(); lookups != 0 || cached == 0 ||
 				len(host.client.outstanding) != 0 || len(host.client.streams) != 0 {
-				t.Errorf("left over: %d look-ups, %d UDP queries, %d TCP queries",
+				t.Errorf("left over: %d look-ups, %d UDP queries, %d TCP queries; want none, and cached answers",
 					lookups, len(host.client.outstanding), len(host.client.streams))
 			}
 			t.Logf("%v UDP queries, %d TCP queries, %+v", host.sent, host.streams, host.client.Counts)
@@ -137,14 +137,14 @@
 	host.sent[0] = 0
 	load(20000)
 	if host.sent[0] > 12 {
-		t.Errorf("dead server got %d queries in 20 s", host.sent[0])
+		t.Errorf("dead server got %d queries in 20 s, want 12 at most", host.sent[0])
 	}
 	host.servers[0].Faults.Silent = false
 	load(12000)
 	host.sent = make([]int, 2)
 	load(5000)
 	if host.sent[0] < 500 || host.sent[1] < 500 {
-		t.Errorf("queries after the server is back: %v", host.sent)
+		t.Errorf("queries in 5 s after the server is back: %v, want 500 at least for each", host.sent)
 	}
 }
 
@@ -206,11 +206,12 @@
 	stop()
 	host.run(100)
 	if called != 0 || result.count != 1 || result.Status != Failed || result.at != 100 {
-		t.Errorf("canceled: %d answers, %+v", called, result)
+		t.Errorf("want no answer to the canceled look-up and one failure at 100 ms, got %d answers, %+v",
+			called, result)
 	}
 	host.run(1000)
 	if again := host.lookUp("14185551234", 100); again.count != 1 || !again.Cached { // the late response is cached
-		t.Errorf("%+v", again)
+		t.Errorf("after the late response: want one cached answer, got %+v", again)
 	}
 	if called != 0 || result.count != 1 {
 		t.Errorf("answered again: %d answers, %+v", called, result)
@@ -224,11 +225,12 @@
 		host.lookUp(fmt.Sprint(14180000000+i), 500)
 	}
 	if lookups, _ := host.client.OpenCounts(); lookups != 100 || host.client.Counts.Full != 900 || host.sent[0] != 100 {
-		t.Errorf("%d look-ups, %d refused, %d sent", lookups, host.client.Counts.Full, host.sent[0])
+		t.Errorf("want 100 look-ups, 900 refused and 100 queries, got %d, %d and %d",
+			lookups, host.client.Counts.Full, host.sent[0])
 	}
 	host.run(1000)
 	if lookups, cached := host.client.OpenCounts(); lookups != 0 || cached != 50 {
-		t.Errorf("afterwards: %d look-ups, %d names cached", lookups, cached)
+		t.Errorf("afterwards: want no look-up and 50 names cached, got %d and %d", lookups, cached)
 	}
 }
 
@@ -246,11 +248,11 @@
 		most = max(most, len(host.client.streams))
 	}
 	if most != maxStreams {
-		t.Errorf("%d TCP queries at once", most)
+		t.Errorf("%d TCP queries at once, want maxStreams", most)
 	}
 	for i, result := range results {
 		if result.count != 1 || result.Status != Failed || result.at > 3000 {
-			t.Fatalf("name %d: %+v", i, result)
+			t.Fatalf("name %d: want one failure within 3 s, got %+v", i, result)
 		}
 	}
 }
@@ -261,7 +263,7 @@
 	host.servers[0].Faults.Delay = 600
 	result := host.lookUp(host.portedNumber(), 2000)
 	if host.run(2000); result.count != 1 || result.Status != Found || result.at < 600 {
-		t.Errorf("%+v", result)
+		t.Errorf("want one answer after 600 ms or later, got %+v", result)
 	}
 }
 
@@ -272,7 +274,7 @@
 	for i := range 20 {
 		result := host.lookUp(fmt.Sprint(14180000000+i), 500)
 		if host.run(host.now + 500); result.count != 1 || result.Status == Failed {
-			t.Fatalf("%+v", result)
+			t.Fatalf("want one answer, got %+v", result)
 		}
 	}
 	if host.sent[0] != 21 {
--- a/internal/protocol/dnsclient/health_test.go
+++ b/internal/protocol/dnsclient/health_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Which responses and timeouts take a server down, and how timeouts grow with repeated queries.
+// Checks which responses and timeouts take a server down, and how timeouts grow with repeated queries.
 func TestHealth(t *testing.T) {
 	h := NewHealth(2)
 	h.OnLame(0, 1)
@@ -20,7 +20,8 @@
 		t.Error("avoided, though there was a valid response in between")
 	}
 	if h.OnLame(0, 7); h.UpCount(8) != 1 || h.UpCount(7+lameDownTime) != 2 {
-		t.Errorf("three lame responses in a row: %d up, after lameDownTime %d", h.UpCount(8), h.UpCount(7+lameDownTime))
+		t.Errorf("three lame responses in a row: want 1 server up, and 2 after lameDownTime, got %d and %d",
+			h.UpCount(8), h.UpCount(7+lameDownTime))
 	}
 	h = NewHealth(1)
 	h.OnResponse(0, 100, 10)
@@ -43,10 +44,10 @@
 	h.OnResponse(0, 0, 40)
 	_, first := h.Choose(1, nil, 0.5)
 	if _, again := h.Choose(1, []int{0}, 0.5); again != 2*first {
-		t.Errorf("timeout %v, of the second query %v", first, again)
+		t.Errorf("timeout %v, of the second query %v, want twice as long", first, again)
 	}
 	if _, again := h.Choose(1, []int{0, 0, 0, 0, 0, 0, 0, 0}, 0.5); again != maxTimeout {
-		t.Errorf("timeout %v after many queries", again)
+		t.Errorf("timeout %v after many queries, want maxTimeout", again)
 	}
 }
 
@@ -63,6 +64,7 @@
 		host.run(host.now + 20)
 	}
 	if len(host.ids) < 1900 || len(host.ports) != 4 || len(mixed) != 32 { // five letters
-		t.Errorf("%d ids, ports %v, %d spellings of the apex", len(host.ids), host.ports, len(mixed))
+		t.Errorf("want 1900 ids at least, 4 ports, 32 spellings of the apex; got %d, %v, %d",
+			len(host.ids), host.ports, len(mixed))
 	}
 }
--- a/internal/protocol/portability/finder_test.go
+++ b/internal/protocol/portability/finder_test.go
@@ -36,7 +36,7 @@
 
 func tel(re string) enum.Rule { return enum.Rule{Flags: "u", Service: "E2U+pstn:tel", Regexp: re} }
 
-// The result of a look-up: 0 not ported, 1 ported with routing number and carrier, 2 no valid answer.
+// Checks the result of a look-up: 0 not ported, 1 ported, with routing number and carrier, 2 no valid answer.
 func TestResolve(t *testing.T) {
 	loop := rules(enum.Rule{Replacement: "1.p.test."})
 	resolver := &fakeResolver{answers: map[string]dnsclient.Answer{
@@ -84,11 +84,12 @@
 	stop := finder.Resolve(0, "7", 500, func(float64, numberplan.Found) { calls++ })
 	resolver.pending[0]()
 	if len(resolver.timeouts) != 2 || resolver.timeouts[1] != 400 {
-		t.Errorf("timeouts of the queries: %v", resolver.timeouts)
+		t.Errorf("timeouts of the queries: %v, want 2, the second 400 ms", resolver.timeouts)
 	}
 	stop()
 	resolver.pending[1]()
 	if calls != 0 || resolver.canceled != 1 {
-		t.Errorf("answered %d times after the look-up was canceled, %d queries canceled", calls, resolver.canceled)
+		t.Errorf("after the look-up was canceled: want no answer and 1 query canceled, got %d and %d",
+			calls, resolver.canceled)
 	}
 }
--- a/internal/protocol/siptransaction/layer_test.go
+++ b/internal/protocol/siptransaction/layer_test.go
@@ -111,7 +111,7 @@
 			uas.timers.Run(now)
 		}
 		if uas.requests > 1 || uas.cancels > 1 {
-			t.Fatalf("%d requests, %d cancels", uas.requests, uas.cancels)
+			t.Fatalf("want one request and one CANCEL at most, got %d and %d", uas.requests, uas.cancels)
 		}
 		for _, f := range finals {
 			if f != finals[0] {
@@ -119,10 +119,10 @@
 			}
 		}
 		if len(finals) == 0 && !timedOut || len(finals) > 0 && timedOut {
-			t.Fatalf("final responses %v, timed out %v", finals, timedOut)
+			t.Fatalf("want either final responses or a timeout, got %v, timed out %v", finals, timedOut)
 		}
 		if (method != sip.INVITE || len(finals) > 0 && finals[0] >= 300) && len(finals) > 1 {
-			t.Fatalf("several final responses %v", finals)
+			t.Fatalf("want one final response, got %v", finals)
 		}
 		if clients, servers := uac.layer.OpenCounts(); clients+servers != 0 {
 			t.Fatalf("the client still holds %d transactions", clients+servers)
@@ -148,11 +148,11 @@
 	}
 	vias := m.(*sip.Request).GetHeaders("via")
 	if v, _ := m.Via().Params.Get("oc-algo"); v != `"loss,rate;x"` || len(vias) != 2 {
-		t.Errorf("oc-algo %q in %d Vias", v, len(vias))
+		t.Errorf("want oc-algo \"loss,rate;x\" in 2 Vias, got %q in %d", v, len(vias))
 	}
 	if b, _ := m.Via().Params.Get("branch"); b != "z9hG4bKq" ||
 		!strings.Contains(m.String(), `oc-algo="loss,rate;x";branch=z9hG4bKq`) {
-		t.Errorf("branch %q of %s", b, m.String())
+		t.Errorf("want branch z9hG4bKq, also in the encoded message, got %q of %s", b, m.String())
 	}
 }
 
@@ -164,6 +164,6 @@
 		}
 	}
 	if s := FormatRetryAfter(300); s != "1;ms=300" || FormatRetryAfter(2000) != "2;ms=2000" {
-		t.Errorf("%q", s)
+		t.Errorf("300 ms: %q, want \"1;ms=300\"; or 2000 ms is not \"2;ms=2000\"", s)
 	}
 }
