--- a/internal/gateway/sipserver/numbers_test.go
+++ b/internal/gateway/sipserver/numbers_test.go
@@ -185,10 +185,10 @@
 	}
 	// with the country code in front of it, a rule would match
 	if m := lookUp("udp", 418555); m.Rcode != dns.RcodeNameError {
-		t.Errorf("number of another country: %v", m)
+		t.Errorf("number of another country: want NXDOMAIN, got %v", m)
 	}
 	if m := lookUp("udp", 33123); m.Rcode != dns.RcodeNameError {
-		t.Errorf("number without a rule: %v", m)
+		t.Errorf("number without a rule: want NXDOMAIN, got %v", m)
 	}
 	conn, err := grpc.NewClient(admin, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
@@ -198,31 +198,31 @@
 	client, ctx := api.NewNumbersClient(conn), context.Background()
 	if _, err := client.Put(ctx, &api.PutTable{Table: packed(tableFile(2, "TG-9"))}); err == nil ||
 		!strings.Contains(err.Error(), `trunk group "TG-9"`) {
-		t.Errorf("table with an unknown trunk group: %v", err)
+		t.Errorf("table with an unknown trunk group: want an error that names it, got %v", err)
 	}
 	call("sip:+71418555")
 	state, err := client.Put(ctx, &api.PutTable{Table: packed(tableFile(2, "TG-0")), Note: "two"})
 	if err != nil || state.Running.Version != 2 || len(state.Kept) != 2 || state.Kept[0].Note != "two" {
-		t.Fatalf("table state %v, %v", state, err)
+		t.Fatalf("want version 2 running and 2 tables kept, got %v, %v", state, err)
 	}
 	call("sip:+72418555")
 	explained, err := client.Explain(ctx, &api.ExplainRequest{Number: "+14185550000", Ported: "+1514"})
 	if err != nil || !strings.Contains(strings.Join(explained.Steps, "\n"), "ported: 1514") {
-		t.Errorf("explained: %v, %v", explained, err)
+		t.Errorf("want steps with \"ported: 1514\", got %v, %v", explained, err)
 	}
 	stop <- struct{}{}
 	if result := <-results; result.err != nil || result.outcome != Drained {
-		t.Fatalf("ended %v, %v", result.outcome, result.err)
+		t.Fatalf("want Drained without an error, got %v, %v", result.outcome, result.err)
 	}
 	run() // runs the table that the store names as running, not the one of the configuration
 	call("sip:+72418555")
 	if state, err = client.Back(ctx, &api.BackRequest{}, grpc.WaitForReady(true)); err != nil ||
 		state.Running.Version != 1 {
-		t.Fatalf("table state %v, %v", state, err)
+		t.Fatalf("want version 1 running, got %v, %v", state, err)
 	}
 	call("sip:+71418555")
 	if _, err = client.Back(ctx, &api.BackRequest{}); err == nil || !strings.Contains(err.Error(), "no table before") {
-		t.Errorf("going back from the first table: %v", err)
+		t.Errorf("going back from the first table: want the error \"no table before\", got %v", err)
 	}
 	server.Change(func(s *dnsserver.Server) { s.Faults = dnsserver.Faults{Silent: true} })
 	_, _ = callerConn.WriteToUDPAddrPort(
@@ -242,6 +242,6 @@
 	}
 	stop <- struct{}{}
 	if result := <-results; result.err != nil || result.outcome != Drained {
-		t.Errorf("ended %v, %v", result.outcome, result.err)
+		t.Errorf("want Drained without an error, got %v, %v", result.outcome, result.err)
 	}
 }
--- a/internal/gateway/sipserver/server_test.go
+++ b/internal/gateway/sipserver/server_test.go
@@ -207,7 +207,7 @@
 	select {
 	case result := <-results:
 		if result.outcome != Drained || result.err != nil {
-			t.Errorf("ended %v, %v", result.outcome, result.err)
+			t.Errorf("want Drained without an error, got %v, %v", result.outcome, result.err)
 		}
 	case <-time.After(20 * time.Second):
 		t.Fatal("the gateway does not end")
@@ -229,12 +229,12 @@
 		nil,
 	); err == nil ||
 		!strings.Contains(err.Error(), "another program has the address") {
-		t.Errorf("address in use: %v", err)
+		t.Errorf("address in use: want an error that says so, got %v", err)
 	}
 	stop <- struct{}{}
 	stop <- struct{}{}
 	if result := <-results; result.outcome != Forced || result.err != nil {
-		t.Errorf("two stop signals: ended %v, %v", result.outcome, result.err)
+		t.Errorf("two stop signals: want Forced without an error, got %v, %v", result.outcome, result.err)
 	}
 }
 
@@ -279,6 +279,6 @@
 	}
 	stop <- struct{}{}
 	if result := <-results; result.outcome != Drained {
-		t.Errorf("ended %v", result.outcome)
+		t.Errorf("ended with outcome %v, want Drained", result.outcome)
 	}
 }
