--- a/internal/emulator/binarystandin/conn.go
+++ b/internal/emulator/binarystandin/conn.go
@@ -36,7 +36,7 @@
 	for len(b) > 0 && !c.closed {
 		n := len(b)
 		if sim.Faults.Fragmented {
-			n = 1 + int(sim.Chance()*float64(len(b)))
+			n = 1 + int(sim.Random()*float64(len(b)))
 		}
 		n = min(n, len(b))
 		sim.Gateway.OnData(sim.now, c.gatewayConn, slices.Clone(b[:n]))
@@ -82,7 +82,7 @@
 	c := gatewayConn.Socket.(*conn)
 	if c.endpoint != nil && sim.happens(sim.Faults.Blocked) {
 		c.delayedWrite = b
-		sim.after(20+200*sim.Chance(), func() {
+		sim.after(20+200*sim.Random(), func() {
 			if !c.closed {
 				c.delayedWrite = nil
 				c.deliver(b)
@@ -115,7 +115,7 @@
 	id := m.Call()
 	c.pendingCalls = slices.DeleteFunc(c.pendingCalls, func(pendingID uint64) bool { return pendingID == id })
 	if m.Type() == binarymessage.Answer && c.sim.happens(c.sim.Faults.CallerHangsUp) {
-		c.sim.after(c.sim.Chance()*c.sim.HoldingTime, func() {
+		c.sim.after(c.sim.Random()*c.sim.HoldingTime, func() {
 			if !c.closed {
 				c.send(binarymessage.Release, id, binarymessage.CauseParam(binarymessage.Normal))
 			}
@@ -129,7 +129,7 @@
 	c := &conn{sim: sim, gatewayConn: gatewayConn, connNumber: sim.dialed}
 	gatewayConn.Socket = c
 	endpoint := sim.byAddr[to]
-	sim.after(0.3+sim.Chance(), func() {
+	sim.after(0.3+sim.Random(), func() {
 		switch {
 		case c.closed || endpoint != nil && endpoint.unreachable && !endpoint.crashed:
 			// The connection was closed, or the endpoint does not respond: the connection attempt gets no reply.
--- a/internal/emulator/binarystandin/endpoint.go
+++ b/internal/emulator/binarystandin/endpoint.go
@@ -48,10 +48,10 @@
 		delete(e.established, id)
 	case binarymessage.Setup:
 		e.pending[id] = c
-		wait := sim.AnswerTime * (0.5 + sim.Chance())
+		wait := sim.AnswerTime * (0.5 + sim.Random())
 		late := sim.happens(faults.Late)
 		if late {
-			wait = 1500 + 2000*sim.Chance()
+			wait = 1500 + 2000*sim.Random()
 		}
 		if sim.happens(faults.Unanswered) {
 			return
@@ -102,7 +102,7 @@
 	for range times {
 		c.send(binarymessage.Answer, id, binarymessage.TextParam(binarymessage.Description, "answer"), report)
 	}
-	sim.after(sim.HoldingTime*(0.5+sim.Chance()), func() {
+	sim.after(sim.HoldingTime*(0.5+sim.Random()), func() {
 		if !e.established[id] || e.crashed || e.unreachable {
 			return
 		}
--- a/internal/emulator/binarystandin/simulation.go
+++ b/internal/emulator/binarystandin/simulation.go
@@ -85,13 +85,13 @@
 	return sim
 }
 
-// Chance returns the next pseudo-random number in [0, 1).
-func (sim *World) Chance() float64 {
+// Random returns the next pseudo-random number in [0, 1).
+func (sim *World) Random() float64 {
 	sim.draws++
 	return detrand.Float64(sim.seed, sim.draws)
 }
 
-func (sim *World) happens(share float64) bool { return share > 0 && sim.Chance() < share }
+func (sim *World) happens(share float64) bool { return share > 0 && sim.Random() < share }
 
 func (sim *World) after(ms float64, do func()) { sim.timers.Schedule(sim.now+ms, do) }
 
@@ -219,7 +219,7 @@
 	if sim.now > sim.StopAt {
 		return
 	}
-	sim.after(-math.Log(1-sim.Chance())*1000/sim.Rate, sim.sendSetup)
+	sim.after(-math.Log(1-sim.Random())*1000/sim.Rate, sim.sendSetup)
 	sim.conns = slices.DeleteFunc(sim.conns, func(c *conn) bool { return c.closed })
 	if len(sim.conns) < 3 {
 		c := &conn{sim: sim}
@@ -230,10 +230,10 @@
 		sim.conns = append(sim.conns, c)
 		sim.Checker.SetClientConnected(sim.now, true)
 	}
-	c := sim.conns[int(sim.Chance()*float64(len(sim.conns)))]
+	c := sim.conns[int(sim.Random()*float64(len(sim.conns)))]
 	sim.calls++
 	id := detrand.Hash(sim.seed, 0xca11, sim.calls)
-	timeout := 1500 + 1500*sim.Chance()
+	timeout := 1500 + 1500*sim.Random()
 	c.send(
 		binarymessage.Setup,
 		id,
@@ -245,7 +245,7 @@
 	)
 	c.pendingCalls = append(c.pendingCalls, id)
 	if sim.happens(sim.Faults.CallerLeaves) {
-		sim.after(sim.Chance()*3*sim.AnswerTime, func() {
+		sim.after(sim.Random()*3*sim.AnswerTime, func() {
 			if !c.closed && slices.Contains(c.pendingCalls, id) {
 				c.pendingCalls = slices.DeleteFunc(c.pendingCalls, func(pendingID uint64) bool { return pendingID == id })
 				c.send(binarymessage.Release, id, binarymessage.CauseParam(binarymessage.Normal))
@@ -253,6 +253,6 @@
 		})
 	}
 	if sim.happens(sim.Faults.ClientCloses) {
-		sim.after(sim.Chance()*2*sim.AnswerTime, c.reset)
+		sim.after(sim.Random()*2*sim.AnswerTime, c.reset)
 	}
 }
