--- a/internal/cli/labcli/load.go
+++ b/internal/cli/labcli/load.go
@@ -166,8 +166,11 @@
 	var standIn *loadgen.Still
 	if f.check && f.shard < 0 {
 		standIn = &loadgen.Still{
-			Delay:  40 * time.Millisecond,
-			Pauses: []loadgen.Pause{{From: f.length / 4, For: f.length / 20}, {From: f.length * 2 / 3, For: f.length / 60}},
+			Delay: 40 * time.Millisecond,
+			Stalls: []loadgen.Stall{
+				{From: f.length / 4, Duration: f.length / 20},
+				{From: f.length * 2 / 3, Duration: f.length / 60},
+			},
 		}
 		standInAddr := netip.MustParseAddrPort("127.61.1.1:5060")
 		if err := standIn.Serve(standInAddr, start); err != nil {
@@ -207,7 +210,11 @@
 			octets[3] += byte(f.shard)
 			source = netip.AddrPortFrom(netip.AddrFrom4(octets), source.Port())
 		}
-		res, err = loadgen.Run(ctx, calls, loadgen.Options{Self: source, Targets: targets, Context: f.context, Start: start})
+		res, err = loadgen.Run(
+			ctx,
+			calls,
+			loadgen.Options{LocalAddr: source, Targets: targets, Context: f.context, Start: start},
+		)
 	}
 	if err != nil {
 		return err
@@ -222,7 +229,7 @@
 		res.Answered,
 		res.Refused,
 		res.Unanswered,
-		res.Repeats,
+		res.Retransmissions,
 	)
 	if res.Past > 0 {
 		fmt.Fprintf(out, "%d waits were past the histograms' range of ten minutes and count at its end\n", res.Past)
@@ -235,15 +242,15 @@
 		}
 		fmt.Fprintln(out)
 	}
-	printRow("wait, from the intended time", res.Intended)
-	printRow("wait, from the time of sending", res.Sent)
-	printRow("the generator's own lateness", res.Late)
+	printRow("wait, from the intended time", res.WaitFromPlanned)
+	printRow("wait, from the time of sending", res.WaitFromSent)
+	printRow("the generator's own lateness", res.SendDelay)
 	if standIn != nil {
 		if err := f.compareWaits(out, standIn, calls, res); err != nil {
 			return err
 		}
 	}
-	return res.Judge(f.maxLateness)
+	return res.CheckLateness(f.maxLateness)
 }
 
 // compareWaits prints the true waits, by the stand-in's schedule, and how far the reported ones are from them.
@@ -259,7 +266,7 @@
 		trueWait := trueWaits[min(len(trueWaits)-1, int(percentile/100*float64(len(trueWaits))))]
 		fmt.Fprintf(out, " %9.2f", trueWait)
 		if percentile != 90 && percentile != 99.99 {
-			reported := float64(res.Intended.ValueAtQuantile(percentile)) / 1000
+			reported := float64(res.WaitFromPlanned.ValueAtQuantile(percentile)) / 1000
 			largest = max(largest, max(reported-trueWait, trueWait-reported)/trueWait)
 		}
 	}
@@ -279,13 +286,13 @@
 		Stood:      res.Answered,
 		Refused:    res.Refused,
 		Unanswered: res.Unanswered,
-		Repeats:    res.Repeats,
+		Repeats:    res.Retransmissions,
 		Past:       res.Past,
 	}
 	for _, histogram := range []struct {
 		from *hdrhistogram.Histogram
 		to   *[]byte
-	}{{res.Intended, &encoded.Intended}, {res.Sent, &encoded.Sent}, {res.Late, &encoded.Late}} {
+	}{{res.WaitFromPlanned, &encoded.Intended}, {res.WaitFromSent, &encoded.Sent}, {res.SendDelay, &encoded.Late}} {
 		data, err := histogram.from.EncodeV2()
 		if err != nil {
 			return fmt.Errorf("load: %w", err)
@@ -301,12 +308,12 @@
 		return nil, fmt.Errorf("load: result of a load process: %w", err)
 	}
 	res := loadgen.NewResult()
-	res.Planned, res.Answered, res.Refused, res.Unanswered, res.Repeats, res.Past = encoded.Planned, encoded.Stood,
+	res.Planned, res.Answered, res.Refused, res.Unanswered, res.Retransmissions, res.Past = encoded.Planned, encoded.Stood,
 		encoded.Refused, encoded.Unanswered, encoded.Repeats, encoded.Past
 	for _, histogram := range []struct {
 		from []byte
 		to   *hdrhistogram.Histogram
-	}{{encoded.Intended, res.Intended}, {encoded.Sent, res.Sent}, {encoded.Late, res.Late}} {
+	}{{encoded.Intended, res.WaitFromPlanned}, {encoded.Sent, res.WaitFromSent}, {encoded.Late, res.SendDelay}} {
 		decoded, err := hdrhistogram.Decode(histogram.from)
 		if err != nil {
 			return nil, fmt.Errorf("load: histogram of a load process: %w", err)
--- a/internal/emulator/loadgen/load.go
+++ b/internal/emulator/loadgen/load.go
@@ -36,23 +36,23 @@
 
 // Options configure a run of the generator.
 type Options struct {
-	Self    netip.AddrPort
-	Targets []netip.AddrPort // by gateway number, modulo the number of targets
-	Context string           // trunk-context
-	T1      time.Duration    // time until the first retransmission of a setup
-	Late    time.Duration    // allowed lateness of the generator at the 99.9th percentile
-	Start   time.Time        // the time from which the times of calls count; if zero, shortly after Run is called
+	LocalAddr netip.AddrPort
+	Targets   []netip.AddrPort // by gateway number, modulo the number of targets
+	Context   string           // trunk-context
+	T1        time.Duration    // time until the first retransmission of a setup
+	Late      time.Duration    // allowed lateness at the 99.9th percentile; Run does not read it
+	Start     time.Time        // the time from which the times of calls count; if zero, shortly after Run is called
 }
 
 // Result holds the measurements of a run. Its histograms are in µs and can be merged.
 type Result struct {
 	// waits until the call was established, from its planned time; of an unanswered call, its timeout
-	Intended *hdrhistogram.Histogram
+	WaitFromPlanned *hdrhistogram.Histogram
 	// the same waits, from the time the setup was sent
-	Sent *hdrhistogram.Histogram
+	WaitFromSent *hdrhistogram.Histogram
 	// from the planned time to the time the setup was sent
-	Late                                                  *hdrhistogram.Histogram
-	Planned, Answered, Refused, Unanswered, Repeats, Past int64
+	SendDelay                                                     *hdrhistogram.Histogram
+	Planned, Answered, Refused, Unanswered, Retransmissions, Past int64
 }
 
 // NewResult returns an empty result.
@@ -60,7 +60,7 @@
 	h := func() *hdrhistogram.Histogram {
 		return hdrhistogram.New(minWaitMicros, maxWaitMicros, significantDigits)
 	}
-	return &Result{Intended: h(), Sent: h(), Late: h()}
+	return &Result{WaitFromPlanned: h(), WaitFromSent: h(), SendDelay: h()}
 }
 
 // record adds a wait to a histogram. A wait above the range counts as the highest value, and in Past.
@@ -77,20 +77,20 @@
 
 // Merge adds the result of another process.
 func (r *Result) Merge(o *Result) {
-	r.Intended.Merge(o.Intended)
-	r.Sent.Merge(o.Sent)
-	r.Late.Merge(o.Late)
+	r.WaitFromPlanned.Merge(o.WaitFromPlanned)
+	r.WaitFromSent.Merge(o.WaitFromSent)
+	r.SendDelay.Merge(o.SendDelay)
 	r.Planned += o.Planned
 	r.Answered += o.Answered
 	r.Refused += o.Refused
 	r.Unanswered += o.Unanswered
-	r.Repeats += o.Repeats
+	r.Retransmissions += o.Retransmissions
 	r.Past += o.Past
 }
 
-// Judge returns ErrBottleneck if the generator's lateness at the 99.9th percentile is more than allowed.
-func (r *Result) Judge(allowed time.Duration) error {
-	late := time.Duration(r.Late.ValueAtQuantile(99.9)) * time.Microsecond
+// CheckLateness returns ErrBottleneck if the generator's lateness at the 99.9th percentile is more than allowed.
+func (r *Result) CheckLateness(allowed time.Duration) error {
+	late := time.Duration(r.SendDelay.ValueAtQuantile(99.9)) * time.Microsecond
 	if late > allowed {
 		return fmt.Errorf("%w: 99.9th percentile of its lateness is %v, %v is allowed", ErrBottleneck, late, allowed)
 	}
@@ -129,7 +129,7 @@
 	if o.T1 == 0 {
 		o.T1 = 500 * time.Millisecond
 	}
-	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(o.Self))
+	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(o.LocalAddr))
 	if err != nil {
 		return nil, fmt.Errorf("load: %w", err)
 	}
@@ -195,7 +195,7 @@
 		r.pending.Add(1)
 		r.mu.Lock()
 		k.sentAt = time.Now()
-		r.result.record(r.result.Late, k.sentAt.Sub(due))
+		r.result.record(r.result.SendDelay, k.sentAt.Sub(due))
 		k.retransmitTimer = time.AfterFunc(k.retransmitInterval, func() { r.retransmit(k) })
 		k.timeoutTimer = time.AfterFunc(time.Until(due)+time.Duration(c.PatienceMs*1e6), func() { r.onTimeout(k) })
 		r.mu.Unlock()
@@ -217,7 +217,7 @@
 	if k.responded || k.finished {
 		return
 	}
-	r.result.Repeats++
+	r.result.Retransmissions++
 	k.retransmitInterval *= 2
 	k.retransmitTimer = time.AfterFunc(k.retransmitInterval, func() { r.retransmit(k) })
 	r.write(k, k.invite)
@@ -233,8 +233,8 @@
 	k.finished = true
 	r.result.Unanswered++
 	wait := time.Duration(k.PatienceMs * 1e6)
-	r.result.record(r.result.Intended, wait)
-	r.result.record(r.result.Sent, wait-k.sentAt.Sub(k.due))
+	r.result.record(r.result.WaitFromPlanned, wait)
+	r.result.record(r.result.WaitFromSent, wait-k.sentAt.Sub(k.due))
 	if k.responded {
 		r.write(k, r.request("CANCEL", k, nil))
 	}
@@ -287,8 +287,8 @@
 		}
 		r.finish(k)
 		r.result.Answered++
-		r.result.record(r.result.Intended, at.Sub(k.due))
-		r.result.record(r.result.Sent, at.Sub(k.sentAt))
+		r.result.record(r.result.WaitFromPlanned, at.Sub(k.due))
+		r.result.record(r.result.WaitFromSent, at.Sub(k.sentAt))
 		time.AfterFunc(time.Duration(k.HoldMs*1e6), func() {
 			r.write(k, r.request("BYE", k, to))
 			r.pending.Done()
--- a/internal/emulator/loadgen/stalling_server.go
+++ b/internal/emulator/loadgen/stalling_server.go
@@ -16,15 +16,15 @@
 // at once.
 type Still struct {
 	Delay  time.Duration
-	Pauses []Pause // in order, not overlapping
+	Stalls []Stall // in order, not overlapping
 	conn   *net.UDPConn
 	start  time.Time
 	queue  chan delayedResponse
 	wg     sync.WaitGroup
 }
 
-// Pause is a stall that begins at From after the start and lasts For.
-type Pause struct{ From, For time.Duration }
+// Stall begins at From after the start and lasts Duration.
+type Stall struct{ From, Duration time.Duration }
 
 type delayedResponse struct {
 	sendAt time.Time
@@ -35,15 +35,15 @@
 // True returns the expected wait of a call that arrives at the given time after the start.
 func (s *Still) True(at time.Duration) time.Duration {
 	end := at + s.Delay
-	for _, p := range s.Pauses {
-		if end >= p.From && end < p.From+p.For {
-			end = p.From + p.For
+	for _, stall := range s.Stalls {
+		if end >= stall.From && end < stall.From+stall.Duration {
+			end = stall.From + stall.Duration
 		}
 	}
 	return end - at
 }
 
-// Serve answers at an address until Close is called. start is the time from which Pauses and the times of calls count.
+// Serve answers at an address until Close is called. start is the time from which Stalls and the times of calls count.
 func (s *Still) Serve(addr netip.AddrPort, start time.Time) error {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
