--- a/internal/cli/labcli/throughput.go
+++ b/internal/cli/labcli/throughput.go
@@ -94,10 +94,10 @@
 calls; --soak adds a long run that shows memory growth.`,
 		RunE: func(cmd *cobra.Command, _ []string) error { return f.run(cmd.OutOrStdout()) },
 	}
-	c.Flags().IntVar(&f.port, "port", 17060, "port of the addresses in 127.0.0.0/8")
+	c.Flags().IntVar(&f.port, "port", 17060, "SIP port of gateway, callers and switch; port+10 carries gossip")
 	c.Flags().DurationVar(&f.step, "step", 4*time.Second, "duration of each rate")
 	c.Flags().Float64Var(&f.maxRate, "most", 30000, "highest rate to try, calls a second")
-	c.Flags().DurationVar(&f.soak, "soak", 0, "duration of a final run at half of the rate; 0: none")
+	c.Flags().DurationVar(&f.soak, "soak", 0, "duration of a final run at half of the rate; 0 for none")
 	c.Flags().DurationVar(&f.hold, "hold", 8*time.Second, "holding time of the calls in the memory measurement")
 	c.Flags().StringVar(&f.profile, "profile", "", "write the gateway's CPU profile to this file")
 	return c
@@ -190,7 +190,8 @@
 	}
 	defer rig.Close()
 	time.Sleep(time.Second)
-	rig.Run(saturation.Load{Rate: 200, For: 3 * time.Second}) // lets the policy learn that its endpoint answers at once
+	// Lets the policy learn that its endpoint answers at once.
+	rig.Run(saturation.Load{Rate: 200, Duration: 3 * time.Second})
 	bestRate := 0.0
 	fmt.Fprintf(
 		out,
@@ -211,7 +212,7 @@
 			rate,
 			res.Sent,
 			res.Answered,
-			res.Repeats,
+			res.Retransmissions,
 			res.Added.ValueAtQuantile(50),
 			res.Added.ValueAtQuantile(99),
 			res.Added.ValueAtQuantile(99.9),
@@ -219,9 +220,9 @@
 		)
 	}
 	for rate := 500.0; rate <= f.maxRate; rate *= 1.25 {
-		res := rig.Run(saturation.Load{Rate: rate, For: f.step})
+		res := rig.Run(saturation.Load{Rate: rate, Duration: f.step})
 		printRow(rate, res)
-		if float64(res.Answered) < 0.995*float64(res.Sent) || float64(res.Repeats) > 0.001*float64(res.Sent) {
+		if float64(res.Answered) < 0.995*float64(res.Sent) || float64(res.Retransmissions) > 0.001*float64(res.Sent) {
 			break
 		}
 		bestRate = rate
@@ -242,7 +243,7 @@
 		2*meanEchoRate,
 		12*bestRate/(2*meanEchoRate),
 	)
-	res := rig.Run(saturation.Load{Rate: bestRate / 2, For: 2 * f.step})
+	res := rig.Run(saturation.Load{Rate: bestRate / 2, Duration: 2 * f.step})
 	fmt.Fprintf(
 		out,
 		"at half of that, set-up from caller to switch: p50 %.2f ms, p99 %.2f ms (aim 2), p99.9 %.2f ms; answer back: "+
@@ -260,7 +261,7 @@
 	fullKiB := 0.0
 	done := make(chan struct{})
 	go func() {
-		rig.Run(saturation.Load{Rate: heldRate, For: f.hold, HoldingTime: f.hold})
+		rig.Run(saturation.Load{Rate: heldRate, Duration: f.hold, HoldingTime: f.hold})
 		close(done)
 	}()
 	for sampling := true; sampling; {
@@ -283,7 +284,7 @@
 	if f.soak > 0 {
 		fmt.Fprintf(out, "%8s %10s %10s\n", "minute", "memory MiB", "stood")
 		for elapsed := time.Duration(0); elapsed < f.soak; elapsed += time.Minute {
-			res := rig.Run(saturation.Load{Rate: bestRate / 2, For: min(time.Minute, f.soak-elapsed)})
+			res := rig.Run(saturation.Load{Rate: bestRate / 2, Duration: min(time.Minute, f.soak-elapsed)})
 			fmt.Fprintf(out, "%8.0f %10.1f %10d\n", elapsed.Minutes()+1, residentKiB(gateway.Process.Pid)/1024, res.Answered)
 		}
 	}
@@ -295,7 +296,7 @@
 
 func ms(us int64) float64 { return float64(us) / 1000 }
 
-// residentKiB returns a process's resident memory in KiB, from /proc; 0 if it cannot be read.
+// residentKiB returns a process's resident memory in KiB, from /proc, or 0 if it cannot be read.
 func residentKiB(pid int) float64 {
 	status, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/status")
 	if err != nil {
--- a/internal/emulator/saturation/rig.go
+++ b/internal/emulator/saturation/rig.go
@@ -22,14 +22,14 @@
 // Load is the load that a run sends.
 type Load struct {
 	Rate        float64       // calls a second
-	For         time.Duration // how long setups are sent
+	Duration    time.Duration // how long setups are sent
 	HoldingTime time.Duration
 }
 
 // Result holds the measurements of a run.
 type Result struct {
 	Sent, Answered, Ended, Refused int64
-	Repeats                        int64                   // setups that the gateway retransmitted
+	Retransmissions                int64                   // setups that the gateway retransmitted
 	Added                          *hdrhistogram.Histogram // µs from sending a setup to its arrival at the endpoint
 	Back                           *hdrhistogram.Histogram // µs from the endpoint's answer to its arrival at the caller
 	Late                           time.Duration           // maximum lateness of the sender
@@ -98,7 +98,7 @@
 	begin := time.Now()
 	for n := 0; ; {
 		at := time.Since(begin)
-		if at >= l.For {
+		if at >= l.Duration {
 			break
 		}
 		due := int(l.Rate * at.Seconds())
@@ -281,7 +281,7 @@
 			at := r.now()
 			r.mu.Lock()
 			if r.received[id].Swap(true) {
-				r.result.Repeats++
+				r.result.Retransmissions++
 			} else {
 				_ = r.result.Added.RecordValue(max(1, (at-r.sentAt[id].Load())/1000))
 			}
