--- a/internal/cli/labcli/design.go
+++ b/internal/cli/labcli/design.go
@@ -49,6 +49,6 @@
 			return nil
 		},
 	}
-	c.Flags().IntVar(&seeds, "seeds", 1, "number of days to run, with consecutive seeds")
+	c.Flags().IntVar(&seeds, "seeds", 1, "number of consecutive seeds; each runs the day twice")
 	return c
 }
