--- a/internal/cli/labcli/swap.go
+++ b/internal/cli/labcli/swap.go
@@ -99,9 +99,9 @@
 	for i, prefix := range prefixbaseline.Draw(size) {
 		prefixes[i%routes] = append(prefixes[i%routes], prefix.Digits)
 	}
-	for i, prefix := range prefixes {
+	for i, routePrefixes := range prefixes {
 		name := fmt.Sprint("r", i)
-		packed, err := numberplan.PackPrefixes(prefix)
+		packed, err := numberplan.PackPrefixes(routePrefixes)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/protocol/dnsclient/response_test.go
+++ b/internal/protocol/dnsclient/response_test.go
@@ -43,11 +43,11 @@
 	} {
 		before := host.client.Counts.Strays
 		if send(); result.count != 0 || host.client.Counts.Strays != before+1 {
-			t.Fatalf("%s: %d answers, %d unmatched responses", name, result.count, host.client.Counts.Strays-before)
+			t.Fatalf("%s: want no answer and 1 unmatched response, got %d and %d", name, result.count, host.client.Counts.Strays-before)
 		}
 	}
 	if respond(nil); result.count != 1 || result.Status != Found {
-		t.Errorf("matching response: %+v", result)
+		t.Errorf("matching response: want one answer, got %+v", result)
 	}
 }
 
@@ -64,10 +64,10 @@
 		host.now = 2
 		host.client.OnStreamResponse(2, query.token, host.reply(query, change))
 		if (result.Status == Found && result.count == 1) != (change == nil) {
-			t.Errorf("%s: %+v", name, result)
+			t.Errorf("%s: want an answer only to the matching response, got %+v", name, result)
 		}
 		if host.run(3000); result.count != 1 {
-			t.Errorf("%s: %d answers", name, result.count)
+			t.Errorf("%s: %d answers, want 1", name, result.count)
 		}
 	}
 }
@@ -148,7 +148,7 @@
 		}
 		host.run(5000)
 		if result.count != 1 {
-			t.Errorf("%d answers", result.count)
+			t.Errorf("%d answers, want 1", result.count)
 		}
 	})
 }
@@ -192,7 +192,7 @@
 		host.run(host.now + 10000) // five UDP queries of a second each, and TCP queries
 		for _, l := range lookups {
 			if l.result.count != 1 || l.result.at > l.deadline+1e-6 {
-				rt.Fatalf("%s: %d answers, at %.1f, deadline %.1f", l.number, l.result.count, l.result.at, l.deadline)
+				rt.Fatalf("%s: want one answer by the deadline, got %d, at %.1f, deadline %.1f", l.number, l.result.count, l.result.at, l.deadline)
 			}
 			if l.result.Status == None && host.servers[0].Zone.Exists(l.number) {
 				rt.Fatalf("%s exists, but was answered as missing", l.number)
--- a/internal/protocol/siptransaction/message.go
+++ b/internal/protocol/siptransaction/message.go
@@ -36,7 +36,7 @@
 	return strconv.FormatUint(detrand.Hash(g.Seed, g.counter), 36)
 }
 
-// Float64 returns a number from 0 to 1 from the same sequence.
+// Float64 returns a pseudo-random number in [0, 1), of the same sequence.
 func (g *Generator) Float64() float64 {
 	g.counter++
 	return detrand.Float64(g.Seed, g.counter)
