--- a/internal/protocol/dnsclient/response_test.go
+++ b/internal/protocol/dnsclient/response_test.go
@@ -43,7 +43,8 @@
 	} {
 		before := host.client.Counts.Strays
 		if send(); result.count != 0 || host.client.Counts.Strays != before+1 {
-			t.Fatalf("%s: want no answer and 1 unmatched response, got %d and %d", name, result.count, host.client.Counts.Strays-before)
+			t.Fatalf("%s: want no answer and 1 unmatched response, got %d and %d",
+				name, result.count, host.client.Counts.Strays-before)
 		}
 	}
 	if respond(nil); result.count != 1 || result.Status != Found {
@@ -192,7 +193,8 @@
 		host.run(host.now + 10000) // five UDP queries of a second each, and TCP queries
 		for _, l := range lookups {
 			if l.result.count != 1 || l.result.at > l.deadline+1e-6 {
-				rt.Fatalf("%s: want one answer by the deadline, got %d, at %.1f, deadline %.1f", l.number, l.result.count, l.result.at, l.deadline)
+				rt.Fatalf("%s: want one answer by the deadline, got %d, at %.1f, deadline %.1f",
+					l.number, l.result.count, l.result.at, l.deadline)
 			}
 			if l.result.Status == None && host.servers[0].Zone.Exists(l.number) {
 				rt.Fatalf("%s exists, but was answered as missing", l.number)
