--- a/internal/emulator/saturation/rig.go
+++ b/internal/emulator/saturation/rig.go
@@ -22,14 +22,14 @@
 // Load is the load that a run sends.
 type Load struct {
 	Rate        float64       // calls a second
-	For         time.Duration // how long setups are sent
+	Duration    time.Duration // how long setups are sent
 	HoldingTime time.Duration
 }
 
 // Result holds the measurements of a run.
 type Result struct {
 	Sent, Answered, Ended, Refused int64
-	Repeats                        int64                   // setups that the gateway retransmitted
+	Retransmissions                int64                   // setups that the gateway retransmitted
 	Added                          *hdrhistogram.Histogram // µs from sending a setup to its arrival at the endpoint
 	Back                           *hdrhistogram.Histogram // µs from the endpoint's answer to its arrival at the caller
 	Late                           time.Duration           // maximum lateness of the sender
@@ -98,7 +98,7 @@
 	begin := time.Now()
 	for n := 0; ; {
 		at := time.Since(begin)
-		if at >= l.For {
+		if at >= l.Duration {
 			break
 		}
 		due := int(l.Rate * at.Seconds())
@@ -183,7 +183,7 @@
 	return b
 }
 
-// headerField returns the value of a header field, nil if the message has none of that name.
+// headerField returns the value of a header field, or nil if the message has none of that name.
 func headerField(data []byte, name string) []byte {
 	i := bytes.Index(data, []byte("\r\n"+name+": "))
 	if i < 0 {
@@ -281,7 +281,7 @@
 			at := r.now()
 			r.mu.Lock()
 			if r.received[id].Swap(true) {
-				r.result.Repeats++
+				r.result.Retransmissions++
 			} else {
 				_ = r.result.Added.RecordValue(max(1, (at-r.sentAt[id].Load())/1000))
 			}
@@ -300,7 +300,7 @@
 
 // Echo sends datagrams of 600 bytes, about the size of a SIP message, to an echo server at a rate a second. It returns
 // the numbers sent and received back, and the round-trip times in µs.
-func Echo(echo netip.AddrPort, rate float64, span time.Duration) (sent, back int64, times *hdrhistogram.Histogram,
+func Echo(echo netip.AddrPort, rate float64, duration time.Duration) (sent, back int64, times *hdrhistogram.Histogram,
 	err error) {
 	c, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(echo))
 	if err != nil {
@@ -309,7 +309,7 @@
 	defer c.Close()
 	_ = c.SetReadBuffer(8 << 20)
 	times = hdrhistogram.New(1, 60_000_000, 3)
-	var got atomic.Int64
+	var receivedCount atomic.Int64
 	begin := time.Now()
 	read := make(chan struct{})
 	go func() {
@@ -322,13 +322,13 @@
 			}
 			at, _ := strconv.ParseInt(string(b[:16]), 16, 64)
 			_ = times.RecordValue(max(1, (int64(time.Since(begin))-at)/1000))
-			got.Add(1)
+			receivedCount.Add(1)
 		}
 	}()
 	data := bytes.Repeat([]byte("x"), 600)
 	for {
 		at := time.Since(begin)
-		if at >= span {
+		if at >= duration {
 			break
 		}
 		for due := int64(rate * at.Seconds()); sent < due; sent++ {
@@ -340,5 +340,5 @@
 	time.Sleep(300 * time.Millisecond)
 	c.Close()
 	<-read
-	return sent, got.Load(), times, nil
+	return sent, receivedCount.Load(), times, nil
 }
