--- a/internal/cli/labcli/record.go
+++ b/internal/cli/labcli/record.go
@@ -63,7 +63,7 @@
 			call := &api.Call{AtMs: atMs, Gateway: r.gatewayNumbers[datagram.To], Number: number,
 				Customer:   m.From().Address.Host,
 				PatienceMs: siptransaction.ParseRetryAfter(siptransaction.HeaderValue(m, "Expires"))}
-			call.Skill, _ = strings.CutPrefix(siptransaction.HeaderValue(m, siptransaction.Service), "urn:urn-7:")
+			call.Skill, _ = strings.CutPrefix(siptransaction.HeaderValue(m, siptransaction.ServiceHeader), "urn:urn-7:")
 			for param := range strings.SplitSeq(params, ";") {
 				if group, ok := strings.CutPrefix(param, "tgrp="); ok {
 					call.Group = group
--- a/internal/cli/labcli/throughput.go
+++ b/internal/cli/labcli/throughput.go
@@ -34,7 +34,7 @@
 		}
 		var sockets *reactor.UDPSockets
 		ready := make(chan struct{})
-		sockets, err = reactor.Listen([]netip.AddrPort{addr}, 1, func(local, from netip.AddrPort, data []byte) {
+		sockets, err = reactor.ListenUDP([]netip.AddrPort{addr}, 1, func(local, from netip.AddrPort, data []byte) {
 			<-ready
 			sockets.Send(local, from, data)
 		})
--- a/internal/conformance/binaryconformance/checker.go
+++ b/internal/conformance/binaryconformance/checker.go
@@ -40,7 +40,7 @@
 type Checker struct {
 	Rules           Rules
 	Findings        []Finding
-	Totals          struct{ SetUps, Answers, Rejections, Attempts, Established int }
+	Setups          struct{ SetUps, Answers, Rejections, Attempts, Established int }
 	now             float64
 	calls           map[uint64]*call
 	drainingSince   map[string]float64 // by switch: when the gateway was told that it drains or is gone
@@ -96,7 +96,7 @@
 // to the protocol.
 func (k *Checker) OnClientMessage(at float64, m binarymessage.Message) {
 	k.now = at
-	c := k.calls[m.Call()]
+	c := k.calls[m.CallID()]
 	switch m.Type() {
 	case binarymessage.Setup:
 		if c != nil {
@@ -104,8 +104,8 @@
 		}
 		var timeout float64
 		_, _ = fmt.Sscan(m.Text(binarymessage.Timeout), &timeout)
-		k.calls[m.Call()] = &call{id: m.Call(), deadline: at + timeout, endedAt: math.Inf(1)}
-		k.Totals.SetUps++
+		k.calls[m.CallID()] = &call{id: m.CallID(), deadline: at + timeout, endedAt: math.Inf(1)}
+		k.Setups.SetUps++
 	case binarymessage.Release:
 		if c == nil {
 			return
@@ -127,10 +127,10 @@
 // OnMessageToClient reports a message that the gateway wrote to a caller's connection.
 func (k *Checker) OnMessageToClient(at float64, m binarymessage.Message) {
 	k.now = at
-	c := k.calls[m.Call()]
+	c := k.calls[m.CallID()]
 	if c == nil {
 		if m.Type() == binarymessage.Answer {
-			k.report(1, m.Call(), "answer to a call that no caller sent")
+			k.report(1, m.CallID(), "answer to a call that no caller sent")
 		}
 		return
 	}
@@ -155,12 +155,12 @@
 	}
 	c.finalAnswer = m.Type()
 	if m.Type() == binarymessage.Answer {
-		k.Totals.Answers++
+		k.Setups.Answers++
 		if !c.established {
 			k.report(1, c.id, "answered without an answer of a switch")
 		}
 	} else {
-		k.Totals.Rejections++
+		k.Setups.Rejections++
 	}
 	if !c.callerGone && at > c.deadline+k.Rules.AnswerGrace {
 		k.report(1, c.id, "final answer %.0f ms after the deadline", at-c.deadline)
@@ -170,14 +170,14 @@
 // OnMessageToEndpoint reports a message that the gateway wrote to one of its connections to a switch.
 func (k *Checker) OnMessageToEndpoint(at float64, endpoint string, conn int, m binarymessage.Message) {
 	k.now = at
-	c := k.calls[m.Call()]
+	c := k.calls[m.CallID()]
 	switch m.Type() {
 	case binarymessage.Setup:
 		if c == nil {
-			k.report(1, m.Call(), "setup of a call that no caller sent")
+			k.report(1, m.CallID(), "setup of a call that no caller sent")
 			return
 		}
-		k.Totals.Attempts++
+		k.Setups.Attempts++
 		switch {
 		case c.finalAnswer != 0:
 			k.report(1, c.id, "setup after the final answer")
@@ -219,7 +219,7 @@
 // OnEndpointMessage reports a message of a switch that the gateway read.
 func (k *Checker) OnEndpointMessage(at float64, endpoint string, conn int, m binarymessage.Message) {
 	k.now = at
-	c := k.calls[m.Call()]
+	c := k.calls[m.CallID()]
 	if c == nil {
 		return
 	}
@@ -228,7 +228,7 @@
 	case binarymessage.Answer:
 		if _, complete := m.Get(binarymessage.Description); current && complete {
 			c.inFlight, c.established = nil, true
-			k.Totals.Established++
+			k.Setups.Established++
 		}
 	case binarymessage.Release:
 		switch {
--- a/internal/conformance/checker.go
+++ b/internal/conformance/checker.go
@@ -52,8 +52,8 @@
 	Findings              []Finding
 	Totals                Totals
 	Parse                 func([]byte) (sip.Message, error) // siptransaction.Parse, or one that caches
-	Keep                  bool                              // record how slow-start budgets are used
-	Cold                  []Cold                            // set by Finish, if that is recorded
+	KeepSlowStart         bool                              // record how slow-start budgets are used
+	SlowStartSamples      []SlowStartSample                 // set by Finish, if that is recorded
 	rules                 *api.Rules
 	nodes                 map[string]*api.Node
 	calls                 map[string]*call                 // by gateway and session
@@ -410,7 +410,7 @@
 	case *sip.Request:
 		if a := k.attemptsByDialog[gateway+id]; a != nil && m.Method == sip.BYE && !a.ended {
 			a.ended = true
-			if !strings.Contains(siptransaction.HeaderValue(m, siptransaction.Reason), "cause=16") {
+			if !strings.Contains(siptransaction.HeaderValue(m, siptransaction.ReasonHeader), "cause=16") {
 				a.call.holdOffUntil = math.Max(a.call.holdOffUntil, at+k.rules.ClearMs)
 			}
 		}
--- a/internal/conformance/slowstart.go
+++ b/internal/conformance/slowstart.go
@@ -6,8 +6,8 @@
 	"cobaltpier/api"
 )
 
-// Cold is the fraction of a slow-starting switch's budget that was used in the window that ended at At.
-type Cold struct {
+// SlowStartSample is the fraction of a slow-starting switch's budget that was used in the window that ended at At.
+type SlowStartSample struct {
 	At     float64
 	Switch string
 	Used   float64 // 1 is the limit
@@ -81,8 +81,8 @@
 			use = informed / limit
 		}
 		k.Totals.SlowStartUse = math.Max(k.Totals.SlowStartUse, use)
-		if k.Keep {
-			k.Cold = append(k.Cold, Cold{sent.at, s.endpoint, use})
+		if k.KeepSlowStart {
+			k.SlowStartSamples = append(k.SlowStartSamples, SlowStartSample{sent.at, s.endpoint, use})
 		}
 		if sum > limit+math.Sqrt(limit*s.model.SetupMs)+s.model.SetupMs && informed > sum*2/3 {
 			k.latestAt = sent.at
--- a/internal/conformance/tables.go
+++ b/internal/conformance/tables.go
@@ -12,10 +12,10 @@
 	"cobaltpier/internal/protocol/siptransaction"
 )
 
-// Tables checks, using a capture, that each call was analysed by a single number table, and by one that was in
+// TableChecker checks, using a capture, that each call was analysed by a single number table, and by one that was in
 // force when the call arrived. The emulator's tables have a step that puts a mark in front of every number: four
 // digits that Mark derives from the table's version.
-type Tables struct {
+type TableChecker struct {
 	Mark          func(version uint64) string
 	Blur          float64 // ms by which records may be out of order
 	Parse         func([]byte) (sip.Message, error)
@@ -52,9 +52,9 @@
 	until   float64
 }
 
-// NewTables returns a checker of number tables.
-func NewTables(mark func(uint64) string) *Tables {
-	return &Tables{
+// NewTableChecker returns a checker of number tables.
+func NewTableChecker(mark func(uint64) string) *TableChecker {
+	return &TableChecker{
 		Mark:          mark,
 		Parse:         siptransaction.Parse,
 		nodes:         map[string]*api.Node{},
@@ -67,7 +67,7 @@
 }
 
 // Add handles the next record.
-func (k *Tables) Add(r *api.Record) {
+func (k *TableChecker) Add(r *api.Record) {
 	switch v := r.What.(type) {
 	case *api.Record_Node:
 		k.nodes[v.Node.Addr] = v.Node
@@ -81,7 +81,7 @@
 }
 
 // tablesOf returns the tables of a gateway, which it adds when the gateway is first mentioned.
-func (k *Tables) tablesOf(gateway string) *gatewayTables {
+func (k *TableChecker) tablesOf(gateway string) *gatewayTables {
 	if k.gateways[gateway] == nil {
 		k.gateways[gateway] = &gatewayTables{knownSince: map[uint64]float64{}}
 	}
@@ -89,7 +89,7 @@
 }
 
 // onMark handles the delivery or confirmation of a table, and the stalls and kills of gateways.
-func (k *Tables) onMark(at float64, m *api.Mark) {
+func (k *TableChecker) onMark(at float64, m *api.Mark) {
 	tables := k.tablesOf(m.Who)
 	version, err := strconv.ParseUint(m.Text, 10, 64)
 	if _, known := tables.knownSince[version]; !known && err == nil {
@@ -138,7 +138,7 @@
 const readLag = 250
 
 // mayBeInForce reports whether a table may have been in force at a gateway when a call arrived or was read.
-func (k *Tables) mayBeInForce(tables *gatewayTables, version uint64, arrived arrival) bool {
+func (k *TableChecker) mayBeInForce(tables *gatewayTables, version uint64, arrived arrival) bool {
 	if arrived.readBy+k.Blur < tables.knownSince[version] {
 		return false
 	}
@@ -159,7 +159,7 @@
 }
 
 // Record compares the table version in a gateway's record of a call with the mark of the call's setup.
-func (k *Tables) Record(gateway, session string, version uint64) {
+func (k *TableChecker) Record(gateway, session string, version uint64) {
 	mark, found := k.markByCall[gateway+" "+session]
 	if !found {
 		return
@@ -181,7 +181,7 @@
 }
 
 // onInvite records the arrival of a call, or checks the mark of its setup at a switch.
-func (k *Tables) onInvite(at float64, d *api.Datagram) {
+func (k *TableChecker) onInvite(at float64, d *api.Datagram) {
 	from, to := k.nodes[d.From], k.nodes[d.To]
 	if from == nil || to == nil {
 		return
--- a/internal/conformance/tables_test.go
+++ b/internal/conformance/tables_test.go
@@ -59,7 +59,7 @@
 		"no mark": {[]*api.Record{event(0, "table-in", 1), caller(1, "a"), setup(2, "+1418", "a")},
 			"no table has mark"},
 	} {
-		checker := NewTables(mark)
+		checker := NewTableChecker(mark)
 		for _, record := range append([]*api.Record{node("c:1", "caller", "c"), node("e:1", "edge", "e"),
 			node("s:1", "switch", "s")}, test.records...) {
 			checker.Add(record)
--- a/internal/decision/enum/enum.go
+++ b/internal/decision/enum/enum.go
@@ -211,9 +211,9 @@
 
 // Ported holds the portability parameters of a number.
 type Ported struct {
-	Looked  bool   // npdi: a portability look-up was done
-	Routing string // rn in global form or with its context, digits with a +; "": the number is not ported
-	Carrier string // cic
+	LookupDone bool   // npdi: a portability look-up was done
+	Routing    string // rn in global form or with its context, digits with a +; "": the number is not ported
+	Carrier    string // cic
 }
 
 // Tel parses the number and the portability parameters (RFC 4694 3) of a tel URI. Any other URI is an error.
@@ -244,7 +244,7 @@
 		seen[k] = true
 		switch k {
 		case "npdi":
-			p.Looked = true
+			p.LookupDone = true
 		case "rn":
 			if n := strings.Trim(v, "+0123456789-.()"); n != "" || strings.Trim(v, "+-.()") == "" {
 				return Ported{}, fmt.Errorf("%w: rn=%s is not a number", ErrInvalid, v)
--- a/internal/decision/enum/enum_test.go
+++ b/internal/decision/enum/enum_test.go
@@ -92,8 +92,8 @@
 		want   Ported
 		bad    bool
 	}{
-		{"tel:+14185551234;npdi;rn=+15145550000", "+14185551234", Ported{Looked: true, Routing: "+15145550000"}, false},
-		{"tel:+14185551234;npdi", "+14185551234", Ported{Looked: true}, false},
+		{"tel:+14185551234;npdi;rn=+15145550000", "+14185551234", Ported{LookupDone: true, Routing: "+15145550000"}, false},
+		{"tel:+14185551234;npdi", "+14185551234", Ported{LookupDone: true}, false},
 		{"TEL:+1-418-555-1234;NPDI;rn=5145550000;rn-context=+1;cic=+1-6789", "+1-418-555-1234", Ported{true, "+15145550000",
 			"+1-6789"}, false},
 		{"tel:+1418;npdi;rn=1;rn=2", "", Ported{}, true},
--- a/internal/decision/numberplan/form_test.go
+++ b/internal/decision/numberplan/form_test.go
@@ -218,7 +218,7 @@
 		}
 		a, o := y.Begin(Call{Dialled: dialled, At: time.Unix(1.8e9, 0), Draw: 0.5, Explain: true})
 		if o.LookupNumber != "" {
-			o = a.Answered(Found{Answer: Ported, Routing: "+1514"})
+			o = a.Resume(LookupResult{Answer: Ported, Routing: "+1514"})
 		}
 		if (o.Route == nil) == (o.Refusal == nil) {
 			t.Errorf("%q: got %+v, want either a route or a refusal", dialled, o)
--- a/internal/decision/numberplan/number.go
+++ b/internal/decision/numberplan/number.go
@@ -115,11 +115,11 @@
 const (
 	NotPorted Answer = iota // also: the number does not exist
 	Ported                  // with a routing number (RFC 4694 rn)
-	Silent                  // no answer in time, or an error
+	NoAnswer                // no answer in time, or an error
 )
 
-// Found is the result of a portability look-up.
-type Found struct {
+// LookupResult is the result of a portability look-up.
+type LookupResult struct {
 	Answer  Answer
 	Routing string // if Ported: the routing number (RFC 4694 rn)
 	Carrier string // the carrier (RFC 4694 cic); empty if unknown
@@ -218,8 +218,8 @@
 	return a, a.run()
 }
 
-// Answered resumes the analysis with the result of its look-up. An invalid routing number counts as no answer.
-func (a *Analysis) Answered(found Found) Outcome {
+// Resume resumes the analysis with the result of its look-up. An invalid routing number counts as no answer.
+func (a *Analysis) Resume(found LookupResult) Outcome {
 	answer, routing := found.Answer, found.Routing
 	pending := a.pending
 	if pending == nil {
@@ -229,13 +229,13 @@
 	if answer == Ported {
 		n, err := Normalize(routing, a.Table.Country)
 		if err != nil {
-			answer = Silent
+			answer = NoAnswer
 			a.addStep("routing number: %v", err)
 		} else {
 			a.called, a.number = a.number, n
 		}
 	}
-	if answer != Silent {
+	if answer != NoAnswer {
 		a.carrier = found.Carrier
 	}
 	switch answer {
@@ -382,11 +382,11 @@
 	if o.LookupNumber != "" {
 		switch {
 		case routing != "":
-			a.Answered(Found{Answer: Ported, Routing: routing})
+			a.Resume(LookupResult{Answer: Ported, Routing: routing})
 		case silent:
-			a.Answered(Found{Answer: Silent})
+			a.Resume(LookupResult{Answer: NoAnswer})
 		default:
-			a.Answered(Found{Answer: NotPorted})
+			a.Resume(LookupResult{Answer: NotPorted})
 		}
 	}
 	return a.Steps
--- a/internal/decision/numberplan/number_test.go
+++ b/internal/decision/numberplan/number_test.go
@@ -148,7 +148,7 @@
 		{"0014185551234", holiday, 0, NotPorted, "", "TG-0 +14185551234"},
 		{"+14185551234", sunday, 0, Ported, "+15145559999", "TG-3 +14185551234;rn=+15145559999"},
 		{"+14185551234", sunday, 0, Ported, "nowhere", "no answer"},
-		{"+14185551234", sunday, 0, Silent, "", "no answer"},
+		{"+14185551234", sunday, 0, NoAnswer, "", "no answer"},
 		{"+14185550123", thursday, 0, 0, "", "not in service"},
 		{"+14185550200", thursday, 0, 0, "", "TG-0 +14185550200"},
 		{"+16135551234", thursday, 0, 0, "", "TG-2 +16135551234"},
@@ -163,12 +163,12 @@
 	} {
 		a, o := compiled.Begin(Call{Dialled: c.number, At: c.at, Draw: c.draw, Explain: true})
 		if o.LookupNumber != "" {
-			o = a.Answered(Found{Answer: c.answer, Routing: c.rn})
+			o = a.Resume(LookupResult{Answer: c.answer, Routing: c.rn})
 		}
 		if got := result(o); got != c.want {
 			t.Errorf("%q at %v: got %s, want %s\n  %s", c.number, c.at, got, c.want, strings.Join(a.Steps, "\n  "))
 		}
-		if again := a.Answered(Found{Answer: Silent}); again.Refusal == nil {
+		if again := a.Resume(LookupResult{Answer: NoAnswer}); again.Refusal == nil {
 			t.Errorf("%q: an answer without a look-up led to %v, want a refusal", c.number, result(again))
 		}
 	}
@@ -258,7 +258,7 @@
 		}
 		a, o := x.Begin(Call{Dialled: dialled, At: time.Unix(1.8e9, 0), Draw: 0.5, Explain: true})
 		if o.LookupNumber != "" {
-			a.Answered(Found{Answer: Ported, Routing: dialled})
+			a.Resume(LookupResult{Answer: Ported, Routing: dialled})
 		}
 	})
 }
--- a/internal/decision/numberplan/read.go
+++ b/internal/decision/numberplan/read.go
@@ -35,7 +35,7 @@
 	r.blocks[table] = root
 	zone := root.Text("zone", "")
 	for _, block := range root.Blocks("days", 1) {
-		days := &api.NumberDays{Name: block.Labels[0], Dates: block.Texts("dates")}
+		days := &api.NumberDays{Name: block.Labels[0], Dates: block.TextList("dates")}
 		r.blocks[days] = block
 		table.Days = append(table.Days, days)
 	}
@@ -43,7 +43,7 @@
 		table.Periods = append(table.Periods, r.readPeriod(block, zone))
 	}
 	if _, err := time.LoadLocation(zone); err != nil {
-		root.Fault("zone", "zone: unknown time zone %q", zone)
+		root.AddError("zone", "zone: unknown time zone %q", zone)
 	}
 	for _, block := range root.Blocks("route", 1) {
 		table.Routes = append(table.Routes, r.readRoute(block))
@@ -52,7 +52,7 @@
 		table.Plans = append(table.Plans, r.readPlan(block))
 	}
 	compiled := compile(table, func(message proto.Message, key, format string, args ...any) {
-		r.blocks[message].Fault(key, format, args...)
+		r.blocks[message].AddError(key, format, args...)
 	})
 	if err := root.Err(); err != nil {
 		return nil, nil, err
@@ -67,13 +67,13 @@
 		Zone:   block.Text("zone", zone),
 		From:   minuteOfDay(block, "from"),
 		To:     minuteOfDay(block, "to"),
-		Except: block.Texts("except"),
-		Only:   block.Texts("only"),
+		Except: block.TextList("except"),
+		Only:   block.TextList("only"),
 	}
-	for _, day := range block.Texts("days") {
+	for _, day := range block.TextList("days") {
 		i := slices.Index(weekdays, day)
 		if i < 0 {
-			block.Fault("days", "days: want weekdays (%s), got %q", strings.Join(weekdays, ", "), day)
+			block.AddError("days", "days: want weekdays (%s), got %q", strings.Join(weekdays, ", "), day)
 			continue
 		}
 		period.Weekdays = append(period.Weekdays, int32(i))
@@ -107,7 +107,7 @@
 			When:   ruleBlock.Text("when", ""),
 			Strip:  int32(ruleBlock.Int("strip", 0, 0, maxDigits)),
 			Add:    ruleBlock.Text("add", ""),
-			Where:  ruleBlock.Where(),
+			Where:  ruleBlock.Position(),
 		}
 		rule.Then = r.readAction(ruleBlock, true)
 		r.blocks[rule] = ruleBlock
@@ -127,7 +127,7 @@
 	}
 	t, err := time.Parse("15:04", text)
 	if err != nil {
-		block.Fault(key, "%s: want a time such as \"13:30\", got %q", key, text)
+		block.AddError(key, "%s: want a time such as \"13:30\", got %q", key, text)
 	}
 	return int32(t.Hour()*60 + t.Minute())
 }
@@ -151,7 +151,7 @@
 			Refuse: &api.NumberRefusal{Code: int32(block.Int("code", 404, 400, 699)), Why: reason},
 		}
 	} else if block.Has("code") {
-		block.Fault("code", "code: allowed only with refuse")
+		block.AddError("code", "code: allowed only with refuse")
 	}
 	if allowLookup {
 		for _, lookupBlock := range block.Blocks("portability", 0) {
@@ -164,14 +164,14 @@
 				if resultBlocks := lookupBlock.Blocks(result.key, 0); len(resultBlocks) == 1 {
 					*result.target = r.readAction(resultBlocks[0], false)
 				} else {
-					lookupBlock.Fault("", "portability: want exactly one block %s { ... }, the action for that result", result.key)
+					lookupBlock.AddError("", "portability: want exactly one block %s { ... }, the action for that result", result.key)
 				}
 			}
 			action.Do = &api.NumberAction_Ask{Ask: lookup}
 		}
 	}
 	if actions != 1 {
-		block.Fault(
+		block.AddError(
 			"",
 			"want exactly one of plan, route, refuse%s, got %d of them",
 			map[bool]string{true: ", portability { ... }", false: ""}[allowLookup],
--- a/internal/decision/shutdown/shutdown.go
+++ b/internal/decision/shutdown/shutdown.go
@@ -11,12 +11,12 @@
 
 // The stages, in their order. A gateway never goes back to an earlier one.
 const (
-	Serving     Stage = iota // no shutdown was requested
-	Accepting                // calls still arrive and are admitted
-	Rejecting                // new calls are rejected at once; pending and established ones go on
-	Flushing                 // no connection is accepted; remaining final answers are sent
-	HalfClosing              // the sending side of client connections is closed, so that no answer is lost by a reset
-	Stopped                  // the process may exit
+	Serving        Stage = iota // no shutdown was requested
+	AdmittingCalls              // calls still arrive and are admitted
+	Rejecting                   // new calls are rejected at once; pending and established ones go on
+	Flushing                    // no connection is accepted; remaining final answers are sent
+	HalfClosing                 // the sending side of client connections is closed, so that no answer is lost by a reset
+	Stopped                     // the process may exit
 )
 
 // Status is the state of a gateway during a shutdown.
@@ -48,7 +48,7 @@
 	killAt := acceptWindow + math.Min(maxTimeout, status.MaxTimeout)
 	lastAnswer := killAt - answerReserve
 	switch s {
-	case Accepting:
+	case AdmittingCalls:
 		if status.SinceSignal > math.Min(acceptWindow, lastAnswer) {
 			return Rejecting
 		}
--- a/internal/decision/shutdown/shutdown_test.go
+++ b/internal/decision/shutdown/shutdown_test.go
@@ -11,9 +11,9 @@
 		want Stage
 	}{
 		{"no shutdown requested", Serving, Status{SinceSignal: 9000}, Serving},
-		{"calls may still arrive", Accepting, Status{SinceSignal: 700, MaxTimeout: 9000}, Accepting},
-		{"accept window is over", Accepting, Status{SinceSignal: 701, MaxTimeout: 9000}, Rejecting},
-		{"short timeouts: the kill comes at 800 ms", Accepting, Status{SinceSignal: 501, MaxTimeout: 100}, Rejecting},
+		{"calls may still arrive", AdmittingCalls, Status{SinceSignal: 700, MaxTimeout: 9000}, AdmittingCalls},
+		{"accept window is over", AdmittingCalls, Status{SinceSignal: 701, MaxTimeout: 9000}, Rejecting},
+		{"short timeouts: the kill comes at 800 ms", AdmittingCalls, Status{SinceSignal: 501, MaxTimeout: 100}, Rejecting},
 		{"calls may be in transit", Rejecting, Status{SinceSignal: 1100, MaxTimeout: 9000}, Rejecting},
 		{"no calls left", Rejecting, Status{SinceSignal: 1101, MaxTimeout: 9000}, Flushing},
 		{"pending call", Rejecting, Status{SinceSignal: 3400, MaxTimeout: 9000, PendingCalls: 1}, Rejecting},
--- a/internal/decision/tableversions/tables.go
+++ b/internal/decision/tableversions/tables.go
@@ -42,7 +42,7 @@
 	Check(Source)
 	// Keep stores a table as the running one; history is the state before the change. The answer is Keeper.Kept.
 	// Serial is 0 for a new table.
-	Keep(c Checked, note string, serial uint64, history Shelf)
+	Keep(c Checked, note string, serial uint64, history History)
 	// Swap makes new calls use a table, at once.
 	Swap(*numberplan.Table)
 }
@@ -50,60 +50,60 @@
 // Keeper tracks the running table and the changes in progress.
 type Keeper struct {
 	Running *numberplan.Table // nil: none yet
-	Shelf   Shelf
+	History History
 	driver  Driver
 	current *change // the change that is being checked or stored
 	waiting *change // the change that starts next; a later one replaces it
 }
 
-// Shelf lists the tables that a gateway runs and ran, by their serial numbers in the store.
-type Shelf struct {
-	Running uint64   // 0: none
-	Before  []uint64 // those that ran before, oldest first
+// History lists the tables that a gateway runs and ran, by their serial numbers in the store.
+type History struct {
+	Running  uint64   // 0: none
+	Previous []uint64 // those that ran before, oldest first
 }
 
-// Take returns the history once a serial runs. If it is the one that ran just before, this is a step back, and it is
+// Activate returns the history once a serial runs. If it is the one that ran just before, this is a step back, and it is
 // removed from those before.
-func (s Shelf) Take(serial uint64) Shelf {
-	count := len(s.Before)
-	if count > 0 && s.Before[count-1] == serial {
-		return Shelf{serial, slices.Clone(s.Before[:count-1])}
+func (s History) Activate(serial uint64) History {
+	count := len(s.Previous)
+	if count > 0 && s.Previous[count-1] == serial {
+		return History{serial, slices.Clone(s.Previous[:count-1])}
 	}
-	before := slices.Clone(s.Before)
+	before := slices.Clone(s.Previous)
 	if s.Running != 0 {
 		before = append(before, s.Running)
 	}
-	return Shelf{serial, before[max(0, len(before)-MaxKept):]}
+	return History{serial, before[max(0, len(before)-MaxKept):]}
 }
 
-// Keeps reports whether a serial stays in the store: the running one, those before it and the last MaxKept serials,
+// Retains reports whether a serial stays in the store: the running one, those before it and the last MaxKept serials,
 // which include tables that were rolled back.
-func (s Shelf) Keeps(serial, latest uint64) bool {
-	return serial == s.Running || slices.Contains(s.Before, serial) || serial+MaxKept > latest
+func (s History) Retains(serial, latest uint64) bool {
+	return serial == s.Running || slices.Contains(s.Previous, serial) || serial+MaxKept > latest
 }
 
 // Recover finds the table to run after a start: the running one of the history or, if that can't be read or does not
 // fit the gateway any more, the latest before it that does. problems tells why tables were skipped. No table and no
 // problems mean that nothing is stored.
-func (s Shelf) Recover(
+func (s History) Recover(
 	loadForm func(serial uint64) ([]byte, error),
 	available numberplan.Names,
-) (running *numberplan.Table, recovered Shelf, problems []error) {
+) (running *numberplan.Table, recovered History, problems []error) {
 	if s.Running == 0 {
-		return nil, Shelf{}, nil
+		return nil, History{}, nil
 	}
-	for serials := append(slices.Clone(s.Before), s.Running); len(serials) > 0; serials = serials[:len(serials)-1] {
+	for serials := append(slices.Clone(s.Previous), s.Running); len(serials) > 0; serials = serials[:len(serials)-1] {
 		serial := serials[len(serials)-1]
 		form, err := loadForm(serial)
 		if err == nil {
 			c := Check(form, available)
 			if err = c.Err; err == nil {
-				return c.Table, Shelf{serial, serials[:len(serials)-1]}, problems
+				return c.Table, History{serial, serials[:len(serials)-1]}, problems
 			}
 		}
 		problems = append(problems, err)
 	}
-	return nil, Shelf{}, problems
+	return nil, History{}, problems
 }
 
 type change struct {
@@ -114,8 +114,8 @@
 }
 
 // New returns a keeper for a gateway that runs a table, nil for none, with the history of its store.
-func New(driver Driver, running *numberplan.Table, history Shelf) *Keeper {
-	return &Keeper{driver: driver, Running: running, Shelf: history}
+func New(driver Driver, running *numberplan.Table, history History) *Keeper {
+	return &Keeper{driver: driver, Running: running, History: history}
 }
 
 // Put requests a change to a new table. done is called once, with the result. While another change is in progress
@@ -142,12 +142,12 @@
 
 func (k *Keeper) start(c *change) {
 	if c.Form == nil { // Back: the table to return to is known only now
-		if len(k.Shelf.Before) == 0 {
+		if len(k.History.Previous) == 0 {
 			c.done(ErrNoPrevious)
 			k.finish()
 			return
 		}
-		c.Serial = k.Shelf.Before[len(k.Shelf.Before)-1]
+		c.Serial = k.History.Previous[len(k.History.Previous)-1]
 	}
 	k.current = c
 	k.driver.Check(c.Source)
@@ -181,7 +181,7 @@
 		k.reject(fmt.Errorf("%w: version %d, running version %d", ErrOlder, result.Table.Version, k.Running.Version))
 	default:
 		c.checked, c.storing = result, true
-		k.driver.Keep(result, c.Comment, c.Serial, k.Shelf)
+		k.driver.Keep(result, c.Comment, c.Serial, k.History)
 	}
 }
 
@@ -196,7 +196,7 @@
 		k.reject(fmt.Errorf("number table: not stored, so not used: %w", err))
 		return
 	}
-	k.Running, k.Shelf = c.checked.Table, k.Shelf.Take(serial)
+	k.Running, k.History = c.checked.Table, k.History.Activate(serial)
 	k.driver.Swap(k.Running)
 	c.done(nil)
 	k.finish()
--- a/internal/decision/tableversions/tables_test.go
+++ b/internal/decision/tableversions/tables_test.go
@@ -15,25 +15,25 @@
 // package tablestore cover the keeper's changes, with files.
 func TestHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var history Shelf
+		var history History
 		var model []uint64
 		latest := uint64(0)
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
 			if len(model) > 1 && rapid.IntRange(0, 3).Draw(t, "back") == 0 {
 				model = model[:len(model)-1]
-				history = history.Take(history.Before[len(history.Before)-1])
+				history = history.Activate(history.Previous[len(history.Previous)-1])
 			} else {
 				latest++
 				model = append(model, latest)
 				model = model[max(0, len(model)-MaxKept-1):]
-				history = history.Take(latest)
+				history = history.Activate(latest)
 			}
-			if got := append(slices.Clone(history.Before), history.Running); !slices.Equal(got, model) {
+			if got := append(slices.Clone(history.Previous), history.Running); !slices.Equal(got, model) {
 				t.Fatalf("%v, want %v", got, model)
 			}
 			kept := 0
 			for n := uint64(1); n <= latest; n++ {
-				if history.Keeps(n, latest) {
+				if history.Retains(n, latest) {
 					kept++
 				} else if slices.Contains(model, n) {
 					t.Fatalf("%d of %v is not kept", n, model)
@@ -44,7 +44,7 @@
 			}
 		}
 	})
-	if running, recovered, problems := (Shelf{3, []uint64{1, 2}}).Recover(
+	if running, recovered, problems := (History{3, []uint64{1, 2}}).Recover(
 		func(uint64) ([]byte, error) { return nil, errors.New("gone") },
 		numberplan.Names{},
 	); running != nil ||
--- a/internal/emulator/binarystandin/conn.go
+++ b/internal/emulator/binarystandin/conn.go
@@ -112,7 +112,7 @@
 }
 
 func (c *conn) onClientMessage(m binarymessage.Message) {
-	id := m.Call()
+	id := m.CallID()
 	c.pendingCalls = slices.DeleteFunc(c.pendingCalls, func(pendingID uint64) bool { return pendingID == id })
 	if m.Type() == binarymessage.Answer && c.sim.happens(c.sim.Faults.CallerHangsUp) {
 		c.sim.after(c.sim.Random()*c.sim.HoldingTime, func() {
@@ -140,7 +140,7 @@
 			c.endpoint = endpoint
 			endpoint.conns = append(endpoint.conns, c)
 			sim.Gateway.OnConnected(sim.now, gatewayConn)
-			c.send(binarymessage.LoadState, 0, binarymessage.TextParam(binarymessage.Report, "free:20;size:40;busy:-1;q:-1"))
+			c.send(binarymessage.LoadState, 0, binarymessage.TextParam(binarymessage.LoadReport, "free:20;size:40;busy:-1;q:-1"))
 		}
 	})
 }
--- a/internal/emulator/binarystandin/endpoint.go
+++ b/internal/emulator/binarystandin/endpoint.go
@@ -38,7 +38,7 @@
 
 // onMessage handles a message from the gateway.
 func (e *Endpoint) onMessage(c *conn, m binarymessage.Message) {
-	sim, faults, id := c.sim, &c.sim.Faults, m.Call()
+	sim, faults, id := c.sim, &c.sim.Faults, m.CallID()
 	if c.closed || e.unreachable || e.crashed {
 		return
 	}
@@ -65,7 +65,7 @@
 	if c.closed || e.unreachable || e.crashed || e.pending[id] != c && !late {
 		return
 	}
-	report := binarymessage.TextParam(binarymessage.Report, "free:20;size:40;busy:0.4;q:1")
+	report := binarymessage.TextParam(binarymessage.LoadReport, "free:20;size:40;busy:0.4;q:1")
 	switch {
 	case sim.happens(faults.Reset):
 		c.reset()
--- a/internal/emulator/binarystandin/simulation.go
+++ b/internal/emulator/binarystandin/simulation.go
@@ -124,9 +124,9 @@
 	l := &dnsdiscovery.List{Serial: sim.serial, Complete: true}
 	for _, endpoint := range sim.endpoints {
 		if endpoint.state != routing.Gone {
-			l.Targets = append(
-				l.Targets,
-				dnsdiscovery.Target{
+			l.Entries = append(
+				l.Entries,
+				dnsdiscovery.Entry{
 					ID:            endpoint.id,
 					Addr:          endpoint.addr,
 					DestinationID: endpoint.destination,
@@ -240,7 +240,7 @@
 		binarymessage.TextParam(binarymessage.Class, "voice"),
 		binarymessage.TextParam(binarymessage.Timeout, strconv.Itoa(int(timeout))),
 		binarymessage.TextParam(binarymessage.Number, "n"+strconv.FormatUint(id%50, 10)),
-		binarymessage.TextParam(binarymessage.Figures, "dest:"+strconv.Itoa(int(id%4))+";width:1;via:-1"),
+		binarymessage.TextParam(binarymessage.RoutingParams, "dest:"+strconv.Itoa(int(id%4))+";width:1;via:-1"),
 		binarymessage.TextParam(binarymessage.Description, "offer"),
 	)
 	c.pendingCalls = append(c.pendingCalls, id)
--- a/internal/emulator/callers/caller.go
+++ b/internal/emulator/callers/caller.go
@@ -87,7 +87,7 @@
 func New(
 	behavior Behavior,
 	self, gateway netip.AddrPort,
-	times siptransaction.Timers,
+	times siptransaction.TimerValues,
 	seed uint64,
 	send func(netip.AddrPort, []byte),
 ) *Callers {
@@ -170,7 +170,7 @@
 	c.byTag[t.tag], c.bySession[t.session] = t, t
 	r := c.request(t, sip.INVITE, 1)
 	r.AppendHeader(&sip.ContactHeader{Address: c.uri()})
-	r.AppendHeader(sip.NewHeader(siptransaction.Service, "urn:urn-7:"+s.Class))
+	r.AppendHeader(sip.NewHeader(siptransaction.ServiceHeader, "urn:urn-7:"+s.Class))
 	r.AppendHeader(sip.NewHeader("Expires", fmt.Sprint(int(wait/1000))))
 	r.AppendHeader(sip.NewHeader("Content-Type", "application/sdp"))
 	r.SetBody([]byte(sdpOffer))
@@ -242,7 +242,7 @@
 	t.finish()
 	delete(c.byTag, t.tag)
 	r := c.request(t, sip.BYE, 2)
-	r.AppendHeader(sip.NewHeader(siptransaction.Reason, reason))
+	r.AppendHeader(sip.NewHeader(siptransaction.ReasonHeader, reason))
 	c.sip.Send(r, c.gateway, sip.HeaderParams{{K: "rport"}}, func(*sip.Response) {})
 }
 
--- a/internal/emulator/coreswitch/switch.go
+++ b/internal/emulator/coreswitch/switch.go
@@ -40,7 +40,7 @@
 	ReportInterval float64  `json:"Refresh"`
 	ReportDelay    float64  `json:"Delay"` // age at which a report becomes visible
 	ReportNoise    float64  `json:"Noise"`
-	Times          siptransaction.Timers
+	Times          siptransaction.TimerValues
 	// Parse reads datagrams; nil: siptransaction.Parse.
 	Parse func([]byte) (sip.Message, error) `json:"-"`
 }
@@ -119,7 +119,7 @@
 		s.sip.Parse = m.Parse
 	}
 	s.sip.Now = now
-	s.sip.OnRepeat = s.onRetransmission
+	s.sip.OnRetransmission = s.onRetransmission
 	s.timers.Schedule(now+s.random.Float64()*m.ReportInterval, s.makeReport)
 	return s
 }
@@ -217,7 +217,7 @@
 	req.AppendHeader(&sip.CSeqHeader{SeqNo: 1, MethodName: sip.BYE})
 	req.AppendHeader(sip.NewHeader("Max-Forwards", "70"))
 	req.AppendHeader(sip.NewHeader(siptransaction.SessionID, siptransaction.FormatSessionID(c.session)))
-	req.AppendHeader(sip.NewHeader(siptransaction.Reason, `Q.850;cause=41;text="Temporary failure"`))
+	req.AppendHeader(sip.NewHeader(siptransaction.ReasonHeader, `Q.850;cause=41;text="Temporary failure"`))
 	s.sip.Send(req, c.server.ResponseAddress(), nil, func(*sip.Response) {})
 	delete(s.calls, c.tag)
 }
@@ -471,7 +471,7 @@
 			}
 		}
 	}
-	res.AppendHeader(sip.NewHeader(siptransaction.Load, value))
+	res.AppendHeader(sip.NewHeader(siptransaction.LoadHeader, value))
 	return res
 }
 
--- a/internal/emulator/processrun/check.go
+++ b/internal/emulator/processrun/check.go
@@ -19,9 +19,9 @@
 // check checks the records of a run in a goroutine of its own, so that parsing them does not delay the stand-ins.
 type check struct {
 	checker *conformance.Checker
-	tables  *conformance.Tables // nil: the scenario has no number tables
-	file    *os.File            // the capture file; nil: none
-	capture *capture.Writer     // nil: none
+	tables  *conformance.TableChecker // nil: the scenario has no number tables
+	file    *os.File                  // the capture file; nil: none
+	capture *capture.Writer           // nil: none
 	records chan *api.Record
 	done    chan struct{} // closed after the last record
 	err     error         // from writing the capture; may be read once done is closed
@@ -36,7 +36,7 @@
 		done:    make(chan struct{}),
 	}
 	if s.Analyses() {
-		c.tables = conformance.NewTables(scenario.Mark4)
+		c.tables = conformance.NewTableChecker(scenario.Mark4)
 		c.tables.Blur = tableReordering
 	}
 	if captureFile != "" {
--- a/internal/emulator/processrun/day.go
+++ b/internal/emulator/processrun/day.go
@@ -45,7 +45,7 @@
 	Service         scenario.Service
 	Findings        []conformance.Finding
 	Totals          conformance.Totals
-	Tables          *conformance.Tables // nil: the scenario has no number tables
+	Tables          *conformance.TableChecker // nil: the scenario has no number tables
 	Kiosks          scenario.KioskService
 	GatewayFailures []string // gateways that exited with an error or did not drain in time
 	DatagramsLost   uint64   // datagrams that the kernel did not accept from the stand-ins
@@ -128,7 +128,7 @@
 	if err := check.finish(res); err != nil {
 		return nil, err
 	}
-	res.DatagramsLost = r.sockets.Lost.Load()
+	res.DatagramsLost = r.sockets.SendErrors.Load()
 	if temporary && !res.Broken() {
 		os.RemoveAll(r.options.Dir)
 	}
@@ -239,7 +239,7 @@
 		addrs = append(addrs, relay)
 	}
 	var err error
-	r.sockets, err = reactor.Listen(addrs, 2, func(local, from netip.AddrPort, data []byte) {
+	r.sockets, err = reactor.ListenUDP(addrs, 2, func(local, from netip.AddrPort, data []byte) {
 		if target, ok := r.relays[local]; ok {
 			r.relay(target, local, data)
 			return
--- a/internal/emulator/processrun/gatewayfile.go
+++ b/internal/emulator/processrun/gatewayfile.go
@@ -83,11 +83,11 @@
 func (r *runner) writeENUMServer(w *fileWriter, g *scenario.Gateway) {
 	enum := r.sim.FrontConfig()
 	w.line("front {\n  listen = %q\n  apex = %q\n  skill = %q", g.Front, enum.Apex, enum.Class)
-	w.line("  negative = %d\n  patience = %q", enum.Negative, duration(enum.Patience))
-	w.line("  repeat = %q\n  gain = %g", duration(enum.Repeat), enum.Gain)
-	w.line("  most = %d\n  keep = %d", enum.MaxPending, enum.Keep)
-	w.line("  rate = %g\n  burst = %g\n  clients = %d", enum.Limits.Rate, enum.Limits.Burst, enum.Limits.Clients)
-	for _, client := range enum.Limits.Nets {
+	w.line("  negative = %d\n  patience = %q", enum.NegativeTTL, duration(enum.Timeout))
+	w.line("  repeat = %q\n  gain = %g", duration(enum.RepeatWindow), enum.MaxAmplification)
+	w.line("  most = %d\n  keep = %d", enum.MaxPending, enum.MaxRemembered)
+	w.line("  rate = %g\n  burst = %g\n  clients = %d", enum.Limits.Rate, enum.Limits.Burst, enum.Limits.MaxClients)
+	for _, client := range enum.Limits.Networks {
 		w.line("  client %q {\n    rate = %g\n  }", client.Prefix, client.Rate)
 	}
 	w.line("}")
--- a/internal/emulator/processrun/numbers.go
+++ b/internal/emulator/processrun/numbers.go
@@ -89,7 +89,7 @@
 		scenario.Apex,
 		strings.Join(servers, ", "),
 		resolver.MaxLookups,
-		resolver.Tries,
+		resolver.MaxQueries,
 		formatMs(resolver.StaleAfter),
 		resolver.Cache.MaxEntries,
 		formatMs(resolver.Cache.MinTTL),
--- a/internal/emulator/scenario/design.go
+++ b/internal/emulator/scenario/design.go
@@ -80,7 +80,7 @@
 
 // addLoad stores the utilization that an endpoint reports to a gateway.
 func (s *Shares) addLoad(endpoint int, gateway string, m *sip.Response) {
-	for field := range strings.SplitSeq(siptransaction.HeaderValue(m, siptransaction.Load), ";") {
+	for field := range strings.SplitSeq(siptransaction.HeaderValue(m, siptransaction.LoadHeader), ";") {
 		value, ok := strings.CutPrefix(field, "util=")
 		if !ok {
 			continue
--- a/internal/emulator/scenario/enumclients.go
+++ b/internal/emulator/scenario/enumclients.go
@@ -110,20 +110,20 @@
 // FrontConfig returns the configuration of the gateways' ENUM servers.
 func (st *Scenario) FrontConfig() enumserver.Config {
 	return enumserver.Config{
-		Apex:       ENUMApex,
-		Class:      st.Script.Classes[0].Name,
-		Negative:   30,
-		Patience:   3000,
-		Repeat:     5000,
-		Gain:       8,
-		MaxPending: 2000,
-		Keep:       10000,
-		Context:    Context,
+		Apex:             ENUMApex,
+		Class:            st.Script.Classes[0].Name,
+		NegativeTTL:      30,
+		Timeout:          3000,
+		RepeatWindow:     5000,
+		MaxAmplification: 8,
+		MaxPending:       2000,
+		MaxRemembered:    10000,
+		TrunkContext:     Context,
 		Limits: enumserver.Limits{
-			Rate:    50,
-			Burst:   100,
-			Clients: 10000,
-			Nets:    []enumserver.Net{{Prefix: netip.MustParsePrefix("127.90.0.0/16"), Rate: 5000}},
+			Rate:       50,
+			Burst:      100,
+			MaxClients: 10000,
+			Networks:   []enumserver.Net{{Prefix: netip.MustParsePrefix("127.90.0.0/16"), Rate: 5000}},
 		},
 	}
 }
--- a/internal/emulator/scenario/numbers.go
+++ b/internal/emulator/scenario/numbers.go
@@ -146,14 +146,14 @@
 func (st *Scenario) Resolve(seed uint64) dnsclient.Config {
 	s := st.Script.Numbers
 	c := dnsclient.Config{
-		Servers:    st.Names.Addrs,
-		Ports:      2,
-		Seed:       seed,
-		MaxLookups: 1000,
-		Tries:      4,
-		StaleAfter: 100,
-		Alone:      s.Alone,
-		Cache: dnsclient.CacheTimes{
+		Servers:        st.Names.Addrs,
+		Ports:          2,
+		Seed:           seed,
+		MaxLookups:     1000,
+		MaxQueries:     4,
+		StaleAfter:     100,
+		DisableSharing: s.Alone,
+		Cache: dnsclient.CacheConfig{
 			MaxEntries:     100000,
 			MinTTL:         1000,
 			MaxTTL:         3600e3,
@@ -163,7 +163,7 @@
 		},
 	}
 	if !s.Cache {
-		c.Cache = dnsclient.CacheTimes{MaxEntries: 1, FailureTTL: s.Fail}
+		c.Cache = dnsclient.CacheConfig{MaxEntries: 1, FailureTTL: s.Fail}
 	}
 	return c
 }
--- a/internal/emulator/scenario/numbers_test.go
+++ b/internal/emulator/scenario/numbers_test.go
@@ -11,7 +11,7 @@
 
 // runNumbers runs a short scenario in which numbers are analysed and tables change every second.
 func runNumbers(t *testing.T, change func(*scenariofile.Script)) (*Scenario, *Virtual, *conformance.Checker,
-	*conformance.Tables) {
+	*conformance.TableChecker) {
 	t.Helper()
 	s, err := Day("numbers", `length="14s"`, "load.rate=200", "gateways.count=4", "pools.count=3")
 	if err != nil {
@@ -20,7 +20,7 @@
 	if change != nil {
 		change(s)
 	}
-	k, tables := conformance.New(), conformance.NewTables(Mark4)
+	k, tables := conformance.New(), conformance.NewTableChecker(Mark4)
 	st := New(s, 5060, func(r *api.Record) { k.Add(r); tables.Add(r) })
 	k.Parse, tables.Parse = st.Parse, st.Parse
 	st.OnCallEnd = func(gateway int, f b2bua.CallRecord) { tables.Record(st.Gateways[gateway].Name, f.SessionID, f.Table) }
@@ -56,7 +56,7 @@
 		t.Errorf("%d calls, %d tables", tables.Calls, tables.Versions)
 	}
 	for _, b := range v.Gateways {
-		if old, n := b.Tables(); old != 0 || n != 0 {
+		if old, n := b.OldTables(); old != 0 || n != 0 {
 			t.Errorf("%s: %d calls hold %d old tables", b.gateway.Name, n, old)
 		}
 	}
--- a/internal/emulator/scenariofile/script.go
+++ b/internal/emulator/scenariofile/script.go
@@ -169,7 +169,7 @@
 		Name:    b.Text("name", "day"),
 		Seed:    uint64(b.Int("seed", 1, 0, 1<<31)),
 		Length:  b.Ms("length", 60000, 1000, msPerDay),
-		Regions: b.Texts("regions"),
+		Regions: b.TextList("regions"),
 	}
 	if len(s.Regions) == 0 {
 		s.Regions = []string{"one"}
@@ -190,7 +190,7 @@
 
 // readGateways reads the settings of the gateways.
 func (s *Script) readGateways(b *hclconfig.Block) {
-	g := b.One("gateways")
+	g := b.SingleBlock("gateways")
 	s.Gateways = Gateways{
 		Count:    g.Int("count", 8, 1, 1000),
 		Held:     g.Int("most_held", 20000, 1, 1<<24),
@@ -208,7 +208,7 @@
 
 // readRules reads the parameters of the rules.
 func (s *Script) readRules(b *hclconfig.Block) {
-	r := b.One("rules")
+	r := b.SingleBlock("rules")
 	s.Rules = Rules{
 		Slack:      r.Ms("slack", 20, 0, 1000),
 		Grace:      r.Ms("grace", 250, 0, 10000),
@@ -222,7 +222,7 @@
 
 // readNet reads the delays and losses of the network.
 func (s *Script) readNet(b *hclconfig.Block) {
-	n := b.One("net")
+	n := b.SingleBlock("net")
 	s.Net = Net{
 		Same:     n.Ms("same", 5, 0, 1000),
 		Cross:    n.Ms("cross", 14, 0, 1000),
@@ -265,7 +265,7 @@
 
 // readPools reads the core switches. It uses s.Rules, which must have been read before.
 func (s *Script) readPools(b *hclconfig.Block) {
-	p := b.One("pools")
+	p := b.SingleBlock("pools")
 	retry := p.Ms("retransmit", 400, 10, 60000)
 	s.Pools = Pools{Count: p.Int("count", 4, 1, 1000), Spread: p.Num("spread", 0.15, 0, 0.9), Model: coreswitch.Model{
 		Setup:          p.Num("setup_ms", 6.4, 0.001, 1000),
@@ -286,22 +286,22 @@
 		ReportInterval: p.Ms("refresh", 400, 1, msPerDay),
 		ReportDelay:    p.Ms("report_delay", 120, 0, msPerDay),
 		ReportNoise:    p.Num("noise", 0.08, 0, 1),
-		Times:          siptransaction.Timers{T1: retry, T2: 8 * retry, T4: 5000},
+		Times:          siptransaction.TimerValues{T1: retry, T2: 8 * retry, T4: 5000},
 	}}
-	s.Pools.Model.Reports = p.Texts("reports")
+	s.Pools.Model.Reports = p.TextList("reports")
 	if len(s.Pools.Model.Reports) == 0 {
 		s.Pools.Model.Reports = []string{"util", "queue"}
 	}
 	for _, v := range s.Pools.Model.Reports {
 		if !strings.Contains(" util queue wait rate loss ", " "+v+" ") {
-			p.Fault("reports", "reports: want some of util, queue, wait, rate, loss, got %q", v)
+			p.AddError("reports", "reports: want some of util, queue, wait, rate, loss, got %q", v)
 		}
 	}
 }
 
 // readLoad reads the offered load.
 func (s *Script) readLoad(b *hclconfig.Block) {
-	l := b.One("load")
+	l := b.SingleBlock("load")
 	s.Load = Load{
 		Rate:    l.Num("rate", 300, 0, 1e6),
 		Drift:   l.Ms("drift", 15000, 100, msPerDay),
@@ -312,7 +312,7 @@
 
 // readCallers reads the behavior of the callers.
 func (s *Script) readCallers(b *hclconfig.Block) {
-	c := b.One("callers")
+	c := b.SingleBlock("callers")
 	s.Callers = Callers{
 		Redials: c.Int("redials", 2, 0, 100),
 		Pause:   c.Ms("pause", 900, 0, msPerDay),
@@ -325,7 +325,7 @@
 
 // readList reads the delays of the endpoint list.
 func (s *Script) readList(b *hclconfig.Block) {
-	d := b.One("list")
+	d := b.SingleBlock("list")
 	s.List = List{
 		NoticeLo: d.Ms("notice_least", 700, 0, msPerDay),
 		NoticeHi: d.Ms("notice_most", 5000, 0, msPerDay),
@@ -388,7 +388,7 @@
 			Region: t.Text("region", ""),
 		}
 		if Kinds[fault.Kind] == "" {
-			t.Fault("", "trouble %q is not known", fault.Kind)
+			t.AddError("", "trouble %q is not known", fault.Kind)
 		}
 		s.Troubles = append(s.Troubles, fault)
 	}
--- a/internal/emulator/scenariofile/simulator.go
+++ b/internal/emulator/scenariofile/simulator.go
@@ -310,7 +310,7 @@
 		ReportInterval: math.Max(1, ms(tier.ReportPeriod)),
 		ReportDelay:    ms(tier.ReportDelay),
 		ReportNoise:    tier.ReportNoise,
-		Times:          siptransaction.Timers{T1: retry, T2: 8 * retry, T4: 5000},
+		Times:          siptransaction.TimerValues{T1: retry, T2: 8 * retry, T4: 5000},
 		Reports:        reports,
 	}
 }
--- a/internal/emulator/virtualrun/virtualrun.go
+++ b/internal/emulator/virtualrun/virtualrun.go
@@ -51,7 +51,7 @@
 	Findings      []conformance.Finding
 	Totals        conformance.Totals
 	Series        *Series
-	Tables        *conformance.Tables // nil: no number tables
+	Tables        *conformance.TableChecker // nil: no number tables
 	NumberLookups dnsclient.Counts
 	Kiosks        scenario.KioskService
 	Sum           uint64
@@ -66,7 +66,7 @@
 	P50, P95  []float64            // time to answer of those that were answered, in ms; NaN: none
 	Attempts  map[string][]float64 // sent in that second, by switch
 	Outcomes  map[string][]float64 // final responses of the switches, by outcome
-	SlowStart []conformance.Cold
+	SlowStart []conformance.SlowStartSample
 	Faults    []scenariofile.Trouble
 }
 
@@ -74,10 +74,10 @@
 func Play(s *scenariofile.Script, newPolicy routing.PolicyFactory, options Options) *Result {
 	begin := time.Now()
 	checker := conformance.New()
-	checker.Keep = options.Series
-	var tables *conformance.Tables
+	checker.KeepSlowStart = options.Series
+	var tables *conformance.TableChecker
 	if s.Analyses() {
-		tables = conformance.NewTables(scenario.Mark4)
+		tables = conformance.NewTableChecker(scenario.Mark4)
 	}
 	res := &Result{}
 	var series *seriesTap
@@ -119,7 +119,7 @@
 	res.Service, res.Findings, res.Totals, res.Tables, res.NumberLookups, res.Kiosks = st.Service(), checker.Findings,
 		checker.Totals, tables, v.LookupCounts(), st.KioskService()
 	if series != nil {
-		res.Series = series.finish(st, checker.Cold)
+		res.Series = series.finish(st, checker.SlowStartSamples)
 	}
 	res.Elapsed = time.Since(begin)
 	return res
@@ -211,7 +211,7 @@
 	}
 }
 
-func (t *seriesTap) finish(st *scenario.Scenario, cold []conformance.Cold) *Series {
+func (t *seriesTap) finish(st *scenario.Scenario, cold []conformance.SlowStartSample) *Series {
 	s := t.series
 	s.SlowStart = cold
 	achieved, offered := make([]float64, s.Seconds), make([]float64, s.Seconds)
--- a/internal/emulator/workload/plan.go
+++ b/internal/emulator/workload/plan.go
@@ -59,7 +59,7 @@
 		Gateways: block.Int("gateways", 1, 1, 100000),
 		Uneven:   block.Num("uneven", 0, 0, 1),
 		Drift:    block.Ms("drift", 15000, 1, day),
-		Groups:   block.Texts("groups"),
+		Groups:   block.TextList("groups"),
 		Skew:     block.Num("skew", 0, 0, 1),
 		Numbers:  block.Int("numbers", 100000, 1, 1<<30),
 	}
--- a/internal/gateway/binaryconfig/config_test.go
+++ b/internal/gateway/binaryconfig/config_test.go
@@ -35,9 +35,9 @@
 		t.Errorf("connections %+v, fields %v", c.Connections, c.LoadReportFields)
 	}
 	k := c.InitialLists
-	if len(k) != 2 || !k[0].Complete || k[1].Serial != 41 || k[1].Targets[0].State != routing.Draining ||
-		k[1].Targets[0].StartedAt != 1700000000000 ||
-		k[0].Targets[0].DestinationID != 2 {
+	if len(k) != 2 || !k[0].Complete || k[1].Serial != 41 || k[1].Entries[0].State != routing.Draining ||
+		k[1].Entries[0].StartedAt != 1700000000000 ||
+		k[0].Entries[0].DestinationID != 2 {
 		t.Errorf("known %+v", k)
 	}
 }
--- a/internal/gateway/binaryserver/deployments_test.go
+++ b/internal/gateway/binaryserver/deployments_test.go
@@ -89,7 +89,7 @@
 						binarymessage.TextParam(binarymessage.Class, class),
 						binarymessage.TextParam(binarymessage.Timeout, deployment.timeout),
 						binarymessage.TextParam(binarymessage.Number, fmt.Sprint(i)),
-						binarymessage.TextParam(binarymessage.Figures, "dest:1;width:1;via:-1"),
+						binarymessage.TextParam(binarymessage.RoutingParams, "dest:1;width:1;via:-1"),
 						binarymessage.TextParam(binarymessage.Description, "offer"),
 					),
 				)
--- a/internal/gateway/binaryserver/events.go
+++ b/internal/gateway/binaryserver/events.go
@@ -73,7 +73,7 @@
 	if err != nil || list == nil {
 		return
 	}
-	s.log.Debug().Uint32("list_serial", list.Serial).Int("endpoints", len(list.Targets)).Msg("new endpoint list")
+	s.log.Debug().Uint32("list_serial", list.Serial).Int("endpoints", len(list.Entries)).Msg("new endpoint list")
 	s.gateway.OnEndpointList(now, list)
 }
 
--- a/internal/gateway/binaryserver/server.go
+++ b/internal/gateway/binaryserver/server.go
@@ -128,9 +128,9 @@
 	config := s.config
 	maxAccepted := connlimit.MaxClientConns(config.Limits.Descriptors) + spareConns
 	var err error
-	s.streams, err = reactor.ServeStreams(config.Listen, maxAccepted, config.Connections.ConnectTimeout, s)
+	s.streams, err = reactor.ListenTCP(config.Listen, maxAccepted, config.Connections.ConnectTimeout, s)
 	if err != nil {
-		if reactor.AddressInUse(err) {
+		if reactor.IsAddressInUse(err) {
 			return fmt.Errorf("listen: address %s is in use by another program: %w", config.Listen, err)
 		}
 		return err
@@ -139,7 +139,7 @@
 	if config.PeerListen.IsValid() && config.Settings.GossipEnabled {
 		addresses = append(addresses, config.PeerListen)
 	}
-	s.datagrams, err = reactor.Listen(addresses, 1, func(local, from netip.AddrPort, data []byte) {
+	s.datagrams, err = reactor.ListenUDP(addresses, 1, func(local, from netip.AddrPort, data []byte) {
 		s.events.push(event{kind: datagram, local: local, from: from, data: data})
 	})
 	if err != nil {
@@ -243,9 +243,9 @@
 }
 
 func (s *Server) traceMessage(conn *binarygateway.Conn, outgoing bool, message binarymessage.Message) {
-	s.log.Trace().Bool("outgoing", outgoing).Str("peer", conn.PeerName()).Hex("call", message.CallBytes()).
+	s.log.Trace().Bool("outgoing", outgoing).Str("peer", conn.PeerName()).Hex("call", message.CallIDBytes()).
 		Uint8("type", message.Type()).Uint8("cause", message.Cause()).
-		Str("note", message.Text(binarymessage.Note)).Str("report", message.Text(binarymessage.Report)).
+		Str("note", message.Text(binarymessage.Note)).Str("report", message.Text(binarymessage.LoadReport)).
 		Str("number", message.Text(binarymessage.Number)).Float64("ms", s.now()-clockOrigin).Msg("message")
 }
 
--- a/internal/gateway/binaryserver/shutdown.go
+++ b/internal/gateway/binaryserver/shutdown.go
@@ -15,7 +15,7 @@
 	case s.stage == shutdown.Serving:
 		s.log.Info().Msg("graceful shutdown begins")
 		s.gateway.BeginDrain()
-		s.stage, s.shutdownRequestedAt, s.stageEnteredAt = shutdown.Accepting, s.now(), s.now()
+		s.stage, s.shutdownRequestedAt, s.stageEnteredAt = shutdown.AdmittingCalls, s.now(), s.now()
 	}
 }
 
@@ -35,7 +35,7 @@
 	case shutdown.Rejecting:
 		s.gateway.StopAdmitting()
 	case shutdown.Flushing:
-		s.streams.StopAccept()
+		s.streams.StopAccepting()
 		s.gateway.RejectAll(now)
 	case shutdown.HalfClosing:
 		s.gateway.CloseClientWrites()
--- a/internal/gateway/binaryserver/shutdown_test.go
+++ b/internal/gateway/binaryserver/shutdown_test.go
@@ -43,7 +43,7 @@
 	for {
 		n, err := c.conn.Read(b)
 		_ = c.reader.Feed(b[:n], func(m binarymessage.Message) bool {
-			c.received[m.Call()] = append(c.received[m.Call()], append(binarymessage.Message(nil), m...))
+			c.received[m.CallID()] = append(c.received[m.CallID()], append(binarymessage.Message(nil), m...))
 			return true
 		})
 		if errors.Is(err, io.EOF) {
--- a/internal/gateway/binaryserver/standins_test.go
+++ b/internal/gateway/binaryserver/standins_test.go
@@ -49,7 +49,7 @@
 }
 
 // testEndpointLoad is the load report that every testEndpoint sends.
-var testEndpointLoad = binarymessage.TextParam(binarymessage.Report, "free:300;size:400;busy:0.3;q:1")
+var testEndpointLoad = binarymessage.TextParam(binarymessage.LoadReport, "free:300;size:400;busy:0.3;q:1")
 
 func newTestEndpoint(t *testing.T, id string) *testEndpoint {
 	t.Helper()
@@ -182,7 +182,7 @@
 }
 
 func (c *testEndpointConn) handle(message binarymessage.Message) bool {
-	e, id := c.endpoint, message.Call()
+	e, id := c.endpoint, message.CallID()
 	switch message.Type() {
 	case binarymessage.Release:
 		e.mu.Lock()
@@ -360,7 +360,7 @@
 			binarymessage.TextParam(binarymessage.Class, "voice"),
 			binarymessage.TextParam(binarymessage.Timeout, "1500"),
 			binarymessage.TextParam(binarymessage.Number, fmt.Sprintf("%x", id)),
-			binarymessage.TextParam(binarymessage.Figures, fmt.Sprintf("dest:%d;width:1;via:-1", id%2)),
+			binarymessage.TextParam(binarymessage.RoutingParams, fmt.Sprintf("dest:%d;width:1;via:-1", id%2)),
 			binarymessage.TextParam(binarymessage.Description, "offer"),
 		}, params...)...)
 }
@@ -372,7 +372,7 @@
 		_ = c.conn.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 		n, err := c.conn.Read(b)
 		if ferr := c.reader.Feed(b[:n], func(m binarymessage.Message) bool {
-			c.received[m.Call()] = append(c.received[m.Call()], append(binarymessage.Message(nil), m...))
+			c.received[m.CallID()] = append(c.received[m.CallID()], append(binarymessage.Message(nil), m...))
 			return true
 		}); ferr != nil {
 			c.t.Errorf("the client received an invalid message: %v", ferr)
--- a/internal/gateway/gatewayconfig/settings.go
+++ b/internal/gateway/gatewayconfig/settings.go
@@ -19,28 +19,28 @@
 // Config holds the settings of a gateway (the program cobalt-edge). Times are in milliseconds.
 type Config struct {
 	b2bua.Config
-	PeerListen   netip.AddrPort   // address on which gossip from other gateways is received
-	Peers        []netip.AddrPort // gossip addresses of all gateways, by gateway index
-	EndpointList string           // address of the server of the endpoint list
-	Tick         float64          // minimum time between two batches of events
-	LogLevel     string
-	LogConsole   bool // log in console format, not JSON
-	DrainTimeout float64
-	Numbers      Numbers
-	ENUMServer   ENUMServer
-	QueueSize    int // received datagrams that may wait for the event loop
+	GossipAddr       netip.AddrPort   // address on which gossip from other gateways is received
+	Peers            []netip.AddrPort // gossip addresses of all gateways, by gateway index
+	EndpointListAddr string           // address of the server of the endpoint list
+	TickInterval     float64          // minimum time between two batches of events
+	LogLevel         string
+	LogConsole       bool // log in console format, not JSON
+	DrainTimeout     float64
+	Numbers          NumberAnalysis
+	ENUMServer       ENUMServer
+	QueueSize        int // received datagrams that may wait for the event loop
 }
 
-// Numbers holds the settings of number analysis: the number tables and ENUM look-ups.
-type Numbers struct {
-	// Table is the file of the number table that is used until the store has one. Without Table and Store numbers aren't
+// NumberAnalysis holds the settings of number analysis: the number tables and ENUM look-ups.
+type NumberAnalysis struct {
+	// TableFile is the file of the number table that is used until the store has one. Without TableFile and Store numbers aren't
 	// analysed: callers state the class and the trunk group.
-	Table    string
-	Store    string // file that stores the activated tables; if empty, they are lost when the process ends
-	Admin    string // address of the gRPC service that activates tables; if empty, there is none
-	DNS      dnsclient.Config
-	Apex     string // domain of the ENUM look-ups; if empty, there are none
-	Services []string
+	TableFile    string
+	StoreFile    string // file that stores the activated tables; if empty, they are lost when the process ends
+	AdminAddr    string // address of the gRPC service that activates tables; if empty, there is none
+	DNS          dnsclient.Config
+	LookupDomain string // domain of the ENUM look-ups; if empty, there are none
+	ENUMServices []string
 }
 
 // Names returns the classes, tenants and trunk groups that number tables may refer to.
@@ -66,7 +66,7 @@
 }
 
 // Enabled reports whether the gateway analyses numbers.
-func (n *Numbers) Enabled() bool { return n.Table != "" || n.Store != "" }
+func (n *NumberAnalysis) Enabled() bool { return n.TableFile != "" || n.StoreFile != "" }
 
 const dayMillis = 24 * 3600 * 1000.0
 
@@ -91,7 +91,7 @@
 func read(root *hclconfig.Block) (*Config, error) {
 	c := &Config{}
 	c.Settings = &routing.Settings{}
-	gateway := root.One("gateway")
+	gateway := root.SingleBlock("gateway")
 	c.readGateway(gateway)
 	c.readEndpointListAndLog(root)
 	c.readAllow(root, gateway)
@@ -106,14 +106,14 @@
 // readGateway reads the block gateway.
 func (c *Config) readGateway(block *hclconfig.Block) {
 	settings := c.Settings
-	c.Name = block.Must("name")
-	c.Address, c.PeerListen = block.Addr("sip"), block.Addr("peer")
-	c.TrunkContext = block.Must("trunk_context")
+	c.Name = block.RequiredText("name")
+	c.Address, c.GossipAddr = block.Addr("sip"), block.Addr("peer")
+	c.TrunkContext = block.RequiredText("trunk_context")
 	settings.Gateways = block.Int("gateways", 1, 1, 100000)
 	settings.GatewayIndex = block.Int("number", 0, 0, 99999)
 	settings.Seed = uint64(block.Num("seed", 1, 0, 1<<53))
-	c.Tick = block.Ms("tick", 0, 0, 1000)
-	settings.TickInterval = c.Tick
+	c.TickInterval = block.Ms("tick", 0, 0, 1000)
+	settings.TickInterval = c.TickInterval
 	c.AnswerMargin = block.Ms("margin", 30, 0, 60000)
 	c.LoadShedding = loadshed.Gate{
 		MaxPending:    block.Int("most_held", 20000, 1, 1<<24),
@@ -123,12 +123,12 @@
 	c.DrainTimeout = block.Ms("drain_within", 30000, 0, dayMillis)
 	c.DefaultClass = block.Text("default_skill", "")
 	if settings.GatewayIndex >= settings.Gateways {
-		block.Fault("number", "number: want less than gateways (%d), got %d", settings.Gateways, settings.GatewayIndex)
+		block.AddError("number", "number: want less than gateways (%d), got %d", settings.Gateways, settings.GatewayIndex)
 	}
-	for _, peer := range block.Texts("peers") {
+	for _, peer := range block.TextList("peers") {
 		addr, err := netip.ParseAddrPort(peer)
 		if err != nil {
-			block.Fault("peers", "peers: want addresses such as \"127.0.0.1:5070\", got %q", peer)
+			block.AddError("peers", "peers: want addresses such as \"127.0.0.1:5070\", got %q", peer)
 		}
 		c.Peers = append(c.Peers, addr)
 	}
@@ -136,9 +136,9 @@
 
 // readEndpointListAndLog reads the blocks list and log.
 func (c *Config) readEndpointListAndLog(root *hclconfig.Block) {
-	list := root.One("list")
-	c.EndpointList = list.Must("addr")
-	log := root.One("log")
+	list := root.SingleBlock("list")
+	c.EndpointListAddr = list.RequiredText("addr")
+	log := root.SingleBlock("log")
 	c.LogLevel = log.Text("level", "info", "debug", "info", "warn", "error")
 	c.LogConsole = log.Text("form", "json", "json", "console") == "console"
 }
@@ -146,14 +146,14 @@
 // readAllow reads the block allow. It checks the number of peers too, which depends on allow.tell.
 func (c *Config) readAllow(root, gateway *hclconfig.Block) {
 	settings := c.Settings
-	allow := root.One("allow")
+	allow := root.SingleBlock("allow")
 	settings.MaxAttempts = allow.Int("max_rings", 5, 1, 1000)
 	settings.ProbeEnabled, settings.GossipEnabled = allow.Flag("probe", false), allow.Flag("tell", len(c.Peers) > 0)
 	settings.CancelEnabled, settings.RetryAfterEnabled = allow.Flag("cancel", true), allow.Flag("name_wait", true)
 	settings.MaxRetryAfter = allow.Ms("max_wait", 2000, 0, dayMillis)
 	settings.LoadReportsByProbe = allow.Flag("reports_by_probe", false)
 	if settings.GossipEnabled && len(c.Peers) != settings.Gateways {
-		gateway.Fault(
+		gateway.AddError(
 			"peers",
 			"peers: want %d addresses, one for each gateway, because allow.tell is set; got %d",
 			settings.Gateways,
@@ -165,16 +165,16 @@
 // readTimers reads the block timers, the SIP timers T1, T2 and T4 (RFC 3261).
 func (c *Config) readTimers(root *hclconfig.Block) {
 	settings := c.Settings
-	timers := root.One("timers")
+	timers := root.SingleBlock("timers")
 	t1 := timers.Ms("t1", 500, 10, 60000)
-	c.Times = siptransaction.Timers{T1: t1, T2: timers.Ms("t2", 8*t1, 10, 600000), T4: timers.Ms("t4", 5000, 10, 600000)}
+	c.Times = siptransaction.TimerValues{T1: t1, T2: timers.Ms("t2", 8*t1, 10, 600000), T4: timers.Ms("t4", 5000, 10, 600000)}
 	settings.RetransmitInterval = t1
 }
 
 // readRules reads the block rules, the parameters of the five rules.
 func (c *Config) readRules(root *hclconfig.Block) {
 	settings := c.Settings
-	rules := root.One("rules")
+	rules := root.SingleBlock("rules")
 	settings.AnswerGrace = rules.Ms("slack", 20, 0, 10000)
 	settings.RetryHoldOff = rules.Ms("clear_wait", hclconfig.Required, 0, 60000)
 	settings.SlowStartFraction = rules.Num("cold_share", hclconfig.Required, 0.001, 1)
@@ -202,12 +202,12 @@
 			Idempotent:         block.Flag("repeat", true),
 		}
 		if class.LatencyObjective > class.Timeout {
-			block.Fault("target", "target: want at most patience")
+			block.AddError("target", "target: want at most patience")
 		}
 		settings.Classes = append(settings.Classes, class)
 	}
 	if len(settings.Classes) == 0 {
-		root.Fault("", "want at least one skill \"NAME\" { ... }")
+		root.AddError("", "want at least one skill \"NAME\" { ... }")
 	} else if c.DefaultClass == "" {
 		c.DefaultClass = settings.Classes[0].Name
 	}
@@ -216,7 +216,7 @@
 		names[class.Name] = true
 	}
 	if len(settings.Classes) > 0 && !names[c.DefaultClass] {
-		gateway.Fault("default_skill", "default_skill: want one of the skills, got %q", c.DefaultClass)
+		gateway.AddError("default_skill", "default_skill: want one of the skills, got %q", c.DefaultClass)
 	}
 	for _, block := range root.Blocks("customer", 1) {
 		settings.Tenants = append(settings.Tenants, &routing.Tenant{Name: block.Labels[0]})
@@ -233,40 +233,40 @@
 			Circuits:      block.Int("size", -1, 1, 1<<20),
 		}
 		if !block.Has("pool") || !block.Has("size") {
-			block.Fault("", "group %q: want pool and size", group.Name)
+			block.AddError("", "group %q: want pool and size", group.Name)
 		}
 		if other := groupByDestination[group.DestinationID]; other != "" {
-			block.Fault("pool", "pool: %d is already the pool of group %q", group.DestinationID, other)
+			block.AddError("pool", "pool: %d is already the pool of group %q", group.DestinationID, other)
 		}
 		groupByDestination[group.DestinationID] = group.Name
 		c.Groups = append(c.Groups, group)
 	}
 	if len(c.Groups) == 0 {
-		root.Fault("", "want at least one group \"NAME\" { pool = ..., size = ... }")
+		root.AddError("", "want at least one group \"NAME\" { pool = ..., size = ... }")
 	}
 }
 
 // readNumbers reads the blocks numbers, enum and front.
 func (c *Config) readNumbers(root *hclconfig.Block) {
-	numbers, enum := root.One("numbers"), root.One("enum")
-	c.Numbers = Numbers{
-		Table:    numbers.Text("table", ""),
-		Store:    numbers.Text("store", ""),
-		Admin:    numbers.Text("admin", ""),
-		Apex:     enum.Text("apex", ""),
-		Services: enum.Texts("services"),
+	numbers, enum := root.SingleBlock("numbers"), root.SingleBlock("enum")
+	c.Numbers = NumberAnalysis{
+		TableFile:    numbers.Text("table", ""),
+		StoreFile:    numbers.Text("store", ""),
+		AdminAddr:    numbers.Text("admin", ""),
+		LookupDomain: enum.Text("apex", ""),
+		ENUMServices: enum.TextList("services"),
 	}
 	c.LookupShare = numbers.Num("lookup_share", 0.3, 0, 1)
-	if len(c.Numbers.Services) == 0 {
-		c.Numbers.Services = []string{"pstn:tel"}
+	if len(c.Numbers.ENUMServices) == 0 {
+		c.Numbers.ENUMServices = []string{"pstn:tel"}
 	}
 	dns := dnsclient.Config{
 		Ports:      enum.Int("ports", 8, 1, 64),
 		MaxLookups: enum.Int("most", 1000, 1, 1<<20),
-		Tries:      enum.Int("tries", 4, 1, 20),
+		MaxQueries: enum.Int("tries", 4, 1, 20),
 		StaleAfter: enum.Ms("stale_after", 200, 0, dayMillis),
 	}
-	dns.Cache = dnsclient.CacheTimes{
+	dns.Cache = dnsclient.CacheConfig{
 		MaxEntries: enum.Int("keep", 100000, 1, 1<<24),
 		MinTTL:     enum.Ms("least", 1000, 0, dayMillis),
 		MaxTTL:     enum.Ms("longest", dayMillis, 0, 7*dayMillis),
@@ -279,18 +279,18 @@
 		StaleTime:  enum.Ms("stale", 3600e3, 0, 7*dayMillis),
 		FailureTTL: enum.Ms("fail", 1000, 0, 300e3),
 	}
-	for _, server := range enum.Texts("servers") {
+	for _, server := range enum.TextList("servers") {
 		addr, err := netip.ParseAddrPort(server)
 		if err != nil {
-			enum.Fault("servers", "servers: want addresses such as \"127.0.0.1:5353\", got %q", server)
+			enum.AddError("servers", "servers: want addresses such as \"127.0.0.1:5353\", got %q", server)
 		}
 		dns.Servers = append(dns.Servers, addr)
 	}
-	if (c.Numbers.Apex == "") != (len(dns.Servers) == 0) {
-		enum.Fault("servers", "enum: want both apex and servers, or neither")
+	if (c.Numbers.LookupDomain == "") != (len(dns.Servers) == 0) {
+		enum.AddError("servers", "enum: want both apex and servers, or neither")
 	}
-	if c.Numbers.Apex != "" && !c.Numbers.Enabled() {
-		numbers.Fault("", "numbers: want table or store if enum.apex is set, because only number tables use ENUM look-ups")
+	if c.Numbers.LookupDomain != "" && !c.Numbers.Enabled() {
+		numbers.AddError("", "numbers: want table or store if enum.apex is set, because only number tables use ENUM look-ups")
 	}
 	c.Numbers.DNS = dns
 	for _, block := range root.Blocks("front", 0) {
@@ -302,28 +302,28 @@
 func (c *Config) readENUMServer(block *hclconfig.Block) {
 	server := &c.ENUMServer
 	if server.Listen.IsValid() {
-		block.Fault("", "front: want at most one block")
+		block.AddError("", "front: want at most one block")
 	}
-	server.Listen, server.Apex, server.Context = block.Addr("listen"), block.Must("apex"), c.TrunkContext
+	server.Listen, server.Apex, server.TrunkContext = block.Addr("listen"), block.RequiredText("apex"), c.TrunkContext
 	server.Class = block.Text("skill", c.DefaultClass)
-	server.TTL, server.Negative = uint32(block.Int("ttl", 0, 0, 86400)), uint32(block.Int("negative", 30, 0, 86400))
-	server.Patience, server.Repeat = block.Ms("patience", 3000, 100, 60000), block.Ms("repeat", 5000, 0, 60000)
+	server.TTL, server.NegativeTTL = uint32(block.Int("ttl", 0, 0, 86400)), uint32(block.Int("negative", 30, 0, 86400))
+	server.Timeout, server.RepeatWindow = block.Ms("patience", 3000, 100, 60000), block.Ms("repeat", 5000, 0, 60000)
 	server.MaxConns, server.IdleTimeout = block.Int("streams", 256, 1, 1<<16), block.Ms("stream_idle", 10000, 100, 600000)
-	server.Gain = block.Num("gain", 6, 1, 1000)
-	server.MaxPending, server.Keep = block.Int("most", 2000, 1, 1<<20), block.Int("keep", 10000, 1, 1<<20)
+	server.MaxAmplification = block.Num("gain", 6, 1, 1000)
+	server.MaxPending, server.MaxRemembered = block.Int("most", 2000, 1, 1<<20), block.Int("keep", 10000, 1, 1<<20)
 	server.Limits = enumserver.Limits{
-		Rate:    block.Num("rate", 50, 0, 1e6),
-		Burst:   block.Num("burst", 100, 1, 1e6),
-		Total:   block.Num("total_rate", 0, 0, 1e7),
-		Clients: block.Int("clients", 100000, 2, 1<<24),
+		Rate:       block.Num("rate", 50, 0, 1e6),
+		Burst:      block.Num("burst", 100, 1, 1e6),
+		TotalRate:  block.Num("total_rate", 0, 0, 1e7),
+		MaxClients: block.Int("clients", 100000, 2, 1<<24),
 	}
 	for _, clientBlock := range block.Blocks("client", 1) {
 		prefix, err := netip.ParsePrefix(clientBlock.Labels[0])
 		if err != nil {
-			clientBlock.Fault("", "client %q: want a network such as \"10.1.0.0/16\"", clientBlock.Labels[0])
+			clientBlock.AddError("", "client %q: want a network such as \"10.1.0.0/16\"", clientBlock.Labels[0])
 		}
-		server.Limits.Nets = append(
-			server.Limits.Nets,
+		server.Limits.Networks = append(
+			server.Limits.Networks,
 			enumserver.Net{Prefix: prefix, Rate: clientBlock.Num("rate", hclconfig.Required, 0, 1e6)},
 		)
 	}
@@ -332,6 +332,6 @@
 		known = known || class.Name == server.Class
 	}
 	if !known {
-		block.Fault("skill", "skill: want one of the skills, got %q", server.Class)
+		block.AddError("skill", "skill: want one of the skills, got %q", server.Class)
 	}
 }
--- a/internal/gateway/gatewayconfig/settings_test.go
+++ b/internal/gateway/gatewayconfig/settings_test.go
@@ -73,10 +73,10 @@
 	}
 	server := config.ENUMServer
 	if !config.Numbers.Enabled() || config.LookupShare != 0.3 || len(config.Numbers.DNS.Servers) != 1 ||
-		config.Numbers.DNS.Cache.FailureTTL != 1000 || config.Numbers.Services[0] != "pstn:tel" ||
-		server.Class != "shift-lookup" || server.TTL != 0 || server.Patience != 3000 || server.Context != "x.example" ||
-		len(server.Limits.Nets) != 1 ||
-		server.Limits.Nets[0].Rate != 0 {
+		config.Numbers.DNS.Cache.FailureTTL != 1000 || config.Numbers.ENUMServices[0] != "pstn:tel" ||
+		server.Class != "shift-lookup" || server.TTL != 0 || server.Timeout != 3000 || server.TrunkContext != "x.example" ||
+		len(server.Limits.Networks) != 1 ||
+		server.Limits.Networks[0].Rate != 0 {
 		t.Errorf("got numbers %+v and ENUM server %+v, want the values of the file and the defaults",
 			config.Numbers, server)
 	}
--- a/internal/gateway/reactor/reactor.go
+++ b/internal/gateway/reactor/reactor.go
@@ -24,7 +24,7 @@
 	mu         sync.Mutex
 	conns      map[netip.AddrPort]*net.UDPConn
 	batchConns map[netip.AddrPort]*ipv4.PacketConn // the IPv4 sockets of conns
-	Lost       atomic.Uint64                       // datagrams that could not be sent
+	SendErrors atomic.Uint64                       // datagrams that could not be sent
 }
 
 // udpReceiveBufferSize is the receive buffer that is requested for a socket, for datagrams that arrive while the event
@@ -43,9 +43,9 @@
 	return addrs
 }
 
-// Listen opens a socket on each address. onDatagram is called from the pollers, for one address always from the same
+// ListenUDP opens a socket on each address. onDatagram is called from the pollers, for one address always from the same
 // poller, and may keep the data. The error names an address that can't be opened.
-func Listen(addrs []netip.AddrPort, pollers int, onDatagram func(local, from netip.AddrPort, data []byte)) (*UDPSockets,
+func ListenUDP(addrs []netip.AddrPort, pollers int, onDatagram func(local, from netip.AddrPort, data []byte)) (*UDPSockets,
 	error) {
 	silenceLibraryLog()
 	s := &UDPSockets{conns: map[netip.AddrPort]*net.UDPConn{}, batchConns: map[netip.AddrPort]*ipv4.PacketConn{}}
@@ -107,11 +107,11 @@
 func (s *UDPSockets) Send(from, to netip.AddrPort, data []byte) {
 	c := s.conns[from]
 	if c == nil {
-		s.Lost.Add(1)
+		s.SendErrors.Add(1)
 		return
 	}
 	if _, err := c.WriteToUDPAddrPort(data, to); err != nil {
-		s.Lost.Add(1)
+		s.SendErrors.Add(1)
 	}
 }
 
@@ -136,7 +136,7 @@
 	for len(messages) > 0 {
 		n, err := s.batchConns[from].WriteBatch(messages, 0)
 		if err != nil || n == 0 { // the first message could not be sent
-			s.Lost.Add(1)
+			s.SendErrors.Add(1)
 			n = 1
 		}
 		messages = messages[n:]
@@ -166,7 +166,7 @@
 	}
 }
 
-// AddressInUse reports whether an error of Listen says that an address is already in use.
-func AddressInUse(err error) bool {
+// IsAddressInUse reports whether an error of Listen says that an address is already in use.
+func IsAddressInUse(err error) bool {
 	return err != nil && strings.Contains(err.Error(), "address already in use")
 }
--- a/internal/gateway/reactor/reactor_test.go
+++ b/internal/gateway/reactor/reactor_test.go
@@ -11,7 +11,7 @@
 func TestUDPSockets(t *testing.T) {
 	a, b := netip.MustParseAddrPort("127.0.0.1:0"), netip.MustParseAddrPort("127.71.0.2:19061")
 	got := make(chan string, 16)
-	s, err := Listen(
+	s, err := ListenUDP(
 		[]netip.AddrPort{b},
 		1,
 		func(local, from netip.AddrPort, data []byte) { got <- local.String() + " " + string(data) },
@@ -20,11 +20,11 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if _, err := Listen([]netip.AddrPort{b}, 1, func(_, _ netip.AddrPort, _ []byte) {}); !AddressInUse(err) {
+	if _, err := ListenUDP([]netip.AddrPort{b}, 1, func(_, _ netip.AddrPort, _ []byte) {}); !IsAddressInUse(err) {
 		t.Errorf("address in use: error %v", err)
 	}
 	c := netip.MustParseAddrPort("127.71.0.3:19061")
-	o, err := Listen([]netip.AddrPort{c}, 1, func(_, _ netip.AddrPort, data []byte) { got <- "other " + string(data) })
+	o, err := ListenUDP([]netip.AddrPort{c}, 1, func(_, _ netip.AddrPort, data []byte) { got <- "other " + string(data) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,7 +43,7 @@
 			t.Fatal("a datagram did not arrive")
 		}
 	}
-	if s.Lost.Load() != 1 {
-		t.Errorf("%d lost, want 1: the datagram from an address without a socket", s.Lost.Load())
+	if s.SendErrors.Load() != 1 {
+		t.Errorf("%d lost, want 1: the datagram from an address without a socket", s.SendErrors.Load())
 	}
 }
--- a/internal/gateway/reactor/stream.go
+++ b/internal/gateway/reactor/stream.go
@@ -72,9 +72,9 @@
 
 const streamReadBufferSize = 16 << 10
 
-// ServeStreams listens on an address and runs one poller. At most maxAccepted accepted connections are open at a time;
+// ListenTCP listens on an address and runs one poller. At most maxAccepted accepted connections are open at a time;
 // further ones wait in the kernel's queue. dialTimeout is in ms.
-func ServeStreams(addr netip.AddrPort, maxAccepted int, dialTimeout float64, h Handler) (*Streams, error) {
+func ListenTCP(addr netip.AddrPort, maxAccepted int, dialTimeout float64, h Handler) (*Streams, error) {
 	silenceLibraryLog()
 	nbio.MaxOpenFiles = min(nbio.MaxOpenFiles, maxOpenFiles)
 	s := &Streams{
@@ -161,9 +161,9 @@
 	}
 }
 
-// StopAccept makes the accept loop accept the connections that wait in the kernel's queue and then close the listener.
+// StopAccepting makes the accept loop accept the connections that wait in the kernel's queue and then close the listener.
 // It does not wait for that; see Accepting.
-func (s *Streams) StopAccept() {
+func (s *Streams) StopAccepting() {
 	s.stopAccepting.Store(true)
 	_ = s.listener.SetDeadline(time.Now())
 }
--- a/internal/gateway/reactor/stream_test.go
+++ b/internal/gateway/reactor/stream_test.go
@@ -73,7 +73,7 @@
 
 func newTestStreamsFor(t *testing.T, maxAccepted int, e *recordingHandler) (*Streams, *recordingHandler) {
 	t.Helper()
-	s, err := ServeStreams(netip.MustParseAddrPort("127.0.0.1:0"), maxAccepted, 300, e)
+	s, err := ListenTCP(netip.MustParseAddrPort("127.0.0.1:0"), maxAccepted, 300, e)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -302,7 +302,7 @@
 func TestAcceptWithoutDescriptors(t *testing.T) {
 	s, e := newTestStreams(t, 2)
 	old := s.listener
-	s.StopAccept() // ends the accept loop and closes its listener; both are replaced
+	s.StopAccepting() // ends the accept loop and closes its listener; both are replaced
 	s.acceptLoop.Wait()
 	again, err := net.ListenTCP("tcp", old.Addr().(*net.TCPAddr))
 	if err != nil {
@@ -341,7 +341,7 @@
 func TestStopAccept(t *testing.T) {
 	s, e := newTestStreams(t, 8)
 	addr := s.listener.Addr().(*net.TCPAddr)
-	s.StopAccept()
+	s.StopAccepting()
 	s.acceptLoop.Wait()
 	if s.Accepting() {
 		t.Error("Accepting is true after the accept loop has ended")
@@ -369,7 +369,7 @@
 	}
 	s.stopAccepting.Store(true) // StopAccept while the connections are in the kernel's queue
 	close(l.resume)
-	s.StopAccept()
+	s.StopAccepting()
 	e.waitFor(t, "three accepted and read", func() bool { return len(e.accepted) == 3 && e.data.Len() == 9 })
 	e.accepted[0].CloseWrite()
 }
--- a/internal/gateway/sipserver/enumlistener.go
+++ b/internal/gateway/sipserver/enumlistener.go
@@ -35,7 +35,7 @@
 	settings := &s.config.ENUMServer
 	l := &enumListener{sipServer: s, enum: enumserver.New(settings.Config, s.agent), conns: map[*net.TCPConn]struct{}{}}
 	var err error
-	l.udp, err = reactor.Listen([]netip.AddrPort{settings.Listen}, 1, func(local, from netip.AddrPort, data []byte) {
+	l.udp, err = reactor.ListenUDP([]netip.AddrPort{settings.Listen}, 1, func(local, from netip.AddrPort, data []byte) {
 		select {
 		case s.events <- event{kind: callback, do: func(now float64) {
 			l.enum.Receive(now, from, data, false, func(b []byte) { l.udp.Send(local, from, b) })
--- a/internal/gateway/sipserver/numbers.go
+++ b/internal/gateway/sipserver/numbers.go
@@ -30,7 +30,7 @@
 // the event loop may use its state; slow work runs in goroutines, which return results as events.
 type numberService struct {
 	server       *Server
-	config       *gatewayconfig.Numbers
+	config       *gatewayconfig.NumberAnalysis
 	names        numberplan.Names
 	store        *tablestore.Store
 	keeper       *tableversions.Keeper
@@ -45,7 +45,7 @@
 func (s *Server) openNumbers() (*numberService, error) {
 	n := &numberService{server: s, config: &s.config.Numbers, names: s.config.Names()}
 	err := n.openTable()
-	if err == nil && n.config.Apex != "" {
+	if err == nil && n.config.LookupDomain != "" {
 		err = n.openDNS()
 	}
 	if err != nil {
@@ -58,14 +58,14 @@
 // openTable selects the table to run: the latest usable one in the store, or else the one that the configuration
 // names.
 func (n *numberService) openTable() error {
-	var shelf tableversions.Shelf
-	if n.config.Store != "" {
+	var shelf tableversions.History
+	if n.config.StoreFile != "" {
 		var err error
 		if shelf, err = n.recoverTable(); err != nil {
 			return err
 		}
 	}
-	if n.initialTable == nil && n.config.Table != "" {
+	if n.initialTable == nil && n.config.TableFile != "" {
 		var err error
 		if shelf, err = n.loadTable(shelf); err != nil {
 			return err
@@ -85,13 +85,13 @@
 const loggedChecksumDigits = 16
 
 // recoverTable opens the store and takes the latest usable table from it, if there is one.
-func (n *numberService) recoverTable() (tableversions.Shelf, error) {
-	store, err := tablestore.Open(n.config.Store)
+func (n *numberService) recoverTable() (tableversions.History, error) {
+	store, err := tablestore.Open(n.config.StoreFile)
 	if err != nil {
-		return tableversions.Shelf{}, err
+		return tableversions.History{}, err
 	}
 	n.store = store
-	shelf, err := store.Shelf()
+	shelf, err := store.History()
 	if err != nil {
 		return shelf, err
 	}
@@ -104,8 +104,8 @@
 }
 
 // loadTable reads the table file that the configuration names, and stores it if there is a store.
-func (n *numberService) loadTable(shelf tableversions.Shelf) (tableversions.Shelf, error) {
-	table, form, err := tablestore.Load(n.config.Table)
+func (n *numberService) loadTable(shelf tableversions.History) (tableversions.History, error) {
+	table, form, err := tablestore.Load(n.config.TableFile)
 	if err != nil {
 		return shelf, err
 	}
@@ -121,11 +121,11 @@
 		return shelf, err
 	}
 	checked := tableversions.Checked{Table: table, Form: packed}
-	serial, err := n.store.Keep(checked, "from "+n.config.Table, 0, shelf, time.Now())
+	serial, err := n.store.Keep(checked, "from "+n.config.TableFile, 0, shelf, time.Now())
 	if err != nil {
 		return shelf, err
 	}
-	return shelf.Take(serial), nil
+	return shelf.Activate(serial), nil
 }
 
 // openDNS opens the DNS client's sockets.
@@ -142,7 +142,7 @@
 	}
 	ready := make(chan struct{})
 	var err error
-	n.sockets, err = reactor.Listen(addresses, 1, func(local, from netip.AddrPort, data []byte) {
+	n.sockets, err = reactor.ListenUDP(addresses, 1, func(local, from netip.AddrPort, data []byte) {
 		<-ready
 		select {
 		case n.server.events <- event{kind: dnsResponse, from: from, local: local, data: data}:
@@ -155,7 +155,7 @@
 	n.ports = n.sockets.Local()
 	close(ready)
 	n.client = dnsclient.New(config, n)
-	n.finder = &portability.Finder{Resolver: n.client, Apex: n.config.Apex, Services: n.config.Services}
+	n.finder = &portability.Finder{Resolver: n.client, Apex: n.config.LookupDomain, Services: n.config.ENUMServices}
 	return nil
 }
 
@@ -175,7 +175,7 @@
 	now float64,
 	digits string,
 	timeout float64,
-	done func(float64, numberplan.Found),
+	done func(float64, numberplan.LookupResult),
 ) func() {
 	return n.finder.Resolve(now, digits, timeout, done)
 }
@@ -246,9 +246,9 @@
 }
 
 // Keep implements tableversions.Work.
-func (n *numberService) Keep(c tableversions.Checked, note string, serial uint64, shelf tableversions.Shelf) {
+func (n *numberService) Keep(c tableversions.Checked, note string, serial uint64, shelf tableversions.History) {
 	if n.store == nil {
-		n.keeper.Kept(n.keeper.Shelf.Running+1, nil)
+		n.keeper.Kept(n.keeper.History.Running+1, nil)
 		return
 	}
 	go func() {
@@ -330,13 +330,13 @@
 		keeper := a.numbers.keeper
 		table := keeper.Running
 		s.Running = &api.KeptTable{
-			Serial:  keeper.Shelf.Running,
+			Serial:  keeper.History.Running,
 			Name:    table.Name,
 			Version: table.Version,
 			Sum:     table.Sum,
 			Rules:   int64(table.Size()),
 		}
-		oldTables, oldContacts := a.numbers.server.agent.Tables()
+		oldTables, oldContacts := a.numbers.server.agent.OldTables()
 		s.OldTables, s.OldContacts = int32(oldTables), int32(oldContacts)
 		done(nil)
 	})
@@ -369,10 +369,10 @@
 
 // serveAdmin starts the gRPC service for number tables, which runs until ctx ends.
 func (n *numberService) serveAdmin(ctx context.Context, log zerolog.Logger) error {
-	if n.config.Admin == "" {
+	if n.config.AdminAddr == "" {
 		return nil
 	}
-	lis, err := net.Listen("tcp", n.config.Admin)
+	lis, err := net.Listen("tcp", n.config.AdminAddr)
 	if err != nil {
 		return fmt.Errorf("numbers: admin: %w", err)
 	}
--- a/internal/gateway/sipserver/server.go
+++ b/internal/gateway/sipserver/server.go
@@ -114,9 +114,9 @@
 
 // start opens all sockets and makes the agent. closeSockets closes them, also after an error.
 func (s *Server) start(ctx context.Context, newPolicy routing.PolicyFactory) (err error) {
-	addresses := []netip.AddrPort{s.config.Address, s.config.PeerListen}
-	if s.datagrams, err = reactor.Listen(addresses, 1, s.onDatagram); err != nil {
-		if reactor.AddressInUse(err) {
+	addresses := []netip.AddrPort{s.config.Address, s.config.GossipAddr}
+	if s.datagrams, err = reactor.ListenUDP(addresses, 1, s.onDatagram); err != nil {
+		if reactor.IsAddressInUse(err) {
 			return fmt.Errorf("another program has the address: %w", err)
 		}
 		return err
@@ -166,7 +166,7 @@
 
 // followEndpointList hands updates of the endpoint list to the event loop until ctx is done.
 func (s *Server) followEndpointList(ctx context.Context) {
-	server := s.config.EndpointList
+	server := s.config.EndpointListAddr
 	onUpdate := func(update *api.Update) {
 		select {
 		case s.events <- event{kind: endpointList, list: update, at: time.Now()}:
@@ -201,14 +201,14 @@
 			Msg("number look-ups stopped")
 	}
 	s.log.Info().Interface("calls", s.agent.Counts).Uint64("queue_dropped", s.droppedEvents).
-		Uint64("send_dropped", s.datagrams.Lost.Load()).Bool("drained", outcome == Drained).Msg("gateway stopped")
+		Uint64("send_dropped", s.datagrams.SendErrors.Load()).Bool("drained", outcome == Drained).Msg("gateway stopped")
 }
 
 // onDatagram runs in the poller. A datagram that finds the event queue full is dropped; SIP retransmits its messages,
 // as after a loss in the network.
 func (s *Server) onDatagram(local, from netip.AddrPort, data []byte) {
 	e := event{kind: sipDatagram, from: from, data: data}
-	if local == s.config.PeerListen {
+	if local == s.config.GossipAddr {
 		e.kind = peerDatagram
 	}
 	select {
@@ -242,7 +242,7 @@
 func (s *Server) SendGossip(to int, data []byte) {
 	if to < len(s.config.Peers) && len(data) <= maxGossipSize {
 		s.datagrams.Send(
-			s.config.PeerListen,
+			s.config.GossipAddr,
 			s.config.Peers[to],
 			append(binary.BigEndian.AppendUint16(nil, uint16(s.config.Settings.GatewayIndex)), data...),
 		)
@@ -317,7 +317,7 @@
 
 // finishTick sleeps until the tick of the latest batch is over and returns the time.
 func (s *Server) finishTick(now float64) float64 {
-	left := s.config.Tick - (now - s.lastBatchAt)
+	left := s.config.TickInterval - (now - s.lastBatchAt)
 	if left <= 0 {
 		return now
 	}
--- a/internal/gateway/tablestore/store.go
+++ b/internal/gateway/tablestore/store.go
@@ -81,7 +81,7 @@
 	c tableversions.Checked,
 	note string,
 	serial uint64,
-	history tableversions.Shelf,
+	history tableversions.History,
 	at time.Time,
 ) (uint64, error) {
 	err := s.db.Update(func(tx *bbolt.Tx) error {
@@ -106,14 +106,14 @@
 				return err
 			}
 		}
-		history = history.Take(serial)
+		history = history.Activate(serial)
 		var before []byte
-		for _, p := range history.Before {
+		for _, p := range history.Previous {
 			before = append(before, encodeSerial(p)...)
 		}
 		c := tx.Bucket(formsBucket).Cursor()
 		for k, _ := c.First(); k != nil; k, _ = c.Next() {
-			if !history.Keeps(binary.BigEndian.Uint64(k), tx.Bucket(formsBucket).Sequence()) {
+			if !history.Retains(binary.BigEndian.Uint64(k), tx.Bucket(formsBucket).Sequence()) {
 				if err := errors.Join(tx.Bucket(notesBucket).Delete(k), c.Delete()); err != nil {
 					return err
 				}
@@ -130,8 +130,8 @@
 	return serial, nil
 }
 
-func readHistory(tx *bbolt.Tx) tableversions.Shelf {
-	history := tableversions.Shelf{Before: decodeSerials(tx.Bucket(stateBucket).Get(historyKey))}
+func readHistory(tx *bbolt.Tx) tableversions.History {
+	history := tableversions.History{Previous: decodeSerials(tx.Bucket(stateBucket).Get(historyKey))}
 	if r := decodeSerials(tx.Bucket(stateBucket).Get(runningKey)); len(r) == 1 {
 		history.Running = r[0]
 	}
@@ -165,8 +165,8 @@
 	return form, err
 }
 
-// Shelf returns which table runs according to the store, and which ran before it.
-func (s *Store) Shelf() (history tableversions.Shelf, err error) {
+// History returns which table runs according to the store, and which ran before it.
+func (s *Store) History() (history tableversions.History, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		history = readHistory(tx)
 		return nil
--- a/internal/gateway/tablestore/store_test.go
+++ b/internal/gateway/tablestore/store_test.go
@@ -54,7 +54,7 @@
 }
 
 func (d *testDriver) Check(s tableversions.Source) { d.pendingChecks = append(d.pendingChecks, s) }
-func (d *testDriver) Keep(c tableversions.Checked, note string, serial uint64, history tableversions.Shelf) {
+func (d *testDriver) Keep(c tableversions.Checked, note string, serial uint64, history tableversions.History) {
 	d.pendingWrites = append(d.pendingWrites, func() {
 		if d.writeError != nil {
 			d.keeper.Kept(0, d.writeError)
@@ -72,7 +72,7 @@
 	}
 	t.Cleanup(func() { s.Close() })
 	d := &testDriver{t: t, store: s}
-	d.keeper = tableversions.New(d, nil, tableversions.Shelf{})
+	d.keeper = tableversions.New(d, nil, tableversions.History{})
 	return d
 }
 
@@ -139,8 +139,8 @@
 		if err := d.put(c.form); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %s", name, err, c.want)
 		}
-		history, _ := d.store.Shelf()
-		running, before := history.Running, history.Before
+		history, _ := d.store.History()
+		running, before := history.Running, history.Previous
 		if d.keeper.Running != first || len(d.swapped) != 1 || running != 1 || len(before) != 0 || d.keeper.Busy() {
 			t.Errorf("%s: changed: %v, store %d %v", name, d.keeper.Running, running, before)
 		}
@@ -221,8 +221,8 @@
 	if err != nil || len(list) != 2 || list[0].Fault != "" || list[1].Fault == "" || list[0].Serial != 2 {
 		t.Errorf("%v: %v", err, list)
 	}
-	recovered := func(available numberplan.Names) (*numberplan.Table, tableversions.Shelf, []error) {
-		stored, err := d.store.Shelf()
+	recovered := func(available numberplan.Names) (*numberplan.Table, tableversions.History, []error) {
+		stored, err := d.store.History()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -233,12 +233,12 @@
 		t.Fatal(err)
 	}
 	if running, history, problems := recovered(gatewayNames); running.Version != 3 || history.Running != 3 ||
-		!slices.Equal(history.Before, []uint64{1, 2}) ||
+		!slices.Equal(history.Previous, []uint64{1, 2}) ||
 		problems != nil {
 		t.Errorf("%v, %v, %v", running, history, problems)
 	}
 	if running, history, problems := recovered(numberplan.Names{Groups: []string{"TG-0"}}); running.Version != 2 ||
-		history.Running != 2 || !slices.Equal(history.Before, []uint64{1}) ||
+		history.Running != 2 || !slices.Equal(history.Previous, []uint64{1}) ||
 		len(problems) != 1 {
 		t.Errorf("%v, %v, %v", running, history, problems)
 	}
@@ -248,7 +248,7 @@
 	if err := d.put(formOf(t, 4, "TG-0")); err != nil {
 		t.Fatal(err)
 	}
-	if stored, _ := d.store.Shelf(); stored.Running != 4 || !slices.Equal(stored.Before, []uint64{1, 2}) {
+	if stored, _ := d.store.History(); stored.Running != 4 || !slices.Equal(stored.Previous, []uint64{1, 2}) {
 		t.Errorf("history in the store: %v", stored)
 	}
 	if running, _, problems := recovered(numberplan.Names{}); running != nil || len(problems) != 3 {
@@ -291,7 +291,7 @@
 			}
 			s.db.NoSync = true // faster; the test interrupts no write
 			d.store = s
-			history, err := s.Shelf()
+			history, err := s.History()
 			if err != nil {
 				rt.Fatal(err)
 			}
@@ -338,8 +338,8 @@
 				}
 			}
 			var got []uint64
-			history, _ := d.store.Shelf()
-			for _, n := range history.Before {
+			history, _ := d.store.History()
+			for _, n := range history.Previous {
 				f, err := d.store.Form(n)
 				if err != nil {
 					rt.Fatal(err)
--- a/internal/gateway/tablestore/stored_test.go
+++ b/internal/gateway/tablestore/stored_test.go
@@ -44,7 +44,7 @@
 			t.Errorf("table %d: %s", table.Serial, table.Fault)
 		}
 	}
-	shelf, err := store.Shelf()
+	shelf, err := store.History()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/hclconfig/conf.go
+++ b/internal/hclconfig/conf.go
@@ -106,8 +106,8 @@
 	)
 }
 
-// Fault adds an error at the value of a key, or at the block if the key is absent.
-func (b *Block) Fault(name, format string, args ...any) {
+// AddError adds an error at the value of a key, or at the block if the key is absent.
+func (b *Block) AddError(name, format string, args ...any) {
 	at := b.location
 	if a := b.body.Attributes[name]; a != nil {
 		at = a.Expr.Range()
@@ -131,7 +131,7 @@
 	b.file.diags = append(b.file.diags, diags...)
 	if diags.HasErrors() || v.IsNull() || !v.IsKnown() {
 		if !diags.HasErrors() {
-			b.Fault(name, "%s: want a value", name)
+			b.AddError(name, "%s: want a value", name)
 		}
 		return cty.NilVal, false
 	}
@@ -154,12 +154,12 @@
 		return def
 	}
 	if v.Type() != cty.Number {
-		b.Fault(name, "%s: want a number from %g to %g", name, lo, hi)
+		b.AddError(name, "%s: want a number from %g to %g", name, lo, hi)
 		return def
 	}
 	n, _ := v.AsBigFloat().Float64()
 	if !(n >= lo && n <= hi) {
-		b.Fault(name, "%s: want a number from %g to %g, got %g", name, lo, hi, n)
+		b.AddError(name, "%s: want a number from %g to %g, got %g", name, lo, hi, n)
 		return def
 	}
 	return n
@@ -170,7 +170,7 @@
 	d := float64(def)
 	n := b.Num(name, d, float64(lo), float64(hi))
 	if n != math.Trunc(n) {
-		b.Fault(name, "%s: want a whole number, got %g", name, n)
+		b.AddError(name, "%s: want a whole number, got %g", name, n)
 	}
 	return int(n)
 }
@@ -186,13 +186,13 @@
 		return def
 	}
 	if v.Type() != cty.String {
-		b.Fault(name, "%s: want %s", name, want)
+		b.AddError(name, "%s: want %s", name, want)
 		return def
 	}
 	d, err := time.ParseDuration(v.AsString())
 	ms := float64(d) / 1e6
 	if err != nil || ms < lo || ms > hi {
-		b.Fault(name, "%s: want %s, got %q", name, want, v.AsString())
+		b.AddError(name, "%s: want %s, got %q", name, want, v.AsString())
 		return def
 	}
 	return ms
@@ -207,7 +207,7 @@
 		return def
 	}
 	if v.Type() != cty.String {
-		b.Fault(name, "%s: want a string", name)
+		b.AddError(name, "%s: want a string", name)
 		return def
 	}
 	s := v.AsString()
@@ -217,18 +217,18 @@
 		}
 	}
 	if len(allowed) > 0 {
-		b.Fault(name, "%s: want one of %s, got %q", name, strings.Join(allowed, ", "), s)
+		b.AddError(name, "%s: want one of %s, got %q", name, strings.Join(allowed, ", "), s)
 		return def
 	}
 	return s
 }
 
-// Must returns a string that must be present and not empty.
-func (b *Block) Must(name string) string {
+// RequiredText returns a string that must be present and not empty.
+func (b *Block) RequiredText(name string) string {
 	s := b.Text(name, "")
 	if s == "" {
 		if b.Has(name) {
-			b.Fault(name, "%s: want a string that is not empty", name)
+			b.AddError(name, "%s: want a string that is not empty", name)
 		} else {
 			b.addMissing(name, "a string")
 		}
@@ -243,7 +243,7 @@
 		return def
 	}
 	if v.Type() != cty.Bool {
-		b.Fault(name, "%s: want true or false", name)
+		b.AddError(name, "%s: want true or false", name)
 		return def
 	}
 	return v.True()
@@ -251,19 +251,19 @@
 
 // Addr returns an address, which must be given as IP:port.
 func (b *Block) Addr(name string) netip.AddrPort {
-	s := b.Must(name)
+	s := b.RequiredText(name)
 	if s == "" {
 		return netip.AddrPort{}
 	}
 	a, err := netip.ParseAddrPort(s)
 	if err != nil {
-		b.Fault(name, "%s: want an address such as \"127.0.0.1:5060\", got %q", name, s)
+		b.AddError(name, "%s: want an address such as \"127.0.0.1:5060\", got %q", name, s)
 	}
 	return a
 }
 
-// Texts returns a list of strings, or nil if the key is absent.
-func (b *Block) Texts(name string) []string {
+// TextList returns a list of strings, or nil if the key is absent.
+func (b *Block) TextList(name string) []string {
 	v, ok := b.value(name)
 	if !ok {
 		return nil
@@ -272,14 +272,14 @@
 	if v.Type().IsTupleType() || v.Type().IsListType() {
 		for _, e := range v.AsValueSlice() {
 			if e.Type() != cty.String {
-				b.Fault(name, "%s: want a list of strings", name)
+				b.AddError(name, "%s: want a list of strings", name)
 				return nil
 			}
 			values = append(values, e.AsString())
 		}
 		return values
 	}
-	b.Fault(name, "%s: want a list of strings", name)
+	b.AddError(name, "%s: want a list of strings", name)
 	return nil
 }
 
@@ -294,13 +294,13 @@
 		nums = v.AsValueSlice()
 	}
 	if len(nums) != 2 || nums[0].Type() != cty.Number || nums[1].Type() != cty.Number {
-		b.Fault(name, "%s: want a number or [min, max]", name)
+		b.AddError(name, "%s: want a number or [min, max]", name)
 		return lo, hi
 	}
 	x, _ := nums[0].AsBigFloat().Float64()
 	y, _ := nums[1].AsBigFloat().Float64()
 	if x > y {
-		b.Fault(name, "%s: want [min, max], got [%g, %g]", name, x, y)
+		b.AddError(name, "%s: want [min, max], got [%g, %g]", name, x, y)
 	}
 	return x, y
 }
@@ -331,8 +331,8 @@
 	return found
 }
 
-// One returns the block of a type that may occur once, or an empty block if there is none.
-func (b *Block) One(kind string) *Block {
+// SingleBlock returns the block of a type that may occur once, or an empty block if there is none.
+func (b *Block) SingleBlock(kind string) *Block {
 	blocks := b.Blocks(kind, 0)
 	if len(blocks) > 1 {
 		b.addErrorAt(blocks[1].location, "%s: want at most one such block", kind)
@@ -369,7 +369,7 @@
 	return nil
 }
 
-// Where returns the file and the line of the block.
-func (b *Block) Where() string {
+// Position returns the file and the line of the block.
+func (b *Block) Position() string {
 	return fmt.Sprintf("%s:%d", b.location.Filename, b.location.Start.Line)
 }
--- a/internal/protocol/b2bua/agent.go
+++ b/internal/protocol/b2bua/agent.go
@@ -46,7 +46,7 @@
 type Lookup interface {
 	// Resolve looks a number up. It calls done exactly once, within timeout ms and possibly before it returns; stop
 	// cancels the look-up.
-	Resolve(now float64, digits string, timeout float64, done func(now float64, found numberplan.Found)) (stop func())
+	Resolve(now float64, digits string, timeout float64, done func(now float64, found numberplan.LookupResult)) (stop func())
 	// Wake runs the timers that are due.
 	Wake(now float64)
 	NextWakeup() float64
@@ -58,7 +58,7 @@
 	Address      netip.AddrPort
 	TrunkContext string // trunk-context (RFC 4904)
 	Settings     *routing.Settings
-	Times        siptransaction.Timers
+	Times        siptransaction.TimerValues
 	Groups       []Group
 	DefaultClass string  // the class of a call that names none
 	AnswerMargin float64 // ms before the caller's timeout by which the final answer is sent
--- a/internal/protocol/b2bua/agent_test.go
+++ b/internal/protocol/b2bua/agent_test.go
@@ -259,8 +259,8 @@
 		)+"\nCSeq: 1 BYE\nReason: Q.850;cause=41\nContent-Length: 0",
 	)
 	bye := host.expectSent(caller, "BYE").(*sip.Request)
-	if !strings.Contains(siptransaction.HeaderValue(bye, siptransaction.Reason), "cause=41") {
-		t.Errorf("Reason %q to the caller, want cause 41", siptransaction.HeaderValue(bye, siptransaction.Reason))
+	if !strings.Contains(siptransaction.HeaderValue(bye, siptransaction.ReasonHeader), "cause=41") {
+		t.Errorf("Reason %q to the caller, want cause 41", siptransaction.HeaderValue(bye, siptransaction.ReasonHeader))
 	}
 	host.expectEvents("answered", "ended 0 closed true wait 0", "answered", "ended 5 closed true wait 0")
 	host.receive(caller, callerRequest("BYE", "8a", ";tag=nobody"))
--- a/internal/protocol/b2bua/call.go
+++ b/internal/protocol/b2bua/call.go
@@ -42,7 +42,7 @@
 // onInvite handles a new INVITE. Unless it is rejected here, the call goes to load shedding and, if it is admitted, to
 // the policy at the end of the batch.
 func (a *Agent) onInvite(s *siptransaction.Server, req *sip.Request) {
-	className, ok := strings.CutPrefix(siptransaction.HeaderValue(req, siptransaction.Service), servicePrefix)
+	className, ok := strings.CutPrefix(siptransaction.HeaderValue(req, siptransaction.ServiceHeader), servicePrefix)
 	if !ok {
 		className = a.config.DefaultClass
 	}
@@ -234,7 +234,7 @@
 		return
 	}
 	outcome, reason := routing.Completed, normalClearing
-	if v := siptransaction.HeaderValue(req, siptransaction.Reason); strings.Contains(v, "Q.850") &&
+	if v := siptransaction.HeaderValue(req, siptransaction.ReasonHeader); strings.Contains(v, "Q.850") &&
 		!strings.Contains(v, "cause=16") {
 		outcome, reason = routing.Reset, v
 	}
@@ -276,7 +276,7 @@
 // addByeHeaders adds Session-ID and Reason to a BYE.
 func (a *Agent) addByeHeaders(req *sip.Request, c *call, reason string) {
 	req.AppendHeader(sip.NewHeader(siptransaction.SessionID, siptransaction.FormatSessionID(c.sessionID)))
-	req.AppendHeader(sip.NewHeader(siptransaction.Reason, reason))
+	req.AppendHeader(sip.NewHeader(siptransaction.ReasonHeader, reason))
 }
 
 // newSessionID makes a session ID for an enquiry, or for a call without one.
--- a/internal/protocol/b2bua/enquiry_test.go
+++ b/internal/protocol/b2bua/enquiry_test.go
@@ -23,7 +23,7 @@
 	if len(lookup.numbers) != 1 || len(results) != 0 {
 		t.Fatalf("looked up %v, results %v", lookup.numbers, results)
 	}
-	lookup.callbacks[0](host.now, numberplan.Found{Answer: numberplan.Ported, Routing: "+15145550000"})
+	lookup.callbacks[0](host.now, numberplan.LookupResult{Answer: numberplan.Ported, Routing: "+15145550000"})
 	if len(results) != 1 || results[0].Code != 200 || results[0].Addr != switchB || results[0].Group != "TG-1" ||
 		results[0].Number != "+14185550123" ||
 		results[0].Params != ";npdi;rn=+70115145550000" ||
--- a/internal/protocol/b2bua/loadreport.go
+++ b/internal/protocol/b2bua/loadreport.go
@@ -38,7 +38,7 @@
 			}
 		}
 	}
-	for f := range strings.SplitSeq(siptransaction.HeaderValue(res, siptransaction.Load), ";") {
+	for f := range strings.SplitSeq(siptransaction.HeaderValue(res, siptransaction.LoadHeader), ";") {
 		k, v, _ := strings.Cut(strings.TrimSpace(f), "=")
 		n, ok := parseNumber(v)
 		if set := loadReportFields[k]; set != nil && ok {
--- a/internal/protocol/b2bua/numberanalysis.go
+++ b/internal/protocol/b2bua/numberanalysis.go
@@ -24,8 +24,8 @@
 // SetTable sets the number table of new calls, or none if t is nil. Pending calls keep theirs.
 func (a *Agent) SetTable(t *numberplan.Table) { a.table = t }
 
-// Tables returns the number of older tables in use, and of calls without a final answer that use them.
-func (a *Agent) Tables() (old, calls int) {
+// OldTables returns the number of older tables in use, and of calls without a final answer that use them.
+func (a *Agent) OldTables() (old, calls int) {
 	for t, n := range a.tables {
 		if t != a.table {
 			old++
@@ -49,7 +49,7 @@
 	analysis, outcome := a.table.Begin(
 		numberplan.Call{
 			Dialled:  user,
-			LookedUp: p.Looked,
+			LookedUp: p.LookupDone,
 			Routing:  p.Routing,
 			Carrier:  p.Carrier,
 			At:       a.config.Epoch.Add(time.Duration(a.Now * float64(time.Millisecond))),
@@ -81,17 +81,17 @@
 	a := s.agent
 	timeout := min(s.number.lookupTimeout, a.config.LookupShare*(s.Deadline-a.Now))
 	answered := false
-	done := func(now float64, found numberplan.Found) {
+	done := func(now float64, found numberplan.LookupResult) {
 		answered = true
 		s.number.cancelLookup = nil
 		if s.Finished {
 			return
 		}
 		a.Now, a.sip.Now = now, now
-		s.onAnalysisEnd(s.number.analysis.Answered(found))
+		s.onAnalysisEnd(s.number.analysis.Resume(found))
 	}
 	if a.config.NumberLookup == nil || timeout <= 0 {
-		done(a.Now, numberplan.Found{Answer: numberplan.Silent})
+		done(a.Now, numberplan.LookupResult{Answer: numberplan.NoAnswer})
 		return
 	}
 	a.Counts.Lookups++
--- a/internal/protocol/b2bua/numberanalysis_test.go
+++ b/internal/protocol/b2bua/numberanalysis_test.go
@@ -79,11 +79,11 @@
 type manualLookup struct {
 	numbers   []string
 	timeouts  []float64
-	callbacks []func(now float64, found numberplan.Found)
+	callbacks []func(now float64, found numberplan.LookupResult)
 	canceled  int
 }
 
-func (l *manualLookup) Resolve(_ float64, digits string, timeout float64, done func(float64, numberplan.Found)) func() {
+func (l *manualLookup) Resolve(_ float64, digits string, timeout float64, done func(float64, numberplan.LookupResult)) func() {
 	l.numbers, l.timeouts, l.callbacks = append(l.numbers, digits), append(l.timeouts, timeout), append(l.callbacks, done)
 	return func() { l.canceled++ }
 }
@@ -115,17 +115,17 @@
 	host.expectSent(caller, "SIP/2.0 100")
 	lookup.callbacks[0](
 		host.now,
-		numberplan.Found{Answer: numberplan.Ported, Routing: "+15145550000", Carrier: "+1-6789"},
+		numberplan.LookupResult{Answer: numberplan.Ported, Routing: "+15145550000", Carrier: "+1-6789"},
 	)
 	if passed == nil || passed.Class.Name != "claim" || passed.DestinationID != 1 ||
 		passed.Destination != host.policy.endpoints[1] || passed.Deadline != passed.ArrivedAt+6000 {
 		t.Fatalf("want class claim, destination 1 and a deadline 6 s after arrival, got %+v", passed)
 	}
 	req := host.expectSent(switchB, "INVITE sip:+14185550123;npdi;rn=+70115145550000;cic=+1-6789;tgrp=TG-1;")
-	if siptransaction.HeaderValue(req.(*sip.Request), siptransaction.Service) != "urn:urn-7:claim" {
+	if siptransaction.HeaderValue(req.(*sip.Request), siptransaction.ServiceHeader) != "urn:urn-7:claim" {
 		t.Error("class in the setup: want claim")
 	}
-	if n, _ := host.agent.Tables(); n != 0 {
+	if n, _ := host.agent.OldTables(); n != 0 {
 		t.Errorf("%d old tables in use, want 0", n)
 	}
 }
@@ -158,7 +158,7 @@
 	host.receive(caller, callerRequest("INVITE", "a1", ""))
 	host.receive(caller, callerRequest("CANCEL", "a1", ""))
 	host.expectSent(caller, "SIP/2.0 487")
-	lookup.callbacks[0](host.now, numberplan.Found{Answer: numberplan.NotPorted})
+	lookup.callbacks[0](host.now, numberplan.LookupResult{Answer: numberplan.NotPorted})
 	if lookup.canceled != 1 || len(host.policy.events) != 0 {
 		t.Errorf("want 1 look-up canceled and no event, got %d, the policy recorded %v",
 			lookup.canceled, host.policy.events)
@@ -166,12 +166,12 @@
 	host.receive(caller, callerRequest("INVITE", "b1", ""))
 	host.advance(9500) // the look-up never returns
 	host.expectSent(caller, "SIP/2.0 500")
-	lookup.callbacks[1](host.now, numberplan.Found{Answer: numberplan.NotPorted})
+	lookup.callbacks[1](host.now, numberplan.LookupResult{Answer: numberplan.NotPorted})
 	if lookup.canceled != 2 || host.agent.Counts.Overdue != 1 {
 		t.Errorf("want 2 look-ups canceled and 1 call overdue, got %d and %d",
 			lookup.canceled, host.agent.Counts.Overdue)
 	}
-	if old, n := host.agent.Tables(); old != 0 || n != 0 {
+	if old, n := host.agent.OldTables(); old != 0 || n != 0 {
 		t.Errorf("%d calls use %d old tables, want none", n, old)
 	}
 }
@@ -192,20 +192,20 @@
 			host.receive(caller, callerRequest("INVITE", fmt.Sprintf("%x%d", v, i), ""))
 		}
 	}
-	old, n := host.agent.Tables()
+	old, n := host.agent.OldTables()
 	if old != 3 || n != 750 {
 		t.Fatalf("%d calls use %d old tables, want 750 and 3", n, old)
 	}
 	host.agent.SetTable(newTable(t, 5))
 	for i := range 1000 {
-		lookup.callbacks[i](host.now, numberplan.Found{Answer: numberplan.NotPorted})
+		lookup.callbacks[i](host.now, numberplan.LookupResult{Answer: numberplan.NotPorted})
 	}
 	for i, s := range sent {
 		if want := fmt.Sprintf("+%d14185550123;npdi", 701+i/250); s != want {
 			t.Fatalf("call %d was sent to %s, want %s", i, s, want)
 		}
 	}
-	if old, n := host.agent.Tables(); len(sent) != 1000 || old != 0 || n != 0 {
+	if old, n := host.agent.OldTables(); len(sent) != 1000 || old != 0 || n != 0 {
 		t.Errorf("%d passed to the policy, want 1000; %d calls use %d old tables, want none", len(sent), n, old)
 	}
 }
@@ -228,7 +228,7 @@
 	if old.Value() == nil {
 		t.Fatal("table freed while a call uses it")
 	}
-	lookup.callbacks[0](host.now, numberplan.Found{Answer: numberplan.NotPorted})
+	lookup.callbacks[0](host.now, numberplan.LookupResult{Answer: numberplan.NotPorted})
 	lookup.callbacks = nil
 	host.respond(switchB, host.expectSent(switchB, "INVITE"), 200, "s1", "")
 	host.expectSent(caller, "SIP/2.0 200")
@@ -282,7 +282,7 @@
 	host.receive(caller, callerRequest("INVITE", "a1", ""))
 	host.agent.StopAdmitting()
 	host.sendList(routing.Draining)
-	lookup.callbacks[0](host.now, numberplan.Found{Answer: numberplan.Silent})
+	lookup.callbacks[0](host.now, numberplan.LookupResult{Answer: numberplan.NoAnswer})
 	host.advance(1)
 	if len(host.policy.events) != 1 ||
 		!strings.HasPrefix(host.policy.events[0], fmt.Sprintf("ended %d", routing.NotSent)) ||
--- a/internal/protocol/b2bua/outboundleg.go
+++ b/internal/protocol/b2bua/outboundleg.go
@@ -62,7 +62,7 @@
 	)
 	l.invite.AppendHeader(&sip.ContactHeader{Address: a.ownURI("")})
 	l.invite.AppendHeader(sip.NewHeader(siptransaction.SessionID, siptransaction.FormatSessionID(c.sessionID)))
-	l.invite.AppendHeader(sip.NewHeader(siptransaction.Service, servicePrefix+c.Class.Name))
+	l.invite.AppendHeader(sip.NewHeader(siptransaction.ServiceHeader, servicePrefix+c.Class.Name))
 	copyBody(c.invite, l.invite)
 	l.tx = a.sip.Send(l.invite, to, overloadControlParams, l.onResponse)
 	l.timeout = a.Timers.Schedule(a.Now+timeout, l.onTimeout)
@@ -271,7 +271,7 @@
 			a.sip.SendAck(req, from)
 			continue
 		}
-		req.AppendHeader(sip.NewHeader(siptransaction.Reason, normalClearing))
+		req.AppendHeader(sip.NewHeader(siptransaction.ReasonHeader, normalClearing))
 		a.sip.Send(req, from, nil, func(*sip.Response) {})
 	}
 }
--- a/internal/protocol/b2bua/testhost_test.go
+++ b/internal/protocol/b2bua/testhost_test.go
@@ -99,7 +99,7 @@
 			Address:      gatewayAddr,
 			TrunkContext: "x.example",
 			Settings:     settings,
-			Times:        siptransaction.Timers{T1: 400, T2: 3200, T4: 5000},
+			Times:        siptransaction.TimerValues{T1: 400, T2: 3200, T4: 5000},
 			DefaultClass: "shift-lookup",
 			Groups: []Group{
 				{Name: "TG-0", DestinationID: 0, Circuits: 10},
--- a/internal/protocol/binarygateway/anymessages_test.go
+++ b/internal/protocol/binarygateway/anymessages_test.go
@@ -43,8 +43,8 @@
 		"all_trunks_busy",
 	})
 	anyCodes = rapid.SliceOfNDistinct(rapid.SampledFrom([]byte{
-		binarymessage.Class, binarymessage.Timeout, binarymessage.Number, binarymessage.Figures,
-		binarymessage.RetryAfter, binarymessage.Note, binarymessage.QueueDelay, binarymessage.Report,
+		binarymessage.Class, binarymessage.Timeout, binarymessage.Number, binarymessage.RoutingParams,
+		binarymessage.RetryAfter, binarymessage.Note, binarymessage.QueueDelay, binarymessage.LoadReport,
 		binarymessage.Cause, binarymessage.Description,
 	}), 0, 5, rapid.ID[byte])
 	anyCause = rapid.SampledFrom([]byte{0, 16, 17, 34, 41, 42, 47, 102})
@@ -110,7 +110,7 @@
 func (s *anyMessages) changeList() {
 	b := readyTarget("b", addrB, 1)
 	b.State = rapid.SampledFrom([]routing.State{routing.Ready, routing.Draining}).Draw(s.rt, "state")
-	list := []dnsdiscovery.Target{b}
+	list := []dnsdiscovery.Entry{b}
 	if rapid.Bool().Draw(s.rt, "a is listed") {
 		list = append(list, readyTarget("a", addrA, 0))
 	}
--- a/internal/protocol/binarygateway/call_test.go
+++ b/internal/protocol/binarygateway/call_test.go
@@ -21,7 +21,7 @@
 		m.Text(binarymessage.Description) != "v=0" {
 		t.Errorf("setup sent to %v: %q, want the parameters of the caller's setup, to the first endpoint", conn.address, m)
 	}
-	if _, found := m.Get(binarymessage.Figures); found {
+	if _, found := m.Get(binarymessage.RoutingParams); found {
 		t.Error("the caller's routing parameters were sent to the endpoint")
 	}
 	if timeout, _ := parseNumber(m.Text(binarymessage.Timeout)); timeout < 2990 || timeout > 3000 {
@@ -32,7 +32,7 @@
 		binarymessage.Answer,
 		7,
 		answerDescription,
-		binarymessage.TextParam(binarymessage.Report, "free:3;size:40;busy:0.5;q:2"),
+		binarymessage.TextParam(binarymessage.LoadReport, "free:3;size:40;busy:0.5;q:2"),
 	)
 	g.expectMessage(caller.lastMessage(7), binarymessage.Answer, 0)
 	if description := caller.lastMessage(7).Text(binarymessage.Description); description != "v=0 answer" {
--- a/internal/protocol/binarygateway/client.go
+++ b/internal/protocol/binarygateway/client.go
@@ -43,7 +43,7 @@
 	case binarymessage.HealthCheck:
 		conn.receivedMessage = true
 		if len(g.pendingChecks) < maxPendingChecks {
-			g.pendingChecks = append(g.pendingChecks, healthCheck{conn, message.Call()})
+			g.pendingChecks = append(g.pendingChecks, healthCheck{conn, message.CallID()})
 		}
 		g.updateReadiness()
 	case binarymessage.ReleaseComplete, binarymessage.Progress, binarymessage.HealthResult, binarymessage.LoadState,
@@ -57,7 +57,7 @@
 
 // onSetup handles a setup. The call is passed to the policy at the end of the batch.
 func (c *client) onSetup(conn *Conn, message binarymessage.Message) {
-	g, id := c.gateway, message.Call()
+	g, id := c.gateway, message.CallID()
 	request, err := parseSetup(message)
 	if err != nil {
 		c.refuseInvalid(conn, id)
@@ -138,7 +138,7 @@
 
 // onRelease handles a client's release of a pending or established call.
 func (c *client) onRelease(message binarymessage.Message) {
-	call := c.gateway.calls[message.Call()]
+	call := c.gateway.calls[message.CallID()]
 	switch {
 	case call == nil:
 	case call.upstream != nil:
--- a/internal/protocol/binarygateway/client_test.go
+++ b/internal/protocol/binarygateway/client_test.go
@@ -82,7 +82,7 @@
 			binarymessage.Setup,
 			id,
 			binarymessage.TextParam(binarymessage.Class, "voice"),
-			binarymessage.TextParam(binarymessage.Figures, "at:"+endpointID),
+			binarymessage.TextParam(binarymessage.RoutingParams, "at:"+endpointID),
 		)
 	}
 	var connA *testConn
--- a/internal/protocol/binarygateway/endpointlist.go
+++ b/internal/protocol/binarygateway/endpointlist.go
@@ -12,7 +12,7 @@
 func (g *Gateway) OnEndpointList(now float64, list *dnsdiscovery.List) {
 	g.Now = now
 	changed := g.Endpoints.Apply(g.endpointEntries(list), list.Complete)
-	for _, target := range list.Targets {
+	for _, target := range list.Entries {
 		g.updateUpstream(target)
 	}
 	for _, endpoint := range changed {
@@ -29,8 +29,8 @@
 }
 
 func (g *Gateway) endpointEntries(list *dnsdiscovery.List) []endpointset.Entry[string] {
-	entries := make([]endpointset.Entry[string], len(list.Targets))
-	for i, target := range list.Targets {
+	entries := make([]endpointset.Entry[string], len(list.Entries))
+	for i, target := range list.Entries {
 		entry := endpointset.Entry[string]{ID: target.ID, DestinationID: target.DestinationID, State: target.State}
 		if target.StartedAt > 0 {
 			entry.StartedAt = g.config.FromUnixMillis(target.StartedAt)
@@ -45,7 +45,7 @@
 }
 
 // updateUpstream creates the upstream of a new endpoint and applies a changed address.
-func (g *Gateway) updateUpstream(target dnsdiscovery.Target) {
+func (g *Gateway) updateUpstream(target dnsdiscovery.Entry) {
 	endpoint := g.Endpoints.ByID(target.ID)
 	if endpoint.State == routing.Gone {
 		return
--- a/internal/protocol/binarygateway/setup.go
+++ b/internal/protocol/binarygateway/setup.go
@@ -40,7 +40,7 @@
 		calledNumber:  message.Text(binarymessage.Number),
 		destinationID: -1,
 	}
-	if message.Call() == 0 {
+	if message.CallID() == 0 {
 		return request, fmt.Errorf("%w: call ID 0", errInvalidSetup)
 	}
 	timeout, ok := parseNumber(message.Text(binarymessage.Timeout))
@@ -48,7 +48,7 @@
 		timeout = math.NaN()
 	}
 	request.timeout = timeout
-	for parameter := range parameters(message.Text(binarymessage.Figures)) {
+	for parameter := range parameters(message.Text(binarymessage.RoutingParams)) {
 		if err := request.apply(parameter); err != nil {
 			return request, err
 		}
@@ -115,7 +115,7 @@
 // applyLoadReport updates the endpoint's load report with the one in a message. It returns whether the message has a
 // report and whether that includes the load of the processor (complete). Invalid fields are skipped.
 func applyLoadReport(endpoint *routing.Endpoint, message binarymessage.Message) (reported, complete bool) {
-	report, reported := message.Get(binarymessage.Report)
+	report, reported := message.Get(binarymessage.LoadReport)
 	if !reported {
 		return false, false
 	}
--- a/internal/protocol/binarygateway/simulation_test.go
+++ b/internal/protocol/binarygateway/simulation_test.go
@@ -102,8 +102,8 @@
 				t.Errorf("%v", f)
 			}
 		}
-		if world.Checker.Totals.SetUps < 20 {
-			t.Errorf("%d setups were sent, want 20 at least", world.Checker.Totals.SetUps)
+		if world.Checker.Setups.SetUps < 20 {
+			t.Errorf("%d setups were sent, want 20 at least", world.Checker.Setups.SetUps)
 		}
 	})
 }
--- a/internal/protocol/binarygateway/testgateway_test.go
+++ b/internal/protocol/binarygateway/testgateway_test.go
@@ -173,12 +173,12 @@
 	return g
 }
 
-func readyTarget(id string, address netip.AddrPort, destinationID int) dnsdiscovery.Target {
-	return dnsdiscovery.Target{ID: id, Addr: address, DestinationID: destinationID, State: routing.Ready}
+func readyTarget(id string, address netip.AddrPort, destinationID int) dnsdiscovery.Entry {
+	return dnsdiscovery.Entry{ID: id, Addr: address, DestinationID: destinationID, State: routing.Ready}
 }
 
-func (g *testGateway) setEndpoints(serial uint32, targets ...dnsdiscovery.Target) {
-	g.gateway.OnEndpointList(g.now, &dnsdiscovery.List{Serial: serial, Complete: true, Targets: targets})
+func (g *testGateway) setEndpoints(serial uint32, targets ...dnsdiscovery.Entry) {
+	g.gateway.OnEndpointList(g.now, &dnsdiscovery.List{Serial: serial, Complete: true, Entries: targets})
 }
 
 // step processes three batches. Before each, unless holdDials is set, pending dials complete, and the endpoints send a
@@ -224,14 +224,14 @@
 		binarymessage.TextParam(binarymessage.Class, "voice"),
 		binarymessage.TextParam(binarymessage.Timeout, "3000"),
 		binarymessage.TextParam(binarymessage.Number, "7f3a9c21e0b4d655"),
-		binarymessage.TextParam(binarymessage.Figures, "dest:0;width:1;via:-1"),
+		binarymessage.TextParam(binarymessage.RoutingParams, "dest:0;width:1;via:-1"),
 		binarymessage.TextParam(binarymessage.Description, "v=0"))
 }
 
 // lastMessage returns the latest message for a call that was written to the connection, or nil if there is none.
 func (tc *testConn) lastMessage(call uint64) binarymessage.Message {
 	for i := len(tc.messages) - 1; i >= 0; i-- {
-		if tc.messages[i].Call() == call {
+		if tc.messages[i].CallID() == call {
 			return tc.messages[i]
 		}
 	}
@@ -241,7 +241,7 @@
 // countMessages returns how many messages of a type were written to the connection for a call.
 func (tc *testConn) countMessages(call uint64, kind byte) (n int) {
 	for _, m := range tc.messages {
-		if m.Call() == call && m.Type() == kind {
+		if m.CallID() == call && m.Type() == kind {
 			n++
 		}
 	}
--- a/internal/protocol/binarygateway/upstream_test.go
+++ b/internal/protocol/binarygateway/upstream_test.go
@@ -29,7 +29,7 @@
 	g.deliverSetup(caller, 7)
 	g.setEndpoints(
 		2,
-		dnsdiscovery.Target{ID: "a", Addr: addrA, DestinationID: 0, State: routing.Draining},
+		dnsdiscovery.Entry{ID: "a", Addr: addrA, DestinationID: 0, State: routing.Draining},
 		readyTarget("b", addrB, 1),
 	)
 	g.step()
@@ -124,7 +124,7 @@
 		if listed {
 			g.setEndpoints(
 				2,
-				dnsdiscovery.Target{ID: "a", Addr: addrA, DestinationID: 0, State: routing.Draining},
+				dnsdiscovery.Entry{ID: "a", Addr: addrA, DestinationID: 0, State: routing.Draining},
 				readyTarget("b", addrB, 1),
 			)
 		}
@@ -218,7 +218,7 @@
 
 // TestListEndsCalls: when the list shows that an endpoint was restarted or is gone, its earlier calls have ended.
 func TestListEndsCalls(t *testing.T) {
-	for _, next := range [][]dnsdiscovery.Target{
+	for _, next := range [][]dnsdiscovery.Entry{
 		{{ID: "a", Addr: addrA, DestinationID: 0, State: routing.Ready, StartedAt: 1e6 + 5000}, readyTarget("b", addrB, 1)},
 		{readyTarget("b", addrB, 1)},
 		{readyTarget("c", addrA, 0), readyTarget("b", addrB, 1)}, // another endpoint has its address now
--- a/internal/protocol/binarygateway/upstreammessages.go
+++ b/internal/protocol/binarygateway/upstreammessages.go
@@ -38,7 +38,7 @@
 
 // onAnswer handles an endpoint's answer to a setup.
 func (u *upstream) onAnswer(conn *Conn, message binarymessage.Message) {
-	g, id := u.gateway, message.Call()
+	g, id := u.gateway, message.CallID()
 	if u.established[id] != nil {
 		// The answer belongs to an earlier, canceled attempt of this call. To release it would end the established
 		// call.
@@ -90,7 +90,7 @@
 
 // onRelease handles an endpoint's release of a setup or of an established call.
 func (u *upstream) onRelease(conn *Conn, message binarymessage.Message) {
-	g, id, cause := u.gateway, message.Call(), message.Cause()
+	g, id, cause := u.gateway, message.CallID(), message.Cause()
 	reported, complete := applyLoadReport(u.endpoint, message)
 	if leg := conn.legOf(id); leg != nil && leg.attempt != nil && leg.sent {
 		u.onSetupReleased(leg, message, complete)
--- a/internal/protocol/binarymessage/message.go
+++ b/internal/protocol/binarymessage/message.go
@@ -25,16 +25,16 @@
 
 // Parameter codes.
 const (
-	Class       = 1
-	Timeout     = 4 // ms
-	Number      = 13
-	Figures     = 16 // routing parameters of a setup, as fields `name:value`
-	RetryAfter  = 19 // ms for which a rejected caller should not retry
-	Note        = 22
-	QueueDelay  = 25 // ms of queueing delay at an overloaded processor
-	Report      = 28 // load report
-	Cause       = 43
-	Description = 46
+	Class         = 1
+	Timeout       = 4 // ms
+	Number        = 13
+	RoutingParams = 16 // routing parameters of a setup, as fields `name:value`
+	RetryAfter    = 19 // ms for which a rejected caller should not retry
+	Note          = 22
+	QueueDelay    = 25 // ms of queueing delay at an overloaded processor
+	LoadReport    = 28 // load report
+	Cause         = 43
+	Description   = 46
 )
 
 // Release causes. They follow Q.850 where the platform does.
@@ -70,11 +70,11 @@
 // Type returns the type of the message.
 func (m Message) Type() byte { return m[2] }
 
-// Call returns the ID of the call.
-func (m Message) Call() uint64 { return binary.BigEndian.Uint64(m[3:]) }
+// CallID returns the ID of the call.
+func (m Message) CallID() uint64 { return binary.BigEndian.Uint64(m[3:]) }
 
-// CallBytes returns the encoded ID of the call.
-func (m Message) CallBytes() []byte { return m[3:headerSize] }
+// CallIDBytes returns the encoded ID of the call.
+func (m Message) CallIDBytes() []byte { return m[3:headerSize] }
 
 // Get returns the value of a parameter; false: the message has no parameter with that code.
 func (m Message) Get(code byte) ([]byte, bool) {
--- a/internal/protocol/binarymessage/message_test.go
+++ b/internal/protocol/binarymessage/message_test.go
@@ -51,7 +51,7 @@
 	m, err := Parse(
 		Append(nil, Release, 0x7f3a9c21e0b4d655, CauseParam(Congested), TextParam(RetryAfter, "300"), TextParam(Note, "")),
 	)
-	if err != nil || m.Type() != Release || m.Call() != 0x7f3a9c21e0b4d655 || m.Cause() != 42 ||
+	if err != nil || m.Type() != Release || m.CallID() != 0x7f3a9c21e0b4d655 || m.Cause() != 42 ||
 		m.Text(RetryAfter) != "300" {
 		t.Errorf("%x: %v", []byte(m), err)
 	}
--- a/internal/protocol/dnsclient/cache.go
+++ b/internal/protocol/dnsclient/cache.go
@@ -8,8 +8,8 @@
 	"cobaltpier/internal/decision/enum"
 )
 
-// CacheTimes configures the cache; times are in ms.
-type CacheTimes struct {
+// CacheConfig configures the cache; times are in ms.
+type CacheConfig struct {
 	MaxEntries     int     // names
 	MinTTL         float64 // lower bound on the TTL: a TTL of 0 would mean a query for each call
 	MaxTTL         float64 // upper bound on the TTL
@@ -20,7 +20,7 @@
 
 // cache is an LRU cache of answers by name.
 type cache struct {
-	times CacheTimes
+	times CacheConfig
 	lru   *simplelru.LRU[string, *entry]
 }
 
@@ -31,7 +31,7 @@
 	noQueryBefore float64 // no query for the name is sent before this time, because the last look-up failed
 }
 
-func newCache(times CacheTimes) *cache {
+func newCache(times CacheConfig) *cache {
 	lru, err := simplelru.NewLRU[string, *entry](max(1, times.MaxEntries), nil)
 	if err != nil {
 		panic(err) // only for a size below 1
--- a/internal/protocol/dnsclient/cache_test.go
+++ b/internal/protocol/dnsclient/cache_test.go
@@ -34,7 +34,7 @@
 	for _, server := range host.servers {
 		server.Faults = dnsserver.Faults{Delay: 5, ServFail: true}
 	}
-	host.client.cfg.Tries = 2 // too few for a server to count as lame
+	host.client.cfg.MaxQueries = 2 // too few for a server to count as lame
 	result := host.lookUp("1", 5000)
 	host.run(1000)
 	if sent := host.sent[0] + host.sent[1]; result.count != 1 || result.Status != Failed || sent != 2 {
--- a/internal/protocol/dnsclient/client.go
+++ b/internal/protocol/dnsclient/client.go
@@ -32,14 +32,14 @@
 
 // Config configures a Client. Times are in ms.
 type Config struct {
-	Servers    []netip.AddrPort
-	Ports      int     // number of source ports
-	Seed       uint64  // of ids, ports and letter case; must be kept secret
-	MaxLookups int     // concurrent look-ups; further ones get a stale answer or fail immediately
-	Tries      int     // queries sent for one look-up at most, without repeats over TCP of truncated responses
-	StaleAfter float64 // time without a response until a stale answer is served (RFC 8767 5: client response timer)
-	Cache      CacheTimes
-	Alone      bool // look-ups of one name do not share queries; only to measure what sharing saves
+	Servers        []netip.AddrPort
+	Ports          int     // number of source ports
+	Seed           uint64  // of ids, ports and letter case; must be kept secret
+	MaxLookups     int     // concurrent look-ups; further ones get a stale answer or fail immediately
+	MaxQueries     int     // queries sent for one look-up at most, without repeats over TCP of truncated responses
+	StaleAfter     float64 // time without a response until a stale answer is served (RFC 8767 5: client response timer)
+	Cache          CacheConfig
+	DisableSharing bool // look-ups of one name do not share queries; only to measure what sharing saves
 }
 
 // Status is the outcome of a look-up.
@@ -184,14 +184,14 @@
 		return func() {}
 	}
 	l := c.lookups[name]
-	if l == nil || c.cfg.Alone {
-		if len(c.lookups) >= c.cfg.MaxLookups || c.cfg.Alone && len(c.outstanding) >= c.cfg.MaxLookups {
+	if l == nil || c.cfg.DisableSharing {
+		if len(c.lookups) >= c.cfg.MaxLookups || c.cfg.DisableSharing && len(c.outstanding) >= c.cfg.MaxLookups {
 			c.Counts.Full++
 			c.respondFromCache(now, stale, done)
 			return func() {}
 		}
 		l = &lookup{name: name, key: name}
-		if c.cfg.Alone {
+		if c.cfg.DisableSharing {
 			c.seq++
 			l.key += " " + strconv.FormatUint(c.seq, 10)
 		}
@@ -350,7 +350,7 @@
 	if l.finished {
 		return
 	}
-	if !l.allSent && l.sent < c.cfg.Tries && c.sendQuery(l) {
+	if !l.allSent && l.sent < c.cfg.MaxQueries && c.sendQuery(l) {
 		return
 	}
 	if !l.allSent { // responses may only be slow, and each waiter has its own deadline
--- a/internal/protocol/dnsclient/client_test.go
+++ b/internal/protocol/dnsclient/client_test.go
@@ -259,7 +259,7 @@
 
 // A response that arrives after the last query has timed out is still accepted.
 func TestAnswerAfterLastTimeout(t *testing.T) {
-	host := newTestHost(t, 1, func(c *Config) { c.Tries = 1 })
+	host := newTestHost(t, 1, func(c *Config) { c.MaxQueries = 1 })
 	host.servers[0].Faults.Delay = 600
 	result := host.lookUp(host.portedNumber(), 2000)
 	if host.run(2000); result.count != 1 || result.Status != Found || result.at < 600 {
--- a/internal/protocol/dnsclient/response.go
+++ b/internal/protocol/dnsclient/response.go
@@ -81,7 +81,7 @@
 	switch {
 	case m.Rcode == dns.RcodeFormatError && !c.noEDNS[q.server]:
 		c.noEDNS[q.server] = true
-		l.sent = min(l.sent, c.cfg.Tries-1) // allows one more query, without EDNS
+		l.sent = min(l.sent, c.cfg.MaxQueries-1) // allows one more query, without EDNS
 		c.retry(l)
 	case m.Rcode == dns.RcodeSuccess && len(rules) > 0:
 		c.Counts.Answered++
--- a/internal/protocol/dnsclient/response_test.go
+++ b/internal/protocol/dnsclient/response_test.go
@@ -15,7 +15,7 @@
 
 // A response must match the query in server, port, id, name including letter case, and type.
 func TestMatches(t *testing.T) {
-	host := newSilentHost(t, func(c *Config) { c.Tries = 1 })
+	host := newSilentHost(t, func(c *Config) { c.MaxQueries = 1 })
 	result := host.lookUp("14185551234", 5000)
 	query := host.outstandingQuery()
 	changeCase := func(n string) string {
@@ -57,7 +57,7 @@
 	for name, change := range map[string]func(m *dns.Msg){"other id": func(m *dns.Msg) { m.Id++ },
 		"other name": func(m *dns.Msg) { m.Question[0].Name = "1.e164.test." },
 		"matching":   nil} {
-		host := newSilentHost(t, func(c *Config) { c.Tries = 1 })
+		host := newSilentHost(t, func(c *Config) { c.MaxQueries = 1 })
 		result := host.lookUp("14185551234", 5000)
 		query := host.outstandingQuery()
 		host.client.Receive(1, query.key.port, query.key.from, host.reply(query, func(m *dns.Msg) { m.Truncated = true }))
@@ -111,7 +111,7 @@
 		}, Failed},
 		"server failure": {func(m *dns.Msg) { m.Rcode = dns.RcodeServerFailure }, Failed},
 	} {
-		host := newSilentHost(t, func(c *Config) { c.Tries = 1 })
+		host := newSilentHost(t, func(c *Config) { c.MaxQueries = 1 })
 		result := host.lookUp("14185551234", 5000)
 		query := host.outstandingQuery()
 		host.client.Receive(1, query.key.port, query.key.from, host.reply(query, c.change))
--- a/internal/protocol/dnsclient/testhost_test.go
+++ b/internal/protocol/dnsclient/testhost_test.go
@@ -46,9 +46,9 @@
 		Ports:      4,
 		Seed:       9,
 		MaxLookups: 1000,
-		Tries:      5,
+		MaxQueries: 5,
 		StaleAfter: 100,
-		Cache: CacheTimes{
+		Cache: CacheConfig{
 			MaxEntries:     10000,
 			MinTTL:         1000,
 			MaxTTL:         3600e3,
--- a/internal/protocol/dnsdiscovery/client.go
+++ b/internal/protocol/dnsdiscovery/client.go
@@ -27,8 +27,8 @@
 	maxResponseSize  = 8192  // bytes
 )
 
-// Target is an entry of an endpoint list.
-type Target struct {
+// Entry is an entry of an endpoint list.
+type Entry struct {
 	ID            string
 	Addr          netip.AddrPort
 	DestinationID int // -1 if it isn't given
@@ -40,7 +40,7 @@
 type List struct {
 	Serial   uint32
 	Complete bool
-	Targets  []Target
+	Entries  []Entry
 }
 
 // Counts holds the counters of a Client since it was created.
--- a/internal/protocol/dnsdiscovery/client_test.go
+++ b/internal/protocol/dnsdiscovery/client_test.go
@@ -52,10 +52,10 @@
 func TestList(t *testing.T) {
 	c := New(server, 4, 1)
 	list, err := c.HandleResponse(server, packResponse(t, c.MakeQuery(0), 5, nil))
-	if err != nil || list == nil || list.Serial != 5 || !list.Complete || len(list.Targets) != 2 {
+	if err != nil || list == nil || list.Serial != 5 || !list.Complete || len(list.Entries) != 2 {
 		t.Fatalf("got list %+v, error %v; want a complete list of 2 endpoints with serial 5", list, err)
 	}
-	a, b := list.Targets[0], list.Targets[1]
+	a, b := list.Entries[0], list.Entries[1]
 	if a.ID != "s-00c41f7a" || a.Addr.String() != "127.0.1.9:5070" || a.State != routing.Ready || a.DestinationID != 2 ||
 		a.StartedAt != 1700000000000 {
 		t.Errorf("first endpoint %+v, want s-00c41f7a at 127.0.1.9:5070, ready, destination 2, started at 1700000000000", a)
--- a/internal/protocol/dnsdiscovery/event.go
+++ b/internal/protocol/dnsdiscovery/event.go
@@ -43,22 +43,22 @@
 		if err != nil {
 			return List{}, fmt.Errorf("target %q: %w", t.ID, err)
 		}
-		list.Targets = append(list.Targets, target)
+		list.Entries = append(list.Entries, target)
 	}
 	return list, nil
 }
 
 // target checks the entry and converts it.
-func (t *targetJSON) target() (Target, error) {
+func (t *targetJSON) target() (Entry, error) {
 	state, ok := statesByName[t.State]
 	if !ok || t.ID == "" {
-		return Target{}, fmt.Errorf("state: want ready, draining or gone, got %q", t.State)
+		return Entry{}, fmt.Errorf("state: want ready, draining or gone, got %q", t.State)
 	}
 	address, err := netip.ParseAddrPort(t.Address)
 	if err != nil && state != routing.Gone {
-		return Target{}, fmt.Errorf("endpoint: want an address, got %q", t.Address)
+		return Entry{}, fmt.Errorf("endpoint: want an address, got %q", t.Address)
 	}
-	return Target{
+	return Entry{
 		ID:            t.ID,
 		Addr:          address,
 		DestinationID: t.DestinationID,
--- a/internal/protocol/dnsdiscovery/response.go
+++ b/internal/protocol/dnsdiscovery/response.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("response: %w", err)
 	}
-	return &List{Serial: serial, Complete: true, Targets: targets}, nil
+	return &List{Serial: serial, Complete: true, Entries: targets}, nil
 }
 
 // matches reports whether a message is a response to one of the latest queries.
@@ -65,9 +65,9 @@
 }
 
 // targetsOf returns the endpoints in a response, each from its SRV, A and TXT records.
-func targetsOf(message *dns.Msg) ([]Target, error) {
+func targetsOf(message *dns.Msg) ([]Entry, error) {
 	addresses, texts := hostRecords(message)
-	var targets []Target
+	var targets []Entry
 	for _, record := range message.Answer {
 		srv, ok := record.(*dns.SRV)
 		if !ok || !strings.EqualFold(srv.Hdr.Name, queryName) {
@@ -80,7 +80,7 @@
 		if !hasAddress || !hasText || id == "" {
 			return nil, fmt.Errorf("host %q: want a name with an A and a TXT record", host)
 		}
-		target := Target{
+		target := Entry{
 			ID:            id,
 			Addr:          netip.AddrPortFrom(address, srv.Port),
 			State:         routing.Ready,
@@ -113,7 +113,7 @@
 }
 
 // applyText sets the target's properties from the fields `name=value` of a TXT record. Unknown fields are ignored.
-func (t *Target) applyText(fields []string) error {
+func (t *Entry) applyText(fields []string) error {
 	for _, field := range fields {
 		name, value, _ := strings.Cut(field, "=")
 		var err error
--- a/internal/protocol/enumserver/limit.go
+++ b/internal/protocol/enumserver/limit.go
@@ -25,11 +25,11 @@
 // Limits bounds the queries over UDP, where the source address may be forged. The limits protect third parties against
 // reflected responses, and this gateway against floods.
 type Limits struct {
-	Rate    float64 // queries per second of one client network; 0 sets no limit
-	Burst   float64 // queries of one client network at once
-	Total   float64 // responses per second in total; 0 sets no limit
-	Clients int     // client networks tracked
-	Nets    []Net   // networks with their own rates
+	Rate       float64 // queries per second of one client network; 0 sets no limit
+	Burst      float64 // queries of one client network at once
+	TotalRate  float64 // responses per second in total; 0 sets no limit
+	MaxClients int     // client networks tracked
+	Networks   []Net   // networks with their own rates
 }
 
 // Net is a network of clients.
@@ -53,9 +53,9 @@
 		limits:  limits,
 		nets:    &bart.Table[float64]{},
 		current: map[netip.Prefix]*rate.Limiter{},
-		total:   newBucket(limits.Total, limits.Total/10),
+		total:   newBucket(limits.TotalRate, limits.TotalRate/10),
 	}
-	for _, n := range limits.Nets {
+	for _, n := range limits.Networks {
 		l.nets.Insert(n.Prefix.Masked(), n.Rate)
 	}
 	return l
@@ -78,7 +78,7 @@
 	}
 	at := time.Unix(0, int64(now*1e6))
 	if perSecond > 0 && !l.clientBucket(from, perSecond, burst).AllowN(at, 1) ||
-		l.limits.Total > 0 && !l.total.AllowN(at, 1) {
+		l.limits.TotalRate > 0 && !l.total.AllowN(at, 1) {
 		return l.slipOrDrop()
 	}
 	return Answer
@@ -112,7 +112,7 @@
 	if b == nil {
 		b = newBucket(perSecond, burst)
 	}
-	if len(l.current) >= max(1, l.limits.Clients/2) {
+	if len(l.current) >= max(1, l.limits.MaxClients/2) {
 		l.previous, l.current = l.current, map[netip.Prefix]*rate.Limiter{}
 	}
 	l.current[p] = b
--- a/internal/protocol/enumserver/server.go
+++ b/internal/protocol/enumserver/server.go
@@ -30,17 +30,17 @@
 
 // Config configures a Server. Times are in ms.
 type Config struct {
-	Apex       string
-	Class      string  // class of the calls
-	TTL        uint32  // s: of responses that name an endpoint
-	Negative   uint32  // s: of negative responses
-	Patience   float64 // timeout of an enquiry; after this a resolver has retried or given up
-	Repeat     float64 // a query repeated by its client within this time gets the same answer
-	Gain       float64 // maximum size of a UDP response relative to its query; a longer one is truncated
-	MaxPending int     // queries that may await an enquiry
-	Keep       int     // answers kept for repeated queries; the oldest are dropped first
-	Context    string  // trunk-context (RFC 4904)
-	Limits     Limits
+	Apex             string
+	Class            string  // class of the calls
+	TTL              uint32  // s: of responses that name an endpoint
+	NegativeTTL      uint32  // s: of negative responses
+	Timeout          float64 // timeout of an enquiry; after this a resolver has retried or given up
+	RepeatWindow     float64 // a query repeated by its client within this time gets the same answer
+	MaxAmplification float64 // maximum size of a UDP response relative to its query; a longer one is truncated
+	MaxPending       int     // queries that may await an enquiry
+	MaxRemembered    int     // answers kept for repeated queries; the oldest are dropped first
+	TrunkContext     string  // trunk-context (RFC 4904)
+	Limits           Limits
 }
 
 // Counts are the counters of a server.
@@ -104,7 +104,7 @@
 // dropExpired drops expired answers, and the oldest ones above the limit Keep.
 func (s *Server) dropExpired() {
 	dropped := 0
-	for dropped < len(s.remembered) && (s.now >= s.remembered[dropped].expires || len(s.remembered)-dropped > s.cfg.Keep) {
+	for dropped < len(s.remembered) && (s.now >= s.remembered[dropped].expires || len(s.remembered)-dropped > s.cfg.MaxRemembered) {
 		if oldest := s.remembered[dropped]; s.open[oldest.key] == oldest.query {
 			delete(s.open, oldest.key)
 		}
@@ -153,8 +153,8 @@
 		if e := m.IsEdns0(); e != nil {
 			r.maxSize = int(max(minUDPSize, min(e.UDPSize(), maxUDPSize)))
 		}
-		if s.cfg.Gain > 0 {
-			r.maxSize = min(r.maxSize, int(s.cfg.Gain*float64(len(data))))
+		if s.cfg.MaxAmplification > 0 {
+			r.maxSize = min(r.maxSize, int(s.cfg.MaxAmplification*float64(len(data))))
 		}
 	}
 	s.onQuery(from, r)
@@ -217,7 +217,7 @@
 	query := &pendingQuery{replies: []replyTo{r}}
 	s.open[key] = query
 	s.pending++
-	stop := s.enquirer.StartEnquiry(s.now, "+"+number, s.cfg.Class, s.cfg.Patience, func(
+	stop := s.enquirer.StartEnquiry(s.now, "+"+number, s.cfg.Class, s.cfg.Timeout, func(
 		now float64,
 		result b2bua.EnquiryResult,
 	) {
@@ -228,7 +228,7 @@
 			s.answer(r, &result)
 		}
 		query.replies = nil
-		s.remembered = append(s.remembered, rememberedQuery{key, query, now + s.cfg.Repeat})
+		s.remembered = append(s.remembered, rememberedQuery{key, query, now + s.cfg.RepeatWindow})
 	})
 	if query.result == nil {
 		query.stop = stop
@@ -261,7 +261,7 @@
 	case 200:
 		s.Counts.Named++
 		uri := fmt.Sprintf("sip:%s%s;tgrp=%s;trunk-context=%s@%s",
-			result.Number, result.Params, result.Group, s.cfg.Context, result.Addr)
+			result.Number, result.Params, result.Group, s.cfg.TrunkContext, result.Addr)
 		out := s.newResponse(r)
 		out.Authoritative = true
 		out.Answer = []dns.RR{
@@ -306,14 +306,14 @@
 	out.Authoritative, out.Rcode = true, code
 	out.Ns = []dns.RR{
 		&dns.SOA{
-			Hdr:     dns.RR_Header{Name: s.cfg.Apex, Rrtype: dns.TypeSOA, Class: dns.ClassINET, Ttl: s.cfg.Negative},
+			Hdr:     dns.RR_Header{Name: s.cfg.Apex, Rrtype: dns.TypeSOA, Class: dns.ClassINET, Ttl: s.cfg.NegativeTTL},
 			Ns:      "ns." + s.cfg.Apex,
 			Mbox:    "hostmaster." + s.cfg.Apex,
 			Serial:  1,
 			Refresh: 3600,
 			Retry:   600,
 			Expire:  86400,
-			Minttl:  s.cfg.Negative,
+			Minttl:  s.cfg.NegativeTTL,
 		},
 	}
 	s.send(r, out)
--- a/internal/protocol/enumserver/server_test.go
+++ b/internal/protocol/enumserver/server_test.go
@@ -58,16 +58,16 @@
 
 func newTestServer(t *testing.T, change func(*Config)) *testServer {
 	config := Config{
-		Apex:       "e164.test",
-		Class:      "shift-lookup",
-		TTL:        0,
-		Negative:   30,
-		Patience:   2000,
-		Repeat:     5000,
-		Gain:       8,
-		MaxPending: 100,
-		Keep:       150,
-		Context:    "x.example",
+		Apex:             "e164.test",
+		Class:            "shift-lookup",
+		TTL:              0,
+		NegativeTTL:      30,
+		Timeout:          2000,
+		RepeatWindow:     5000,
+		MaxAmplification: 8,
+		MaxPending:       100,
+		MaxRemembered:    150,
+		TrunkContext:     "x.example",
 	}
 	if change != nil {
 		change(&config)
@@ -275,10 +275,10 @@
 	result := b2bua.EnquiryResult{Code: 404}
 	s := newTestServer(t, func(c *Config) {
 		c.Limits = Limits{
-			Rate:    10,
-			Burst:   20,
-			Clients: 1000,
-			Nets:    []Net{{netip.MustParsePrefix("10.1.0.0/16"), 1000}, {netip.MustParsePrefix("10.2.0.0/16"), 0}},
+			Rate:       10,
+			Burst:      20,
+			MaxClients: 1000,
+			Networks:   []Net{{netip.MustParsePrefix("10.1.0.0/16"), 1000}, {netip.MustParsePrefix("10.2.0.0/16"), 0}},
 		}
 	})
 	s.enquirer.immediate = &result
@@ -339,7 +339,7 @@
 	if n := len(s.server.limits.current) + len(s.server.limits.previous); n > 1000 {
 		t.Errorf("%d client networks tracked, want 1000 at most", n)
 	}
-	s = newTestServer(t, func(c *Config) { c.Limits = Limits{Total: 100} })
+	s = newTestServer(t, func(c *Config) { c.Limits = Limits{TotalRate: 100} })
 	s.enquirer.immediate = &result
 	answered := 0
 	for i := range 2000 {
@@ -364,7 +364,7 @@
 func TestAmplificationBounded(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		gain := rapid.Float64Range(1, 10).Draw(rt, "gain")
-		s := newTestServer(t, func(c *Config) { c.Gain = gain })
+		s := newTestServer(t, func(c *Config) { c.MaxAmplification = gain })
 		result := s.enquirer.success()
 		result.Params = strings.Repeat("x", rapid.IntRange(0, 200).Draw(rt, "params length"))
 		switch rapid.IntRange(0, 2).Draw(rt, "result") {
--- a/internal/protocol/portability/finder.go
+++ b/internal/protocol/portability/finder.go
@@ -45,12 +45,12 @@
 	now float64,
 	digits string,
 	timeout float64,
-	done func(now float64, found numberplan.Found),
+	done func(now float64, found numberplan.LookupResult),
 ) (stop func()) {
 	name, err := enum.Domain(digits, f.Apex)
 	if err != nil {
 		f.Counts.Invalid++
-		done(now, numberplan.Found{Answer: numberplan.Silent})
+		done(now, numberplan.LookupResult{Answer: numberplan.NoAnswer})
 		return func() {}
 	}
 	deadline, seen := now+timeout, map[string]bool{}
@@ -59,7 +59,7 @@
 	step = func(now float64, name string) {
 		if seen[name] || len(seen) == maxSteps {
 			f.Counts.Invalid++
-			done(now, numberplan.Found{Answer: numberplan.Silent})
+			done(now, numberplan.LookupResult{Answer: numberplan.NoAnswer})
 			return
 		}
 		seen[name] = true
@@ -87,22 +87,22 @@
 }
 
 // interpret returns the next domain of a non-terminal rule, or the final result, and counts the latter.
-func (f *Finder) interpret(number string, a dnsclient.Answer) (next string, found numberplan.Found) {
+func (f *Finder) interpret(number string, a dnsclient.Answer) (next string, found numberplan.LookupResult) {
 	switch a.Status {
 	case dnsclient.Failed:
 		f.Counts.Unanswered++
-		return "", numberplan.Found{Answer: numberplan.Silent}
+		return "", numberplan.LookupResult{Answer: numberplan.NoAnswer}
 	case dnsclient.None:
 		f.Counts.NotPorted++
-		return "", numberplan.Found{Answer: numberplan.NotPorted}
+		return "", numberplan.LookupResult{Answer: numberplan.NotPorted}
 	}
 	applied, err := enum.Apply(number, a.Rules, f.Services...)
 	switch {
 	case errors.Is(err, enum.ErrNoRule): // rules for other services only
 		f.Counts.NotPorted++
-		return "", numberplan.Found{Answer: numberplan.NotPorted}
+		return "", numberplan.LookupResult{Answer: numberplan.NotPorted}
 	case err == nil && applied.Next != "":
-		return applied.Next, numberplan.Found{}
+		return applied.Next, numberplan.LookupResult{}
 	}
 	var ported enum.Ported
 	if err == nil {
@@ -111,11 +111,11 @@
 	switch {
 	case err != nil:
 		f.Counts.Invalid++
-		return "", numberplan.Found{Answer: numberplan.Silent}
+		return "", numberplan.LookupResult{Answer: numberplan.NoAnswer}
 	case ported.Routing == "":
 		f.Counts.NotPorted++
-		return "", numberplan.Found{Answer: numberplan.NotPorted, Carrier: ported.Carrier}
+		return "", numberplan.LookupResult{Answer: numberplan.NotPorted, Carrier: ported.Carrier}
 	}
 	f.Counts.Ported++
-	return "", numberplan.Found{Answer: numberplan.Ported, Routing: ported.Routing, Carrier: ported.Carrier}
+	return "", numberplan.LookupResult{Answer: numberplan.Ported, Routing: ported.Routing, Carrier: ported.Carrier}
 }
--- a/internal/protocol/portability/finder_test.go
+++ b/internal/protocol/portability/finder_test.go
@@ -60,7 +60,7 @@
 		"7": "1 +1514", "78": "1 +1514+1-6789", "8": "2 ",
 		"9": "2 ", "0": "2 ", "77": "2 ", "": "2 "} {
 		calls, got := 0, ""
-		finder.Resolve(0, number, 500, func(_ float64, found numberplan.Found) {
+		finder.Resolve(0, number, 500, func(_ float64, found numberplan.LookupResult) {
 			calls++
 			got = fmt.Sprint(int(found.Answer), " ", found.Routing, found.Carrier)
 		})
@@ -81,7 +81,7 @@
 	}
 	finder := &Finder{Resolver: resolver, Apex: "p.test", Services: []string{"pstn:tel"}}
 	calls := 0
-	stop := finder.Resolve(0, "7", 500, func(float64, numberplan.Found) { calls++ })
+	stop := finder.Resolve(0, "7", 500, func(float64, numberplan.LookupResult) { calls++ })
 	resolver.pending[0]()
 	if len(resolver.timeouts) != 2 || resolver.timeouts[1] != 400 {
 		t.Errorf("timeouts of the queries: %v, want 2, the second 400 ms", resolver.timeouts)
--- a/internal/protocol/siptransaction/layer.go
+++ b/internal/protocol/siptransaction/layer.go
@@ -25,8 +25,8 @@
 	OnStrayResponse(res *sip.Response, from netip.AddrPort)
 }
 
-// Timers are a layer's timers (RFC 3261 17.1.1.1), in milliseconds.
-type Timers struct {
+// TimerValues are a layer's timers (RFC 3261 17.1.1.1), in milliseconds.
+type TimerValues struct {
 	T1 float64 // the first interval between retransmissions
 	T2 float64 // the longest interval, except for an INVITE request
 	T4 float64 // the longest time that a message stays in the network
@@ -37,14 +37,14 @@
 	Address   netip.AddrPort
 	Generator *Generator
 	Timers    *timerqueue.Queue
-	Times     Timers
+	Times     TimerValues
 	Now       float64 // the time of the latest event
 	Malformed int     // datagrams that could not be parsed
 	// Parse parses datagrams. The emulator sets a caching parser; it may, since parsed messages are never changed.
 	Parse func([]byte) (sip.Message, error)
-	// OnRepeat, if set, is called for each retransmission of a request whose transaction is open. The layer
+	// OnRetransmission, if set, is called for each retransmission of a request whose transaction is open. The layer
 	// handles these itself.
-	OnRepeat func(*Server)
+	OnRetransmission func(*Server)
 
 	user    User
 	send    func(to netip.AddrPort, data []byte)
@@ -106,7 +106,7 @@
 }
 
 // NewLayer returns a layer for a local address that sends datagrams through send.
-func NewLayer(address netip.AddrPort, times Timers, generator *Generator, timers *timerqueue.Queue, user User,
+func NewLayer(address netip.AddrPort, times TimerValues, generator *Generator, timers *timerqueue.Queue, user User,
 	send func(netip.AddrPort, []byte)) *Layer {
 	return &Layer{Parse: Parse, Address: address, Generator: generator, Timers: timers, Times: times, user: user,
 		send: send, clients: map[string]*Client{}, servers: map[string]*Server{}, merged: map[string]*Server{}}
@@ -150,8 +150,8 @@
 
 func (l *Layer) onRequest(from netip.AddrPort, m *sip.Request, key string) {
 	if s := l.servers[key]; s != nil {
-		if l.OnRepeat != nil {
-			l.OnRepeat(s)
+		if l.OnRetransmission != nil {
+			l.OnRetransmission(s)
 		}
 		s.onRetransmission()
 		return
--- a/internal/protocol/siptransaction/message.go
+++ b/internal/protocol/siptransaction/message.go
@@ -17,11 +17,11 @@
 
 // Names of the header fields that are read or written by name.
 const (
-	SessionID  = "Session-ID"          // RFC 7989: one call on all its legs
-	Reason     = "Reason"              // RFC 3326: why a call was released
-	RetryAfter = "Retry-After"         // RFC 3261 20.33
-	Service    = "P-Preferred-Service" // RFC 6050: the requested class
-	Load       = "Cobalt-Load"         // private to this project: util, queue, wait, lines, free; see docs/gateway.md
+	SessionID     = "Session-ID"          // RFC 7989: one call on all its legs
+	ReasonHeader  = "Reason"              // RFC 3326: why a call was released
+	RetryAfter    = "Retry-After"         // RFC 3261 20.33
+	ServiceHeader = "P-Preferred-Service" // RFC 6050: the requested class
+	LoadHeader    = "Cobalt-Load"         // private to this project: util, queue, wait, lines, free; see docs/gateway.md
 )
 
 // Generator makes pseudo-random tags, branches and call IDs from a seed and a counter.
