--- a/cmd/cobalt-lab/main.go
+++ b/cmd/cobalt-lab/main.go
@@ -14,5 +14,5 @@
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "cobalt-lab:", err)
 	}
-	os.Exit(labcli.Status(err))
+	os.Exit(labcli.ExitCode(err))
 }
--- a/internal/cli/labcli/compare.go
+++ b/internal/cli/labcli/compare.go
@@ -161,15 +161,15 @@
 	if err != nil {
 		return nil, err
 	}
-	newPolicy := virtualrun.Module(s.module)
+	newPolicy := virtualrun.PolicyByName(s.module)
 	if newPolicy == nil {
 		return nil, fmt.Errorf("module %q: want brain, lottery or random", s.module)
 	}
 	days := make([]*dayMetrics, seeds)
-	if !virtualrun.Each(ctx, seeds, func(i int) {
+	if !virtualrun.ForEach(ctx, seeds, func(i int) {
 		day := *script
 		day.Seed = firstSeed + uint64(i)
-		days[i] = dayMetricsOf(day.Seed, virtualrun.Play(&day, newPolicy, virtualrun.Options{}))
+		days[i] = dayMetricsOf(day.Seed, virtualrun.Run(&day, newPolicy, virtualrun.Options{}))
 	}) {
 		return nil, ctx.Err()
 	}
--- a/internal/cli/labcli/design.go
+++ b/internal/cli/labcli/design.go
@@ -24,7 +24,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			for seed := 1; seed <= seeds; seed++ {
 				for _, draining := range []int{-1, 1} {
-					script, err := scenario.Day("quiet")
+					script, err := scenario.BuiltIn("quiet")
 					if err != nil {
 						return err
 					}
@@ -42,7 +42,7 @@
 					scenario.NewVirtual(sim, func(settings *routing.Settings, host routing.Host) routing.Policy {
 						return router.New(settings, host)
 					})
-					sim.World.Run(script.Length + 10000)
+					sim.Simulation.Run(script.Length + 10000)
 					fmt.Fprintf(cmd.OutOrStdout(), "seed %d, pool that drains: %d (-1: none)\n%s\n", seed, draining, shares)
 				}
 			}
--- a/internal/cli/labcli/fleet.go
+++ b/internal/cli/labcli/fleet.go
@@ -61,7 +61,7 @@
 		P99:      quantile(s.Waits, 0.99),
 		Cold:     res.Totals.SlowStartUse,
 		Broken:   len(res.Findings),
-		Sum:      fmt.Sprintf("%016x", res.Sum),
+		Sum:      fmt.Sprintf("%016x", res.Checksum),
 	}
 }
 
@@ -91,7 +91,7 @@
 			if err != nil {
 				return err
 			}
-			newPolicy := virtualrun.Module(module)
+			newPolicy := virtualrun.PolicyByName(module)
 			if newPolicy == nil {
 				return fmt.Errorf("module %q: want brain, lottery or random", module)
 			}
@@ -104,13 +104,13 @@
 			out := cmd.OutOrStdout()
 			results := make([]*virtualrun.Result, seeds)
 			began := time.Now()
-			virtualrun.Each(ctx, seeds, func(i int) {
+			virtualrun.ForEach(ctx, seeds, func(i int) {
 				day := *script
 				day.Seed = script.Seed + uint64(i)
-				results[i] = virtualrun.Play(
+				results[i] = virtualrun.Run(
 					&day,
 					newPolicy,
-					virtualrun.Options{Series: reportFile != "" || pictureDir != "", Sum: true},
+					virtualrun.Options{Series: reportFile != "" || pictureDir != "", Checksum: true},
 				)
 			})
 			elapsed := time.Since(began)
@@ -136,7 +136,7 @@
 					continue
 				}
 				row := serviceRow(&processrun.Result{Service: res.Service, Findings: res.Findings, Totals: res.Totals})
-				fmt.Fprintf(out, "%5d  %s  %016x  %s\n", seed, row, res.Sum, res.Elapsed.Round(10*time.Millisecond))
+				fmt.Fprintf(out, "%5d  %s  %016x  %s\n", seed, row, res.Checksum, res.Elapsed.Round(10*time.Millisecond))
 				day := report.Day{
 					Name:  fmt.Sprintf("%s, seed %d", script.Name, seed),
 					Lines: []string{serviceHeader, row},
--- a/internal/cli/labcli/hunt.go
+++ b/internal/cli/labcli/hunt.go
@@ -30,17 +30,17 @@
 			ctx, cancel := interruptContext(cmd)
 			defer cancel()
 			out := cmd.OutOrStdout()
-			newPolicy := virtualrun.Module(module)
+			newPolicy := virtualrun.PolicyByName(module)
 			if newPolicy == nil {
 				return fmt.Errorf("module %q: want brain, lottery or random", module)
 			}
 			if err := os.MkdirAll(dir, 0o755); err != nil {
 				return fmt.Errorf("hunt: %w", err)
 			}
-			options.Play = func(s *scenariofile.Script) *virtualrun.Result {
-				return virtualrun.Play(s, newPolicy, virtualrun.Options{})
+			options.Simulate = func(s *scenariofile.Script) *virtualrun.Result {
+				return virtualrun.Run(s, newPolicy, virtualrun.Options{})
 			}
-			options.Say = func(done int, worst float64) { fmt.Fprintf(out, "%d days, worst service %.3f\n", done, 1-worst) }
+			options.Progress = func(done int, worst float64) { fmt.Fprintf(out, "%d days, worst service %.3f\n", done, 1-worst) }
 			var saveErr error
 			options.Found = func(find search.Find) {
 				fmt.Fprintf(out, "found: %s\n", find.What)
@@ -57,10 +57,10 @@
 				"%d days played, %d broke a rule, cold budgets used to %.0f %% at most\n",
 				result.Days,
 				len(result.Broken),
-				100*result.Cold,
+				100*result.MaxSlowStartUse,
 			)
-			if result.At != nil {
-				if err := saveScript(filepath.Join(dir, "cold.json"), result.At); err != nil {
+			if result.MaxSlowStartScript != nil {
+				if err := saveScript(filepath.Join(dir, "cold.json"), result.MaxSlowStartScript); err != nil {
 					return err
 				}
 			}
@@ -72,10 +72,10 @@
 				shrunk[find.Rule] = true
 				smallest := search.Shrink(
 					find.Script,
-					func(s *scenariofile.Script) bool { return search.Judge(s, options.Play(s)).Rule == find.Rule },
+					func(s *scenariofile.Script) bool { return search.Judge(s, options.Simulate(s)).Rule == find.Rule },
 					shrink,
 				)
-				replayed := options.Play(smallest)
+				replayed := options.Simulate(smallest)
 				fmt.Fprintf(
 					out,
 					"rule %d, cut down: %d gateways, %d switches, %.1f s, %d troubles: %v\n",
@@ -83,7 +83,7 @@
 					smallest.Gateways.Count,
 					smallest.Pools.Count,
 					smallest.Length/1000,
-					len(smallest.Troubles),
+					len(smallest.Faults),
 					search.Judge(smallest, replayed).What,
 				)
 				if err := saveScript(filepath.Join(dir, fmt.Sprintf("rule%d-small.json", find.Rule)), smallest); err != nil {
@@ -126,7 +126,7 @@
 
 func scriptFaultKinds(script *scenariofile.Script) []string {
 	var kinds []string
-	for _, fault := range script.Troubles {
+	for _, fault := range script.Faults {
 		kinds = append(kinds, fault.Kind)
 	}
 	return kinds
--- a/internal/cli/labcli/labcmd.go
+++ b/internal/cli/labcli/labcmd.go
@@ -65,8 +65,8 @@
 	return root
 }
 
-// Status returns the exit code of the program for an error.
-func Status(err error) int {
+// ExitCode returns the exit code of the program for an error.
+func ExitCode(err error) int {
 	switch {
 	case err == nil:
 		return 0
@@ -134,7 +134,7 @@
 		Short: "Run a short built-in day, with real sockets and processes",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			s, err := scenario.Day("try", f.overrides...)
+			s, err := scenario.BuiltIn("try", f.overrides...)
 			if err != nil {
 				return err
 			}
@@ -168,8 +168,8 @@
 
 func faultKinds() string {
 	var b strings.Builder
-	for _, kind := range scenariofile.KindNames() {
-		fmt.Fprintf(&b, "  %-13s %s\n", kind, scenariofile.Kinds[kind])
+	for _, kind := range scenariofile.FaultKindNames() {
+		fmt.Fprintf(&b, "  %-13s %s\n", kind, scenariofile.FaultKinds[kind])
 	}
 	return b.String()
 }
@@ -224,7 +224,7 @@
 	script *scenariofile.Script,
 	policyName string,
 ) (*processrun.Result, error) {
-	newPolicy := virtualrun.Module(policyName)
+	newPolicy := virtualrun.PolicyByName(policyName)
 	if newPolicy == nil {
 		return nil, fmt.Errorf("module %q: want brain, lottery or random", policyName)
 	}
@@ -276,7 +276,7 @@
 		writer = capture.NewWriter(f)
 		options.Record = writer.Add
 	}
-	res := virtualrun.Play(script, newPolicy, options)
+	res := virtualrun.Run(script, newPolicy, options)
 	if writer != nil {
 		if err := writer.Flush(); err != nil {
 			return nil, err
@@ -287,7 +287,7 @@
 		Findings: res.Findings,
 		Totals:   res.Totals,
 		Tables:   res.Tables,
-		Kiosks:   res.Kiosks,
+		Kiosks:   res.ENUM,
 	}, nil
 }
 
--- a/internal/cli/labcli/load.go
+++ b/internal/cli/labcli/load.go
@@ -163,9 +163,9 @@
 	if f.start != 0 {
 		start = time.Now().Add(time.Until(time.Unix(0, f.start)))
 	}
-	var standIn *loadgen.Still
+	var standIn *loadgen.StallingServer
 	if f.check && f.shard < 0 {
-		standIn = &loadgen.Still{
+		standIn = &loadgen.StallingServer{
 			Delay: 40 * time.Millisecond,
 			Stalls: []loadgen.Stall{
 				{From: f.length / 4, Duration: f.length / 20},
@@ -231,8 +231,8 @@
 		res.Unanswered,
 		res.Retransmissions,
 	)
-	if res.Past > 0 {
-		fmt.Fprintf(out, "%d waits were past the histograms' range of ten minutes and count at its end\n", res.Past)
+	if res.OutOfRange > 0 {
+		fmt.Fprintf(out, "%d waits were past the histograms' range of ten minutes and count at its end\n", res.OutOfRange)
 	}
 	fmt.Fprintf(out, "%-36s %9s %9s %9s %9s %9s %9s\n", "ms", "p50", "p90", "p99", "p99.9", "p99.99", "max")
 	printRow := func(name string, histogram *hdrhistogram.Histogram) {
@@ -254,10 +254,10 @@
 }
 
 // compareWaits prints the true waits, by the stand-in's schedule, and how far the reported ones are from them.
-func (f *loadFlags) compareWaits(out io.Writer, standIn *loadgen.Still, calls []*api.Call, res *loadgen.Result) error {
+func (f *loadFlags) compareWaits(out io.Writer, standIn *loadgen.StallingServer, calls []*api.Call, res *loadgen.Result) error {
 	var trueWaits []float64
 	for _, c := range calls {
-		trueWaits = append(trueWaits, float64(standIn.True(time.Duration(c.AtMs*1e6)))/1e6)
+		trueWaits = append(trueWaits, float64(standIn.ExpectedWait(time.Duration(c.AtMs*1e6)))/1e6)
 	}
 	slices.Sort(trueWaits)
 	largest := 0.0
@@ -287,7 +287,7 @@
 		Refused:    res.Refused,
 		Unanswered: res.Unanswered,
 		Repeats:    res.Retransmissions,
-		Past:       res.Past,
+		Past:       res.OutOfRange,
 	}
 	for _, histogram := range []struct {
 		from *hdrhistogram.Histogram
@@ -308,7 +308,7 @@
 		return nil, fmt.Errorf("load: result of a load process: %w", err)
 	}
 	res := loadgen.NewResult()
-	res.Planned, res.Answered, res.Refused, res.Unanswered, res.Retransmissions, res.Past = encoded.Planned, encoded.Stood,
+	res.Planned, res.Answered, res.Refused, res.Unanswered, res.Retransmissions, res.OutOfRange = encoded.Planned, encoded.Stood,
 		encoded.Refused, encoded.Unanswered, encoded.Repeats, encoded.Past
 	for _, histogram := range []struct {
 		from []byte
--- a/internal/cli/labcli/lookups.go
+++ b/internal/cli/labcli/lookups.go
@@ -42,7 +42,7 @@
 
 func lookupTable(ctx context.Context, cmd *cobra.Command, seeds int, settings []string) error {
 	out := cmd.OutOrStdout()
-	faults := []scenariofile.Trouble{
+	faults := []scenariofile.Fault{
 		{},
 		{Kind: "names_silent", Part: 0.5},
 		{Kind: "names_silent", Part: 1},
@@ -96,23 +96,23 @@
 			`numbers.ttl="3s"`,
 		},
 		settings...)
-	if _, err := scenario.Day("numbers", commonSettings...); err != nil {
+	if _, err := scenario.BuiltIn("numbers", commonSettings...); err != nil {
 		return err
 	}
-	newPolicy := virtualrun.Module("brain")
-	complete := virtualrun.Each(ctx, len(violationCounts), func(i int) {
+	newPolicy := virtualrun.PolicyByName("brain")
+	complete := virtualrun.ForEach(ctx, len(violationCounts), func(i int) {
 		cellIndex, seed := i/seeds, i%seeds
-		script, err := scenario.Day("numbers", commonSettings...)
+		script, err := scenario.BuiltIn("numbers", commonSettings...)
 		if err != nil {
 			return // cannot happen: the same settings were loaded above
 		}
 		script.Seed = uint64(seed + 1)
 		if fault := faults[cellIndex/len(modes)]; fault.Kind != "" {
 			fault.At, fault.For = 6000, 12000
-			script.Troubles = []scenariofile.Trouble{fault}
+			script.Faults = []scenariofile.Fault{fault}
 		}
 		modes[cellIndex%len(modes)].change(&script.Numbers)
-		res := virtualrun.Play(script, newPolicy, virtualrun.Options{})
+		res := virtualrun.Run(script, newPolicy, virtualrun.Options{})
 		lookupTotals := res.NumberLookups
 		cell := &cells[cellIndex]
 		cell.service[seed], cell.p99[seed] = res.Service.Total, quantile(res.Service.Waits, 0.99)
--- a/internal/cli/labcli/printday.go
+++ b/internal/cli/labcli/printday.go
@@ -72,17 +72,17 @@
 			fmt.Fprintln(out, "    ", finding)
 		}
 	}
-	if kiosks := res.Kiosks; kiosks.Visits > 0 {
+	if kiosks := res.Kiosks; kiosks.Lookups > 0 {
 		sort.Float64s(kiosks.Waits)
 		fmt.Fprintf(
 			out,
 			"\nKiosks: %d came and asked by ENUM, %d times; %d had a switch named, %d of them stood, %d were cut; %d "+
 				"questions had no answer\n  from coming to the name: p50 %.0f ms, p99 %.0f ms\n",
-			kiosks.Visits,
+			kiosks.Lookups,
 			res.Totals.Queries,
 			kiosks.Named,
-			kiosks.Stood,
-			kiosks.Cut,
+			kiosks.Established,
+			kiosks.Dropped,
 			kiosks.Silent,
 			quantile(kiosks.Waits, 0.5),
 			quantile(kiosks.Waits, 0.99),
--- a/internal/cli/labcli/throughput.go
+++ b/internal/cli/labcli/throughput.go
@@ -213,9 +213,9 @@
 			res.Sent,
 			res.Answered,
 			res.Retransmissions,
-			res.Added.ValueAtQuantile(50),
-			res.Added.ValueAtQuantile(99),
-			res.Added.ValueAtQuantile(99.9),
+			res.SetupDelay.ValueAtQuantile(50),
+			res.SetupDelay.ValueAtQuantile(99),
+			res.SetupDelay.ValueAtQuantile(99.9),
 			res.Late.Round(100*time.Microsecond),
 		)
 	}
@@ -248,12 +248,12 @@
 		out,
 		"at half of that, set-up from caller to switch: p50 %.2f ms, p99 %.2f ms (aim 2), p99.9 %.2f ms; answer back: "+
 			"p50 %.2f, p99 %.2f, p99.9 %.2f\n",
-		ms(res.Added.ValueAtQuantile(50)),
-		ms(res.Added.ValueAtQuantile(99)),
-		ms(res.Added.ValueAtQuantile(99.9)),
-		ms(res.Back.ValueAtQuantile(50)),
-		ms(res.Back.ValueAtQuantile(99)),
-		ms(res.Back.ValueAtQuantile(99.9)),
+		ms(res.SetupDelay.ValueAtQuantile(50)),
+		ms(res.SetupDelay.ValueAtQuantile(99)),
+		ms(res.SetupDelay.ValueAtQuantile(99.9)),
+		ms(res.AnswerDelay.ValueAtQuantile(50)),
+		ms(res.AnswerDelay.ValueAtQuantile(99)),
+		ms(res.AnswerDelay.ValueAtQuantile(99.9)),
 	)
 	time.Sleep(30 * time.Second) // waits until the transactions of the earlier runs have ended
 	emptyKiB := residentKiB(gateway.Process.Pid)
--- a/internal/conformance/binaryconformance/checker.go
+++ b/internal/conformance/binaryconformance/checker.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// OnClientGone reports that the caller closed the connection on which it sent a call's setup.
-func (k *Checker) OnClientGone(id uint64) {
+// OnCallAbandoned reports that the caller closed the connection on which it sent a call's setup.
+func (k *Checker) OnCallAbandoned(id uint64) {
 	if c := k.calls[id]; c != nil && c.finalAnswer == 0 {
 		c.callerGone = true
 	}
--- a/internal/emulator/binarystandin/conn.go
+++ b/internal/emulator/binarystandin/conn.go
@@ -10,7 +10,7 @@
 
 // conn is the simulated far end of one of the gateway's connections.
 type conn struct {
-	sim          *World
+	sim          *Simulation
 	gatewayConn  *binarygateway.Conn
 	connNumber   int       // counted from 1 over all connections that the gateway opened; 0 on a client's connection
 	endpoint     *Endpoint // nil on a client's connection
@@ -69,7 +69,7 @@
 		return
 	}
 	for _, id := range c.pendingCalls {
-		sim.Checker.OnClientGone(id)
+		sim.Checker.OnCallAbandoned(id)
 	}
 	sim.Checker.SetClientConnected(
 		sim.now,
@@ -78,7 +78,7 @@
 }
 
 // Write implements binarygateway.Transport.
-func (sim *World) Write(gatewayConn *binarygateway.Conn, b []byte) bool {
+func (sim *Simulation) Write(gatewayConn *binarygateway.Conn, b []byte) bool {
 	c := gatewayConn.Socket.(*conn)
 	if c.endpoint != nil && sim.happens(sim.Faults.Blocked) {
 		c.delayedWrite = b
@@ -124,7 +124,7 @@
 }
 
 // Dial implements binarygateway.Transport.
-func (sim *World) Dial(gatewayConn *binarygateway.Conn, to netip.AddrPort) {
+func (sim *Simulation) Dial(gatewayConn *binarygateway.Conn, to netip.AddrPort) {
 	sim.dialed++
 	c := &conn{sim: sim, gatewayConn: gatewayConn, connNumber: sim.dialed}
 	gatewayConn.Socket = c
@@ -146,14 +146,14 @@
 }
 
 // Close implements binarygateway.Transport.
-func (sim *World) Close(gatewayConn *binarygateway.Conn) {
+func (sim *Simulation) Close(gatewayConn *binarygateway.Conn) {
 	if c := gatewayConn.Socket.(*conn); !c.closed {
 		c.onEnded()
 	}
 }
 
 // CloseWrite implements binarygateway.Transport.
-func (sim *World) CloseWrite(*binarygateway.Conn) {}
+func (sim *Simulation) CloseWrite(*binarygateway.Conn) {}
 
 // SendGossip implements binarygateway.Transport.
-func (sim *World) SendGossip(int, []byte) {}
+func (sim *Simulation) SendGossip(int, []byte) {}
--- a/internal/emulator/binarystandin/endpoint.go
+++ b/internal/emulator/binarystandin/endpoint.go
@@ -10,7 +10,7 @@
 
 // Endpoint is a stand-in for a core switch.
 type Endpoint struct {
-	sim         *World
+	sim         *Simulation
 	id          string
 	addr        netip.AddrPort
 	destination int
--- a/internal/emulator/binarystandin/simulation.go
+++ b/internal/emulator/binarystandin/simulation.go
@@ -40,8 +40,8 @@
 	Vanish        float64 // endpoints that stop responding while their connections stay open, a second
 }
 
-// World is one gateway with its simulated endpoints and clients.
-type World struct {
+// Simulation is one gateway with its simulated endpoints and clients.
+type Simulation struct {
 	Gateway     *binarygateway.Gateway
 	Checker     *binaryconformance.Checker
 	Faults      Faults
@@ -65,8 +65,8 @@
 
 // New returns a simulation with the given number of endpoints.
 func New(seed uint64, cfg *binarygateway.Config, newPolicy routing.PolicyFactory, endpointCount int,
-	checker *binaryconformance.Checker) *World {
-	sim := &World{
+	checker *binaryconformance.Checker) *Simulation {
+	sim := &Simulation{
 		Checker:     checker,
 		seed:        seed,
 		now:         1e6,
@@ -86,17 +86,17 @@
 }
 
 // Random returns the next pseudo-random number in [0, 1).
-func (sim *World) Random() float64 {
+func (sim *Simulation) Random() float64 {
 	sim.draws++
 	return detrand.Float64(sim.seed, sim.draws)
 }
 
-func (sim *World) happens(share float64) bool { return share > 0 && sim.Random() < share }
+func (sim *Simulation) happens(share float64) bool { return share > 0 && sim.Random() < share }
 
-func (sim *World) after(ms float64, do func()) { sim.timers.Schedule(sim.now+ms, do) }
+func (sim *Simulation) after(ms float64, do func()) { sim.timers.Schedule(sim.now+ms, do) }
 
 // addEndpoint starts a new endpoint, which may get the address of one that is gone.
-func (sim *World) addEndpoint() {
+func (sim *Simulation) addEndpoint() {
 	sim.destinations++
 	destinationID := (sim.destinations - 1) % 4
 	addr := sim.freeAddress()
@@ -107,7 +107,7 @@
 }
 
 // freeAddress returns the first address that no listed endpoint has. Addresses of endpoints that are gone are reused.
-func (sim *World) freeAddress() netip.AddrPort {
+func (sim *Simulation) freeAddress() netip.AddrPort {
 	for i := byte(1); ; i++ {
 		a := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 1, i}), 5070)
 		if !slices.ContainsFunc(sim.endpoints, func(endpoint *Endpoint) bool {
@@ -119,7 +119,7 @@
 }
 
 // sendList delivers the current endpoint list to the gateway and the checker.
-func (sim *World) sendList() {
+func (sim *Simulation) sendList() {
 	sim.serial++
 	l := &dnsdiscovery.List{Serial: sim.serial, Complete: true}
 	for _, endpoint := range sim.endpoints {
@@ -143,7 +143,7 @@
 }
 
 // Run simulates the given time in ms.
-func (sim *World) Run(ms float64) {
+func (sim *Simulation) Run(ms float64) {
 	end := sim.now + ms
 	if sim.StopAt == 0 {
 		sim.StopAt = end
@@ -162,10 +162,10 @@
 }
 
 // Now returns the virtual time in ms.
-func (sim *World) Now() float64 { return sim.now }
+func (sim *Simulation) Now() float64 { return sim.now }
 
 // injectFaults makes endpoints drain, crash and stop responding. It runs every 500 ms.
-func (sim *World) injectFaults() {
+func (sim *Simulation) injectFaults() {
 	sim.after(500, sim.injectFaults)
 	f, now := &sim.Faults, sim.now
 	if now > sim.StopAt {
@@ -215,7 +215,7 @@
 }
 
 // sendSetup sends a setup on a random client connection and schedules the next one.
-func (sim *World) sendSetup() {
+func (sim *Simulation) sendSetup() {
 	if sim.now > sim.StopAt {
 		return
 	}
--- a/internal/emulator/dnsserver/server.go
+++ b/internal/emulator/dnsserver/server.go
@@ -16,18 +16,18 @@
 
 // Zone holds the data of a zone, which all its servers share.
 type Zone struct {
-	Apex   string
-	Seed   uint64
-	Ported float64                // share of numbers with a routing number
-	None   float64                // share of numbers that do not exist
-	Leads  float64                // share of the ported numbers with a non-terminal rule, which leads to another domain
-	TTL    uint32                 // s
-	Routes []string               // routing numbers, picked by a hash of the number
-	Own    map[string][]enum.Rule // rules of certain domains, which replace the generated ones
+	Apex        string
+	Seed        uint64
+	Ported      float64                // share of numbers with a routing number
+	None        float64                // share of numbers that do not exist
+	NonTerminal float64                // share of the ported numbers with a non-terminal rule, which leads to another domain
+	TTL         uint32                 // s
+	Routes      []string               // routing numbers, picked by a hash of the number
+	Own         map[string][]enum.Rule // rules of certain domains, which replace the generated ones
 }
 
-// Routing returns the routing number of a number, or "" if the number is not ported or does not exist.
-func (z *Zone) Routing(number string) string {
+// RoutingNumber returns the routing number of a number, or "" if the number is not ported or does not exist.
+func (z *Zone) RoutingNumber(number string) string {
 	switch u := z.hashFraction(number, 1); {
 	case u < z.None || u >= z.None+z.Ported || len(z.Routes) == 0:
 		return ""
@@ -60,13 +60,13 @@
 	if err != nil || z.hashFraction(number, 1) < z.None {
 		return nil, false
 	}
-	rn := z.Routing(number)
+	rn := z.RoutingNumber(number)
 	switch {
 	case rn == "":
 		return []enum.Rule{
 			{Order: 10, Preference: 10, Flags: "u", Service: "E2U+pstn:tel", Regexp: `!^(.*)$!tel:\1;npdi!`},
 		}, true
-	case !redirected && z.hashFraction(number, 3) < z.Leads:
+	case !redirected && z.hashFraction(number, 3) < z.NonTerminal:
 		d, _ := enum.Domain(number, "led."+z.Apex)
 		return []enum.Rule{{Order: 10, Preference: 10, Replacement: d}}, true
 	}
@@ -90,7 +90,7 @@
 	Refer     bool    // referral to another server
 	ServFail  bool
 	NoEDNS    bool // FORMERR for queries with EDNS
-	Flat      bool // the question's name in lower case
+	Lowercase bool // the question's name in lower case
 	Poison    bool // additional records that the query did not ask for
 }
 
@@ -179,7 +179,7 @@
 	}
 	m := new(dns.Msg)
 	m.SetReply(q)
-	if s.Faults.Flat {
+	if s.Faults.Lowercase {
 		m.Question[0].Name = strings.ToLower(q.Question[0].Name)
 	}
 	if s.respondWithFault(q, m) {
--- a/internal/emulator/dnsserver/sockets.go
+++ b/internal/emulator/dnsserver/sockets.go
@@ -10,8 +10,8 @@
 	"github.com/miekg/dns"
 )
 
-// Served serves a Server on UDP and TCP sockets of one address.
-type Served struct {
+// SocketServer serves a Server on UDP and TCP sockets of one address.
+type SocketServer struct {
 	mu     sync.Mutex
 	server *Server
 	udp    *net.UDPConn
@@ -20,7 +20,7 @@
 }
 
 // Serve opens the sockets and serves s on them; port 0 picks a free port.
-func Serve(s *Server, at netip.AddrPort) (*Served, error) {
+func Serve(s *Server, at netip.AddrPort) (*SocketServer, error) {
 	udp, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(at))
 	if err != nil {
 		return nil, fmt.Errorf("dns server: %w", err)
@@ -31,7 +31,7 @@
 		udp.Close()
 		return nil, fmt.Errorf("dns server: %w", err)
 	}
-	v := &Served{server: s, udp: udp, tcp: tcp}
+	v := &SocketServer{server: s, udp: udp, tcp: tcp}
 	v.wg.Add(2)
 	go v.serveUDP()
 	go v.serveTCP()
@@ -39,23 +39,23 @@
 }
 
 // Addr returns the address of the sockets.
-func (v *Served) Addr() netip.AddrPort { return v.udp.LocalAddr().(*net.UDPAddr).AddrPort() }
+func (v *SocketServer) Addr() netip.AddrPort { return v.udp.LocalAddr().(*net.UDPAddr).AddrPort() }
 
 // Change calls do with the server, locked against queries, to change its faults or other fields.
-func (v *Served) Change(do func(*Server)) {
+func (v *SocketServer) Change(do func(*Server)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	do(v.server)
 }
 
 // Close closes the sockets and waits for the serving goroutines to end.
-func (v *Served) Close() {
+func (v *SocketServer) Close() {
 	v.udp.Close()
 	v.tcp.Close()
 	v.wg.Wait()
 }
 
-func (v *Served) serveUDP() {
+func (v *SocketServer) serveUDP() {
 	defer v.wg.Done()
 	b := make([]byte, 1<<16)
 	for {
@@ -72,7 +72,7 @@
 	}
 }
 
-func (v *Served) serveTCP() {
+func (v *SocketServer) serveTCP() {
 	defer v.wg.Done()
 	for {
 		c, err := v.tcp.AcceptTCP()
--- a/internal/emulator/enumclient/client.go
+++ b/internal/emulator/enumclient/client.go
@@ -28,8 +28,8 @@
 	Answers int
 }
 
-// Manners configure the look-ups of kiosks; times are in ms.
-type Manners struct {
+// Config configure the look-ups of kiosks; times are in ms.
+type Config struct {
 	Apex    string
 	Wait    float64 // time without a response until the query is repeated
 	Repeats int     // repeated queries of one look-up
@@ -39,7 +39,7 @@
 
 // Kiosks are the kiosks of one gateway.
 type Kiosks struct {
-	Manners
+	Config
 	Visits  []*Visit
 	Silent  int                                                         // look-ups that got no response
 	Call    func(now float64, v *Visit, user string, to netip.AddrPort) // calls the endpoint that a response named
@@ -60,9 +60,9 @@
 }
 
 // New returns kiosks that send queries over UDP, and over TCP after a truncated response.
-func New(m Manners, seed uint64, sendUDP, sendTCP func([]byte)) *Kiosks {
+func New(m Config, seed uint64, sendUDP, sendTCP func([]byte)) *Kiosks {
 	return &Kiosks{
-		Manners: m,
+		Config:  m,
 		sendUDP: sendUDP,
 		sendTCP: sendTCP,
 		rng:     siptransaction.Generator{Seed: seed},
--- a/internal/emulator/loadgen/load.go
+++ b/internal/emulator/loadgen/load.go
@@ -51,8 +51,8 @@
 	// the same waits, from the time the setup was sent
 	WaitFromSent *hdrhistogram.Histogram
 	// from the planned time to the time the setup was sent
-	SendDelay                                                     *hdrhistogram.Histogram
-	Planned, Answered, Refused, Unanswered, Retransmissions, Past int64
+	SendDelay                                                           *hdrhistogram.Histogram
+	Planned, Answered, Refused, Unanswered, Retransmissions, OutOfRange int64
 }
 
 // NewResult returns an empty result.
@@ -68,10 +68,10 @@
 	v := max(minWaitMicros, d.Microseconds())
 	if v > maxWaitMicros {
 		v = maxWaitMicros
-		r.Past++
+		r.OutOfRange++
 	}
 	if err := h.RecordValue(v); err != nil {
-		r.Past++
+		r.OutOfRange++
 	}
 }
 
@@ -85,7 +85,7 @@
 	r.Refused += o.Refused
 	r.Unanswered += o.Unanswered
 	r.Retransmissions += o.Retransmissions
-	r.Past += o.Past
+	r.OutOfRange += o.OutOfRange
 }
 
 // CheckLateness returns ErrBottleneck if the generator's lateness at the 99.9th percentile is more than allowed.
--- a/internal/emulator/loadgen/load_test.go
+++ b/internal/emulator/loadgen/load_test.go
@@ -27,7 +27,7 @@
 // their planned times and count with their whole wait. The bounds are wide because the machine may be busy.
 func TestStallCountsWholeWait(t *testing.T) {
 	serverAddr := netip.MustParseAddrPort("127.73.0.2:19063")
-	s := &Still{Delay: 10 * time.Millisecond, Stalls: []Stall{{300 * time.Millisecond, 600 * time.Millisecond}}}
+	s := &StallingServer{Delay: 10 * time.Millisecond, Stalls: []Stall{{300 * time.Millisecond, 600 * time.Millisecond}}}
 	start := time.Now().Add(100 * time.Millisecond)
 	if err := s.Serve(serverAddr, start); err != nil {
 		t.Fatal(err)
@@ -48,7 +48,7 @@
 	}
 	var want []time.Duration
 	for _, c := range calls {
-		want = append(want, s.True(time.Duration(c.AtMs*1e6)))
+		want = append(want, s.ExpectedWait(time.Duration(c.AtMs*1e6)))
 	}
 	slices.Sort(want)
 	for _, q := range []float64{75, 90, 99} {
@@ -103,9 +103,9 @@
 		t.Error("the merged result differs from the result recorded directly")
 	}
 	merged.record(merged.WaitFromPlanned, time.Hour)
-	if merged.Past != 1 || merged.WaitFromPlanned.TotalCount() != 6401 {
+	if merged.OutOfRange != 1 || merged.WaitFromPlanned.TotalCount() != 6401 {
 		t.Errorf("want 1 wait above the range and 6401 recorded, got %d and %d",
-			merged.Past, merged.WaitFromPlanned.TotalCount())
+			merged.OutOfRange, merged.WaitFromPlanned.TotalCount())
 	}
 	merged.record(merged.SendDelay, time.Millisecond)
 	if err := merged.CheckLateness(5 * time.Millisecond); err != nil {
--- a/internal/emulator/loadgen/stalling_server.go
+++ b/internal/emulator/loadgen/stalling_server.go
@@ -11,10 +11,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Still is a stand-in for a gateway that answers each setup with 200 after Delay and stalls at planned times. Answers
+// StallingServer is a stand-in for a gateway that answers each setup with 200 after Delay and stalls at planned times. Answers
 // due during a stall are sent at its end, in order, so the wait of every call is known beforehand. A BYE is answered
 // at once.
-type Still struct {
+type StallingServer struct {
 	Delay  time.Duration
 	Stalls []Stall // in order, not overlapping
 	conn   *net.UDPConn
@@ -32,8 +32,8 @@
 	data   []byte
 }
 
-// True returns the expected wait of a call that arrives at the given time after the start.
-func (s *Still) True(at time.Duration) time.Duration {
+// ExpectedWait returns the expected wait of a call that arrives at the given time after the start.
+func (s *StallingServer) ExpectedWait(at time.Duration) time.Duration {
 	end := at + s.Delay
 	for _, stall := range s.Stalls {
 		if end >= stall.From && end < stall.From+stall.Duration {
@@ -44,7 +44,7 @@
 }
 
 // Serve answers at an address until Close is called. start is the time from which Stalls and the times of calls count.
-func (s *Still) Serve(addr netip.AddrPort, start time.Time) error {
+func (s *StallingServer) Serve(addr netip.AddrPort, start time.Time) error {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
 		return fmt.Errorf("load: stalling server: listen: %w", err)
@@ -71,12 +71,12 @@
 }
 
 // Close closes the socket and waits until both goroutines have ended.
-func (s *Still) Close() {
+func (s *StallingServer) Close() {
 	s.conn.Close()
 	s.wg.Wait()
 }
 
-func (s *Still) receive() {
+func (s *StallingServer) receive() {
 	buf := make([]byte, 1<<16)
 	seenCalls := map[string]bool{}
 	for {
@@ -104,7 +104,7 @@
 			}
 			seenCalls[id] = true
 			now := time.Since(s.start)
-			s.queue <- delayedResponse{s.start.Add(now + s.True(now)), from, newResponse("200 OK")}
+			s.queue <- delayedResponse{s.start.Add(now + s.ExpectedWait(now)), from, newResponse("200 OK")}
 		case bytes.HasPrefix(request, []byte("BYE ")):
 			_, _ = s.conn.WriteToUDPAddrPort(newResponse("200 OK"), from)
 		}
--- a/internal/emulator/processrun/check.go
+++ b/internal/emulator/processrun/check.go
@@ -35,8 +35,8 @@
 		records: make(chan *api.Record, maxRecordQueue),
 		done:    make(chan struct{}),
 	}
-	if s.Analyses() {
-		c.tables = conformance.NewTableChecker(scenario.Mark4)
+	if s.AnalysesNumbers() {
+		c.tables = conformance.NewTableChecker(scenario.TablePrefix)
 		c.tables.Blur = tableReordering
 	}
 	if captureFile != "" {
--- a/internal/emulator/processrun/day.go
+++ b/internal/emulator/processrun/day.go
@@ -46,7 +46,7 @@
 	Findings        []conformance.Finding
 	Totals          conformance.Totals
 	Tables          *conformance.TableChecker // nil: the scenario has no number tables
-	Kiosks          scenario.KioskService
+	Kiosks          scenario.ENUMService
 	GatewayFailures []string // gateways that exited with an error or did not drain in time
 	DatagramsLost   uint64   // datagrams that the kernel did not accept from the stand-ins
 	ClockLag        float64  // ms: maximum lag of the stand-ins behind the wall clock
@@ -71,7 +71,7 @@
 	subscribed   chan string
 	running      bool
 	relays       map[netip.AddrPort]int // by the address that relays peer messages to the gateway
-	nameServers  []*dnsserver.Served
+	nameServers  []*dnsserver.SocketServer
 	admins       []*grpc.ClientConn // connections to the gateways, to put number tables
 }
 
@@ -117,7 +117,7 @@
 	defer check.close()
 	r.sim = scenario.NewReal(script, options.Port, maxReordering, check.add)
 	r.sim.Fleet = r
-	r.sim.Say = func(at float64, what string) { r.report(fmt.Sprintf("%6.1f s  %s", at/1000, what)) }
+	r.sim.OnMark = func(at float64, what string) { r.report(fmt.Sprintf("%6.1f s  %s", at/1000, what)) }
 	defer r.close()
 	if err := r.startAll(ctx); err != nil {
 		return nil, err
@@ -168,18 +168,18 @@
 
 // play runs the scenario up to the end of its last calls.
 func (r *runner) play(ctx context.Context, res *Result) {
-	world := r.sim.World
-	world.Begin()
+	world := r.sim.Simulation
+	world.StartRealTime()
 	r.setRunning(true)
 	for _, g := range r.sim.Gateways {
-		r.sim.Welcome(g, 0)
-		if names := r.sim.Names; names != nil {
-			r.sim.TableIn(g.Number, names.Version)
+		r.sim.SendList(g, 0)
+		if names := r.sim.Numbering; names != nil {
+			r.sim.RecordTableInUse(g.Number, names.Version)
 		}
 	}
 	r.progress(res)
 	world.RunReal(r.sim.Script.Length+extraRunTime, ctx.Done())
-	res.Kiosks = r.sim.KioskService()
+	res.Kiosks = r.sim.ENUMService()
 	res.Service = r.sim.Service() // taken before the gateways drain: draining releases calls that would have gone on
 }
 
@@ -198,7 +198,7 @@
 		}
 		close(ended)
 	}()
-	world := r.sim.World
+	world := r.sim.Simulation
 	world.RunReal(world.Now+drainTimeout, ended) // the switches still answer the gateways
 	for i, p := range processes {
 		select {
@@ -244,15 +244,15 @@
 			r.relay(target, local, data)
 			return
 		}
-		s.World.Arrived(from, local, data)
+		s.Simulation.Inject(from, local, data)
 	})
 	if err != nil {
 		return fmt.Errorf("day: stand-ins: %w", err)
 	}
 	for _, g := range s.Gateways {
-		g.Node.Real = func(to, from netip.AddrPort, data []byte) { r.sockets.Send(from, to, data) }
-		if g.FrontAt != nil {
-			g.FrontAt.Real = g.Node.Real
+		g.Node.SendToSocket = func(to, from netip.AddrPort, data []byte) { r.sockets.Send(from, to, data) }
+		if g.ENUMNode != nil {
+			g.ENUMNode.SendToSocket = g.Node.SendToSocket
 		}
 	}
 	if r.listListener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
@@ -269,8 +269,8 @@
 	if len(data) < 3 || int(binary.BigEndian.Uint16(data)) >= len(r.sim.Gateways) {
 		return
 	}
-	r.sim.World.Do(func() {
-		r.sim.Tell(target, func(float64) { r.sockets.Send(local, r.sim.Gateways[target].Peer, data) })
+	r.sim.Simulation.RunInLoop(func() {
+		r.sim.SendGossip(target, func(float64) { r.sockets.Send(local, r.sim.Gateways[target].Peer, data) })
 	})
 }
 
@@ -338,10 +338,10 @@
 	running := r.running
 	r.mu.Unlock()
 	if running {
-		r.sim.World.Do(func() {
+		r.sim.Simulation.RunInLoop(func() {
 			for _, g := range r.sim.Gateways {
 				if g.Name == req.Gateway {
-					r.sim.Welcome(g, req.Have)
+					r.sim.SendList(g, req.Have)
 				}
 			}
 		})
@@ -363,8 +363,8 @@
 	}
 }
 
-// List implements scenario.Fleet.
-func (r *runner) List(i int, update *api.Update) {
+// SendList implements scenario.Fleet.
+func (r *runner) SendList(i int, update *api.Update) {
 	r.mu.Lock()
 	updates := r.followers[r.sim.Gateways[i].Name]
 	r.mu.Unlock()
@@ -380,11 +380,11 @@
 	return r.gateways[i]
 }
 
-// Halt implements scenario.Fleet.
-func (r *runner) Halt(i int) { _ = r.process(i).cmd.Process.Signal(syscall.SIGSTOP) }
+// Pause implements scenario.Fleet.
+func (r *runner) Pause(i int) { _ = r.process(i).cmd.Process.Signal(syscall.SIGSTOP) }
 
-// Go implements scenario.Fleet.
-func (r *runner) Go(i int) { _ = r.process(i).cmd.Process.Signal(syscall.SIGCONT) }
+// Resume implements scenario.Fleet.
+func (r *runner) Resume(i int) { _ = r.process(i).cmd.Process.Signal(syscall.SIGCONT) }
 
 // Kill implements scenario.Fleet.
 func (r *runner) Kill(i int) {
@@ -403,11 +403,11 @@
 
 // progress reports the state of the run every 5 s and records how far the stand-ins lag behind the clock.
 func (r *runner) progress(res *Result) {
-	world := r.sim.World
+	world := r.sim.Simulation
 	var tick func()
 	nextReport := 5000.0
 	tick = func() {
-		if behind := world.Wall() - world.Now; behind > res.ClockLag {
+		if behind := world.RealTime() - world.Now; behind > res.ClockLag {
 			res.ClockLag = behind
 		}
 		if world.Now >= nextReport && r.options.Progress != nil {
--- a/internal/emulator/processrun/gatewayfile.go
+++ b/internal/emulator/processrun/gatewayfile.go
@@ -29,10 +29,10 @@
 	w.line("list {\n  addr = %q\n}\nlog {\n  level = %q\n}", r.listListener.Addr(), r.options.Level)
 	w.writeRules(config)
 	w.writeTraffic(config)
-	if r.sim.Names != nil {
+	if r.sim.Numbering != nil {
 		w.WriteString(r.numberSettings(i))
 	}
-	if g.FrontAt != nil {
+	if g.ENUMNode != nil {
 		r.writeENUMServer(&w, g)
 	}
 	return w.String()
@@ -81,8 +81,8 @@
 
 // writeENUMServer writes the block of the ENUM server.
 func (r *runner) writeENUMServer(w *fileWriter, g *scenario.Gateway) {
-	enum := r.sim.FrontConfig()
-	w.line("front {\n  listen = %q\n  apex = %q\n  skill = %q", g.Front, enum.Apex, enum.Class)
+	enum := r.sim.ENUMConfig()
+	w.line("front {\n  listen = %q\n  apex = %q\n  skill = %q", g.ENUMAddr, enum.Apex, enum.Class)
 	w.line("  negative = %d\n  patience = %q", enum.NegativeTTL, duration(enum.Timeout))
 	w.line("  repeat = %q\n  gain = %g", duration(enum.RepeatWindow), enum.MaxAmplification)
 	w.line("  most = %d\n  keep = %d", enum.MaxPending, enum.MaxRemembered)
--- a/internal/emulator/processrun/numbers.go
+++ b/internal/emulator/processrun/numbers.go
@@ -20,7 +20,7 @@
 // startNameServers serves the DNS servers on sockets, writes the first number table and connects to the gateways' admin
 // services.
 func (r *runner) startNameServers() error {
-	names := r.sim.Names
+	names := r.sim.Numbering
 	if names == nil {
 		return nil
 	}
@@ -31,8 +31,8 @@
 		}
 		r.nameServers = append(r.nameServers, served)
 	}
-	names.Alter = func(i int, change func(*dnsserver.Server)) { r.nameServers[i].Change(change) }
-	if err := os.WriteFile(r.tableFile(), r.sim.Table(names.Version).Form, 0o644); err != nil {
+	names.WithServer = func(i int, change func(*dnsserver.Server)) { r.nameServers[i].Change(change) }
+	if err := os.WriteFile(r.tableFile(), r.sim.Table(names.Version).Packed, 0o644); err != nil {
 		return fmt.Errorf("day: %w", err)
 	}
 	for i := range r.sim.Gateways {
@@ -53,8 +53,8 @@
 }
 
 func (r *runner) numberSettings(i int) string {
-	numbers, names := r.sim.Script.Numbers, r.sim.Names
-	resolver := r.sim.Resolve(0)
+	numbers, names := r.sim.Script.Numbers, r.sim.Numbering
+	resolver := r.sim.ResolverConfig(0)
 	formatMs := func(ms float64) string { return time.Duration(ms * 1e6).String() }
 	var servers []string
 	for _, addr := range names.Addrs {
@@ -100,15 +100,15 @@
 	)
 }
 
-// Table implements scenario.Fleet. A gateway that is down or stalled misses this table and gets the next one.
-func (r *runner) Table(i int, table *scenario.Table) {
+// SetTable implements scenario.Fleet. A gateway that is down or stalled misses this table and gets the next one.
+func (r *runner) SetTable(i int, table *scenario.Table) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
-		_, err := api.NewNumbersClient(r.admins[i]).Put(ctx, &api.PutTable{Table: table.Form, Note: "the laboratory"})
-		r.sim.World.Do(func() {
+		_, err := api.NewNumbersClient(r.admins[i]).Put(ctx, &api.PutTable{Table: table.Packed, Note: "the laboratory"})
+		r.sim.Simulation.RunInLoop(func() {
 			if err == nil {
-				r.sim.TableIn(i, table.Version)
+				r.sim.RecordTableInUse(i, table.Version)
 			} else if r.options.Progress != nil {
 				r.options.Progress(fmt.Sprintf("table %d at %s: %v", table.Version, r.sim.Gateways[i].Name, err))
 			}
--- a/internal/emulator/report/report_test.go
+++ b/internal/emulator/report/report_test.go
@@ -19,16 +19,16 @@
 	runDays := func(cores int) (sums [3]uint64, last *virtualrun.Result) {
 		defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(cores))
 		var results [3]*virtualrun.Result
-		virtualrun.Each(context.Background(), 3, func(i int) {
-			script, err := scenario.Day("plain", "length=\"4s\"", "gateways.count=2")
+		virtualrun.ForEach(context.Background(), 3, func(i int) {
+			script, err := scenario.BuiltIn("plain", "length=\"4s\"", "gateways.count=2")
 			if err != nil {
 				panic(err)
 			}
 			script.Seed = uint64(i) + 1
-			results[i] = virtualrun.Play(script, virtualrun.Module("brain"), virtualrun.Options{Sum: true, Series: true})
+			results[i] = virtualrun.Run(script, virtualrun.PolicyByName("brain"), virtualrun.Options{Checksum: true, Series: true})
 		})
 		for i, res := range results {
-			sums[i] = res.Sum
+			sums[i] = res.Checksum
 		}
 		return sums, results[2]
 	}
@@ -69,11 +69,11 @@
 	if Plots(nil) != nil || len(Plots(&virtualrun.Series{})) != 0 {
 		t.Error("plots of a series without seconds, want none")
 	}
-	script, err := scenario.Day("plain", "load.rate=0", "length=\"2s\"")
+	script, err := scenario.BuiltIn("plain", "load.rate=0", "length=\"2s\"")
 	if err != nil {
 		t.Fatal(err)
 	}
-	res := virtualrun.Play(script, virtualrun.Module("brain"), virtualrun.Options{Series: true})
+	res := virtualrun.Run(script, virtualrun.PolicyByName("brain"), virtualrun.Options{Series: true})
 	html.Reset()
 	if err := Write(&html, Page{Title: "t", Days: []Day{{Name: "none came", Plots: Plots(res.Series)}}}); err != nil {
 		t.Error(err)
--- a/internal/emulator/saturation/rig.go
+++ b/internal/emulator/saturation/rig.go
@@ -30,8 +30,8 @@
 type Result struct {
 	Sent, Answered, Ended, Refused int64
 	Retransmissions                int64                   // setups that the gateway retransmitted
-	Added                          *hdrhistogram.Histogram // µs from sending a setup to its arrival at the endpoint
-	Back                           *hdrhistogram.Histogram // µs from the endpoint's answer to its arrival at the caller
+	SetupDelay                     *hdrhistogram.Histogram // µs from sending a setup to its arrival at the endpoint
+	AnswerDelay                    *hdrhistogram.Histogram // µs from the endpoint's answer to its arrival at the caller
 	Late                           time.Duration           // maximum lateness of the sender
 }
 
@@ -76,7 +76,7 @@
 }
 
 func newResult() *Result {
-	return &Result{Added: hdrhistogram.New(1, 60_000_000, 3), Back: hdrhistogram.New(1, 60_000_000, 3)}
+	return &Result{SetupDelay: hdrhistogram.New(1, 60_000_000, 3), AnswerDelay: hdrhistogram.New(1, 60_000_000, 3)}
 }
 
 // Close closes the sockets.
@@ -232,7 +232,7 @@
 			at := r.now()
 			r.mu.Lock()
 			r.result.Answered++
-			_ = r.result.Back.RecordValue(max(1, (at-r.answeredAt[id].Load())/1000))
+			_ = r.result.AnswerDelay.RecordValue(max(1, (at-r.answeredAt[id].Load())/1000))
 			r.mu.Unlock()
 			if r.holdingTime == 0 {
 				r.write(r.callers, r.gateway, r.request("BYE", id, to))
@@ -283,7 +283,7 @@
 			if r.received[id].Swap(true) {
 				r.result.Retransmissions++
 			} else {
-				_ = r.result.Added.RecordValue(max(1, (at-r.sentAt[id].Load())/1000))
+				_ = r.result.SetupDelay.RecordValue(max(1, (at-r.sentAt[id].Load())/1000))
 			}
 			r.mu.Unlock()
 			reply("180 Ringing", "")
--- a/internal/emulator/scenario/arrivals.go
+++ b/internal/emulator/scenario/arrivals.go
@@ -40,7 +40,7 @@
 		}
 		st.Gateways[gateway].Callers.Plan(draw.arrival(at))
 	}
-	for _, t := range st.Script.Troubles {
+	for _, t := range st.Script.Faults {
 		if t.Kind == "flood" {
 			st.flood(t)
 		}
@@ -62,7 +62,7 @@
 
 func newArrivalDraw(st *Scenario) *arrivalDraw {
 	draw := &arrivalDraw{scenario: st, random: &st.random, peak: 1, favoured: map[int][]int{}, segment: -1}
-	for i, t := range st.Script.Troubles {
+	for i, t := range st.Script.Faults {
 		switch t.Kind {
 		case "burst":
 			draw.peak *= math.Max(1, t.Size)
@@ -89,7 +89,7 @@
 func (draw *arrivalDraw) rateAndGateway(at float64) (factor float64, gateway int) {
 	factor = 1
 	gateway = int(draw.random.Float64() * float64(len(draw.scenario.Gateways)))
-	for i, t := range draw.scenario.Script.Troubles {
+	for i, t := range draw.scenario.Script.Faults {
 		if at < t.At || at >= t.At+t.For {
 			continue
 		}
@@ -111,12 +111,12 @@
 	st, random := draw.scenario, draw.random
 	draw.updateWeights(at)
 	classes, tenants := st.Script.Classes, st.Script.Tenants
-	classIndex := workload.Pick(random.Float64(), len(classes), func(i int) float64 { return classes[i].Share })
-	tenantIndex := workload.Pick(random.Float64(), len(tenants), func(i int) float64 { return tenants[i].Share })
-	destination := workload.Pick(random.Float64(), len(draw.weights), func(i int) float64 { return draw.weights[i] })
+	classIndex := workload.PickWeighted(random.Float64(), len(classes), func(i int) float64 { return classes[i].Share })
+	tenantIndex := workload.PickWeighted(random.Float64(), len(tenants), func(i int) float64 { return tenants[i].Share })
+	destination := workload.PickWeighted(random.Float64(), len(draw.weights), func(i int) float64 { return draw.weights[i] })
 	class := classes[classIndex]
 	number, group := fmt.Sprintf("+1418%07d", int(random.Float64()*float64(st.Script.Load.Numbers))), Group(destination)
-	if st.Names != nil {
+	if st.Numbering != nil {
 		number, group = st.dialledNumber(destination, random.Float64()), ""
 	}
 	return &callers.Arrival{
@@ -188,7 +188,7 @@
 }
 
 // flood plans many calls of the class of the lowest value, all to one gateway.
-func (st *Scenario) flood(t scenariofile.Trouble) {
+func (st *Scenario) flood(t scenariofile.Fault) {
 	s, random := st.Script, &st.random
 	lowest := s.Classes[0]
 	for _, class := range s.Classes {
@@ -199,7 +199,7 @@
 	end := math.Min(t.At+t.For, s.Length-lastArrivalMargin)
 	for at := t.At; at < end; at += -math.Log(1-random.Float64()) * 1000 / (s.Load.Rate * t.Size) {
 		number, group := fmt.Sprintf("+1999%07d", int(random.Float64()*1e7)), Group(0)
-		if st.Names != nil {
+		if st.Numbering != nil {
 			number, group = st.dialledNumber(int(random.Float64()*float64(len(st.endpoints))), random.Float64()), ""
 		}
 		st.Gateways[0].Callers.Plan(&callers.Arrival{At: at, Number: number, Class: lowest.Name,
--- a/internal/emulator/scenario/endpointlist.go
+++ b/internal/emulator/scenario/endpointlist.go
@@ -12,13 +12,13 @@
 
 // publishLater puts a change on the list after a random delay between lo and hi ms.
 func (st *Scenario) publishLater(m *api.Member, lo, hi float64) {
-	st.World.At(st.World.Now+lo+(hi-lo)*st.random.Float64(), func() { st.publish(m) })
+	st.Simulation.At(st.Simulation.Now+lo+(hi-lo)*st.random.Float64(), func() { st.publish(m) })
 }
 
 // publish puts a change on the list and sends it to the gateways.
 func (st *Scenario) publish(m *api.Member) {
 	if st.listSilent {
-		st.World.At(st.World.Now+500, func() { st.publish(m) }) // retried until the list is back
+		st.Simulation.At(st.Simulation.Now+500, func() { st.publish(m) }) // retried until the list is back
 		return
 	}
 	st.version++
@@ -34,7 +34,7 @@
 	st.updates = append(st.updates, &api.Update{Version: st.version, Members: []*api.Member{m}})
 	for _, g := range st.Gateways {
 		g := g
-		st.World.At(st.World.Now+st.Script.List.Spread*st.random.Float64(), func() { st.sendUpdates(g) })
+		st.Simulation.At(st.Simulation.Now+st.Script.List.Spread*st.random.Float64(), func() { st.sendUpdates(g) })
 	}
 }
 
@@ -56,8 +56,8 @@
 	return &api.Update{Version: st.version, Whole: true, Members: st.members}
 }
 
-// Welcome sends a starting gateway the complete list or, if it has version have already, the changes since then.
-func (st *Scenario) Welcome(g *Gateway, have uint64) {
+// SendList sends a starting gateway the complete list or, if it has version have already, the changes since then.
+func (st *Scenario) SendList(g *Gateway, have uint64) {
 	if have > 0 && have <= st.version {
 		g.listVersion = have
 		st.sendUpdates(g)
@@ -74,7 +74,7 @@
 		age := -1.0
 		since := 0.0
 		if m.AgeMs >= 0 {
-			age, since = st.World.Now-m.AgeMs, m.AgeMs
+			age, since = st.Simulation.Now-m.AgeMs, m.AgeMs
 		}
 		out.Members = append(out.Members, &api.Member{Id: m.Id, Number: m.Number, State: m.State, AgeMs: age, Addr: m.Addr})
 		l.Entries = append(
@@ -83,5 +83,5 @@
 		)
 	}
 	st.record(&api.Record_Listing{Listing: l})
-	st.Fleet.List(g.Number, out)
+	st.Fleet.SendList(g.Number, out)
 }
--- a/internal/emulator/scenario/enumclients.go
+++ b/internal/emulator/scenario/enumclients.go
@@ -25,42 +25,42 @@
 // setupENUMClients adds the nodes of the ENUM clients and plans their look-ups.
 func (st *Scenario) setupENUMClients() {
 	s := st.Script
-	if s.Kiosks.Rate <= 0 {
+	if s.ENUMClients.Rate <= 0 {
 		return
 	}
-	sim, random := st.World, &st.random
+	sim, random := st.Simulation, &st.random
 	port := int(st.Gateways[0].Addr.Port())
 	for i, g := range st.Gateways {
-		g.Front, g.enumCallers = addr(1, i, port+40), map[netip.AddrPort]*enumCaller{}
+		g.ENUMAddr, g.enumCallers = addr(1, i, port+40), map[netip.AddrPort]*enumCaller{}
 		at := addr(9, i, port)
-		g.FrontAt = sim.Add(&simulation.Node{Addr: g.Front, Name: g.Name, Region: g.Region, Tapped: true})
-		st.recordNode(g.Front, "front", g.Name)
-		send := func(data []byte) { sim.Send(at, g.Front, data) }
-		g.Kiosks = enumclient.New(
-			enumclient.Manners{Apex: ENUMApex, Wait: s.Kiosks.Wait, Repeats: s.Kiosks.Repeats, Asks: s.Kiosks.Asks, Pause: 900},
+		g.ENUMNode = sim.Add(&simulation.Node{Addr: g.ENUMAddr, Name: g.Name, Region: g.Region, Tapped: true})
+		st.recordNode(g.ENUMAddr, "front", g.Name)
+		send := func(data []byte) { sim.Send(at, g.ENUMAddr, data) }
+		g.ENUMClients = enumclient.New(
+			enumclient.Config{Apex: ENUMApex, Wait: s.ENUMClients.Wait, Repeats: s.ENUMClients.Repeats, Asks: s.ENUMClients.Asks, Pause: 900},
 			s.Seed*37+uint64(i),
 			send,
 			send,
 		)
-		g.Kiosks.Call = func(now float64, v *enumclient.Visit, user string, to netip.AddrPort) {
+		g.ENUMClients.Call = func(now float64, v *enumclient.Visit, user string, to netip.AddrPort) {
 			st.callFromENUMClient(g, now, v, user, to)
 		}
-		g.enumClientsNode = sim.Add(&simulation.Node{Addr: at, Name: g.Name, Region: g.Region, Machine: g.Kiosks})
+		g.enumClientsNode = sim.Add(&simulation.Node{Addr: at, Name: g.Name, Region: g.Region, Machine: g.ENUMClients})
 		st.recordNode(at, "kiosk", g.Name)
 	}
 	for t := 0.0; ; {
-		t += -math.Log(1-random.Float64()) * 1000 / s.Kiosks.Rate
+		t += -math.Log(1-random.Float64()) * 1000 / s.ENUMClients.Rate
 		if t >= s.Length-1000 {
 			break
 		}
-		destination := workload.Pick(random.Float64(), len(st.endpoints),
+		destination := workload.PickWeighted(random.Float64(), len(st.endpoints),
 			func(i int) float64 { return 1 / st.endpoints[i].model.Setup })
 		number := "1418"
-		if st.Names != nil {
+		if st.Numbering != nil {
 			number = strings.TrimPrefix(st.dialledNumber(destination, random.Float64()), "+")
 		}
 		g := st.Gateways[int(random.Float64()*float64(len(st.Gateways)))]
-		g.Kiosks.Plan(&enumclient.Visit{At: t, Number: number, Hold: -math.Log(1-random.Float64()) * s.Kiosks.Hold})
+		g.ENUMClients.Plan(&enumclient.Visit{At: t, Number: number, Hold: -math.Log(1-random.Float64()) * s.ENUMClients.Hold})
 	}
 	for _, g := range st.Gateways {
 		g.enumClientsNode.ScheduleWakeup()
@@ -69,7 +69,7 @@
 
 // callFromENUMClient plans the call to the switch that a look-up has named.
 func (st *Scenario) callFromENUMClient(g *Gateway, now float64, v *enumclient.Visit, user string, to netip.AddrPort) {
-	sim := st.World
+	sim := st.Simulation
 	caller := g.enumCallers[to]
 	if caller == nil {
 		at := netip.AddrPortFrom(g.enumClientsNode.Addr.Addr(),
@@ -107,8 +107,8 @@
 	caller.node.ScheduleWakeup()
 }
 
-// FrontConfig returns the configuration of the gateways' ENUM servers.
-func (st *Scenario) FrontConfig() enumserver.Config {
+// ENUMConfig returns the configuration of the gateways' ENUM servers.
+func (st *Scenario) ENUMConfig() enumserver.Config {
 	return enumserver.Config{
 		Apex:             ENUMApex,
 		Class:            st.Script.Classes[0].Name,
@@ -128,22 +128,22 @@
 	}
 }
 
-// KioskService is the result of the look-ups and calls of the ENUM clients.
-type KioskService struct {
-	Visits, Named, Stood, Cut, None, Silent int
-	Waits                                   []float64 // time to a look-up's answer, in ms
+// ENUMService is the result of the look-ups and calls of the ENUM clients.
+type ENUMService struct {
+	Lookups, Named, Established, Dropped, None, Silent int
+	Waits                                              []float64 // time to a look-up's answer, in ms
 }
 
-// KioskService sums up the results of all ENUM clients.
-func (st *Scenario) KioskService() KioskService {
-	var s KioskService
+// ENUMService sums up the results of all ENUM clients.
+func (st *Scenario) ENUMService() ENUMService {
+	var s ENUMService
 	for _, g := range st.Gateways {
-		if g.Kiosks == nil {
+		if g.ENUMClients == nil {
 			continue
 		}
-		s.Silent += g.Kiosks.Silent
-		for _, v := range g.Kiosks.Visits {
-			s.Visits++
+		s.Silent += g.ENUMClients.Silent
+		for _, v := range g.ENUMClients.Visits {
+			s.Lookups++
 			if v.None {
 				s.None++
 			}
@@ -155,10 +155,10 @@
 		for _, caller := range g.enumCallers {
 			for _, record := range caller.Records {
 				if !math.IsNaN(record.AnsweredAt) {
-					s.Stood++
+					s.Established++
 				}
 				if record.Dropped {
-					s.Cut++
+					s.Dropped++
 				}
 			}
 		}
@@ -175,7 +175,7 @@
 	b.enqueue(func(now float64) {
 		if b.enumServer != nil {
 			b.enumServer.Receive(now, from, data, false,
-				func(out []byte) { b.fleet.Scenario.World.Send(b.gateway.Front, from, out) })
+				func(out []byte) { b.fleet.Scenario.Simulation.Send(b.gateway.ENUMAddr, from, out) })
 		}
 	})
 }
--- a/internal/emulator/scenario/faults.go
+++ b/internal/emulator/scenario/faults.go
@@ -9,7 +9,7 @@
 )
 
 // scheduleFault schedules a fault.
-func (st *Scenario) scheduleFault(t scenariofile.Trouble) {
+func (st *Scenario) scheduleFault(t scenariofile.Fault) {
 	if t.Kind == "deploy" {
 		st.planDeploy(t)
 		return
@@ -18,11 +18,11 @@
 	if begin == nil {
 		return
 	}
-	st.World.At(t.At, func() {
+	st.Simulation.At(t.At, func() {
 		st.Mark("trouble", t.Kind, "begins", nil)
 		begin()
 	})
-	st.World.At(t.At+t.For, func() {
+	st.Simulation.At(t.At+t.For, func() {
 		st.Mark("trouble", t.Kind, "ends", nil)
 		end()
 	})
@@ -32,7 +32,7 @@
 
 // faultEffects returns what a fault does when it begins and when it ends; nil: the scenario has nothing that it
 // affects. The affected endpoints are drawn now, so that the draw doesn't depend on what happens before the fault.
-func (st *Scenario) faultEffects(t scenariofile.Trouble) (begin, end func()) {
+func (st *Scenario) faultEffects(t scenariofile.Fault) (begin, end func()) {
 	switch t.Kind {
 	case "slow":
 		return slowDown(st.drawEndpoints(t), t.Size)
@@ -82,7 +82,7 @@
 // loseCircuits leaves the endpoints of a region a share of their circuits; due lets them release calls at once.
 func (st *Scenario) loseCircuits(region string, share float64, due bool) {
 	for _, p := range st.endpointsIn(region) {
-		p.coreSwitch.LoseCircuits(st.World.Now, share)
+		p.coreSwitch.LoseCircuits(st.Simulation.Now, share)
 		if due {
 			p.node.ScheduleWakeup()
 		}
@@ -103,12 +103,12 @@
 }
 
 // planDeploy schedules the replacement of endpoints, one after the other.
-func (st *Scenario) planDeploy(t scenariofile.Trouble) {
+func (st *Scenario) planDeploy(t scenariofile.Fault) {
 	endpoints := st.drawEndpoints(t)
-	st.World.At(t.At, func() {
+	st.Simulation.At(t.At, func() {
 		st.Mark("trouble", t.Kind, "begins", nil)
 		for i, p := range endpoints {
-			st.World.At(t.At+t.For*float64(i)/float64(len(endpoints)), func() { st.replace(p) })
+			st.Simulation.At(t.At+t.For*float64(i)/float64(len(endpoints)), func() { st.replace(p) })
 		}
 	})
 }
@@ -122,7 +122,7 @@
 		g.down = true
 		st.Mark("edge-kill", g.Name, "", nil)
 		st.Fleet.Kill(g.Number)
-		st.World.At(st.World.Now+300+700*st.random.Float64(), func() {
+		st.Simulation.At(st.Simulation.Now+300+700*st.random.Float64(), func() {
 			g.down = false
 			st.Fleet.Start(g.Number)
 			st.Mark("edge-start", g.Name, "", nil)
@@ -131,7 +131,7 @@
 }
 
 // drawEndpoints draws the endpoints that a fault affects, at least one.
-func (st *Scenario) drawEndpoints(t scenariofile.Trouble) []*endpoint {
+func (st *Scenario) drawEndpoints(t scenariofile.Fault) []*endpoint {
 	endpoints := st.endpointsIn(t.Region)
 	n := max(1, int(math.Round(t.Part*float64(len(endpoints)))))
 	endpoints = append([]*endpoint{}, endpoints...)
@@ -142,7 +142,7 @@
 	return endpoints[:min(n, len(endpoints))]
 }
 
-func (st *Scenario) drawGateways(t scenariofile.Trouble) []*Gateway {
+func (st *Scenario) drawGateways(t scenariofile.Fault) []*Gateway {
 	gateways := append([]*Gateway{}, st.Gateways...)
 	for i := len(gateways) - 1; i > 0; i-- {
 		j := int(st.random.Float64() * float64(i+1))
@@ -163,7 +163,7 @@
 }
 
 func (st *Scenario) toggleOtherLoad(endpoints []*endpoint, load, end float64) {
-	sim := st.World
+	sim := st.Simulation
 	if sim.Now >= end {
 		for _, p := range endpoints {
 			p.coreSwitch.OtherLoad = 0
@@ -181,27 +181,27 @@
 }
 
 // age slows switches down step by step, then kills and restarts them.
-func (st *Scenario) age(endpoints []*endpoint, t scenariofile.Trouble, step int) {
+func (st *Scenario) age(endpoints []*endpoint, t scenariofile.Fault, step int) {
 	const steps = 10
 	for _, p := range endpoints {
 		if step == steps {
 			st.kill(p)
 			st.delistLater(p)
 			p := p
-			st.World.At(st.World.Now+2000, func() { st.restart(p) })
+			st.Simulation.At(st.Simulation.Now+2000, func() { st.restart(p) })
 			continue
 		}
 		p.coreSwitch.Slowdown = 1 + (t.Size-1)*float64(step)/steps
 	}
 	if step < steps {
-		st.World.At(st.World.Now+t.For/steps, func() { st.age(endpoints, t, step+1) })
+		st.Simulation.At(st.Simulation.Now+t.For/steps, func() { st.age(endpoints, t, step+1) })
 	}
 }
 
 // delistLater puts a silent switch on the list as gone, after a delay.
 func (st *Scenario) delistLater(p *endpoint) {
 	incarnation, list := p.incarnation, st.Script.List
-	st.World.At(st.World.Now+list.SilentLo+(list.SilentHi-list.SilentLo)*st.random.Float64(), func() {
+	st.Simulation.At(st.Simulation.Now+list.SilentLo+(list.SilentHi-list.SilentLo)*st.random.Float64(), func() {
 		if p.incarnation == incarnation { // not restarted meanwhile
 			p.state = api.State_GONE
 			st.publish(p.member())
@@ -212,14 +212,14 @@
 // restart starts a new switch process, cold, at the same address.
 func (st *Scenario) restart(p *endpoint) {
 	p.incarnation++
-	p.state, p.startedAt = api.State_READY, st.World.Now
+	p.state, p.startedAt = api.State_READY, st.Simulation.Now
 	st.boot(p, true)
 	st.publishLater(p.member(), st.Script.List.AddLo, st.Script.List.AddHi)
 }
 
 // replace drains an endpoint's switch and starts a new one, cold, at another address.
 func (st *Scenario) replace(p *endpoint) {
-	sim, list := st.World, st.Script.List
+	sim, list := st.Simulation, st.Script.List
 	old := *p
 	old.state = api.State_DRAINING
 	st.Mark("drain", p.node.Name, "", nil)
@@ -244,16 +244,16 @@
 
 // stall pauses gateways repeatedly, each time for pause ms.
 func (st *Scenario) stall(gateways []*Gateway, pause, end float64) {
-	sim := st.World
+	sim := st.Simulation
 	if sim.Now >= end {
 		return
 	}
 	for _, g := range gateways {
 		g := g
 		st.Mark("edge-stop", g.Name, "", nil)
-		st.Fleet.Halt(g.Number)
+		st.Fleet.Pause(g.Number)
 		sim.At(sim.Now+pause, func() {
-			st.Fleet.Go(g.Number)
+			st.Fleet.Resume(g.Number)
 			st.Mark("edge-go", g.Name, "", nil)
 		})
 	}
--- a/internal/emulator/scenario/guards_test.go
+++ b/internal/emulator/scenario/guards_test.go
@@ -84,14 +84,14 @@
 
 func shortScenario(t *testing.T) *scenariofile.Script {
 	t.Helper()
-	s, err := Day("try")
+	s, err := BuiltIn("try")
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Length = 16000
 	s.Net.Double = 0.01
 	s.Gateways.Count, s.Pools.Count, s.Load.Rate = 3, 2, 60
-	s.Troubles = []scenariofile.Trouble{{Kind: "deploy", At: 2000, For: 100, Part: 0.4}}
+	s.Faults = []scenariofile.Fault{{Kind: "deploy", At: 2000, For: 100, Part: 0.4}}
 	return s
 }
 
@@ -102,7 +102,7 @@
 	st := New(s, 5060, func(r *api.Record) { k.Add(r) })
 	st.DisabledGuard = routing.Rule(disabledGuard)
 	NewVirtual(st, build)
-	st.World.Run(s.Length + 12000)
+	st.Simulation.Run(s.Length + 12000)
 	k.Finish()
 	return k
 }
@@ -131,7 +131,7 @@
 		s := shortScenario(t)
 		s.Length, s.Load.Rate, s.Rules.ColdShare, s.Rules.TipTimes = 20000, 95, 0.2, 1.2
 		s.Pools.Model.ColdShare, s.Pools.Model.OverloadFactor, s.Pools.Model.Warm = 0.2, 0, 14000
-		s.Troubles = []scenariofile.Trouble{{Kind: "silent", At: 4000, For: 5000, Part: 0.5}}
+		s.Faults = []scenariofile.Fault{{Kind: "silent", At: 4000, For: 5000, Part: 0.5}}
 		k := runAndCheck(s, func(settings *routing.Settings, h routing.Host) routing.Policy {
 			if !guarded {
 				settings.OverloadFactor = 0
--- a/internal/emulator/scenario/load.go
+++ b/internal/emulator/scenario/load.go
@@ -15,8 +15,8 @@
 //go:embed days/*.hcl
 var builtIn embed.FS
 
-// Day returns one of the built-in scenarios, with some values overridden, e.g. "pools.count=6".
-func Day(name string, set ...string) (*scenariofile.Script, error) {
+// BuiltIn returns one of the built-in scenarios, with some values overridden, e.g. "pools.count=6".
+func BuiltIn(name string, set ...string) (*scenariofile.Script, error) {
 	src, err := builtIn.ReadFile("days/" + name + ".hcl")
 	if err != nil {
 		return nil, fmt.Errorf("scenario %q: not among the built-in ones: %s", name,
@@ -68,7 +68,7 @@
 		}
 		return readWithOverrides(b, set)
 	}
-	return Day(name, set...)
+	return BuiltIn(name, set...)
 }
 
 func readWithOverrides(b *hclconfig.Block, overrides []string) (*scenariofile.Script, error) {
--- a/internal/emulator/scenario/numbers.go
+++ b/internal/emulator/scenario/numbers.go
@@ -21,7 +21,7 @@
 type Numbering struct {
 	Servers        []*dnsserver.Server
 	Addrs          []netip.AddrPort
-	Alter          func(i int, do func(*dnsserver.Server)) // changes server i; a real one must be locked
+	WithServer     func(i int, do func(*dnsserver.Server)) // changes server i; a real one must be locked
 	Version        uint64                                  // of the latest table
 	tables         map[uint64]*Table
 	DialledNumbers int // numbers drawn for calls
@@ -30,29 +30,29 @@
 // Table is a number table, compiled and in packed form.
 type Table struct {
 	*numberplan.Table
-	Form []byte
+	Packed []byte
 }
 
 // setupNumbering creates the DNS servers and schedules the changes of the number table.
 func (st *Scenario) setupNumbering() {
 	s := st.Script.Numbers
-	if !st.Script.Analyses() {
+	if !st.Script.AnalysesNumbers() {
 		return
 	}
 	zone := &dnsserver.Zone{
-		Apex:   Apex,
-		Seed:   st.Script.Seed*31 + 7,
-		Ported: s.Ported,
-		None:   s.None,
-		Leads:  s.Leads,
-		TTL:    uint32(s.TTL / 1000),
+		Apex:        Apex,
+		Seed:        st.Script.Seed*31 + 7,
+		Ported:      s.Ported,
+		None:        s.None,
+		NonTerminal: s.Leads,
+		TTL:         uint32(s.TTL / 1000),
 	}
 	for i := range st.Script.Pools.Count {
 		zone.Routes = append(zone.Routes, fmt.Sprintf("+1999%03d0000", i))
 	}
-	st.Names = &Numbering{Version: 1, tables: map[uint64]*Table{}}
-	n := st.Names
-	n.Alter = func(i int, do func(*dnsserver.Server)) { do(n.Servers[i]) }
+	st.Numbering = &Numbering{Version: 1, tables: map[uint64]*Table{}}
+	n := st.Numbering
+	n.WithServer = func(i int, do func(*dnsserver.Server)) { do(n.Servers[i]) }
 	for i := range s.Servers {
 		n.Servers = append(
 			n.Servers,
@@ -71,32 +71,32 @@
 			t := st.Table(n.Version)
 			for _, g := range st.Gateways {
 				st.Mark("table-sent", g.Name, strconv.FormatUint(n.Version, 10), nil)
-				st.Fleet.Table(g.Number, t)
+				st.Fleet.SetTable(g.Number, t)
 			}
-			if st.World.Now+s.Change < st.Script.Length {
-				st.World.At(st.World.Now+s.Change, next)
+			if st.Simulation.Now+s.Change < st.Script.Length {
+				st.Simulation.At(st.Simulation.Now+s.Change, next)
 			}
 		}
-		st.World.At(s.Change, next)
+		st.Simulation.At(s.Change, next)
 	}
 }
 
-// TableIn records that a gateway uses a table.
-func (st *Scenario) TableIn(gateway int, version uint64) {
+// RecordTableInUse records that a gateway uses a table.
+func (st *Scenario) RecordTableInUse(gateway int, version uint64) {
 	st.Mark("table-in", st.Gateways[gateway].Name, strconv.FormatUint(version, 10), nil)
 }
 
-// Mark4 returns the prefix that a table of a version adds to every number, so that the traffic shows which table was
+// TablePrefix returns the prefix that a table of a version adds to every number, so that the traffic shows which table was
 // used.
-func Mark4(version uint64) string { return strconv.FormatUint(1000+version%9000, 10) }
+func TablePrefix(version uint64) string { return strconv.FormatUint(1000+version%9000, 10) }
 
 // Table returns the table of a version. All versions route alike, but each uses its own prefix in every step: a call
 // analysed partly by one table and partly by another would have no route.
 func (st *Scenario) Table(version uint64) *Table {
-	if t := st.Names.tables[version]; t != nil {
+	if t := st.Numbering.tables[version]; t != nil {
 		return t
 	}
-	prefix := Mark4(version)
+	prefix := TablePrefix(version)
 	toPlan := func(plan string) *api.NumberAction { return &api.NumberAction{Do: &api.NumberAction_Plan{Plan: plan}} }
 	noAnswer := toPlan("mark")
 	if st.Script.Numbers.Refuse {
@@ -131,8 +131,8 @@
 	if err != nil {
 		panic(err)
 	}
-	st.Names.tables[version] = &Table{t, packed}
-	return st.Names.tables[version]
+	st.Numbering.tables[version] = &Table{t, packed}
+	return st.Numbering.tables[version]
 }
 
 // dialledNumber returns a number of a destination; draw is a random number in [0, 1).
@@ -142,11 +142,11 @@
 		int(math.Pow(draw, st.Script.Numbers.Popular)*float64(numbersPerDestination)))
 }
 
-// Resolve returns the configuration of the gateways' resolvers.
-func (st *Scenario) Resolve(seed uint64) dnsclient.Config {
+// ResolverConfig returns the configuration of the gateways' resolvers.
+func (st *Scenario) ResolverConfig(seed uint64) dnsclient.Config {
 	s := st.Script.Numbers
 	c := dnsclient.Config{
-		Servers:        st.Names.Addrs,
+		Servers:        st.Numbering.Addrs,
 		Ports:          2,
 		Seed:           seed,
 		MaxLookups:     1000,
@@ -169,15 +169,15 @@
 }
 
 // dnsFaultEffects returns what a fault of the DNS servers does when it begins and when it ends.
-func (st *Scenario) dnsFaultEffects(t scenariofile.Trouble) (begin, end func()) {
-	n := st.Names
+func (st *Scenario) dnsFaultEffects(t scenariofile.Fault) (begin, end func()) {
+	n := st.Numbering
 	if n == nil {
 		return nil, nil
 	}
 	affected := max(1, int(math.Round(t.Part*float64(len(n.Servers)))))
 	set := func(do func(*dnsserver.Faults)) {
 		for i := range min(affected, len(n.Servers)) {
-			n.Alter(i, func(s *dnsserver.Server) { do(&s.Faults) })
+			n.WithServer(i, func(s *dnsserver.Server) { do(&s.Faults) })
 		}
 	}
 	normal := dnsserver.Faults{Delay: st.Script.Numbers.Delay, Jitter: st.Script.Numbers.Jitter}
@@ -187,7 +187,7 @@
 }
 
 // applyFault sets the fault at a DNS server.
-func applyFault(f *dnsserver.Faults, t scenariofile.Trouble) {
+func applyFault(f *dnsserver.Faults, t scenariofile.Fault) {
 	switch t.Kind {
 	case "names_silent":
 		f.Silent = true
@@ -216,7 +216,7 @@
 func (b *VirtualGateway) newResolver() *gatewayResolver {
 	st := b.fleet.Scenario
 	l := &gatewayResolver{gateway: b}
-	l.client = dnsclient.New(st.Resolve(st.Script.Seed*97+uint64(b.gateway.Number)+b.starts<<32), l)
+	l.client = dnsclient.New(st.ResolverConfig(st.Script.Seed*97+uint64(b.gateway.Number)+b.starts<<32), l)
 	l.Finder = &portability.Finder{Resolver: l.client, Apex: Apex, Services: []string{"pstn:tel"}}
 	return l
 }
@@ -241,14 +241,14 @@
 	if lost {
 		return
 	}
-	st.World.At(st.World.Now+delay, func() {
-		for i, a := range st.Names.Addrs {
+	st.Simulation.At(st.Simulation.Now+delay, func() {
+		for i, a := range st.Numbering.Addrs {
 			if a != to {
 				continue
 			}
-			for _, r := range st.Names.Servers[i].Datagram(data) {
+			for _, r := range st.Numbering.Servers[i].Datagram(data) {
 				if returnDelay, lost := l.linkDelay(); !lost {
-					st.World.At(st.World.Now+r.After+returnDelay, func() {
+					st.Simulation.At(st.Simulation.Now+r.After+returnDelay, func() {
 						l.gateway.enqueue(func(now float64) {
 							if l.gateway.resolver == l {
 								l.client.Receive(now, port, to, r.Data)
@@ -265,13 +265,13 @@
 func (l *gatewayResolver) Stream(token uint64, to netip.AddrPort, data []byte, within float64) {
 	st := l.gateway.fleet.Scenario
 	delay, _ := l.linkDelay()
-	st.World.At(st.World.Now+3*delay, func() {
-		for i, a := range st.Names.Addrs {
+	st.Simulation.At(st.Simulation.Now+3*delay, func() {
+		for i, a := range st.Numbering.Addrs {
 			if a != to {
 				continue
 			}
-			for _, r := range st.Names.Servers[i].Stream(data) {
-				st.World.At(st.World.Now+r.After+delay, func() {
+			for _, r := range st.Numbering.Servers[i].Stream(data) {
+				st.Simulation.At(st.Simulation.Now+r.After+delay, func() {
 					l.gateway.enqueue(func(now float64) {
 						if l.gateway.resolver == l {
 							l.client.OnStreamResponse(now, token, r.Data)
@@ -294,11 +294,11 @@
 	return sum
 }
 
-// Table implements Fleet.
-func (v *Virtual) Table(i int, t *Table) {
+// SetTable implements Fleet.
+func (v *Virtual) SetTable(i int, t *Table) {
 	b := v.Gateways[i]
 	b.enqueue(func(now float64) {
 		b.SetTable(t.Table)
-		v.Scenario.TableIn(i, t.Version)
+		v.Scenario.RecordTableInUse(i, t.Version)
 	})
 }
--- a/internal/emulator/scenario/numbers_test.go
+++ b/internal/emulator/scenario/numbers_test.go
@@ -13,19 +13,19 @@
 func runNumbers(t *testing.T, change func(*scenariofile.Script)) (*Scenario, *Virtual, *conformance.Checker,
 	*conformance.TableChecker) {
 	t.Helper()
-	s, err := Day("numbers", `length="14s"`, "load.rate=200", "gateways.count=4", "pools.count=3")
+	s, err := BuiltIn("numbers", `length="14s"`, "load.rate=200", "gateways.count=4", "pools.count=3")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if change != nil {
 		change(s)
 	}
-	k, tables := conformance.New(), conformance.NewTableChecker(Mark4)
+	k, tables := conformance.New(), conformance.NewTableChecker(TablePrefix)
 	st := New(s, 5060, func(r *api.Record) { k.Add(r); tables.Add(r) })
 	k.Parse, tables.Parse = st.Parse, st.Parse
 	st.OnCallEnd = func(gateway int, f b2bua.CallRecord) { tables.Record(st.Gateways[gateway].Name, f.SessionID, f.Table) }
 	v := NewVirtual(st, newRouter)
-	st.World.Run(s.Length + 12000)
+	st.Simulation.Run(s.Length + 12000)
 	k.Finish()
 	for i, f := range k.Findings {
 		if i < 5 {
@@ -40,7 +40,7 @@
 // the end.
 func TestTableChangesUnderFaults(t *testing.T) {
 	st, v, _, tables := runNumbers(t, func(s *scenariofile.Script) {
-		s.Troubles = []scenariofile.Trouble{
+		s.Faults = []scenariofile.Fault{
 			{Kind: "restart", At: 4000, For: 1000, Part: 0.25},
 			{Kind: "stall", At: 6000, For: 3000, Part: 0.5, Size: 0.8},
 			{Kind: "names_silent", At: 8000, For: 3000, Part: 1},
@@ -67,14 +67,14 @@
 
 // Under each fault at all DNS servers, callers must be served, the rules kept, and no look-up may be left open.
 func TestDNSFaults(t *testing.T) {
-	for _, c := range []scenariofile.Trouble{{Kind: "names_silent"}, {Kind: "names_slow", Size: 2}, {Kind: "names_lossy",
+	for _, c := range []scenariofile.Fault{{Kind: "names_silent"}, {Kind: "names_slow", Size: 2}, {Kind: "names_lossy",
 		Size: 0.6}, {Kind: "names_spoofed", Size: 20},
 		{Kind: "names_cut", Size: 1}, {Kind: "names_lame"}, {Kind: "names_wrong", Size: 1}} {
 		t.Run(c.Kind, func(t *testing.T) {
 			c.At, c.For, c.Part = 3000, 7000, 1
 			st, v, _, tables := runNumbers(
 				t,
-				func(s *scenariofile.Script) { s.Troubles = []scenariofile.Trouble{c}; s.Numbers.Change = 3000 },
+				func(s *scenariofile.Script) { s.Faults = []scenariofile.Fault{c}; s.Numbers.Change = 3000 },
 			)
 			if len(tables.Findings) > 0 {
 				t.Error(tables.Findings[0])
@@ -103,18 +103,18 @@
 // switches.
 func TestENUMClientsUnderFaults(t *testing.T) {
 	st, v, k, _ := runNumbers(t, func(s *scenariofile.Script) {
-		s.Kiosks = scenariofile.Kiosks{Rate: 120, Hold: 4000, Loss: 0.05, Wait: 800, Repeats: 2, Asks: 2}
-		s.Troubles = []scenariofile.Trouble{
+		s.ENUMClients = scenariofile.ENUMClients{Rate: 120, Hold: 4000, Loss: 0.05, Wait: 800, Repeats: 2, Asks: 2}
+		s.Faults = []scenariofile.Fault{
 			{Kind: "deploy", At: 3000, For: 3000, Part: 0.67},
 			{Kind: "silent", At: 7000, For: 2000, Part: 0.3},
 			{Kind: "restart", At: 5000, For: 1000, Part: 0.25},
 			{Kind: "stall", At: 9000, For: 2000, Part: 0.5, Size: 0.8},
 		}
 	})
-	sv := st.KioskService()
+	sv := st.ENUMService()
 	sv.Waits = nil
 	t.Logf("%+v, %+v", sv, k.Totals)
-	if sv.Visits < 1200 || float64(sv.Named) < 0.85*float64(sv.Visits) || float64(sv.Stood) < 0.85*float64(sv.Named) {
+	if sv.Lookups < 1200 || float64(sv.Named) < 0.85*float64(sv.Lookups) || float64(sv.Established) < 0.85*float64(sv.Named) {
 		t.Errorf("%+v", sv)
 	}
 	for _, b := range v.Gateways {
--- a/internal/emulator/scenario/scenario.go
+++ b/internal/emulator/scenario/scenario.go
@@ -30,12 +30,12 @@
 
 // Fleet is implemented by whatever runs the gateways. Gateways are identified by their number.
 type Fleet interface {
-	List(gateway int, u *api.Update) // sends an endpoint list or a change to it
-	Halt(gateway int)                // pauses it
-	Go(gateway int)                  // resumes it
+	SendList(gateway int, u *api.Update) // sends an endpoint list or a change to it
+	Pause(gateway int)                   // pauses it
+	Resume(gateway int)                  // resumes it
 	Kill(gateway int)
 	Start(gateway int)
-	Table(gateway int, t *Table) // installs a number table and calls TableIn when that is done
+	SetTable(gateway int, t *Table) // installs a number table and calls TableIn when that is done
 }
 
 // Gateway holds a gateway's addresses and the clients that use it.
@@ -47,9 +47,9 @@
 	Region          string
 	Callers         *callers.Callers
 	callersNode     *simulation.Node
-	Kiosks          *enumclient.Kiosks // nil: no ENUM clients
-	Front           netip.AddrPort     // address of the ENUM server
-	FrontAt         *simulation.Node   // node of the ENUM server; nil: none
+	ENUMClients     *enumclient.Kiosks // nil: no ENUM clients
+	ENUMAddr        netip.AddrPort     // address of the ENUM server
+	ENUMNode        *simulation.Node   // node of the ENUM server; nil: none
 	enumClientsNode *simulation.Node
 	enumCallers     map[netip.AddrPort]*enumCaller
 	Node            *simulation.Node
@@ -73,15 +73,15 @@
 
 // Scenario is a script that is being run.
 type Scenario struct {
-	Script    *scenariofile.Script
-	World     *simulation.Simulation
-	Gateways  []*Gateway
-	Fleet     Fleet
-	Record    func(*api.Record)                     // gets the records of the capture; may be nil
-	Say       func(at float64, what string)         // gets a text for each mark but starts; may be nil
-	Parse     func([]byte) (sip.Message, error)     // parser used by all simulated machines
-	OnCallEnd func(gateway int, f b2bua.CallRecord) // gets the record of each call, in virtual time only; may be nil
-	Names     *Numbering                            // nil: numbers are not analysed; callers name their trunk groups
+	Script     *scenariofile.Script
+	Simulation *simulation.Simulation
+	Gateways   []*Gateway
+	Fleet      Fleet
+	Record     func(*api.Record)                     // gets the records of the capture; may be nil
+	OnMark     func(at float64, what string)         // gets a text for each mark but starts; may be nil
+	Parse      func([]byte) (sip.Message, error)     // parser used by all simulated machines
+	OnCallEnd  func(gateway int, f b2bua.CallRecord) // gets the record of each call, in virtual time only; may be nil
+	Numbering  *Numbering                            // nil: numbers are not analysed; callers name their trunk groups
 	// DisabledGuard is the rule whose guard in the gateways is switched off, to test that the checker reports it; 0:
 	// none.
 	DisabledGuard routing.Rule
@@ -108,9 +108,9 @@
 }
 
 func build(s *scenariofile.Script, port int, blur float64, record func(*api.Record)) *Scenario {
-	st := &Scenario{Script: s, World: simulation.New(s.Seed), Record: record, Parse: newCachedParser()}
+	st := &Scenario{Script: s, Simulation: simulation.New(s.Seed), Record: record, Parse: newCachedParser()}
 	st.random.Seed = s.Seed*2654435761 + 17
-	sim := st.World
+	sim := st.Simulation
 	sim.Link = st.link
 	sim.Tap = func(at float64, from, to netip.AddrPort, data []byte) {
 		if st.Record != nil {
@@ -133,7 +133,7 @@
 	st.setupNumbering()
 	st.planArrivals()
 	st.setupENUMClients()
-	for _, t := range s.Troubles {
+	for _, t := range s.Faults {
 		st.scheduleFault(t)
 	}
 	return st
@@ -158,7 +158,7 @@
 
 // addGateway adds gateway i and its callers.
 func (st *Scenario) addGateway(i, port int) {
-	s, sim := st.Script, st.World
+	s, sim := st.Script, st.Simulation
 	region := s.Regions[i%len(s.Regions)]
 	g := &Gateway{
 		Number: i,
@@ -247,7 +247,7 @@
 	if st.Record == nil {
 		return
 	}
-	r := &api.Record{At: st.World.Now}
+	r := &api.Record{At: st.Simulation.Now}
 	switch v := what.(type) {
 	case *api.Record_Node:
 		r.What = v
@@ -270,8 +270,8 @@
 // Mark records an event of the scenario in the capture.
 func (st *Scenario) Mark(what, name, text string, start *api.Start) {
 	st.record(&api.Record_Mark{Mark: &api.Mark{What: what, Who: name, Text: text, Start: start}})
-	if st.Say != nil && what != "start" {
-		st.Say(st.World.Now, fmt.Sprintf("%s %s %s", what, name, text))
+	if st.OnMark != nil && what != "start" {
+		st.OnMark(st.Simulation.Now, fmt.Sprintf("%s %s %s", what, name, text))
 	}
 }
 
@@ -284,7 +284,7 @@
 		link.Delay = network.Same
 	}
 	if st.isENUMClient(a) || st.isENUMClient(b) {
-		link.Loss += st.Script.Kiosks.Loss
+		link.Loss += st.Script.ENUMClients.Loss
 		return link
 	}
 	if (st.isCaller(a) || st.isCaller(b)) && !st.isSwitch(a) && !st.isSwitch(b) {
@@ -310,7 +310,7 @@
 
 // boot starts a switch process for an endpoint.
 func (st *Scenario) boot(p *endpoint, cold bool) {
-	sim := st.World
+	sim := st.Simulation
 	self := p.addr
 	p.coreSwitch = coreswitch.New(p.model, self, st.Script.Seed+uint64(p.number)*104729+uint64(p.incarnation)*31+5,
 		sim.Now, cold, func(to netip.AddrPort, data []byte) { sim.Send(self, to, data) })
@@ -351,7 +351,7 @@
 	sort.Strings(sessions)
 	for _, g := range st.Gateways {
 		for _, session := range sessions {
-			g.Callers.OnLineDead(st.World.Now, session)
+			g.Callers.OnLineDead(st.Simulation.Now, session)
 		}
 		g.callersNode.ScheduleWakeup()
 	}
@@ -416,13 +416,13 @@
 	return c
 }
 
-// Tell calls deliver after the delay of a message between gateways, unless the message is lost.
-func (st *Scenario) Tell(to int, deliver func(now float64)) {
+// SendGossip calls deliver after the delay of a message between gateways, unless the message is lost.
+func (st *Scenario) SendGossip(to int, deliver func(now float64)) {
 	network := st.Script.Net
 	if to < 0 || to >= len(st.Gateways) || st.gossipLost || st.random.Float64() < network.PeerLoss {
 		return
 	}
-	st.World.At(st.World.Now+network.Peer*(1+network.Jitter*(2*st.random.Float64()-1)), func() { deliver(st.World.Now) })
+	st.Simulation.At(st.Simulation.Now+network.Peer*(1+network.Jitter*(2*st.random.Float64()-1)), func() { deliver(st.Simulation.Now) })
 }
 
 // newCachedParser returns a parser that parses a datagram once for all who read it: the tap, then the receiver. They
--- a/internal/emulator/scenario/scenario_test.go
+++ b/internal/emulator/scenario/scenario_test.go
@@ -15,14 +15,14 @@
 func newRouter(s *routing.Settings, h routing.Host) routing.Policy { return router.New(s, h) }
 
 func TestAllFaults(t *testing.T) {
-	s, err := Day("trouble")
+	s, err := BuiltIn("trouble")
 	if err != nil {
 		t.Fatal(err)
 	}
 	k := conformance.New()
 	st := New(s, 5060, func(r *api.Record) { k.Add(r) })
 	v := NewVirtual(st, newRouter)
-	st.World.Run(s.Length + 12000)
+	st.Simulation.Run(s.Length + 12000)
 	k.Finish()
 	sv := st.Service()
 	sv.Waits = nil
@@ -41,7 +41,7 @@
 // TestDesignShares checks the design: without faults, first attempts go to the destination, and the endpoints of
 // calls whose destination drains are drawn by the formula.
 func TestDesignShares(t *testing.T) {
-	s, err := Day("quiet")
+	s, err := BuiltIn("quiet")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 	shares = NewShares(st, 1)
 	st.Drain(1)
 	NewVirtual(st, newRouter)
-	st.World.Run(s.Length + 10000)
+	st.Simulation.Run(s.Length + 10000)
 	t.Logf("\n%s", shares)
 	if part := float64(shares.AtDestination) / float64(shares.FirstAttempts); part < 0.9 || shares.FirstAttempts < 3000 {
 		t.Errorf("%.3f of %d first attempts at the destination", part, shares.FirstAttempts)
@@ -78,7 +78,7 @@
 			}
 		})
 		NewVirtual(st, newRouter)
-		st.World.Run(s.Length + 5000)
+		st.Simulation.Run(s.Length + 5000)
 		return n
 	}
 	if a, b := sum(), sum(); a != b || a == 0 {
@@ -93,13 +93,13 @@
 	s.Gateways.Count, s.Gateways.Held, s.Gateways.MostRate = 1, 400, 90
 	s.Load.Rate, s.Length = 40, 8000
 	s.Callers.Redials = 0
-	s.Troubles = []scenariofile.Trouble{{Kind: "flood", At: 2000, For: 4000, Size: 20}}
+	s.Faults = []scenariofile.Fault{{Kind: "flood", At: 2000, For: 4000, Size: 20}}
 	k := conformance.New()
 	st := New(s, 5060, func(r *api.Record) { k.Add(r) })
 	v := NewVirtual(st, newRouter)
 	most := 0
 	for at := 0.0; at < s.Length+10000; at += 50 {
-		st.World.Run(at)
+		st.Simulation.Run(at)
 		waiting, _ := v.Gateways[0].InProgress()
 		most = max(most, waiting)
 	}
@@ -131,10 +131,10 @@
 	s := shortScenario(t)
 	s.Length = 70000
 	s.Load.Rate = 30
-	s.Troubles = append(
-		s.Troubles,
-		scenariofile.Trouble{Kind: "listless", At: 1000, For: 60000},
-		scenariofile.Trouble{Kind: "stall", At: 5000, For: 3000, Part: 0.4, Size: 2},
+	s.Faults = append(
+		s.Faults,
+		scenariofile.Fault{Kind: "listless", At: 1000, For: 60000},
+		scenariofile.Fault{Kind: "stall", At: 5000, For: 3000, Part: 0.4, Size: 2},
 	)
 	if k := runAndCheck(s, newRouter, 0); len(k.Findings) > 0 || k.Totals.Attempts < 300 {
 		t.Errorf("%d attempts, findings %v", k.Totals.Attempts, k.Findings)
--- a/internal/emulator/scenario/service.go
+++ b/internal/emulator/scenario/service.go
@@ -18,7 +18,7 @@
 	Answered, Late, Dropped, Unserved int
 	ExtraResponses                    int       // final responses after a final response, as seen by callers
 	Waits                             []float64 // time to answer of the answered calls in ms, sorted
-	Fell                              int
+	OverloadedSwitches                int
 }
 
 // Service computes the service up to now.
@@ -44,7 +44,7 @@
 	}
 	for _, p := range st.endpoints {
 		if p.coreSwitch.Overloaded {
-			sum.Fell++
+			sum.OverloadedSwitches++
 		}
 	}
 	return sum.Service
--- a/internal/emulator/scenario/virtual.go
+++ b/internal/emulator/scenario/virtual.go
@@ -43,7 +43,7 @@
 		v.Gateways = append(v.Gateways, b)
 		b.startProcess()
 		g.Node.Machine = b
-		st.Welcome(g, 0)
+		st.SendList(g, 0)
 		g.Node.ScheduleWakeup()
 	}
 	return v
@@ -54,11 +54,11 @@
 	cfg.Settings.Seed += b.starts << 32
 	b.starts++
 	b.pending = nil
-	if st := b.fleet.Scenario; st.Names != nil {
+	if st := b.fleet.Scenario; st.Numbering != nil {
 		b.resolver = b.newResolver()
-		cfg.NumberLookup, cfg.Table, cfg.LookupShare, cfg.Epoch = b.resolver, st.Table(st.Names.Version).Table,
+		cfg.NumberLookup, cfg.Table, cfg.LookupShare, cfg.Epoch = b.resolver, st.Table(st.Numbering.Version).Table,
 			st.Script.Numbers.Share, epoch
-		st.TableIn(b.gateway.Number, st.Names.Version)
+		st.RecordTableInUse(b.gateway.Number, st.Numbering.Version)
 	}
 	b.Agent = b2bua.New(cfg, b.fleet.NewPolicy, b)
 	b.OnCallEnd = func(f b2bua.CallRecord) {
@@ -67,21 +67,21 @@
 		}
 	}
 	b.enumServer = nil
-	if b.gateway.FrontAt != nil {
-		b.enumServer = enumserver.New(b.fleet.Scenario.FrontConfig(), b.Agent)
-		b.gateway.FrontAt.Machine = &enumMachine{b}
+	if b.gateway.ENUMNode != nil {
+		b.enumServer = enumserver.New(b.fleet.Scenario.ENUMConfig(), b.Agent)
+		b.gateway.ENUMNode.Machine = &enumMachine{b}
 	}
 }
 
 // Send implements b2bua.Transport.
 func (b *VirtualGateway) Send(to netip.AddrPort, data []byte) {
-	b.fleet.Scenario.World.Send(b.gateway.Addr, to, data)
+	b.fleet.Scenario.Simulation.Send(b.gateway.Addr, to, data)
 }
 
 // SendGossip implements b2bua.Transport.
 func (b *VirtualGateway) SendGossip(to int, data []byte) {
 	from := b.gateway.Number
-	b.fleet.Scenario.Tell(to, func(float64) {
+	b.fleet.Scenario.SendGossip(to, func(float64) {
 		o := b.fleet.Gateways[to]
 		o.enqueue(func(now float64) { o.OnPeerMessage(now, from, data) })
 	})
@@ -108,23 +108,23 @@
 // NextWakeup implements simulation.Machine.
 func (b *VirtualGateway) NextWakeup() float64 {
 	if len(b.pending) > 0 {
-		return b.fleet.Scenario.World.Now
+		return b.fleet.Scenario.Simulation.Now
 	}
 	return b.Agent.NextWakeup()
 }
 
-// List implements Fleet.
-func (v *Virtual) List(i int, u *api.Update) {
+// SendList implements Fleet.
+func (v *Virtual) SendList(i int, u *api.Update) {
 	b := v.Gateways[i]
-	sent := v.Scenario.World.Now
+	sent := v.Scenario.Simulation.Now
 	b.enqueue(func(now float64) { b.OnEndpointList(now, grpcdiscovery.Entries(u, sent), u.Whole) })
 }
 
-// Halt implements Fleet.
-func (v *Virtual) Halt(i int) { v.Scenario.Gateways[i].Node.Pause() }
+// Pause implements Fleet.
+func (v *Virtual) Pause(i int) { v.Scenario.Gateways[i].Node.Pause() }
 
-// Go implements Fleet.
-func (v *Virtual) Go(i int) { v.Scenario.Gateways[i].Node.Resume() }
+// Resume implements Fleet.
+func (v *Virtual) Resume(i int) { v.Scenario.Gateways[i].Node.Resume() }
 
 // Kill implements Fleet.
 func (v *Virtual) Kill(i int) {
@@ -137,5 +137,5 @@
 	g, b := v.Scenario.Gateways[i], v.Gateways[i]
 	b.startProcess()
 	g.Node.Restart(b)
-	v.Scenario.Welcome(g, 0)
+	v.Scenario.SendList(g, 0)
 }
--- a/internal/emulator/scenariofile/script.go
+++ b/internal/emulator/scenariofile/script.go
@@ -19,23 +19,23 @@
 //
 // Scripts are stored as JSON under the Go names of their fields; a renamed field keeps its old name in a tag.
 type Script struct {
-	Name     string
-	Seed     uint64
-	Length   float64
-	Regions  []string
-	Gateways Gateways
-	Rules    Rules
-	Net      Net
-	Classes  []Class  `json:"Skills"`
-	Tenants  []Tenant `json:"Payers"`
-	Pools    Pools
-	Load     Load
-	Callers  Callers
-	List     List
-	Numbers  Numbers
-	Kiosks   Kiosks      `json:"Kiosks"`
-	Troubles []Trouble   `json:"Troubles"`
-	Calls    []*api.Call `json:"-"` // calls of a trace, in place of Load
+	Name        string
+	Seed        uint64
+	Length      float64
+	Regions     []string
+	Gateways    Gateways
+	Rules       Rules
+	Net         Net
+	Classes     []Class  `json:"Skills"`
+	Tenants     []Tenant `json:"Payers"`
+	Pools       Pools
+	Load        Load
+	Callers     Callers
+	List        List
+	Numbers     Numbers
+	ENUMClients ENUMClients `json:"Kiosks"`
+	Faults      []Fault     `json:"Troubles"`
+	Calls       []*api.Call `json:"-"` // calls of a trace, in place of Load
 }
 
 // Gateways holds the number and the settings of the gateways. Held is the most calls that may be pending at one of
@@ -112,8 +112,8 @@
 	Stale               float64 // how long stale answers are served
 }
 
-// Kiosks are ENUM clients: they look up which switch to call and call it themselves.
-type Kiosks struct {
+// ENUMClients are ENUM clients: they look up which switch to call and call it themselves.
+type ENUMClients struct {
 	Rate    float64 // calls per second at all gateways together; 0: no ENUM clients
 	Hold    float64
 	Loss    float64 // share of datagrams lost between them and the gateways
@@ -122,20 +122,20 @@
 	Asks    int // new queries after a failed one
 }
 
-// Analyses reports whether the gateways analyse numbers. They don't for the calls of a trace, which name their trunk
+// AnalysesNumbers reports whether the gateways analyse numbers. They don't for the calls of a trace, which name their trunk
 // groups themselves.
-func (s *Script) Analyses() bool { return s.Numbers.On && len(s.Calls) == 0 }
+func (s *Script) AnalysesNumbers() bool { return s.Numbers.On && len(s.Calls) == 0 }
 
-// Trouble is a fault. Part is the share of the components that it affects; what Size means depends on the kind.
-type Trouble struct {
+// Fault is a fault. Part is the share of the components that it affects; what Size means depends on the kind.
+type Fault struct {
 	Kind       string
 	At, For    float64
 	Part, Size float64
 	Region     string
 }
 
-// Kinds describes each kind of fault with the meaning of its part and size.
-var Kinds = map[string]string{
+// FaultKinds describes each kind of fault with the meaning of its part and size.
+var FaultKinds = map[string]string{
 	"burst":         "calls arrive size times as often",
 	"uneven":        "a part of the gateways gets the share size of all calls",
 	"slow":          "a part of the switches runs size times slower",
@@ -365,7 +365,7 @@
 // readKiosks reads the settings of the ENUM clients.
 func (s *Script) readKiosks(b *hclconfig.Block) {
 	for _, n := range b.Blocks("kiosks", 0) {
-		s.Kiosks = Kiosks{
+		s.ENUMClients = ENUMClients{
 			Rate:    n.Num("rate", 100, 0, 1e6),
 			Hold:    n.Ms("hold", 5000, 1, msPerDay),
 			Loss:    n.Num("loss", 0, 0, 1),
@@ -379,7 +379,7 @@
 // readFaults reads the faults.
 func (s *Script) readFaults(b *hclconfig.Block) {
 	for _, t := range b.Blocks("trouble", 1) {
-		fault := Trouble{
+		fault := Fault{
 			Kind:   t.Labels[0],
 			At:     t.Ms("at", hclconfig.Required, 0, msPerDay),
 			For:    t.Ms("for", 10000, 0, msPerDay),
@@ -387,12 +387,12 @@
 			Size:   t.Num("size", 2, 0, 1000),
 			Region: t.Text("region", ""),
 		}
-		if Kinds[fault.Kind] == "" {
+		if FaultKinds[fault.Kind] == "" {
 			t.AddError("", "trouble %q is not known", fault.Kind)
 		}
-		s.Troubles = append(s.Troubles, fault)
+		s.Faults = append(s.Faults, fault)
 	}
 }
 
-// KindNames returns the names of the kinds of fault, sorted.
-func KindNames() []string { return slices.Sorted(maps.Keys(Kinds)) }
+// FaultKindNames returns the names of the kinds of fault, sorted.
+func FaultKindNames() []string { return slices.Sorted(maps.Keys(FaultKinds)) }
--- a/internal/emulator/scenariofile/script_test.go
+++ b/internal/emulator/scenariofile/script_test.go
@@ -20,8 +20,8 @@
 	}
 	m := s.Pools.Model
 	if s.Gateways.Count != 3 || s.Net.Cross != 12 || s.Pools.Count != 2 || s.Load.Rate != 54 || s.Rules.Clear != 500 ||
-		m.Times.T1 != 400 || len(s.Troubles) != 2 ||
-		s.Troubles[1].Region != "b" || s.Troubles[0].Part != 0.5 ||
+		m.Times.T1 != 400 || len(s.Faults) != 2 ||
+		s.Faults[1].Region != "b" || s.Faults[0].Part != 0.5 ||
 		strings.Join(m.Reports, " ") != "util queue" {
 		t.Errorf("%+v", s)
 	}
--- a/internal/emulator/scenariofile/simulator.go
+++ b/internal/emulator/scenariofile/simulator.go
@@ -139,7 +139,7 @@
 		Pools:    c.pools(),
 		Classes:  c.classes(),
 		Tenants:  c.tenants(),
-		Troubles: c.faults(),
+		Faults:   c.faults(),
 	}
 	return s, c.notes, nil
 }
@@ -350,8 +350,8 @@
 	return tenants
 }
 
-func (c *simulatorConverter) faults() []Trouble {
-	var faults []Trouble
+func (c *simulatorConverter) faults() []Fault {
+	var faults []Fault
 	for _, t := range c.source.Troubles {
 		kind := faultKinds[t.Kind]
 		if kind == "" {
@@ -364,9 +364,9 @@
 	return faults
 }
 
-func (c *simulatorConverter) fault(kind string, t *simulatorFault) Trouble {
+func (c *simulatorConverter) fault(kind string, t *simulatorFault) Fault {
 	d := c.source
-	fault := Trouble{Kind: kind, At: ms(t.At), For: ms(t.Len), Size: t.Size}
+	fault := Fault{Kind: kind, At: ms(t.At), For: ms(t.Len), Size: t.Size}
 	count := len(d.Servers)
 	switch kind {
 	case "uneven", "stall", "restart":
--- a/internal/emulator/search/search.go
+++ b/internal/emulator/search/search.go
@@ -29,21 +29,21 @@
 
 // Options configure a search.
 type Options struct {
-	Days  int
-	Seed  uint64
-	Large bool                                          // draws scenarios with up to 40 gateways
-	Play  func(*scenariofile.Script) *virtualrun.Result // runs a scenario; nil: with the project's own policy
-	Found func(Find)                                    // called at once, so that an interrupted search loses none
-	Say   func(done int, worst float64)
+	Days     int
+	Seed     uint64
+	Large    bool                                          // draws scenarios with up to 40 gateways
+	Simulate func(*scenariofile.Script) *virtualrun.Result // runs a scenario; nil: with the project's own policy
+	Found    func(Find)                                    // called at once, so that an interrupted search loses none
+	Progress func(done int, worst float64)
 }
 
 // Result holds the outcome of a search.
 type Result struct {
-	Days   int
-	Broken []Find
-	Worst  []Find               // scenarios that break no rule, worst service first, at most ten
-	Cold   float64              // highest share of a slow-start budget that was used
-	At     *scenariofile.Script // scenario with that share
+	Days               int
+	Broken             []Find
+	Worst              []Find               // scenarios that break no rule, worst service first, at most ten
+	MaxSlowStartUse    float64              // highest share of a slow-start budget that was used
+	MaxSlowStartScript *scenariofile.Script // scenario with that share
 }
 
 // faultKinds are the kinds of fault that a search draws, with the range of their sizes.
@@ -98,7 +98,7 @@
 	s.Load.Rate = between(0.5, 1.25) * float64(s.Pools.Count) * 1000 / work
 	s.List.SilentLo, s.List.SilentHi, s.List.NoticeHi = 1000, between(1500, 6000), between(800, 4000)
 	for range intBetween(1, 4) {
-		s.Troubles = append(s.Troubles, randomFault(rng, s))
+		s.Faults = append(s.Faults, randomFault(rng, s))
 	}
 	if rng.Float64() < 0.5 {
 		addNumberAnalysis(rng, s)
@@ -139,9 +139,9 @@
 	}
 	for range int(rng.Float64() * 3) {
 		kind := dnsFaultKinds[int(rng.Float64()*float64(len(dnsFaultKinds)))]
-		s.Troubles = append(
-			s.Troubles,
-			scenariofile.Trouble{
+		s.Faults = append(
+			s.Faults,
+			scenariofile.Fault{
 				Kind: kind.name,
 				At:   500 + rng.Float64()*s.Length*0.6,
 				For:  300 + rng.Float64()*s.Length*0.5,
@@ -152,7 +152,7 @@
 	}
 	if rng.Float64() < 0.6 {
 		share := between(0.1, 0.9)
-		s.Kiosks = scenariofile.Kiosks{
+		s.ENUMClients = scenariofile.ENUMClients{
 			Rate:    s.Load.Rate * share,
 			Hold:    between(1000, 6000),
 			Loss:    oneOf(0, 0.02, 0.2),
@@ -164,9 +164,9 @@
 	}
 }
 
-func randomFault(rng *siptransaction.Generator, s *scenariofile.Script) scenariofile.Trouble {
+func randomFault(rng *siptransaction.Generator, s *scenariofile.Script) scenariofile.Fault {
 	kind := faultKinds[int(rng.Float64()*float64(len(faultKinds)))]
-	fault := scenariofile.Trouble{
+	fault := scenariofile.Fault{
 		Kind: kind.name,
 		At:   500 + rng.Float64()*s.Length*0.6,
 		For:  300 + rng.Float64()*s.Length*0.5,
@@ -181,7 +181,7 @@
 
 // Plain returns the scenario that random ones start from. Its core switches are slow, so that few calls load them.
 func Plain() *scenariofile.Script {
-	s, err := scenario.Day("plain")
+	s, err := scenario.BuiltIn("plain")
 	if err != nil {
 		panic(err) // the file is embedded in the program
 	}
@@ -192,25 +192,25 @@
 func mutate(s *scenariofile.Script, seed uint64) *scenariofile.Script {
 	rng := &siptransaction.Generator{Seed: seed}
 	mutant := *s
-	mutant.Troubles = append([]scenariofile.Trouble{}, s.Troubles...)
+	mutant.Faults = append([]scenariofile.Fault{}, s.Faults...)
 	switch int(rng.Float64() * 6) {
 	case 0:
 		mutant.Seed = seed
 	case 1:
-		if len(mutant.Troubles) < 6 {
-			mutant.Troubles = append(mutant.Troubles, randomFault(rng, &mutant))
+		if len(mutant.Faults) < 6 {
+			mutant.Faults = append(mutant.Faults, randomFault(rng, &mutant))
 		}
 	case 2:
-		if len(mutant.Troubles) > 0 {
-			i := int(rng.Float64() * float64(len(mutant.Troubles)))
-			mutant.Troubles[i].At, mutant.Troubles[i].For =
+		if len(mutant.Faults) > 0 {
+			i := int(rng.Float64() * float64(len(mutant.Faults)))
+			mutant.Faults[i].At, mutant.Faults[i].For =
 				500+rng.Float64()*mutant.Length*0.6, 300+rng.Float64()*mutant.Length*0.5
 		}
 	case 3:
-		if len(mutant.Troubles) > 0 {
-			i := int(rng.Float64() * float64(len(mutant.Troubles)))
-			mutant.Troubles[i].Part = 0.1 + 0.8*rng.Float64()
-			mutant.Troubles[i].Size *= 0.7 + 0.6*rng.Float64()
+		if len(mutant.Faults) > 0 {
+			i := int(rng.Float64() * float64(len(mutant.Faults)))
+			mutant.Faults[i].Part = 0.1 + 0.8*rng.Float64()
+			mutant.Faults[i].Size *= 0.7 + 0.6*rng.Float64()
 		}
 	case 4:
 		mutant.Load.Rate *= 0.8 + 0.4*rng.Float64()
@@ -228,17 +228,17 @@
 		f.Rule, f.What, f.Score = r.Findings[0].Rule, r.Findings[0].String(), 10+float64(len(r.Findings))
 	} else if r.Tables != nil && len(r.Tables.Findings) > 0 {
 		f.Rule, f.What, f.Score = TableFinding, r.Tables.Findings[0], 10+float64(len(r.Tables.Findings))
-	} else if r.Service.Fell > 0 {
-		f.What = fmt.Sprintf("%d switches were pushed over", r.Service.Fell)
+	} else if r.Service.OverloadedSwitches > 0 {
+		f.What = fmt.Sprintf("%d switches were pushed over", r.Service.OverloadedSwitches)
 	}
 	return f
 }
 
 // Run searches until all scenarios have run or ctx ends. The result holds what was found up to then.
 func Run(ctx context.Context, o Options) *Result {
-	if o.Play == nil {
-		o.Play = func(s *scenariofile.Script) *virtualrun.Result {
-			return virtualrun.Play(s, virtualrun.Module("brain"), virtualrun.Options{})
+	if o.Simulate == nil {
+		o.Simulate = func(s *scenariofile.Script) *virtualrun.Result {
+			return virtualrun.Run(s, virtualrun.PolicyByName("brain"), virtualrun.Options{})
 		}
 	}
 	var mu sync.Mutex
@@ -246,7 +246,7 @@
 	var elite []Find // scenarios to mutate: high use of a slow-start budget, or bad service
 	guidanceScore := func(r *virtualrun.Result, f Find) float64 { return f.Score + r.Totals.SlowStartUse }
 	guidance := map[*scenariofile.Script]float64{}
-	virtualrun.Each(ctx, o.Days, func(i int) {
+	virtualrun.ForEach(ctx, o.Days, func(i int) {
 		seed := o.Seed*1000003 + uint64(i)
 		rng := &siptransaction.Generator{Seed: seed}
 		var s *scenariofile.Script
@@ -258,13 +258,13 @@
 		if s == nil {
 			s = Draw(seed, o.Large)
 		}
-		r := o.Play(s)
+		r := o.Simulate(s)
 		f := Judge(s, r)
 		mu.Lock()
 		defer mu.Unlock()
 		res.Days++
-		if r.Totals.SlowStartUse > res.Cold {
-			res.Cold, res.At = r.Totals.SlowStartUse, s
+		if r.Totals.SlowStartUse > res.MaxSlowStartUse {
+			res.MaxSlowStartUse, res.MaxSlowStartScript = r.Totals.SlowStartUse, s
 		}
 		guidance[s] = guidanceScore(r, f)
 		elite = insertSorted(elite, f, 24, func(f Find) float64 { return guidance[f.Script] })
@@ -276,8 +276,8 @@
 		} else {
 			res.Worst = insertSorted(res.Worst, f, 10, func(f Find) float64 { return f.Score })
 		}
-		if o.Say != nil && res.Days%200 == 0 && len(res.Worst) > 0 {
-			o.Say(res.Days, res.Worst[0].Score)
+		if o.Progress != nil && res.Days%200 == 0 && len(res.Worst) > 0 {
+			o.Progress(res.Days, res.Worst[0].Score)
 		}
 	})
 	return res
@@ -320,12 +320,12 @@
 	var candidates []*scenariofile.Script
 	add := func(edit func(c *scenariofile.Script)) {
 		c := *s
-		c.Troubles = append([]scenariofile.Trouble{}, s.Troubles...)
+		c.Faults = append([]scenariofile.Fault{}, s.Faults...)
 		edit(&c)
 		candidates = append(candidates, &c)
 	}
-	for i := range s.Troubles {
-		add(func(c *scenariofile.Script) { c.Troubles = append(c.Troubles[:i], c.Troubles[i+1:]...) })
+	for i := range s.Faults {
+		add(func(c *scenariofile.Script) { c.Faults = append(c.Faults[:i], c.Faults[i+1:]...) })
 	}
 	if s.Gateways.Count > 1 {
 		add(func(c *scenariofile.Script) { c.Gateways.Count = (c.Gateways.Count + 1) / 2; c.Load.Rate *= 1 })
@@ -343,9 +343,9 @@
 	if s.Load.Rate > 4 {
 		add(func(c *scenariofile.Script) { c.Load.Rate /= 2 })
 	}
-	if s.Kiosks.Rate > 0 {
-		add(func(c *scenariofile.Script) { c.Kiosks = scenariofile.Kiosks{} })
-		add(func(c *scenariofile.Script) { c.Kiosks.Rate /= 2 })
+	if s.ENUMClients.Rate > 0 {
+		add(func(c *scenariofile.Script) { c.ENUMClients = scenariofile.ENUMClients{} })
+		add(func(c *scenariofile.Script) { c.ENUMClients.Rate /= 2 })
 	}
 	if s.Numbers.On {
 		add(func(c *scenariofile.Script) { c.Numbers = scenariofile.Numbers{} })
@@ -362,9 +362,9 @@
 	if s.Gateways.Tell {
 		add(func(c *scenariofile.Script) { c.Gateways.Tell = false })
 	}
-	for i, t := range s.Troubles {
+	for i, t := range s.Faults {
 		if t.For > 600 {
-			add(func(c *scenariofile.Script) { c.Troubles[i].For = math.Round(t.For/2/100) * 100 })
+			add(func(c *scenariofile.Script) { c.Faults[i].For = math.Round(t.For/2/100) * 100 })
 		}
 	}
 	return candidates
--- a/internal/emulator/search/search_test.go
+++ b/internal/emulator/search/search_test.go
@@ -33,7 +33,7 @@
 		if err := json.Unmarshal(src, s); err != nil {
 			t.Fatalf("%s: %v", f.Name(), err)
 		}
-		if found := Judge(s, virtualrun.Play(s, virtualrun.Module("brain"), virtualrun.Options{})); found.Rule > 0 {
+		if found := Judge(s, virtualrun.Run(s, virtualrun.PolicyByName("brain"), virtualrun.Options{})); found.Rule > 0 {
 			t.Errorf("%s: %s", f.Name(), found.What)
 		}
 	}
@@ -45,15 +45,15 @@
 	for _, f := range r.Broken {
 		t.Error(f.What)
 	}
-	if r.Days != 24 || len(r.Worst) == 0 || r.Cold == 0 {
-		t.Errorf("%d scenarios, %d worst, slow-start use %v", r.Days, len(r.Worst), r.Cold)
+	if r.Days != 24 || len(r.Worst) == 0 || r.MaxSlowStartUse == 0 {
+		t.Errorf("%d scenarios, %d worst, slow-start use %v", r.Days, len(r.Worst), r.MaxSlowStartUse)
 	}
 }
 
 // simulateFaulty reports a broken rule for scenarios with a stall and more than one gateway.
 func simulateFaulty(s *scenariofile.Script) *virtualrun.Result {
 	r := &virtualrun.Result{}
-	for _, t := range s.Troubles {
+	for _, t := range s.Faults {
 		if t.Kind == "stall" && s.Gateways.Count > 1 {
 			r.Findings = []conformance.Finding{{Rule: 2, Description: "made up"}}
 		}
@@ -66,7 +66,7 @@
 func TestFindAndShrink(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	reported := 0
-	r := Run(ctx, Options{Days: 100000, Seed: 3, Play: simulateFaulty, Found: func(Find) {
+	r := Run(ctx, Options{Days: 100000, Seed: 3, Simulate: simulateFaulty, Found: func(Find) {
 		if reported++; reported == 5 {
 			cancel()
 		}
@@ -79,7 +79,7 @@
 		func(s *scenariofile.Script) bool { return Judge(s, simulateFaulty(s)).Rule == 2 },
 		1000,
 	)
-	if len(small.Troubles) != 1 || small.Troubles[0].Kind != "stall" || small.Gateways.Count != 2 ||
+	if len(small.Faults) != 1 || small.Faults[0].Kind != "stall" || small.Gateways.Count != 2 ||
 		small.Pools.Count != 1 ||
 		small.Length > 5000 {
 		t.Errorf(
@@ -87,7 +87,7 @@
 			small.Gateways.Count,
 			small.Pools.Count,
 			small.Length,
-			small.Troubles,
+			small.Faults,
 		)
 	}
 }
--- a/internal/emulator/simulation/simulation.go
+++ b/internal/emulator/simulation/simulation.go
@@ -45,18 +45,18 @@
 
 // Node is an address with the machine behind it.
 type Node struct {
-	Addr       netip.AddrPort
-	Name       string
-	Region     string
-	Machine    Machine
-	Tick       float64                                    // it runs at multiples of this interval; 0: immediately
-	Tapped     bool                                       // its datagrams go to the tap
-	Real       func(to, from netip.AddrPort, data []byte) // set: the node is behind a real socket; sends there
-	Paused     bool                                       // it doesn't run; arriving datagrams are queued
-	Down       bool                                       // arriving datagrams are lost
-	inbox      []datagram
-	wakeupAt   float64 // +Inf: no wake-up is scheduled
-	simulation *Simulation
+	Addr         netip.AddrPort
+	Name         string
+	Region       string
+	Machine      Machine
+	Tick         float64                                    // it runs at multiples of this interval; 0: immediately
+	Tapped       bool                                       // its datagrams go to the tap
+	SendToSocket func(to, from netip.AddrPort, data []byte) // set: the node is behind a real socket; sends there
+	Paused       bool                                       // it doesn't run; arriving datagrams are queued
+	Down         bool                                       // arriving datagrams are lost
+	inbox        []datagram
+	wakeupAt     float64 // +Inf: no wake-up is scheduled
+	simulation   *Simulation
 }
 
 type datagram struct {
@@ -129,8 +129,8 @@
 	if n.Tapped && sim.Tap != nil {
 		sim.Tap(sim.Now, from, n.Addr, data)
 	}
-	if n.Real != nil {
-		n.Real(n.Addr, from, data)
+	if n.SendToSocket != nil {
+		n.SendToSocket(n.Addr, from, data)
 		return
 	}
 	n.inbox = append(n.inbox, datagram{from, data})
@@ -139,7 +139,7 @@
 
 // ScheduleWakeup schedules the next run of the node. It must be called when the machine was changed from outside.
 func (n *Node) ScheduleWakeup() {
-	if n.Machine == nil || n.Real != nil || n.Paused || n.Down {
+	if n.Machine == nil || n.SendToSocket != nil || n.Paused || n.Down {
 		return
 	}
 	sim := n.simulation
@@ -220,17 +220,17 @@
 	sim.Now = until
 }
 
-// Arrived passes in a datagram that a real socket has received from a node behind a socket. It is safe for
+// Inject passes in a datagram that a real socket has received from a node behind a socket. It is safe for
 // concurrent use. If the queue is full, the datagram is dropped, as a socket's receive buffer would drop it.
-func (sim *Simulation) Arrived(from, to netip.AddrPort, data []byte) {
+func (sim *Simulation) Inject(from, to netip.AddrPort, data []byte) {
 	select {
 	case sim.inbox <- externalEvent{from: from, to: to, data: data}:
 	default:
 	}
 }
 
-// Do queues f to run in the loop of RunReal, and blocks while that queue is full. It is safe for concurrent use.
-func (sim *Simulation) Do(f func()) { sim.inbox <- externalEvent{do: f} }
+// RunInLoop queues f to run in the loop of RunReal, and blocks while that queue is full. It is safe for concurrent use.
+func (sim *Simulation) RunInLoop(f func()) { sim.inbox <- externalEvent{do: f} }
 
 // RunReal runs in real time until a time, handling also what Arrived and Do pass in; it returns early when stop is
 // closed. An event that runs late still sees the time for which it was scheduled, so that the models of the
@@ -242,7 +242,7 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		wall := sim.Wall()
+		wall := sim.RealTime()
 		for len(sim.queue) > 0 && sim.queue[0].at <= wall && sim.queue[0].at <= until {
 			e := heap.Pop(&sim.queue).(*event)
 			sim.Now = math.Max(sim.Now, e.at)
@@ -256,7 +256,7 @@
 		}
 		wait := until - wall
 		if len(sim.queue) > 0 {
-			wait = math.Max(0, math.Min(wait, sim.queue[0].at-sim.Wall()))
+			wait = math.Max(0, math.Min(wait, sim.queue[0].at-sim.RealTime()))
 		}
 		timer.Reset(time.Duration(wait * float64(time.Millisecond)))
 		select {
@@ -264,7 +264,7 @@
 			return
 		case external := <-sim.inbox:
 			for handled := 0; ; handled++ {
-				sim.Now = math.Max(sim.Now, math.Min(sim.Wall(), until))
+				sim.Now = math.Max(sim.Now, math.Min(sim.RealTime(), until))
 				if external.do != nil {
 					external.do()
 				} else {
@@ -280,13 +280,13 @@
 	}
 }
 
-// Wall returns the real time since the start, in ms.
-func (sim *Simulation) Wall() float64 {
+// RealTime returns the real time since the start, in ms.
+func (sim *Simulation) RealTime() float64 {
 	return float64(time.Since(sim.start)) / float64(time.Millisecond)
 }
 
-// Begin sets the start of real time so that Now is the present moment.
-func (sim *Simulation) Begin() {
+// StartRealTime sets the start of real time so that Now is the present moment.
+func (sim *Simulation) StartRealTime() {
 	sim.start = time.Now().Add(-time.Duration(sim.Now * float64(time.Millisecond)))
 }
 
--- a/internal/emulator/simulation/simulation_test.go
+++ b/internal/emulator/simulation/simulation_test.go
@@ -90,10 +90,10 @@
 	sim, a, b, e := newPair(1, Link{Delay: 5})
 	b.Tick = 0
 	sent := make(chan []byte, 1)
-	a.Real = func(_, _ netip.AddrPort, data []byte) { sent <- data }
-	sim.Begin()
-	sim.Arrived(a.Addr, b.Addr, []byte("in"))
-	sim.Do(func() { sim.Send(b.Addr, a.Addr, []byte("out")) })
+	a.SendToSocket = func(_, _ netip.AddrPort, data []byte) { sent <- data }
+	sim.StartRealTime()
+	sim.Inject(a.Addr, b.Addr, []byte("in"))
+	sim.RunInLoop(func() { sim.Send(b.Addr, a.Addr, []byte("out")) })
 	begin := time.Now()
 	sim.RunReal(60, nil)
 	if took := time.Since(begin); took < 50*time.Millisecond || took > 5*time.Second {
--- a/internal/emulator/virtualrun/virtualrun.go
+++ b/internal/emulator/virtualrun/virtualrun.go
@@ -30,8 +30,8 @@
 // SettleTime is how long a run goes on after the scenario's length, in ms; all calls have timed out by then.
 const SettleTime = 12000.0
 
-// Module returns the factory of a routing policy by its name: brain (also if empty) or a baseline; nil if unknown.
-func Module(name string) routing.PolicyFactory {
+// PolicyByName returns the factory of a routing policy by its name: brain (also if empty) or a baseline; nil if unknown.
+func PolicyByName(name string) routing.PolicyFactory {
 	if name == "" || name == "brain" {
 		return func(s *routing.Settings, h routing.Host) routing.Policy { return router.New(s, h) }
 	}
@@ -40,9 +40,9 @@
 
 // Options selects what is measured.
 type Options struct {
-	Series bool              // values per second, for plots
-	Sum    bool              // hash of the whole capture
-	Record func(*api.Record) // gets each record of the capture; may be nil
+	Series   bool              // values per second, for plots
+	Checksum bool              // hash of the whole capture
+	Record   func(*api.Record) // gets each record of the capture; may be nil
 }
 
 // Result is the result of a run.
@@ -53,8 +53,8 @@
 	Series        *Series
 	Tables        *conformance.TableChecker // nil: no number tables
 	NumberLookups dnsclient.Counts
-	Kiosks        scenario.KioskService
-	Sum           uint64
+	ENUM          scenario.ENUMService
+	Checksum      uint64
 	Elapsed       time.Duration
 }
 
@@ -67,17 +67,17 @@
 	Attempts  map[string][]float64 // sent in that second, by switch
 	Outcomes  map[string][]float64 // final responses of the switches, by outcome
 	SlowStart []conformance.SlowStartSample
-	Faults    []scenariofile.Trouble
+	Faults    []scenariofile.Fault
 }
 
-// Play runs a scenario and measures it.
-func Play(s *scenariofile.Script, newPolicy routing.PolicyFactory, options Options) *Result {
+// Run runs a scenario and measures it.
+func Run(s *scenariofile.Script, newPolicy routing.PolicyFactory, options Options) *Result {
 	begin := time.Now()
 	checker := conformance.New()
 	checker.KeepSlowStart = options.Series
 	var tables *conformance.TableChecker
-	if s.Analyses() {
-		tables = conformance.NewTableChecker(scenario.Mark4)
+	if s.AnalysesNumbers() {
+		tables = conformance.NewTableChecker(scenario.TablePrefix)
 	}
 	res := &Result{}
 	var series *seriesTap
@@ -92,11 +92,11 @@
 		if series != nil {
 			series.add(r)
 		}
-		if options.Sum {
+		if options.Checksum {
 			b, err := proto.MarshalOptions{Deterministic: true}.Marshal(r)
 			if err == nil {
 				for _, c := range b {
-					res.Sum = (res.Sum ^ uint64(c)) * 1099511628211
+					res.Checksum = (res.Checksum ^ uint64(c)) * 1099511628211
 				}
 			}
 		}
@@ -114,10 +114,10 @@
 		}
 	}
 	v := scenario.NewVirtual(st, newPolicy)
-	st.World.Run(s.Length + SettleTime)
+	st.Simulation.Run(s.Length + SettleTime)
 	checker.Finish()
-	res.Service, res.Findings, res.Totals, res.Tables, res.NumberLookups, res.Kiosks = st.Service(), checker.Findings,
-		checker.Totals, tables, v.LookupCounts(), st.KioskService()
+	res.Service, res.Findings, res.Totals, res.Tables, res.NumberLookups, res.ENUM = st.Service(), checker.Findings,
+		checker.Totals, tables, v.LookupCounts(), st.ENUMService()
 	if series != nil {
 		res.Series = series.finish(st, checker.SlowStartSamples)
 	}
@@ -125,9 +125,9 @@
 	return res
 }
 
-// Each calls do for 0 to n-1, with as many calls in parallel as there are cores, until ctx ends. It reports whether
+// ForEach calls do for 0 to n-1, with as many calls in parallel as there are cores, until ctx ends. It reports whether
 // all were done.
-func Each(ctx context.Context, n int, do func(i int)) bool {
+func ForEach(ctx context.Context, n int, do func(i int)) bool {
 	next := make(chan int)
 	var wait sync.WaitGroup
 	for range min(n, runtime.GOMAXPROCS(0)) {
@@ -162,7 +162,7 @@
 func newSeriesTap(s *scenariofile.Script) *seriesTap {
 	n := int(math.Ceil(s.Length / 1000))
 	return &seriesTap{
-		series: &Series{Seconds: n, Attempts: map[string][]float64{}, Outcomes: map[string][]float64{}, Faults: s.Troubles},
+		series: &Series{Seconds: n, Attempts: map[string][]float64{}, Outcomes: map[string][]float64{}, Faults: s.Faults},
 		nodes:  map[string]*api.Node{},
 	}
 }
--- a/internal/emulator/workload/plan.go
+++ b/internal/emulator/workload/plan.go
@@ -141,17 +141,17 @@
 		if current := int(atMs / p.Drift); current != segment {
 			segment, groupShares = current, drawShares(len(p.Groups), p.Skew)
 		}
-		skill := p.Skills[Pick(random.Float64(), len(p.Skills), func(i int) float64 { return p.Skills[i].Share })]
+		skill := p.Skills[PickWeighted(random.Float64(), len(p.Skills), func(i int) float64 { return p.Skills[i].Share })]
 		calls = append(
 			calls,
 			&api.Call{
 				AtMs:    atMs,
-				Gateway: uint32(Pick(random.Float64(), len(gatewayShares), func(i int) float64 { return gatewayShares[i] })),
+				Gateway: uint32(PickWeighted(random.Float64(), len(gatewayShares), func(i int) float64 { return gatewayShares[i] })),
 				Number:  fmt.Sprintf("+1418%07d", int(random.Float64()*float64(p.Numbers))),
 				Skill:   skill.Name,
-				Customer: p.Customers[Pick(random.Float64(), len(p.Customers),
+				Customer: p.Customers[PickWeighted(random.Float64(), len(p.Customers),
 					func(i int) float64 { return p.Customers[i].Share })].Name,
-				Group:      p.Groups[Pick(random.Float64(), len(groupShares), func(i int) float64 { return groupShares[i] })],
+				Group:      p.Groups[PickWeighted(random.Float64(), len(groupShares), func(i int) float64 { return groupShares[i] })],
 				HoldMs:     -math.Log(1-random.Float64()) * skill.Hold,
 				PatienceMs: skill.Patience,
 			},
@@ -159,8 +159,8 @@
 	}
 }
 
-// Pick returns an index below n, drawn by weight; u is uniform in [0, 1).
-func Pick(u float64, n int, weight func(int) float64) int {
+// PickWeighted returns an index below n, drawn by weight; u is uniform in [0, 1).
+func PickWeighted(u float64, n int, weight func(int) float64) int {
 	sum := 0.0
 	for i := range n {
 		sum += weight(i)
--- a/internal/protocol/binarygateway/simulation_test.go
+++ b/internal/protocol/binarygateway/simulation_test.go
@@ -25,7 +25,7 @@
 }
 
 // newSimulation returns a simulated deployment of one gateway and three endpoints with a checker of the rules.
-func newSimulation(seed uint64, newPolicy routing.PolicyFactory, disabledGuard routing.Rule) *binarystandin.World {
+func newSimulation(seed uint64, newPolicy routing.PolicyFactory, disabledGuard routing.Rule) *binarystandin.Simulation {
 	settings := &routing.Settings{
 		Gateways:           1,
 		Seed:               seed,
--- a/internal/protocol/dnsclient/client_test.go
+++ b/internal/protocol/dnsclient/client_test.go
@@ -20,8 +20,8 @@
 	}
 	res, err := enum.Apply("+"+number, first.Rules, "pstn:tel")
 	_, ported, err2 := enum.Tel(res.URI)
-	if err != nil || err2 != nil || ported.Routing != host.servers[0].Zone.Routing(number) {
-		t.Errorf("%v, %v, %+v: want %s", res, err, ported, host.servers[0].Zone.Routing(number))
+	if err != nil || err2 != nil || ported.Routing != host.servers[0].Zone.RoutingNumber(number) {
+		t.Errorf("%v, %v, %+v: want %s", res, err, ported, host.servers[0].Zone.RoutingNumber(number))
 	}
 	if c := host.lookUp(number, 500); c.count != 1 || !c.Cached || c.at != 100 {
 		t.Errorf("want one cached answer at once, got %+v", c)
@@ -33,7 +33,7 @@
 		t.Errorf("after the TTL: want 2 queries sent, got %v", host.sent)
 	}
 	none := host.findNumber(func(z *dnsserver.Zone, n string) bool {
-		_, ok := (&dnsserver.Server{Zone: z}), z.Routing(n) == ""
+		_, ok := (&dnsserver.Server{Zone: z}), z.RoutingNumber(n) == ""
 		answer := host.lookUp(n, 500)
 		host.run(host.now + 500)
 		return ok && answer.Status == None
@@ -66,7 +66,7 @@
 		"referral":  {Delay: 10, Refer: true},
 		"servfail":  {Delay: 10, ServFail: true},
 		"no edns":   {Delay: 10, NoEDNS: true},
-		"flat":      {Delay: 10, Flat: true},
+		"flat":      {Delay: 10, Lowercase: true},
 		"poison":    {Delay: 10, Poison: true},
 		"no faults": {Delay: 10},
 		"all at once": {Delay: 20, Jitter: 100, Loss: 0.3, Spoof: 0.5, Guesses: 4, Truncated: 0.3, WrongID: 0.2, NoEDNS: true,
@@ -103,7 +103,7 @@
 				}
 				res, err := enum.Apply("+"+numbers[i], result.Rules, "pstn:tel")
 				_, ported, err2 := enum.Tel(res.URI)
-				if err != nil || err2 != nil || ported.Routing != host.servers[0].Zone.Routing(numbers[i]) {
+				if err != nil || err2 != nil || ported.Routing != host.servers[0].Zone.RoutingNumber(numbers[i]) {
 					t.Fatalf("%s: wrong answer: %v %v %v", numbers[i], res, err, err2)
 				}
 			}
--- a/internal/protocol/dnsclient/response_test.go
+++ b/internal/protocol/dnsclient/response_test.go
@@ -202,7 +202,7 @@
 			if l.result.Status == Found {
 				res, err := enum.Apply("+"+l.number, l.result.Rules, "pstn:tel")
 				_, p, _ := enum.Tel(res.URI)
-				if err != nil || p.Routing != host.servers[0].Zone.Routing(l.number) {
+				if err != nil || p.Routing != host.servers[0].Zone.RoutingNumber(l.number) {
 					rt.Fatalf("%s: %v, %v", l.number, res, err)
 				}
 			}
--- a/internal/protocol/dnsclient/testhost_test.go
+++ b/internal/protocol/dnsclient/testhost_test.go
@@ -136,7 +136,7 @@
 
 // portedNumber returns a number that the zone lists as ported.
 func (h *testHost) portedNumber() string {
-	return h.findNumber(func(z *dnsserver.Zone, n string) bool { return z.Routing(n) != "" })
+	return h.findNumber(func(z *dnsserver.Zone, n string) bool { return z.RoutingNumber(n) != "" })
 }
 
 // outstandingQuery returns the one outstanding query.
