--- a/internal/cli/labcli/load.go
+++ b/internal/cli/labcli/load.go
@@ -254,7 +254,9 @@
 }
 
 // compareWaits prints the true waits, by the stand-in's schedule, and how far the reported ones are from them.
-func (f *loadFlags) compareWaits(out io.Writer, standIn *loadgen.StallingServer, calls []*api.Call, res *loadgen.Result) error {
+func (f *loadFlags) compareWaits(
+	out io.Writer, standIn *loadgen.StallingServer, calls []*api.Call, res *loadgen.Result,
+) error {
 	var trueWaits []float64
 	for _, c := range calls {
 		trueWaits = append(trueWaits, float64(standIn.ExpectedWait(time.Duration(c.AtMs*1e6)))/1e6)
@@ -308,8 +310,8 @@
 		return nil, fmt.Errorf("load: result of a load process: %w", err)
 	}
 	res := loadgen.NewResult()
-	res.Planned, res.Answered, res.Refused, res.Unanswered, res.Retransmissions, res.OutOfRange = encoded.Planned, encoded.Stood,
-		encoded.Refused, encoded.Unanswered, encoded.Repeats, encoded.Past
+	res.Planned, res.Answered, res.Refused, res.Unanswered, res.Retransmissions, res.OutOfRange = encoded.Planned,
+		encoded.Stood, encoded.Refused, encoded.Unanswered, encoded.Repeats, encoded.Past
 	for _, histogram := range []struct {
 		from []byte
 		to   *hdrhistogram.Histogram
--- a/internal/emulator/dnsserver/server.go
+++ b/internal/emulator/dnsserver/server.go
@@ -20,7 +20,7 @@
 	Seed        uint64
 	Ported      float64                // share of numbers with a routing number
 	None        float64                // share of numbers that do not exist
-	NonTerminal float64                // share of the ported numbers with a non-terminal rule, which leads to another domain
+	NonTerminal float64                // share of the ported numbers with a non-terminal rule, leading to another domain
 	TTL         uint32                 // s
 	Routes      []string               // routing numbers, picked by a hash of the number
 	Own         map[string][]enum.Rule // rules of certain domains, which replace the generated ones
--- a/internal/emulator/loadgen/stalling_server.go
+++ b/internal/emulator/loadgen/stalling_server.go
@@ -11,9 +11,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// StallingServer is a stand-in for a gateway that answers each setup with 200 after Delay and stalls at planned times. Answers
-// due during a stall are sent at its end, in order, so the wait of every call is known beforehand. A BYE is answered
-// at once.
+// StallingServer is a stand-in for a gateway that answers each setup with 200 after Delay and stalls at planned times.
+// Answers due during a stall are sent at its end, in order, so the wait of every call is known beforehand. A BYE is
+// answered at once.
 type StallingServer struct {
 	Delay  time.Duration
 	Stalls []Stall // in order, not overlapping
--- a/internal/emulator/report/report_test.go
+++ b/internal/emulator/report/report_test.go
@@ -25,7 +25,8 @@
 				panic(err)
 			}
 			script.Seed = uint64(i) + 1
-			results[i] = virtualrun.Run(script, virtualrun.PolicyByName("brain"), virtualrun.Options{Checksum: true, Series: true})
+			results[i] = virtualrun.Run(script, virtualrun.PolicyByName("brain"),
+				virtualrun.Options{Checksum: true, Series: true})
 		})
 		for i, res := range results {
 			sums[i] = res.Checksum
--- a/internal/emulator/scenario/arrivals.go
+++ b/internal/emulator/scenario/arrivals.go
@@ -113,7 +113,8 @@
 	classes, tenants := st.Script.Classes, st.Script.Tenants
 	classIndex := workload.PickWeighted(random.Float64(), len(classes), func(i int) float64 { return classes[i].Share })
 	tenantIndex := workload.PickWeighted(random.Float64(), len(tenants), func(i int) float64 { return tenants[i].Share })
-	destination := workload.PickWeighted(random.Float64(), len(draw.weights), func(i int) float64 { return draw.weights[i] })
+	destination := workload.PickWeighted(random.Float64(), len(draw.weights),
+		func(i int) float64 { return draw.weights[i] })
 	class := classes[classIndex]
 	number, group := fmt.Sprintf("+1418%07d", int(random.Float64()*float64(st.Script.Load.Numbers))), Group(destination)
 	if st.Numbering != nil {
--- a/internal/emulator/scenario/enumclients.go
+++ b/internal/emulator/scenario/enumclients.go
@@ -37,7 +37,9 @@
 		st.recordNode(g.ENUMAddr, "front", g.Name)
 		send := func(data []byte) { sim.Send(at, g.ENUMAddr, data) }
 		g.ENUMClients = enumclient.New(
-			enumclient.Config{Apex: ENUMApex, Wait: s.ENUMClients.Wait, Repeats: s.ENUMClients.Repeats, Asks: s.ENUMClients.Asks, Pause: 900},
+			enumclient.Config{
+				Apex: ENUMApex, Wait: s.ENUMClients.Wait, Repeats: s.ENUMClients.Repeats, Asks: s.ENUMClients.Asks, Pause: 900,
+			},
 			s.Seed*37+uint64(i),
 			send,
 			send,
--- a/internal/emulator/scenario/numbers.go
+++ b/internal/emulator/scenario/numbers.go
@@ -86,8 +86,8 @@
 	st.Mark("table-in", st.Gateways[gateway].Name, strconv.FormatUint(version, 10), nil)
 }
 
-// TablePrefix returns the prefix that a table of a version adds to every number, so that the traffic shows which table was
-// used.
+// TablePrefix returns the prefix that a table of a version adds to every number, so that the traffic shows which table
+// was used.
 func TablePrefix(version uint64) string { return strconv.FormatUint(1000+version%9000, 10) }
 
 // Table returns the table of a version. All versions route alike, but each uses its own prefix in every step: a call
--- a/internal/emulator/scenario/numbers_test.go
+++ b/internal/emulator/scenario/numbers_test.go
@@ -114,7 +114,8 @@
 	sv := st.ENUMService()
 	sv.Waits = nil
 	t.Logf("%+v, %+v", sv, k.Totals)
-	if sv.Lookups < 1200 || float64(sv.Named) < 0.85*float64(sv.Lookups) || float64(sv.Established) < 0.85*float64(sv.Named) {
+	if sv.Lookups < 1200 || float64(sv.Named) < 0.85*float64(sv.Lookups) ||
+		float64(sv.Established) < 0.85*float64(sv.Named) {
 		t.Errorf("%+v", sv)
 	}
 	for _, b := range v.Gateways {
--- a/internal/emulator/scenario/scenario.go
+++ b/internal/emulator/scenario/scenario.go
@@ -422,7 +422,8 @@
 	if to < 0 || to >= len(st.Gateways) || st.gossipLost || st.random.Float64() < network.PeerLoss {
 		return
 	}
-	st.Simulation.At(st.Simulation.Now+network.Peer*(1+network.Jitter*(2*st.random.Float64()-1)), func() { deliver(st.Simulation.Now) })
+	st.Simulation.At(st.Simulation.Now+network.Peer*(1+network.Jitter*(2*st.random.Float64()-1)),
+		func() { deliver(st.Simulation.Now) })
 }
 
 // newCachedParser returns a parser that parses a datagram once for all who read it: the tap, then the receiver. They
--- a/internal/emulator/scenariofile/script.go
+++ b/internal/emulator/scenariofile/script.go
@@ -122,8 +122,8 @@
 	Asks    int // new queries after a failed one
 }
 
-// AnalysesNumbers reports whether the gateways analyse numbers. They don't for the calls of a trace, which name their trunk
-// groups themselves.
+// AnalysesNumbers reports whether the gateways analyse numbers. They don't for the calls of a trace, which name their
+// trunk groups themselves.
 func (s *Script) AnalysesNumbers() bool { return s.Numbers.On && len(s.Calls) == 0 }
 
 // Fault is a fault. Part is the share of the components that it affects; what Size means depends on the kind.
--- a/internal/emulator/virtualrun/virtualrun.go
+++ b/internal/emulator/virtualrun/virtualrun.go
@@ -30,7 +30,8 @@
 // SettleTime is how long a run goes on after the scenario's length, in ms; all calls have timed out by then.
 const SettleTime = 12000.0
 
-// PolicyByName returns the factory of a routing policy by its name: brain (also if empty) or a baseline; nil if unknown.
+// PolicyByName returns the factory of a routing policy by its name: brain (also if empty) or a baseline; nil if
+// unknown.
 func PolicyByName(name string) routing.PolicyFactory {
 	if name == "" || name == "brain" {
 		return func(s *routing.Settings, h routing.Host) routing.Policy { return router.New(s, h) }
