--- a/internal/emulator/enumclient/client.go
+++ b/internal/emulator/enumclient/client.go
@@ -1,6 +1,6 @@
-// Package enumclient is a stand-in for the kiosks of one gateway. For each planned call a kiosk looks up by ENUM which
-// endpoint to call, repeats the query while no response arrives, and calls the endpoint named in the response. The
-// package does no I/O and reads no clock.
+// Package enumclient is a stand-in for the ENUM clients of one gateway. For each planned call a client looks up by ENUM
+// which endpoint to call, repeats the query while no response arrives, and calls the endpoint named in the response.
+// The package does no I/O and reads no clock.
 package enumclient
 
 //tally:standin
@@ -28,7 +28,7 @@
 	Answers int
 }
 
-// Config configure the look-ups of kiosks; times are in ms.
+// Config configures the look-ups of ENUM clients; times are in ms.
 type Config struct {
 	Apex    string
 	Wait    float64 // time without a response until the query is repeated
@@ -37,7 +37,7 @@
 	Pause   float64 // mean time before a further look-up
 }
 
-// Kiosks are the kiosks of one gateway.
+// Kiosks are the ENUM clients of one gateway.
 type Kiosks struct {
 	Config
 	Visits  []*Visit
@@ -59,7 +59,7 @@
 	timer       *timerqueue.Timer
 }
 
-// New returns kiosks that send queries over UDP, and over TCP after a truncated response.
+// New returns ENUM clients that send queries over UDP, and over TCP after a truncated response.
 func New(m Config, seed uint64, sendUDP, sendTCP func([]byte)) *Kiosks {
 	return &Kiosks{
 		Config:  m,
--- a/internal/emulator/loadgen/load.go
+++ b/internal/emulator/loadgen/load.go
@@ -63,7 +63,7 @@
 	return &Result{WaitFromPlanned: h(), WaitFromSent: h(), SendDelay: h()}
 }
 
-// record adds a wait to a histogram. A wait above the range counts as the highest value, and in Past.
+// record adds a wait to a histogram. A wait above the range counts as the highest value, and in OutOfRange.
 func (r *Result) record(h *hdrhistogram.Histogram, d time.Duration) {
 	v := max(minWaitMicros, d.Microseconds())
 	if v > maxWaitMicros {
--- a/internal/emulator/loadgen/load_test.go
+++ b/internal/emulator/loadgen/load_test.go
@@ -85,8 +85,8 @@
 }
 
 // TestMergeAndCheckLateness checks that merged results equal the result recorded directly, that a wait above the
-// histogram's range is recorded in it and counted in Past, and that CheckLateness reports a generator that sends too
-// late.
+// histogram's range is recorded in it and counted in OutOfRange, and that CheckLateness reports a generator that
+// sends too late.
 func TestMergeAndCheckLateness(t *testing.T) {
 	whole, merged := NewResult(), NewResult()
 	for p := range 64 {
--- a/internal/emulator/scenario/scenario.go
+++ b/internal/emulator/scenario/scenario.go
@@ -35,7 +35,7 @@
 	Resume(gateway int)                  // resumes it
 	Kill(gateway int)
 	Start(gateway int)
-	SetTable(gateway int, t *Table) // installs a number table and calls TableIn when that is done
+	SetTable(gateway int, t *Table) // installs a number table and calls RecordTableInUse when that is done
 }
 
 // Gateway holds a gateway's addresses and the clients that use it.
--- a/internal/emulator/search/search.go
+++ b/internal/emulator/search/search.go
@@ -115,7 +115,7 @@
 	{"names_wrong", 0.1, 1}}
 
 // addNumberAnalysis turns on number analysis in a scenario, with changing number tables and DNS server faults. In some
-// scenarios it replaces a share of the callers by kiosks, which look up the endpoint by ENUM.
+// scenarios it replaces a share of the callers by ENUM clients, which look up the endpoint themselves.
 func addNumberAnalysis(rng *siptransaction.Generator, s *scenariofile.Script) {
 	between := func(lo, hi float64) float64 { return lo + (hi-lo)*rng.Float64() }
 	oneOf := func(values ...float64) float64 { return values[int(rng.Float64()*float64(len(values)))] }
--- a/internal/emulator/simulation/simulation.go
+++ b/internal/emulator/simulation/simulation.go
@@ -232,8 +232,8 @@
 // RunInLoop queues f to run in the loop of RunReal, and blocks while that queue is full. It is safe for concurrent use.
 func (sim *Simulation) RunInLoop(f func()) { sim.inbox <- externalEvent{do: f} }
 
-// RunReal runs in real time until a time, handling also what Arrived and Do pass in; it returns early when stop is
-// closed. An event that runs late still sees the time for which it was scheduled, so that the models of the
+// RunReal runs in real time until a time, handling also what Inject and RunInLoop pass in; it returns early when
+// stop is closed. An event that runs late still sees the time for which it was scheduled, so that the models of the
 // stand-ins don't drift.
 func (sim *Simulation) RunReal(until float64, stop <-chan struct{}) {
 	if sim.start.IsZero() {
--- a/internal/emulator/simulation/simulation_test.go
+++ b/internal/emulator/simulation/simulation_test.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// In real time: datagrams passed to Arrived go over the link, and functions passed to Do run in the loop.
+// In real time: datagrams passed to Inject go over the link, and functions passed to RunInLoop run in the loop.
 func TestRealTime(t *testing.T) {
 	sim, a, b, e := newPair(1, Link{Delay: 5})
 	b.Tick = 0
