--- a/internal/decision/tableversions/tables.go
+++ b/internal/decision/tableversions/tables.go
@@ -62,8 +62,8 @@
 	Previous []uint64 // those that ran before, oldest first
 }
 
-// Activate returns the history once a serial runs. If it is the one that ran just before, this is a step back, and it is
-// removed from those before.
+// Activate returns the history once a serial runs. If it is the one that ran just before, this is a step back, and
+// it is removed from those before.
 func (s History) Activate(serial uint64) History {
 	count := len(s.Previous)
 	if count > 0 && s.Previous[count-1] == serial {
--- a/internal/gateway/gatewayconfig/settings.go
+++ b/internal/gateway/gatewayconfig/settings.go
@@ -33,8 +33,8 @@
 
 // NumberAnalysis holds the settings of number analysis: the number tables and ENUM look-ups.
 type NumberAnalysis struct {
-	// TableFile is the file of the number table that is used until the store has one. Without TableFile and Store numbers aren't
-	// analysed: callers state the class and the trunk group.
+	// TableFile is the file of the number table that is used until the store has one. Without TableFile and StoreFile
+	// numbers aren't analysed: callers state the class and the trunk group.
 	TableFile    string
 	StoreFile    string // file that stores the activated tables; if empty, they are lost when the process ends
 	AdminAddr    string // address of the gRPC service that activates tables; if empty, there is none
@@ -167,7 +167,11 @@
 	settings := c.Settings
 	timers := root.SingleBlock("timers")
 	t1 := timers.Ms("t1", 500, 10, 60000)
-	c.Times = siptransaction.TimerValues{T1: t1, T2: timers.Ms("t2", 8*t1, 10, 600000), T4: timers.Ms("t4", 5000, 10, 600000)}
+	c.Times = siptransaction.TimerValues{
+		T1: t1,
+		T2: timers.Ms("t2", 8*t1, 10, 600000),
+		T4: timers.Ms("t4", 5000, 10, 600000),
+	}
 	settings.RetransmitInterval = t1
 }
 
--- a/internal/gateway/reactor/reactor.go
+++ b/internal/gateway/reactor/reactor.go
@@ -45,8 +45,9 @@
 
 // ListenUDP opens a socket on each address. onDatagram is called from the pollers, for one address always from the same
 // poller, and may keep the data. The error names an address that can't be opened.
-func ListenUDP(addrs []netip.AddrPort, pollers int, onDatagram func(local, from netip.AddrPort, data []byte)) (*UDPSockets,
-	error) {
+func ListenUDP(
+	addrs []netip.AddrPort, pollers int, onDatagram func(local, from netip.AddrPort, data []byte),
+) (*UDPSockets, error) {
 	silenceLibraryLog()
 	s := &UDPSockets{conns: map[netip.AddrPort]*net.UDPConn{}, batchConns: map[netip.AddrPort]*ipv4.PacketConn{}}
 	var names []string
--- a/internal/gateway/reactor/stream.go
+++ b/internal/gateway/reactor/stream.go
@@ -161,8 +161,8 @@
 	}
 }
 
-// StopAccepting makes the accept loop accept the connections that wait in the kernel's queue and then close the listener.
-// It does not wait for that; see Accepting.
+// StopAccepting makes the accept loop accept the connections that wait in the kernel's queue and then close the
+// listener. It does not wait for that; see Accepting.
 func (s *Streams) StopAccepting() {
 	s.stopAccepting.Store(true)
 	_ = s.listener.SetDeadline(time.Now())
--- a/internal/protocol/b2bua/agent.go
+++ b/internal/protocol/b2bua/agent.go
@@ -46,7 +46,9 @@
 type Lookup interface {
 	// Resolve looks a number up. It calls done exactly once, within timeout ms and possibly before it returns; stop
 	// cancels the look-up.
-	Resolve(now float64, digits string, timeout float64, done func(now float64, found numberplan.LookupResult)) (stop func())
+	Resolve(
+		now float64, digits string, timeout float64, done func(now float64, found numberplan.LookupResult),
+	) (stop func())
 	// Wake runs the timers that are due.
 	Wake(now float64)
 	NextWakeup() float64
--- a/internal/protocol/b2bua/numberanalysis_test.go
+++ b/internal/protocol/b2bua/numberanalysis_test.go
@@ -83,7 +83,9 @@
 	canceled  int
 }
 
-func (l *manualLookup) Resolve(_ float64, digits string, timeout float64, done func(float64, numberplan.LookupResult)) func() {
+func (l *manualLookup) Resolve(
+	_ float64, digits string, timeout float64, done func(float64, numberplan.LookupResult),
+) func() {
 	l.numbers, l.timeouts, l.callbacks = append(l.numbers, digits), append(l.timeouts, timeout), append(l.callbacks, done)
 	return func() { l.canceled++ }
 }
--- a/internal/protocol/enumserver/server.go
+++ b/internal/protocol/enumserver/server.go
@@ -104,7 +104,8 @@
 // dropExpired drops expired answers, and the oldest ones above the limit Keep.
 func (s *Server) dropExpired() {
 	dropped := 0
-	for dropped < len(s.remembered) && (s.now >= s.remembered[dropped].expires || len(s.remembered)-dropped > s.cfg.MaxRemembered) {
+	for dropped < len(s.remembered) &&
+		(s.now >= s.remembered[dropped].expires || len(s.remembered)-dropped > s.cfg.MaxRemembered) {
 		if oldest := s.remembered[dropped]; s.open[oldest.key] == oldest.query {
 			delete(s.open, oldest.key)
 		}
--- a/internal/protocol/siptransaction/layer_test.go
+++ b/internal/protocol/siptransaction/layer_test.go
@@ -59,8 +59,12 @@
 				}
 			}
 		}
-		uac.layer = NewLayer(clientAddr, TimerValues{100, 800, 500}, &Generator{Seed: 1}, &uac.timers, uac, send(clientAddr, uas))
-		uas.layer = NewLayer(serverAddr, TimerValues{100, 800, 500}, &Generator{Seed: 2}, &uas.timers, uas, send(serverAddr, uac))
+		uac.layer = NewLayer(
+			clientAddr, TimerValues{100, 800, 500}, &Generator{Seed: 1}, &uac.timers, uac, send(clientAddr, uas),
+		)
+		uas.layer = NewLayer(
+			serverAddr, TimerValues{100, 800, 500}, &Generator{Seed: 2}, &uas.timers, uas, send(serverAddr, uac),
+		)
 		method := rapid.SampledFrom([]sip.RequestMethod{sip.INVITE, sip.BYE}).Draw(t, "method")
 		code := rapid.SampledFrom([]int{200, 486, 503}).Draw(t, "code")
 		provisional, cancel := rapid.Bool().Draw(t, "ring"), rapid.Bool().Draw(t, "cancel")
