--- a/internal/conformance/checker.go
+++ b/internal/conformance/checker.go
@@ -41,7 +41,7 @@
 // Totals holds counts of what the capture contains.
 type Totals struct {
 	Calls, Answers, Attempts, Retransmissions, Datagrams int
-	// ENUM queries, the ones answered with an endpoint, and the calls that the kiosks made after them
+	// ENUM queries, the ones answered with an endpoint, and the calls that the ENUM clients made after them
 	Queries, Answered, KioskCalls int
 	// the largest used fraction of a slow-start budget, by gateways that had been told of the start
 	SlowStartUse float64
@@ -65,7 +65,7 @@
 	killedAt              map[string]float64
 	startsByAddr          map[string][]*endpointStart
 	queries               map[string]*enumQuery
-	namedEndpoints        map[string][]float64 // by kiosk and endpoint: when answers named it that have had no call yet
+	namedEndpoints        map[string][]float64 // by ENUM client and endpoint: when answers without a call yet named it
 	latestAt              float64
 }
 
@@ -260,7 +260,7 @@
 		return
 	case from.Role == "kiosk-phone" || to.Role == "kiosk-phone":
 		if to.Role == "switch" {
-			k.onKioskCall(at, d, from)
+			k.onENUMClientCall(at, d, from)
 		}
 		return
 	}
@@ -299,11 +299,11 @@
 		if k.calls[key] != nil {
 			return // a retransmission
 		}
-		patience := siptransaction.ParseRetryAfter(siptransaction.HeaderValue(r, "Expires"))
-		if patience == 0 {
-			patience = math.Inf(1)
+		timeout := siptransaction.ParseRetryAfter(siptransaction.HeaderValue(r, "Expires"))
+		if timeout == 0 {
+			timeout = math.Inf(1)
 		}
-		c := &call{id: siptransaction.SessionIDOf(r), gateway: gateway, arrivedAt: at, deadline: at + patience}
+		c := &call{id: siptransaction.SessionIDOf(r), gateway: gateway, arrivedAt: at, deadline: at + timeout}
 		k.calls[key], k.callsByTransaction[gateway+branch] = c, c
 		k.Totals.Calls++
 	case sip.CANCEL:
--- a/internal/conformance/enum.go
+++ b/internal/conformance/enum.go
@@ -14,7 +14,7 @@
 	"cobaltpier/internal/protocol/siptransaction"
 )
 
-// enumQuery is one look-up by a kiosk, identified by client, message ID and name.
+// enumQuery is one look-up by an ENUM client, identified by client, message ID and name.
 type enumQuery struct {
 	call          *call
 	askedAt       float64
@@ -27,12 +27,12 @@
 }
 
 const (
-	lookupTimeout = 3000.0 // ms: the kiosk ignores a response that comes later
+	lookupTimeout = 3000.0 // ms: the client ignores a response that comes later
 	idReuseDelay  = 4900.0 // ms: after the response, a query with the same ID is a new one
-	maxNamingAge  = 200.0  // ms: a kiosk calls the endpoint within this time of its being named
+	maxNamingAge  = 200.0  // ms: a client calls the endpoint within this time of its being named
 )
 
-// onLookup checks the messages between a kiosk and a gateway's ENUM server. A response that names an endpoint
+// onLookup checks the messages between an ENUM client and a gateway's ENUM server. A response that names an endpoint
 // counts as an attempt: rules 1, 3 and 4 apply to it.
 func (k *Checker) onLookup(at float64, d *api.Datagram, from, to *api.Node) {
 	m := new(dns.Msg)
@@ -67,7 +67,7 @@
 		k.report(1, query.call, "%d responses to %d queries", query.responseCount, query.queryCount)
 	}
 	if m.Truncated {
-		query.queryCount++ // the kiosk asks again over TCP, and the capture does not have that query
+		query.queryCount++ // the client asks again over TCP, and the capture does not have that query
 		return
 	}
 	first := query.answeredAt == 0
@@ -112,9 +112,9 @@
 	return entry != nil && entry.state == "ready"
 }
 
-// onKioskCall checks a kiosk's own call: it goes to an endpoint that a response named just before, and each
+// onENUMClientCall checks an ENUM client's own call: it goes to an endpoint that a response named just before, and each
 // response allows one call.
-func (k *Checker) onKioskCall(at float64, d *api.Datagram, from *api.Node) {
+func (k *Checker) onENUMClientCall(at float64, d *api.Datagram, from *api.Node) {
 	m, err := k.Parse(d.Data)
 	r, ok := m.(*sip.Request)
 	if err != nil || !ok || r.Method != sip.INVITE {
--- a/internal/gateway/reactor/reactor.go
+++ b/internal/gateway/reactor/reactor.go
@@ -103,7 +103,7 @@
 	return c, nil
 }
 
-// Send sends a datagram from a local address. A failure is only counted in Lost, since the network may lose any
+// Send sends a datagram from a local address. A failure is only counted in SendErrors, since the network may lose any
 // datagram.
 func (s *UDPSockets) Send(from, to netip.AddrPort, data []byte) {
 	c := s.conns[from]
@@ -167,7 +167,7 @@
 	}
 }
 
-// IsAddressInUse reports whether an error of Listen says that an address is already in use.
+// IsAddressInUse reports whether an error of ListenUDP or ListenTCP says that an address is already in use.
 func IsAddressInUse(err error) bool {
 	return err != nil && strings.Contains(err.Error(), "address already in use")
 }
--- a/internal/gateway/reactor/stream.go
+++ b/internal/gateway/reactor/stream.go
@@ -62,7 +62,7 @@
 	stop          context.CancelFunc
 	goroutines    sync.WaitGroup // dials, and the accept loop
 	acceptLoop    sync.WaitGroup // the accept loop alone
-	stopAccepting atomic.Bool    // StopAccept was called
+	stopAccepting atomic.Bool    // StopAccepting was called
 	acceptStopped atomic.Bool    // the accept loop has ended
 	Local         netip.AddrPort
 }
@@ -118,11 +118,11 @@
 
 const (
 	acceptRetryInterval = 20 * time.Millisecond // between attempts to accept while the process has no free descriptor
-	acceptIdleTimeout   = 20 * time.Millisecond // after StopAccept: no connection in this time ends the loop
+	acceptIdleTimeout   = 20 * time.Millisecond // after StopAccepting: no connection in this time ends the loop
 )
 
-// accept runs the accept loop. Each connection takes a slot. After StopAccept the loop ends when no further connection
-// arrives within acceptIdleTimeout.
+// accept runs the accept loop. Each connection takes a slot. After StopAccepting the loop ends when no further
+// connection arrives within acceptIdleTimeout.
 func (s *Streams) accept() {
 	defer s.acceptLoop.Done()
 	defer s.acceptStopped.Store(true)
@@ -147,7 +147,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			// the deadline that StopAccept sets only wakes this loop: Accept returns no pending connection after it
+			// the deadline that StopAccepting sets only wakes this loop: Accept returns no pending connection after it
 			if stopping && time.Since(since) >= acceptIdleTimeout {
 				return
 			}
--- a/internal/gateway/reactor/stream_test.go
+++ b/internal/gateway/reactor/stream_test.go
@@ -326,7 +326,7 @@
 	}
 }
 
-// pausedListener delays Accept until resume is closed, so that connections wait in the kernel's queue at StopAccept.
+// pausedListener delays Accept until resume is closed, so that connections wait in the kernel's queue at StopAccepting.
 type pausedListener struct {
 	listener
 	resume chan struct{}
@@ -337,7 +337,7 @@
 	return l.listener.Accept()
 }
 
-// After StopAccept, connections in the kernel's queue are still accepted and read, and then the listener is closed.
+// After StopAccepting, connections in the kernel's queue are still accepted and read, and then the listener is closed.
 func TestStopAccept(t *testing.T) {
 	s, e := newTestStreams(t, 8)
 	addr := s.listener.Addr().(*net.TCPAddr)
@@ -367,7 +367,7 @@
 		defer c.Close()
 		_, _ = c.Write([]byte("ask"))
 	}
-	s.stopAccepting.Store(true) // StopAccept while the connections are in the kernel's queue
+	s.stopAccepting.Store(true) // StopAccepting while the connections are in the kernel's queue
 	close(l.resume)
 	s.StopAccepting()
 	e.waitFor(t, "three accepted and read", func() bool { return len(e.accepted) == 3 && e.data.Len() == 9 })
--- a/internal/protocol/dnsclient/client_test.go
+++ b/internal/protocol/dnsclient/client_test.go
@@ -66,7 +66,7 @@
 		"referral":  {Delay: 10, Refer: true},
 		"servfail":  {Delay: 10, ServFail: true},
 		"no edns":   {Delay: 10, NoEDNS: true},
-		"flat":      {Delay: 10, Lowercase: true},
+		"lowercase": {Delay: 10, Lowercase: true},
 		"poison":    {Delay: 10, Poison: true},
 		"no faults": {Delay: 10},
 		"all at once": {Delay: 20, Jitter: 100, Loss: 0.3, Spoof: 0.5, Guesses: 4, Truncated: 0.3, WrongID: 0.2, NoEDNS: true,
--- a/internal/protocol/enumserver/server.go
+++ b/internal/protocol/enumserver/server.go
@@ -101,7 +101,7 @@
 	return &Server{cfg: cfg, enquirer: enquirer, limits: newLimiter(cfg.Limits), open: map[queryKey]*pendingQuery{}}
 }
 
-// dropExpired drops expired answers, and the oldest ones above the limit Keep.
+// dropExpired drops expired answers, and the oldest ones above the limit MaxRemembered.
 func (s *Server) dropExpired() {
 	dropped := 0
 	for dropped < len(s.remembered) &&
--- a/internal/protocol/portability/finder.go
+++ b/internal/protocol/portability/finder.go
@@ -39,8 +39,8 @@
 }
 
 // Resolve looks up a number, given as digits only. done is called once within timeout ms, possibly before Resolve
-// returns. stop cancels the look-up; done is not called after that. Invalid rules give the answer Silent, as no answer
-// does; the caller passes it to the number table, whose silent action applies.
+// returns. stop cancels the look-up; done is not called after that. Invalid rules give NoAnswer, as a missing answer
+// does; the caller passes it to the number table, whose action "silent" applies.
 func (f *Finder) Resolve(
 	now float64,
 	digits string,
