--- a/internal/gateway/sipserver/numbers.go
+++ b/internal/gateway/sipserver/numbers.go
@@ -58,23 +58,23 @@
 // openTable selects the table to run: the latest usable one in the store, or else the one that the configuration
 // names.
 func (n *numberService) openTable() error {
-	var shelf tableversions.History
+	var history tableversions.History
 	if n.config.StoreFile != "" {
 		var err error
-		if shelf, err = n.recoverTable(); err != nil {
+		if history, err = n.recoverTable(); err != nil {
 			return err
 		}
 	}
 	if n.initialTable == nil && n.config.TableFile != "" {
 		var err error
-		if shelf, err = n.loadTable(shelf); err != nil {
+		if history, err = n.loadTable(history); err != nil {
 			return err
 		}
 	}
 	if n.initialTable == nil {
 		return errors.New("numbers: the store has no usable table and the configuration names none")
 	}
-	n.keeper = tableversions.New(n, n.initialTable, shelf)
+	n.keeper = tableversions.New(n, n.initialTable, history)
 	table := n.initialTable
 	n.server.log.Info().Str("table", table.Name).Uint64("version", table.Version).
 		Str("checksum", table.Sum[:loggedChecksumDigits]).Int("rules", table.Size()).Msg("number table")
@@ -91,41 +91,41 @@
 		return tableversions.History{}, err
 	}
 	n.store = store
-	shelf, err := store.History()
+	history, err := store.History()
 	if err != nil {
-		return shelf, err
+		return history, err
 	}
 	var problems []error
-	n.initialTable, shelf, problems = shelf.Recover(store.Form, n.names)
+	n.initialTable, history, problems = history.Recover(store.Form, n.names)
 	for _, problem := range problems {
 		n.server.log.Error().Err(problem).Msg("stored number table not used")
 	}
-	return shelf, nil
+	return history, nil
 }
 
 // loadTable reads the table file that the configuration names, and stores it if there is a store.
-func (n *numberService) loadTable(shelf tableversions.History) (tableversions.History, error) {
+func (n *numberService) loadTable(history tableversions.History) (tableversions.History, error) {
 	table, form, err := tablestore.Load(n.config.TableFile)
 	if err != nil {
-		return shelf, err
+		return history, err
 	}
 	if err := table.Fits(n.names); err != nil {
-		return shelf, err
+		return history, err
 	}
 	n.initialTable = table
 	if n.store == nil {
-		return shelf, nil
+		return history, nil
 	}
 	packed, err := numberplan.Pack(form)
 	if err != nil {
-		return shelf, err
+		return history, err
 	}
 	checked := tableversions.Checked{Table: table, Form: packed}
-	serial, err := n.store.Keep(checked, "from "+n.config.TableFile, 0, shelf, time.Now())
+	serial, err := n.store.Keep(checked, "from "+n.config.TableFile, 0, history, time.Now())
 	if err != nil {
-		return shelf, err
+		return history, err
 	}
-	return shelf.Activate(serial), nil
+	return history.Activate(serial), nil
 }
 
 // openDNS opens the DNS client's sockets.
@@ -245,14 +245,14 @@
 	}()
 }
 
-// Keep implements tableversions.Work.
-func (n *numberService) Keep(c tableversions.Checked, note string, serial uint64, shelf tableversions.History) {
+// Keep implements tableversions.Driver.
+func (n *numberService) Keep(c tableversions.Checked, note string, serial uint64, history tableversions.History) {
 	if n.store == nil {
 		n.keeper.Kept(n.keeper.History.Running+1, nil)
 		return
 	}
 	go func() {
-		kept, err := n.store.Keep(c, note, serial, shelf, time.Now())
+		kept, err := n.store.Keep(c, note, serial, history, time.Now())
 		n.server.enqueue(event{kind: callback, do: func(float64) { n.keeper.Kept(kept, err) }})
 	}()
 }
--- a/internal/gateway/tablestore/stored_test.go
+++ b/internal/gateway/tablestore/stored_test.go
@@ -44,17 +44,17 @@
 			t.Errorf("table %d: %s", table.Serial, table.Fault)
 		}
 	}
-	shelf, err := store.History()
+	history, err := store.History()
 	if err != nil {
 		t.Fatal(err)
 	}
-	form, err := store.Form(shelf.Running)
+	form, err := store.Form(history.Running)
 	if err != nil {
 		t.Fatal(err)
 	}
 	const wantSum = "319a1316221b1934de3b743f823dc1a915e7a2cb47eb832e8ad80f924bdf50ac"
-	if newest := kept[0]; shelf.Running != 3 || newest.Version != 3 || newest.Sum != wantSum {
-		t.Errorf("table %d runs, newest is %v; want table 3 of sum %s", shelf.Running, newest, wantSum)
+	if newest := kept[0]; history.Running != 3 || newest.Version != 3 || newest.Sum != wantSum {
+		t.Errorf("table %d runs, newest is %v; want table 3 of sum %s", history.Running, newest, wantSum)
 	}
 	table, err := numberplan.Unpack(form)
 	if err != nil {
--- a/internal/protocol/binarygateway/anymessages_test.go
+++ b/internal/protocol/binarygateway/anymessages_test.go
@@ -108,11 +108,11 @@
 
 // changeList makes one endpoint drain or become ready, and adds or removes the other.
 func (s *anyMessages) changeList() {
-	b := readyTarget("b", addrB, 1)
+	b := readyEntry("b", addrB, 1)
 	b.State = rapid.SampledFrom([]routing.State{routing.Ready, routing.Draining}).Draw(s.rt, "state")
 	list := []dnsdiscovery.Entry{b}
 	if rapid.Bool().Draw(s.rt, "a is listed") {
-		list = append(list, readyTarget("a", addrA, 0))
+		list = append(list, readyEntry("a", addrA, 0))
 	}
 	s.gateway.setEndpoints(2, list...)
 }
--- a/internal/protocol/binarygateway/endpointlist.go
+++ b/internal/protocol/binarygateway/endpointlist.go
@@ -12,8 +12,8 @@
 func (g *Gateway) OnEndpointList(now float64, list *dnsdiscovery.List) {
 	g.Now = now
 	changed := g.Endpoints.Apply(g.endpointEntries(list), list.Complete)
-	for _, target := range list.Entries {
-		g.updateUpstream(target)
+	for _, listed := range list.Entries {
+		g.updateUpstream(listed)
 	}
 	for _, endpoint := range changed {
 		g.applyEndpointState(endpoint)
@@ -30,13 +30,13 @@
 
 func (g *Gateway) endpointEntries(list *dnsdiscovery.List) []endpointset.Entry[string] {
 	entries := make([]endpointset.Entry[string], len(list.Entries))
-	for i, target := range list.Entries {
-		entry := endpointset.Entry[string]{ID: target.ID, DestinationID: target.DestinationID, State: target.State}
-		if target.StartedAt > 0 {
-			entry.StartedAt = g.config.FromUnixMillis(target.StartedAt)
+	for i, listed := range list.Entries {
+		entry := endpointset.Entry[string]{ID: listed.ID, DestinationID: listed.DestinationID, State: listed.State}
+		if listed.StartedAt > 0 {
+			entry.StartedAt = g.config.FromUnixMillis(listed.StartedAt)
 		}
-		known := g.Endpoints.ByID(target.ID)
-		if known != nil && target.State == routing.Gone && entry.DestinationID < 0 {
+		known := g.Endpoints.ByID(listed.ID)
+		if known != nil && listed.State == routing.Gone && entry.DestinationID < 0 {
 			entry.DestinationID = known.DestinationID // lists may omit it for a gone endpoint
 		}
 		entries[i] = entry
@@ -45,17 +45,17 @@
 }
 
 // updateUpstream creates the upstream of a new endpoint and applies a changed address.
-func (g *Gateway) updateUpstream(target dnsdiscovery.Entry) {
-	endpoint := g.Endpoints.ByID(target.ID)
+func (g *Gateway) updateUpstream(listed dnsdiscovery.Entry) {
+	endpoint := g.Endpoints.ByID(listed.ID)
 	if endpoint.State == routing.Gone {
 		return
 	}
 	existing := g.upstreams[endpoint]
 	switch {
 	case existing == nil:
-		g.upstreams[endpoint] = newUpstream(g, endpoint, target.Addr)
-	case target.Addr.IsValid() && existing.address != target.Addr:
-		existing.changeAddress(target.Addr)
+		g.upstreams[endpoint] = newUpstream(g, endpoint, listed.Addr)
+	case listed.Addr.IsValid() && existing.address != listed.Addr:
+		existing.changeAddress(listed.Addr)
 	}
 }
 
--- a/internal/protocol/binarygateway/simulation_test.go
+++ b/internal/protocol/binarygateway/simulation_test.go
@@ -75,8 +75,8 @@
 // TestRulesUnderFaults: the traffic conforms to the rules under random faults of callers, endpoints and the network.
 func TestRulesUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		world := newSimulation(rapid.Uint64().Draw(t, "seed"), newRouter, 0)
-		world.Faults = binarystandin.Faults{
+		simulation := newSimulation(rapid.Uint64().Draw(t, "seed"), newRouter, 0)
+		simulation.Faults = binarystandin.Faults{
 			Malformed:     faultProbability(t, "malformed", 0.1),
 			Late:          faultProbability(t, "late", 0.2),
 			Unanswered:    faultProbability(t, "unanswered", 0.2),
@@ -95,15 +95,15 @@
 			Crashes:       faultProbability(t, "crashes", 0.2),
 			Vanish:        faultProbability(t, "vanish", 0.2),
 		}
-		world.StopAt = 8000
-		world.Run(22000)
-		for i, f := range world.Checker.Findings {
+		simulation.StopAt = 8000
+		simulation.Run(22000)
+		for i, f := range simulation.Checker.Findings {
 			if i < 5 {
 				t.Errorf("%v", f)
 			}
 		}
-		if world.Checker.Setups.SetUps < 20 {
-			t.Errorf("%d setups were sent, want 20 at least", world.Checker.Setups.SetUps)
+		if simulation.Checker.Setups.SetUps < 20 {
+			t.Errorf("%d setups were sent, want 20 at least", simulation.Checker.Setups.SetUps)
 		}
 	})
 }
@@ -159,17 +159,17 @@
 		t.Run(fmt.Sprint(disabledGuard), func(t *testing.T) {
 			found := map[int]int{}
 			for seed := range uint64(4) {
-				world := newSimulation(
+				simulation := newSimulation(
 					seed,
 					func(_ *routing.Settings, h routing.Host) routing.Policy {
 						return &ruleBreakingPolicy{host: h, seed: seed}
 					},
 					routing.Rule(disabledGuard),
 				)
-				world.Faults = binarystandin.Faults{Late: 0.2, Overloaded: 0.3, Drains: 0.4, Unanswered: 0.2}
-				world.StopAt = 6000
-				world.Run(12000)
-				for i, f := range world.Checker.Findings {
+				simulation.Faults = binarystandin.Faults{Late: 0.2, Overloaded: 0.3, Drains: 0.4, Unanswered: 0.2}
+				simulation.StopAt = 6000
+				simulation.Run(12000)
+				for i, f := range simulation.Checker.Findings {
 					found[f.Rule]++
 					if disabledGuard == 0 && i < 3 {
 						t.Error(f)
@@ -188,9 +188,9 @@
 // TestNoStateLeft: after a long run in which call IDs, connections and endpoints keep changing, the gateway holds
 // no more state than at its start.
 func TestNoStateLeft(t *testing.T) {
-	world := newSimulation(5, newRouter, 0)
-	world.Rate = 60
-	world.Faults = binarystandin.Faults{
+	simulation := newSimulation(5, newRouter, 0)
+	simulation.Rate = 60
+	simulation.Faults = binarystandin.Faults{
 		Late:         0.05,
 		Unanswered:   0.02,
 		Duplicate:    0.1,
@@ -202,16 +202,16 @@
 		Crashes:      0.1,
 		Malformed:    0.02,
 	}
-	world.StopAt = 40000
-	world.Run(100000)
-	open := world.Gateway.OpenCounts()
+	simulation.StopAt = 40000
+	simulation.Run(100000)
+	open := simulation.Gateway.OpenCounts()
 	if open.Calls > 0 || open.Upstreams > 4 || open.Clients > 1 || open.ClientConns > 4 || open.Timers > 40 {
 		t.Errorf("left open: %+v, want at most 4 upstreams, 1 client, 4 client connections, 40 timers and no calls", open)
 	}
-	if canceled, unmatchedReleases := world.Gateway.RememberedCounts(); canceled+unmatchedReleases > 0 {
+	if canceled, unmatchedReleases := simulation.Gateway.RememberedCounts(); canceled+unmatchedReleases > 0 {
 		t.Errorf("%d canceled calls and %d unmatched releases are remembered, want none", canceled, unmatchedReleases)
 	}
-	for _, f := range world.Checker.Findings {
+	for _, f := range simulation.Checker.Findings {
 		t.Error(f)
 	}
 }
@@ -234,9 +234,9 @@
 
 // trafficChecksum simulates a run with faults and hashes every message that the gateway sends or receives.
 func trafficChecksum(seed uint64) (checksum uint64, messages int) {
-	world := newSimulation(seed, newRouter, 0)
-	world.Rate = 60
-	world.Faults = binarystandin.Faults{
+	simulation := newSimulation(seed, newRouter, 0)
+	simulation.Rate = 60
+	simulation.Faults = binarystandin.Faults{
 		Late:          0.05,
 		Unanswered:    0.02,
 		Duplicate:     0.1,
@@ -255,10 +255,10 @@
 		Vanish:        0.1,
 		Malformed:     0.02,
 	}
-	world.StopAt = 20000
+	simulation.StopAt = 20000
 	h := fnv.New64a()
-	world.Gateway.OnMessage = func(conn *binarygateway.Conn, outgoing bool, message binarymessage.Message) {
-		header := binary.LittleEndian.AppendUint64(nil, math.Float64bits(world.Now()))
+	simulation.Gateway.OnMessage = func(conn *binarygateway.Conn, outgoing bool, message binarymessage.Message) {
+		header := binary.LittleEndian.AppendUint64(nil, math.Float64bits(simulation.Now()))
 		if outgoing {
 			header = append(header, 1)
 		}
@@ -267,6 +267,6 @@
 		h.Write(message)
 		messages++
 	}
-	world.Run(40000)
+	simulation.Run(40000)
 	return h.Sum64(), messages
 }
--- a/internal/protocol/binarygateway/testgateway_test.go
+++ b/internal/protocol/binarygateway/testgateway_test.go
@@ -168,17 +168,17 @@
 		},
 		g,
 	)
-	g.setEndpoints(1, readyTarget("a", addrA, 0), readyTarget("b", addrB, 1))
+	g.setEndpoints(1, readyEntry("a", addrA, 0), readyEntry("b", addrB, 1))
 	g.step()
 	return g
 }
 
-func readyTarget(id string, address netip.AddrPort, destinationID int) dnsdiscovery.Entry {
+func readyEntry(id string, address netip.AddrPort, destinationID int) dnsdiscovery.Entry {
 	return dnsdiscovery.Entry{ID: id, Addr: address, DestinationID: destinationID, State: routing.Ready}
 }
 
-func (g *testGateway) setEndpoints(serial uint32, targets ...dnsdiscovery.Entry) {
-	g.gateway.OnEndpointList(g.now, &dnsdiscovery.List{Serial: serial, Complete: true, Entries: targets})
+func (g *testGateway) setEndpoints(serial uint32, entries ...dnsdiscovery.Entry) {
+	g.gateway.OnEndpointList(g.now, &dnsdiscovery.List{Serial: serial, Complete: true, Entries: entries})
 }
 
 // step processes three batches. Before each, unless holdDials is set, pending dials complete, and the endpoints send a
--- a/internal/protocol/binarygateway/upstream_test.go
+++ b/internal/protocol/binarygateway/upstream_test.go
@@ -30,7 +30,7 @@
 	g.setEndpoints(
 		2,
 		dnsdiscovery.Entry{ID: "a", Addr: addrA, DestinationID: 0, State: routing.Draining},
-		readyTarget("b", addrB, 1),
+		readyEntry("b", addrB, 1),
 	)
 	g.step()
 	for _, conn := range g.dialed {
@@ -125,7 +125,7 @@
 			g.setEndpoints(
 				2,
 				dnsdiscovery.Entry{ID: "a", Addr: addrA, DestinationID: 0, State: routing.Draining},
-				readyTarget("b", addrB, 1),
+				readyEntry("b", addrB, 1),
 			)
 		}
 		g.holdDials = true
@@ -219,9 +219,9 @@
 // TestListEndsCalls: when the list shows that an endpoint was restarted or is gone, its earlier calls have ended.
 func TestListEndsCalls(t *testing.T) {
 	for _, next := range [][]dnsdiscovery.Entry{
-		{{ID: "a", Addr: addrA, DestinationID: 0, State: routing.Ready, StartedAt: 1e6 + 5000}, readyTarget("b", addrB, 1)},
-		{readyTarget("b", addrB, 1)},
-		{readyTarget("c", addrA, 0), readyTarget("b", addrB, 1)}, // another endpoint has its address now
+		{{ID: "a", Addr: addrA, DestinationID: 0, State: routing.Ready, StartedAt: 1e6 + 5000}, readyEntry("b", addrB, 1)},
+		{readyEntry("b", addrB, 1)},
+		{readyEntry("c", addrA, 0), readyEntry("b", addrB, 1)}, // another endpoint has its address now
 	} {
 		g := newTestGateway(t)
 		caller := g.acceptClient()
--- a/internal/protocol/dnsclient/health.go
+++ b/internal/protocol/dnsclient/health.go
@@ -94,11 +94,11 @@
 
 // chooseAllDown selects a server when all are down or avoided, for the first query of a look-up only: the one that was
 // queried least recently, if that was at least allDownRetry ago and no query that tests it is outstanding.
-func (h *Health) chooseAllDown(now float64, tries int) (server int, timeout float64) {
+func (h *Health) chooseAllDown(now float64, queryCount int) (server int, timeout float64) {
 	best := -1
 	for i := range h.servers {
 		s := &h.servers[i]
-		if tries == 0 && now >= s.testQueryUntil && (!s.queried || now >= s.lastQuery+allDownRetry) &&
+		if queryCount == 0 && now >= s.testQueryUntil && (!s.queried || now >= s.lastQuery+allDownRetry) &&
 			(best < 0 || s.lastQuery < h.servers[best].lastQuery) {
 			best = i
 		}
--- a/internal/protocol/dnsdiscovery/event.go
+++ b/internal/protocol/dnsdiscovery/event.go
@@ -39,11 +39,11 @@
 	}
 	list := List{Serial: event.Serial, Complete: event.List.Complete}
 	for _, t := range event.List.Targets {
-		target, err := t.target()
+		entry, err := t.target()
 		if err != nil {
 			return List{}, fmt.Errorf("target %q: %w", t.ID, err)
 		}
-		list.Entries = append(list.Entries, target)
+		list.Entries = append(list.Entries, entry)
 	}
 	return list, nil
 }
--- a/internal/protocol/dnsdiscovery/response.go
+++ b/internal/protocol/dnsdiscovery/response.go
@@ -38,11 +38,11 @@
 	case serial == c.serial:
 		return nil, nil
 	}
-	targets, err := targetsOf(message)
+	entries, err := entriesOf(message)
 	if err != nil {
 		return nil, fmt.Errorf("response: %w", err)
 	}
-	return &List{Serial: serial, Complete: true, Entries: targets}, nil
+	return &List{Serial: serial, Complete: true, Entries: entries}, nil
 }
 
 // matches reports whether a message is a response to one of the latest queries.
@@ -64,10 +64,10 @@
 	return serial, ok
 }
 
-// targetsOf returns the endpoints in a response, each from its SRV, A and TXT records.
-func targetsOf(message *dns.Msg) ([]Entry, error) {
+// entriesOf returns the endpoints in a response, each from its SRV, A and TXT records.
+func entriesOf(message *dns.Msg) ([]Entry, error) {
 	addresses, texts := hostRecords(message)
-	var targets []Entry
+	var entries []Entry
 	for _, record := range message.Answer {
 		srv, ok := record.(*dns.SRV)
 		if !ok || !strings.EqualFold(srv.Hdr.Name, queryName) {
@@ -80,21 +80,21 @@
 		if !hasAddress || !hasText || id == "" {
 			return nil, fmt.Errorf("host %q: want a name with an A and a TXT record", host)
 		}
-		target := Entry{
+		entry := Entry{
 			ID:            id,
 			Addr:          netip.AddrPortFrom(address, srv.Port),
 			State:         routing.Ready,
 			DestinationID: -1,
 		}
 		if srv.Priority != 0 {
-			target.State = routing.Draining
+			entry.State = routing.Draining
 		}
-		if err := target.applyText(text); err != nil {
+		if err := entry.applyText(text); err != nil {
 			return nil, fmt.Errorf("%s: %w", host, err)
 		}
-		targets = append(targets, target)
+		entries = append(entries, entry)
 	}
-	return targets, nil
+	return entries, nil
 }
 
 // hostRecords collects the A and TXT records by host name.
@@ -112,7 +112,7 @@
 	return addresses, texts
 }
 
-// applyText sets the target's properties from the fields `name=value` of a TXT record. Unknown fields are ignored.
+// applyText sets the entry's properties from the fields `name=value` of a TXT record. Unknown fields are ignored.
 func (t *Entry) applyText(fields []string) error {
 	for _, field := range fields {
 		name, value, _ := strings.Cut(field, "=")
--- a/internal/protocol/enumserver/server_test.go
+++ b/internal/protocol/enumserver/server_test.go
@@ -363,8 +363,8 @@
 // most one response.
 func TestAmplificationBounded(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		gain := rapid.Float64Range(1, 10).Draw(rt, "gain")
-		s := newTestServer(t, func(c *Config) { c.MaxAmplification = gain })
+		amplification := rapid.Float64Range(1, 10).Draw(rt, "amplification")
+		s := newTestServer(t, func(c *Config) { c.MaxAmplification = amplification })
 		result := s.enquirer.success()
 		result.Params = strings.Repeat("x", rapid.IntRange(0, 200).Draw(rt, "params length"))
 		switch rapid.IntRange(0, 2).Draw(rt, "result") {
@@ -387,10 +387,11 @@
 		if len(s.responses) != 1 {
 			rt.Fatalf("%d responses, want 1", len(s.responses))
 		}
-		// Even with a gain near 1 the truncated response fits, since it holds only the question.
-		if size := s.sizes[0]; float64(size) > max(gain*float64(len(b)), float64(len(b))) || size > 1232 ||
+		// Even with a maximum amplification near 1 the truncated response fits, since it holds only the question.
+		if size := s.sizes[0]; float64(size) > max(amplification*float64(len(b)), float64(len(b))) || size > 1232 ||
 			edns < 513 && size > 512 {
-			rt.Fatalf("response of %d octets to a query of %d, gain %.1f, EDNS size %d", size, len(b), gain, edns)
+			rt.Fatalf("response of %d octets to a query of %d, maximum amplification %.1f, EDNS size %d",
+				size, len(b), amplification, edns)
 		}
 	})
 }
