--- a/internal/gateway/binaryserver/server_test.go
+++ b/internal/gateway/binaryserver/server_test.go
@@ -116,10 +116,10 @@
 		"timeout below 0":   setupWith(1<<41+4, class, binarymessage.TextParam(binarymessage.Timeout, "-5"), number),
 		"timeout endless":   setupWith(1<<41+5, class, binarymessage.TextParam(binarymessage.Timeout, "1e300"), number),
 		"no number":         setupWith(1<<41+6, class, timeout),
-		"figures too large": setupWith(1<<41+7, class, timeout, number, binarymessage.TextParam(binarymessage.RoutingParams,
-			"dest:99999999999999999999")),
-		"figures no number": setupWith(1<<41+8, class, timeout, number, binarymessage.TextParam(binarymessage.RoutingParams,
-			"width:many")),
+		"figures too large": setupWith(1<<41+7, class, timeout, number, binarymessage.TextParam(
+			binarymessage.RoutingParams, "dest:99999999999999999999")),
+		"figures no number": setupWith(1<<41+8, class, timeout, number, binarymessage.TextParam(
+			binarymessage.RoutingParams, "width:many")),
 		"no id": setupWith(0, class, timeout, number),
 		"unknown switch": setupWith(1<<41+9, class, timeout, number, binarymessage.TextParam(binarymessage.RoutingParams,
 			"at:s-nowhere")),
--- a/internal/gateway/reactor/reactor.go
+++ b/internal/gateway/reactor/reactor.go
@@ -45,8 +45,9 @@
 
 // ListenUDP opens a socket on each address. onDatagram is called from the pollers, for one address always from the same
 // poller, and may keep the data. The error names an address that can't be opened.
-func ListenUDP(addrs []netip.AddrPort, pollers int, onDatagram func(local, from netip.AddrPort, data []byte)) (*UDPSockets,
-	error) {
+func ListenUDP(
+	addrs []netip.AddrPort, pollers int, onDatagram func(local, from netip.AddrPort, data []byte),
+) (*UDPSockets, error) {
 	silenceLibraryLog()
 	s := &UDPSockets{conns: map[netip.AddrPort]*net.UDPConn{}, batchConns: map[netip.AddrPort]*ipv4.PacketConn{}}
 	var names []string
@@ -102,7 +103,7 @@
 	return c, nil
 }
 
-// Send sends a datagram from a local address. A failure is only counted in Lost, since the network may lose any
+// Send sends a datagram from a local address. A failure is only counted in SendErrors, since the network may lose any
 // datagram.
 func (s *UDPSockets) Send(from, to netip.AddrPort, data []byte) {
 	c := s.conns[from]
@@ -166,7 +167,7 @@
 	}
 }
 
-// IsAddressInUse reports whether an error of Listen says that an address is already in use.
+// IsAddressInUse reports whether an error of ListenUDP or ListenTCP says that an address is already in use.
 func IsAddressInUse(err error) bool {
 	return err != nil && strings.Contains(err.Error(), "address already in use")
 }
--- a/internal/protocol/enumserver/server.go
+++ b/internal/protocol/enumserver/server.go
@@ -101,10 +101,11 @@
 	return &Server{cfg: cfg, enquirer: enquirer, limits: newLimiter(cfg.Limits), open: map[queryKey]*pendingQuery{}}
 }
 
-// dropExpired drops expired answers, and the oldest ones above the limit Keep.
+// dropExpired drops expired answers, and the oldest ones above the limit MaxRemembered.
 func (s *Server) dropExpired() {
 	dropped := 0
-	for dropped < len(s.remembered) && (s.now >= s.remembered[dropped].expires || len(s.remembered)-dropped > s.cfg.MaxRemembered) {
+	for dropped < len(s.remembered) &&
+		(s.now >= s.remembered[dropped].expires || len(s.remembered)-dropped > s.cfg.MaxRemembered) {
 		if oldest := s.remembered[dropped]; s.open[oldest.key] == oldest.query {
 			delete(s.open, oldest.key)
 		}
