--- a/internal/emulator/scenario/faults.go
+++ b/internal/emulator/scenario/faults.go
@@ -30,8 +30,9 @@
 
 func noEffect() {}
 
-// faultEffects returns what a fault does when it begins and when it ends; nil: the scenario has nothing that it
-// affects. The affected endpoints are drawn now, so that the draw doesn't depend on what happens before the fault.
+// faultEffects returns what a fault does when it begins and when it ends. Both are nil for a DNS fault in a
+// scenario without number analysis. The endpoints that are drawn at random are drawn here, so that the draw
+// doesn't depend on what happens before the fault; gateways are drawn when the fault begins.
 func (st *Scenario) faultEffects(t scenariofile.Fault) (begin, end func()) {
 	switch t.Kind {
 	case "slow":
@@ -68,6 +69,7 @@
 	return noEffect, noEffect // "burst", "uneven" and "flood" act on the arrivals
 }
 
+// slowDown returns functions that slow endpoints down by a factor and that restore their speed.
 func slowDown(endpoints []*endpoint, factor float64) (begin, end func()) {
 	set := func(factor float64) func() {
 		return func() {
@@ -79,16 +81,18 @@
 	return set(factor), set(1)
 }
 
-// loseCircuits leaves the endpoints of a region a share of their circuits; due lets them release calls at once.
-func (st *Scenario) loseCircuits(region string, share float64, due bool) {
+// loseCircuits sets the share of their lines that the endpoints of a region have in service. wakeUp schedules a
+// wakeup of the switches, so that they release surplus calls at once.
+func (st *Scenario) loseCircuits(region string, share float64, wakeUp bool) {
 	for _, p := range st.endpointsIn(region) {
 		p.coreSwitch.LoseCircuits(st.Simulation.Now, share)
-		if due {
+		if wakeUp {
 			p.node.ScheduleWakeup()
 		}
 	}
 }
 
+// killEndpoints kills the switches of endpoints; the endpoint list shows it later.
 func (st *Scenario) killEndpoints(endpoints []*endpoint) {
 	for _, p := range endpoints {
 		st.kill(p)
@@ -142,6 +146,7 @@
 	return endpoints[:min(n, len(endpoints))]
 }
 
+// drawGateways draws the gateways that a fault affects, at least one.
 func (st *Scenario) drawGateways(t scenariofile.Fault) []*Gateway {
 	gateways := append([]*Gateway{}, st.Gateways...)
 	for i := len(gateways) - 1; i > 0; i-- {
@@ -162,6 +167,8 @@
 	return endpoints
 }
 
+// toggleOtherLoad turns other load (a share of the processor) on and off, at random intervals of 0.5 to 2.5 s,
+// until the time end (ms).
 func (st *Scenario) toggleOtherLoad(endpoints []*endpoint, load, end float64) {
 	sim := st.Simulation
 	if sim.Now >= end {
@@ -180,7 +187,8 @@
 	sim.At(math.Min(end, sim.Now+500+2000*st.random.Float64()), func() { st.toggleOtherLoad(endpoints, load, end) })
 }
 
-// age slows switches down step by step, then kills and restarts them.
+// age slows switches down in 10 steps over the fault's duration, then kills them and restarts them 2 s later.
+// step is the step to do now.
 func (st *Scenario) age(endpoints []*endpoint, t scenariofile.Fault, step int) {
 	const steps = 10
 	for _, p := range endpoints {
@@ -198,7 +206,7 @@
 	}
 }
 
-// delistLater puts a silent switch on the list as gone, after a delay.
+// delistLater publishes, after a delay, that a killed switch is gone, unless it has been restarted by then.
 func (st *Scenario) delistLater(p *endpoint) {
 	incarnation, list := p.incarnation, st.Script.List
 	st.Simulation.At(st.Simulation.Now+list.SilentLo+(list.SilentHi-list.SilentLo)*st.random.Float64(), func() {
@@ -242,7 +250,7 @@
 	st.publishLater(p.member(), list.AddLo, list.AddHi)
 }
 
-// stall pauses gateways repeatedly, each time for pause ms.
+// stall pauses gateways repeatedly, each time for pause ms. No pause begins after the time end.
 func (st *Scenario) stall(gateways []*Gateway, pause, end float64) {
 	sim := st.Simulation
 	if sim.Now >= end {
--- a/internal/emulator/scenariofile/script.go
+++ b/internal/emulator/scenariofile/script.go
@@ -38,28 +38,38 @@
 	Calls       []*api.Call `json:"-"` // calls of a trace, in place of Load
 }
 
-// Gateways holds the number and the settings of the gateways. Held is the most calls that may be pending at one of
-// them.
+// Gateways holds the number and the settings of the gateways. Held is the most calls that may be pending at one
+// of them, MaxRings the most attempts of a call, MaxWait the longest Retry-After in ms. Tick is the timer
+// interval in ms, Margin the answer margin in ms, MostRate the admission rate in calls per second (0: no limit).
+// Cancel, Tell, Probe and NameWait permit CANCEL, gossip, probes and Retry-After.
 type Gateways struct {
 	Count, Held, MaxRings, MaxWait int
 	Tick, Margin, MostRate         float64
 	Cancel, Tell, Probe, NameWait  bool
 }
 
-// Rules holds the parameters of the five rules.
+// Rules holds the parameters of rules 1 to 5, which package conformance checks. Slack is how much later than the
+// deadline a final answer may be (rule 1), Grace the time after which nothing may be sent to an endpoint that is
+// known to drain or be gone (rule 3), Clear the hold-off (rule 5), all in ms. The others belong to rule 4:
+// ColdShare is the share of its capacity that a switch has at the begin of slow start, WarmWithin the duration of
+// slow start in ms; a switch in slow start is overloaded by more than TipTimes its capacity over TipWindow ms.
 type Rules struct{ Slack, Grace, Clear, ColdShare, WarmWithin, TipTimes, TipWindow float64 }
 
-// Net describes the network: one-way delays within a region, between regions, between callers and gateways and
-// between gateways, and the shares of datagrams that are lost or duplicated.
+// Net describes the network. Same, Cross, Caller and Peer are the one-way delays in ms within a region, between
+// regions, between callers and gateways and between gateways (gossip). Jitter is the largest deviation from the
+// delay, as a fraction of it. Loss and Double are the shares of datagrams that are lost or duplicated, PeerLoss
+// the share of gossip that is lost.
 type Net struct{ Same, Cross, Caller, Peer, Jitter, Loss, Double, PeerLoss float64 }
 
-// Class is a class of calls.
+// Class is a class of calls. Share is its share of the calls, Target its latency objective, Patience the caller's
+// timeout, Try the timeout of an attempt, Value the weight of a call, Late the fraction of the weight that a late
+// answer counts, Hold the mean holding time. Times are in ms.
 type Class struct {
 	Name                                            string
 	Share, Target, Patience, Try, Value, Late, Hold float64
 }
 
-// Tenant is a tenant.
+// Tenant is a tenant with its share of the calls.
 type Tenant struct {
 	Name  string
 	Share float64
@@ -69,7 +79,8 @@
 type Pools struct {
 	Count  int
 	Spread float64 // capacities differ from the mean by up to this fraction
-	// Sizes, if set, are the relative capacities, in place of Spread; Regions holds the index of each one's region.
+	// Sizes, if set, are the relative capacities, in place of Spread; Regions, if set, holds for
+	// each endpoint the index of its region in Script.Regions.
 	Sizes   []float64
 	Regions []int
 	Model   coreswitch.Model
@@ -85,15 +96,16 @@
 
 // Callers is the behavior of the callers.
 type Callers struct {
-	Redials int
-	Pause   float64
-	Grows   bool
-	Honour  float64
-	MaxWait float64
-	Silence float64
+	Redials int     // most redials of a call
+	Pause   float64 // pause before a redial, in ms
+	Grows   bool    // the pause grows exponentially
+	Honour  float64 // share of the callers that obey Retry-After
+	MaxWait float64 // longest Retry-After that they obey, in ms
+	Silence float64 // a caller hangs up after this time on a dead line, in ms
 }
 
-// List holds the delays after which the endpoint list shows a change.
+// List holds the delays in ms, least (Lo) and most (Hi), after which the endpoint list shows a change: Notice the
+// stop of a switch, Silent the kill of a switch, Add a new switch. Single gateways get it up to Spread later.
 type List struct{ NoticeLo, NoticeHi, SilentLo, SilentHi, AddLo, AddHi, Spread float64 }
 
 // Numbers says whether the gateways analyse numbers, and how the look-ups requested by their number tables are
@@ -101,10 +113,10 @@
 type Numbers struct {
 	On                  bool
 	Change              float64 // interval between new tables; 0: never
-	Ported, None, Leads float64 // shares of the numbers
+	Ported, None, Leads float64 // shares of the numbers that are ported, unassigned, answered with a non-terminal record
 	TTL, Delay, Jitter  float64
 	Servers             int
-	Within, Share       float64 // of a look-up: its timeout, and its largest share of the call's timeout
+	Within, Share       float64 // timeout of a look-up in ms; largest share of the call's timeout that it may take
 	Cache, Alone        bool    // Cache: answers are cached; Alone: concurrent look-ups of one name are not shared
 	Popular             float64 // 1: all numbers are equally popular; above 1: lower numbers are called more often
 	Refuse              bool    // a call whose look-up gets no answer is rejected, not routed by the dialled number
@@ -115,18 +127,19 @@
 // ENUMClients are ENUM clients: they look up which switch to call and call it themselves.
 type ENUMClients struct {
 	Rate    float64 // calls per second at all gateways together; 0: no ENUM clients
-	Hold    float64
+	Hold    float64 // holding time in ms
 	Loss    float64 // share of datagrams lost between them and the gateways
 	Wait    float64 // retransmission interval of a query
-	Repeats int
-	Asks    int // new queries after a failed one
+	Repeats int     // most retransmissions of a query
+	Asks    int     // most further look-ups after a failed one
 }
 
 // AnalysesNumbers reports whether the gateways analyse numbers. They don't for the calls of a trace, which name their
 // trunk groups themselves.
 func (s *Script) AnalysesNumbers() bool { return s.Numbers.On && len(s.Calls) == 0 }
 
-// Fault is a fault. Part is the share of the components that it affects; what Size means depends on the kind.
+// Fault is a fault. At is its begin and For its duration, in ms; Part is the share of the components that it affects;
+// what Size means depends on the kind. Region is the region of the affected switches; "": all regions.
 type Fault struct {
 	Kind       string
 	At, For    float64
@@ -149,7 +162,7 @@
 	"stall":         "a part of the gateways is paused for size seconds, repeatedly",
 	"restart":       "a part of the gateways is killed and restarted with its last list",
 	"mute":          "messages between gateways are lost",
-	"loss":          "a share size of all datagrams between gateways and switches is lost",
+	"loss":          "another share size of datagrams is lost, except between callers and gateways and between gateways",
 	"listless":      "the endpoint list sends no updates",
 	"names_silent":  "a part of the DNS servers never answers",
 	"names_slow":    "a part of the DNS servers answers after size seconds",
--- a/internal/emulator/virtualrun/virtualrun.go
+++ b/internal/emulator/virtualrun/virtualrun.go
@@ -1,6 +1,6 @@
-// Package virtualrun runs scenarios in virtual time and measures them: the same gateways and switches as behind
-// sockets, any number of gateways, and the same run for the same seed. Independent runs execute in parallel, one per
-// core.
+// Package virtualrun runs scenarios in virtual time and measures them. It uses the same gateway and switch code
+// as runs over real sockets, with any number of gateways; the same seed gives the same run. ForEach executes
+// independent runs in parallel, one per core.
 package virtualrun
 
 //tally:standin
@@ -27,11 +27,13 @@
 	"cobaltpier/internal/routing"
 )
 
-// SettleTime is how long a run goes on after the scenario's length, in ms; all calls have timed out by then.
+// SettleTime is how long a run goes on after the scenario's length, in ms, so that calls in progress can finish.
+// With the default timeout of 9 s each call that arrived before the end has an answer or has timed out by then;
+// with longer timeouts, and for redials and answered calls, that isn't certain.
 const SettleTime = 12000.0
 
-// PolicyByName returns the factory of a routing policy by its name: brain (also if empty) or a baseline; nil if
-// unknown.
+// PolicyByName returns the factory of a routing policy by its name: "brain" or "" is the policy of package
+// router, other names are baselines; nil if unknown.
 func PolicyByName(name string) routing.PolicyFactory {
 	if name == "" || name == "brain" {
 		return func(s *routing.Settings, h routing.Host) routing.Policy { return router.New(s, h) }
@@ -39,10 +41,10 @@
 	return baseline.ByName(name)
 }
 
-// Options selects what is measured.
+// Options selects what a run measures and who gets its capture.
 type Options struct {
-	Series   bool              // values per second, for plots
-	Checksum bool              // hash of the whole capture
+	Series   bool              // fill Result.Series, for plots
+	Checksum bool              // compute Result.Checksum, an FNV-1a-like hash of the whole capture, from 0
 	Record   func(*api.Record) // gets each record of the capture; may be nil
 }
 
@@ -56,17 +58,23 @@
 	NumberLookups dnsclient.Counts
 	ENUM          scenario.ENUMService
 	Checksum      uint64
-	Elapsed       time.Duration
+	Elapsed       time.Duration // wall-clock time
 }
 
 // Series holds the values of a run by second.
 type Series struct {
-	Seconds   int
-	Service   []float64            // share of the weight arriving then that was answered in time; NaN: none arrived
-	Arrivals  []float64            // calls that arrived
-	P50, P95  []float64            // time to answer of those that were answered, in ms; NaN: none
-	Attempts  map[string][]float64 // sent in that second, by switch
-	Outcomes  map[string][]float64 // final responses of the switches, by outcome
+	Seconds int
+	// Service is the weight of the calls that were answered within their latency objective and not dropped, divided by
+	// the weight of all calls that arrived in that second; NaN: none arrived. Calls over their tenant's quota are left
+	// out here, in Arrivals and in P50 and P95.
+	Service  []float64
+	Arrivals []float64 // number of calls that arrived
+	P50, P95 []float64 // median and 95th percentile of the time to answer, in ms, by arrival; NaN: no call answered
+	// Attempts holds the INVITE datagrams to each switch, by its name; retransmissions and lost datagrams count too.
+	Attempts map[string][]float64
+	// Outcomes holds the final responses to INVITE of the switches, by outcome. Retransmitted responses count again;
+	// status codes that outcomeNames doesn't have aren't counted.
+	Outcomes  map[string][]float64
 	SlowStart []conformance.SlowStartSample
 	Faults    []scenariofile.Fault
 }
@@ -126,8 +134,8 @@
 	return res
 }
 
-// ForEach calls do for 0 to n-1, with as many calls in parallel as there are cores, until ctx ends. It reports whether
-// all were done.
+// ForEach calls do for 0 to n-1, with as many calls in parallel as there are cores, until ctx ends. It reports
+// whether all were done.
 func ForEach(ctx context.Context, n int, do func(i int)) bool {
 	next := make(chan int)
 	var wait sync.WaitGroup
@@ -155,6 +163,7 @@
 	return all
 }
 
+// seriesTap computes the Series of a run from its capture and its call records.
 type seriesTap struct {
 	series *Series
 	nodes  map[string]*api.Node
@@ -168,6 +177,7 @@
 	}
 }
 
+// count adds 1 to the values of key in the second of the time at (ms).
 func (t *seriesTap) count(m map[string][]float64, key string, at float64) {
 	i := int(at / 1000)
 	if i < 0 || i >= t.series.Seconds {
@@ -189,6 +199,7 @@
 	"600": "engaged",
 }
 
+// add counts the INVITEs and final responses in a record of the capture.
 func (t *seriesTap) add(r *api.Record) {
 	switch v := r.What.(type) {
 	case *api.Record_Node:
@@ -212,6 +223,7 @@
 	}
 }
 
+// finish computes the values that come from the call records, and returns the Series.
 func (t *seriesTap) finish(st *scenario.Scenario, cold []conformance.SlowStartSample) *Series {
 	s := t.series
 	s.SlowStart = cold
