--- a/internal/emulator/scenariofile/script.go
+++ b/internal/emulator/scenariofile/script.go
@@ -196,7 +196,7 @@
 	s.readCallers(b)
 	s.readList(b)
 	s.readNumbers(b)
-	s.readKiosks(b)
+	s.readENUMClients(b)
 	s.readFaults(b)
 	return s, b.Err()
 }
@@ -375,8 +375,8 @@
 	}
 }
 
-// readKiosks reads the settings of the ENUM clients.
-func (s *Script) readKiosks(b *hclconfig.Block) {
+// readENUMClients reads the settings of the ENUM clients.
+func (s *Script) readENUMClients(b *hclconfig.Block) {
 	for _, n := range b.Blocks("kiosks", 0) {
 		s.ENUMClients = ENUMClients{
 			Rate:    n.Num("rate", 100, 0, 1e6),
